--- /dev/null
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -0,0 +1,119 @@
+package lemondrift;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import lemondrift.drill.Drill;
+import lemondrift.peer.Holdings;
+import lemondrift.peer.SubsetAssignment;
+import lemondrift.recovery.Hello;
+import lemondrift.serve.Serve;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Datagrams, the simulator's frames and the lines of check, byte for byte as the landed program had them. */
+class CompatibilityTest {
+
+    @TempDir
+    Path folder;
+
+    @Test
+    void aDatagramOfRecoveryIsReadAndWrittenAsBefore() throws IOException {
+        Hello hello = new Hello(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
+        LandedBytes.assertHex("recovery-datagram.hex", hello.encoded());
+        assertEquals(hello, Hello.of(LandedBytes.ofHex("recovery-datagram.hex")));
+    }
+
+    @Test
+    void aDatagramOfGossipIsReadAndWrittenAsBefore() throws IOException {
+        Holdings sender = holdings(0), receiver = holdings(1);
+        sender.sent(Holdings.tag("backend-1"));
+        sender.sent(Holdings.tag("backend-1"));
+        sender.sent(Holdings.tag("backend-2"));
+        List<Holdings.Telling> due = sender.tellings(1);
+        assertEquals(1, due.size());
+        LandedBytes.assertHex("gossip-datagram.hex", due.get(0).datagram());
+        receiver.told(0, LandedBytes.ofHex("gossip-datagram.hex"), 1);
+        assertEquals(2, receiver.others(Holdings.tag("backend-1")));
+        assertEquals(1, receiver.others(Holdings.tag("backend-2")));
+    }
+
+    private static Holdings holdings(int self) {
+        SubsetAssignment subsets = new SubsetAssignment(2, 2);
+        subsets.listed(new int[] {Holdings.tag("backend-1"), Holdings.tag("backend-2")});
+        return new Holdings(2, self, 1764756000123L, 0.01, 0.1, subsets, tag -> { });
+    }
+
+    @Test
+    void theSimulatorsBatchGetsTheReplyOfBefore() throws IOException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream(), err = new ByteArrayOutputStream();
+        int code = Drill.run(new ByteArrayInputStream(LandedBytes.ofHex("simulator-batch.hex")), out,
+                new PrintStream(err));
+        assertEquals("", err.toString());
+        assertEquals(0, code);
+        LandedBytes.assertHex("simulator-reply.hex", out.toByteArray());
+    }
+
+    @Test
+    void whatCantBeUsedEndsCheckWithTheLineOfBefore() throws IOException {
+        String usable = Files.readString(Path.of("deploy", "sample.json"));
+        Map<String, String> bad = new LinkedHashMap<>();
+        bad.put("no JSON", "nonsense");
+        bad.put("cut off", usable.substring(0, usable.length() / 2));
+        bad.put("an array", "[]");
+        bad.put("no listen", usable.replace("\"listen\"", "\"heard\""));
+        bad.put("listen without a port", usable.replace("127.0.0.1:7070", "127.0.0.1"));
+        bad.put("discovery's port", usable.replace("127.0.0.1:8500", "127.0.0.1:high"));
+        bad.put("seed", usable.replace("8c1f30d27a5be964", "xyz"));
+        bad.put("no number", usable.replace("\"coldFrom\": 0.25", "\"coldFrom\": \"some\""));
+        bad.put("below its bound", usable.replace("\"cold\": 10000", "\"cold\": -1"));
+        bad.put("unknown word", usable.replace("\"fragile\"", "\"sometimes\""));
+        bad.put("missing", usable.replaceFirst("\"contractTime\": 500,", ""));
+        bad.put("no name", usable.replaceFirst("\"name\": \"read\",", ""));
+        bad.put("a name twice", usable.replace("\"write\"", "\"read\""));
+        bad.put("no classes", usable.replace("\"serviceGrades\"", "\"others\""));
+        bad.put("membership mode", usable.replace("\"pushed\"", "\"pulled\""));
+        bad.put("zone", usable.replace("\"zone\": 0", "\"zone\": 7"));
+        bad.put("most forwards", usable.replace("\"mostForwards\": 3", "\"mostForwards\": 0"));
+        StringBuilder lines = new StringBuilder();
+        for (Map.Entry<String, String> each : bad.entrySet()) {
+            lines.append(each.getKey()).append(" | ").append(check(each.getValue(), Map.of()));
+        }
+        lines.append("no file named | ").append(checked(Map.of()));
+        for (String file : List.of("PROXY_DOOR", "PROXY_PEERS", "PROXY_RECOVERY", "PROXY_SHADOW")) {
+            for (String text : List.of("nonsense", "[]", "{\"nothing\":1}", "{}")) {
+                Path path = Files.writeString(folder.resolve(file), text);
+                lines.append(file).append(' ').append(text).append(" | ")
+                        .append(check(usable, Map.of(file, path.toString())));
+            }
+        }
+        lines.append("admin | ").append(check(usable, Map.of("PROXY_ADMIN_ADDR", "nowhere")));
+        lines.append("inherited | ").append(check(usable, Map.of("PROXY_INHERITED_FD", "7")));
+        LandedBytes.assertText("check.txt", lines.toString());
+    }
+
+    private String check(String configuration, Map<String, String> others) throws IOException {
+        Map<String, String> environment = new HashMap<>(others);
+        environment.put("PROXY_CONFIG", Files.writeString(folder.resolve("proxy.json"), configuration)
+                .toString());
+        return checked(environment);
+    }
+
+    /** The exit code and what is printed, without the folder's name. */
+    private String checked(Map<String, String> environment) {
+        ByteArrayOutputStream err = new ByteArrayOutputStream();
+        int code = Serve.check(environment, new PrintStream(err, true, StandardCharsets.UTF_8));
+        String printed = err.toString(StandardCharsets.UTF_8).replace(folder.toString(), "FOLDER");
+        return code + " " + (printed.isEmpty() ? "\n" : printed);
+    }
+}
