--- a/src/main/java/lemondrift/Main.java
+++ b/src/main/java/lemondrift/Main.java
@@ -1,8 +1,8 @@
 package lemondrift;
 
-import lemondrift.cli.Lemondrift;
-import lemondrift.drill.Drill;
-import lemondrift.serve.Serve;
+import lemondrift.cli.RootCommand;
+import lemondrift.simulator.SimulatorAdapter;
+import lemondrift.serve.ProxyLauncher;
 
 /** Dispatches serve, check and drill at once: a proxy starts without the library of the other commands. */
 public final class Main {
@@ -12,14 +12,14 @@
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
             case "serve" -> {
-                int code = Serve.run(System.getenv(), System.err);
+                int code = ProxyLauncher.run(System.getenv(), System.err);
                 if (code != 0) {
                     Runtime.getRuntime().halt(code);
                 }
             }
-            case "check" -> System.exit(Serve.check(System.getenv(), System.err));
-            case "drill" -> System.exit(Drill.run(System.in, System.out, System.err));
-            default -> System.exit(Lemondrift.run(args));
+            case "check" -> System.exit(ProxyLauncher.check(System.getenv(), System.err));
+            case "drill" -> System.exit(SimulatorAdapter.run(System.in, System.out, System.err));
+            default -> System.exit(RootCommand.run(args));
         }
     }
 }
--- a/src/main/java/lemondrift/decide/Admission.java
+++ b/src/main/java/lemondrift/balancer/AdmissionControl.java
@@ -1,31 +1,31 @@
-package lemondrift.decide;
+package lemondrift.balancer;
 
 import java.util.Arrays;
 import lemondrift.model.*;
 
 /** Overload: sheds at once what can no longer be answered in time, the least benefit first. */
-final class Admission extends Stage {
+final class AdmissionControl extends DecisionStage {
     /** The shares of its contract time that one of no benefit, the same where waits are told, and one of most
      * may wait, not work; and of how many exchanges' work where reports are old: longer queues slow all. */
     private static final double LEAST_SHARE = 0.4, TOLD_SHARE = 0.2, MOST_SHARE = 0.65, CROWD = 3;
 
-    private final Selection selection;
-    private final Estimate estimate;
+    private final BackendSelector selection;
+    private final UtilizationEstimator estimate;
     private final double[] quota;
-    private final Faded[] used;
-    private final Fleet fleet;
+    private final DecayingSum[] used;
+    private final BackendTable fleet;
 
-    Admission(Fleet fleet, Estimate estimate, Selection selection) {
+    AdmissionControl(BackendTable fleet, UtilizationEstimator estimate, BackendSelector selection) {
         this.fleet = fleet;
         this.estimate = estimate;
         this.selection = selection;
         quota = fleet.stated.tenantQuota();
-        used = new Faded[quota.length];
-        Arrays.setAll(used, tenant -> new Faded());
+        used = new DecayingSum[quota.length];
+        Arrays.setAll(used, tenant -> new DecayingSum());
     }
 
     @Override
-    void offer(Exchange x, double now, Turn turn) {
+    void offer(Request x, double now, Decision turn) {
         if (selection.asks(x, now, turn)) {
             return;
         }
@@ -41,7 +41,7 @@
         if (wait > limit && selection.drawsOthers(x, now)) {
             offer(x, now, turn);
         } else if (wait > limit) {
-            x.ending = x.best < 0 ? Ending.NO_BACKEND : Ending.WAIT_TOO_LONG;
+            x.ending = x.best < 0 ? FailureReason.NO_BACKEND : FailureReason.WAIT_TOO_LONG;
             giveUp(x, Math.min(wait, estimate.window), now, turn);
         } else {
             super.offer(x, now, turn);
@@ -54,8 +54,8 @@
     }
 
     /** What it would shed of a grade now, without asking or drawing anybody; changes nothing. */
-    Word word(Exchange x, double now) {
+    ShedThreshold word(Request x, double now) {
         double wait = selection.leastWait(x, now);
-        return new Word(wait / share(fleet.stated.rank(x.terms.grade())), Math.min(wait, estimate.window));
+        return new ShedThreshold(wait / share(fleet.stated.rank(x.terms.grade())), Math.min(wait, estimate.window));
     }
 }
--- a/src/main/java/lemondrift/decide/Fleet.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -1,19 +1,19 @@
-package lemondrift.decide;
+package lemondrift.balancer;
 
 import java.util.*;
 import lemondrift.model.*;
 
 /** What this proxy's list has said of the backends, in parallel arrays under the door's dense index. */
-final class Fleet {
+final class BackendTable {
     /** What is stated now; an exchange keeps the terms that it came under. */
     Settings stated;
     /** For sorting, a score stands above its place in one number, so that no object is made for each. */
     private static final int SCORE_BITS = 40, PLACE_BITS = 20;
-    private final Chance chance;
+    private final DeterministicRandom chance;
     int size;
     /** What was last told of each, whether it may be used, and what this proxy has out there; when a probe
      * that is still out was sent, 0 if there is none, and the figure that each was last ranked by. */
-    Listed[] line = {};
+    EndpointUpdate[] line = {};
     boolean[] ready = {};
     int[] out = {};
     double[] askedAt = {}, figure = {};
@@ -26,7 +26,7 @@
     private boolean[] ordered = {};
     private boolean arranged = true;
 
-    Fleet(Settings s, Chance chance) {
+    BackendTable(Settings s, DeterministicRandom chance) {
         stated = s;
         this.chance = chance;
     }
@@ -35,15 +35,15 @@
      * Rule 3: whoever is not told ready gets nothing new at once; the grace is slack, not a budget. The work
      * is that of the lines told, and one plain pass over the order where somebody leaves it.
      */
-    void listed(boolean whole, List<Listed> lines) {
+    void listed(boolean whole, List<EndpointUpdate> lines) {
         boolean leaves = whole;
         Arrays.fill(ready, 0, whole ? size : 0, false);
         grow(lines);
-        for (Listed told : lines) {
+        for (EndpointUpdate told : lines) {
             int i = told.backend();
             line[i] = told.sized(stated.sizes());
-            leaves |= ready[i] && told.state() != Listed.State.READY;
-            ready[i] = told.state() == Listed.State.READY;
+            leaves |= ready[i] && told.state() != EndpointUpdate.State.READY;
+            ready[i] = told.state() == EndpointUpdate.State.READY;
             started[i] = Math.max(told.fresh() ? 0 : started[i], told.started());
             startSeen[i] = told.fresh() ? 0 : startSeen[i];
         }
@@ -55,9 +55,9 @@
         arranged = false;
     }
 
-    private void grow(List<Listed> lines) {
+    private void grow(List<EndpointUpdate> lines) {
         int most = size;
-        for (Listed told : lines) {
+        for (EndpointUpdate told : lines) {
             most = Math.max(most, told.backend() + 1);
         }
         if (most == size) {
@@ -86,8 +86,8 @@
     }
 
     /** Puts each that has become ready at a random place. */
-    private void append(List<Listed> lines) {
-        int[] fresh = lines.stream().mapToInt(Listed::backend).filter(i -> ready[i] && !ordered[i]).sorted()
+    private void append(List<EndpointUpdate> lines) {
+        int[] fresh = lines.stream().mapToInt(EndpointUpdate::backend).filter(i -> ready[i] && !ordered[i]).sorted()
                 .distinct().toArray();
         int kept = order.length;
         order = Arrays.copyOf(order, kept + fresh.length);
--- a/src/main/java/lemondrift/decide/Faded.java
+++ b/src/main/java/lemondrift/balancer/DecayingSum.java
@@ -1,7 +1,7 @@
-package lemondrift.decide;
+package lemondrift.balancer;
 
 /** A sum that fades away over a span of time. */
-final class Faded {
+final class DecayingSum {
     double span = 1;
     private double sum, at;
 
--- a/src/main/java/lemondrift/decide/Chance.java
+++ b/src/main/java/lemondrift/balancer/DeterministicRandom.java
@@ -1,17 +1,17 @@
-package lemondrift.decide;
+package lemondrift.balancer;
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
 
 /** All chance: a checksum over the instance's seed and a counter; the same events give the same acts. */
-final class Chance {
+final class DeterministicRandom {
     /** Danger: checksums of successive numbers differ alike each time, so draws would repeat a pattern. */
     private static final long SPREAD = 0x9E3779B97F4A7C15L;
 
     private final long seed;
     private long counter;
 
-    Chance(long seed) {
+    DeterministicRandom(long seed) {
         this.seed = seed;
     }
 
--- a/src/main/java/lemondrift/decide/Eligibility.java
+++ b/src/main/java/lemondrift/balancer/Eligibility.java
@@ -1,11 +1,11 @@
-package lemondrift.decide;
+package lemondrift.balancer;
 
 import java.util.*;
 import java.util.stream.*;
 import lemondrift.model.*;
 
 /** Rules 3 and 4 and health: which backends may take an exchange now. */
-final class Eligibility extends Stage {
+final class Eligibility extends DecisionStage {
     /** The least share of bad outcomes that any sound one may have, the most of the ready to suspend, and
      * when: a sick backend explains the outcomes so many times better. */
     private static final double SOUND = 0.05, MOST_SUSPENDED = 0.5, SUSPEND_AT = Math.log(1000);
@@ -15,9 +15,9 @@
      * answers the mean is, and as how many those of others count at the most. */
     static final double PROBE_WORK = 0.01, LATELY = 50, BORROWED = 8;
 
-    private final Fleet fleet;
-    private final Estimate estimate;
-    private final Chance chance;
+    private final BackendTable fleet;
+    private final UtilizationEstimator estimate;
+    private final DeterministicRandom chance;
     private double usualBad = SOUND;
     /** The mean answer time holds some waiting, so that as an exchange's work it is never too little; the
      * number of answers; and what is supposed before there are any, with the weight of so many. */
@@ -28,21 +28,21 @@
     /** Own exchanges that a cold one has not drained yet, and as of when. */
     private double[] owed = {}, owedAt = {}, judgedAt = {};
 
-    Eligibility(Fleet fleet, Estimate estimate, Chance chance) {
+    Eligibility(BackendTable fleet, UtilizationEstimator estimate, DeterministicRandom chance) {
         this.fleet = fleet;
         this.estimate = estimate;
         this.chance = chance;
         supposed = estimate.window / 2;
     }
 
-    void listed(List<Listed> lines, double now) {
+    void listed(List<EndpointUpdate> lines, double now) {
         if (owed.length < fleet.size) {
             stated(List.of());
             owed = Arrays.copyOf(owed, fleet.size);
             owedAt = Arrays.copyOf(owedAt, fleet.size);
             judgedAt = Arrays.copyOf(judgedAt, fleet.size);
         }
-        for (Listed told : lines) {
+        for (EndpointUpdate told : lines) {
             if (fleet.started[told.backend()] >= fleet.startSeen[told.backend()]) {
                 startAfresh(told.backend(), now);
             }
@@ -97,7 +97,7 @@
 
     /** One whose suspension is over takes one exchange at a time, until that has ended well. */
     @Override
-    boolean mayTake(Exchange x, int i, double now) {
+    boolean mayTake(Request x, int i, double now) {
         return fleet.ready[i] && hasRoom(i, now) && super.mayTake(x, i, now)
                 && isSound(i, 0, now) && isSound(i, 1 + x.grade, now);
     }
@@ -108,13 +108,13 @@
     }
 
     @Override
-    void ended(Forward f, Outcome outcome, double took, double now, Turn turn) {
+    void ended(Attempt f, AttemptOutcome outcome, double took, double now, Decision turn) {
         estimate.ended(f, outcome, took, now);
-        boolean good = outcome == Outcome.DELIVERED;
+        boolean good = outcome == AttemptOutcome.DELIVERED;
         // Danger: a proxy that has just started knows no answer, and would spare cold ones for a minute.
         double work = took * fleet.coldShare(f.backend, now);
         answerTime += good ? (work - answerTime) / Math.min(LATELY, ++answers) : 0;
-        if (outcome != Outcome.FULL && outcome != Outcome.CANCELLED && outcome != Outcome.MOOT) {
+        if (outcome != AttemptOutcome.FULL && outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.MOOT) {
             usualBad = Math.max(SOUND, usualBad + ((good ? 0 : 1) - usualBad) / 100);
             judge(f.backend, 0, !good, now, turn);
             // Danger: one that fails a grade would go on taking it, the others' good outcomes between.
@@ -129,7 +129,7 @@
     }
 
     /** One step of the sequential test: as bad as the fleet, or halfway from there to always bad. */
-    private void judge(int i, int test, boolean bad, double now, Turn turn) {
+    private void judge(int i, int test, boolean bad, double now, Decision turn) {
         double[] score = this.score[test], until = suspendedUntil[test];
         judgedAt[i] = now;
         double step = bad ? Math.log((1 + usualBad) / 2 / usualBad) : Math.log(0.5);
--- a/src/main/java/lemondrift/decide/Lists.java
+++ b/src/main/java/lemondrift/balancer/EndpointListPolling.java
@@ -1,15 +1,15 @@
-package lemondrift.decide;
+package lemondrift.balancer;
 
 import lemondrift.model.*;
 
 /** Keeps this proxy subscribed to changes of the list where it must ask for them. */
-final class Lists {
+final class EndpointListPolling {
     private final boolean onRequest;
     private final double patience;
-    private final Chance chance;
+    private final DeterministicRandom chance;
     double askAt = Double.POSITIVE_INFINITY;
 
-    Lists(Settings s, Chance chance) {
+    EndpointListPolling(Settings s, DeterministicRandom chance) {
         onRequest = s.listOnRequest();
         patience = s.rules().askWithin() / 4;
         this.chance = chance;
@@ -20,16 +20,16 @@
     }
 
     /** Danger: all proxies asking again in step keep a list service of fixed capacity down. */
-    void failed(double now, Turn turn) {
+    void failed(double now, Decision turn) {
         if (onRequest) {
             askAt = now + chance.jitter(patience / 2);
             turn.notes.add("list call failed, asking again");
         }
     }
 
-    void wake(double now, Turn turn) {
+    void wake(double now, Decision turn) {
         if (askAt <= now) {
-            turn.listCalls.add(Turn.ListCall.WATCH);
+            turn.listCalls.add(Decision.ListCall.WATCH);
             askAt = now + 2 * patience;
         }
     }
--- a/src/main/java/lemondrift/decide/Balancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -1,70 +1,70 @@
-package lemondrift.decide;
+package lemondrift.balancer;
 
 import java.util.List;
 import lemondrift.model.*;
 
 /** The decisions of one proxy. Tell it each thing that happens, in order, with the time in seconds, and carry
  * out the Turn it returns before the next call reuses it; call wake at or after Turn.wakeAt. */
-public final class Balancer {
-    private final Turn turn = new Turn();
-    private final Fleet fleet;
-    private final Estimate estimate;
-    private final Expiry expiry;
-    private final Admission admission;
+public final class LoadBalancer {
+    private final Decision turn = new Decision();
+    private final BackendTable fleet;
+    private final UtilizationEstimator estimate;
+    private final RequestDeadlines expiry;
+    private final AdmissionControl admission;
     private final Eligibility eligibility;
-    private final Selection selection;
-    private final Lists lists;
-
-    public Balancer(Settings settings, long seed) {
-        Chance chance = new Chance(seed);
-        fleet = new Fleet(settings, chance);
-        expiry = new Expiry(fleet);
-        estimate = new Estimate(fleet);
+    private final BackendSelector selection;
+    private final EndpointListPolling lists;
+
+    public LoadBalancer(Settings settings, long seed) {
+        DeterministicRandom chance = new DeterministicRandom(seed);
+        fleet = new BackendTable(settings, chance);
+        expiry = new RequestDeadlines(fleet);
+        estimate = new UtilizationEstimator(fleet);
         eligibility = new Eligibility(fleet, estimate, chance);
-        selection = new Selection(fleet, estimate, eligibility, chance);
-        lists = new Lists(settings, chance);
-        admission = new Admission(fleet, estimate, selection);
-        expiry.then(admission).then(new Repeats(fleet)).then(eligibility).then(selection);
+        selection = new BackendSelector(fleet, estimate, eligibility, chance);
+        lists = new EndpointListPolling(settings, chance);
+        admission = new AdmissionControl(fleet, estimate, selection);
+        expiry.then(admission).then(new RetryPolicy(fleet)).then(eligibility).then(selection);
     }
 
-    public Turn exchangeArrived(double now, Exchange x) {
+    public Decision exchangeArrived(double now, Request x) {
         x.terms = x.terms == null ? fleet.stated.terms(x.grade) : x.terms;
         return turn(now, () -> expiry.take(x, now, turn));
     }
 
-    public Turn forwardEnded(double now, Forward f, Outcome outcome, double took, boolean over,
+    public Decision forwardEnded(double now, Attempt f, AttemptOutcome outcome, double took, boolean over,
             double[] report) {
         f.ended = true;
         f.exchange.out--;
         f.exchange.over |= over;
-        estimate.reported(f.backend, report, outcome == Outcome.DELIVERED, true, now);
+        estimate.reported(f.backend, report, outcome == AttemptOutcome.DELIVERED, true, now);
         return turn(now, () -> selection.ended(f, outcome, took, now, turn));
     }
 
-    public Turn answerBegun(double now, Forward f) {
+    public Decision answerBegun(double now, Attempt f) {
         return turn(now, () -> f.exchange.begun = true);
     }
 
-    public Turn backendsListed(double now, boolean whole, boolean stale, List<Listed> lines) {
+    public Decision backendsListed(double now, boolean whole, boolean stale, List<EndpointUpdate> lines) {
         backendsChanged(now, whole, lines);
         lists.listed(stale, now);
         return wake(now);
     }
 
     /** Some lines of a list of which more come; backendsListed ends it. */
-    public void backendsChanged(double now, boolean whole, List<Listed> lines) {
+    public void backendsChanged(double now, boolean whole, List<EndpointUpdate> lines) {
         fleet.listed(whole, lines);
         estimate.listed();
         eligibility.listed(lines, now);
     }
 
-    public Turn listFailed(double now) {
+    public Decision listFailed(double now) {
         return turn(now, () -> lists.failed(now, turn));
     }
 
-    public Turn probeEnded(double now, int backend, Outcome outcome, double[] report) {
+    public Decision probeEnded(double now, int backend, AttemptOutcome outcome, double[] report) {
         fleet.askedAt[backend] = 0;
-        return turn(now, () -> estimate.reported(backend, report, outcome == Outcome.DELIVERED, false, now));
+        return turn(now, () -> estimate.reported(backend, report, outcome == AttemptOutcome.DELIVERED, false, now));
     }
 
     /** Other grades and limits are stated. At a fresh index stands one of which nothing is known. */
@@ -106,8 +106,8 @@
     }
 
     /** A question that changes nothing: what would be shed of a service grade on arrival now. */
-    public Word word(double now, int grade) {
-        Exchange x = new Exchange(0, grade, 0, now, 0);
+    public ShedThreshold word(double now, int grade) {
+        Request x = new Request(0, grade, 0, now, 0);
         x.terms = fleet.stated.terms(grade);
         return admission.word(x, now).upTo(fleet.stated.limits().retryAfter());
     }
@@ -117,21 +117,21 @@
         return eligibility.sound(0);
     }
 
-    public Turn clientLeft(double now, Exchange x) {
+    public Decision clientLeft(double now, Request x) {
         return turn(now, () -> expiry.clientLeft(x, turn));
     }
 
-    public Turn wake(double now) {
+    public Decision wake(double now) {
         return turn(now, () -> {
             expiry.wake(now, turn);
             lists.wake(now, turn);
         });
     }
 
-    private Turn turn(double now, Runnable event) {
+    private Decision turn(double now, Runnable event) {
         turn.clear();
         event.run();
-        for (Exchange x = selection.released(now); x != null; x = selection.released(now)) {
+        for (Request x = selection.released(now); x != null; x = selection.released(now)) {
             expiry.again(x, now, turn);
         }
         turn.probes.forEach(i -> eligibility.spend(i, Eligibility.PROBE_WORK, now));
--- a/src/main/java/lemondrift/decide/Expiry.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -1,19 +1,19 @@
-package lemondrift.decide;
+package lemondrift.balancer;
 
 import java.util.*;
 import lemondrift.model.*;
 
 /** Rule 1: one final answer before expiry and nothing sent after it. */
-final class Expiry extends Stage {
+final class RequestDeadlines extends DecisionStage {
     /** After so many tries of a grade, all with less time, the longest time was an odd one's. */
     private static final int ODD = 4;
 
     /** The time left of a usual first try, by grade, and how many in a row had less. */
     private double[] usual = {}, since = {};
-    private final Fleet fleet;
-    private final PriorityQueue<Exchange> open = new PriorityQueue<>(Comparator.comparing(x -> x.expiry));
+    private final BackendTable fleet;
+    private final PriorityQueue<Request> open = new PriorityQueue<>(Comparator.comparing(x -> x.expiry));
 
-    Expiry(Fleet fleet) {
+    RequestDeadlines(BackendTable fleet) {
         this.fleet = fleet;
         stated(List.of());
     }
@@ -25,8 +25,8 @@
     }
 
     /** Takes a new exchange; where a late answer brings nothing, its useful time is the contract time. */
-    void take(Exchange x, double now, Turn turn) {
-        ServiceGrade grade = x.terms.grade();
+    void take(Request x, double now, Decision turn) {
+        RequestClass grade = x.terms.grade();
         double useful = grade.lateBenefit() > 0 ? grade.expiry() : grade.contractTime();
         // Danger: work done after the first try's time is lost, so a retry has less by what has passed.
         double left = x.expiry - now;
@@ -48,17 +48,17 @@
         return left < 0.99 * usual[grade];
     }
 
-    void again(Exchange x, double now, Turn turn) {
+    void again(Request x, double now, Decision turn) {
         if (!x.over && now < x.contract) {
             offer(x, now, turn);
         } else {
-            x.ending = Ending.NO_TIME_LEFT;
+            x.ending = FailureReason.NO_TIME_LEFT;
             giveUp(x, 0, now, turn);
         }
     }
 
     @Override
-    void ended(Forward f, Outcome outcome, double took, double now, Turn turn) {
+    void ended(Attempt f, AttemptOutcome outcome, double took, double now, Decision turn) {
         if (f.exchange.out == 0) {
             again(f.exchange, now, turn);
         }
@@ -66,23 +66,23 @@
 
     /** Danger: a shed reply invites a retry, which would be a second effect if an earlier forward ran. */
     @Override
-    void giveUp(Exchange x, double comeBack, double now, Turn turn) {
+    void giveUp(Request x, double comeBack, double now, Decision turn) {
         if (!x.over) {
             x.over = true;
-            boolean shed = Repeats.mayShed(x);
+            boolean shed = RetryPolicy.mayShed(x);
             double retryAfter = Math.min(comeBack, fleet.stated.limits().retryAfter());
-            turn.answers.add(new Turn.Answer(x, shed, shed ? retryAfter : 0));
+            turn.answers.add(new Decision.Answer(x, shed, shed ? retryAfter : 0));
             cancelAll(x, turn);
         }
     }
 
-    void clientLeft(Exchange x, Turn turn) {
+    void clientLeft(Request x, Decision turn) {
         x.over = true;
         cancelAll(x, turn);
     }
 
-    private void cancelAll(Exchange x, Turn turn) {
-        for (Forward f = x.latest; f != null && fleet.stated.limits().cancel() && !x.begun; f = f.earlier) {
+    private void cancelAll(Request x, Decision turn) {
+        for (Attempt f = x.latest; f != null && fleet.stated.limits().cancel() && !x.begun; f = f.earlier) {
             if (!f.ended) {
                 turn.cancels.add(f);
             }
@@ -90,11 +90,11 @@
     }
 
     /** The safe alarm: whatever went wrong, what is still open at its expiry is answered. */
-    void wake(double now, Turn turn) {
+    void wake(double now, Decision turn) {
         while (wakeAt() <= now) {
-            Exchange x = open.poll();
+            Request x = open.poll();
             if (!x.begun) {
-                x.ending = Ending.EXPIRED;
+                x.ending = FailureReason.EXPIRED;
                 giveUp(x, 0, now, turn);
             }
         }
--- a/src/main/java/lemondrift/decide/Repeats.java
+++ b/src/main/java/lemondrift/balancer/RetryPolicy.java
@@ -1,31 +1,31 @@
-package lemondrift.decide;
+package lemondrift.balancer;
 
 import lemondrift.model.*;
 
 /** Rule 2: no effect twice. Says whether an exchange may be forwarded again, and to which backends. */
-final class Repeats extends Stage {
+final class RetryPolicy extends DecisionStage {
     /** Further forwards stay under this share of first ones: a retry storm is never of our making. */
     private static final double RETRY_SHARE = 0.25;
 
-    private final Fleet fleet;
+    private final BackendTable fleet;
     private double credit;
 
-    Repeats(Fleet fleet) {
+    RetryPolicy(BackendTable fleet) {
         credit = fleet.stated.limits().forwards();
         this.fleet = fleet;
     }
 
     /** A shed reply promises that a retry is harmless. */
-    static boolean mayShed(Exchange x) {
-        return x.terms.grade().effect() == Effect.PURE || x.mayHaveRun == null && x.out == 0
-                || x.terms.grade().effect() == Effect.RECEIPTED && x.terms.grade().group() == Group.ALL;
+    static boolean mayShed(Request x) {
+        return x.terms.grade().effect() == Idempotency.PURE || x.mayHaveRun == null && x.out == 0
+                || x.terms.grade().effect() == Idempotency.RECEIPTED && x.terms.grade().group() == DeduplicationScope.ALL;
     }
 
     @Override
-    void offer(Exchange x, double now, Turn turn) {
+    void offer(Request x, double now, Decision turn) {
         boolean repeat = x.forwards > 0;
         if (repeat && (x.forwards >= x.terms.forwards() || credit < 1)) {
-            x.ending = credit < 1 ? Ending.RETRY_BUDGET_SPENT : Ending.ATTEMPTS_USED;
+            x.ending = credit < 1 ? FailureReason.RETRY_BUDGET_SPENT : FailureReason.ATTEMPTS_USED;
             giveUp(x, 0, now, turn);
             return;
         }
@@ -34,24 +34,24 @@
     }
 
     @Override
-    boolean mayTake(Exchange x, int i, double now) {
-        Forward f = x.latest;
+    boolean mayTake(Request x, int i, double now) {
+        Attempt f = x.latest;
         for (; f != null && f.backend != i; f = f.earlier) { }
         return f == null && (x.mayHaveRun == null || mayRepeat(x.terms.grade(), x.mayHaveRun, i, now))
                 && super.mayTake(x, i, now);
     }
 
-    private boolean mayRepeat(ServiceGrade grade, Forward ran, int i, double now) {
+    private boolean mayRepeat(RequestClass grade, Attempt ran, int i, double now) {
         // Danger: receipts are forgotten after a while, counted from the first send that may have run.
-        return grade.effect() == Effect.PURE || grade.effect() == Effect.RECEIPTED
-                && now - ran.sent < grade.receiptMemory() && (grade.group() == Group.ALL
+        return grade.effect() == Idempotency.PURE || grade.effect() == Idempotency.RECEIPTED
+                && now - ran.sent < grade.receiptMemory() && (grade.group() == DeduplicationScope.ALL
                 || fleet.line[ran.backend].location() == fleet.line[i].location()
-                && (grade.group() == Group.LOCATION
+                && (grade.group() == DeduplicationScope.LOCATION
                 || fleet.line[ran.backend].cell() == fleet.line[i].cell()));
     }
 
     @Override
-    void ended(Forward f, Outcome outcome, double took, double now, Turn turn) {
+    void ended(Attempt f, AttemptOutcome outcome, double took, double now, Decision turn) {
         if (!outcome.neverRan && f.exchange.mayHaveRun == null) {
             f.exchange.mayHaveRun = f;
         }
--- a/src/main/java/lemondrift/decide/Estimate.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -1,10 +1,10 @@
-package lemondrift.decide;
+package lemondrift.balancer;
 
 import java.util.Arrays;
 import lemondrift.model.*;
 
 /** The design's figure: a backend's last report plus own sends since times one exchange's worth. */
-final class Estimate {
+final class UtilizationEstimator {
     /** Windows of memory, of the wait met lately, and over which reports fade; what asking may cost. */
     private static final double MEMORY = 8, MET = 2, FADE = 0.125, MOST_COST = 0.03;
     /** How many are asked for reports at a time and how often, where probes are cheap; the least part. */
@@ -14,21 +14,21 @@
 
     /** The window of the design page, and the span over which own figures are remembered. */
     double window, memory;
-    private final Fleet fleet;
+    private final BackendTable fleet;
     /** Answer times' lower quartile (three steps down balance one up) and number; time per one ahead. */
     private double quick, answers, pace;
     /** How long a report is told again, the fleet's service time as told, when a wait was first asked for. */
     private double period, told, born, allOut;
     /** Own exchanges a second, the mean wait met, and the reports heard lately and their number. */
-    final Faded ownRate = new Faded(), metWait = new Faded();
-    private final Faded heard = new Faded(), heards = new Faded();
+    final DecayingSum ownRate = new DecayingSum(), metWait = new DecayingSum();
+    private final DecayingSum heard = new DecayingSum(), heards = new DecayingSum();
 
     private double[] report = {}, reportedAt = {}, sends = {}, rated = {}, use = {}, held = {};
     /** Where other proxies tell what they have out: that. */
     boolean othersHeard;
     double[] others = {};
 
-    Estimate(Fleet fleet) {
+    UtilizationEstimator(BackendTable fleet) {
         this.fleet = fleet;
         stated();
         pace = quick = window / 16;
@@ -157,12 +157,12 @@
         ownRate.add(forwards / memory, now);
     }
 
-    void ended(Forward f, Outcome outcome, double took, double now) {
+    void ended(Attempt f, AttemptOutcome outcome, double took, double now) {
         int i = f.backend;
         fleet.out[i]--;
         allOut--;
-        boolean good = outcome == Outcome.DELIVERED;
-        if (good || outcome == Outcome.TIMED_OUT) {
+        boolean good = outcome == AttemptOutcome.DELIVERED;
+        if (good || outcome == AttemptOutcome.TIMED_OUT) {
             // Danger: where all turn slow only the quickest are delivered, and the rest must count too.
             // What an old report says is ahead is no measure; what the answer's own report says is.
             double ahead = old() ? held[i] : f.ahead;
@@ -173,8 +173,8 @@
             quick = answers == 1 ? Math.max(took, window / 1000)
                     : quick * (took < quick ? 1 - 3 * step : 1 + step);
         }
-        if (good || outcome == Outcome.TIMED_OUT || outcome.neverRan && outcome != Outcome.MOOT) {
-            double wait = outcome == Outcome.FULL ? window : !good ? took : fleet.stated.reports().inAnswers()
+        if (good || outcome == AttemptOutcome.TIMED_OUT || outcome.neverRan && outcome != AttemptOutcome.MOOT) {
+            double wait = outcome == AttemptOutcome.FULL ? window : !good ? took : fleet.stated.reports().inAnswers()
                     && !old() ? wait(i, now) : Math.max(0, took - workTime(i, now));
             // Over four outcomes at least, so that none decides; it fades sooner where no report ends a jam.
             metWait.span = old() ? MET * window : memory;
--- a/src/main/java/lemondrift/body/Holding.java
+++ b/src/main/java/lemondrift/buffer/BodyBufferBudget.java
@@ -1,16 +1,16 @@
-package lemondrift.body;
+package lemondrift.buffer;
 
 /**
  * How much of request bodies is held in memory. Held whole, a request can be sent again, and a slow client
  * keeps no backend waiting; what can't be held is passed on as it comes. No I/O.
  */
-public final class Holding {
+public final class BodyBufferBudget {
     private final int each;
     private long all;
     private long held;
 
     /** So many bytes of one body at the most, and so many of all; both 0 or more. */
-    public Holding(int each, long all) {
+    public BodyBufferBudget(int each, long all) {
         if (each < 0 || all < 0) {
             throw new IllegalArgumentException("bounds of what is held, below zero");
         }
--- a/src/main/java/lemondrift/cli/FleetCommand.java
+++ b/src/main/java/lemondrift/cli/FleetCommand.java
@@ -10,7 +10,7 @@
 import lemondrift.lab.ExperimentFile;
 import lemondrift.lab.Report;
 import lemondrift.lab.fleet.FleetRun;
-import lemondrift.lab.fleet.Launcher;
+import lemondrift.lab.fleet.ProcessLauncher;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -21,7 +21,7 @@
         mixinStandardHelpOptions = true)
 final class FleetCommand implements Callable<Integer> {
     @ParentCommand
-    Lab lab;
+    LabCommand lab;
 
     @Parameters(arity = "1..*", paramLabel = "FILE", description = "experiments, in TOML")
     List<Path> files;
@@ -43,7 +43,7 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Launcher launcher = Launcher.deployed(root.toAbsolutePath().normalize());
+        ProcessLauncher launcher = ProcessLauncher.deployed(root.toAbsolutePath().normalize());
         PrintWriter out = lab.out();
         boolean failed = false;
         List<Report> reports = new ArrayList<>();
@@ -68,7 +68,7 @@
         if (json != null) {
             Report.write(reports, json);
         }
-        return failed ? Lemondrift.FAILED : Lemondrift.DONE;
+        return failed ? RootCommand.FAILED : RootCommand.DONE;
     }
 
     /** A line only when it says something new. */
--- a/src/main/java/lemondrift/cli/Lab.java
+++ b/src/main/java/lemondrift/cli/LabCommand.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Callable;
 import lemondrift.lab.Experiment;
 import lemondrift.lab.ExperimentFile;
-import lemondrift.lab.Paired;
+import lemondrift.lab.PairedDifference;
 import lemondrift.lab.Report;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -21,9 +21,9 @@
 
 /** Experiments in virtual time. */
 @Command(name = "lab", description = "Experiments on the decisions, in virtual time.",
-        mixinStandardHelpOptions = true, subcommands = {Lab.Run.class, Lab.Listing.class, Lab.Compare.class,
+        mixinStandardHelpOptions = true, subcommands = {LabCommand.Run.class, LabCommand.Listing.class, LabCommand.Compare.class,
             LoadCommand.class, FleetCommand.class, SoakCommand.class})
-final class Lab {
+final class LabCommand {
     /** Seconds of the window that a figure which is not met is told with. */
     private static final int WINDOW = 5;
 
@@ -58,7 +58,7 @@
             mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
         @ParentCommand
-        Lab lab;
+        LabCommand lab;
 
         @Parameters(arity = "1..*", paramLabel = "FILE", description = "experiments, in TOML")
         List<Path> files;
@@ -91,7 +91,7 @@
             if (json != null) {
                 Report.write(reports, json);
             }
-            return failed ? Lemondrift.FAILED : Lemondrift.DONE;
+            return failed ? RootCommand.FAILED : RootCommand.DONE;
         }
     }
 
@@ -100,7 +100,7 @@
             mixinStandardHelpOptions = true)
     static final class Listing implements Callable<Integer> {
         @ParentCommand
-        Lab lab;
+        LabCommand lab;
 
         @Parameters(arity = "0..1", paramLabel = "FOLDER", defaultValue = "lab/experiments")
         Path folder;
@@ -112,7 +112,7 @@
                 lab.out().printf("%-26s %s%n", experiment.name(), experiment.about());
             }
             lab.out().flush();
-            return Lemondrift.DONE;
+            return RootCommand.DONE;
         }
     }
 
@@ -122,7 +122,7 @@
             mixinStandardHelpOptions = true)
     static final class Compare implements Callable<Integer> {
         @ParentCommand
-        Lab lab;
+        LabCommand lab;
 
         @Parameters(arity = "1..*", paramLabel = "FILE", description = "experiments, in TOML")
         List<Path> files;
@@ -139,14 +139,14 @@
                         Arrays.stream(module).average().orElse(0));
                 for (String policy : experiment.policies()) {
                     if (!policy.equals(Experiment.MODULE)) {
-                        Paired difference = Paired.of(module, service(runs, policy));
+                        PairedDifference difference = PairedDifference.of(module, service(runs, policy));
                         lab.out().printf(Locale.ROOT, "  less %-18s %+.4f  [%+.4f, %+.4f]%n", policy,
                                 difference.mean(), difference.low(), difference.high());
                     }
                 }
                 lab.out().flush();
             }
-            return broken ? Lemondrift.FAILED : Lemondrift.DONE;
+            return broken ? RootCommand.FAILED : RootCommand.DONE;
         }
 
         private static double[] service(List<Experiment.Run> runs, String policy) {
--- a/src/main/java/lemondrift/cli/LoadCommand.java
+++ b/src/main/java/lemondrift/cli/LoadCommand.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import lemondrift.lab.load.Load;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -52,16 +52,16 @@
             int port = Integer.parseInt(to.substring(colon + 1));
             address = new InetSocketAddress(to.substring(0, colon), port);
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            throw new BadInput("not host:port: " + to);
+            throw new InvalidSettingsException("not host:port: " + to);
         }
         Load.Plan plan = new Load.Plan(address, rate, seconds, warmUp, connections, grade, timeout);
         if (highest != null) {
             spec.commandLine().getOut().printf(Locale.ROOT, "highest rate %.0f a second%n",
                     Load.highestRate(plan, 99, highest));
-            return Lemondrift.DONE;
+            return RootCommand.DONE;
         }
         Load.Result result = Load.play(plan);
         spec.commandLine().getOut().println(result);
-        return result.keptUp() && result.failed() == 0 ? Lemondrift.DONE : Lemondrift.FAILED;
+        return result.keptUp() && result.failed() == 0 ? RootCommand.DONE : RootCommand.FAILED;
     }
 }
--- a/src/main/java/lemondrift/cli/RecoveryCommand.java
+++ b/src/main/java/lemondrift/cli/RecoveryCommand.java
@@ -33,7 +33,7 @@
                     Instant.ofEpochMilli((long) (its.at() * 1000)), its.boot().isEmpty() ? "not known"
                     : its.boot(), its.work(), its.answers());
             spec.commandLine().getOut().flush();
-            return Lemondrift.DONE;
+            return RootCommand.DONE;
         }
     }
 }
--- a/src/main/java/lemondrift/cli/Lemondrift.java
+++ b/src/main/java/lemondrift/cli/RootCommand.java
@@ -1,7 +1,7 @@
 package lemondrift.cli;
 
 import java.io.IOException;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 import picocli.AutoComplete;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -9,10 +9,10 @@
 /** The command line but for serve, check and drill, which start without it. */
 @Command(name = "lemondrift", mixinStandardHelpOptions = true, version = "lemondrift 0.1.0",
         description = "A load balancer whose decisions stay good when things fail.",
-        subcommands = {Lemondrift.Serve.class, Lemondrift.Check.class, Lemondrift.Drill.class, Lab.class,
+        subcommands = {RootCommand.Serve.class, RootCommand.Check.class, RootCommand.Drill.class, LabCommand.class,
             RecoveryCommand.class,
             AutoComplete.GenerateCompletion.class})
-public final class Lemondrift {
+public final class RootCommand {
     /** Exit codes: done, the run failed or a rule broke, the call can't be used. */
     static final int DONE = 0, FAILED = 1, USAGE = 2;
 
@@ -27,12 +27,12 @@
 
     /** Runs a command and returns its exit code; what can't be used is one line on standard error. */
     public static int run(String... args) {
-        CommandLine line = new CommandLine(new Lemondrift());
+        CommandLine line = new CommandLine(new RootCommand());
         line.setExecutionExceptionHandler((e, its, parsed) -> {
-            if (!(e instanceof BadInput || e instanceof IOException)) {
+            if (!(e instanceof InvalidSettingsException || e instanceof IOException)) {
                 throw e;
             }
-            its.getErr().println("lemondrift: " + (e instanceof BadInput ? e.getMessage() : e.toString()));
+            its.getErr().println("lemondrift: " + (e instanceof InvalidSettingsException ? e.getMessage() : e.toString()));
             return USAGE;
         });
         if (args.length == 0) {
--- a/src/main/java/lemondrift/cli/SoakCommand.java
+++ b/src/main/java/lemondrift/cli/SoakCommand.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import lemondrift.lab.fleet.Launcher;
-import lemondrift.lab.fleet.Soak;
+import lemondrift.lab.fleet.ProcessLauncher;
+import lemondrift.lab.fleet.SoakRun;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParentCommand;
@@ -23,7 +23,7 @@
         mixinStandardHelpOptions = true)
 final class SoakCommand implements Callable<Integer> {
     @ParentCommand
-    Lab lab;
+    LabCommand lab;
 
     @Option(names = "--from", paramLabel = "SEED", defaultValue = "1",
             description = "the first seed (${DEFAULT-VALUE})")
@@ -43,12 +43,12 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Launcher launcher = Launcher.deployed(root.toAbsolutePath().normalize());
+        ProcessLauncher launcher = ProcessLauncher.deployed(root.toAbsolutePath().normalize());
         ExecutorService players = Executors.newFixedThreadPool(atOnce);
-        List<Future<Soak.Verdict>> days = new ArrayList<>();
+        List<Future<SoakRun.Verdict>> days = new ArrayList<>();
         for (long seed = from; seed < from + seeds; seed++) {
-            Soak.Plan plan = Soak.plan(seed);
-            days.add(players.submit(() -> Soak.play(plan, launcher, line -> { })));
+            SoakRun.Plan plan = SoakRun.plan(seed);
+            days.add(players.submit(() -> SoakRun.play(plan, launcher, line -> { })));
         }
         players.shutdown();
         int failed = 0;
@@ -57,13 +57,13 @@
         }
         lab.out().printf("%d days, %d of them with something wrong%n", seeds, failed);
         lab.out().flush();
-        return failed > 0 ? Lemondrift.FAILED : Lemondrift.DONE;
+        return failed > 0 ? RootCommand.FAILED : RootCommand.DONE;
     }
 
-    private boolean isWell(long seed, Future<Soak.Verdict> day) throws InterruptedException {
+    private boolean isWell(long seed, Future<SoakRun.Verdict> day) throws InterruptedException {
         PrintWriter out = lab.out();
         try {
-            Soak.Verdict verdict = day.get();
+            SoakRun.Verdict verdict = day.get();
             out.printf(Locale.ROOT, "seed %d: %s, in time %.3f, unanswered %d; %s%n", seed,
                     verdict.wrong().isEmpty() ? "well" : "WRONG", verdict.figures().inTimeShare(),
                     verdict.figures().unanswered, verdict.plan().about());
--- a/src/main/java/lemondrift/door/Source.java
+++ b/src/main/java/lemondrift/connection/ClientSource.java
@@ -1,7 +1,7 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 /** Who connections come from: what it holds, and what it brought and cost lately. */
-final class Source {
+final class ClientSource {
     /** What a source has brought raises its weight so far at the most: none may outweigh all others. */
     private static final double MOST = 16;
 
--- a/src/main/java/lemondrift/door/Sources.java
+++ b/src/main/java/lemondrift/connection/ClientSourceTable.java
@@ -1,4 +1,4 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -8,28 +8,28 @@
  * Sources by their key. Those that hold places are as many as places at the most; of the others as many are
  * remembered, and the one gone longest is forgotten first. Danger: a table of all addresses has no bound.
  */
-final class Sources {
-    private final Map<Long, Source> present = new HashMap<>();
-    private final Map<Long, Source> gone = new LinkedHashMap<>();
+final class ClientSourceTable {
+    private final Map<Long, ClientSource> present = new HashMap<>();
+    private final Map<Long, ClientSource> gone = new LinkedHashMap<>();
     private final int most;
 
-    Sources(int most) {
+    ClientSourceTable(int most) {
         this.most = most;
     }
 
     /** The source of a key, with one place more. */
-    Source enter(long key) {
-        Source source = present.get(key);
+    ClientSource enter(long key) {
+        ClientSource source = present.get(key);
         if (source == null) {
             source = gone.remove(key);
-            source = source == null ? new Source() : source;
+            source = source == null ? new ClientSource() : source;
             present.put(key, source);
         }
         source.held++;
         return source;
     }
 
-    void leave(long key, Source source) {
+    void leave(long key, ClientSource source) {
         if (--source.held == 0 && present.remove(key) != null) {
             gone.put(key, source);
             if (gone.size() > most) {
--- a/src/main/java/lemondrift/door/Reason.java
+++ b/src/main/java/lemondrift/connection/CloseReason.java
@@ -1,7 +1,7 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 /** Why a client's connection ended. */
-public enum Reason {
+public enum CloseReason {
     /** It never said anything. */
     NO_WORD,
     /** Its request came too slowly. */
--- a/src/main/java/lemondrift/door/Bounds.java
+++ b/src/main/java/lemondrift/connection/ConnectionLimits.java
@@ -1,4 +1,4 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 /**
  * What the door may use and how patient it is. All times are in seconds and follow from one, the time that a
@@ -14,7 +14,7 @@
  * @param leastRate bytes a second that a request, or the fetching of an answer, must make progress by
  * @param benefit what a usual exchange brings, over 0; what one earns for its source is a ratio to it
  */
-public record Bounds(int places, int last, double quiet, double earliest, Sharing sharing, boolean announces,
+public record ConnectionLimits(int places, int last, double quiet, double earliest, Sharing sharing, boolean announces,
         double leastRate, double benefit) {
     /** What is one source of connections. */
     public enum Sharing {
@@ -29,7 +29,7 @@
     /** Of the places, how many may stand unused before a place has its full price. */
     static final double UNUSED = 0.25;
 
-    public Bounds {
+    public ConnectionLimits {
         if (places < 1 || last < places || !(quiet > 0) || !(earliest >= 0 && earliest <= quiet)
                 || !(leastRate > 0) || !(benefit > 0) || sharing == null) {
             throw new IllegalArgumentException("bounds of the door that contradict each other");
--- a/src/main/java/lemondrift/door/Order.java
+++ b/src/main/java/lemondrift/connection/ConnectionOrder.java
@@ -1,16 +1,16 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 import java.util.Arrays;
 
 /** The connections of one state, the one that came into it first at the front. */
-final class Order {
+final class ConnectionOrder {
     private static final int NONE = -1;
 
     private final int[] next, previous;
     private int first = NONE, last = NONE, size;
 
     /** Lists of one door share their links, as each connection is in one of them. */
-    Order(int[] next, int[] previous) {
+    ConnectionOrder(int[] next, int[] previous) {
         this.next = next;
         this.previous = previous;
     }
--- a/src/main/java/lemondrift/door/Door.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -1,4 +1,4 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 import java.util.Arrays;
 import java.util.EnumMap;
@@ -12,14 +12,14 @@
  * with the time, and carries out what it says; it knows no sockets. A connection is an index until it is
  * gone.
  */
-public final class Door {
+public final class ConnectionPolicy {
     /** What the door has done to the sockets. */
     public interface Hands {
         /** Whether nothing unread waits on a connection; looks at the socket. */
         boolean isSilent(int i);
 
         /** Closes a connection at once; gone is told before this returns. */
-        void close(int i, Reason why);
+        void close(int i, CloseReason why);
     }
 
     /** Answers to a connection by which its reuse is learned apart: one, two or three, more. */
@@ -40,24 +40,24 @@
     /** What an exchange shed or scrapped counts beside a delivered one: its client is not at fault. */
     private static final double UNSERVED = 0.25;
 
-    private final Bounds bounds;
+    private final ConnectionLimits bounds;
     private final Hands hands;
     private final SplittableRandom chance;
-    private final Sources sources;
-    private final Crowd crowd;
-    private final Reuse[] reuse = new Reuse[KINDS];
+    private final ClientSourceTable sources;
+    private final FairEviction crowd;
+    private final IdleReuseEstimator[] reuse = new IdleReuseEstimator[KINDS];
     private final double[] limit = new double[KINDS];
-    private final Map<State, Order> orders = new EnumMap<>(State.class);
+    private final Map<ConnectionState, ConnectionOrder> orders = new EnumMap<>(ConnectionState.class);
 
-    private final State[] state;
-    private final Source[] source;
+    private final ConnectionState[] state;
+    private final ClientSource[] source;
     private final long[] key;
-    private final Reason[] ending;
+    private final CloseReason[] ending;
     private final boolean[] promised, ahead;
     private final int[] answers, turnedAway;
     /** When it came, when it came into its state, and until when it may stay so without progress. */
     private final double[] came, since, due, drainAt;
-    private final long[][] closed = new long[State.values().length][Reason.values().length];
+    private final long[][] closed = new long[ConnectionState.values().length][CloseReason.values().length];
 
     private int used, places;
     /** How many were closed at once, as there was no place. */
@@ -71,7 +71,7 @@
     private double drainBegan = Double.POSITIVE_INFINITY, drainUntil;
 
     /** The seed decides which connections are kept to learn from. */
-    public Door(Bounds bounds, Hands hands, long seed) {
+    public ConnectionPolicy(ConnectionLimits bounds, Hands hands, long seed) {
         this.bounds = bounds;
         this.hands = hands;
         chance = new SplittableRandom(seed);
@@ -79,14 +79,14 @@
         // index.
         places = bounds.places();
         int last = bounds.last() + SLACK + bounds.last() / SLACK;
-        sources = new Sources(last);
-        crowd = new Crowd(last, bounds.memory());
-        Arrays.setAll(reuse, kind -> new Reuse(bounds.quiet(), bounds.earliest(), bounds.memory()));
+        sources = new ClientSourceTable(last);
+        crowd = new FairEviction(last, bounds.memory());
+        Arrays.setAll(reuse, kind -> new IdleReuseEstimator(bounds.quiet(), bounds.earliest(), bounds.memory()));
         Arrays.fill(limit, bounds.quiet());
-        state = new State[last];
-        source = new Source[last];
+        state = new ConnectionState[last];
+        source = new ClientSource[last];
         key = new long[last];
-        ending = new Reason[last];
+        ending = new CloseReason[last];
         promised = new boolean[last];
         ahead = new boolean[last];
         answers = new int[last];
@@ -95,13 +95,13 @@
         since = new double[last];
         due = new double[last];
         drainAt = new double[last];
-        int[] next = Order.links(last), previous = Order.links(last);
-        for (State each : State.values()) {
-            orders.put(each, new Order(next, previous));
+        int[] next = ConnectionOrder.links(last), previous = ConnectionOrder.links(last);
+        for (ConnectionState each : ConnectionState.values()) {
+            orders.put(each, new ConnectionOrder(next, previous));
         }
-        Arrays.fill(state, State.FREE);
+        Arrays.fill(state, ConnectionState.FREE);
         for (int i = 0; i < last; i++) {
-            orders.get(State.FREE).add(i);
+            orders.get(ConnectionState.FREE).add(i);
         }
     }
 
@@ -125,7 +125,7 @@
         return now < caughtUp ? wentStill : now;
     }
 
-    private void enter(int i, State to, double t) {
+    private void enter(int i, ConnectionState to, double t) {
         orders.get(state[i]).remove(i);
         orders.get(to).add(i);
         state[i] = to;
@@ -140,18 +140,18 @@
      */
     public int came(long address, double now) {
         double t = time(now);
-        int i = orders.get(State.FREE).first();
+        int i = orders.get(ConnectionState.FREE).first();
         if (i < 0) {
             refused++;
             return -1;
         }
         used++;
         key[i] = address;
-        source[i] = bounds.sharing() == Bounds.Sharing.CONNECTION ? new Source() : sources.enter(address);
-        if (bounds.sharing() == Bounds.Sharing.CONNECTION) {
+        source[i] = bounds.sharing() == ConnectionLimits.Sharing.CONNECTION ? new ClientSource() : sources.enter(address);
+        if (bounds.sharing() == ConnectionLimits.Sharing.CONNECTION) {
             source[i].held++;
         }
-        ending[i] = Reason.GONE;
+        ending[i] = CloseReason.GONE;
         promised[i] = false;
         ahead[i] = false;
         // Danger: one that comes while all are sent away would stay for as long as it says nothing.
@@ -161,7 +161,7 @@
         turnedAway[i] = 0;
         came[i] = t;
         due[i] = t + bounds.firstWord();
-        enter(i, State.NEW, t);
+        enter(i, ConnectionState.NEW, t);
         return i;
     }
 
@@ -183,13 +183,13 @@
     /** So many bytes came on a connection, 1 or more. */
     public void heard(int i, int bytes, double now) {
         double t = time(now);
-        if (state[i] == State.NEW || state[i] == State.QUIET) {
-            if (state[i] == State.QUIET) {
+        if (state[i] == ConnectionState.NEW || state[i] == ConnectionState.QUIET) {
+            if (state[i] == ConnectionState.QUIET) {
                 reuse[kind(i)].usedAfter(t - since[i], t);
             }
             due[i] = t + bounds.pause();
-            enter(i, State.HEAD, t);
-        } else if (state[i] == State.HEAD || state[i] == State.BODY) {
+            enter(i, ConnectionState.HEAD, t);
+        } else if (state[i] == ConnectionState.HEAD || state[i] == ConnectionState.BODY) {
             progress(i, bytes, bounds.pause(), t);
         } else {
             ahead[i] = true;
@@ -203,27 +203,27 @@
     /** The head of a request was read; it may have come with the answer to the one before, in one piece. */
     public void headRead(int i, double now) {
         double t = time(now);
-        if (state[i] == State.FREE) {
+        if (state[i] == ConnectionState.FREE) {
             return;
         }
-        if (state[i] == State.QUIET) {
+        if (state[i] == ConnectionState.QUIET) {
             reuse[kind(i)].usedAfter(t - since[i], t);
         }
         ahead[i] = false;
         due[i] = t + bounds.pause();
-        enter(i, State.BODY, t);
+        enter(i, ConnectionState.BODY, t);
     }
 
     /** An exchange is open on a connection, of a tenant given as a number that is not negative. */
     public void opened(int i, int tenant, double now) {
         double t = time(now);
         turnedAway[i] = 0;
-        if (bounds.sharing() == Bounds.Sharing.TENANT && key[i] != -1L - tenant) {
+        if (bounds.sharing() == ConnectionLimits.Sharing.TENANT && key[i] != -1L - tenant) {
             sources.leave(key[i], source[i]);
             key[i] = -1L - tenant;
             source[i] = sources.enter(key[i]);
         }
-        enter(i, State.OPEN, t);
+        enter(i, ConnectionState.OPEN, t);
     }
 
     /**
@@ -234,21 +234,21 @@
         double t = time(now);
         answers[i]++;
         due[i] = t + bounds.fetch();
-        enter(i, State.FETCHING, t);
+        enter(i, ConnectionState.FETCHING, t);
         ending[i] = ending(i, t);
-        promised[i] = ending[i] == Reason.GONE && bounds.announces() && price() < 1 / bounds.quiet();
-        return ending[i] == Reason.GONE;
+        promised[i] = ending[i] == CloseReason.GONE && bounds.announces() && price() < 1 / bounds.quiet();
+        return ending[i] == CloseReason.GONE;
     }
 
-    private Reason ending(int i, double t) {
+    private CloseReason ending(int i, double t) {
         if (t >= drainBegan) {
-            return Reason.DRAIN;
+            return CloseReason.DRAIN;
         } else if (turnedAway[i] >= TURNED_AWAY) {
-            return Reason.TURNED_AWAY;
+            return CloseReason.TURNED_AWAY;
         }
         boolean worth = reuse[kind(i)].limit(price(), t) > 0;
         boolean explores = unusedShare() < MOST_EXPLORING && chance.nextDouble() < EXPLORED;
-        return worth || explores ? Reason.GONE : Reason.WITH_ANSWER;
+        return worth || explores ? CloseReason.GONE : CloseReason.WITH_ANSWER;
     }
 
     /**
@@ -264,8 +264,8 @@
 
     /** Places that stand unused, as a ratio to how many may before they have their full price. */
     private double unusedShare() {
-        int busy = orders.get(State.OPEN).size() + orders.get(State.FETCHING).size();
-        return (used - busy) / (Bounds.UNUSED * places);
+        int busy = orders.get(ConnectionState.OPEN).size() + orders.get(ConnectionState.FETCHING).size();
+        return (used - busy) / (ConnectionLimits.UNUSED * places);
     }
 
     /** What a place costs for a second, in connections opened again: nothing while most of them are free. */
@@ -275,7 +275,7 @@
 
     /** More of its answer is there. Danger: what its backend takes long to give is not its client's fault. */
     public void offered(int i, double now) {
-        if (state[i] == State.FETCHING) {
+        if (state[i] == ConnectionState.FETCHING) {
             due[i] = time(now) + bounds.fetch();
         }
     }
@@ -283,7 +283,7 @@
     /** So many bytes of an answer were taken by a connection. */
     public void fetched(int i, int bytes, double now) {
         double t = time(now);
-        if (state[i] == State.FETCHING) {
+        if (state[i] == ConnectionState.FETCHING) {
             progress(i, bytes, bounds.fetch(), t);
         }
     }
@@ -301,12 +301,12 @@
         }
         // What came ahead of the answer is the next request's beginning, unless its head is read right away.
         due[i] = t + bounds.pause();
-        enter(i, ahead[i] ? State.HEAD : State.QUIET, t);
+        enter(i, ahead[i] ? ConnectionState.HEAD : ConnectionState.QUIET, t);
     }
 
     /** A request is to be turned away; keeps is asked next, as with any answer. */
     public void turnedAway(int i, double now) {
-        if (state[i] == State.FREE) {
+        if (state[i] == ConnectionState.FREE) {
             return;
         }
         turnedAway[i]++;
@@ -319,7 +319,7 @@
      */
     public double lingers(int i, double now) {
         double t = time(now);
-        enter(i, State.TURNED_AWAY, t);
+        enter(i, ConnectionState.TURNED_AWAY, t);
         double costs = Math.max(turnedAway[i], source[i].costs(t, bounds.memory()));
         double lingers = bounds.linger() * Math.scalb(1.0, (int) Math.max(0, costs - 1));
         return Math.min(bounds.longestLinger(), lingers);
@@ -328,25 +328,25 @@
     /** A connection is closed, by whichever side; its index goes to another one. */
     public void gone(int i, double now) {
         double t = time(now);
-        if (state[i] == State.FREE) {
+        if (state[i] == ConnectionState.FREE) {
             return;
         }
-        if (state[i] == State.QUIET && ending[i] != Reason.WITH_ANSWER && ending[i] != Reason.DRAIN) {
+        if (state[i] == ConnectionState.QUIET && ending[i] != CloseReason.WITH_ANSWER && ending[i] != CloseReason.DRAIN) {
             reuse[kind(i)].endedAfter(t - since[i], t);
         }
-        if (answers[i] == 0 && state[i] != State.OPEN) {
+        if (answers[i] == 0 && state[i] != ConnectionState.OPEN) {
             source[i].cost(t, bounds.memory());
         }
         closed[state[i].ordinal()][ending[i].ordinal()]++;
-        if (bounds.sharing() != Bounds.Sharing.CONNECTION) {
+        if (bounds.sharing() != ConnectionLimits.Sharing.CONNECTION) {
             sources.leave(key[i], source[i]);
         }
         source[i] = null;
         used--;
-        enter(i, State.FREE, t);
+        enter(i, ConnectionState.FREE, t);
     }
 
-    private void close(int i, Reason why) {
+    private void close(int i, CloseReason why) {
         ending[i] = why;
         hands.close(i, why);
     }
@@ -357,29 +357,29 @@
         if (!isCrowded()) {
             return;
         }
-        for (int i = orders.get(State.NEW).first(); i >= 0; i = orders.get(State.NEW).after(i)) {
+        for (int i = orders.get(ConnectionState.NEW).first(); i >= 0; i = orders.get(ConnectionState.NEW).after(i)) {
             if (t - came[i] > bounds.patience()) {
                 crowd.mayYield(i, source[i]);
             }
         }
         // Danger: heads without end would keep all others out. None was answered here: nothing is lost.
-        for (State each : new State[] {State.HEAD, State.BODY}) {
+        for (ConnectionState each : new ConnectionState[] {ConnectionState.HEAD, ConnectionState.BODY}) {
             for (int i = orders.get(each).first(); i >= 0; i = orders.get(each).after(i)) {
                 if (answers[i] == 0 && t - came[i] > 2 * bounds.patience()) {
                     crowd.mayYield(i, source[i]);
                 }
             }
         }
-        for (int i = orders.get(State.QUIET).first(); i >= 0; i = orders.get(State.QUIET).after(i)) {
+        for (int i = orders.get(ConnectionState.QUIET).first(); i >= 0; i = orders.get(ConnectionState.QUIET).after(i)) {
             if (!promised[i]) {
                 crowd.mayYield(i, source[i]);
             }
         }
         crowd.yield(used - places, t, i -> {
             // Danger: a request that has come and waits unread, after a pause of the process, would be lost.
-            boolean silent = answers[i] == 0 && state[i] != State.NEW || hands.isSilent(i);
+            boolean silent = answers[i] == 0 && state[i] != ConnectionState.NEW || hands.isSilent(i);
             if (silent) {
-                close(i, Reason.CROWD);
+                close(i, CloseReason.CROWD);
             }
             return silent;
         });
@@ -393,8 +393,8 @@
             limit[kind] = Math.max(bounds.earliest(), reuse[kind].limit(price(), t));
         }
         for (int i = 0; i < state.length; i++) {
-            Reason why = overdue(i, t);
-            if (why != null && (state[i] != State.NEW && state[i] != State.QUIET || hands.isSilent(i))) {
+            CloseReason why = overdue(i, t);
+            if (why != null && (state[i] != ConnectionState.NEW && state[i] != ConnectionState.QUIET || hands.isSilent(i))) {
                 close(i, why);
             }
         }
@@ -403,22 +403,22 @@
     /**
      * Why a connection is to be closed now, null if it may stay. Danger: one without end holds its buffers.
      */
-    private Reason overdue(int i, double t) {
+    private CloseReason overdue(int i, double t) {
         return switch (state[i]) {
-            case NEW -> t > due[i] ? Reason.NO_WORD : drains(i, t);
-            case HEAD, BODY -> t > due[i] ? Reason.SLOW : null;
-            case FETCHING -> t > due[i] ? Reason.UNFETCHED : null;
+            case NEW -> t > due[i] ? CloseReason.NO_WORD : drains(i, t);
+            case HEAD, BODY -> t > due[i] ? CloseReason.SLOW : null;
+            case FETCHING -> t > due[i] ? CloseReason.UNFETCHED : null;
             case QUIET -> {
                 double quiet = t - since[i];
-                yield quiet > bounds.quiet() ? Reason.QUIET
-                        : quiet > limit[kind(i)] && !promised[i] ? Reason.UNUSED : drains(i, t);
+                yield quiet > bounds.quiet() ? CloseReason.QUIET
+                        : quiet > limit[kind(i)] && !promised[i] ? CloseReason.UNUSED : drains(i, t);
             }
             case FREE, OPEN, TURNED_AWAY -> null;
         };
     }
 
-    private Reason drains(int i, double t) {
-        return t >= drainAt[i] ? Reason.DRAIN : null;
+    private CloseReason drains(int i, double t) {
+        return t >= drainAt[i] ? CloseReason.DRAIN : null;
     }
 
     /**
@@ -428,8 +428,8 @@
     public void drain(double now, double until) {
         drainBegan = time(now);
         drainUntil = drainBegan + until - now;
-        int count = in(State.NEW) + in(State.QUIET), rank = 0;
-        for (State each : new State[] {State.QUIET, State.NEW}) {
+        int count = in(ConnectionState.NEW) + in(ConnectionState.QUIET), rank = 0;
+        for (ConnectionState each : new ConnectionState[] {ConnectionState.QUIET, ConnectionState.NEW}) {
             for (int i = orders.get(each).first(); i >= 0; i = orders.get(each).after(i)) {
                 drainAt[i] = drainBegan + (until - now) * rank++ / count;
             }
@@ -450,9 +450,9 @@
     public boolean isDrained(double now) {
         double t = time(now);
         for (int i = 0; i < state.length; i++) {
-            boolean answered = ending[i] == Reason.DRAIN && t - since[i] >= bounds.linger()
-                    && (state[i] == State.QUIET || state[i] == State.HEAD);
-            if (state[i] != State.FREE && !answered) {
+            boolean answered = ending[i] == CloseReason.DRAIN && t - since[i] >= bounds.linger()
+                    && (state[i] == ConnectionState.QUIET || state[i] == ConnectionState.HEAD);
+            if (state[i] != ConnectionState.FREE && !answered) {
                 return false;
             }
         }
@@ -460,16 +460,16 @@
     }
 
     /** How many connections are in a state. */
-    public int in(State each) {
+    public int in(ConnectionState each) {
         return orders.get(each).size();
     }
 
     /** How many have ended for a reason, in whatever state. */
-    public long ended(Reason why) {
+    public long ended(CloseReason why) {
         return Arrays.stream(closed).mapToLong(each -> each[why.ordinal()]).sum();
     }
 
-    State state(int i) {
+    ConnectionState state(int i) {
         return state[i];
     }
 
@@ -480,11 +480,11 @@
     /** What there is by state and what ended by reason, as key and value pairs for a line of the log. */
     public String told() {
         StringBuilder text = new StringBuilder();
-        for (State each : State.values()) {
+        for (ConnectionState each : ConnectionState.values()) {
             text.append(each.name().toLowerCase(Locale.ROOT)).append('=').append(in(each))
                     .append(' ');
         }
-        for (Reason why : Reason.values()) {
+        for (CloseReason why : CloseReason.values()) {
             text.append("ended_").append(why.name().toLowerCase(Locale.ROOT)).append('=')
                     .append(ended(why)).append(' ');
         }
--- a/src/main/java/lemondrift/door/State.java
+++ b/src/main/java/lemondrift/connection/ConnectionState.java
@@ -1,7 +1,7 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 /** What a client's connection is doing. docs/door.md draws how one leads to another. */
-public enum State {
+public enum ConnectionState {
     /** Its place is free. */
     FREE,
     /** Accepted, and nothing has come on it yet. */
--- a/src/main/java/lemondrift/door/Crowd.java
+++ b/src/main/java/lemondrift/connection/FairEviction.java
@@ -1,4 +1,4 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -11,18 +11,18 @@
  * places for its weight gives one up, again and again; so nobody can gain a place by which one with fewer
  * would lose.
  */
-final class Crowd {
+final class FairEviction {
     private final int[] next;
     private final double half;
-    private final List<Source> yielding = new ArrayList<>();
+    private final List<ClientSource> yielding = new ArrayList<>();
 
-    Crowd(int places, double half) {
+    FairEviction(int places, double half) {
         next = new int[places];
         this.half = half;
     }
 
     /** A connection that may give way, after those of its source that were named before. */
-    void mayYield(int i, Source source) {
+    void mayYield(int i, ClientSource source) {
         next[i] = -1;
         if (source.firstYielding < 0) {
             source.firstYielding = i;
@@ -36,17 +36,17 @@
     /** Has connections close until there were so many, or none is left; close says whether one did. */
     void yield(int many, double now, IntPredicate close) {
         // Danger: a weight that changes while its source is queued would leave the order broken.
-        record Share(Source source, int order, double weight, double ratio) {}
+        record Share(ClientSource source, int order, double weight, double ratio) {}
         var most = new PriorityQueue<Share>(Comparator.comparing(Share::ratio).reversed()
                 .thenComparing(Share::order));
-        for (Source source : yielding) {
+        for (ClientSource source : yielding) {
             double weight = source.weight(now, half);
             most.add(new Share(source, most.size(), weight, source.held / weight));
         }
         int left = many;
         while (left > 0 && !most.isEmpty()) {
             Share share = most.poll();
-            Source source = share.source;
+            ClientSource source = share.source;
             int i = source.firstYielding;
             source.firstYielding = next[i];
             if (close.test(i)) {
--- a/src/main/java/lemondrift/door/Reuse.java
+++ b/src/main/java/lemondrift/connection/IdleReuseEstimator.java
@@ -1,4 +1,4 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 /**
  * Learns after how long quiet connections are used again, and says how long that makes one worth its place.
@@ -6,7 +6,7 @@
  * again of those that came so far is a hazard, after Kaplan and Meier (1958). How long to keep a place is
  * then a problem of optimal stopping, solved backwards over the bins. No I/O, no clock.
  */
-final class Reuse {
+final class IdleReuseEstimator {
     /** Each bin is twice as long as the one before but for the first, which is as long as the second. */
     private static final int BINS = 12;
     /** What is not known yet counts as so many connections, used again within the longest time so often. */
@@ -19,7 +19,7 @@
     /** What one that is counted now weighs; it grows in place of all others' fading. */
     private double weight = 1, weighedAt;
 
-    Reuse(double longest, double earliest, double half) {
+    IdleReuseEstimator(double longest, double earliest, double half) {
         this.longest = longest;
         this.earliest = earliest;
         this.half = half;
--- a/src/main/java/lemondrift/door/Intake.java
+++ b/src/main/java/lemondrift/connection/RequestQueue.java
@@ -1,4 +1,4 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -10,7 +10,7 @@
  *
  * @param <T> an exchange as the adapter knows it
  */
-public final class Intake<T> {
+public final class RequestQueue<T> {
     /** The share of the shortest contract time that an exchange may wait for the decisions. */
     private static final double SHARE = 0.125;
     /**
@@ -30,7 +30,7 @@
     private int queued;
 
     /** The contract time is the shortest of all service grades, in seconds, over 0. */
-    public Intake(double contractTime) {
+    public RequestQueue(double contractTime) {
         retuned(contractTime);
     }
 
--- a/src/main/java/lemondrift/peer/Holdings.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -1,4 +1,4 @@
-package lemondrift.peer;
+package lemondrift.gossip;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
@@ -18,7 +18,7 @@
  * what a proxy tells does not grow with their number. A telling says how things stand, not what happened, so
  * that one which is lost or comes twice does no harm. Backends go by a tag of their id. Times are in seconds.
  */
-public final class Holdings {
+public final class LoadGossip {
     public static final int MOST_BYTES = 256;
     private static final byte KIND = 4;
     /** Of a number the low bits count, and the others are of the sender's start number. */
@@ -66,7 +66,7 @@
      * tellings to one, the seconds after which what one has told is forgotten, who uses which backends, and
      * who hears of each tag of which the number out at the others has changed.
      */
-    public Holdings(int proxies, int self, long start, double pace, double forget, SubsetAssignment subsets,
+    public LoadGossip(int proxies, int self, long start, double pace, double forget, SubsetAssignment subsets,
             IntConsumer changed) {
         peers = new Peer[proxies];
         Arrays.setAll(peers, i -> new Peer());
--- a/src/main/java/lemondrift/peer/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -1,4 +1,4 @@
-package lemondrift.peer;
+package lemondrift.gossip;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.IntUnaryOperator;
-import lemondrift.model.Listed;
+import lemondrift.model.EndpointUpdate;
 
 /**
  * Which proxies of a fleet use which backends. Each uses the subset of those with its least scores
@@ -37,9 +37,9 @@
     private final Map<Integer, Set<Integer>> byId = new HashMap<>();
 
     /** A line as it was told last, and its backend's id then; an index may stand for another one later. */
-    private record Known(Listed line, int id) {
+    private record Known(EndpointUpdate line, int id) {
         private boolean isReady() {
-            return line.state() == Listed.State.READY;
+            return line.state() == EndpointUpdate.State.READY;
         }
     }
 
@@ -87,15 +87,15 @@
      * @param whole whether nothing is listed but these lines
      * @param id the backend id of an index
      */
-    public List<Listed> assigned(int proxy, boolean whole, List<Listed> lines, IntUnaryOperator id) {
+    public List<EndpointUpdate> assigned(int proxy, boolean whole, List<EndpointUpdate> lines, IntUnaryOperator id) {
         Set<Integer> affected = backendsOfSubset(proxy);
         if (whole) {
             List.copyOf(known.keySet()).forEach(this::withdraw);
         }
         lines.forEach(line -> replace(line, id.applyAsInt(line.backend())));
-        List<Listed> told = new ArrayList<>(lines.size() + width);
+        List<EndpointUpdate> told = new ArrayList<>(lines.size() + width);
         affected.addAll(backendsOfSubset(proxy));
-        for (Listed line : lines) {
+        for (EndpointUpdate line : lines) {
             affected.remove(line.backend());
             told.add(scored(proxy, line, id.applyAsInt(line.backend())));
         }
@@ -103,13 +103,13 @@
         return told;
     }
 
-    private void replace(Listed line, int id) {
+    private void replace(EndpointUpdate line, int id) {
         withdraw(line.backend());
-        if (line.state() == Listed.State.READY) {
+        if (line.state() == EndpointUpdate.State.READY) {
             byId.computeIfAbsent(id, none -> new HashSet<>()).add(line.backend());
             add(id);
         }
-        if (line.state() != Listed.State.GONE) {
+        if (line.state() != EndpointUpdate.State.GONE) {
             known.put(line.backend(), new Known(line.again(), id));
         }
     }
@@ -127,14 +127,14 @@
         }
     }
 
-    private Listed scored(int proxy, Listed line, int id) {
+    private EndpointUpdate scored(int proxy, EndpointUpdate line, int id) {
         double score = score(proxy, id), used = used(proxy, id);
         known.computeIfPresent(line.backend(),
                 (backend, its) -> new Known(its.line.drawn(score, used), its.id));
         return line.drawn(score, used);
     }
 
-    private void tellChange(int proxy, int backend, List<Listed> told) {
+    private void tellChange(int proxy, int backend, List<EndpointUpdate> told) {
         Known its = known.get(backend);
         if (its != null && its.line.used() != used(proxy, its.id)) {
             told.add(scored(proxy, its.line, its.id));
--- a/src/main/java/lemondrift/succession/Succession.java
+++ b/src/main/java/lemondrift/hotrestart/ResourceSplit.java
@@ -1,10 +1,10 @@
-package lemondrift.succession;
+package lemondrift.hotrestart;
 
 /**
  * Which part of what the platform gives a proxy one of its processes may use. During an upgrade there are two
  * of them, and the platform counts them as one. No I/O.
  */
-public final class Succession {
+public final class ResourceSplit {
     /** What this process is beside others of the same proxy. */
     public enum State {
         /** It serves, and nobody is to follow it. */
--- a/src/main/java/lemondrift/lab/Baseline.java
+++ b/src/main/java/lemondrift/lab/Baseline.java
@@ -4,14 +4,8 @@
 import java.util.List;
 import java.util.function.IntToDoubleFunction;
 import java.util.stream.IntStream;
-import lemondrift.lab.world.Decider;
-import lemondrift.model.Effect;
-import lemondrift.model.Exchange;
-import lemondrift.model.Forward;
-import lemondrift.model.Listed;
-import lemondrift.model.Outcome;
-import lemondrift.model.Settings;
-import lemondrift.model.Turn;
+import lemondrift.lab.simulation.RoutingPolicy;
+import lemondrift.model.*;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
@@ -19,7 +13,7 @@
  * Policies to compare the module with, and nothing else: they pick, send again what is proved never to have
  * run, and keep rules one to three. They judge no health and spare no cold backend.
  */
-public final class Baseline implements Decider {
+public final class Baseline implements RoutingPolicy {
     /** How a baseline picks among the backends that are listed as ready. */
     public enum Kind {
         /** Any, each as likely. */
@@ -44,7 +38,7 @@
     private final Settings settings;
     private final UniformRandomProvider chance;
     private final IntToDoubleFunction trueLoad;
-    private final Turn turn = new Turn();
+    private final Decision turn = new Decision();
     private boolean[] ready = {};
     private int[] out = {};
     private double[] peak = {}, peakAt = {};
@@ -58,29 +52,29 @@
         chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
 
-    private Turn nothing() {
+    private Decision nothing() {
         turn.clear();
         return turn;
     }
 
     @Override
-    public Turn arrived(double now, Exchange x) {
+    public Decision arrived(double now, Request x) {
         nothing();
         x.contract = Math.min(x.expiry, now + settings.grades().get(x.grade).contractTime());
         sends(now, x);
         return turn;
     }
 
-    private void sends(double now, Exchange x) {
+    private void sends(double now, Request x) {
         int to = now < x.contract && x.forwards < MOST ? pick(now) : -1;
         if (to < 0) {
             boolean shed = x.mayHaveRun == null
-                    || settings.grades().get(x.grade).effect() == Effect.PURE;
+                    || settings.grades().get(x.grade).effect() == Idempotency.PURE;
             x.over = true;
-            turn.answers.add(new Turn.Answer(x, shed, 0));
+            turn.answers.add(new Decision.Answer(x, shed, 0));
             return;
         }
-        x.latest = new Forward(x, to, now, x.contract - now, 0);
+        x.latest = new Attempt(x, to, now, x.contract - now, 0);
         x.forwards++;
         x.out++;
         out[to]++;
@@ -122,9 +116,9 @@
     }
 
     @Override
-    public Turn ended(double now, Forward f, Outcome outcome, double took, boolean over, double[] report) {
+    public Decision ended(double now, Attempt f, AttemptOutcome outcome, double took, boolean over, double[] report) {
         nothing();
-        Exchange x = f.exchange;
+        Request x = f.exchange;
         f.ended = true;
         x.out--;
         out[f.backend]--;
@@ -133,39 +127,39 @@
         peak[f.backend] = Math.max(took, faded + (took - faded) / 8);
         peakAt[f.backend] = now;
         x.mayHaveRun = !outcome.neverRan && x.mayHaveRun == null ? f : x.mayHaveRun;
-        if (!x.over && (outcome.neverRan || settings.grades().get(x.grade).effect() == Effect.PURE)) {
+        if (!x.over && (outcome.neverRan || settings.grades().get(x.grade).effect() == Idempotency.PURE)) {
             sends(now, x);
         } else if (!x.over) {
             x.over = true;
-            turn.answers.add(new Turn.Answer(x, false, 0));
+            turn.answers.add(new Decision.Answer(x, false, 0));
         }
         return turn;
     }
 
     @Override
-    public Turn probed(double now, int backend, Outcome outcome, double[] report) {
+    public Decision probed(double now, int backend, AttemptOutcome outcome, double[] report) {
         return nothing();
     }
 
     @Override
-    public Turn left(double now, Exchange x) {
+    public Decision left(double now, Request x) {
         x.over = true;
         return nothing();
     }
 
     @Override
-    public Turn listed(double now, boolean whole, List<Listed> lines) {
-        int size = Math.max(ready.length, lines.stream().mapToInt(Listed::backend).max().orElse(-1) + 1);
+    public Decision listed(double now, boolean whole, List<EndpointUpdate> lines) {
+        int size = Math.max(ready.length, lines.stream().mapToInt(EndpointUpdate::backend).max().orElse(-1) + 1);
         ready = Arrays.copyOf(ready, size);
         out = Arrays.copyOf(out, size);
         peak = Arrays.copyOf(peak, size);
         peakAt = Arrays.copyOf(peakAt, size);
-        lines.forEach(line -> ready[line.backend()] = line.state() == Listed.State.READY);
+        lines.forEach(line -> ready[line.backend()] = line.state() == EndpointUpdate.State.READY);
         return nothing();
     }
 
     @Override
-    public Turn woken(double now) {
+    public Decision woken(double now) {
         return nothing();
     }
 }
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -6,14 +6,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import lemondrift.lab.world.Day;
-import lemondrift.lab.world.Fault;
-import lemondrift.lab.world.Figures;
-import lemondrift.lab.world.Referee;
-import lemondrift.lab.world.World;
-import lemondrift.model.Effect;
-import lemondrift.model.Group;
-import lemondrift.model.ServiceGrade;
+import lemondrift.lab.simulation.*;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.Idempotency;
+import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 
 /**
@@ -31,7 +27,7 @@
  * @param connections that a backend holds at once, on processes; 0 is any number
  * @param faults what goes wrong with and between the processes
  */
-public record Experiment(String name, String about, Day day, List<String> policies, List<Long> seeds,
+public record Experiment(String name, String about, Scenario day, List<String> policies, List<Long> seeds,
         List<Expectation> expects, boolean tells, boolean recovers, Host host, double uneven,
         int connections, List<Fault> faults) {
     /** Virtual time, or real processes and sockets. */
@@ -44,17 +40,17 @@
     public static final List<String> GRADES = List.of("look", "order", "book");
 
     /** Grades of the lab's own: a look, an order with a mark, and a booking that must never run twice. */
-    private static List<ServiceGrade> grades(double contract) {
+    private static List<RequestClass> grades(double contract) {
         double expiry = 2.4 * contract, memory = 1.2 * contract;
-        return List.of(new ServiceGrade(1, 0, contract, expiry, Effect.PURE, Group.ALL, 0),
-                new ServiceGrade(3, 0, contract, expiry, Effect.RECEIPTED, Group.LOCATION, memory),
-                new ServiceGrade(9, 0, contract, expiry, Effect.EFFECTFUL, Group.ALL, 0));
+        return List.of(new RequestClass(1, 0, contract, expiry, Idempotency.PURE, DeduplicationScope.ALL, 0),
+                new RequestClass(3, 0, contract, expiry, Idempotency.RECEIPTED, DeduplicationScope.LOCATION, memory),
+                new RequestClass(9, 0, contract, expiry, Idempotency.EFFECTFUL, DeduplicationScope.ALL, 0));
     }
 
     /** One figure of a day held against a bound. */
     public record Expectation(String figure, String sign, double bound) {
         /** Whether it holds of a day. */
-        public boolean holds(Figures figures) {
+        public boolean holds(RunResult figures) {
             double value = value(figure, figures);
             return switch (sign) {
                 case ">=" -> value >= bound;
@@ -70,14 +66,14 @@
     }
 
     /** One day that one policy played; broken is null where all rules were kept. */
-    public record Run(String policy, long seed, Figures figures, String broken) {}
+    public record Run(String policy, long seed, RunResult figures, String broken) {}
 
     /** The figures that an expectation may name, and how each is read. */
-    private static final Map<String, ToDoubleFunction<Figures>> READ = new LinkedHashMap<>();
+    private static final Map<String, ToDoubleFunction<RunResult>> READ = new LinkedHashMap<>();
 
     static {
-        READ.put("service", Figures::service);
-        READ.put("in_time", Figures::inTimeShare);
+        READ.put("service", RunResult::service);
+        READ.put("in_time", RunResult::inTimeShare);
         READ.put("unanswered", f -> f.unanswered);
         READ.put("late", f -> f.late);
         READ.put("shed", f -> f.shed);
@@ -91,14 +87,14 @@
         READ.put("least_share", f -> f.evenness.least());
         READ.put("most_share", f -> f.evenness.most());
         READ.put("crashed", f -> f.crashed);
-        READ.put("of_bearable", Figures::ofBearable);
-        READ.put("back_after", Figures::backAfter);
+        READ.put("of_bearable", RunResult::ofBearable);
+        READ.put("back_after", RunResult::backAfter);
     }
 
     public static final List<String> FIGURES = List.copyOf(READ.keySet());
 
     /** A figure of a day by its name; a day that a broken rule has ended has not all of them. */
-    public static double value(String figure, Figures f) {
+    public static double value(String figure, RunResult f) {
         return f.evenness == null ? Double.NaN : READ.get(figure).applyAsDouble(f);
     }
 
@@ -124,26 +120,26 @@
     }
 
     /** The same day but for the seed. */
-    public Day day(long seed) {
-        return new Day(day.settings(), day.proxies(), day.backends(), day.cores(), day.rate(), day.work(),
+    public Scenario day(long seed) {
+        return new Scenario(day.settings(), day.proxies(), day.backends(), day.cores(), day.rate(), day.work(),
                 day.spread(), day.tries(), day.way(), day.delay(), day.grace(), day.lasts(), seed,
                 day.troubles());
     }
 
-    private Module module(Settings settings, long seed, int p) {
-        Module module = new Module(settings, seed, p, tells);
+    private ModuleUnderTest module(Settings settings, long seed, int p) {
+        ModuleUnderTest module = new ModuleUnderTest(settings, seed, p, tells);
         return recovers && tells ? module.recovering(settings) : module;
     }
 
     private Run play(String policy, long seed) {
-        Day its = day(seed);
-        World[] world = {null};
+        Scenario its = day(seed);
+        Simulation[] world = {null};
         if (policy.equals(MODULE)) {
-            world[0] = new World(its, p -> module(its.settings().at(p % its.settings().locations()),
+            world[0] = new Simulation(its, p -> module(its.settings().at(p % its.settings().locations()),
                     seed * 1000 + p, p));
         } else {
             Baseline.Kind kind = Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
-            world[0] = new World(its, 3, p -> new Baseline(kind, its.settings(), seed * 1000 + p,
+            world[0] = new Simulation(its, 3, p -> new Baseline(kind, its.settings(), seed * 1000 + p,
                     i -> world[0].trueLoad(i)));
         }
         try {
--- a/src/main/java/lemondrift/lab/ExperimentFile.java
+++ b/src/main/java/lemondrift/lab/ExperimentFile.java
@@ -10,10 +10,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import lemondrift.lab.world.Day;
-import lemondrift.lab.world.Fault;
-import lemondrift.lab.world.Trouble;
-import lemondrift.lab.world.Who;
+import lemondrift.lab.simulation.BackendFault;
+import lemondrift.lab.simulation.Fault;
+import lemondrift.lab.simulation.FaultTarget;
+import lemondrift.lab.simulation.Scenario;
 import lemondrift.model.Settings;
 
 /** Reads an experiment. What can't be used is one line with file, line and key. */
@@ -30,11 +30,11 @@
     private static final Pattern EXPECTATION = Pattern.compile("(\\w+) *(>=|<=|==) *(\\d+(?:\\.\\d+)?)");
 
     private final Path file;
-    private final Toml toml;
+    private final TomlReader toml;
 
     private ExperimentFile(Path file) throws IOException {
         this.file = file;
-        toml = new Toml(file);
+        toml = new TomlReader(file);
     }
 
     /** Reads one; throws BadInput where it can't be used, IOException where it can't be read. */
@@ -57,7 +57,7 @@
                 "host");
         List<String> policies = new ArrayList<>(List.of(Experiment.MODULE));
         for (JsonNode each : toml.all.path("policies")) {
-            if (Arrays.stream(Baseline.Kind.values()).noneMatch(kind -> Toml.lower(kind)
+            if (Arrays.stream(Baseline.Kind.values()).noneMatch(kind -> TomlReader.lower(kind)
                     .equals(each.asText())) && !each.asText().equals(Experiment.MODULE)) {
                 throw toml.bad("policies", "no such policy: " + each.asText());
             }
@@ -67,7 +67,7 @@
         }
         List<Experiment.Expectation> expects = new ArrayList<>();
         toml.all.path("expect").forEach(each -> expects.add(expectation(each.asText())));
-        List<Trouble> troubles = new ArrayList<>();
+        List<BackendFault> troubles = new ArrayList<>();
         for (JsonNode each : toml.all.path("trouble")) {
             toml.enters("[[trouble]]", troubles.size());
             toml.known(each, TROUBLE);
@@ -93,7 +93,7 @@
                 faults);
     }
 
-    private Day day(JsonNode world, List<Trouble> troubles) {
+    private Scenario day(JsonNode world, List<BackendFault> troubles) {
         int proxies = toml.whole(world, "proxies", 3, 1, 500);
         int backends = toml.whole(world, "backends", 10, 0, 2000);
         int cores = toml.whole(world, "cores", 2, 1, 64);
@@ -102,17 +102,17 @@
         double work = toml.span(world, "work", 0.05);
         double load = toml.number(world, "load", 0.65, 0.01, 10);
         double rate = load * Math.max(1, backends) * cores / work;
-        return new Day(settings, proxies, backends, cores, rate, work,
+        return new Scenario(settings, proxies, backends, cores, rate, work,
                 toml.number(world, "spread", 0.5, 0, 3), toml.whole(world, "tries", 3, 1, 20),
                 toml.time(world, "way", 0.0005), toml.time(world, "delay", 0.4),
                 toml.time(world, "grace", 2), toml.time(world, "lasts", 20), 1, troubles);
     }
 
-    private Trouble trouble(JsonNode table) {
-        Trouble.Kind kind = toml.word(table, "kind", Trouble.Kind.class, null, "trouble");
-        return new Trouble(kind, toml.time(table, "at", 5), toml.span(table, "lasts", 6),
+    private BackendFault trouble(JsonNode table) {
+        BackendFault.Kind kind = toml.word(table, "kind", BackendFault.Kind.class, null, "trouble");
+        return new BackendFault(kind, toml.time(table, "at", 5), toml.span(table, "lasts", 6),
                 toml.share(table, "share", 0.3), toml.number(table, "strength",
-                        kind == Trouble.Kind.ERRORS || kind == Trouble.Kind.GRADE ? 0.8 : 3, 0, 1000));
+                        kind == BackendFault.Kind.ERRORS || kind == BackendFault.Kind.GRADE ? 0.8 : 3, 0, 1000));
     }
 
     private Fault fault(JsonNode table) {
@@ -128,10 +128,10 @@
                 toml.time(table, "by", 0.2));
     }
 
-    private Who who(JsonNode table, String key) {
-        Who who = Who.of(table.path(key).asText("all"));
+    private FaultTarget who(JsonNode table, String key) {
+        FaultTarget who = FaultTarget.of(table.path(key).asText("all"));
         if (who == null) {
-            throw toml.bad(key, "none of " + Who.FORMS + ": " + table.path(key));
+            throw toml.bad(key, "none of " + FaultTarget.FORMS + ": " + table.path(key));
         }
         return who;
     }
--- a/src/main/java/lemondrift/lab/Module.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -2,61 +2,56 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lemondrift.decide.Balancer;
-import lemondrift.lab.world.Decider;
-import lemondrift.model.Exchange;
-import lemondrift.model.Forward;
-import lemondrift.model.Listed;
-import lemondrift.model.Outcome;
-import lemondrift.model.Settings;
-import lemondrift.model.Turn;
-import lemondrift.peer.Holdings;
-import lemondrift.peer.SubsetAssignment;
-import lemondrift.recovery.Hello;
-import lemondrift.recovery.Pace;
-import lemondrift.recovery.Recovery;
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.lab.simulation.RoutingPolicy;
+import lemondrift.model.*;
+import lemondrift.gossip.LoadGossip;
+import lemondrift.gossip.SubsetAssignment;
+import lemondrift.recovery.PeerPollBackoff;
+import lemondrift.recovery.PeerStatus;
+import lemondrift.recovery.RecoveryState;
 
 /** The decision module itself as a world's decider. */
-public final class Module implements Decider {
+public final class ModuleUnderTest implements RoutingPolicy {
     /** The least time between two tellings, and when what is told is forgotten, in windows. */
     private static final double PACE = 0.02, FORGET = 2;
     private static final int PART = 12;
 
-    private final Balancer balancer;
+    private final LoadBalancer balancer;
     private final int self;
     /** What it tells the others and hears of them, its backends' tags being their indexes; or null. */
-    private Holdings holdings;
+    private LoadGossip holdings;
     private SubsetAssignment subsets;
     /** Its way back after its start; null where it asks nobody. */
-    private Recovery recovery;
-    private final List<Holdings.Telling> said = new ArrayList<>();
+    private RecoveryState recovery;
+    private final List<LoadGossip.Telling> said = new ArrayList<>();
 
-    public Module(Settings settings, long seed) {
+    public ModuleUnderTest(Settings settings, long seed) {
         this(settings, seed, 0, false);
     }
 
     /** One that tells the other proxies of its bank what it has out, where it may. */
-    public Module(Settings settings, long seed, int self, boolean tells) {
-        balancer = new Balancer(settings, seed);
+    public ModuleUnderTest(Settings settings, long seed, int self, boolean tells) {
+        balancer = new LoadBalancer(settings, seed);
         this.self = self;
         if (tells && balancer.isToBeTold()) {
             subsets = new SubsetAssignment(settings.balancers(), PART);
-            holdings = new Holdings(settings.balancers(), self, 1 + self, PACE * settings.window(),
+            holdings = new LoadGossip(settings.balancers(), self, 1 + self, PACE * settings.window(),
                     FORGET * settings.window(), subsets,
                     tag -> balancer.othersHold(tag, holdings.others(tag)));
         }
     }
 
     /** One that asks the others at its start what they have found. */
-    public Module recovering(Settings settings) {
-        recovery = Recovery.begins(Pace.of(settings.window()), self, settings.balancers(), 1 + self, 0);
+    public ModuleUnderTest recovering(Settings settings) {
+        recovery = RecoveryState.begins(PeerPollBackoff.of(settings.window()), self, settings.balancers(), 1 + self, 0);
         return this;
     }
 
-    private void says(Recovery.Step step, double now) {
+    private void says(RecoveryState.Step step, double now) {
         recovery = step.next();
-        step.sent().forEach(each -> said.add(new Holdings.Telling(each.to(), each.hello().encoded())));
-        Recovery.Lesson lesson = recovery.isSettled() ? null : recovery.lesson(now);
+        step.sent().forEach(each -> said.add(new LoadGossip.Telling(each.to(), each.hello().encoded())));
+        RecoveryState.Lesson lesson = recovery.isSettled() ? null : recovery.lesson(now);
         if (lesson != null) {
             balancer.learned(lesson.work(), lesson.answers());
         }
@@ -72,7 +67,7 @@
         }
     }
 
-    private Turn sent(Turn turn) {
+    private Decision sent(Decision turn) {
         if (holdings != null) {
             turn.sends.forEach(f -> holdings.sent(f.backend));
         }
@@ -80,13 +75,13 @@
     }
 
     @Override
-    public Turn arrived(double now, Exchange x) {
+    public Decision arrived(double now, Request x) {
         hear(now);
         return sent(balancer.exchangeArrived(now, x));
     }
 
     @Override
-    public Turn ended(double now, Forward f, Outcome outcome, double took, boolean over, double[] report) {
+    public Decision ended(double now, Attempt f, AttemptOutcome outcome, double took, boolean over, double[] report) {
         hear(now);
         if (holdings != null) {
             if (outcome.mayRunOn) {
@@ -99,17 +94,17 @@
     }
 
     @Override
-    public Turn probed(double now, int backend, Outcome outcome, double[] report) {
+    public Decision probed(double now, int backend, AttemptOutcome outcome, double[] report) {
         return sent(balancer.probeEnded(now, backend, outcome, report));
     }
 
     @Override
-    public Turn left(double now, Exchange x) {
+    public Decision left(double now, Request x) {
         return sent(balancer.clientLeft(now, x));
     }
 
     @Override
-    public Turn listed(double now, boolean whole, List<Listed> lines) {
+    public Decision listed(double now, boolean whole, List<EndpointUpdate> lines) {
         if (holdings == null) {
             return balancer.backendsListed(now, whole, false, lines);
         }
@@ -117,19 +112,19 @@
     }
 
     @Override
-    public Turn woken(double now) {
+    public Decision woken(double now) {
         return sent(balancer.wake(now));
     }
 
     @Override
-    public List<Holdings.Telling> tellings(double now) {
+    public List<LoadGossip.Telling> tellings(double now) {
         if (holdings == null) {
             return List.of();
         }
         if (recovery != null) {
             says(recovery.wake(now), now);
         }
-        List<Holdings.Telling> all = new ArrayList<>(said);
+        List<LoadGossip.Telling> all = new ArrayList<>(said);
         said.clear();
         all.addAll(holdings.tellings(now));
         return all;
@@ -146,11 +141,11 @@
 
     @Override
     public void told(double now, int from, byte[] datagram) {
-        if (datagram[0] != Hello.KIND) {
+        if (datagram[0] != PeerStatus.KIND) {
             holdings.told(from, datagram, now);
         } else if (recovery != null) {
-            Hello hello = Hello.of(datagram);
-            Recovery.Step step = recovery.heard(from, hello, now);
+            PeerStatus hello = PeerStatus.of(datagram);
+            RecoveryState.Step step = recovery.heard(from, hello, now);
             if (step.anew()) {
                 holdings.startedAnew(from, hello.start());
             }
--- a/src/main/java/lemondrift/lab/Paired.java
+++ b/src/main/java/lemondrift/lab/PairedDifference.java
@@ -8,12 +8,12 @@
  * The mean difference of pairs and an interval for it by the paired bootstrap (Efron 1979): pairs of one seed
  * are drawn anew with replacement, and of the means that come out the middle 95% are kept.
  */
-public record Paired(double mean, double low, double high) {
+public record PairedDifference(double mean, double low, double high) {
     private static final int DRAWS = 2000;
     private static final double LEFT_OUT = 0.025;
 
     /** The difference of a to b, pair by pair; both have the same length, 1 or more. */
-    public static Paired of(double[] a, double[] b) {
+    public static PairedDifference of(double[] a, double[] b) {
         if (a.length != b.length || a.length == 0) {
             throw new IllegalArgumentException("not pairs: " + a.length + " and " + b.length);
         }
@@ -30,6 +30,6 @@
         for (int i = 0; i < a.length; i++) {
             mean += (a[i] - b[i]) / a.length;
         }
-        return new Paired(mean, means[(int) (LEFT_OUT * DRAWS)], means[(int) ((1 - LEFT_OUT) * DRAWS) - 1]);
+        return new PairedDifference(mean, means[(int) (LEFT_OUT * DRAWS)], means[(int) ((1 - LEFT_OUT) * DRAWS) - 1]);
     }
 }
--- a/src/main/java/lemondrift/lab/Toml.java
+++ b/src/main/java/lemondrift/lab/TomlReader.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 
 /** A TOML file, its values with their units. What can't be used is one line with file, line and key. */
-final class Toml {
+final class TomlReader {
     private static final Pattern TIME = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s)");
     private static final Pattern SHARE = Pattern.compile("(\\d+(?:\\.\\d+)?)%");
 
@@ -25,7 +25,7 @@
     private int from;
 
     /** Throws BadInput where the file is no TOML, IOException where it can't be read. */
-    Toml(Path file) throws IOException {
+    TomlReader(Path file) throws IOException {
         this.file = file;
         String text = Files.readString(file);
         lines = text.lines().toList();
@@ -33,7 +33,7 @@
             all = new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-            throw new BadInput(file + ":" + line + ": " + e.getOriginalMessage());
+            throw new InvalidSettingsException(file + ":" + line + ": " + e.getOriginalMessage());
         }
     }
 
@@ -57,8 +57,8 @@
         return from + 1;
     }
 
-    BadInput bad(String key, String why) {
-        return new BadInput(file + ":" + line(key) + ": " + key + ": " + why);
+    InvalidSettingsException bad(String key, String why) {
+        return new InvalidSettingsException(file + ":" + line(key) + ": " + key + ": " + why);
     }
 
     void known(JsonNode table, List<String> keys) {
@@ -78,7 +78,7 @@
         return Arrays.stream(words.getEnumConstants()).filter(each -> text.equals(lower(each)))
                 .findFirst().orElseThrow(() -> bad(key, "no such " + what + ": \"" + text + "\"; "
                         + "there are " + String.join(", ", Arrays.stream(words.getEnumConstants())
-                                .map(Toml::lower).toList())));
+                                .map(TomlReader::lower).toList())));
     }
 
     static String lower(Enum<?> word) {
--- a/src/main/java/lemondrift/lab/fleet/Bank.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -14,11 +14,11 @@
 import java.util.Set;
 import java.util.function.IntConsumer;
 import java.util.function.Supplier;
-import lemondrift.lab.world.Agenda;
-import lemondrift.lab.world.Backend;
-import lemondrift.lab.world.Day;
-import lemondrift.model.Forward;
-import lemondrift.model.Outcome;
+import lemondrift.lab.simulation.Backend;
+import lemondrift.lab.simulation.Scenario;
+import lemondrift.lab.simulation.Scheduler;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.xnio.ChannelListeners;
 import org.xnio.IoUtils;
@@ -32,12 +32,12 @@
  * The backends, all on one I/O thread. Each has one address for each segment of proxies, so that the way
  * there can fail for some of them alone.
  */
-final class Bank implements Talk.Hearer, AutoCloseable {
+final class BackendFleet implements HttpConnection.Hearer, AutoCloseable {
     /** What is known of one connection to a backend. */
     private static final class Line {
         final int segment, backend;
         Backend.Job job;
-        Forward forward;
+        Attempt forward;
 
         Line(int segment, int backend) {
             this.segment = segment;
@@ -50,22 +50,22 @@
     private static final byte[] BODY = "done".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] NONE = {};
 
-    private final Day day;
-    private final Agenda agenda;
+    private final Scenario day;
+    private final Scheduler agenda;
     private final XnioWorker worker;
-    private final Supplier<Faults> faults;
-    private final Judge judge;
+    private final Supplier<FaultPlan> faults;
+    private final OutcomeRecorder judge;
     private final UniformRandomProvider chance;
     private final int mostConnections;
     private final List<AcceptingChannel<StreamConnection>> servers = new ArrayList<>();
     private final InetSocketAddress[][] addresses;
-    private final Map<Talk, Line> lines = new HashMap<>();
+    private final Map<HttpConnection, Line> lines = new HashMap<>();
     final Backend[] backends;
     /** What pushes a cold backend over; set by whoever plays the troubles. */
     IntConsumer fallen = i -> { };
 
-    Bank(Day day, int segments, int mostConnections, Agenda agenda, XnioWorker worker,
-            Supplier<Faults> faults, Judge judge, UniformRandomProvider chance) throws IOException {
+    BackendFleet(Scenario day, int segments, int mostConnections, Scheduler agenda, XnioWorker worker,
+            Supplier<FaultPlan> faults, OutcomeRecorder judge, UniformRandomProvider chance) throws IOException {
         this.day = day;
         this.agenda = agenda;
         this.worker = worker;
@@ -78,7 +78,7 @@
         for (int i = 0; i < backends.length; i++) {
             backends[i] = new Backend(agenda, day.cores(), day.settings().rules());
             for (int s = 0; s < segments; s++) {
-                addresses[s][i] = new InetSocketAddress(Loop.address(Loop.BACKENDS,
+                addresses[s][i] = new InetSocketAddress(LoopbackAddresses.address(LoopbackAddresses.BACKENDS,
                         s * backends.length + i), 0);
                 servers.add(null);
             }
@@ -102,7 +102,7 @@
         for (int s = 0; s < addresses.length; s++) {
             int segment = s;
             AcceptingChannel<StreamConnection> server = worker.createStreamConnectionServer(addresses[s][i],
-                    ChannelListeners.openListenerAdapter(connection -> lines.put(new Talk(connection, this),
+                    ChannelListeners.openListenerAdapter(connection -> lines.put(new HttpConnection(connection, this),
                             new Line(segment, i))), OptionMap.builder().set(Options.TCP_NODELAY, true)
                                     .set(Options.REUSE_ADDRESSES, true).set(Options.BACKLOG, 1024).getMap());
             addresses[s][i] = server.getLocalAddress(InetSocketAddress.class);
@@ -123,7 +123,7 @@
     }
 
     private void hangsUp(int i) {
-        Set<Talk> its = new HashSet<>();
+        Set<HttpConnection> its = new HashSet<>();
         lines.forEach((talk, line) -> {
             if (line.backend == i) {
                 its.add(talk);
@@ -154,7 +154,7 @@
     }
 
     @Override
-    public void heard(Talk talk, String head, byte[] body) {
+    public void heard(HttpConnection talk, String head, byte[] body) {
         Line line = lines.get(talk);
         if (line == null) {
             return;
@@ -168,9 +168,9 @@
         }
     }
 
-    private void comes(Talk talk, Line line, String head) {
+    private void comes(HttpConnection talk, Line line, String head) {
         Backend backend = backends[line.backend];
-        String path = head.substring(head.indexOf(' ') + 1), trace = Talk.field(head, "x-trace-id");
+        String path = head.substring(head.indexOf(' ') + 1), trace = HttpConnection.field(head, "x-trace-id");
         if (!talk.isOpen() || backend.silent > 0) {
             return;
         } else if (trace == null) {
@@ -179,7 +179,7 @@
                     .getBytes(StandardCharsets.US_ASCII) : NONE, "");
             return;
         }
-        Judge.Asked its = judge.asked(trace);
+        OutcomeRecorder.Asked its = judge.asked(trace);
         if (trace.startsWith(ASIDE)) {
             answers(talk, line, "200 OK", BODY, "");
             return;
@@ -192,20 +192,20 @@
                 its.x.grade == day.settings().grades().size() - 1 ? backend.gradeErrors : 0);
         if (backend.fallsOver(its.work)) {
             judge.figures().fallen++;
-            judge.ended(line.forward, Outcome.RESET);
+            judge.ended(line.forward, AttemptOutcome.RESET);
             fallen.accept(line.backend);
         } else if (backend.isFull() || isCrowded(line.backend)) {
-            ends(talk, line, Outcome.FULL, "503 Full", "\r\nX-Never-Ran: 1");
+            ends(talk, line, AttemptOutcome.FULL, "503 Full", "\r\nX-Never-Ran: 1");
         } else if (errs) {
-            ends(talk, line, Outcome.ERROR, "500 Error", "");
+            ends(talk, line, AttemptOutcome.ERROR, "500 Error", "");
         } else {
             line.job = backend.take(its.work, ran -> {
                 line.job = null;
                 changed(line.backend);
                 if (ran) {
-                    ends(talk, line, Outcome.DELIVERED, "200 OK", "");
+                    ends(talk, line, AttemptOutcome.DELIVERED, "200 OK", "");
                 } else {
-                    judge.ended(line.forward, Outcome.RESET);
+                    judge.ended(line.forward, AttemptOutcome.RESET);
                 }
             });
             changed(line.backend);
@@ -217,14 +217,14 @@
                 > mostConnections;
     }
 
-    private void ends(Talk talk, Line line, Outcome outcome, String status, String field) {
+    private void ends(HttpConnection talk, Line line, AttemptOutcome outcome, String status, String field) {
         judge.ended(line.forward, outcome);
         line.forward = null;
-        answers(talk, line, status, outcome == Outcome.DELIVERED ? BODY : NONE, field);
+        answers(talk, line, status, outcome == AttemptOutcome.DELIVERED ? BODY : NONE, field);
     }
 
-    private void answers(Talk talk, Line line, String status, byte[] body, String field) {
-        byte[] message = Talk.message("HTTP/1.1 " + status + "\r\nEndpoint-Load-Metrics: TEXT "
+    private void answers(HttpConnection talk, Line line, String status, byte[] body, String field) {
+        byte[] message = HttpConnection.message("HTTP/1.1 " + status + "\r\nEndpoint-Load-Metrics: TEXT "
                 + report(line.backend) + field, body);
         double now = agenda.now(), cut = faults.get().cutFromBackend(line.segment, line.backend, now);
         if (cut > now) {
@@ -240,12 +240,12 @@
     }
 
     @Override
-    public void ended(Talk talk) {
+    public void ended(HttpConnection talk) {
         Line line = lines.remove(talk);
         if (line != null && line.job != null) {
             // Who asked has given up: what waits is taken out, what runs goes on to its end for nobody.
             backends[line.backend].drop(line.job);
-            judge.ended(line.forward, Outcome.CANCELLED);
+            judge.ended(line.forward, AttemptOutcome.CANCELLED);
             changed(line.backend);
         }
     }
@@ -253,7 +253,7 @@
     @Override
     public void close() {
         servers.forEach(IoUtils::safeClose);
-        lines.keySet().forEach(Talk::close);
+        lines.keySet().forEach(HttpConnection::close);
         lines.clear();
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/Doors.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientDistributor.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.IntFunction;
-import lemondrift.lab.world.Agenda;
+import lemondrift.lab.simulation.Scheduler;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.xnio.XnioIoThread;
@@ -14,19 +14,19 @@
  * The front before the proxies: whom it has taken in, and to whom it sends the next client, each with its
  * share of the traffic. I/O thread only.
  */
-final class Doors {
+final class ClientDistributor {
     /** Seconds between two looks at a proxy that is not taken in. */
     private static final double LOOKS = 0.2;
 
     private final IntFunction<InetSocketAddress> address;
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final XnioIoThread io;
     private final UniformRandomProvider chance;
     private final boolean[] open;
     private final double[] weights;
 
     /** The deviation is that of the logarithm of a proxy's share; 0 is even. */
-    Doors(int proxies, double deviation, IntFunction<InetSocketAddress> address, Agenda agenda,
+    ClientDistributor(int proxies, double deviation, IntFunction<InetSocketAddress> address, Scheduler agenda,
             XnioIoThread io, UniformRandomProvider chance) {
         this.address = address;
         this.agenda = agenda;
@@ -78,9 +78,9 @@
 
     /** The front takes a proxy in once it says that it is ready, and then does something. */
     void looksAt(int proxy, Runnable then) {
-        Talk.Hearer hearer = new Talk.Hearer() {
+        HttpConnection.Hearer hearer = new HttpConnection.Hearer() {
             @Override
-            public void heard(Talk talk, String head, byte[] body) {
+            public void heard(HttpConnection talk, String head, byte[] body) {
                 talk.close();
                 if (head.startsWith("HTTP/1.1 200 ")) {
                     open[proxy] = true;
@@ -91,15 +91,15 @@
             }
 
             @Override
-            public void ended(Talk talk) {
+            public void ended(HttpConnection talk) {
                 agenda.in(LOOKS, () -> looksAt(proxy, then));
             }
         };
-        Talk.open(io, address.apply(proxy), hearer, talk -> {
+        HttpConnection.open(io, address.apply(proxy), hearer, talk -> {
             if (talk == null) {
                 hearer.ended(null);
             } else {
-                talk.write(Talk.message("GET /healthz HTTP/1.1\r\nHost: origin.svc", new byte[0]));
+                talk.write(HttpConnection.message("GET /healthz HTTP/1.1\r\nHost: origin.svc", new byte[0]));
             }
         });
     }
--- a/src/main/java/lemondrift/lab/fleet/Crowd.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientFleet.java
@@ -10,11 +10,11 @@
 import java.util.function.IntFunction;
 import java.util.function.IntSupplier;
 import lemondrift.lab.Experiment;
-import lemondrift.lab.world.Agenda;
-import lemondrift.lab.world.Day;
-import lemondrift.lab.world.Figures;
-import lemondrift.model.Effect;
-import lemondrift.model.ServiceGrade;
+import lemondrift.lab.simulation.RunResult;
+import lemondrift.lab.simulation.Scenario;
+import lemondrift.lab.simulation.Scheduler;
+import lemondrift.model.Idempotency;
+import lemondrift.model.RequestClass;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.xnio.XnioIoThread;
@@ -24,7 +24,7 @@
  * its latency counts from when it was due. A front deals them out among the doors: the proxies, or without
  * these the backends. I/O thread only.
  */
-final class Crowd implements AutoCloseable {
+final class ClientFleet implements AutoCloseable {
     /** Doors that one request is tried at, where each refuses. */
     private static final int MOST_DOORS = 5;
     /** A client asks again after this share of the contract time where it is told nothing else. */
@@ -38,10 +38,10 @@
         final double due, work;
         final int second;
         /** Of the day in which it was due. */
-        final Figures figures;
+        final RunResult figures;
         int tries;
 
-        Want(int grade, double due, int second, double work, Figures figures) {
+        Want(int grade, double due, int second, double work, RunResult figures) {
             this.grade = grade;
             this.due = due;
             this.second = second;
@@ -51,21 +51,21 @@
     }
 
     /** One request on its way. */
-    private final class Ask implements Talk.Hearer {
+    private final class Ask implements HttpConnection.Hearer {
         final Want want;
         final String trace = run + "-" + ++asks;
         int door, tried;
         boolean crossed, over, isOut;
-        Judge.Asked its;
-        Agenda.Entry end;
-        Talk talk;
+        OutcomeRecorder.Asked its;
+        Scheduler.Entry end;
+        HttpConnection talk;
 
         Ask(Want want) {
             this.want = want;
         }
 
         /** On a connection that there is. */
-        void begins(int at, Talk on) {
+        void begins(int at, HttpConnection on) {
             door = at;
             holders.put(on, this);
             sends(on);
@@ -78,8 +78,8 @@
                 refused(0);
                 return;
             }
-            Deque<Talk> idle = pools.computeIfAbsent(door, d -> new ArrayDeque<>());
-            Talk kept = idle.pollFirst();
+            Deque<HttpConnection> idle = pools.computeIfAbsent(door, d -> new ArrayDeque<>());
+            HttpConnection kept = idle.pollFirst();
             while (kept != null && !kept.isOpen()) {
                 kept = idle.pollFirst();
             }
@@ -92,7 +92,7 @@
         }
 
         private void opens() {
-            Talk.open(io, address.apply(door), router, opened -> {
+            HttpConnection.open(io, address.apply(door), router, opened -> {
                 if (over) {
                     if (opened != null) {
                         opened.close();
@@ -110,19 +110,19 @@
             });
         }
 
-        private void sends(Talk on) {
+        private void sends(HttpConnection on) {
             talk = on;
             isOut(true);
-            ServiceGrade grade = day.settings().grades().get(want.grade);
+            RequestClass grade = day.settings().grades().get(want.grade);
             if (its == null) {
                 its = judge.taken(trace, direct ? 0 : door, want.grade, want.work);
-                end = agenda.at(its.x.expiry + Judge.SLACK, this::expires);
+                end = agenda.at(its.x.expiry + OutcomeRecorder.SLACK, this::expires);
             }
             long left = Math.round(1000 * (its.x.expiry - agenda.now()));
-            on.write(Talk.message((grade.effect() == Effect.PURE ? "GET" : "POST") + " /api HTTP/1.1\r\n"
+            on.write(HttpConnection.message((grade.effect() == Idempotency.PURE ? "GET" : "POST") + " /api HTTP/1.1\r\n"
                     + "Host: origin.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: "
                     + Experiment.GRADES.get(want.grade) + "\r\nX-Expires-In-Ms: " + left,
-                    grade.effect() == Effect.PURE ? NONE : BODY));
+                    grade.effect() == Idempotency.PURE ? NONE : BODY));
         }
 
         private void isOut(boolean now) {
@@ -133,10 +133,10 @@
         }
 
         @Override
-        public void heard(Talk on, String head, byte[] body) {
+        public void heard(HttpConnection on, String head, byte[] body) {
             holders.remove(on);
             isOut(false);
-            String status = head.length() < 12 ? "" : head.substring(9, 12), close = Talk.field(head,
+            String status = head.length() < 12 ? "" : head.substring(9, 12), close = HttpConnection.field(head,
                     "connection");
             if ("close".equalsIgnoreCase(close)) {
                 on.close();
@@ -155,7 +155,7 @@
             } else if (shed) {
                 want.figures.shed++;
                 want.figures.shedIn[judge.second(agenda.now())]++;
-                String after = Talk.field(head, "retry-after");
+                String after = HttpConnection.field(head, "retry-after");
                 refused(after == null ? 0 : Double.parseDouble(after));
             } else {
                 want.figures.scrapped++;
@@ -165,7 +165,7 @@
 
         private void served() {
             want.figures.delivered++;
-            ServiceGrade grade = day.settings().grades().get(want.grade);
+            RequestClass grade = day.settings().grades().get(want.grade);
             double took = agenda.now() - want.due;
             judge.served(want.figures, took);
             boolean inTime = took <= grade.contractTime();
@@ -179,7 +179,7 @@
 
         /** It was not answered; trying again is harmless. */
         private void refused(double after) {
-            ServiceGrade grade = day.settings().grades().get(want.grade);
+            RequestClass grade = day.settings().grades().get(want.grade);
             if (want.tries < day.tries() && agenda.now() - want.due < grade.expiry()) {
                 agenda.in(after > 0 ? after : WAIT * grade.contractTime(), () -> asks(want));
             } else {
@@ -189,7 +189,7 @@
 
         /** The connection has ended without an answer. */
         @Override
-        public void ended(Talk on) {
+        public void ended(HttpConnection on) {
             holders.remove(talk);
             if (its != null && on != null && on.used && !crossed && !direct) {
                 crossed = true;
@@ -209,7 +209,7 @@
             done();
             want.figures.unanswered++;
             closes(door);
-            if (day.settings().grades().get(want.grade).effect() == Effect.PURE && judge.isExcused(its)) {
+            if (day.settings().grades().get(want.grade).effect() == Idempotency.PURE && judge.isExcused(its)) {
                 refused(0);
             } else {
                 wanting--;
@@ -235,15 +235,15 @@
             isOut(false);
             end.strike();
             // A forward may still be out for it.
-            agenda.in(2 * day.settings().grades().get(want.grade).expiry() + Judge.SLACK,
+            agenda.in(2 * day.settings().grades().get(want.grade).expiry() + OutcomeRecorder.SLACK,
                     () -> judge.forgets(trace));
         }
     }
 
     /** Hands what comes on a connection to the request that it is used for. */
-    private final class Router implements Talk.Hearer {
+    private final class Router implements HttpConnection.Hearer {
         @Override
-        public void heard(Talk talk, String head, byte[] body) {
+        public void heard(HttpConnection talk, String head, byte[] body) {
             Ask ask = holders.get(talk);
             if (ask != null) {
                 ask.heard(talk, head, body);
@@ -253,7 +253,7 @@
         }
 
         @Override
-        public void ended(Talk talk) {
+        public void ended(HttpConnection talk) {
             Ask ask = holders.get(talk);
             if (ask != null) {
                 ask.ended(talk);
@@ -263,12 +263,12 @@
 
     private static final byte[] BODY = "what".getBytes(StandardCharsets.US_ASCII), NONE = {};
 
-    private final Day day;
-    private final Agenda agenda;
+    private final Scenario day;
+    private final Scheduler agenda;
     private final XnioIoThread io;
-    private final Judge judge;
+    private final OutcomeRecorder judge;
     /** Null where clients go to the backends. */
-    private final Doors doors;
+    private final ClientDistributor doors;
     private final boolean direct;
     private final String run;
     private final UniformRandomProvider chance;
@@ -278,8 +278,8 @@
     private final IntSupplier pick;
     private final DoubleSupplier traffic, heavy;
     private final Router router = new Router();
-    private final Map<Integer, Deque<Talk>> pools = new HashMap<>();
-    private final Map<Talk, Ask> holders = new HashMap<>();
+    private final Map<Integer, Deque<HttpConnection>> pools = new HashMap<>();
+    private final Map<HttpConnection, Ask> holders = new HashMap<>();
     private final Map<Integer, Integer> out = new HashMap<>();
     private boolean asking;
     private int wanting;
@@ -289,8 +289,8 @@
      * Each asks at the door that is picked: a proxy's, or a backend's where there are no proxies' doors.
      * Traffic and heavy say by how much there is more than usual.
      */
-    Crowd(Day day, String run, IntFunction<InetSocketAddress> address, IntSupplier pick, Doors doors,
-            Agenda agenda, XnioIoThread io, Judge judge, UniformRandomProvider chance, DoubleSupplier traffic,
+    ClientFleet(Scenario day, String run, IntFunction<InetSocketAddress> address, IntSupplier pick, ClientDistributor doors,
+            Scheduler agenda, XnioIoThread io, OutcomeRecorder judge, UniformRandomProvider chance, DoubleSupplier traffic,
             DoubleSupplier heavy) {
         this.day = day;
         this.run = run;
@@ -323,7 +323,7 @@
         if (!asking || agenda.now() >= until) {
             return;
         }
-        Talk kept = pools.computeIfAbsent(door, none -> new ArrayDeque<>()).pollLast();
+        HttpConnection kept = pools.computeIfAbsent(door, none -> new ArrayDeque<>()).pollLast();
         if (kept != null && kept.isOpen()) {
             new Ask(want()).begins(door, kept);
         }
@@ -365,7 +365,7 @@
     @Override
     public void close() {
         asking = false;
-        pools.values().forEach(idle -> idle.forEach(Talk::close));
-        holders.keySet().forEach(Talk::close);
+        pools.values().forEach(idle -> idle.forEach(HttpConnection::close));
+        holders.keySet().forEach(HttpConnection::close);
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/Mail.java
+++ b/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.function.DoubleSupplier;
 import java.util.function.Supplier;
-import lemondrift.lab.world.Fault;
+import lemondrift.lab.simulation.Fault;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.xnio.IoUtils;
@@ -25,7 +25,7 @@
  * one address, a socket of the stand's: what comes there is for that proxy, and what a proxy hears of another
  * comes from the other's. It has a thread of its own.
  */
-final class Mail implements AutoCloseable {
+final class DatagramRelay implements AutoCloseable {
     /** Milliseconds between two datagrams of junk to each, and the longest that is sent. */
     private static final int JUNK_PACE = 10, LONGEST_JUNK = 600;
 
@@ -39,7 +39,7 @@
     }
 
     private final DoubleSupplier clock;
-    private final Supplier<Faults> faults;
+    private final Supplier<FaultPlan> faults;
     private final DatagramChannel[] boxes;
     private final DatagramChannel foreign = DatagramChannel.open();
     private final InetSocketAddress[] homes;
@@ -56,7 +56,7 @@
     private volatile boolean over;
 
     /** Each proxy hears at a home of its own; the clock is the day's. */
-    Mail(InetSocketAddress[] homes, Supplier<Faults> faults, long seed,
+    DatagramRelay(InetSocketAddress[] homes, Supplier<FaultPlan> faults, long seed,
             DoubleSupplier clock) throws IOException {
         this.homes = homes;
         this.faults = faults;
@@ -170,7 +170,7 @@
     }
 
     /** What no proxy has sent: under a known number, or from where no proxy is. */
-    private void junk(Faults.Drawn each) {
+    private void junk(FaultPlan.Drawn each) {
         byte[] datagram = new byte[chance.nextInt(LONGEST_JUNK)];
         chance.nextBytes(datagram);
         if (datagram.length > 0 && chance.nextBoolean()) {
--- a/src/main/java/lemondrift/lab/fleet/Agents.java
+++ b/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
@@ -16,9 +16,9 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import lemondrift.lab.world.Agenda;
-import lemondrift.lab.world.Day;
-import lemondrift.model.Listed;
+import lemondrift.lab.simulation.Scenario;
+import lemondrift.lab.simulation.Scheduler;
+import lemondrift.model.EndpointUpdate;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.xnio.ChannelListeners;
 import org.xnio.IoUtils;
@@ -32,24 +32,24 @@
  * Discovery's agents, one beside each proxy. Each is told of a change after a delay of its own, in order, and
  * tells its proxy what it has been told. I/O thread only.
  */
-final class Agents implements AutoCloseable {
+final class DiscoveryAgents implements AutoCloseable {
     private static final Pattern WATCH = Pattern.compile("GET /v1/servers\\?from=(\\d+)&hold_ms=(\\d+) .*",
             Pattern.DOTALL);
 
     /** Seconds that keep two changes to one agent apart. */
     private static final double IN_ORDER = 1e-4;
 
-    private record Change(int backend, Listed.State state, long upSince) {}
+    private record Change(int backend, EndpointUpdate.State state, long upSince) {}
 
     /** What one agent has been told, and the proxy that waits for more. */
-    private final class Agent implements Talk.Hearer {
+    private final class Agent implements HttpConnection.Hearer {
         final int proxy;
         final List<Change> told = new ArrayList<>();
-        final Set<Talk> talks = new HashSet<>();
+        final Set<HttpConnection> talks = new HashSet<>();
         double latest;
-        Talk waits;
+        HttpConnection waits;
         int from;
-        Agenda.Entry end;
+        Scheduler.Entry end;
 
         Agent(int proxy) {
             this.proxy = proxy;
@@ -63,7 +63,7 @@
         }
 
         @Override
-        public void heard(Talk talk, String head, byte[] body) {
+        public void heard(HttpConnection talk, String head, byte[] body) {
             Matcher watch = WATCH.matcher(head);
             if (!watch.matches()) {
                 later(talk, () -> answers(talk, true, whole()));
@@ -78,7 +78,7 @@
         }
 
         private void answersWatch() {
-            Talk talk = waits;
+            HttpConnection talk = waits;
             waits = null;
             end.strike();
             // Danger: a proxy that has started anew names a revision of the agent's that may be any.
@@ -86,7 +86,7 @@
             later(talk, () -> answers(talk, false, told.subList(since, told.size())));
         }
 
-        private void later(Talk talk, Runnable then) {
+        private void later(HttpConnection talk, Runnable then) {
             double now = agenda.now(), cut = faults.get().cutFromDiscovery(proxy, now);
             double late = faults.get().lateFromDiscovery(proxy, now);
             if (cut > now) {
@@ -98,7 +98,7 @@
             }
         }
 
-        private void says(Talk talk, Runnable then) {
+        private void says(HttpConnection talk, Runnable then) {
             if (talk.isOpen()) {
                 then.run();
             }
@@ -107,20 +107,20 @@
         /** The list as this proxy's agent has it. */
         List<Change> whole() {
             Map<Integer, Change> latest = new HashMap<>();
-            IntStream.range(0, day.backends()).forEach(i -> latest.put(i, new Change(i, Listed.State.READY,
+            IntStream.range(0, day.backends()).forEach(i -> latest.put(i, new Change(i, EndpointUpdate.State.READY,
                     0)));
             told.forEach(each -> latest.put(each.backend, each));
-            return latest.values().stream().filter(each -> each.state != Listed.State.GONE).toList();
+            return latest.values().stream().filter(each -> each.state != EndpointUpdate.State.GONE).toList();
         }
 
-        private void answers(Talk talk, boolean whole, List<Change> changes) {
-            changes.forEach(each -> judge.told(proxy, each.backend, each.state == Listed.State.READY));
-            talk.write(Talk.message("HTTP/1.1 200 OK\r\nContent-Type: application/json",
+        private void answers(HttpConnection talk, boolean whole, List<Change> changes) {
+            changes.forEach(each -> judge.told(proxy, each.backend, each.state == EndpointUpdate.State.READY));
+            talk.write(HttpConnection.message("HTTP/1.1 200 OK\r\nContent-Type: application/json",
                     list(proxy, told.size(), whole, changes).getBytes(StandardCharsets.UTF_8)));
         }
 
         @Override
-        public void ended(Talk talk) {
+        public void ended(HttpConnection talk) {
             talks.remove(talk);
             if (waits == talk) {
                 waits = null;
@@ -129,19 +129,19 @@
         }
     }
 
-    private final Day day;
-    private final Bank bank;
+    private final Scenario day;
+    private final BackendFleet bank;
     private final int[] segments;
-    private final Agenda agenda;
-    private final Supplier<Faults> faults;
-    private final Judge judge;
+    private final Scheduler agenda;
+    private final Supplier<FaultPlan> faults;
+    private final OutcomeRecorder judge;
     private final UniformRandomProvider chance;
     private final Agent[] agents;
     private final List<AcceptingChannel<StreamConnection>> servers = new ArrayList<>();
     private double silentUntil;
 
-    Agents(Day day, Bank bank, int[] segments, Agenda agenda, XnioWorker worker, Supplier<Faults> faults,
-            Judge judge, UniformRandomProvider chance) throws IOException {
+    DiscoveryAgents(Scenario day, BackendFleet bank, int[] segments, Scheduler agenda, XnioWorker worker, Supplier<FaultPlan> faults,
+            OutcomeRecorder judge, UniformRandomProvider chance) throws IOException {
         this.day = day;
         this.bank = bank;
         this.segments = segments;
@@ -153,9 +153,9 @@
         Arrays.setAll(agents, Agent::new);
         for (Agent each : agents) {
             AcceptingChannel<StreamConnection> server = worker.createStreamConnectionServer(
-                    new InetSocketAddress(Loop.address(Loop.DISCOVERY, each.proxy), 0),
+                    new InetSocketAddress(LoopbackAddresses.address(LoopbackAddresses.DISCOVERY, each.proxy), 0),
                     ChannelListeners.openListenerAdapter(connection -> each.talks.add(
-                            new Talk(connection, each))),
+                            new HttpConnection(connection, each))),
                     OptionMap.builder().set(Options.TCP_NODELAY, true).getMap());
             server.resumeAccepts();
             servers.add(server);
@@ -184,12 +184,12 @@
         };
         return String.format(Locale.ROOT, "{\"id\":\"s-%d\",\"host_port\":\"%s\",\"locality\":\"l%d\","
                 + "\"flavor\":\"m\",\"cell\":%d,\"phase\":\"%s\",\"size\":1.0,\"up_since_ms\":%d}",
-                its.backend, Loop.text(bank.address(segments[proxy], its.backend)),
+                its.backend, LoopbackAddresses.text(bank.address(segments[proxy], its.backend)),
                 its.backend % day.settings().locations(), its.backend, phase, its.upSince);
     }
 
     /** All agents hear of it, each at a time of its own but in order. */
-    void tells(int backend, Listed.State state, long upSince) {
+    void tells(int backend, EndpointUpdate.State state, long upSince) {
         Change change = new Change(backend, state, upSince);
         for (Agent each : agents) {
             double at = Math.max(agenda.now(), silentUntil) + day.delay() * (0.5 + chance.nextDouble());
@@ -206,7 +206,7 @@
     public void close() {
         servers.forEach(IoUtils::safeClose);
         for (Agent each : agents) {
-            each.talks.forEach(Talk::close);
+            each.talks.forEach(HttpConnection::close);
         }
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/Faults.java
+++ b/src/main/java/lemondrift/lab/fleet/FaultPlan.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import lemondrift.lab.world.Fault;
+import lemondrift.lab.simulation.Fault;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
@@ -17,7 +17,7 @@
  * The faults of one run, whom each falls on being drawn before it begins. Nothing in it changes, so that any
  * thread may ask.
  */
-final class Faults {
+final class FaultPlan {
     /** One fault and whom it falls on: proxies, and what is at the other end of the channel. */
     record Drawn(Fault fault, boolean[] from, boolean[] to) {
         boolean falls(int one, int other) {
@@ -42,7 +42,7 @@
      * Times count from the start. The location of each proxy and of each backend is its number by so many
      * locations. Where each is apart, each proxy is a segment of its own.
      */
-    Faults(List<Fault> faults, int proxies, int backends, int locations, long seed, boolean apart,
+    FaultPlan(List<Fault> faults, int proxies, int backends, int locations, long seed, boolean apart,
             double start) {
         this.start = start;
         UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
--- a/src/main/java/lemondrift/lab/fleet/FleetRun.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetRun.java
@@ -7,18 +7,18 @@
 import java.util.function.Consumer;
 import lemondrift.lab.Baseline;
 import lemondrift.lab.Experiment;
-import lemondrift.lab.world.Figures;
-import lemondrift.settings.BadInput;
+import lemondrift.lab.simulation.RunResult;
+import lemondrift.settings.InvalidSettingsException;
 
 /** Plays an experiment on processes, its baselines on the same stand without them. */
 public final class FleetRun {
     private FleetRun() {}
 
     /** One day of each policy for each seed. */
-    public static List<Experiment.Run> play(Experiment experiment, Launcher launcher,
+    public static List<Experiment.Run> play(Experiment experiment, ProcessLauncher launcher,
             Consumer<String> progress) throws IOException, InterruptedException {
         if (experiment.host() != Experiment.Host.PROCESSES) {
-            throw new BadInput(experiment.name() + ": host is not \"processes\"; lab run plays it");
+            throw new InvalidSettingsException(experiment.name() + ": host is not \"processes\"; lab run plays it");
         }
         List<Experiment.Run> runs = new ArrayList<>();
         for (String policy : experiment.policies()) {
@@ -29,14 +29,14 @@
         return runs;
     }
 
-    private static Experiment.Run play(Experiment experiment, String policy, long seed, Launcher launcher,
+    private static Experiment.Run play(Experiment experiment, String policy, long seed, ProcessLauncher launcher,
             Consumer<String> progress) throws IOException, InterruptedException {
         boolean proxies = policy.equals(Experiment.MODULE);
         Baseline.Kind kind = proxies ? null : Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
-        try (Stand stand = new Stand(experiment, seed, proxies ? launcher : null, kind,
+        try (FleetTestbed stand = new FleetTestbed(experiment, seed, proxies ? launcher : null, kind,
                 line -> progress.accept(policy + ", seed " + seed + ": " + line))) {
             stand.start();
-            Stand.Played played = stand.play();
+            FleetTestbed.Played played = stand.play();
             List<String> wrong = stand.stop();
             wrong.forEach(progress);
             played.figures().crashed = wrong.size();
@@ -45,7 +45,7 @@
     }
 
     /** Second by second: benefit served and borne, as shares, backends idle, and how many were shed. */
-    public static String seconds(Figures f) {
+    public static String seconds(RunResult f) {
         StringBuilder text = new StringBuilder();
         for (int s = 0; s < f.wantedIn.length - 1; s++) {
             double wanted = Math.max(Double.MIN_NORMAL, f.wantedIn[s]);
@@ -56,7 +56,7 @@
     }
 
     /** One line of the table; its head where there are no figures. */
-    public static String row(String policy, String seed, Figures f, int proxies, double lasts) {
+    public static String row(String policy, String seed, RunResult f, int proxies, double lasts) {
         if (f == null) {
             return String.format("  %-12s %5s %8s %8s %7s %7s %7s %7s %5s %6s %6s %6s %6s %6s %6s %6s %6s %7s"
                     + " %8s %6s %5s", policy, seed, "in_time", "service", "p50_s", "p99_s", "waste",
--- a/src/main/java/lemondrift/lab/fleet/Stand.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
@@ -21,14 +21,10 @@
 import java.util.stream.Stream;
 import lemondrift.lab.Baseline;
 import lemondrift.lab.Experiment;
-import lemondrift.lab.world.Day;
-import lemondrift.lab.world.Fault;
-import lemondrift.lab.world.Figures;
-import lemondrift.lab.world.Trouble;
-import lemondrift.lab.world.Troubles;
-import lemondrift.model.Listed;
-import lemondrift.model.ServiceGrade;
-import lemondrift.settings.BadInput;
+import lemondrift.lab.simulation.*;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.RequestClass;
+import lemondrift.settings.InvalidSettingsException;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.xnio.OptionMap;
@@ -42,7 +38,7 @@
  * plays one day after the other on the same processes; or without proxies, clients that pick a backend
  * themselves. What is seen is judged; docs/lab.md says how.
  */
-public final class Stand implements AutoCloseable {
+public final class FleetTestbed implements AutoCloseable {
     /** Seconds of traffic before the first day counts and before another; the longest waits. */
     private static final double WARM = 5, WARM_AGAIN = 0.5, START = 180, END = 60, LOOKS = 0.1;
     /** What sets backends apart that hold as many. */
@@ -51,33 +47,33 @@
     private static final int APART = 128;
 
     private final Experiment experiment;
-    private final Day day;
+    private final Scenario day;
     private final long seed;
     private final Consumer<String> progress;
     private final Path folder;
     private final XnioWorker worker;
     private final XnioIoThread io;
-    private final RealAgenda agenda;
+    private final RealTimeScheduler agenda;
     private final CompletableFuture<Void> failed = new CompletableFuture<>();
     private final UniformRandomProvider chance;
-    private final Judge judge;
-    private final Bank bank;
-    private final Troubles troubles;
-    private final Crowd crowd;
+    private final OutcomeRecorder judge;
+    private final BackendFleet bank;
+    private final BackendFaultInjector troubles;
+    private final ClientFleet crowd;
     /** Null where clients pick the backends themselves. */
-    private final Agents agents;
-    private final Mail mail;
-    private final Processes processes;
-    private final Doors doors;
-    private final Outages outages;
-    private final List<Loiterer> loiterers = new ArrayList<>();
+    private final DiscoveryAgents agents;
+    private final DatagramRelay mail;
+    private final ProxyProcesses processes;
+    private final ClientDistributor doors;
+    private final ProcessFaultInjector outages;
+    private final List<IdleClient> loiterers = new ArrayList<>();
     private final InetSocketAddress[] listens, hears;
     private final int[] segments;
-    private volatile Faults faults;
+    private volatile FaultPlan faults;
     private boolean played;
 
     /** Proxies are started by the launcher; where that is null, clients pick a backend as the policy does. */
-    public Stand(Experiment experiment, long seed, Launcher launcher, Baseline.Kind policy,
+    public FleetTestbed(Experiment experiment, long seed, ProcessLauncher launcher, Baseline.Kind policy,
             Consumer<String> progress) throws IOException {
         System.setProperty("org.jboss.logging.provider", "slf4j");
         this.experiment = experiment;
@@ -90,16 +86,16 @@
                 .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
                 .set(Options.WORKER_NAME, "stand").set(Options.THREAD_DAEMON, true).getMap());
         io = worker.getIoThread();
-        agenda = new RealAgenda(io, failed::completeExceptionally);
+        agenda = new RealTimeScheduler(io, failed::completeExceptionally);
         // Before the day nothing goes wrong.
         faults = faults(experiment.faults(), Double.POSITIVE_INFINITY);
         segments = faults.segments;
-        judge = new Judge(day, launcher == null ? 0 : 4, agenda::now);
+        judge = new OutcomeRecorder(day, launcher == null ? 0 : 4, agenda::now);
         listens = new InetSocketAddress[day.proxies()];
         hears = new InetSocketAddress[day.proxies()];
-        bank = new Bank(day, faults.heads.length, experiment.connections(), agenda, worker, () -> faults,
+        bank = new BackendFleet(day, faults.heads.length, experiment.connections(), agenda, worker, () -> faults,
                 judge, chance);
-        troubles = new Troubles(agenda, chance, bank.backends, day.delay(), new Ends());
+        troubles = new BackendFaultInjector(agenda, chance, bank.backends, day.delay(), new Ends());
         bank.fallen = i -> troubles.dies(i, true);
         if (launcher == null) {
             agents = null;
@@ -112,40 +108,40 @@
         }
         List<String> peers = new ArrayList<>();
         for (int p = 0; p < day.proxies(); p++) {
-            listens[p] = Loop.free(Loop.address(Loop.PROXIES, p));
-            hears[p] = Loop.freeForDatagrams(Loop.address(Loop.PROXIES, p));
+            listens[p] = LoopbackAddresses.free(LoopbackAddresses.address(LoopbackAddresses.PROXIES, p));
+            hears[p] = LoopbackAddresses.freeForDatagrams(LoopbackAddresses.address(LoopbackAddresses.PROXIES, p));
         }
-        mail = new Mail(hears, () -> faults, seed, agenda::now);
+        mail = new DatagramRelay(hears, () -> faults, seed, agenda::now);
         for (int p = 0; p < day.proxies(); p++) {
-            peers.add(Loop.text(mail.address(p)));
+            peers.add(LoopbackAddresses.text(mail.address(p)));
         }
-        agents = new Agents(day, bank, segments, agenda, worker, () -> faults, judge, chance);
-        processes = new Processes(launcher, folder, day, experiment.tells(),
+        agents = new DiscoveryAgents(day, bank, segments, agenda, worker, () -> faults, judge, chance);
+        processes = new ProxyProcesses(launcher, folder, day, experiment.tells(),
                 experiment.recovers(), peers);
-        doors = new Doors(day.proxies(), experiment.uneven(), p -> listens[p], agenda, io,
+        doors = new ClientDistributor(day.proxies(), experiment.uneven(), p -> listens[p], agenda, io,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 2));
         crowd = crowd(p -> listens[p], doors::pick);
-        outages = new Outages(processes, agents, doors, judge, agenda, listens, hears, failed,
-                day.settings().live().mapToDouble(ServiceGrade::expiry).max().orElse(1), crowd::stays);
+        outages = new ProcessFaultInjector(processes, agents, doors, judge, agenda, listens, hears, failed,
+                day.settings().live().mapToDouble(RequestClass::expiry).max().orElse(1), crowd::stays);
     }
 
-    private Crowd crowd(IntFunction<InetSocketAddress> address, IntSupplier pick) {
-        return new Crowd(day, Long.toHexString(System.nanoTime()), address, pick, doors, agenda, io, judge,
+    private ClientFleet crowd(IntFunction<InetSocketAddress> address, IntSupplier pick) {
+        return new ClientFleet(day, Long.toHexString(System.nanoTime()), address, pick, doors, agenda, io, judge,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 1), () -> troubles.traffic,
                 () -> troubles.heavy);
     }
 
-    private Faults faults(List<Fault> all, double start) {
-        return new Faults(all, day.proxies(), day.backends(), day.settings().locations(), seed,
+    private FaultPlan faults(List<Fault> all, double start) {
+        return new FaultPlan(all, day.proxies(), day.backends(), day.settings().locations(), seed,
                 day.proxies() * day.backends() <= APART, start);
     }
 
     /** What troubles do here beside what they do to the backends. */
-    private final class Ends implements Troubles.Host {
+    private final class Ends implements BackendFaultInjector.Host {
         private final long[] upSince = new long[day.backends()];
 
         @Override
-        public void tells(int backend, Listed.State state) {
+        public void tells(int backend, EndpointUpdate.State state) {
             if (agents != null) {
                 agents.tells(backend, state, upSince[backend]);
             }
@@ -183,7 +179,7 @@
             // What is on its way there counts as held: who did not see that would draw a herd.
             case ORACLE -> Arrays.stream(up).boxed().min(Comparator.comparingDouble(i -> crowd.out(i)
                     * bank.backends[i].slowness() + (i == one ? 0 : TIE * chance.nextDouble()))).get();
-            default -> throw new BadInput("on processes there are random, two_choices and oracle, not "
+            default -> throw new InvalidSettingsException("on processes there are random, two_choices and oracle, not "
                     + policy);
         };
     }
@@ -231,14 +227,14 @@
             CompletableFuture.anyOf(answer, failed).get((long) END, TimeUnit.SECONDS);
             return answer.get();
         } catch (ExecutionException e) {
-            throw e.getCause() instanceof BadInput bad ? bad : new IllegalStateException(e.getCause());
+            throw e.getCause() instanceof InvalidSettingsException bad ? bad : new IllegalStateException(e.getCause());
         } catch (TimeoutException e) {
             throw new IllegalStateException("the stand stands still", e);
         }
     }
 
     /** What one day came to; broken is null where all rules were kept. */
-    public record Played(Figures figures, String broken) {}
+    public record Played(RunResult figures, String broken) {}
 
     /** Plays the experiment's day. */
     public Played play() throws InterruptedException {
@@ -246,7 +242,7 @@
     }
 
     /** Plays a day of so many seconds with these troubles and faults, and waits until nothing is open. */
-    public Played play(List<Trouble> wrong, List<Fault> between, double lasts) throws InterruptedException {
+    public Played play(List<BackendFault> wrong, List<Fault> between, double lasts) throws InterruptedException {
         double start = agenda.now() + (played ? WARM_AGAIN : WARM);
         played = true;
         faults = faults(between, start);
@@ -273,7 +269,7 @@
                 progress.accept("playing, " + at + " of " + (int) lasts + " s, open " + ask(crowd::wanting));
             }
         }
-        Figures figures = ask(judge::ends);
+        RunResult figures = ask(judge::ends);
         counts(() -> used(figures, lasts, cpu, sent, bytes));
         ask(() -> {
             crowd.stops();
@@ -324,7 +320,7 @@
     }
 
     /** A process that was started meanwhile counts with what it has used since. */
-    private void used(Figures figures, double lasts, double[] cpu, long[] sent, long[] bytes) {
+    private void used(RunResult figures, double lasts, double[] cpu, long[] sent, long[] bytes) {
         for (int p = 0; p < cpu.length; p++) {
             double now = processes.cpu(p);
             figures.cpu += (now < cpu[p] ? now : now - cpu[p]) / lasts / cpu.length;
@@ -342,7 +338,7 @@
         ask(() -> {
             for (int p = 0; p < day.proxies(); p++) {
                 for (int i = 0; i < many; i++) {
-                    loiterers.add(new Loiterer(listens[p], agenda, io, chance));
+                    loiterers.add(new IdleClient(listens[p], agenda, io, chance));
                 }
             }
             return null;
@@ -374,14 +370,14 @@
 
     @Override
     public void close() {
-        loiterers.forEach(Loiterer::comesNoMore);
+        loiterers.forEach(IdleClient::comesNoMore);
         if (processes != null) {
             outages.close();
             processes.close();
             mail.close();
         }
         agenda.soon(() -> {
-            loiterers.forEach(Loiterer::close);
+            loiterers.forEach(IdleClient::close);
             crowd.close();
             bank.close();
             if (agents != null) {
--- a/src/main/java/lemondrift/lab/fleet/Talk.java
+++ b/src/main/java/lemondrift/lab/fleet/HttpConnection.java
@@ -21,14 +21,14 @@
  * One connection on which HTTP/1.1 messages with a stated length come and go, of either side. The stand's own
  * ends alone speak so; what the proxies make of odd messages is for their own tests. I/O thread only.
  */
-final class Talk {
+final class HttpConnection {
     /** Who hears what comes. */
     interface Hearer {
         /** A whole message: its first line and fields as they came, and its body. */
-        void heard(Talk talk, String head, byte[] body);
+        void heard(HttpConnection talk, String head, byte[] body);
 
         /** The connection has ended, by the other side or by a failure; told once, not after close. */
-        void ended(Talk talk);
+        void ended(HttpConnection talk);
     }
 
     private static final byte[] END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -44,7 +44,7 @@
     /** Whether a message has come on it, and so whether its end may have crossed a request. */
     boolean used;
 
-    Talk(StreamConnection connection, Hearer hearer) {
+    HttpConnection(StreamConnection connection, Hearer hearer) {
         this.connection = connection;
         this.hearer = hearer;
         ConduitStreamSourceChannel source = connection.getSourceChannel();
@@ -55,9 +55,9 @@
     }
 
     /** Opens one; who asked is told of it, or gets null where it can't be had. */
-    static void open(XnioIoThread io, InetSocketAddress to, Hearer hearer, Consumer<Talk> then) {
+    static void open(XnioIoThread io, InetSocketAddress to, Hearer hearer, Consumer<HttpConnection> then) {
         IoFuture<StreamConnection> future = io.openStreamConnection(to,
-                connection -> then.accept(new Talk(connection, hearer)), NO_DELAY);
+                connection -> then.accept(new HttpConnection(connection, hearer)), NO_DELAY);
         future.addNotifier((its, nothing) -> {
             if (its.getStatus() != IoFuture.Status.DONE) {
                 tellsNone(io, then);
@@ -65,7 +65,7 @@
         }, null);
     }
 
-    private static void tellsNone(XnioIoThread io, Consumer<Talk> then) {
+    private static void tellsNone(XnioIoThread io, Consumer<HttpConnection> then) {
         try {
             io.execute(() -> then.accept(null));
         } catch (RejectedExecutionException e) {
--- a/src/main/java/lemondrift/lab/fleet/Loiterer.java
+++ b/src/main/java/lemondrift/lab/fleet/IdleClient.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import lemondrift.lab.world.Agenda;
+import lemondrift.lab.simulation.Scheduler;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.xnio.XnioIoThread;
 
@@ -10,20 +10,20 @@
  * A client that takes up a place at a proxy: it connects, says nothing or a part of a request, waits, leaves,
  * and comes again. I/O thread only.
  */
-final class Loiterer implements Talk.Hearer {
+final class IdleClient implements HttpConnection.Hearer {
     /** The most seconds that it stays, and that it is away. */
     private static final double STAYS = 4, AWAY = 1;
     private static final byte[] PART = "GET /api HTTP/1.1\r\nHost: origin"
             .getBytes(StandardCharsets.US_ASCII);
 
     private final InetSocketAddress proxy;
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final XnioIoThread io;
     private final UniformRandomProvider chance;
-    private Talk talk;
+    private HttpConnection talk;
     private volatile boolean over;
 
-    Loiterer(InetSocketAddress proxy, Agenda agenda, XnioIoThread io, UniformRandomProvider chance) {
+    IdleClient(InetSocketAddress proxy, Scheduler agenda, XnioIoThread io, UniformRandomProvider chance) {
         this.proxy = proxy;
         this.agenda = agenda;
         this.io = io;
@@ -39,11 +39,11 @@
 
     private void comes() {
         if (!over) {
-            Talk.open(io, proxy, this, this::opened);
+            HttpConnection.open(io, proxy, this, this::opened);
         }
     }
 
-    private void opened(Talk opened) {
+    private void opened(HttpConnection opened) {
         if (opened == null || over) {
             if (opened != null) {
                 opened.close();
@@ -64,12 +64,12 @@
     }
 
     @Override
-    public void heard(Talk on, String head, byte[] body) {
+    public void heard(HttpConnection on, String head, byte[] body) {
         // It asked for nothing; whatever it is told, it stays as long as it may.
     }
 
     @Override
-    public void ended(Talk on) {
+    public void ended(HttpConnection on) {
         comesLater();
     }
 
--- a/src/main/java/lemondrift/lab/fleet/Loop.java
+++ b/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
@@ -8,12 +8,12 @@
 import java.net.UnknownHostException;
 
 /** Addresses of the loopback net, one for each end, so that no other connection takes a port between. */
-final class Loop {
+final class LoopbackAddresses {
     /** The second bytes of those addresses. */
     static final int PROXIES = 8, DISCOVERY = 9, BACKENDS = 16;
     private static final int IN_A_NET = 250;
 
-    private Loop() {}
+    private LoopbackAddresses() {}
 
     static InetAddress address(int net, int number) {
         int byte2 = net + number / (IN_A_NET * IN_A_NET), rest = number % (IN_A_NET * IN_A_NET);
--- a/src/main/java/lemondrift/lab/fleet/Judge.java
+++ b/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
@@ -4,21 +4,17 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 import java.util.stream.IntStream;
-import lemondrift.lab.world.Bearable;
-import lemondrift.lab.world.Day;
-import lemondrift.lab.world.Evenness;
-import lemondrift.lab.world.Figures;
-import lemondrift.lab.world.Referee;
-import lemondrift.model.Exchange;
-import lemondrift.model.Forward;
-import lemondrift.model.Outcome;
+import lemondrift.lab.simulation.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Request;
 import org.HdrHistogram.Histogram;
 
 /**
  * Hears what clients, backends and discovery of the stand have seen, and nothing that a proxy says of itself.
  * I/O thread only.
  */
-final class Judge {
+final class OutcomeRecorder {
     /** How many seconds later than at the proxy a thing may be seen, as the machine has other work. */
     static final double SLACK = 1;
     /** Latencies in microseconds up to ten minutes, to three digits. */
@@ -26,35 +22,35 @@
 
     /** One exchange that a client has handed to a proxy, or to a backend where there is none between. */
     static final class Asked {
-        final Exchange x;
+        final Request x;
         final int proxy;
         final double work;
         /** Its client has stopped waiting while the proxy could not answer. */
         private boolean left;
 
-        private Asked(Exchange x, int proxy, double work) {
+        private Asked(Request x, int proxy, double work) {
             this.x = x;
             this.proxy = proxy;
             this.work = work;
         }
     }
 
-    private final Day day;
+    private final Scenario day;
     private final DoubleSupplier clock;
     private final Referee referee;
     private final Map<String, Asked> asked = new HashMap<>();
     /** Until when each proxy was last known not to be able to answer. */
     private final double[] excused;
-    private Evenness evenness;
-    private Figures figures;
+    private LoadEvenness evenness;
+    private RunResult figures;
     private double began;
-    private Bearable bearable;
+    private ServableOracle bearable;
     private Histogram latency;
     private String broken;
     private long ids;
 
     /** Judges the first so many rules. */
-    Judge(Day day, int rules, DoubleSupplier clock) {
+    OutcomeRecorder(Scenario day, int rules, DoubleSupplier clock) {
         this.day = day;
         this.clock = clock;
         int[] location = IntStream.range(0, day.backends()).map(i -> i % day.settings().locations())
@@ -62,7 +58,7 @@
         referee = new Referee(day.settings(), rules, day.grace(), SLACK, day.proxies(), location,
                 day.cores());
         excused = new double[day.proxies()];
-        evenness = new Evenness(day.backends(), day.cores(), day.settings().window());
+        evenness = new LoadEvenness(day.backends(), day.cores(), day.settings().window());
         begins();
     }
 
@@ -70,8 +66,8 @@
     final void begins() {
         began = now();
         evenness.begins(began);
-        figures = new Figures(day);
-        bearable = new Bearable(day.settings().grades(), figures.wantedIn.length);
+        figures = new RunResult(day);
+        bearable = new ServableOracle(day.settings().grades(), figures.wantedIn.length);
         latency = new Histogram(LONGEST, 3);
     }
 
@@ -79,7 +75,7 @@
         return clock.getAsDouble();
     }
 
-    Figures figures() {
+    RunResult figures() {
         return figures;
     }
 
@@ -109,7 +105,7 @@
     }
 
     /** The day is over, though clients may still wait. */
-    Figures ends() {
+    RunResult ends() {
         System.arraycopy(bearable.benefit(), 0, figures.borneIn, 0, figures.borneIn.length);
         figures.evenness = evenness.measure(now());
         System.arraycopy(evenness.idleBySecond(), 0, figures.idleIn, 0,
@@ -118,7 +114,7 @@
     }
 
     /** All that clients wanted in the day has ended. */
-    Figures served() {
+    RunResult served() {
         figures.p50 = latency.getValueAtPercentile(50) / 1e6;
         figures.p99 = latency.getValueAtPercentile(99) / 1e6;
         return figures;
@@ -134,7 +130,7 @@
     }
 
     Asked taken(String trace, int proxy, int grade, double work) {
-        Exchange x = new Exchange(++ids, grade, 0, now(), day.settings().grades().get(grade).expiry());
+        Request x = new Request(++ids, grade, 0, now(), day.settings().grades().get(grade).expiry());
         Asked its = new Asked(x, proxy, work);
         asked.put(trace, its);
         figures.taken++;
@@ -148,8 +144,8 @@
     }
 
     /** A request has come to a backend whole. */
-    Forward reached(Asked its, int backend) {
-        Forward f = new Forward(its.x, backend, now(), 0, 0);
+    Attempt reached(Asked its, int backend) {
+        Attempt f = new Attempt(its.x, backend, now(), 0, 0);
         figures.forwards++;
         evenness.sends(backend, now());
         // What has waited for a process that stood still comes late for nobody; it is judged for nothing.
@@ -159,8 +155,8 @@
         return f;
     }
 
-    void ended(Forward f, Outcome outcome) {
-        if (outcome == Outcome.DELIVERED) {
+    void ended(Attempt f, AttemptOutcome outcome) {
+        if (outcome == AttemptOutcome.DELIVERED) {
             evenness.served(f.backend);
         } else {
             figures.failedAt[f.backend]++;
@@ -208,7 +204,7 @@
     }
 
     /** A client has what it wants, so many seconds after it was due; what was due before does not count. */
-    void served(Figures day, double seconds) {
+    void served(RunResult day, double seconds) {
         if (day != figures) {
             return;
         }
--- a/src/main/java/lemondrift/lab/fleet/Outages.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.ObjDoubleConsumer;
-import lemondrift.lab.world.Fault;
+import lemondrift.lab.simulation.Fault;
 
 /**
  * Starts the proxies' processes and has the day's faults fall on them. What is decided here happens on the
  * I/O thread; what is done to a process may take its time, so it has a thread of its own.
  */
-final class Outages {
+final class ProcessFaultInjector {
     private static final double LOOKS = 0.1, STILL_COME = 0.3;
     /** How long after the longest expiry a process that was told to end may be killed; the protocol page. */
     private static final double KILLED_AFTER = 0.7;
@@ -22,11 +22,11 @@
     /** Steps in which a fleet is rolled. */
     private static final int STEPS = 10;
 
-    private final Processes processes;
-    private final Agents agents;
-    private final Doors doors;
-    private final Judge judge;
-    private final RealAgenda agenda;
+    private final ProxyProcesses processes;
+    private final DiscoveryAgents agents;
+    private final ClientDistributor doors;
+    private final OutcomeRecorder judge;
+    private final RealTimeScheduler agenda;
     private final InetSocketAddress[] listens, hears;
     private final CompletableFuture<Void> failed;
     /** In seconds. */
@@ -40,7 +40,7 @@
     private final int[] starts;
 
     /** Where each proxy listens and hears the others; what fails is told as the day's failure. */
-    Outages(Processes processes, Agents agents, Doors doors, Judge judge, RealAgenda agenda,
+    ProcessFaultInjector(ProxyProcesses processes, DiscoveryAgents agents, ClientDistributor doors, OutcomeRecorder judge, RealTimeScheduler agenda,
             InetSocketAddress[] listens, InetSocketAddress[] hears, CompletableFuture<Void> failed,
             double longestExpiry, ObjDoubleConsumer<Integer> stays) {
         this.longestExpiry = longestExpiry;
@@ -70,7 +70,7 @@
     }
 
     void starts(int p) {
-        Processes.Place place = new Processes.Place(listens[p], hears[p], agents.address(p), agents.known(p));
+        ProxyProcesses.Place place = new ProxyProcesses.Place(listens[p], hears[p], agents.address(p), agents.known(p));
         judge.excuses(p, true);
         down[p] = false;
         starts[p]++;
@@ -136,7 +136,7 @@
     }
 
     /** One begins now. */
-    void begins(Faults.Drawn drawn) {
+    void begins(FaultPlan.Drawn drawn) {
         Fault fault = drawn.fault();
         int[] numbers = drawn.numbers();
         switch (fault.kind()) {
--- a/src/main/java/lemondrift/lab/fleet/Processes.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
@@ -13,17 +13,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import lemondrift.lab.Experiment;
-import lemondrift.lab.world.Day;
-import lemondrift.model.Effect;
-import lemondrift.model.Group;
-import lemondrift.model.ServiceGrade;
-import lemondrift.settings.BadInput;
+import lemondrift.lab.simulation.Scenario;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.Idempotency;
+import lemondrift.model.RequestClass;
+import lemondrift.settings.InvalidSettingsException;
 
 /**
  * The proxies' processes, each known by its number. They are started, killed, stopped, paused and woken by
  * id, and none outlives this program.
  */
-public final class Processes implements AutoCloseable {
+public final class ProxyProcesses implements AutoCloseable {
     /** Megabytes that one takes while it serves, and that the stand and the machine keep. */
     private static final int EACH = 58, KEPT = 1024;
     /** Seconds after SIGTERM within which one has to have ended. */
@@ -34,9 +34,9 @@
     record Place(InetSocketAddress listen, InetSocketAddress hears, InetSocketAddress discovery,
             String known) {}
 
-    private final Launcher launcher;
+    private final ProcessLauncher launcher;
     private final Path folder;
-    private final Day day;
+    private final Scenario day;
     private final boolean tells, recovers;
     private final List<String> peers;
     private final Process[] all;
@@ -45,7 +45,7 @@
     private int starts;
 
     /** Their files go into a folder; peers are all proxies' addresses for datagrams, as they see them. */
-    Processes(Launcher launcher, Path folder, Day day, boolean tells, boolean recovers, List<String> peers)
+    ProxyProcesses(ProcessLauncher launcher, Path folder, Scenario day, boolean tells, boolean recovers, List<String> peers)
             throws IOException {
         this.launcher = launcher;
         this.folder = folder;
@@ -57,7 +57,7 @@
         paused = new boolean[day.proxies()];
         long free = free(), wanted = (long) EACH * day.proxies() + KEPT;
         if (free < wanted) {
-            throw new BadInput(day.proxies() + " processes take some " + wanted + " MB, and " + free
+            throw new InvalidSettingsException(day.proxies() + " processes take some " + wanted + " MB, and " + free
                     + " MB are free");
         }
         // Danger: a run that is interrupted would leave hundreds of processes behind.
@@ -91,16 +91,16 @@
             all[p] = builder.start();
             paused[p] = false;
         } catch (IOException e) {
-            throw new BadInput("proxy " + p + " can't be started: " + e.getMessage());
+            throw new InvalidSettingsException("proxy " + p + " can't be started: " + e.getMessage());
         }
     }
 
     private String config(int p, Place place) throws IOException {
         ObjectNode root = JSON.createObjectNode();
-        root.put("name", "n" + p).put("listen", Loop.text(place.listen)).put("discovery",
-                Loop.text(place.discovery)).put("seed", Long.toHexString(1000L * p + ++starts));
+        root.put("name", "n" + p).put("listen", LoopbackAddresses.text(place.listen)).put("discovery",
+                LoopbackAddresses.text(place.discovery)).put("seed", Long.toHexString(1000L * p + ++starts));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1024);
-        root.put("peer_listen", Loop.text(place.hears));
+        root.put("peer_listen", LoopbackAddresses.text(place.hears));
         ArrayNode others = root.putArray("peers");
         peers.forEach(others::add);
         root.set("known", JSON.readTree(place.known));
@@ -130,12 +130,12 @@
                 .put("probe", day.settings().charges().probe());
         ArrayNode grades = to.putArray("serviceGrades");
         for (int i = 0; i < day.settings().grades().size(); i++) {
-            ServiceGrade its = day.settings().grades().get(i);
+            RequestClass its = day.settings().grades().get(i);
             grades.addObject().put("name", Experiment.GRADES.get(i)).put("benefit", its.benefit())
                     .put("contractTime", 1000 * its.contractTime()).put("expiry", 1000 * its.expiry())
-                    .put("effect", its.effect() == Effect.PURE ? "retryable"
-                            : its.effect() == Effect.RECEIPTED ? "dedup" : "fragile")
-                    .put("group", its.group() == Group.ALL ? "all" : "zone")
+                    .put("effect", its.effect() == Idempotency.PURE ? "retryable"
+                            : its.effect() == Idempotency.RECEIPTED ? "dedup" : "fragile")
+                    .put("group", its.group() == DeduplicationScope.ALL ? "all" : "zone")
                     .put("keyTtl", 1000 * its.receiptMemory());
         }
     }
@@ -182,7 +182,7 @@
             try {
                 new ProcessBuilder("kill", "-" + name, String.valueOf(all[p].pid())).start().waitFor();
             } catch (IOException e) {
-                throw new BadInput("proxy " + p + " can't be sent " + name + ": " + e.getMessage());
+                throw new InvalidSettingsException("proxy " + p + " can't be sent " + name + ": " + e.getMessage());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/lemondrift/lab/fleet/RealAgenda.java
+++ b/src/main/java/lemondrift/lab/fleet/RealTimeScheduler.java
@@ -2,18 +2,18 @@
 
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import lemondrift.lab.world.Agenda;
+import lemondrift.lab.simulation.Scheduler;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
 /** Real seconds since it was made; all that is due happens on one I/O thread. */
-final class RealAgenda implements Agenda {
+final class RealTimeScheduler implements Scheduler {
     private final long origin = System.nanoTime();
     private final XnioIoThread io;
     private final Consumer<RuntimeException> failed;
 
     /** What goes wrong in something that was due is told to whoever waits for the day. */
-    RealAgenda(XnioIoThread io, Consumer<RuntimeException> failed) {
+    RealTimeScheduler(XnioIoThread io, Consumer<RuntimeException> failed) {
         this.io = io;
         this.failed = failed;
     }
--- a/src/main/java/lemondrift/lab/fleet/Soak.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakRun.java
@@ -6,11 +6,7 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import lemondrift.lab.Experiment;
-import lemondrift.lab.world.Day;
-import lemondrift.lab.world.Fault;
-import lemondrift.lab.world.Figures;
-import lemondrift.lab.world.Trouble;
-import lemondrift.lab.world.Who;
+import lemondrift.lab.simulation.*;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
@@ -20,7 +16,7 @@
  * places. Clients use the connections that they have until a process that was told to end is killed, as early
  * as the protocol page allows.
  */
-public final class Soak {
+public final class SoakRun {
     /** Seconds of a day, and of it at its end in which nothing new begins. */
     private static final double LASTS = 14, CALM_END = 4;
     private static final int[] BACKENDS = {6, 24, 120, 400};
@@ -46,17 +42,17 @@
     }
 
     /** What one day came to; wrong is empty where all went well. */
-    public record Verdict(Plan plan, Figures figures, List<String> wrong) {}
+    public record Verdict(Plan plan, RunResult figures, List<String> wrong) {}
 
     private final UniformRandomProvider chance;
 
-    private Soak(long seed) {
+    private SoakRun(long seed) {
         chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
 
     /** The day of a seed. */
     public static Plan plan(long seed) {
-        return new Soak(seed).drawn(seed);
+        return new SoakRun(seed).drawn(seed);
     }
 
     private double between(double least, double most) {
@@ -71,25 +67,25 @@
         int proxies = 3 + chance.nextInt(3), backends = BACKENDS[chance.nextInt(BACKENDS.length)];
         double contract = CONTRACTS[chance.nextInt(CONTRACTS.length)];
         double rate = proxies * between(10, 50), work = Math.min(between(0.02, 0.1), 0.4 * backends / rate);
-        Day day = new Day(Experiment.settings(proxies, 2, 0.08, contract), proxies, backends, 1, rate, work,
+        Scenario day = new Scenario(Experiment.settings(proxies, 2, 0.08, contract), proxies, backends, 1, rate, work,
                 0.5, 3, 0, 0.1, 2, LASTS, seed, troubles());
         Experiment experiment = new Experiment("soak-" + seed, "", day, List.of(), List.of(seed), List.of(),
                 true, true, Experiment.Host.PROCESSES, 0, 0, faults(proxies));
         return new Plan(seed, experiment, chance.nextDouble() < CROWDED ? CROWD : 0);
     }
 
-    private List<Trouble> troubles() {
-        List<Trouble> troubles = new ArrayList<>();
+    private List<BackendFault> troubles() {
+        List<BackendFault> troubles = new ArrayList<>();
         for (int i = 1 + chance.nextInt(3); i > 0; i--) {
             troubles.add(switch (chance.nextInt(8)) {
-                case 0 -> new Trouble(Trouble.Kind.DEPLOY, begin(), between(3, 6), between(0.3, 0.7), 1);
-                case 1 -> new Trouble(Trouble.Kind.CRASH, begin(), between(0.5, 4), between(0.1, 0.3), 1);
-                case 2 -> new Trouble(Trouble.Kind.VANISH, begin(), between(0.5, 4), between(0.1, 0.3), 1);
-                case 3 -> new Trouble(Trouble.Kind.STALL, begin(), between(0.5, 4), between(0.2, 0.6), 1);
-                case 4 -> new Trouble(Trouble.Kind.SLOW, begin(), between(2, 5), between(0.1, 0.3), 5);
-                case 5 -> new Trouble(Trouble.Kind.ERRORS, begin(), between(1, 4), between(0.1, 0.3), 0.5);
-                case 6 -> new Trouble(Trouble.Kind.BURST, begin(), between(0.5, 2), 1, 3);
-                default -> new Trouble(Trouble.Kind.SILENCE, begin(), between(1, 5), 1, 1);
+                case 0 -> new BackendFault(BackendFault.Kind.DEPLOY, begin(), between(3, 6), between(0.3, 0.7), 1);
+                case 1 -> new BackendFault(BackendFault.Kind.CRASH, begin(), between(0.5, 4), between(0.1, 0.3), 1);
+                case 2 -> new BackendFault(BackendFault.Kind.VANISH, begin(), between(0.5, 4), between(0.1, 0.3), 1);
+                case 3 -> new BackendFault(BackendFault.Kind.STALL, begin(), between(0.5, 4), between(0.2, 0.6), 1);
+                case 4 -> new BackendFault(BackendFault.Kind.SLOW, begin(), between(2, 5), between(0.1, 0.3), 5);
+                case 5 -> new BackendFault(BackendFault.Kind.ERRORS, begin(), between(1, 4), between(0.1, 0.3), 0.5);
+                case 6 -> new BackendFault(BackendFault.Kind.BURST, begin(), between(0.5, 2), 1, 3);
+                default -> new BackendFault(BackendFault.Kind.SILENCE, begin(), between(1, 5), 1, 1);
             });
         }
         return troubles;
@@ -115,23 +111,23 @@
     }
 
     private Fault process(Fault.Kind kind, String who, double lasts) {
-        return new Fault(kind, Fault.Channel.DATAGRAMS, Who.of(who), Who.ALL, false, begin(), lasts, 1, 0);
+        return new Fault(kind, Fault.Channel.DATAGRAMS, FaultTarget.of(who), FaultTarget.ALL, false, begin(), lasts, 1, 0);
     }
 
     private Fault between(Fault.Channel channel, Fault.Kind kind, String who, double lasts) {
         double share = kind == Fault.Kind.LOSE ? 0.3 : 1;
-        return new Fault(kind, channel, Who.of(who), Who.ALL, channel == Fault.Channel.DATAGRAMS, begin(),
+        return new Fault(kind, channel, FaultTarget.of(who), FaultTarget.ALL, channel == Fault.Channel.DATAGRAMS, begin(),
                 lasts, share, 0);
     }
 
     /** Plays the day of a plan on processes of its own. */
-    public static Verdict play(Plan plan, Launcher launcher, Consumer<String> progress)
+    public static Verdict play(Plan plan, ProcessLauncher launcher, Consumer<String> progress)
             throws IOException, InterruptedException {
         List<String> wrong = new ArrayList<>();
-        try (Stand stand = new Stand(plan.experiment, plan.seed, launcher, null, progress)) {
+        try (FleetTestbed stand = new FleetTestbed(plan.experiment, plan.seed, launcher, null, progress)) {
             stand.start();
             stand.loiters(plan.crowd);
-            Stand.Played played = stand.play();
+            FleetTestbed.Played played = stand.play();
             if (played.broken() != null) {
                 wrong.add(played.broken());
             }
--- a/src/main/java/lemondrift/lab/load/Load.java
+++ b/src/main/java/lemondrift/lab/load/Load.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicLong;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -40,11 +40,11 @@
             String grade, double timeout) {
         public Plan {
             if (to.isUnresolved() || !to.getAddress().isLoopbackAddress()) {
-                throw new BadInput("not a loopback address: " + to.getHostString());
+                throw new InvalidSettingsException("not a loopback address: " + to.getHostString());
             }
             if (!(rate > 0 && rate <= 1e6) || !(seconds > 0 && seconds <= 3600) || !(warmUp >= 0)
                     || connections < 1 || connections > 4096 || !(timeout > 0)) {
-                throw new BadInput("a load that cannot be: rate " + rate + ", seconds " + seconds
+                throw new InvalidSettingsException("a load that cannot be: rate " + rate + ", seconds " + seconds
                         + ", connections " + connections);
             }
         }
--- a/src/main/java/lemondrift/lab/world/Backend.java
+++ b/src/main/java/lemondrift/lab/simulation/Backend.java
@@ -1,4 +1,4 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -12,7 +12,7 @@
     public static final class Job {
         private final double work;
         private final Ended ended;
-        private Agenda.Entry end;
+        private Scheduler.Entry end;
         private boolean dropped;
 
         private Job(double work, Ended ended) {
@@ -30,7 +30,7 @@
     private static final double MEAN = 0.1;
     private static final int MOST_WAITING = 20;
 
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final int cores;
     private final Settings.Rules rules;
     /** Work that came while it was cold, with the time, within the window in which it may fall over. */
@@ -42,7 +42,7 @@
     public int dead, silent;
     public double slow = 1, errors, gradeErrors;
 
-    public Backend(Agenda agenda, int cores, Settings.Rules rules) {
+    public Backend(Scheduler agenda, int cores, Settings.Rules rules) {
         this.agenda = agenda;
         this.cores = cores;
         this.rules = rules;
--- a/src/main/java/lemondrift/lab/world/Trouble.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFault.java
@@ -1,4 +1,4 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 /**
  * Something that goes wrong in a world; any may overlap with any.
@@ -9,7 +9,7 @@
  * @param share of the backends that it falls on, 0 to 1; at least one
  * @param strength how many times slower, or more traffic; for ERRORS and GRADE the share that fails
  */
-public record Trouble(Kind kind, double at, double lasts, double share, double strength) {
+public record BackendFault(Kind kind, double at, double lasts, double share, double strength) {
     /** Kinds of trouble. */
     public enum Kind {
         /** Processes die, what they held is reset; they come back cold when it is over. */
@@ -34,7 +34,7 @@
         SILENCE
     }
 
-    public Trouble {
+    public BackendFault {
         if (kind == null || !(at >= 0) || !(lasts > 0) || !(share >= 0 && share <= 1) || !(strength >= 0)) {
             throw new IllegalArgumentException("a trouble that cannot be: " + kind + " at " + at + " s");
         }
--- a/src/main/java/lemondrift/lab/world/Troubles.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
@@ -1,15 +1,15 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 import java.util.Arrays;
-import lemondrift.model.Listed;
+import lemondrift.model.EndpointUpdate;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** Has a day's troubles fall on its backends, in virtual time and on sockets alike. */
-public final class Troubles {
+public final class BackendFaultInjector {
     /** Who plays the day. */
     public interface Host {
         /** Discovery has something to tell of a backend. */
-        void tells(int backend, Listed.State state);
+        void tells(int backend, EndpointUpdate.State state);
 
         /** A backend's process or machine is gone; what it held is reset, or nothing is ever told of it. */
         default void died(int backend, boolean tells) {}
@@ -21,7 +21,7 @@
         void silent(double seconds);
     }
 
-    private final Agenda agenda;
+    private final Scheduler agenda;
     private final UniformRandomProvider chance;
     private final Backend[] backends;
     private final double delay;
@@ -30,7 +30,7 @@
     public double traffic = 1, heavy = 1;
 
     /** The delay is that of discovery, in seconds; one that is replaced is drained for longer first. */
-    public Troubles(Agenda agenda, UniformRandomProvider chance, Backend[] backends, double delay,
+    public BackendFaultInjector(Scheduler agenda, UniformRandomProvider chance, Backend[] backends, double delay,
             Host host) {
         this.agenda = agenda;
         this.chance = chance;
@@ -39,7 +39,7 @@
         this.host = host;
     }
 
-    private int[] fallsOn(Trouble trouble) {
+    private int[] fallsOn(BackendFault trouble) {
         int[] all = new int[backends.length];
         Arrays.setAll(all, i -> i);
         for (int i = all.length - 1; i > 0; i--) {
@@ -52,7 +52,7 @@
     }
 
     /** It begins now, and ends by itself. */
-    public void begins(Trouble trouble) {
+    public void begins(BackendFault trouble) {
         double end = trouble.lasts();
         switch (trouble.kind()) {
             case BURST -> {
@@ -79,7 +79,7 @@
         }
     }
 
-    private void begins(Trouble trouble, int i, Backend backend) {
+    private void begins(BackendFault trouble, int i, Backend backend) {
         switch (trouble.kind()) {
             case CRASH -> {
                 dies(i, true);
@@ -115,7 +115,7 @@
         if (backends[i].dead++ == 0) {
             backends[i].dies(tells);
             host.died(i, tells);
-            host.tells(i, Listed.State.GONE);
+            host.tells(i, EndpointUpdate.State.GONE);
         }
     }
 
@@ -124,12 +124,12 @@
         if (--backends[i].dead == 0) {
             backends[i].restarts();
             host.restarted(i);
-            host.tells(i, Listed.State.READY);
+            host.tells(i, EndpointUpdate.State.READY);
         }
     }
 
     private void replace(int i, double within) {
-        host.tells(i, Listed.State.DRAINING);
+        host.tells(i, EndpointUpdate.State.DRAINING);
         agenda.in(Math.min(within, 2 * delay + 1), () -> {
             dies(i, true);
             agenda.in(0.1, () -> comesBack(i));
--- a/src/main/java/lemondrift/lab/world/Fault.java
+++ b/src/main/java/lemondrift/lab/simulation/Fault.java
@@ -1,4 +1,4 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 /**
  * Something that goes wrong with the proxies' processes or on the way from one to another, to the backends or
@@ -14,7 +14,7 @@
  * @param share of the messages that it falls on, 0 to 1
  * @param by seconds by which a message is late, at the most
  */
-public record Fault(Kind kind, Channel channel, Who from, Who to, boolean both, double at, double lasts,
+public record Fault(Kind kind, Channel channel, FaultTarget from, FaultTarget to, boolean both, double at, double lasts,
         double share, double by) {
     /** Kinds of fault. */
     public enum Kind {
--- a/src/main/java/lemondrift/lab/world/Who.java
+++ b/src/main/java/lemondrift/lab/simulation/FaultTarget.java
@@ -1,4 +1,4 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 import java.util.function.IntUnaryOperator;
 import java.util.regex.Matcher;
@@ -13,17 +13,17 @@
  * @param kind which of these
  * @param value the location, the number, or the share from 0 to 1
  */
-public record Who(Kind kind, double value) {
+public record FaultTarget(Kind kind, double value) {
     /** Which of them. */
     public enum Kind { ALL, LOCATION, NUMBER, SHARE }
 
     /** How it is written in a file. */
     public static final String FORMS = "\"all\", \"location 1\", \"number 3\", \"30%\"";
-    public static final Who ALL = new Who(Kind.ALL, 1);
+    public static final FaultTarget ALL = new FaultTarget(Kind.ALL, 1);
     private static final Pattern FORM = Pattern.compile("(location|number) (\\d{1,4})|(\\d+(?:\\.\\d+)?)%");
 
     /** As written in a file; null where it is none of the forms. */
-    public static Who of(String text) {
+    public static FaultTarget of(String text) {
         Matcher parts = FORM.matcher(text);
         if (text.equals("all")) {
             return ALL;
@@ -31,9 +31,9 @@
             return null;
         } else if (parts.group(3) != null) {
             double share = Double.parseDouble(parts.group(3)) / 100;
-            return share <= 1 ? new Who(Kind.SHARE, share) : null;
+            return share <= 1 ? new FaultTarget(Kind.SHARE, share) : null;
         }
-        return new Who(parts.group(1).equals("location") ? Kind.LOCATION : Kind.NUMBER,
+        return new FaultTarget(parts.group(1).equals("location") ? Kind.LOCATION : Kind.NUMBER,
                 Integer.parseInt(parts.group(2)));
     }
 
--- a/src/main/java/lemondrift/lab/world/Evenness.java
+++ b/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
@@ -1,4 +1,4 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -9,7 +9,7 @@
  * How evenly backends are used, by what they hold alone; docs/lab.md defines the figures. Times are in
  * seconds and rise. A backend is fit while it is up, speaks and takes what comes.
  */
-public final class Evenness {
+public final class LoadEvenness {
     /** Who holds so many beyond its cores makes another's idleness a fault. */
     private static final int CROWDED = 3;
     /** Sends are counted over this share of a contract time. */
@@ -28,7 +28,7 @@
     private double[] idleIn = {};
 
     /** All are fit and hold nothing at first; the contract time is the shortest. */
-    public Evenness(int backends, int cores, double contractTime) {
+    public LoadEvenness(int backends, int cores, double contractTime) {
         this.cores = cores;
         together = TOGETHER * contractTime;
         held = new int[backends];
--- a/src/main/java/lemondrift/lab/world/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -1,4 +1,4 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,13 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemondrift.model.Effect;
-import lemondrift.model.Exchange;
-import lemondrift.model.Forward;
-import lemondrift.model.Group;
-import lemondrift.model.Outcome;
-import lemondrift.model.ServiceGrade;
-import lemondrift.model.Settings;
+import lemondrift.model.*;
 
 /**
  * Judges a day by the four rules alone. It shares no code with the decisions and sees only what passes: what
@@ -39,8 +33,8 @@
 
     /** What was seen of one exchange. */
     private static final class Seen {
-        final List<Forward> forwards = new ArrayList<>();
-        final Map<Forward, Outcome> outcomes = new HashMap<>();
+        final List<Attempt> forwards = new ArrayList<>();
+        final Map<Attempt, AttemptOutcome> outcomes = new HashMap<>();
         boolean answered;
         double answeredAt;
 
@@ -55,7 +49,7 @@
     private final Settings settings;
     private final int rules;
     private final double grace, slack;
-    private final Map<Exchange, Seen> open = new HashMap<>();
+    private final Map<Request, Seen> open = new HashMap<>();
     private final Deque<Event> events = new ArrayDeque<>();
     /** When a proxy was told that a backend wants nothing new. */
     private final double[][] told;
@@ -108,20 +102,20 @@
         throw new Broken(rule, text.toString());
     }
 
-    public void taken(int proxy, Exchange x, double now) {
+    public void taken(int proxy, Request x, double now) {
         saw(now, "taken", proxy, x.id, -1);
         open.put(x, new Seen());
     }
 
-    public void sent(int proxy, Forward f, double work, double now) {
+    public void sent(int proxy, Attempt f, double work, double now) {
         saw(now, "sent", proxy, f.exchange.id, f.backend);
         Seen seen = open.get(f.exchange);
         if (seen == null || seen.isOver(now, slack) || now >= f.exchange.expiry + slack) {
             broken(1, "sent after its answer or expiry to backend " + f.backend, now, proxy, f.exchange.id);
             return;
         }
-        for (Forward before : seen.forwards) {
-            Outcome outcome = seen.outcomes.get(before);
+        for (Attempt before : seen.forwards) {
+            AttemptOutcome outcome = seen.outcomes.get(before);
             if ((outcome == null || !outcome.neverRan) && !mayRepeat(f, before, now)) {
                 broken(2, "sent again though it may have run at backend " + before.backend, now, proxy,
                         f.exchange.id);
@@ -135,16 +129,16 @@
         countCold(proxy, f, work, now);
     }
 
-    private boolean mayRepeat(Forward f, Forward before, double now) {
-        ServiceGrade grade = settings.grades().get(f.exchange.grade);
-        return grade.effect() == Effect.PURE || grade.effect() == Effect.RECEIPTED
-                && now - before.sent < grade.receiptMemory() + slack && (grade.group() == Group.ALL
-                || grade.group() == Group.LOCATION && location[before.backend] == location[f.backend]
+    private boolean mayRepeat(Attempt f, Attempt before, double now) {
+        RequestClass grade = settings.grades().get(f.exchange.grade);
+        return grade.effect() == Idempotency.PURE || grade.effect() == Idempotency.RECEIPTED
+                && now - before.sent < grade.receiptMemory() + slack && (grade.group() == DeduplicationScope.ALL
+                || grade.group() == DeduplicationScope.LOCATION && location[before.backend] == location[f.backend]
                 || before.backend == f.backend);
     }
 
     /** Rule 4: all proxies' work for a cold backend in any window, against what it can do then. */
-    private void countCold(int proxy, Forward f, double work, double now) {
+    private void countCold(int proxy, Attempt f, double work, double now) {
         double age = now - started[f.backend], window = settings.rules().fallWindow();
         if (age >= settings.rules().cold()) {
             return;
@@ -164,7 +158,7 @@
         }
     }
 
-    public void ended(Forward f, Outcome outcome, double now) {
+    public void ended(Attempt f, AttemptOutcome outcome, double now) {
         Seen seen = open.get(f.exchange);
         saw(now, outcome.name(), -1, f.exchange.id, f.backend);
         if (seen != null) {
@@ -173,7 +167,7 @@
     }
 
     /** A final answer; shed promises that a retry is harmless. */
-    public void answered(int proxy, Exchange x, boolean shed, double now) {
+    public void answered(int proxy, Request x, boolean shed, double now) {
         saw(now, shed ? "shed" : "answered", proxy, x.id, -1);
         Seen seen = open.get(x);
         if (seen == null || seen.answered || now > x.expiry + slack + 1e-9) {
@@ -182,9 +176,9 @@
         }
         seen.answered = true;
         seen.answeredAt = now;
-        ServiceGrade grade = settings.grades().get(x.grade);
-        boolean harmless = grade.effect() == Effect.PURE || grade.effect() == Effect.RECEIPTED
-                && grade.group() == Group.ALL || seen.forwards.stream()
+        RequestClass grade = settings.grades().get(x.grade);
+        boolean harmless = grade.effect() == Idempotency.PURE || grade.effect() == Idempotency.RECEIPTED
+                && grade.group() == DeduplicationScope.ALL || seen.forwards.stream()
                         .allMatch(f -> seen.outcomes.get(f) != null && seen.outcomes.get(f).neverRan);
         if (shed && !harmless) {
             broken(2, "shed though it may have run", now, proxy, x.id);
@@ -192,7 +186,7 @@
     }
 
     /** The client has gone, or its time is up: whoever has not answered by then never did. */
-    public void closed(int proxy, Exchange x, boolean left, double now) {
+    public void closed(int proxy, Request x, boolean left, double now) {
         Seen seen = open.get(x);
         if (seen != null && !seen.answered && !left) {
             broken(1, "no answer by its expiry", now, proxy, x.id);
@@ -204,7 +198,7 @@
     }
 
     /** Nothing more is to be seen of it. */
-    public void forgets(Exchange x) {
+    public void forgets(Request x) {
         open.remove(x);
     }
 
--- /dev/null
+++ b/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
@@ -0,0 +1,33 @@
+package lemondrift.lab.simulation;
+
+import java.util.List;
+import lemondrift.model.*;
+import lemondrift.gossip.LoadGossip;
+
+/** One instance's decisions, as the decision module's entry has them; baselines stand in its place. */
+public interface RoutingPolicy {
+    Decision arrived(double now, Request x);
+
+    Decision ended(double now, Attempt f, AttemptOutcome outcome, double took, boolean over, double[] report);
+
+    Decision probed(double now, int backend, AttemptOutcome outcome, double[] report);
+
+    Decision left(double now, Request x);
+
+    Decision listed(double now, boolean whole, List<EndpointUpdate> lines);
+
+    Decision woken(double now);
+
+    /** What it has to tell other proxies now. */
+    default List<LoadGossip.Telling> tellings(double now) {
+        return List.of();
+    }
+
+    /** When it next has something to tell. */
+    default double tellAt() {
+        return Double.POSITIVE_INFINITY;
+    }
+
+    /** What another proxy has told. */
+    default void told(double now, int from, byte[] datagram) {}
+}
