--- a/src/main/java/lemondrift/lab/world/Figures.java
+++ b/src/main/java/lemondrift/lab/simulation/RunResult.java
@@ -1,4 +1,4 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 import java.util.Arrays;
 import java.util.Comparator;
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 
 /** What came of a day. Benefit counts once for what a client wants, however often it asks. */
-public final class Figures {
+public final class RunResult {
     /** The share of benefit that counts as served as usual, and over how many seconds. */
     private static final double USUAL = 0.95;
     private static final int BACK_OVER = 3;
@@ -34,9 +34,9 @@
     public final double[] shedIn, idleIn, borneIn;
     public final long[] failedAt;
     /** How evenly the backends were used; null while the day is played. */
-    public Evenness.Measure evenness;
+    public LoadEvenness.Measure evenness;
 
-    public Figures(Day day) {
+    public RunResult(Scenario day) {
         wantedIn = new double[(int) Math.ceil(day.lasts()) + 1];
         servedIn = new double[wantedIn.length];
         shedIn = new double[wantedIn.length];
--- a/src/main/java/lemondrift/lab/world/Agenda.java
+++ b/src/main/java/lemondrift/lab/simulation/Scheduler.java
@@ -1,7 +1,7 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 /** What is to happen and when, in seconds from the start of the day, virtual or real. */
-public interface Agenda {
+public interface Scheduler {
     /** Something to be done, unless it is struck off before. */
     interface Entry {
         void strike();
--- a/src/main/java/lemondrift/lab/world/Bearable.java
+++ b/src/main/java/lemondrift/lab/simulation/ServableOracle.java
@@ -1,25 +1,25 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.IntStream;
-import lemondrift.model.ServiceGrade;
+import lemondrift.model.RequestClass;
 
 /**
  * What backends could have served, second by second, by one who knows what they bear and gives what they do
  * to the exchanges of most benefit. Nothing waits for it and nothing is carried over, so that a day may come
  * to a little more: by what was asked again later.
  */
-public final class Bearable {
-    private final List<ServiceGrade> grades;
+public final class ServableOracle {
+    private final List<RequestClass> grades;
     private final int[] byBenefit;
     /** Exchanges wanted, by second and grade, and borne, by second. */
     private final double[][] wanted;
     private final double[] borne;
 
     /** For so many seconds. */
-    public Bearable(List<ServiceGrade> grades, int seconds) {
+    public ServableOracle(List<RequestClass> grades, int seconds) {
         this.grades = grades;
         byBenefit = IntStream.range(0, grades.size()).boxed().sorted(Comparator
                 .comparing((Integer g) -> -grades.get(g).benefit())).mapToInt(g -> g).toArray();
--- a/src/main/java/lemondrift/lab/world/World.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -1,24 +1,18 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntFunction;
-import lemondrift.model.Exchange;
-import lemondrift.model.Forward;
-import lemondrift.model.Listed;
-import lemondrift.model.Outcome;
-import lemondrift.model.ServiceGrade;
-import lemondrift.model.Settings;
-import lemondrift.model.Turn;
-import lemondrift.peer.Holdings;
+import lemondrift.model.*;
+import lemondrift.gossip.LoadGossip;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
 /** Plays one day in virtual time: clients, proxies, backends and discovery, with a referee over all of it. */
-public final class World implements Troubles.Host {
+public final class Simulation implements BackendFaultInjector.Host {
     /** A client asks again after this share of the contract time where it is told nothing else. */
     private static final double WAIT = 0.5;
     /** How long a message from one proxy to another takes on average, and how many of them are lost. */
@@ -42,7 +36,7 @@
         final int proxy;
         final double work;
         Backend.Job job;
-        Agenda.Entry timeOut;
+        Scheduler.Entry timeOut;
 
         Out(int proxy, double work) {
             this.proxy = proxy;
@@ -50,37 +44,37 @@
         }
     }
 
-    private final Day day;
+    private final Scenario day;
     private final Settings settings;
-    private final VirtualAgenda agenda = new VirtualAgenda();
+    private final VirtualScheduler agenda = new VirtualScheduler();
     private final UniformRandomProvider chance;
     private final ZigguratSampler.Exponential gaps;
     private final ZigguratSampler.NormalizedGaussian bell;
     private final Backend[] backends;
     private final int[] location;
     private final double[] startTold;
-    private final Decider[] proxies;
-    private final Agenda.Entry[] wakes;
+    private final RoutingPolicy[] proxies;
+    private final Scheduler.Entry[] wakes;
     private final Referee referee;
-    private final Figures figures;
-    private final Map<Exchange, Want> wants = new HashMap<>();
-    private final Map<Exchange, Agenda.Entry> expiries = new HashMap<>();
-    private final Map<Forward, Out> out = new HashMap<>();
-    private final Troubles troubles;
-    private final Evenness evenness;
+    private final RunResult figures;
+    private final Map<Request, Want> wants = new HashMap<>();
+    private final Map<Request, Scheduler.Entry> expiries = new HashMap<>();
+    private final Map<Attempt, Out> out = new HashMap<>();
+    private final BackendFaultInjector troubles;
+    private final LoadEvenness evenness;
     private double silentUntil;
     private long exchanges;
 
     /** The deciders are made by the number of their proxy, and judged by all four rules. */
-    public World(Day day, IntFunction<Decider> deciders) {
+    public Simulation(Scenario day, IntFunction<RoutingPolicy> deciders) {
         this(day, 4, deciders);
     }
 
     /** The same judged by the first rules alone: a baseline spares no cold backend, which is the fourth. */
-    public World(Day day, int rules, IntFunction<Decider> deciders) {
+    public Simulation(Scenario day, int rules, IntFunction<RoutingPolicy> deciders) {
         this.day = day;
         settings = day.settings();
-        figures = new Figures(day);
+        figures = new RunResult(day);
         chance = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed());
         gaps = ZigguratSampler.Exponential.of(chance);
         bell = ZigguratSampler.NormalizedGaussian.of(chance);
@@ -92,31 +86,31 @@
             location[i] = i % settings.locations();
         }
         referee = new Referee(settings, rules, day.grace(), 0, day.proxies(), location, day.cores());
-        evenness = new Evenness(day.backends(), day.cores(), settings.window());
-        troubles = new Troubles(agenda, chance, backends, day.delay(), this);
-        proxies = new Decider[day.proxies()];
-        wakes = new Agenda.Entry[day.proxies()];
+        evenness = new LoadEvenness(day.backends(), day.cores(), settings.window());
+        troubles = new BackendFaultInjector(agenda, chance, backends, day.delay(), this);
+        proxies = new RoutingPolicy[day.proxies()];
+        wakes = new Scheduler.Entry[day.proxies()];
         for (int p = 0; p < proxies.length; p++) {
             proxies[p] = deciders.apply(p);
         }
     }
 
     /** Plays the day to its end. Throws Referee.Broken at the first rule that is broken. */
-    public Figures play() {
+    public RunResult play() {
         // The first lists come with the start; a proxy that knows no backend would shed all.
-        List<Listed> all = new ArrayList<>();
+        List<EndpointUpdate> all = new ArrayList<>();
         for (int i = 0; i < backends.length; i++) {
-            all.add(line(i, Listed.State.READY));
+            all.add(line(i, EndpointUpdate.State.READY));
         }
         for (int p = 0; p < proxies.length; p++) {
             carryOut(p, proxies[p].listed(agenda.now(), true, all));
         }
-        for (Trouble each : day.troubles()) {
+        for (BackendFault each : day.troubles()) {
             agenda.at(each.at(), () -> troubles.begins(each));
         }
         agenda.in(gaps.sample() / day.rate(), this::comes);
         agenda.at(day.lasts(), () -> figures.evenness = evenness.measure(agenda.now()));
-        double longest = settings.grades().stream().mapToDouble(ServiceGrade::expiry).max().orElse(1);
+        double longest = settings.grades().stream().mapToDouble(RequestClass::expiry).max().orElse(1);
         agenda.runUntil(day.lasts() + (day.tries() + 1) * 2 * longest);
         if (!wants.isEmpty()) {
             throw new IllegalStateException(wants.size() + " exchanges are open after the day");
@@ -136,7 +130,7 @@
     }
 
     /** What has come of the day so far. */
-    public Figures figures() {
+    public RunResult figures() {
         return figures;
     }
 
@@ -147,7 +141,7 @@
             return;
         }
         int grade = chance.nextInt(settings.grades().size());
-        ServiceGrade its = settings.grades().get(grade);
+        RequestClass its = settings.grades().get(grade);
         figures.wanted += its.benefit();
         figures.wants++;
         figures.wantedIn[(int) agenda.now()] += its.benefit();
@@ -157,9 +151,9 @@
 
     private void asks(Want want) {
         want.tries++;
-        ServiceGrade its = settings.grades().get(want.grade);
+        RequestClass its = settings.grades().get(want.grade);
         int proxy = chance.nextInt(proxies.length);
-        Exchange x = new Exchange(++exchanges, want.grade, 0, agenda.now(), its.expiry());
+        Request x = new Request(++exchanges, want.grade, 0, agenda.now(), its.expiry());
         wants.put(x, want);
         figures.taken++;
         referee.taken(proxy, x, agenda.now());
@@ -167,20 +161,20 @@
         carryOut(proxy, proxies[proxy].arrived(agenda.now(), x));
     }
 
-    private void expires(int proxy, Exchange x) {
+    private void expires(int proxy, Request x) {
         figures.unanswered++;
         wants.remove(x);
         referee.closed(proxy, x, false, agenda.now());
     }
 
-    private void answered(int proxy, Exchange x, boolean delivered, boolean shed, double retryAfter) {
+    private void answered(int proxy, Request x, boolean delivered, boolean shed, double retryAfter) {
         referee.answered(proxy, x, shed, agenda.now());
         Want want = wants.remove(x);
         if (want == null) {
             return;
         }
         expiries.remove(x).strike();
-        ServiceGrade its = settings.grades().get(want.grade);
+        RequestClass its = settings.grades().get(want.grade);
         if (delivered) {
             figures.delivered++;
             boolean inTime = agenda.now() <= want.until;
@@ -200,7 +194,7 @@
         forgetIfDone(x);
     }
 
-    private void forgetIfDone(Exchange x) {
+    private void forgetIfDone(Request x) {
         if (!wants.containsKey(x) && x.out == 0) {
             referee.forgets(x);
         }
@@ -208,10 +202,10 @@
 
     // Proxies.
 
-    private void carryOut(int proxy, Turn turn) {
+    private void carryOut(int proxy, Decision turn) {
         // The next call reuses the turn: what it asks for is taken out of it first.
-        List<Forward> cancels = List.copyOf(turn.cancels), sends = List.copyOf(turn.sends);
-        List<Turn.Answer> answers = List.copyOf(turn.answers);
+        List<Attempt> cancels = List.copyOf(turn.cancels), sends = List.copyOf(turn.sends);
+        List<Decision.Answer> answers = List.copyOf(turn.answers);
         List<Integer> probes = List.copyOf(turn.probes);
         double wakeAt = Math.min(turn.wakeAt, tell(proxy));
         if (wakes[proxy] != null) {
@@ -227,7 +221,7 @@
 
     /** Messages between proxies take their time and some are lost; says when there is more to tell. */
     private double tell(int proxy) {
-        for (Holdings.Telling each : proxies[proxy].tellings(agenda.now())) {
+        for (LoadGossip.Telling each : proxies[proxy].tellings(agenda.now())) {
             figures.told += each.datagram().length;
             figures.messages++;
             if (chance.nextDouble() >= LOST) {
@@ -245,7 +239,7 @@
         }
     }
 
-    private void send(int proxy, Forward f) {
+    private void send(int proxy, Attempt f) {
         double spread = day.spread();
         double work = day.work() * troubles.heavy * Math.exp(spread * bell.sample() - spread * spread / 2);
         figures.forwards++;
@@ -254,12 +248,12 @@
         out.put(f, its);
         its.timeOut = agenda.in(Math.max(0, f.timeOut), () -> {
             drops(f, its);
-            ended(f, Outcome.TIMED_OUT);
+            ended(f, AttemptOutcome.TIMED_OUT);
         });
         agenda.in(day.way(), () -> reaches(f, its));
     }
 
-    private void reaches(Forward f, Out its) {
+    private void reaches(Attempt f, Out its) {
         Backend backend = backends[f.backend];
         if (!out.containsKey(f) || backend.silent > 0) {
             return;
@@ -268,60 +262,60 @@
         boolean errs = chance.nextDouble() < Math.max(backend.errors,
                 f.exchange.grade == settings.grades().size() - 1 ? backend.gradeErrors : 0);
         if (!backend.isUp()) {
-            back(f, Outcome.CONNECT_FAILED);
+            back(f, AttemptOutcome.CONNECT_FAILED);
         } else if (backend.fallsOver(its.work)) {
             // It stays down for the day: nobody brings it back.
             figures.fallen++;
             troubles.dies(f.backend, true);
-            back(f, Outcome.CONNECT_FAILED);
+            back(f, AttemptOutcome.CONNECT_FAILED);
         } else if (backend.isFull()) {
-            back(f, Outcome.FULL);
+            back(f, AttemptOutcome.FULL);
         } else if (errs) {
-            back(f, Outcome.ERROR);
+            back(f, AttemptOutcome.ERROR);
         } else {
             its.job = backend.take(its.work, ran -> {
                 holds(f.backend);
-                back(f, ran ? Outcome.DELIVERED : Outcome.RESET);
+                back(f, ran ? AttemptOutcome.DELIVERED : AttemptOutcome.RESET);
             });
         }
         holds(f.backend);
     }
 
-    private void back(Forward f, Outcome outcome) {
+    private void back(Attempt f, AttemptOutcome outcome) {
         agenda.in(day.way(), () -> ended(f, outcome));
     }
 
-    private void ended(Forward f, Outcome outcome) {
+    private void ended(Attempt f, AttemptOutcome outcome) {
         Out its = out.remove(f);
         if (its == null) {
             return;
         }
         its.timeOut.strike();
         referee.ended(f, outcome, agenda.now());
-        boolean wins = outcome == Outcome.DELIVERED && !f.exchange.over;
-        figures.failedAt[f.backend] += outcome == Outcome.DELIVERED || outcome == Outcome.CANCELLED ? 0 : 1;
-        if (outcome == Outcome.DELIVERED) {
+        boolean wins = outcome == AttemptOutcome.DELIVERED && !f.exchange.over;
+        figures.failedAt[f.backend] += outcome == AttemptOutcome.DELIVERED || outcome == AttemptOutcome.CANCELLED ? 0 : 1;
+        if (outcome == AttemptOutcome.DELIVERED) {
             evenness.served(f.backend);
         }
         if (wins) {
             answered(its.proxy, f.exchange, true, false, 0);
         }
-        double[] report = outcome == Outcome.DELIVERED || outcome == Outcome.ERROR ? report(f.backend) : null;
+        double[] report = outcome == AttemptOutcome.DELIVERED || outcome == AttemptOutcome.ERROR ? report(f.backend) : null;
         carryOut(its.proxy, proxies[its.proxy].ended(agenda.now(), f, outcome, agenda.now() - f.sent,
                 wins || f.exchange.over, report));
         forgetIfDone(f.exchange);
     }
 
     /** A cancel drops what waits; what runs goes on to its end for nobody. */
-    private void cancel(int proxy, Forward f) {
+    private void cancel(int proxy, Attempt f) {
         Out its = out.get(f);
         if (its != null) {
             drops(f, its);
-            agenda.in(0, () -> ended(f, Outcome.CANCELLED));
+            agenda.in(0, () -> ended(f, AttemptOutcome.CANCELLED));
         }
     }
 
-    private void drops(Forward f, Out its) {
+    private void drops(Attempt f, Out its) {
         if (its.job != null) {
             backends[f.backend].drop(its.job);
             holds(f.backend);
@@ -344,27 +338,27 @@
         agenda.in(2 * day.way(), () -> {
             boolean answers = backends[i].isUp() && backends[i].silent == 0;
             carryOut(proxy, proxies[proxy].probed(agenda.now(), i,
-                    answers ? Outcome.DELIVERED : Outcome.CONNECT_FAILED, answers ? report(i) : null));
+                    answers ? AttemptOutcome.DELIVERED : AttemptOutcome.CONNECT_FAILED, answers ? report(i) : null));
         });
     }
 
     // Discovery.
 
-    private Listed line(int i, Listed.State state) {
-        return new Listed(i, false, location[i], i, state, startTold[i]);
+    private EndpointUpdate line(int i, EndpointUpdate.State state) {
+        return new EndpointUpdate(i, false, location[i], i, state, startTold[i]);
     }
 
     /** Tells all proxies of a backend, late, and later still while discovery says nothing. */
     @Override
-    public void tells(int i, Listed.State state) {
+    public void tells(int i, EndpointUpdate.State state) {
         double started = startTold[i];
         for (int p = 0; p < proxies.length; p++) {
             int proxy = p;
             double at = Math.max(agenda.now(), silentUntil) + day.delay() * (0.5 + chance.nextDouble());
             agenda.at(at, () -> {
-                referee.told(proxy, i, state == Listed.State.READY, agenda.now());
+                referee.told(proxy, i, state == EndpointUpdate.State.READY, agenda.now());
                 carryOut(proxy, proxies[proxy].listed(agenda.now(), false,
-                        List.of(new Listed(i, false, location[i], i, state, started))));
+                        List.of(new EndpointUpdate(i, false, location[i], i, state, started))));
             });
         }
     }
--- a/src/main/java/lemondrift/lab/world/VirtualAgenda.java
+++ b/src/main/java/lemondrift/lab/simulation/VirtualScheduler.java
@@ -1,9 +1,9 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 import java.util.PriorityQueue;
 
 /** In virtual seconds; at the same time things happen in the order asked for. */
-final class VirtualAgenda implements Agenda {
+final class VirtualScheduler implements Scheduler {
     private static final class Due implements Entry, Comparable<Due> {
         private final double at;
         private final long order;
--- a/src/main/java/lemondrift/tally/LoopFigures.java
+++ b/src/main/java/lemondrift/metrics/EventLoopMetrics.java
@@ -1,10 +1,10 @@
-package lemondrift.tally;
+package lemondrift.metrics;
 
 /**
  * How the one thread that decides keeps up: how long events waited for it, and how long it was busy before it
  * came to the next ones. Times are in seconds. One thread counts; any thread may read, perhaps a little late.
  */
-public final class LoopFigures {
+public final class EventLoopMetrics {
     /** What an event is about. */
     public enum Kind { ARRIVAL, OUTCOME, CLIENT_LEFT, LIST, TIMER, OTHER }
 
--- a/src/main/java/lemondrift/tally/Tally.java
+++ b/src/main/java/lemondrift/metrics/ProxyMetrics.java
@@ -1,4 +1,4 @@
-package lemondrift.tally;
+package lemondrift.metrics;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,7 +8,7 @@
  * Counts of one process since its start. One thread counts and reads. What is in hand is what was taken less
  * what has ended, so that the two can't drift apart.
  */
-public final class Tally {
+public final class ProxyMetrics {
     /** How an exchange ended for its client. */
     public enum Reply { SUCCESS, OVERLOAD, ERROR }
 
--- a/src/main/java/lemondrift/model/Forward.java
+++ b/src/main/java/lemondrift/model/Attempt.java
@@ -1,8 +1,8 @@
 package lemondrift.model;
 
 /** One forward of an exchange to a backend. */
-public final class Forward {
-    public final Exchange exchange;
+public final class Attempt {
+    public final Request exchange;
     public final int backend;
     public final int number;
     public final double sent;
@@ -10,10 +10,10 @@
     /** How many exchanges were thought to be ahead of it there. */
     public final double ahead;
     /** The forward made before this one for the same exchange. */
-    public final Forward earlier;
+    public final Attempt earlier;
     public boolean ended;
 
-    public Forward(Exchange exchange, int backend, double sent, double timeOut, double ahead) {
+    public Attempt(Request exchange, int backend, double sent, double timeOut, double ahead) {
         this.exchange = exchange;
         this.backend = backend;
         this.number = exchange.forwards;
--- a/src/main/java/lemondrift/model/Group.java
+++ b/src/main/java/lemondrift/model/DeduplicationScope.java
@@ -1,4 +1,4 @@
 package lemondrift.model;
 
 /** Which backends know a receipted exchange's repeats. */
-public enum Group { ALL, LOCATION, CELL }
+public enum DeduplicationScope { ALL, LOCATION, CELL }
--- a/src/main/java/lemondrift/model/Listed.java
+++ b/src/main/java/lemondrift/model/EndpointUpdate.java
@@ -6,37 +6,37 @@
  * for it, where others know of that, and used the share of all proxies that use it, this one among them; 0
  * where this one does not use it or that is not known.
  */
-public record Listed(int backend, boolean fresh, int location, int cell, State state, double started,
+public record EndpointUpdate(int backend, boolean fresh, int location, int cell, State state, double started,
         double size, double lot, double used) {
     /** Danger: a size that is no positive number would make service times none. */
-    public Listed {
+    public EndpointUpdate {
         size = size > 0 && size < Double.POSITIVE_INFINITY ? size : 1;
     }
 
     /** One for which no lot was drawn. */
-    public Listed(int backend, boolean fresh, int location, int cell, State state, double started,
+    public EndpointUpdate(int backend, boolean fresh, int location, int cell, State state, double started,
             double size) {
         this(backend, fresh, location, cell, state, started, size, 0, 0);
     }
 
     /** One whose size is not told. */
-    public Listed(int backend, boolean fresh, int location, int cell, State state, double started) {
+    public EndpointUpdate(int backend, boolean fresh, int location, int cell, State state, double started) {
         this(backend, fresh, location, cell, state, started, 1);
     }
 
     /** The same, its size counting only where sizes hold. */
-    public Listed sized(boolean hold) {
-        return hold ? this : new Listed(backend, fresh, location, cell, state, started, 1, lot, used);
+    public EndpointUpdate sized(boolean hold) {
+        return hold ? this : new EndpointUpdate(backend, fresh, location, cell, state, started, 1, lot, used);
     }
 
     /** The same with a lot, and by which share of the proxies it is used. */
-    public Listed drawn(double lot, double used) {
-        return new Listed(backend, fresh, location, cell, state, started, size, lot, used);
+    public EndpointUpdate drawn(double lot, double used) {
+        return new EndpointUpdate(backend, fresh, location, cell, state, started, size, lot, used);
     }
 
     /** The same told again. */
-    public Listed again() {
-        return new Listed(backend, false, location, cell, state, started, size, lot, used);
+    public EndpointUpdate again() {
+        return new EndpointUpdate(backend, false, location, cell, state, started, size, lot, used);
     }
 
     public enum State { READY, DRAINING, GONE }
--- a/src/main/java/lemondrift/model/Exchange.java
+++ b/src/main/java/lemondrift/model/Request.java
@@ -1,7 +1,7 @@
 package lemondrift.model;
 
 /** One exchange a proxy has taken and owes an answer. The fields below are the decisions' own notes on it. */
-public final class Exchange {
+public final class Request {
     public final long id;
     public final int grade;
     public final int tenant;
@@ -10,13 +10,13 @@
     /** Its client has said that this is not its first try. */
     public final boolean retry;
     /** What it came under; set by whoever read it, or when it arrives. */
-    public Terms terms;
+    public RequestTerms terms;
     public boolean over;
     public boolean begun;
     public int forwards;
     public int out;
-    public Forward mayHaveRun;
-    public Forward latest;
+    public Attempt mayHaveRun;
+    public Attempt latest;
     public double contract;
     /** The least estimated backend, the asked on its behalf, until when it is kept, and how often each. */
     public int best;
@@ -24,13 +24,13 @@
     public double keptUntil;
     public int asks, draws;
     /** Why it was rejected or failed; null where it was not. */
-    public Ending ending;
+    public FailureReason ending;
 
-    public Exchange(long id, int grade, int tenant, double arrived, double timeLeft) {
+    public Request(long id, int grade, int tenant, double arrived, double timeLeft) {
         this(id, grade, tenant, arrived, timeLeft, false);
     }
 
-    public Exchange(long id, int grade, int tenant, double arrived, double timeLeft, boolean retry) {
+    public Request(long id, int grade, int tenant, double arrived, double timeLeft, boolean retry) {
         this.id = id;
         this.grade = grade;
         this.tenant = tenant;
--- a/src/main/java/lemondrift/model/Settings.java
+++ b/src/main/java/lemondrift/model/Settings.java
@@ -10,17 +10,17 @@
  * its index stands for none any more.
  */
 public record Settings(int balancers, int locations, int location, boolean listOnRequest,
-        List<ServiceGrade> grades, double[] tenantQuota, double excessBenefit, boolean marksRetries,
+        List<RequestClass> grades, double[] tenantQuota, double excessBenefit, boolean marksRetries,
         Reports reports, Limits limits, Rules rules, Charges charges, boolean sizes) {
 
     /** The grades that are stated now. */
-    public Stream<ServiceGrade> live() {
+    public Stream<RequestClass> live() {
         return grades.stream().filter(Objects::nonNull);
     }
 
     /** The window of the design page, which is the shortest contract time. */
     public double window() {
-        return live().mapToDouble(ServiceGrade::contractTime).min().orElse(1);
+        return live().mapToDouble(RequestClass::contractTime).min().orElse(1);
     }
 
     /** What a probe costs, as a share of an exchange; infinite where none is allowed. */
@@ -29,21 +29,21 @@
     }
 
     public DoubleStream benefits() {
-        return live().mapToDouble(ServiceGrade::benefit);
+        return live().mapToDouble(RequestClass::benefit);
     }
 
     /** A grade's benefit as a share of the most that one is stated to have. */
-    public double rank(ServiceGrade grade) {
+    public double rank(RequestClass grade) {
         return grade.benefit() / benefits().max().orElse(1);
     }
 
     /** What an exchange of a grade comes under now. */
-    public Terms terms(int grade) {
-        return new Terms(grades.get(grade), limits.forwards);
+    public RequestTerms terms(int grade) {
+        return new RequestTerms(grades.get(grade), limits.forwards);
     }
 
     /** What another statement changes of this one while it holds, with grades under these indexes. */
-    public Settings retuned(Settings to, List<ServiceGrade> indexed) {
+    public Settings retuned(Settings to, List<RequestClass> indexed) {
         return new Settings(to.balancers, locations, location, listOnRequest, indexed, tenantQuota,
                 to.excessBenefit, to.marksRetries, reports, to.limits, to.rules, to.charges, sizes);
     }
@@ -62,7 +62,7 @@
 
     /** The same where lists tell no sizes that hold. */
     public Settings(int balancers, int locations, int location, boolean listOnRequest,
-            List<ServiceGrade> grades, double[] tenantQuota, double excessBenefit, boolean marksRetries,
+            List<RequestClass> grades, double[] tenantQuota, double excessBenefit, boolean marksRetries,
             Reports reports, Limits limits, Rules rules, Charges charges) {
         this(balancers, locations, location, listOnRequest, grades, tenantQuota, excessBenefit, marksRetries,
                 reports, limits, rules, charges, false);
--- a/src/main/java/lemondrift/recovery/Pace.java
+++ b/src/main/java/lemondrift/recovery/PeerPollBackoff.java
@@ -9,13 +9,13 @@
  * @param fanout how many it asks at a time
  * @param enough own answers by which it knows for itself
  */
-public record Pace(double ask, double bound, double forget, int fanout, int enough) {
+public record PeerPollBackoff(double ask, double bound, double forget, int fanout, int enough) {
     /** The usual one where the shortest contract time is so many seconds. */
-    public static Pace of(double window) {
-        return new Pace(0.1 * window, window, 8 * window, 6, 8);
+    public static PeerPollBackoff of(double window) {
+        return new PeerPollBackoff(0.1 * window, window, 8 * window, 6, 8);
     }
 
-    public Pace {
+    public PeerPollBackoff {
         if (!(ask > 0) || !(bound > 0) || !(forget >= bound) || fanout < 1 || enough < 1) {
             throw new IllegalArgumentException("a pace that cannot be");
         }
--- a/src/main/java/lemondrift/recovery/Hello.java
+++ b/src/main/java/lemondrift/recovery/PeerStatus.java
@@ -14,11 +14,11 @@
  * @param answers of how many answers that is the mean, 255 at the most
  * @param settled whether the sender goes by what it has found itself
  */
-public record Hello(long start, long to, boolean asks, float up, float work, int answers, boolean settled) {
+public record PeerStatus(long start, long to, boolean asks, float up, float work, int answers, boolean settled) {
     public static final byte KIND = 3, VERSION = 1;
     private static final int LENGTH = 28, ASKS = 1, SETTLED = 2, MOST_ANSWERS = 255;
 
-    public Hello {
+    public PeerStatus {
         answers = Math.min(MOST_ANSWERS, answers);
     }
 
@@ -29,13 +29,13 @@
     }
 
     /** Null where it can't be read: cut, of another kind or version, or with figures that can't be. */
-    public static Hello of(byte[] datagram) {
+    public static PeerStatus of(byte[] datagram) {
         if (datagram.length != LENGTH || datagram[0] != KIND || datagram[1] != VERSION) {
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(datagram, 2, LENGTH - 2);
         int flags = in.get(), answers = in.get() & 0xff;
-        Hello hello = new Hello(in.getLong(), in.getLong(), (flags & ASKS) != 0, in.getFloat(), in.getFloat(),
+        PeerStatus hello = new PeerStatus(in.getLong(), in.getLong(), (flags & ASKS) != 0, in.getFloat(), in.getFloat(),
                 answers, (flags & SETTLED) != 0);
         boolean can = hello.start > 0 && hello.up >= 0 && hello.up < Float.POSITIVE_INFINITY
                 && (answers == 0 ? hello.work == 0 : hello.work > 0 && hello.work < Float.POSITIVE_INFINITY);
--- a/src/main/java/lemondrift/recovery/Standing.java
+++ b/src/main/java/lemondrift/recovery/RecoveryPhase.java
@@ -1,7 +1,7 @@
 package lemondrift.recovery;
 
 /** What a proxy that has started is among the others of its bank, as far as they have answered. */
-public enum Standing {
+public enum RecoveryPhase {
     /** Nobody has answered yet, and it is too early to say that nobody will. */
     UNKNOWN,
     /** The others were there before, and can be learned from. */
--- a/src/main/java/lemondrift/recovery/Recovery.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -23,29 +23,29 @@
  * @param asked how often it has asked
  * @param askAt when it asks next
  */
-public record Recovery(Pace pace, int self, int proxies, long start, double began, double work, int answers,
-        SortedMap<Integer, Heard> heard, Standing standing, int asked, double askAt) {
+public record RecoveryState(PeerPollBackoff pace, int self, int proxies, long start, double began, double work, int answers,
+        SortedMap<Integer, PeerObservation> heard, RecoveryPhase standing, int asked, double askAt) {
     /** Of those that answer, one in so many may be new and this one still counts as alone in that. */
     private static final int FEW = 4;
     /** As how many answers those of one other proxy count at the most. */
     private static final int MOST_OF_ONE = 8;
 
     /** What goes to another proxy. */
-    public record Sent(int to, Hello hello) {}
+    public record Sent(int to, PeerStatus hello) {}
 
     /** What comes of an event; whether another proxy was heard to have started anew. */
-    public record Step(Recovery next, List<Sent> sent, boolean anew) {}
+    public record Step(RecoveryState next, List<Sent> sent, boolean anew) {}
 
     /** What others have found the work of an exchange to be, from so many answers. */
     public record Lesson(double work, int answers) {}
 
-    public static Recovery begins(Pace pace, int self, int proxies, long start, double now) {
-        return new Recovery(pace, self, proxies, start, now, 0, 0, Collections.emptySortedMap(),
-                Standing.UNKNOWN, 0, now);
+    public static RecoveryState begins(PeerPollBackoff pace, int self, int proxies, long start, double now) {
+        return new RecoveryState(pace, self, proxies, start, now, 0, 0, Collections.emptySortedMap(),
+                RecoveryPhase.UNKNOWN, 0, now);
     }
 
-    private Recovery with(SortedMap<Integer, Heard> heard, Standing standing, int asked, double askAt) {
-        return new Recovery(pace, self, proxies, start, began, work, answers, heard, standing, asked, askAt);
+    private RecoveryState with(SortedMap<Integer, PeerObservation> heard, RecoveryPhase standing, int asked, double askAt) {
+        return new RecoveryState(pace, self, proxies, start, began, work, answers, heard, standing, asked, askAt);
     }
 
     /** Whether it has found enough to go by that, and asks nobody any more. */
@@ -54,8 +54,8 @@
     }
 
     /** Its own answers show this mean work of an exchange. */
-    public Recovery found(double work, int answers) {
-        return isSettled() ? this : new Recovery(pace, self, proxies, start, began, work, answers, heard,
+    public RecoveryState found(double work, int answers) {
+        return isSettled() ? this : new RecoveryState(pace, self, proxies, start, began, work, answers, heard,
                 standing, asked, answers >= pace.enough() ? Double.POSITIVE_INFINITY : askAt);
     }
 
@@ -63,18 +63,18 @@
      * Another proxy's word has come. Danger: datagrams come late, twice and out of order, also from before
      * one of both has started again; what an earlier self has said, or was meant for one, changes nothing.
      */
-    public Step heard(int from, Hello hello, double now) {
-        Heard before = heard.get(from);
+    public Step heard(int from, PeerStatus hello, double now) {
+        PeerObservation before = heard.get(from);
         boolean known = before != null && now - before.at() <= pace.forget();
         // Danger: a wall clock that went back gives a lower start number; silence makes room for it.
         if (from == self || from < 0 || from >= proxies || hello.to() != 0 && hello.to() != start
                 || known && before.isAfter(hello)) {
             return new Step(this, List.of(), false);
         }
-        SortedMap<Integer, Heard> all = new TreeMap<>(heard);
-        all.put(from, new Heard(hello, now));
+        SortedMap<Integer, PeerObservation> all = new TreeMap<>(heard);
+        all.put(from, new PeerObservation(hello, now));
         boolean anew = before == null ? hello.up() <= pace.forget() : before.hello().start() != hello.start();
-        Recovery next = with(all, standing, asked, askAt).judged(now);
+        RecoveryState next = with(all, standing, asked, askAt).judged(now);
         return new Step(next, hello.asks() ? List.of(new Sent(from, next.says(hello.start(), false, now)))
                 : List.of(), anew);
     }
@@ -87,7 +87,7 @@
         List<Sent> sent = new ArrayList<>();
         for (int i = 0; i < Math.min(pace.fanout(), proxies - 1); i++) {
             int to = (self + 1 + (asked * pace.fanout() + i) % (proxies - 1)) % proxies;
-            Heard its = heard.get(to);
+            PeerObservation its = heard.get(to);
             boolean known = its != null && now - its.at() <= pace.forget();
             sent.add(new Sent(to, says(known ? its.hello().start() : 0, true, now)));
         }
@@ -100,25 +100,25 @@
         return isSettled() ? Double.POSITIVE_INFINITY : askAt;
     }
 
-    private Hello says(long to, boolean asks, double now) {
-        return new Hello(start, to, asks, (float) (now - began), (float) work, answers, isSettled());
+    private PeerStatus says(long to, boolean asks, double now) {
+        return new PeerStatus(start, to, asks, (float) (now - began), (float) work, answers, isSettled());
     }
 
     /** What was heard lately enough to count. */
-    private Stream<Hello> lately(double now) {
-        return heard.values().stream().filter(each -> now - each.at() <= pace.forget()).map(Heard::hello);
+    private Stream<PeerStatus> lately(double now) {
+        return heard.values().stream().filter(each -> now - each.at() <= pace.forget()).map(PeerObservation::hello);
     }
 
     /** What it is among the others, by who has answered; it is corrected as long as it asks. */
-    private Recovery judged(double now) {
+    private RecoveryState judged(double now) {
         if (isSettled()) {
             return this;
         }
-        long all = lately(now).count(), settled = lately(now).filter(Hello::settled).count();
+        long all = lately(now).count(), settled = lately(now).filter(PeerStatus::settled).count();
         boolean early = now - began < pace.bound() && all < proxies - 1;
-        Standing its = early && settled == 0 ? Standing.UNKNOWN : all == 0 ? Standing.CUT_OFF
-                : settled == 0 ? Standing.ALL_NEW : (all - settled) * FEW <= all ? Standing.ALONE
-                : Standing.AMONG_SOME;
+        RecoveryPhase its = early && settled == 0 ? RecoveryPhase.UNKNOWN : all == 0 ? RecoveryPhase.CUT_OFF
+                : settled == 0 ? RecoveryPhase.ALL_NEW : (all - settled) * FEW <= all ? RecoveryPhase.ALONE
+                : RecoveryPhase.AMONG_SOME;
         return its == standing ? this : with(heard, its, asked, askAt);
     }
 
@@ -128,8 +128,8 @@
      * more the upper one in the middle, which no single one moves.
      */
     public Lesson lesson(double now) {
-        boolean settled = lately(now).anyMatch(Hello::settled);
-        List<Hello> all = lately(now).filter(each -> each.answers() > 0 && (!settled || each.settled()))
+        boolean settled = lately(now).anyMatch(PeerStatus::settled);
+        List<PeerStatus> all = lately(now).filter(each -> each.answers() > 0 && (!settled || each.settled()))
                 .sorted((a, b) -> Float.compare(a.work(), b.work())).toList();
         return all.isEmpty() ? null : new Lesson(all.get(all.size() / 2).work(), all.stream()
                 .mapToInt(each -> Math.min(MOST_OF_ONE, each.answers())).sum());
--- a/src/main/java/lemondrift/serve/QueuedLog.java
+++ b/src/main/java/lemondrift/serve/AsyncLog.java
@@ -14,7 +14,7 @@
  * Writes lines of the log on a thread of its own, so that whoever reads them slowly, or not at all, holds up
  * nobody who owes an answer. What there is no room for is left out and counted.
  */
-final class QueuedLog extends OutputStream {
+final class AsyncLog extends OutputStream {
     /** Lines that wait at the most. */
     private static final int ROOM = 1024;
 
@@ -24,7 +24,7 @@
     private final AtomicLong leftOut = new AtomicLong();
     private volatile boolean writing;
 
-    QueuedLog(OutputStream to) {
+    AsyncLog(OutputStream to) {
         this.to = to;
         Thread writer = new Thread(this::run, "log");
         writer.setDaemon(true);
@@ -32,8 +32,8 @@
     }
 
     /** Has the log's lines go through one from now on. */
-    static QueuedLog ofStandardError() {
-        QueuedLog log = new QueuedLog(System.err);
+    static AsyncLog ofStandardError() {
+        AsyncLog log = new AsyncLog(System.err);
         System.setErr(new PrintStream(log, true));
         return log;
     }
--- a/src/main/java/lemondrift/serve/Call.java
+++ b/src/main/java/lemondrift/serve/BackendCall.java
@@ -18,9 +18,9 @@
  * One request on one connection and its answer, whole, or where it is long its beginning and then piece by
  * piece as it is asked for. It never tries again by itself. I/O thread only.
  */
-final class Call implements Pieces {
+final class BackendCall implements BodyChunks {
     /** What is to be sent; the upload, if any, follows in place of a body. */
-    record Request(Head head, byte[] body, Upload upload) {
+    record Request(Head head, byte[] body, RequestBody upload) {
         Request(byte[] head) {
             this(left -> head, new byte[0], null);
         }
@@ -31,23 +31,23 @@
         byte[] within(double seconds);
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Call.class);
+    private static final Logger LOG = LoggerFactory.getLogger(BackendCall.class);
     /** Stands for a head that is not made yet; it is never written. */
     private static final ByteBuffer UNWRITTEN = ByteBuffer.allocate(1).asReadOnlyBuffer();
 
-    private final Links links;
+    private final ConnectionPool links;
     private final Head head;
     /** The head, once it can be written, and the body. */
     private final ByteBuffer[] request;
-    private final Upload upload;
-    private Relay uploading;
+    private final RequestBody upload;
+    private BodyRelay uploading;
     private boolean uploaded;
-    private final AnswerReader reader;
-    private final Consumer<Answer> end;
+    private final ResponseReader reader;
+    private final Consumer<BackendResponse> end;
     private final Runnable written;
     /** Whether anybody waits for its answer. */
     private BooleanSupplier wanted = () -> true;
-    private Links.Link link;
+    private ConnectionPool.Link link;
     private IoFuture<StreamConnection> connect;
     private XnioExecutor.Key connectTimer, timer, passTimer;
     private boolean done;
@@ -56,13 +56,13 @@
     private Runnable more;
     private double within = Double.POSITIVE_INFINITY, endless, began;
 
-    private Call(Links links, Request request, int most, boolean mayPass, Runnable written,
-            Consumer<Answer> end) {
+    private BackendCall(ConnectionPool links, Request request, int most, boolean mayPass, Runnable written,
+            Consumer<BackendResponse> end) {
         this.links = links;
         head = request.head;
         this.request = new ByteBuffer[] {UNWRITTEN, ByteBuffer.wrap(request.body)};
         upload = request.upload;
-        this.reader = new AnswerReader(most, mayPass);
+        this.reader = new ResponseReader(most, mayPass);
         this.written = written;
         this.end = end;
     }
@@ -70,9 +70,9 @@
     /**
      * A call to be started; end hears of its answer once, not after abandon. Null if there is no room.
      */
-    static Call make(Links links, byte[] request, int most, double connectTimeout, double within,
-            Consumer<Answer> end) {
-        Call call = new Call(links, new Request(request), most, false, () -> { }, end);
+    static BackendCall make(ConnectionPool links, byte[] request, int most, double connectTimeout, double within,
+            Consumer<BackendResponse> end) {
+        BackendCall call = new BackendCall(links, new Request(request), most, false, () -> { }, end);
         return make(links, call, connectTimeout, within);
     }
 
@@ -82,16 +82,16 @@
      * request is an upload that takes its time, both spans count from then on. Nothing more of the request is
      * sent once it is not wanted or its time is over.
      */
-    static Call passing(Links links, Request request, int most, double connectTimeout, double within,
-            double endless, BooleanSupplier wanted, Runnable written, Consumer<Answer> end) {
-        Call call = new Call(links, request, most, true, written, end);
+    static BackendCall passing(ConnectionPool links, Request request, int most, double connectTimeout, double within,
+            double endless, BooleanSupplier wanted, Runnable written, Consumer<BackendResponse> end) {
+        BackendCall call = new BackendCall(links, request, most, true, written, end);
         call.within = within;
         call.wanted = wanted;
         call.endless = endless;
         return make(links, call, connectTimeout, within);
     }
 
-    private static Call make(Links links, Call call, double connectTimeout, double within) {
+    private static BackendCall make(ConnectionPool links, BackendCall call, double connectTimeout, double within) {
         call.link = links.rested();
         if (call.link == null && !links.reserve()) {
             call.link = links.idle();
@@ -205,8 +205,8 @@
             }
         });
         // Danger: a backend that takes nothing would keep its client for ever. The giver is the door's.
-        uploading = new Relay(upload, link.connection.getSinkChannel(), links.io,
-                new Relay.Patience(0, upload.stall), () -> { }, whole -> {
+        uploading = new BodyRelay(upload, link.connection.getSinkChannel(), links.io,
+                new BodyRelay.Patience(0, upload.stall), () -> { }, whole -> {
                     if (!whole) {
                         broken(false);
                         return;
@@ -359,14 +359,14 @@
         if (!done) {
             abandon();
             // Danger: once the last byte is handed to the kernel it may have run, whatever is seen after.
-            end.accept(Answer.broken(isSent(), timedOut));
+            end.accept(BackendResponse.broken(isSent(), timedOut));
         }
     }
 
     private void unsent() {
         if (!done) {
             abandon();
-            end.accept(Answer.unsent());
+            end.accept(BackendResponse.unsent());
         }
     }
 
--- a/src/main/java/lemondrift/serve/Backends.java
+++ b/src/main/java/lemondrift/serve/BackendClient.java
@@ -16,17 +16,17 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import lemondrift.model.Forward;
-import lemondrift.model.Outcome;
-import lemondrift.tally.Tally;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.metrics.ProxyMetrics;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
 /** Forwards, probes and load reports over bounded pools of connections. I/O thread only. */
-final class Backends {
-    private static final Logger LOG = LoggerFactory.getLogger(Backends.class);
+final class BackendClient {
+    private static final Logger LOG = LoggerFactory.getLogger(BackendClient.class);
     static final HttpString EXPIRES = new HttpString("X-Expires-In-Ms");
     private static final HttpString LOAD = new HttpString("Endpoint-Load-Metrics");
     private static final HttpString NEVER_RAN = new HttpString("X-Never-Ran");
@@ -46,22 +46,22 @@
     /** No figure of a load report can be as high. */
     private static final double UNHEARD_OF = 1e9;
 
-    private final Config config;
-    private final Clock clock;
+    private final ProxyConfig config;
+    private final MonotonicClock clock;
     private final XnioIoThread io;
-    private final Dial dial;
+    private final BackendConnector dial;
     private final ByteBufferPool buffers;
-    private final Owner owner;
-    private final Tally tally;
-    private final Predicate<Taken> awaited;
-    private final Links.Budget budget;
+    private final DecisionLoop owner;
+    private final ProxyMetrics tally;
+    private final Predicate<PendingRequest> awaited;
+    private final ConnectionPool.Budget budget;
     private final XnioExecutor.Key sweep;
-    private final Map<Integer, Links> links = new HashMap<>();
-    private final Map<Forward, Call> calls = new HashMap<>();
+    private final Map<Integer, ConnectionPool> links = new HashMap<>();
+    private final Map<Attempt, BackendCall> calls = new HashMap<>();
 
     /** Awaited says whether the client of an exchange is there and has no answer yet. */
-    Backends(Config config, Clock clock, XnioIoThread io, Dial dial, ByteBufferPool buffers, Owner owner,
-            Tally tally, Predicate<Taken> awaited) {
+    BackendClient(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers, DecisionLoop owner,
+            ProxyMetrics tally, Predicate<PendingRequest> awaited) {
         this.awaited = awaited;
         this.config = config;
         this.clock = clock;
@@ -70,32 +70,32 @@
         this.buffers = buffers;
         this.owner = owner;
         this.tally = tally;
-        budget = new Links.Budget((int) (SHARE * config.connections()));
+        budget = new ConnectionPool.Budget((int) (SHARE * config.connections()));
         double limit = IDLE_SHARE * config.idle();
         sweep = io.executeAtInterval(() -> links.values().forEach(l -> l.closeIdleSince(clock.now() - limit)),
                 (long) (limit * 1e9 / 8), TimeUnit.NANOSECONDS);
     }
 
-    void send(Forward f, Taken taken, InetSocketAddress to) {
+    void send(Attempt f, PendingRequest taken, InetSocketAddress to) {
         try {
             begin(f, taken, to);
         } catch (RuntimeException e) {
             // Danger: a forward that never ends would keep its exchange until the expiry.
             LOG.error("forward not begun", e);
-            owner.ended(f, Outcome.MOOT, 0, null, null);
+            owner.ended(f, AttemptOutcome.MOOT, 0, null, null);
         }
     }
 
-    private void begin(Forward f, Taken taken, InetSocketAddress to) {
+    private void begin(Attempt f, PendingRequest taken, InetSocketAddress to) {
         // The time that passed in the queues is the exchange's own.
-        Upload upload = taken.upload();
+        RequestBody upload = taken.upload();
         double within = upload == null ? f.sent + f.timeOut - clock.now() : upload.within;
         if (upload != null && !upload.restart()) {
-            owner.ended(f, Outcome.MOOT, 0, null, null);
+            owner.ended(f, AttemptOutcome.MOOT, 0, null, null);
             return;
         }
-        Call[] made = new Call[1];
-        Call call = Call.passing(links(f.backend, to), request(taken), MOST_BODY,
+        BackendCall[] made = new BackendCall[1];
+        BackendCall call = BackendCall.passing(links(f.backend, to), request(taken), MOST_BODY,
                 config.connectTimeout(), within, PATIENCE * within, () -> awaited.test(taken),
                 tally::dispatched, answer -> {
                     calls.remove(f);
@@ -105,7 +105,7 @@
                 });
         made[0] = call;
         if (call == null) {
-            owner.ended(f, Outcome.MOOT, 0, null, null);
+            owner.ended(f, AttemptOutcome.MOOT, 0, null, null);
         } else {
             calls.put(f, call);
             call.start();
@@ -113,13 +113,13 @@
     }
 
     /** The request as it came, but for what belongs to one connection and the time there is for it. */
-    private static Call.Request request(Taken taken) {
-        Upload upload = taken.upload();
-        Call.Head head = upload == null ? left -> head(taken, left) : left -> head(taken, upload.within);
-        return new Call.Request(head, taken.body(), upload);
+    private static BackendCall.Request request(PendingRequest taken) {
+        RequestBody upload = taken.upload();
+        BackendCall.Head head = upload == null ? left -> head(taken, left) : left -> head(taken, upload.within);
+        return new BackendCall.Request(head, taken.body(), upload);
     }
 
-    private static byte[] head(Taken taken, double left) {
+    private static byte[] head(PendingRequest taken, double left) {
         HttpServerExchange client = taken.client();
         String query = client.getQueryString();
         StringBuilder head = new StringBuilder(256).append(client.getRequestMethod()).append(' ')
@@ -141,23 +141,23 @@
         return head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    void cancel(Forward f) {
-        Call call = calls.remove(f);
+    void cancel(Attempt f) {
+        BackendCall call = calls.remove(f);
         if (call != null) {
             call.abandon();
-            owner.ended(f, Outcome.CANCELLED, clock.now() - f.sent, null, null);
+            owner.ended(f, AttemptOutcome.CANCELLED, clock.now() - f.sent, null, null);
         }
     }
 
     /** A probe waits as long as a connect may. */
     void probe(int backend, InetSocketAddress to) {
         String path = config.reportNames().isEmpty() ? "/healthz" : "/load";
-        Call call = Call.make(links(backend, to), Call.get(path, "backend"), MOST_BODY,
+        BackendCall call = BackendCall.make(links(backend, to), BackendCall.get(path, "backend"), MOST_BODY,
                 config.connectTimeout(), config.connectTimeout(), answer -> owner.probed(backend,
                         outcome(answer), report(new String(answer.body(), StandardCharsets.ISO_8859_1),
                                 config.reportNames())));
         if (call == null) {
-            owner.probed(backend, Outcome.MOOT, null);
+            owner.probed(backend, AttemptOutcome.MOOT, null);
         } else {
             call.start();
         }
@@ -169,7 +169,7 @@
     }
 
     void letGo(int backend) {
-        Links known = links.remove(backend);
+        ConnectionPool known = links.remove(backend);
         if (known != null) {
             known.retire();
         }
@@ -184,13 +184,13 @@
         sweep.remove();
     }
 
-    private Links links(int backend, InetSocketAddress to) {
-        Links known = links.get(backend);
+    private ConnectionPool links(int backend, InetSocketAddress to) {
+        ConnectionPool known = links.get(backend);
         if (known == null || !known.address.equals(to)) {
             letGo(backend);
             int most = (int) (MOST_OF_THEM * SHARE * config.connections());
-            known = new Links(to, io, dial, buffers, clock, budget, most,
-                    new Links.Rest(REST_SHARE * config.connectTimeout(), config.idle()));
+            known = new ConnectionPool(to, io, dial, buffers, clock, budget, most,
+                    new ConnectionPool.Rest(REST_SHARE * config.connectTimeout(), config.idle()));
             links.put(backend, known);
         }
         return known;
@@ -205,20 +205,20 @@
         }
     }
 
-    static Outcome outcome(Answer answer) {
+    static AttemptOutcome outcome(BackendResponse answer) {
         boolean neverRan = "1".equals(answer.headers().getFirst(NEVER_RAN));
         return switch (answer.status()) {
-            case Answer.UNSENT -> Outcome.MOOT;
-            case 0 -> !answer.sent() ? Outcome.CONNECT_FAILED
-                    : answer.timedOut() ? Outcome.TIMED_OUT : Outcome.RESET;
-            case Answer.OK -> Outcome.DELIVERED;
-            case 503, 504 -> neverRan ? Outcome.FULL : Outcome.ERROR;
-            default -> Outcome.ERROR;
+            case BackendResponse.UNSENT -> AttemptOutcome.MOOT;
+            case 0 -> !answer.sent() ? AttemptOutcome.CONNECT_FAILED
+                    : answer.timedOut() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.RESET;
+            case BackendResponse.OK -> AttemptOutcome.DELIVERED;
+            case 503, 504 -> neverRan ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
+            default -> AttemptOutcome.ERROR;
         };
     }
 
     /** Danger: of two reports it is not known which is meant. */
-    private double[] report(Answer answer) {
+    private double[] report(BackendResponse answer) {
         return answer.headers().count(LOAD) != 1 ? null
                 : report(answer.headers().getFirst(LOAD), config.reportNames());
     }
--- a/src/main/java/lemondrift/serve/Dial.java
+++ b/src/main/java/lemondrift/serve/BackendConnector.java
@@ -6,6 +6,6 @@
 import org.xnio.StreamConnection;
 
 /** Opens connections to backends. */
-interface Dial {
+interface BackendConnector {
     IoFuture<StreamConnection> open(InetSocketAddress to, ChannelListener<StreamConnection> opened);
 }
--- a/src/main/java/lemondrift/serve/Directory.java
+++ b/src/main/java/lemondrift/serve/BackendDirectory.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import lemondrift.model.Listed;
+import lemondrift.model.EndpointUpdate;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -16,8 +16,8 @@
  * Backends' ids, which end here, their dense indexes, and where this proxy reaches each. What one line of a
  * list costs does not go with the number of backends.
  */
-final class Directory {
-    private static final Logger LOG = LoggerFactory.getLogger(Directory.class);
+final class BackendDirectory {
+    private static final Logger LOG = LoggerFactory.getLogger(BackendDirectory.class);
 
     /** What one index stands for. */
     private static final class Entry {
@@ -26,7 +26,7 @@
         private InetSocketAddress address;
         private boolean gone, moved, logged;
         /** The last that was read of it. */
-        private Listed line;
+        private EndpointUpdate line;
         private int held, location, cell;
         /** The number of the list that has named it last. */
         private int namedBy;
@@ -45,7 +45,7 @@
     private final TreeSet<Integer> free = new TreeSet<>();
     private int listed, held, lists;
 
-    Directory(List<String> locations) {
+    BackendDirectory(List<String> locations) {
         this.locations = locations;
     }
 
@@ -113,30 +113,30 @@
     }
 
     /** A list of a number names a backend; whether that says anything new of it. */
-    boolean names(int list, MemberList.Member member) {
+    boolean names(int list, EndpointList.Member member) {
         Entry entry = byId.get(member.id());
         if (entry == null) {
             // One that was never here and is gone already is nobody.
-            return member.isReadable() && member.state() != Listed.State.GONE;
+            return member.isReadable() && member.state() != EndpointUpdate.State.GONE;
         }
         entry.namedBy = list;
         return member.isReadable() && !says(entry, member);
     }
 
     /** Whether all that a line says is known. */
-    private boolean says(Entry entry, MemberList.Member member) {
+    private boolean says(Entry entry, EndpointList.Member member) {
         return entry.line != null && entry.line.state() == member.state()
                 && (member.address() == null || member.address().equals(entry.address))
                 && location(entry, member) == entry.location && cell(entry, member) == entry.cell
                 && entry.line.started() == member.started() && entry.line.size() == member.size();
     }
 
-    private int location(Entry entry, MemberList.Member member) {
+    private int location(Entry entry, EndpointList.Member member) {
         return member.locality() == null ? entry.location
                 : Math.max(0, locations.indexOf(member.locality()));
     }
 
-    private static int cell(Entry entry, MemberList.Member member) {
+    private static int cell(Entry entry, EndpointList.Member member) {
         return member.cell() == null ? entry.cell : member.cell();
     }
 
@@ -147,16 +147,16 @@
     }
 
     /** The line of a backend that has gone without a word. */
-    Listed withdrawn(int backend) {
+    EndpointUpdate withdrawn(int backend) {
         return gone(entries.get(backend));
     }
 
     /** Follows what a line says, and adds what the decisions are to hear of it. */
-    void follow(MemberList.Member member, List<Listed> lines) {
+    void follow(EndpointList.Member member, List<EndpointUpdate> lines) {
         Entry entry = byId.get(member.id());
         boolean fresh = entry == null;
         if (fresh) {
-            if (member.state() == Listed.State.READY) {
+            if (member.state() == EndpointUpdate.State.READY) {
                 // Danger: what is sent to one that was here before would reach this one under its name.
                 for (Entry former : List.copyOf(byAddress.getOrDefault(member.address(), Set.of()))) {
                     lines.add(gone(former));
@@ -166,18 +166,18 @@
         }
         entry.namedBy = lists;
         entry.moved |= !fresh && member.address() != null && !member.address().equals(entry.address);
-        settle(entry, member.state() == Listed.State.GONE,
+        settle(entry, member.state() == EndpointUpdate.State.GONE,
                 member.address() != null ? member.address() : entry.address);
         entry.location = location(entry, member);
         entry.cell = cell(entry, member);
-        entry.line = new Listed(entry.index, fresh, entry.location, entry.cell, member.state(),
+        entry.line = new EndpointUpdate(entry.index, fresh, entry.location, entry.cell, member.state(),
                 member.started(), member.size());
         lines.add(entry.line);
     }
 
-    private Listed gone(Entry entry) {
+    private EndpointUpdate gone(Entry entry) {
         settle(entry, true, entry.address);
-        entry.line = new Listed(entry.index, false, entry.location, entry.cell, Listed.State.GONE, 0);
+        entry.line = new EndpointUpdate(entry.index, false, entry.location, entry.cell, EndpointUpdate.State.GONE, 0);
         return entry.line;
     }
 
--- a/src/main/java/lemondrift/serve/Answer.java
+++ b/src/main/java/lemondrift/serve/BackendResponse.java
@@ -6,17 +6,17 @@
  * What came back on a call; status 0 where the connection failed before the answer was whole. Where it is
  * passed on, the body is its beginning and the rest is whoever has what follows, else null.
  */
-record Answer(int status, HeaderMap headers, byte[] body, boolean sent, boolean timedOut, Call rest) {
+record BackendResponse(int status, HeaderMap headers, byte[] body, boolean sent, boolean timedOut, BackendCall rest) {
     static final int OK = 200;
 
     /** Given up before all of its request was sent, through no fault of its backend. */
     static final int UNSENT = -1;
 
-    static Answer unsent() {
-        return new Answer(UNSENT, new HeaderMap(), new byte[0], false, false, null);
+    static BackendResponse unsent() {
+        return new BackendResponse(UNSENT, new HeaderMap(), new byte[0], false, false, null);
     }
 
-    static Answer broken(boolean sent, boolean timedOut) {
-        return new Answer(0, new HeaderMap(), new byte[0], sent, timedOut, null);
+    static BackendResponse broken(boolean sent, boolean timedOut) {
+        return new BackendResponse(0, new HeaderMap(), new byte[0], sent, timedOut, null);
     }
 }
--- a/src/main/java/lemondrift/serve/Pieces.java
+++ b/src/main/java/lemondrift/serve/BodyChunks.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 
 /** A body that comes piece by piece. */
-interface Pieces {
+interface BodyChunks {
     /** The next one; null where it has to come first, or all have come. */
     ByteBuffer next() throws IOException;
 
--- a/src/main/java/lemondrift/serve/Relay.java
+++ b/src/main/java/lemondrift/serve/BodyRelay.java
@@ -12,14 +12,14 @@
  * Passes a body on as it comes: nothing is read of one side while the other does not take, so that no more
  * than one buffer is held. I/O thread only.
  */
-final class Relay {
+final class BodyRelay {
     /** How many seconds either side may stand still; 0 where somebody else looks after it. */
     record Patience(double giver, double taker) {}
 
     /** Pieces in a row. Danger: one quick pair would keep all others from the I/O thread. */
     private static final int AT_A_TIME = 16;
 
-    private final Pieces from;
+    private final BodyChunks from;
     private final StreamSinkChannel to;
     private final XnioIoThread io;
     private final Patience patience;
@@ -30,7 +30,7 @@
     private boolean over;
 
     /** Offered hears of each piece, end once whether all was passed on; neither does after stop. */
-    Relay(Pieces from, StreamSinkChannel to, XnioIoThread io, Patience patience, Runnable offered,
+    BodyRelay(BodyChunks from, StreamSinkChannel to, XnioIoThread io, Patience patience, Runnable offered,
             Consumer<Boolean> end) {
         this.from = from;
         this.to = to;
--- a/src/main/java/lemondrift/serve/Visitors.java
+++ b/src/main/java/lemondrift/serve/ClientConnections.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import lemondrift.door.Bounds;
-import lemondrift.door.Door;
-import lemondrift.door.Reason;
-import lemondrift.model.Exchange;
-import lemondrift.tally.Tally;
+import lemondrift.connection.CloseReason;
+import lemondrift.connection.ConnectionLimits;
+import lemondrift.connection.ConnectionPolicy;
+import lemondrift.model.Request;
+import lemondrift.metrics.ProxyMetrics;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.ChannelListener;
@@ -33,8 +33,8 @@
  * Clients' connections as sockets: tells the door what happens on them and does what it says. I/O thread
  * only.
  */
-final class Visitors implements Door.Hands {
-    private static final Logger LOG = LoggerFactory.getLogger(Visitors.class);
+final class ClientConnections implements ConnectionPolicy.Hands {
+    private static final Logger LOG = LoggerFactory.getLogger(ClientConnections.class);
     /** How often the door is looked after while it drains, for each time that it asks for. */
     private static final int DRAINING_SWEEPS = 4;
     /** Seconds after its expiry after which a request is answered here if the decisions have not done so. */
@@ -47,10 +47,10 @@
         /** The answer that is passed on to it, and how that is ended; null where none is. */
         Runnable passing;
         /** The request's body that is read of it; null where none is. */
-        Upload upload;
+        RequestBody upload;
         private boolean whole;
         /** What is open on it, if anything, and under which id. */
-        Exchange exchange;
+        Request exchange;
         /** Answers it when it is overdue; null where nothing is open that has come whole. */
         Runnable answersOverdue;
         private String trace;
@@ -134,7 +134,7 @@
         }
 
         /** False where another exchange of this id is open. Its request need not have come whole. */
-        boolean began(String id, Exchange x) {
+        boolean began(String id, Request x) {
             // Danger: two under one id could not be told apart by the backends.
             if (!traces.add(id)) {
                 return false;
@@ -194,8 +194,8 @@
             ended();
         }
 
-        private Exchange ended() {
-            Exchange x = exchange;
+        private Request ended() {
+            Request x = exchange;
             traces.remove(trace);
             if (whole) {
                 tally.ended();
@@ -227,27 +227,27 @@
         }
     }
 
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final XnioIoThread io;
-    private final Door door;
+    private final ConnectionPolicy door;
     private final double sweep;
     private final int places;
-    private final Tally tally;
+    private final ProxyMetrics tally;
     private final Visitor[] byIndex;
     private final Map<StreamConnection, Visitor> all = new HashMap<>();
     private final Set<String> traces = new HashSet<>();
     /** Told of an exchange whose client has gone. */
-    private final Consumer<Exchange> left;
+    private final Consumer<Request> left;
     private XnioExecutor.Key sweeping;
     private boolean makingRoom, stopped;
     private double toldAt = Double.NEGATIVE_INFINITY;
 
-    Visitors(Clock clock, XnioIoThread io, Bounds bounds, long seed, Tally tally, Consumer<Exchange> left) {
+    ClientConnections(MonotonicClock clock, XnioIoThread io, ConnectionLimits bounds, long seed, ProxyMetrics tally, Consumer<Request> left) {
         this.tally = tally;
         this.clock = clock;
         this.io = io;
         this.left = left;
-        door = new Door(bounds, this, seed);
+        door = new ConnectionPolicy(bounds, this, seed);
         sweep = bounds.sweep();
         places = bounds.places();
         byIndex = new Visitor[door.indexes()];
@@ -377,7 +377,7 @@
         if (visitor.passing != null) {
             visitor.passing.run();
         }
-        Exchange x = visitor.ended();
+        Request x = visitor.ended();
         if (x != null) {
             left.accept(x);
         }
@@ -389,7 +389,7 @@
     }
 
     @Override
-    public void close(int i, Reason why) {
+    public void close(int i, CloseReason why) {
         Visitor visitor = byIndex[i];
         IoUtils.safeClose(visitor.connection);
         gone(visitor);
@@ -417,7 +417,7 @@
         }
         stopped = true;
         sweeping.remove();
-        if (door.ended(Reason.CROWD) + door.ended(Reason.WITH_ANSWER) > 0) {
+        if (door.ended(CloseReason.CROWD) + door.ended(CloseReason.WITH_ANSWER) > 0) {
             LOG.info("the door closes: {}", door.told());
         }
     }
--- a/src/main/java/lemondrift/serve/Front.java
+++ b/src/main/java/lemondrift/serve/ClientListener.java
@@ -26,15 +26,11 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import lemondrift.body.Holding;
-import lemondrift.door.Intake;
-import lemondrift.model.Ending;
-import lemondrift.model.Exchange;
-import lemondrift.model.Settings;
-import lemondrift.model.Terms;
-import lemondrift.model.Word;
-import lemondrift.settings.Grades;
-import lemondrift.tally.Tally;
+import lemondrift.buffer.BodyBufferBudget;
+import lemondrift.connection.RequestQueue;
+import lemondrift.model.*;
+import lemondrift.settings.RequestClassIndex;
+import lemondrift.metrics.ProxyMetrics;
 import org.xnio.ChannelListeners;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
@@ -45,7 +41,7 @@
 import org.xnio.nio.InheritedServer;
 
 /** The clients' side: takes exchanges in, answers them as told, and says when a client has gone. */
-final class Front {
+final class ClientListener {
     private static final HttpString TRACE = new HttpString("X-Trace-Id");
     private static final HttpString GRADE = new HttpString("X-Qos");
     private static final HttpString RETRY = new HttpString("X-Second-Try");
@@ -59,24 +55,24 @@
     /** An exchange's longest time in milliseconds. */
     private static final int LONGEST = 600_000;
     /** The connection that a request came on. */
-    private static final AttachmentKey<Visitors.Visitor> VISITOR
-            = AttachmentKey.create(Visitors.Visitor.class);
+    private static final AttachmentKey<ClientConnections.Visitor> VISITOR
+            = AttachmentKey.create(ClientConnections.Visitor.class);
 
-    private final Config config;
+    private final ProxyConfig config;
     private Runnable first = () -> { };
-    private final Clock clock;
-    private final Owner owner;
-    private final Tally tally;
-    private final EndingLog endings;
+    private final MonotonicClock clock;
+    private final DecisionLoop owner;
+    private final ProxyMetrics tally;
+    private final FailureLog endings;
     private final XnioWorker worker;
     private final HttpOpenListener http;
-    private final Visitors visitors;
-    private final Intake<Taken> intake;
+    private final ClientConnections visitors;
+    private final RequestQueue<PendingRequest> intake;
     private final ByteBufferPool buffers;
-    private final Holding holding;
+    private final BodyBufferBudget holding;
     /** What is stated now: which grade a name means, and what an exchange of each comes under. */
-    private Grades grades;
-    private volatile Terms[] terms;
+    private RequestClassIndex grades;
+    private volatile RequestTerms[] terms;
     private AcceptingChannel<StreamConnection> server;
     /** In its place where the process was given a socket. */
     private InheritedServer inherited;
@@ -85,30 +81,30 @@
     /** When the last answers are to be out. */
     private volatile double lastAnswers = Double.POSITIVE_INFINITY;
 
-    Front(Config config, Grades grades, Clock clock, XnioWorker worker, ByteBufferPool buffers, Owner owner,
-            Tally tally) {
+    ClientListener(ProxyConfig config, RequestClassIndex grades, MonotonicClock clock, XnioWorker worker, ByteBufferPool buffers, DecisionLoop owner,
+            ProxyMetrics tally) {
         this.config = config;
         this.clock = clock;
         this.owner = owner;
         this.worker = worker;
         this.buffers = buffers;
-        holding = new Holding(HELD, (long) (HELD_SHARE * config.memory()));
-        intake = new Intake<>(config.settings().window());
-        visitors = new Visitors(clock, worker.getIoThread(), config.door(), config.seed(), tally, this::left);
+        holding = new BodyBufferBudget(HELD, (long) (HELD_SHARE * config.memory()));
+        intake = new RequestQueue<>(config.settings().window());
+        visitors = new ClientConnections(clock, worker.getIoThread(), config.door(), config.seed(), tally, this::left);
         this.tally = tally;
-        endings = new EndingLog(tally);
+        endings = new FailureLog(tally);
         retuned(grades, config.settings());
         // Danger: with Undertow's buffer for pipelined answers one would wait for the next request's end.
         http = new HttpOpenListener(buffers, OptionMap.builder()
-                .set(UndertowOptions.MAX_HEADER_SIZE, Fields.MOST).set(UndertowOptions.ALWAYS_SET_DATE, false)
+                .set(UndertowOptions.MAX_HEADER_SIZE, HttpFieldRules.MOST).set(UndertowOptions.ALWAYS_SET_DATE, false)
                 .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false).getMap());
         http.setRootHandler(Handlers.httpContinueRead(this::handle));
     }
 
     /** Other grades are stated for what is read from now on. */
-    void retuned(Grades other, Settings settings) {
+    void retuned(RequestClassIndex other, Settings settings) {
         grades = other;
-        terms = new Terms[settings.grades().size()];
+        terms = new RequestTerms[settings.grades().size()];
         Arrays.setAll(terms, settings::terms);
         intake.retuned(settings.window());
         tally.grades(other.names());
@@ -216,7 +212,7 @@
     }
 
     private void handle(HttpServerExchange client) {
-        Visitors.Visitor visitor = visitors.of(channel(client));
+        ClientConnections.Visitor visitor = visitors.of(channel(client));
         if (visitor == null) {
             // Danger: what Undertow had read of a connection before the door closed it is still handed on.
             IoUtils.safeClose(channel(client));
@@ -241,7 +237,7 @@
             next.proceed();
         });
         if (client.getRequestPath().equals("/healthz") && !client.getRequestHeaders().contains(TRACE)) {
-            end(client, draining ? 503 : Answer.OK);
+            end(client, draining ? 503 : BackendResponse.OK);
             return;
         }
         if (!isPlain(client)) {
@@ -253,21 +249,21 @@
         } else if (client.isRequestComplete()) {
             received(client, new byte[0]);
         } else {
-            visitor.upload = new Upload(client, holding, buffers, LONGEST_BODY, config.door().stall(),
+            visitor.upload = new RequestBody(client, holding, buffers, LONGEST_BODY, config.door().stall(),
                     hearer(client, visitor));
             visitor.upload.hold();
         }
     }
 
-    private Upload.Hearer hearer(HttpServerExchange client, Visitors.Visitor visitor) {
-        return new Upload.Hearer() {
+    private RequestBody.Hearer hearer(HttpServerExchange client, ClientConnections.Visitor visitor) {
+        return new RequestBody.Hearer() {
             @Override
             public void held(byte[] body) {
                 received(client, body);
             }
 
             @Override
-            public void passes(Upload upload) {
+            public void passes(RequestBody upload) {
                 client.dispatch(SameThreadExecutor.INSTANCE, () -> pass(client, visitor, upload));
             }
 
@@ -294,18 +290,18 @@
     }
 
     /** Decided now and sent as it comes, with all the time that its client needs for it. */
-    private void pass(HttpServerExchange client, Visitors.Visitor visitor, Upload upload) {
-        Exchange usual = exchange(client.getRequestHeaders());
+    private void pass(HttpServerExchange client, ClientConnections.Visitor visitor, RequestBody upload) {
+        Request usual = exchange(client.getRequestHeaders());
         if (usual == null || !visitor.began(only(client.getRequestHeaders(), TRACE), usual)) {
             reject(client, 400);
             return;
         }
         upload.within = Math.min(usual.expiry - usual.arrived, usual.terms.grade().contractTime());
         double most = LONGEST / 1e3;
-        Exchange x = new Exchange(usual.id, usual.grade, usual.tenant, usual.arrived, most, usual.retry);
+        Request x = new Request(usual.id, usual.grade, usual.tenant, usual.arrived, most, usual.retry);
         x.terms = usual.terms.within(most);
         visitor.exchange = x;
-        offer(new Taken(x, client, new byte[0], upload));
+        offer(new PendingRequest(x, client, new byte[0], upload));
     }
 
     private void count(HttpServerExchange answered) {
@@ -316,11 +312,11 @@
         return status / 100 == 4;
     }
 
-    private static Tally.Reply reply(int status) {
+    private static ProxyMetrics.Reply reply(int status) {
         return switch (status) {
-            case Answer.OK -> Tally.Reply.SUCCESS;
-            case 503 -> Tally.Reply.OVERLOAD;
-            default -> Tally.Reply.ERROR;
+            case BackendResponse.OK -> ProxyMetrics.Reply.SUCCESS;
+            case 503 -> ProxyMetrics.Reply.OVERLOAD;
+            default -> ProxyMetrics.Reply.ERROR;
         };
     }
 
@@ -335,11 +331,11 @@
             return false;
         }
         for (HeaderValues values : headers) {
-            if (!Fields.isToken(values.getHeaderName().toString())) {
+            if (!HttpFieldRules.isToken(values.getHeaderName().toString())) {
                 return false;
             }
             for (String value : values) {
-                if (!Fields.isValue(value)) {
+                if (!HttpFieldRules.isValue(value)) {
                     return false;
                 }
             }
@@ -398,8 +394,8 @@
 
     private void received(HttpServerExchange client, byte[] body) {
         client.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            Exchange x = exchange(client.getRequestHeaders());
-            Visitors.Visitor visitor = client.getAttachment(VISITOR);
+            Request x = exchange(client.getRequestHeaders());
+            ClientConnections.Visitor visitor = client.getAttachment(VISITOR);
             if (x == null || !visitor.began(only(client.getRequestHeaders(), TRACE), x)) {
                 turnAway(client);
                 return;
@@ -411,19 +407,19 @@
                 // Danger: what waited while the process stood still may have been left by its client since.
                 lookAhead(connection);
             }
-            Taken taken = new Taken(x, client, body, null);
+            PendingRequest taken = new PendingRequest(x, client, body, null);
             visitor.answersOverdue = () -> answerOverdue(taken);
             offer(taken);
         });
     }
 
     /** Fails a request that the decisions have not answered by its expiry, whatever keeps them. */
-    private void answerOverdue(Taken taken) {
+    private void answerOverdue(PendingRequest taken) {
         if (!awaits(taken)) {
             return;
         }
-        Exchange x = taken.exchange();
-        x.ending = Ending.OVERDUE;
+        Request x = taken.exchange();
+        x.ending = FailureReason.OVERDUE;
         tally.answeredOverdue();
         giveUp(taken.client(), false, 0);
         owner.left(x);
@@ -435,19 +431,19 @@
     }
 
     /** Hands it to the decisions. Where they can't take it in time it waits, or is answered by their word. */
-    private void offer(Taken taken) {
+    private void offer(PendingRequest taken) {
         first.run();
-        Exchange x = taken.exchange();
+        Request x = taken.exchange();
         double end = x.arrived + Math.min(x.expiry - x.arrived, x.terms.grade().contractTime());
         if (intake.takes()) {
             owner.arrived(taken);
             return;
         }
-        Word shed = intake.isLong() ? owner.shed(x.grade, end - clock.now()) : null;
+        ShedThreshold shed = intake.isLong() ? owner.shed(x.grade, end - clock.now()) : null;
         if (shed == null) {
             intake.waits(taken, end);
         } else {
-            x.ending = Ending.WAIT_TOO_LONG;
+            x.ending = FailureReason.WAIT_TOO_LONG;
             giveUp(taken.client(), true, shed.retryAfter());
         }
     }
@@ -455,23 +451,23 @@
     /** The decisions have room for more. */
     void decided(int exchanges, double seconds) {
         intake.decided(exchanges, seconds);
-        for (Taken next = intake.next(); next != null; next = intake.next()) {
+        for (PendingRequest next = intake.next(); next != null; next = intake.next()) {
             owner.arrived(next);
         }
     }
 
     /** Null where a field is missing, malformed or there twice. */
-    private Exchange exchange(HeaderMap headers) {
+    private Request exchange(HeaderMap headers) {
         int grade = grades.index(only(headers, GRADE));
         int tenant = config.tenantNames().isEmpty() ? 0
                 : config.tenantNames().indexOf(only(headers, TENANT));
-        int milliseconds = Fields.number(only(headers, Backends.EXPIRES), 9);
+        int milliseconds = HttpFieldRules.number(only(headers, BackendClient.EXPIRES), 9);
         if (only(headers, TRACE).isEmpty() || grade < 0 || tenant < 0 || milliseconds < 0) {
             return null;
         }
         double arrived = visitors.arrival();
         double left = Math.min(Math.min(LONGEST, milliseconds) / 1e3, lastAnswers - arrived);
-        Exchange x = new Exchange(++taken, grade, tenant, arrived, left, only(headers, RETRY).equals("1"));
+        Request x = new Request(++taken, grade, tenant, arrived, left, only(headers, RETRY).equals("1"));
         x.terms = terms[grade];
         return x;
     }
@@ -481,7 +477,7 @@
     }
 
     /** A client has gone whose exchange is open. */
-    private void left(Exchange x) {
+    private void left(Request x) {
         owner.left(x);
     }
 
@@ -528,41 +524,41 @@
      * Whether its client is there and has no answer yet. Danger: whoever has closed is known to have gone
      * once its connection is read, and this may be asked before that where the I/O thread was held up.
      */
-    boolean awaits(Taken taken) {
+    boolean awaits(PendingRequest taken) {
         if (isOpen(taken) && taken.client().isRequestComplete()) {
             lookAhead((AbstractServerConnection) taken.client().getConnection());
         }
         return isOpen(taken);
     }
 
-    private static boolean isOpen(Taken taken) {
+    private static boolean isOpen(PendingRequest taken) {
         return taken.client().getAttachment(VISITOR).exchange == taken.exchange()
                 && !taken.client().isResponseStarted();
     }
 
     /** Passes a backend's answer on. */
-    void deliver(Taken taken, Answer answer) {
+    void deliver(PendingRequest taken, BackendResponse answer) {
         HttpServerExchange client = taken.client();
         client.getAttachment(VISITOR).brings(taken.exchange().terms.grade().benefit());
-        Backends.copy(answer.headers(), client.getResponseHeaders());
+        BackendClient.copy(answer.headers(), client.getResponseHeaders());
         if (answer.rest() == null) {
-            answer(client, Answer.OK, answer.body(), IoCallback.END_EXCHANGE);
+            answer(client, BackendResponse.OK, answer.body(), IoCallback.END_EXCHANGE);
         } else {
             pass(client, answer);
         }
     }
 
-    private void pass(HttpServerExchange client, Answer answer) {
-        Visitors.Visitor visitor = client.getAttachment(VISITOR);
-        if (!begin(client, Answer.OK)) {
+    private void pass(HttpServerExchange client, BackendResponse answer) {
+        ClientConnections.Visitor visitor = client.getAttachment(VISITOR);
+        if (!begin(client, BackendResponse.OK)) {
             answer.rest().drop();
             return;
         }
         if (answer.rest().declared() >= 0) {
             client.setResponseContentLength(answer.rest().declared());
         }
-        Relay relay = new Relay(new Begun(answer), client.getResponseChannel(), worker.getIoThread(),
-                new Relay.Patience(config.door().stall(), 0), visitor::offered, whole -> {
+        BodyRelay relay = new BodyRelay(new Begun(answer), client.getResponseChannel(), worker.getIoThread(),
+                new BodyRelay.Patience(config.door().stall(), 0), visitor::offered, whole -> {
                     visitor.passing = null;
                     if (whole) {
                         answer.rest().passed();
@@ -570,7 +566,7 @@
                     } else {
                         // A visible break: the length is short, or the last chunk is missing.
                         answer.rest().drop();
-                        tally.replied(only(client.getRequestHeaders(), GRADE), Tally.Reply.ERROR);
+                        tally.replied(only(client.getRequestHeaders(), GRADE), ProxyMetrics.Reply.ERROR);
                         IoUtils.safeClose(channel(client));
                     }
                 });
@@ -582,11 +578,11 @@
     }
 
     /** A long answer from its beginning on. */
-    private static final class Begun implements Pieces {
-        private final Answer answer;
+    private static final class Begun implements BodyChunks {
+        private final BackendResponse answer;
         private boolean begun;
 
-        Begun(Answer answer) {
+        Begun(BackendResponse answer) {
             this.answer = answer;
         }
 
@@ -612,7 +608,7 @@
 
     /** A shed answer promises that a retry is harmless; a scrapped one promises nothing. */
     void giveUp(HttpServerExchange client, boolean shed, double retryAfter) {
-        Exchange x = client.getAttachment(VISITOR).exchange;
+        Request x = client.getAttachment(VISITOR).exchange;
         if (x != null) {
             endings.notServed(x, only(client.getRequestHeaders(), TRACE),
                     only(client.getRequestHeaders(), GRADE), shed, clock.now());
@@ -637,7 +633,7 @@
 
     /** False where there is an answer already, or nobody to have it. */
     private boolean begin(HttpServerExchange client, int status) {
-        Visitors.Visitor visitor = client.getAttachment(VISITOR);
+        ClientConnections.Visitor visitor = client.getAttachment(VISITOR);
         if (client.isResponseStarted() || client.isComplete() || !channel(client).isOpen()) {
             return false;
         }
--- a/src/main/java/lemondrift/serve/ConfigFile.java
+++ b/src/main/java/lemondrift/serve/ConfigFile.java
@@ -12,7 +12,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.locks.LockSupport;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 
 /** The configuration's file as JSON, read once for all that needs it. */
 final class ConfigFile {
@@ -24,7 +24,7 @@
 
     private static Path path(Map<String, String> environment) {
         if (environment.get("PROXY_CONFIG") == null) {
-            throw new BadInput("PROXY_CONFIG is not set");
+            throw new InvalidSettingsException("PROXY_CONFIG is not set");
         }
         return Path.of(environment.get("PROXY_CONFIG"));
     }
@@ -32,7 +32,7 @@
     /**
      * All of the file that PROXY_CONFIG names.
      *
-     * @throws BadInput where it is no JSON object
+     * @throws InvalidSettingsException where it is no JSON object
      */
     static JsonObject read(Map<String, String> environment) throws IOException {
         return object(Files.readString(path(environment)));
@@ -47,8 +47,8 @@
         }
     }
 
-    static BadInput unusable(Exception why) {
-        return new BadInput("not the JSON object that is wanted: " + why.getMessage());
+    static InvalidSettingsException unusable(Exception why) {
+        return new InvalidSettingsException("not the JSON object that is wanted: " + why.getMessage());
     }
 
     /**
--- a/src/main/java/lemondrift/serve/Links.java
+++ b/src/main/java/lemondrift/serve/ConnectionPool.java
@@ -13,7 +13,7 @@
 import org.xnio.XnioIoThread;
 
 /** A bounded pool of connections to one address; one request at a time on each. I/O thread only. */
-final class Links {
+final class ConnectionPool {
     /** One connection. */
     static final class Link {
         final StreamConnection connection;
@@ -76,9 +76,9 @@
 
     final InetSocketAddress address;
     final XnioIoThread io;
-    final Dial dial;
+    final BackendConnector dial;
     final ByteBufferPool buffers;
-    final Clock clock;
+    final MonotonicClock clock;
     private final Budget budget;
     private final int most;
     private final Rest rest;
@@ -86,7 +86,7 @@
     private int open;
     private boolean retired;
 
-    Links(InetSocketAddress address, XnioIoThread io, Dial dial, ByteBufferPool buffers, Clock clock,
+    ConnectionPool(InetSocketAddress address, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers, MonotonicClock clock,
             Budget budget, int most, Rest rest) {
         this.address = address;
         this.io = io;
--- a/src/main/java/lemondrift/serve/DoorFile.java
+++ b/src/main/java/lemondrift/serve/ConnectionSettingsFile.java
@@ -10,34 +10,34 @@
 import java.util.Arrays;
 import java.util.Locale;
 import java.util.Map;
-import lemondrift.door.Bounds;
-import lemondrift.model.ServiceGrade;
+import lemondrift.connection.ConnectionLimits;
+import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 
 /** Reads what a deployment may say of the door, in a file of its own; docs/door.md has the keys. */
-final class DoorFile {
+final class ConnectionSettingsFile {
     /** The share of the proxy's connections that clients may have, and where no more are accepted. */
     private static final double SHARE = 0.6, LAST = 0.66;
     /** Seconds that an answered connection may be quiet, and before which none is closed between requests. */
     private static final double QUIET = 2.2, EARLIEST = 2;
     /** Bytes a second: the largest head takes eight seconds at the most. */
-    private static final double LEAST_RATE = Fields.MOST / 8.0;
+    private static final double LEAST_RATE = HttpFieldRules.MOST / 8.0;
 
-    private DoorFile() {}
+    private ConnectionSettingsFile() {}
 
     /** The door's bounds for so many connections, where no file says otherwise. */
-    static Bounds usual(int connections, Settings settings) {
-        double benefit = settings.grades().stream().mapToDouble(ServiceGrade::benefit)
+    static ConnectionLimits usual(int connections, Settings settings) {
+        double benefit = settings.grades().stream().mapToDouble(RequestClass::benefit)
                 .filter(each -> each > 0).average().orElse(1);
-        return new Bounds((int) (SHARE * connections), (int) (LAST * connections), QUIET, EARLIEST,
-                Bounds.Sharing.CONNECTION, false, LEAST_RATE, benefit);
+        return new ConnectionLimits((int) (SHARE * connections), (int) (LAST * connections), QUIET, EARLIEST,
+                ConnectionLimits.Sharing.CONNECTION, false, LEAST_RATE, benefit);
     }
 
     /** The same with what a file says; what can't be used is one line that names file and key. */
-    static Bounds read(Path file, Bounds usual) throws IOException {
+    static ConnectionLimits read(Path file, ConnectionLimits usual) throws IOException {
         double quiet = usual.quiet(), earliest = -1, leastRate = usual.leastRate();
-        Bounds.Sharing sharing = usual.sharing();
+        ConnectionLimits.Sharing sharing = usual.sharing();
         boolean announces = usual.announces();
         for (Map.Entry<String, JsonElement> each : object(file).entrySet()) {
             JsonElement value = each.getValue();
@@ -48,18 +48,18 @@
                     case "leastRate" -> leastRate = seconds(value, 1, 1e9);
                     case "sharing" -> sharing = sharing(value);
                     case "announces" -> announces = bool(value);
-                    default -> throw new BadInput("not a key; there are quiet, earliest, leastRate, sharing, "
+                    default -> throw new InvalidSettingsException("not a key; there are quiet, earliest, leastRate, sharing, "
                             + "announces");
                 }
-            } catch (BadInput | IllegalStateException | UnsupportedOperationException e) {
-                throw new BadInput(file + ": " + each.getKey() + ": " + e.getMessage());
+            } catch (InvalidSettingsException | IllegalStateException | UnsupportedOperationException e) {
+                throw new InvalidSettingsException(file + ": " + each.getKey() + ": " + e.getMessage());
             }
         }
         if (earliest > quiet) {
-            throw new BadInput(file + ": earliest: " + earliest + " is over quiet, " + quiet);
+            throw new InvalidSettingsException(file + ": earliest: " + earliest + " is over quiet, " + quiet);
         }
         double first = earliest >= 0 ? earliest : usual.earliest() / usual.quiet() * quiet;
-        return new Bounds(usual.places(), usual.last(), quiet, first, sharing, announces, leastRate,
+        return new ConnectionLimits(usual.places(), usual.last(), quiet, first, sharing, announces, leastRate,
                 usual.benefit());
     }
 
@@ -67,7 +67,7 @@
         try {
             return JsonParser.parseString(Files.readString(file)).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new BadInput(file + ": not the JSON object that is wanted: " + e.getMessage());
+            throw new InvalidSettingsException(file + ": not the JSON object that is wanted: " + e.getMessage());
         }
     }
 
@@ -76,24 +76,24 @@
         try {
             number = value.getAsDouble();
         } catch (NumberFormatException e) {
-            throw new BadInput("not a number: " + value);
+            throw new InvalidSettingsException("not a number: " + value);
         }
         if (!(number >= least && number <= most)) {
-            throw new BadInput(number + " is not from " + least + " to " + most);
+            throw new InvalidSettingsException(number + " is not from " + least + " to " + most);
         }
         return number;
     }
 
     private static boolean bool(JsonElement value) {
         if (!value.isJsonPrimitive() || !value.getAsJsonPrimitive().isBoolean()) {
-            throw new BadInput("neither true nor false: " + value);
+            throw new InvalidSettingsException("neither true nor false: " + value);
         }
         return value.getAsBoolean();
     }
 
-    private static Bounds.Sharing sharing(JsonElement value) {
-        return Arrays.stream(Bounds.Sharing.values())
+    private static ConnectionLimits.Sharing sharing(JsonElement value) {
+        return Arrays.stream(ConnectionLimits.Sharing.values())
                 .filter(each -> each.name().toLowerCase(Locale.ROOT).equals(value.getAsString())).findFirst()
-                .orElseThrow(() -> new BadInput("none of connection, address, tenant: " + value));
+                .orElseThrow(() -> new InvalidSettingsException("none of connection, address, tenant: " + value));
     }
 }
--- a/src/main/java/lemondrift/serve/Owner.java
+++ b/src/main/java/lemondrift/serve/DecisionLoop.java
@@ -12,25 +12,18 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
-import lemondrift.decide.Balancer;
-import lemondrift.model.Ending;
-import lemondrift.model.Exchange;
-import lemondrift.model.Forward;
-import lemondrift.model.Listed;
-import lemondrift.model.Outcome;
-import lemondrift.model.Settings;
-import lemondrift.model.Turn;
-import lemondrift.model.Word;
-import lemondrift.serve.recovery.Comeback;
-import lemondrift.settings.Grades;
-import lemondrift.shadow.Shadow;
-import lemondrift.tally.LoopFigures;
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.model.*;
+import lemondrift.serve.recovery.RecoveryCoordinator;
+import lemondrift.settings.RequestClassIndex;
+import lemondrift.shadow.ShadowEvaluator;
+import lemondrift.metrics.EventLoopMetrics;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The one thread that calls the decisions. Everybody else reaches it through its queue. */
-final class Owner {
-    private static final Logger LOG = LoggerFactory.getLogger(Owner.class);
+final class DecisionLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
     private static final int QUEUED = 4096;
     /** How many events are handled before the sockets are told what came of them. */
     private static final int AT_A_TIME = 32;
@@ -43,32 +36,32 @@
     private static final double SHOWN = 60;
 
     /** Something that happened, when if that is known, and the exchange that it is about, if any. */
-    private record Event(LoopFigures.Kind kind, double came, Exchange about, Supplier<Turn> call) {}
+    private record Event(EventLoopMetrics.Kind kind, double came, Request about, Supplier<Decision> call) {}
 
     /** Lists that are not followed whole yet, the oldest first. */
-    private final Queue<ListUpdate> updates = new ArrayDeque<>();
+    private final Queue<EndpointListUpdate> updates = new ArrayDeque<>();
     private final BlockingQueue<Event> queue = new ArrayBlockingQueue<>(QUEUED);
-    private final Balancer balancer;
-    private final Directory directory;
-    private final Clock clock;
-    private final Hands hands;
-    private final Map<Exchange, Taken> open = new HashMap<>();
+    private final LoadBalancer balancer;
+    private final BackendDirectory directory;
+    private final MonotonicClock clock;
+    private final ProxyActions hands;
+    private final Map<Request, PendingRequest> open = new HashMap<>();
     private final Thread thread = new Thread(this::run, "owner");
-    private final LoopFigures figures = new LoopFigures();
+    private final EventLoopMetrics figures = new EventLoopMetrics();
     private double turnBegan;
     /** What others tell and are told; null where they tell nothing. */
-    private Tellings tellings;
+    private GossipSession tellings;
     /** The way back after the start; null where nobody is asked. */
-    private Comeback comeback;
+    private RecoveryCoordinator comeback;
     private double wakeAt = Double.POSITIVE_INFINITY;
     /** What other settings would have decided; null where nobody watches. */
-    private Shadow shadow;
+    private ShadowEvaluator shadow;
     private double shownAt;
     private int arrived;
     /** What the decisions would shed of each grade, as of the last time that the queue was long. */
-    private volatile List<Word> words = List.of();
+    private volatile List<ShedThreshold> words = List.of();
     /** What is stated now, the grades under the indexes that exchanges name. */
-    private Grades grades;
+    private RequestClassIndex grades;
     private Settings settings;
     private int processes = 1;
     /**
@@ -78,7 +71,7 @@
     private int unfollowed;
     private Set<Integer> held = Set.of();
 
-    Owner(Balancer balancer, Directory directory, Clock clock, Hands hands, Grades grades,
+    DecisionLoop(LoadBalancer balancer, BackendDirectory directory, MonotonicClock clock, ProxyActions hands, RequestClassIndex grades,
             Settings settings) {
         this.grades = grades;
         this.settings = settings;
@@ -90,28 +83,28 @@
     }
 
     /** Tells the other proxies what is out here and hears it of them; before the start. */
-    void tells(Peers.Place place) {
-        tellings = new Tellings(place, System.currentTimeMillis(), balancer, directory);
+    void tells(GossipTransport.Place place) {
+        tellings = new GossipSession(place, System.currentTimeMillis(), balancer, directory);
     }
 
     /** The same, and asks others after the start. */
-    void tells(Peers.Place place, Comeback its) {
+    void tells(GossipTransport.Place place, RecoveryCoordinator its) {
         comeback = its;
-        tellings = new Tellings(place, its.start(), balancer, directory);
+        tellings = new GossipSession(place, its.start(), balancer, directory);
     }
 
-    Comeback comeback() {
+    RecoveryCoordinator comeback() {
         return comeback;
     }
 
     /** Counts what these settings would have decided otherwise; before the start. */
     void watches(Settings settings, long seed) {
-        shadow = new Shadow(settings, seed);
+        shadow = new ShadowEvaluator(settings, seed);
         shownAt = clock.now();
     }
 
     /** Danger: what goes wrong in watching must not touch an exchange, so it ends the watching alone. */
-    private void watch(Consumer<Shadow> event) {
+    private void watch(Consumer<ShadowEvaluator> event) {
         try {
             event.accept(shadow);
         } catch (RuntimeException e) {
@@ -120,7 +113,7 @@
         }
     }
 
-    Shadow watched() {
+    ShadowEvaluator watched() {
         return shadow;
     }
 
@@ -133,7 +126,7 @@
 
     /** Another proxy's datagram has come. */
     void told(int from, byte[] datagram) {
-        if (comeback != null && Comeback.isFor(datagram)) {
+        if (comeback != null && RecoveryCoordinator.isFor(datagram)) {
             comeback.heard(from, datagram);
             put(null, () -> null);
         } else {
@@ -158,8 +151,8 @@
         }
     }
 
-    void arrived(Taken taken) {
-        put(LoopFigures.Kind.ARRIVAL, taken.exchange(), () -> {
+    void arrived(PendingRequest taken) {
+        put(EventLoopMetrics.Kind.ARRIVAL, taken.exchange(), () -> {
             arrived++;
             open.put(taken.exchange(), taken);
             if (shadow != null) {
@@ -172,16 +165,16 @@
     /**
      * Whether the decisions would shed an exchange now; null if not, else with what retry-after. Any thread.
      */
-    Word shed(int grade, double left) {
-        Word word = grade < words.size() ? words.get(grade) : null;
+    ShedThreshold shed(int grade, double left) {
+        ShedThreshold word = grade < words.size() ? words.get(grade) : null;
         return word != null && left < word.leastLeft() ? word : null;
     }
 
     /** The answer is the one to pass on if this forward delivers. */
-    void ended(Forward f, Outcome outcome, double took, double[] report, Answer answer) {
-        put(LoopFigures.Kind.OUTCOME, f.exchange, () -> {
-            boolean wins = outcome == Outcome.DELIVERED && !f.exchange.over;
-            Taken taken = open.get(f.exchange);
+    void ended(Attempt f, AttemptOutcome outcome, double took, double[] report, BackendResponse answer) {
+        put(EventLoopMetrics.Kind.OUTCOME, f.exchange, () -> {
+            boolean wins = outcome == AttemptOutcome.DELIVERED && !f.exchange.over;
+            PendingRequest taken = open.get(f.exchange);
             if (wins && taken != null) {
                 hands.deliver(taken, answer);
             } else if (answer != null && answer.rest() != null) {
@@ -198,7 +191,7 @@
         });
     }
 
-    void probed(int backend, Outcome outcome, double[] report) {
+    void probed(int backend, AttemptOutcome outcome, double[] report) {
         put(null, () -> {
             directory.letGo(backend);
             if (shadow != null) {
@@ -208,8 +201,8 @@
         });
     }
 
-    void left(Exchange x) {
-        put(LoopFigures.Kind.CLIENT_LEFT, x, () -> {
+    void left(Request x) {
+        put(EventLoopMetrics.Kind.CLIENT_LEFT, x, () -> {
             if (shadow != null) {
                 watch(s -> s.left(clock.now(), x));
             }
@@ -227,7 +220,7 @@
     }
 
     /** Its request can't be sent whole any more. */
-    void letGo(Exchange x) {
+    void letGo(Request x) {
         put(x, () -> {
             x.terms = x.terms.upTo(x.forwards);
             return null;
@@ -235,19 +228,19 @@
     }
 
     /** A list has come; stale is one of before the start. Applied hears when the decisions have all of it. */
-    void listed(MemberList list, boolean stale, Runnable applied) {
-        put(LoopFigures.Kind.LIST, null, () -> {
-            updates.add(new ListUpdate(directory, list, stale, applied));
+    void listed(EndpointList list, boolean stale, Runnable applied) {
+        put(EventLoopMetrics.Kind.LIST, null, () -> {
+            updates.add(new EndpointListUpdate(directory, list, stale, applied));
             // What is small is followed at once.
             return updates.size() == 1 ? nextSlice() : null;
         });
     }
 
     /** Follows a part of the list that has come first. */
-    private Turn nextSlice() {
-        ListUpdate update = updates.peek();
-        List<Listed> listed = update.slice();
-        List<Listed> lines = tellings == null || listed.isEmpty() ? listed : tellings.assigned(listed);
+    private Decision nextSlice() {
+        EndpointListUpdate update = updates.peek();
+        List<EndpointUpdate> listed = update.slice();
+        List<EndpointUpdate> lines = tellings == null || listed.isEmpty() ? listed : tellings.assigned(listed);
         if (shadow != null) {
             watch(s -> s.listed(clock.now(), false, update.isStale(), lines));
         }
@@ -255,16 +248,16 @@
         if (tellings != null) {
             tellings.listed(lines);
         }
-        for (Listed line : lines) {
+        for (EndpointUpdate line : lines) {
             // Danger: what waits for a connection to where it was would reach whoever is there now.
-            if (line.state() != Listed.State.READY || directory.hasMoved(line.backend())) {
+            if (line.state() != EndpointUpdate.State.READY || directory.hasMoved(line.backend())) {
                 hands.letGo(line.backend());
             }
         }
         return update.isDone() ? endOf(updates.remove()) : null;
     }
 
-    private Turn endOf(ListUpdate update) {
+    private Decision endOf(EndpointListUpdate update) {
         count();
         if (!update.unreadable().isEmpty()) {
             LOG.warn("lines of the list are passed over, the first: {}", update.unreadable().get(0));
@@ -315,9 +308,9 @@
      */
     void endAll() {
         put(null, () -> {
-            for (Exchange x : List.copyOf(open.keySet())) {
+            for (Request x : List.copyOf(open.keySet())) {
                 if (!x.over) {
-                    x.ending = Ending.SHUTDOWN;
+                    x.ending = FailureReason.SHUTDOWN;
                     carryOut(balancer.clientLeft(clock.now(), x));
                     answer(x, x.forwards == 0, 0);
                     release(x);
@@ -350,13 +343,13 @@
         put(null, () -> balancer.listFailed(clock.now()));
     }
 
-    private void put(Exchange about, Supplier<Turn> call) {
-        put(LoopFigures.Kind.OTHER, about, call);
+    private void put(Request about, Supplier<Decision> call) {
+        put(EventLoopMetrics.Kind.OTHER, about, call);
     }
 
     /** Danger: to read the clock for each event takes more of a small part of a core than most events do. */
-    private void put(LoopFigures.Kind kind, Exchange about, Supplier<Turn> call) {
-        double came = kind == LoopFigures.Kind.ARRIVAL ? about.arrived : UNKNOWN;
+    private void put(EventLoopMetrics.Kind kind, Request about, Supplier<Decision> call) {
+        double came = kind == EventLoopMetrics.Kind.ARRIVAL ? about.arrived : UNKNOWN;
         try {
             queue.put(new Event(kind, came, about, call));
         } catch (InterruptedException e) {
@@ -386,11 +379,11 @@
                     words = IntStream.range(0, settings.grades().size()).mapToObj(this::word).toList();
                 }
                 if (wakeAt <= clock.now()) {
-                    handle(new Event(LoopFigures.Kind.TIMER, wakeAt, null, () -> balancer.wake(clock.now())));
+                    handle(new Event(EventLoopMetrics.Kind.TIMER, wakeAt, null, () -> balancer.wake(clock.now())));
                 }
                 // Danger: whatever owes its answer now goes before the list.
                 if (!updates.isEmpty()) {
-                    handle(own(LoopFigures.Kind.LIST, this::nextSlice));
+                    handle(own(EventLoopMetrics.Kind.LIST, this::nextSlice));
                 }
                 if (shadow != null) {
                     watch(s -> s.wake(clock.now()));
@@ -415,7 +408,7 @@
     }
 
     /** What nobody has waited for. */
-    private Event own(LoopFigures.Kind kind, Supplier<Turn> call) {
+    private Event own(EventLoopMetrics.Kind kind, Supplier<Decision> call) {
         return new Event(kind, UNKNOWN, null, call);
     }
 
@@ -424,7 +417,7 @@
         return figures.json();
     }
 
-    private Word word(int grade) {
+    private ShedThreshold word(int grade) {
         return settings.grades().get(grade) == null ? null : balancer.word(clock.now(), grade);
     }
 
@@ -443,7 +436,7 @@
     /** Danger: an exception in one exchange must not end the proxy, nor leave the exchange unanswered. */
     private void carryOut(Event event) {
         try {
-            Turn turn = event.call.get();
+            Decision turn = event.call.get();
             if (turn != null) {
                 carryOut(turn);
             }
@@ -464,19 +457,19 @@
         }
     }
 
-    private void carryOut(Turn turn) {
+    private void carryOut(Decision turn) {
         if (shadow != null) {
             watch(s -> s.decided(clock.now(), turn));
         }
         turn.cancels.forEach(hands::cancel);
-        for (Forward f : turn.sends) {
+        for (Attempt f : turn.sends) {
             directory.hold(f.backend);
             if (tellings != null) {
                 tellings.sent(f.backend);
             }
             hands.send(f, open.get(f.exchange), directory.address(f.backend));
         }
-        for (Turn.Answer a : turn.answers) {
+        for (Decision.Answer a : turn.answers) {
             answer(a.exchange(), a.shed(), a.retryAfter());
             release(a.exchange());
         }
@@ -493,18 +486,18 @@
         wakeAt = turn.wakeAt;
     }
 
-    private void answer(Exchange x, boolean shed, double retryAfter) {
-        Taken taken = open.get(x);
+    private void answer(Request x, boolean shed, double retryAfter) {
+        PendingRequest taken = open.get(x);
         if (taken != null) {
             hands.giveUp(taken, shed, retryAfter);
         }
     }
 
     /** Lets go of an exchange that is over and has nothing out. */
-    private void release(Exchange x) {
+    private void release(Request x) {
         if (x.over && x.out == 0 && open.remove(x) != null) {
             // Danger: whether a forward may be repeated goes by where the earlier ones went.
-            for (Forward f = x.latest; f != null; f = f.earlier) {
+            for (Attempt f = x.latest; f != null; f = f.earlier) {
                 directory.letGo(f.backend);
             }
         }
--- a/src/main/java/lemondrift/serve/MemberList.java
+++ b/src/main/java/lemondrift/serve/EndpointList.java
@@ -8,19 +8,19 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import lemondrift.model.Listed;
+import lemondrift.model.EndpointUpdate;
 
 /**
  * One list of discovery, read: its revision, whether it names all there are or changes only, and a line for
  * each backend, the last where it names one twice; and the lines that can't be read.
  */
-record MemberList(long revision, boolean complete, List<Member> members, List<String> unreadable) {
+record EndpointList(long revision, boolean complete, List<Member> members, List<String> unreadable) {
 
     /**
      * One backend's line. Null stands for what the line does not tell; a line of which only the id can be
      * read has no state. The start is Unix time in seconds, 0 for long ago.
      */
-    record Member(String id, Listed.State state, InetSocketAddress address, String locality, Integer cell,
+    record Member(String id, EndpointUpdate.State state, InetSocketAddress address, String locality, Integer cell,
             double size, double started) {
         boolean isReadable() {
             return state != null;
@@ -53,13 +53,13 @@
             members.put(member.id(), member);
         }
 
-        MemberList build(long revision, boolean complete) {
-            return new MemberList(revision, complete, List.copyOf(members.values()), List.copyOf(unreadable));
+        EndpointList build(long revision, boolean complete) {
+            return new EndpointList(revision, complete, List.copyOf(members.values()), List.copyOf(unreadable));
         }
     }
 
     /** From discovery's form, whatever its revision; it has to have members. */
-    static MemberList of(JsonObject list) {
+    static EndpointList of(JsonObject list) {
         Builder lines = new Builder();
         list.getAsJsonArray("members").forEach(lines::add);
         return lines.build(list.has("revision") ? list.get("revision").getAsLong() : -1,
@@ -67,14 +67,14 @@
     }
 
     private static Member member(JsonObject line) {
-        Listed.State state = switch (line.get("phase").getAsString()) {
-            case "active" -> Listed.State.READY;
-            case "leaving" -> Listed.State.DRAINING;
-            default -> Listed.State.GONE;
+        EndpointUpdate.State state = switch (line.get("phase").getAsString()) {
+            case "active" -> EndpointUpdate.State.READY;
+            case "leaving" -> EndpointUpdate.State.DRAINING;
+            default -> EndpointUpdate.State.GONE;
         };
         // A backend that has left needs no address.
-        InetSocketAddress address = state == Listed.State.GONE && !line.has("host_port") ? null
-                : Config.address("host_port", line.get("host_port").getAsString());
+        InetSocketAddress address = state == EndpointUpdate.State.GONE && !line.has("host_port") ? null
+                : ProxyConfig.address("host_port", line.get("host_port").getAsString());
         return new Member(line.get("id").getAsString(), state, address,
                 line.has("locality") ? line.get("locality").getAsString() : null,
                 line.has("cell") ? (Integer) number(line, "cell").intValue() : null, size(line),
--- a/src/main/java/lemondrift/serve/MemberListParser.java
+++ b/src/main/java/lemondrift/serve/EndpointListParser.java
@@ -9,14 +9,14 @@
 import java.nio.charset.StandardCharsets;
 
 /** Reads a list of discovery from its bytes in steps, so that one of thousands of lines holds nobody up. */
-final class MemberListParser {
+final class EndpointListParser {
     private final JsonReader reader;
-    private final MemberList.Builder lines = new MemberList.Builder();
+    private final EndpointList.Builder lines = new EndpointList.Builder();
     private Long revision;
     private Boolean complete;
     private boolean begun, inMembers, hadMembers, done;
 
-    MemberListParser(byte[] bytes) {
+    EndpointListParser(byte[] bytes) {
         reader = new JsonReader(new InputStreamReader(new ByteArrayInputStream(bytes),
                 StandardCharsets.UTF_8));
     }
@@ -71,7 +71,7 @@
     }
 
     /** What was read, once it has come to the end. */
-    MemberList list() throws IOException {
+    EndpointList list() throws IOException {
         // Danger: a revision taken from half a list would never be asked for again.
         require(done && hadMembers && revision != null && complete != null, "a list without its fields");
         return lines.build(revision, complete);
--- a/src/main/java/lemondrift/serve/ListUpdate.java
+++ b/src/main/java/lemondrift/serve/EndpointListUpdate.java
@@ -2,24 +2,24 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import lemondrift.model.Listed;
+import lemondrift.model.EndpointUpdate;
 
 /**
  * One list on its way to the decisions, in slices, so that answers never wait for the whole of it. Whoever
  * drains or has gone comes first, then who is new or has changed; what says nothing new costs a look. Owner's
  * thread only.
  */
-final class ListUpdate {
+final class EndpointListUpdate {
     /** What one slice may cost; a look at a line costs 1, and a line that says something new LINE. */
     private static final int SLICE = 512, LINE = 8;
 
     private enum Step { LOOK_AT_LINES, LOOK_FOR_ABSENT, WITHDRAW, ADD, DONE }
 
-    private final Directory directory;
-    private final MemberList list;
+    private final BackendDirectory directory;
+    private final EndpointList list;
     private final boolean stale;
     private final Runnable applied;
-    private final List<MemberList.Member> withdrawn = new ArrayList<>(), added = new ArrayList<>();
+    private final List<EndpointList.Member> withdrawn = new ArrayList<>(), added = new ArrayList<>();
     private final List<Integer> absent = new ArrayList<>();
     private Step step = Step.LOOK_AT_LINES;
     /** Its number, once its turn has come. */
@@ -27,7 +27,7 @@
     private int at, slices, lines;
 
     /** Stale is a list of before the start; applied is told when the decisions have all of it. */
-    ListUpdate(Directory directory, MemberList list, boolean stale, Runnable applied) {
+    EndpointListUpdate(BackendDirectory directory, EndpointList list, boolean stale, Runnable applied) {
         this.directory = directory;
         this.list = list;
         this.stale = stale;
@@ -52,8 +52,8 @@
     }
 
     /** The next lines for the decisions, perhaps none. */
-    List<Listed> slice() {
-        List<Listed> told = new ArrayList<>();
+    List<EndpointUpdate> slice() {
+        List<EndpointUpdate> told = new ArrayList<>();
         number = slices++ == 0 ? directory.nextList() : number;
         for (int left = SLICE; left > 0 && step != Step.DONE; ) {
             left -= advance(told);
@@ -63,7 +63,7 @@
     }
 
     /** Takes one step and returns its cost. */
-    private int advance(List<Listed> told) {
+    private int advance(List<EndpointUpdate> told) {
         if (at >= end()) {
             step = Step.values()[step.ordinal() + 1];
             at = 0;
@@ -93,13 +93,13 @@
         };
     }
 
-    private void lookAt(MemberList.Member member) {
+    private void lookAt(EndpointList.Member member) {
         if (directory.names(number, member)) {
-            (member.state() == Listed.State.READY ? added : withdrawn).add(member);
+            (member.state() == EndpointUpdate.State.READY ? added : withdrawn).add(member);
         }
     }
 
-    private void withdraw(int place, List<Listed> told) {
+    private void withdraw(int place, List<EndpointUpdate> told) {
         if (place < absent.size()) {
             told.add(directory.withdrawn(absent.get(place)));
         } else {
--- a/src/main/java/lemondrift/serve/Watch.java
+++ b/src/main/java/lemondrift/serve/EndpointListWatch.java
@@ -8,15 +8,15 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import lemondrift.model.Turn;
+import lemondrift.model.Decision;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
 /** Keeps the list up to date: the whole list once, then one watch. I/O thread only. */
-final class Watch {
-    private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
+final class EndpointListWatch {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListWatch.class);
     private static final int MOST_LIST = 4 << 20;
     /**
      * How many seconds discovery may hold a watch, and where each call costs it something; how much later
@@ -31,12 +31,12 @@
     private static final int LINES_AT_A_TIME = 64;
     private static final long BETWEEN_PARTS = 500_000;
 
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final XnioIoThread io;
     private final XnioWorker worker;
-    private final Dial dial;
+    private final BackendConnector dial;
     private final ByteBufferPool buffers;
-    private final Owner owner;
+    private final DecisionLoop owner;
     private final boolean onRequest;
     /** The first call has ended, with a list or without. */
     private final CountDownLatch first = new CountDownLatch(1);
@@ -44,11 +44,11 @@
     private boolean stopped, failing;
     /** An answer is read by the worker. */
     private boolean reading;
-    private Links links;
-    private Call call;
+    private ConnectionPool links;
+    private BackendCall call;
 
-    Watch(Config config, Clock clock, XnioIoThread io, Dial dial, ByteBufferPool buffers,
-            Owner owner) {
+    EndpointListWatch(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers,
+            DecisionLoop owner) {
         this.clock = clock;
         this.io = io;
         worker = io.getWorker();
@@ -59,8 +59,8 @@
         links = links(config.discovery());
     }
 
-    private Links links(InetSocketAddress discovery) {
-        return new Links(discovery, io, dial, buffers, clock, new Links.Budget(4), 4, Links.Rest.NONE);
+    private ConnectionPool links(InetSocketAddress discovery) {
+        return new ConnectionPool(discovery, io, dial, buffers, clock, new ConnectionPool.Budget(4), 4, ConnectionPool.Rest.NONE);
     }
 
     /** Where lists are told unasked the watch runs from the start; elsewhere the decisions begin it. */
@@ -100,8 +100,8 @@
         call();
     }
 
-    void asked(Turn.ListCall call) {
-        if (call == Turn.ListCall.WHOLE) {
+    void asked(Decision.ListCall call) {
+        if (call == Decision.ListCall.WHOLE) {
             revision = -1;
         }
         call();
@@ -114,7 +114,7 @@
         double hold = onRequest ? COSTLY_HOLD : HOLD;
         String path = "/v1/servers" + (revision < 0 ? "" : "?from=" + revision + "&hold_ms="
                 + Math.round(hold * 1000));
-        call = Call.make(links, Call.get(path, links.address.getHostString()), MOST_LIST, AT_ONCE,
+        call = BackendCall.make(links, BackendCall.get(path, links.address.getHostString()), MOST_LIST, AT_ONCE,
                 revision < 0 ? AT_ONCE : hold + SLACK, this::answered);
         if (call == null) {
             failed("no connection free");
@@ -130,15 +130,15 @@
         }
     }
 
-    private void answered(Answer answer) {
+    private void answered(BackendResponse answer) {
         call = null;
-        if (answer.status() != Answer.OK) {
+        if (answer.status() != BackendResponse.OK) {
             failed("status " + answer.status());
             return;
         }
         reading = true;
-        Links from = links;
-        MemberListParser parser = new MemberListParser(answer.body());
+        ConnectionPool from = links;
+        EndpointListParser parser = new EndpointListParser(answer.body());
         hand(worker, () -> read(parser, from));
     }
 
@@ -152,12 +152,12 @@
     }
 
     /** Reads a part of a list. Danger: thousands of lines at once would hold up whoever shares the core. */
-    private void read(MemberListParser parser, Links from) {
+    private void read(EndpointListParser parser, ConnectionPool from) {
         try {
             while (!parser.advance(LINES_AT_A_TIME)) {
                 LockSupport.parkNanos(BETWEEN_PARTS);
             }
-            MemberList list = parser.list();
+            EndpointList list = parser.list();
             hand(io, () -> told(list, from));
         } catch (IOException | RuntimeException | StackOverflowError e) {
             // The last is how nesting without end shows.
@@ -166,14 +166,14 @@
     }
 
     /** Danger: what comes of an address that was left since would undo what the new one says. */
-    private boolean isOfLate(Links from) {
+    private boolean isOfLate(ConnectionPool from) {
         if (from == links) {
             reading = false;
         }
         return stopped || from != links;
     }
 
-    private void told(MemberList list, Links from) {
+    private void told(EndpointList list, ConnectionPool from) {
         if (isOfLate(from)) {
             return;
         }
@@ -187,7 +187,7 @@
         call();
     }
 
-    private void unreadable(Throwable e, Links from) {
+    private void unreadable(Throwable e, ConnectionPool from) {
         if (!isOfLate(from)) {
             failed(e.toString());
         }
--- a/src/main/java/lemondrift/serve/EndingLog.java
+++ b/src/main/java/lemondrift/serve/FailureLog.java
@@ -1,26 +1,26 @@
 package lemondrift.serve;
 
-import lemondrift.model.Exchange;
-import lemondrift.tally.Tally;
+import lemondrift.model.Request;
+import lemondrift.metrics.ProxyMetrics;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Says in the log why requests are not served, a few a second; the rest are counted. I/O thread only. */
-final class EndingLog {
-    private static final Logger LOG = LoggerFactory.getLogger(EndingLog.class);
+final class FailureLog {
+    private static final Logger LOG = LoggerFactory.getLogger(FailureLog.class);
     /** So many requests have a line of their own in one second. */
     private static final int MOST = 5;
 
-    private final Tally tally;
+    private final ProxyMetrics tally;
     private double secondBegan = Double.NEGATIVE_INFINITY;
     private int inThisSecond;
 
-    EndingLog(Tally tally) {
+    FailureLog(ProxyMetrics tally) {
         this.tally = tally;
     }
 
     /** A request is rejected, which promises that a retry is harmless, or failed. */
-    void notServed(Exchange x, String trace, String requestClass, boolean rejected, double now) {
+    void notServed(Request x, String trace, String requestClass, boolean rejected, double now) {
         if (now >= secondBegan + 1) {
             endsSecond();
             secondBegan = now;
--- a/src/main/java/lemondrift/serve/Tellings.java
+++ b/src/main/java/lemondrift/serve/GossipSession.java
@@ -6,33 +6,33 @@
 import java.util.Map;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import lemondrift.decide.Balancer;
-import lemondrift.model.Listed;
-import lemondrift.model.Outcome;
-import lemondrift.peer.Holdings;
-import lemondrift.peer.SubsetAssignment;
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.gossip.LoadGossip;
+import lemondrift.gossip.SubsetAssignment;
 
 /** What this proxy tells the others and hears of them. Owner's thread only, but for told. */
-final class Tellings {
+final class GossipSession {
     private record Told(int from, byte[] datagram) {}
 
-    private final Balancer balancer;
-    private final Directory directory;
+    private final LoadBalancer balancer;
+    private final BackendDirectory directory;
     private final int self;
     private final SubsetAssignment subsets;
-    private final Holdings holdings;
+    private final LoadGossip holdings;
     /** What has come and is not handled yet. */
     private final Queue<Told> told = new ConcurrentLinkedQueue<>();
     private final Map<Integer, Integer> byTag = new HashMap<>();
     /** By index. */
     private int[] tags = {};
 
-    Tellings(Peers.Place place, long start, Balancer balancer, Directory directory) {
+    GossipSession(GossipTransport.Place place, long start, LoadBalancer balancer, BackendDirectory directory) {
         this.balancer = balancer;
         this.directory = directory;
         self = place.self();
         subsets = new SubsetAssignment(place.proxies().size(), place.part());
-        holdings = new Holdings(place.proxies().size(), self, start, place.pace(), place.forget(), subsets,
+        holdings = new LoadGossip(place.proxies().size(), self, start, place.pace(), place.forget(), subsets,
                 this::changed);
     }
 
@@ -57,15 +57,15 @@
     }
 
     /** Tags changed lines of the list and adds this proxy's scores and whose subset changes with them. */
-    List<Listed> assigned(List<Listed> lines) {
-        for (Listed line : lines) {
+    List<EndpointUpdate> assigned(List<EndpointUpdate> lines) {
+        for (EndpointUpdate line : lines) {
             int backend = line.backend();
             if (backend >= tags.length) {
                 tags = Arrays.copyOf(tags, Math.max(2 * tags.length, backend + 1));
             }
             byTag.remove(tags[backend], backend);
-            tags[backend] = Holdings.tag(directory.id(backend));
-            if (line.state() == Listed.State.READY) {
+            tags[backend] = LoadGossip.tag(directory.id(backend));
+            if (line.state() == EndpointUpdate.State.READY) {
                 byTag.put(tags[backend], backend);
             }
         }
@@ -73,7 +73,7 @@
     }
 
     /** The decisions have been told of a list. */
-    void listed(List<Listed> lines) {
+    void listed(List<EndpointUpdate> lines) {
         lines.forEach(line -> balancer.othersHold(line.backend(), holdings.others(tags[line.backend()])));
     }
 
@@ -81,7 +81,7 @@
         holdings.sent(tags[backend]);
     }
 
-    void ended(int backend, Outcome outcome, double now) {
+    void ended(int backend, AttemptOutcome outcome, double now) {
         if (outcome.mayRunOn) {
             holdings.givenUp(tags[backend], now);
         } else {
@@ -98,7 +98,7 @@
         return holdings.tellAt();
     }
 
-    List<Holdings.Telling> tellings(double now) {
+    List<LoadGossip.Telling> tellings(double now) {
         return holdings.tellings(now);
     }
 }
--- a/src/main/java/lemondrift/serve/PeersFile.java
+++ b/src/main/java/lemondrift/serve/GossipSettingsFile.java
@@ -9,37 +9,37 @@
 import java.util.List;
 import java.util.Map;
 import lemondrift.model.Settings;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 
 /** Reads what a deployment may say of telling other proxies; docs/peers.md has the keys. */
-final class PeersFile {
+final class GossipSettingsFile {
     /** The pace of tellings and when a silent one is forgotten, as shares of the shortest contract time. */
     private static final double PACE = 0.02, FORGET = 2;
     private static final int PART = 12;
 
-    private PeersFile() {}
+    private GossipSettingsFile() {}
 
     /** Null where the configuration forbids messages between proxies or names no addresses for them. */
-    static Peers.Place read(Path file, Settings settings, JsonObject config) throws IOException {
+    static GossipTransport.Place read(Path file, Settings settings, JsonObject config) throws IOException {
         double pace = PACE, forget = FORGET;
         int part = PART;
-        for (Map.Entry<String, JsonElement> each : DoorFile.object(file).entrySet()) {
+        for (Map.Entry<String, JsonElement> each : ConnectionSettingsFile.object(file).entrySet()) {
             try {
                 switch (each.getKey()) {
-                    case "pace" -> pace = DoorFile.seconds(each.getValue(), 0.001, 1);
-                    case "forget" -> forget = DoorFile.seconds(each.getValue(), 0.1, 100);
-                    case "part" -> part = (int) DoorFile.seconds(each.getValue(), 1, 1000);
-                    default -> throw new BadInput("not a key; there are pace, forget, part");
+                    case "pace" -> pace = ConnectionSettingsFile.seconds(each.getValue(), 0.001, 1);
+                    case "forget" -> forget = ConnectionSettingsFile.seconds(each.getValue(), 0.1, 100);
+                    case "part" -> part = (int) ConnectionSettingsFile.seconds(each.getValue(), 1, 1000);
+                    default -> throw new InvalidSettingsException("not a key; there are pace, forget, part");
                 }
-            } catch (BadInput | IllegalStateException | UnsupportedOperationException e) {
-                throw new BadInput(file + ": " + each.getKey() + ": " + e.getMessage());
+            } catch (InvalidSettingsException | IllegalStateException | UnsupportedOperationException e) {
+                throw new InvalidSettingsException(file + ": " + each.getKey() + ": " + e.getMessage());
             }
         }
         double window = settings.grades().stream().mapToDouble(g -> g.contractTime()).min().orElse(1);
         return place(config, pace * window, forget * window, part);
     }
 
-    private static Peers.Place place(JsonObject config, double pace, double forget, int part) {
+    private static GossipTransport.Place place(JsonObject config, double pace, double forget, int part) {
         JsonObject settings = config.has("settings") ? config.getAsJsonObject("settings") : new JsonObject();
         boolean allowed = settings.has("limits") && settings.getAsJsonObject("limits").has("mayTell")
                 && settings.getAsJsonObject("limits").get("mayTell").getAsBoolean();
@@ -48,10 +48,10 @@
         }
         List<InetSocketAddress> proxies = new ArrayList<>();
         for (JsonElement each : config.getAsJsonArray("peers")) {
-            proxies.add(Config.address("peers", each.getAsString()));
+            proxies.add(ProxyConfig.address("peers", each.getAsString()));
         }
         int self = settings.get("slotNo").getAsInt();
-        return self < 0 || self >= proxies.size() ? null : new Peers.Place(Config.address("peer_listen",
+        return self < 0 || self >= proxies.size() ? null : new GossipTransport.Place(ProxyConfig.address("peer_listen",
                 config.get("peer_listen").getAsString()), proxies, self, pace, forget, part);
     }
 }
--- a/src/main/java/lemondrift/serve/Peers.java
+++ b/src/main/java/lemondrift/serve/GossipTransport.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import lemondrift.peer.Holdings;
+import lemondrift.gossip.LoadGossip;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.IoUtils;
@@ -19,8 +19,8 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /** Datagrams from and to the other proxies. I/O thread only, once it has begun. */
-final class Peers {
-    private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
+final class GossipTransport {
+    private static final Logger LOG = LoggerFactory.getLogger(GossipTransport.class);
 
     /**
      * Where this proxy hears the others, the address of each by its number and its own number, the file's two
@@ -30,15 +30,15 @@
             double forget, int part) {}
 
     private final Place place;
-    private final Owner owner;
+    private final DecisionLoop owner;
     private final Map<SocketAddress, Integer> numbers = new HashMap<>();
-    private final ByteBuffer buffer = ByteBuffer.allocate(Holdings.MOST_BYTES + 1);
+    private final ByteBuffer buffer = ByteBuffer.allocate(LoadGossip.MOST_BYTES + 1);
     private final SocketAddressBuffer sender = new SocketAddressBuffer();
     private MulticastMessageChannel channel;
     private XnioExecutor.Key timer;
     private boolean failed;
 
-    Peers(Place place, Owner owner) {
+    GossipTransport(Place place, DecisionLoop owner) {
         this.place = place;
         this.owner = owner;
         for (int i = 0; i < place.proxies.size(); i++) {
@@ -71,7 +71,7 @@
             for (int got = channel.receiveFrom(sender, buffer.clear()); got > 0;
                     got = channel.receiveFrom(sender, buffer.clear())) {
                 Integer from = numbers.get(sender.getSourceAddress());
-                if (from != null && got <= Holdings.MOST_BYTES) {
+                if (from != null && got <= LoadGossip.MOST_BYTES) {
                     byte[] datagram = new byte[got];
                     buffer.flip().get(datagram);
                     owner.told(from, datagram);
@@ -82,7 +82,7 @@
         }
     }
 
-    void tell(Holdings.Telling telling) {
+    void tell(LoadGossip.Telling telling) {
         if (channel == null) {
             return;
         }
--- a/src/main/java/lemondrift/serve/Fields.java
+++ b/src/main/java/lemondrift/serve/HttpFieldRules.java
@@ -3,7 +3,7 @@
 import java.util.BitSet;
 
 /** What may stand in a message's head. Danger: what one reader skips another may take for a line's end. */
-final class Fields {
+final class HttpFieldRules {
     /** Bytes that a head may have, a client's or a backend's. */
     static final int MOST = 16 * 1024;
     private static final BitSet TOKEN = new BitSet();
@@ -14,7 +14,7 @@
         TOKEN.set('A', 'Z' + 1);
     }
 
-    private Fields() {}
+    private HttpFieldRules() {}
 
     static boolean isToken(CharSequence text) {
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/lemondrift/serve/Taken.java
+++ b/src/main/java/lemondrift/serve/PendingRequest.java
@@ -1,10 +1,10 @@
 package lemondrift.serve;
 
 import io.undertow.server.HttpServerExchange;
-import lemondrift.model.Exchange;
+import lemondrift.model.Request;
 
 /**
  * An exchange with its client's side: the request as it came, which the decisions never see. The upload is
  * null where all of the body is here.
  */
-record Taken(Exchange exchange, HttpServerExchange client, byte[] body, Upload upload) {}
+record PendingRequest(Request exchange, HttpServerExchange client, byte[] body, RequestBody upload) {}
--- a/src/main/java/lemondrift/serve/Hands.java
+++ b/src/main/java/lemondrift/serve/ProxyActions.java
@@ -1,29 +1,29 @@
 package lemondrift.serve;
 
 import java.net.InetSocketAddress;
-import lemondrift.model.Forward;
+import lemondrift.model.Attempt;
+import lemondrift.model.Decision;
 import lemondrift.model.Settings;
-import lemondrift.model.Turn;
-import lemondrift.peer.Holdings;
-import lemondrift.settings.Grades;
+import lemondrift.gossip.LoadGossip;
+import lemondrift.settings.RequestClassIndex;
 
 /** What the owner of the decisions has the sockets do; each returns at once. */
-interface Hands {
-    void send(Forward f, Taken taken, InetSocketAddress to);
+interface ProxyActions {
+    void send(Attempt f, PendingRequest taken, InetSocketAddress to);
 
-    void cancel(Forward f);
+    void cancel(Attempt f);
 
     void probe(int backend, InetSocketAddress to);
 
-    void list(Turn.ListCall call);
+    void list(Decision.ListCall call);
 
-    void deliver(Taken taken, Answer answer);
+    void deliver(PendingRequest taken, BackendResponse answer);
 
     /** Nobody wants the rest of an answer that is passed on. */
-    void drop(Answer answer);
+    void drop(BackendResponse answer);
 
     /** Ends an exchange as the decisions say; the retry-after is in seconds, 0 where there is none. */
-    void giveUp(Taken taken, boolean shed, double retryAfter);
+    void giveUp(PendingRequest taken, boolean shed, double retryAfter);
 
     /** A backend is no longer ready or has another address: what stands idle there is closed. */
     void letGo(int backend);
@@ -35,10 +35,10 @@
     void targets(int listed, int disabled);
 
     /** These are stated from now on. */
-    void retuned(Grades grades, Settings settings);
+    void retuned(RequestClassIndex grades, Settings settings);
 
     /** Tells another proxy. */
-    void tell(Holdings.Telling telling);
+    void tell(LoadGossip.Telling telling);
 
     /** All that was asked for since the last time is to be done now. */
     void act();
--- a/src/main/java/lemondrift/serve/Config.java
+++ b/src/main/java/lemondrift/serve/ProxyConfig.java
@@ -13,11 +13,11 @@
 import java.util.Objects;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import lemondrift.door.Bounds;
-import lemondrift.model.ServiceGrade;
+import lemondrift.connection.ConnectionLimits;
+import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
-import lemondrift.serve.recovery.Comeback;
-import lemondrift.settings.BadInput;
+import lemondrift.serve.recovery.RecoveryCoordinator;
+import lemondrift.settings.InvalidSettingsException;
 import lemondrift.settings.SettingsReader;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -26,13 +26,13 @@
  * What one proxy is told at start: the decisions' settings, the names at its door, and its own addresses; the
  * operators' is null where there is none.
  */
-record Config(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery,
+record ProxyConfig(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery,
         long seed, int sockets, long memory, Settings settings, List<String> gradeNames,
         List<String> tenantNames, List<String> locations, List<String> reportNames, double idle,
         double connectTimeout,
-        JsonObject known, Map<String, String> stated, Bounds door, Peers.Place peers, Comeback.Plan recovery,
+        JsonObject known, Map<String, String> stated, ConnectionLimits door, GossipTransport.Place peers, RecoveryCoordinator.Plan recovery,
         Settings shadow) {
-    private static final Logger LOG = LoggerFactory.getLogger(Config.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ProxyConfig.class);
     /** What is read once only, as a regular expression over the keys. */
     private static final String AT_A_START = "name|listen|admin_addr|limits\\..*|peer.*"
             + "|settings\\.(localities|zone|membershipMode|weights|realms|report|limits\\.conn).*";
@@ -55,43 +55,43 @@
         return Math.max(OTHERS, sockets - OTHERS);
     }
 
-    private Config with(InetSocketAddress admin, Bounds door, Peers.Place peers, Comeback.Plan recovery,
+    private ProxyConfig with(InetSocketAddress admin, ConnectionLimits door, GossipTransport.Place peers, RecoveryCoordinator.Plan recovery,
             Settings shadow) {
-        return new Config(name, listen, admin, discovery, seed, sockets, memory, settings, gradeNames,
+        return new ProxyConfig(name, listen, admin, discovery, seed, sockets, memory, settings, gradeNames,
                 tenantNames, locations, reportNames, idle, connectTimeout, known, stated, door, peers,
                 recovery, shadow);
     }
 
     /** The same without the list of before, which is thousands of lines on a large fleet. */
-    Config withoutKnown() {
-        return new Config(name, listen, admin, discovery, seed, sockets, memory, settings, gradeNames,
+    ProxyConfig withoutKnown() {
+        return new ProxyConfig(name, listen, admin, discovery, seed, sockets, memory, settings, gradeNames,
                 tenantNames, locations, reportNames, idle, connectTimeout, none(), stated, door, peers,
                 recovery, shadow);
     }
 
     /** The same with another door. */
-    Config with(Bounds other) {
+    ProxyConfig with(ConnectionLimits other) {
         return with(other, peers, recovery);
     }
 
-    private Config with(Bounds door, Peers.Place peers, Comeback.Plan recovery) {
+    private ProxyConfig with(ConnectionLimits door, GossipTransport.Place peers, RecoveryCoordinator.Plan recovery) {
         return with(admin, door, peers, recovery, shadow);
     }
 
     /** The same with settings that are watched. */
-    Config watching(Settings other) {
+    ProxyConfig watching(Settings other) {
         return with(admin, door, peers, recovery, other);
     }
 
     /** The same with an operators' address. */
-    Config operatedAt(InetSocketAddress other) {
+    ProxyConfig operatedAt(InetSocketAddress other) {
         return with(other, door, peers, recovery, shadow);
     }
 
     /** What the files named in an environment say: PROXY_CONFIG, and the others where there are any. */
-    static Config read(Map<String, String> environment) throws IOException {
+    static ProxyConfig read(Map<String, String> environment) throws IOException {
         JsonObject json = ConfigFile.read(environment);
-        Config config = read(json);
+        ProxyConfig config = read(json);
         config = config.with(door(environment, config), peers(environment, config, json),
                 recovery(environment, config));
         return config.named(environment, json);
@@ -102,9 +102,9 @@
      * that is gone or can't be used by now must not keep the proxy from following the settings; the log tells
      * of it.
      */
-    static Config readAgain(Map<String, String> environment, Config running) throws IOException {
+    static ProxyConfig readAgain(Map<String, String> environment, ProxyConfig running) throws IOException {
         JsonObject json = ConfigFile.readWithoutKnown(environment);
-        Config config = read(json).with(running.door, running.peers, running.recovery)
+        ProxyConfig config = read(json).with(running.door, running.peers, running.recovery)
                 .named(environment, json);
         try {
             door(environment, config);
@@ -116,36 +116,36 @@
         return config;
     }
 
-    private static Bounds door(Map<String, String> environment, Config config) throws IOException {
+    private static ConnectionLimits door(Map<String, String> environment, ProxyConfig config) throws IOException {
         String file = environment.get("PROXY_DOOR");
-        return file == null ? config.door : DoorFile.read(Path.of(file), config.door);
+        return file == null ? config.door : ConnectionSettingsFile.read(Path.of(file), config.door);
     }
 
-    private static Peers.Place peers(Map<String, String> environment, Config config, JsonObject json)
+    private static GossipTransport.Place peers(Map<String, String> environment, ProxyConfig config, JsonObject json)
             throws IOException {
         String file = environment.get("PROXY_PEERS");
-        return file == null ? null : PeersFile.read(Path.of(file), config.settings, json);
+        return file == null ? null : GossipSettingsFile.read(Path.of(file), config.settings, json);
     }
 
     /** Null where it is not named, or named by nothing. */
-    private static Comeback.Plan recovery(Map<String, String> environment, Config config) throws IOException {
+    private static RecoveryCoordinator.Plan recovery(Map<String, String> environment, ProxyConfig config) throws IOException {
         String file = environment.get("PROXY_RECOVERY");
         return file == null || file.isEmpty() ? null
-                : RecoveryFile.read(Path.of(file), config.settings.window());
+                : RecoverySettingsFile.read(Path.of(file), config.settings.window());
     }
 
     /** With what else the environment names: the operators' address and what is watched. */
-    private Config named(Map<String, String> environment, JsonObject json) throws IOException {
+    private ProxyConfig named(Map<String, String> environment, JsonObject json) throws IOException {
         String other = environment.get("PROXY_ADMIN_ADDR"), shadow = environment.get("PROXY_SHADOW");
-        Config config = other == null ? this : operatedAt(address("PROXY_ADMIN_ADDR", other));
-        return shadow == null ? config : config.watching(ShadowFile.read(Path.of(shadow), json));
+        ProxyConfig config = other == null ? this : operatedAt(address("PROXY_ADMIN_ADDR", other));
+        return shadow == null ? config : config.watching(ShadowSettingsFile.read(Path.of(shadow), json));
     }
 
-    static Config read(String json) {
+    static ProxyConfig read(String json) {
         return read(ConfigFile.object(json));
     }
 
-    private static Config read(JsonObject json) {
+    private static ProxyConfig read(JsonObject json) {
         try {
             return readParts(json);
         } catch (JsonParseException | IllegalStateException | UnsupportedOperationException e) {
@@ -153,7 +153,7 @@
         }
     }
 
-    private static Config readParts(JsonObject json) {
+    private static ProxyConfig readParts(JsonObject json) {
         Map<String, String> pairs = new HashMap<>();
         // Danger: a list of thousands is no setting, and would take longer than all else of a start.
         JsonObject stated = new JsonObject();
@@ -166,7 +166,7 @@
         SettingsReader reader = new SettingsReader(inner);
         int sockets = (int) all.number("limits.sockets", 1024);
         Settings settings = reader.settings();
-        return new Config(all.text("name", "proxy"), address("listen", all.text("listen", null)),
+        return new ProxyConfig(all.text("name", "proxy"), address("listen", all.text("listen", null)),
                 json.has("admin_addr") ? address("admin_addr", all.text("admin_addr", null)) : null,
                 address("discovery", all.text("discovery", null)), seed(all.text("seed", "0")),
                 sockets, (long) (all.number("limits.memory_mb", 192) * (1 << 20)), settings,
@@ -174,7 +174,7 @@
                 names(inner, "realms"), reader.list("localities"), reader.list("report.names"),
                 reader.number("limits.connIdle", 10_000) / 1000,
                 reader.number("limits.connectTimeout", 250) / 1000, known(json), pairs,
-                DoorFile.usual(connections(sockets), settings), null, null, null);
+                ConnectionSettingsFile.usual(connections(sockets), settings), null, null, null);
     }
 
     /** Danger: where lists come on request, a proxy that is told of none would never ask for one. */
@@ -190,21 +190,21 @@
     }
 
     double longestExpiry() {
-        return settings.live().mapToDouble(ServiceGrade::expiry).max().orElse(1);
+        return settings.live().mapToDouble(RequestClass::expiry).max().orElse(1);
     }
 
     /**
      * Danger: a file that was cut or left half written may still be one that can be read, and what it lacks
      * would fall back to what holds where nothing is said.
      */
-    void requireAllOf(Config running) {
+    void requireAllOf(ProxyConfig running) {
         for (String key : running.stated.keySet()) {
             // Of a list's entries each has to have what all had; there may be fewer of them.
             boolean all = IntStream.range(0, running.count(key)).allMatch(i -> running.stated.containsKey(
                     at(key, i)));
             for (int i = 0; all && i < count(key); i++) {
                 if (!stated.containsKey(at(key, i))) {
-                    throw new BadInput(at(key, i) + ": missing, and the running configuration has it");
+                    throw new InvalidSettingsException(at(key, i) + ": missing, and the running configuration has it");
                 }
             }
         }
@@ -221,7 +221,7 @@
     }
 
     /** The keys that differ from the running configuration's, and hold only from the next start on. */
-    List<String> changesAtAStart(Config running) {
+    List<String> changesAtAStart(ProxyConfig running) {
         return Stream.concat(stated.keySet().stream(), running.stated.keySet().stream()).distinct().sorted()
                 .filter(key -> key.matches(AT_A_START))
                 .filter(key -> !Objects.equals(stated.get(key), running.stated.get(key))).toList();
@@ -232,11 +232,11 @@
         for (int i = 0; i < names.size(); i++) {
             String key = "setting serviceGrades." + i + ".name: ";
             if (names.get(i) == null || names.get(i).isEmpty()) {
-                throw new BadInput(key + "missing");
+                throw new InvalidSettingsException(key + "missing");
             }
             // Danger: of two classes of one name it is not known which one a request means.
             if (names.indexOf(names.get(i)) < i) {
-                throw new BadInput(key + names.get(i) + " is there twice");
+                throw new InvalidSettingsException(key + names.get(i) + " is there twice");
             }
         }
         return names;
@@ -270,7 +270,7 @@
             int port = Integer.parseInt(text.substring(colon + 1));
             return new InetSocketAddress(text.substring(0, colon), port);
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            throw new BadInput(what + ": not host:port: " + text);
+            throw new InvalidSettingsException(what + ": not host:port: " + text);
         }
     }
 
@@ -278,7 +278,7 @@
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
-            throw new BadInput("seed: not a hexadecimal number: " + hex);
+            throw new InvalidSettingsException("seed: not a hexadecimal number: " + hex);
         }
     }
 }
--- a/src/main/java/lemondrift/serve/Serve.java
+++ b/src/main/java/lemondrift/serve/ProxyLauncher.java
@@ -7,20 +7,20 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import lemondrift.serve.admin.Admin;
-import lemondrift.settings.BadInput;
+import lemondrift.serve.admin.AdminServer;
+import lemondrift.settings.InvalidSettingsException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioWorker;
 
 /** Starts the real proxy from its environment and ends it on SIGTERM. */
-public final class Serve {
-    private static final Logger LOG = LoggerFactory.getLogger(Serve.class);
+public final class ProxyLauncher {
+    private static final Logger LOG = LoggerFactory.getLogger(ProxyLauncher.class);
 
     /** Seconds that the log's last lines may take at the end. */
     private static final double LAST_LINES = 0.05;
 
-    private Serve() {}
+    private ProxyLauncher() {}
 
     /** Returns an exit code where the proxy can't start, else 0, and the proxy runs on. */
     public static int run(Map<String, String> environment, PrintStream err) {
@@ -37,12 +37,12 @@
         // XNIO offers its figures as management beans where it can; to set that up is a third of the start.
         System.setProperty("javax.management.builder.initial", "none");
         try {
-            Config config = Config.read(environment);
-            AtomicReference<Proxy> proxy = new AtomicReference<>();
+            ProxyConfig config = ProxyConfig.read(environment);
+            AtomicReference<ProxyServer> proxy = new AtomicReference<>();
             AtomicBoolean hungUp = new AtomicBoolean();
             if (serving) {
                 // Danger: a reader of the log that stops would stop whoever logs, and with them all answers.
-                QueuedLog log = QueuedLog.ofStandardError();
+                AsyncLog log = AsyncLog.ofStandardError();
                 // Danger: a signal that comes before there is a proxy would end the program, as a crash does.
                 Runtime.getRuntime().addShutdownHook(new Thread(() -> end(proxy.get(), log), "drain"));
                 onHangUp(() -> {
@@ -51,13 +51,13 @@
                 });
             }
             ServerSocketChannel given = given(environment.get("PROXY_INHERITED_FD"));
-            XnioWorker worker = serving ? Proxy.worker() : null;
-            Meeting meeting = given == null ? null : meeting(environment.get("TMPDIR"), config.name());
+            XnioWorker worker = serving ? ProxyServer.worker() : null;
+            TakeoverLock meeting = given == null ? null : meeting(environment.get("TMPDIR"), config.name());
             // Before the rehearsal, so that who asks meanwhile hears that it is not ready.
-            Admin admin = serving && config.admin() != null ? new Admin(config.admin(), worker) : null;
+            AdminServer admin = serving && config.admin() != null ? new AdminServer(config.admin(), worker) : null;
             rehearse(config);
             if (serving) {
-                proxy.set(new Proxy(config, worker));
+                proxy.set(new ProxyServer(config, worker));
                 if (meeting != null) {
                     proxy.get().meets(meeting);
                 }
@@ -79,8 +79,8 @@
     }
 
     /** Others are to know of this process as soon as it starts, so that they make room. */
-    private static Meeting meeting(String folder, String name) {
-        Meeting meeting = new Meeting(Path.of(folder == null ? "/tmp" : folder), name);
+    private static TakeoverLock meeting(String folder, String name) {
+        TakeoverLock meeting = new TakeoverLock(Path.of(folder == null ? "/tmp" : folder), name);
         meeting.look();
         return meeting;
     }
@@ -92,7 +92,7 @@
         }
         // The JDK knows the way for this descriptor only.
         if (!descriptor.equals("0") || !(System.inheritedChannel() instanceof ServerSocketChannel socket)) {
-            throw new BadInput("PROXY_INHERITED_FD: descriptor " + descriptor + " is no listening socket");
+            throw new InvalidSettingsException("PROXY_INHERITED_FD: descriptor " + descriptor + " is no listening socket");
         }
         return socket;
     }
@@ -101,12 +101,12 @@
      * Danger: two hang-ups in a row have a thread each, and the older file must not be followed last. An
      * archive that was replaced under a running program may lack a class; that is a failed reload too.
      */
-    private static synchronized void reload(Proxy proxy, Map<String, String> environment) {
+    private static synchronized void reload(ProxyServer proxy, Map<String, String> environment) {
         if (proxy == null) {
             return;
         }
         try {
-            proxy.reload(Config.readAgain(environment, proxy.config()));
+            proxy.reload(ProxyConfig.readAgain(environment, proxy.config()));
         } catch (IOException | RuntimeException | LinkageError e) {
             proxy.reloadFailed();
             LOG.warn("new configuration not used, the old one stays: {}", e.toString().replace('\n', ' '));
@@ -118,7 +118,7 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object take = java.lang.reflect.Proxy.newProxyInstance(Serve.class.getClassLoader(),
+            Object take = java.lang.reflect.Proxy.newProxyInstance(ProxyLauncher.class.getClassLoader(),
                     new Class<?>[] {handler}, (self, method, arguments) -> {
                         then.run();
                         return null;
@@ -131,9 +131,9 @@
     }
 
     /** Danger: a proxy that can't rehearse can still serve. */
-    private static void rehearse(Config config) {
+    private static void rehearse(ProxyConfig config) {
         try {
-            Rehearsal.play(config);
+            Warmup.play(config);
         } catch (IOException | RuntimeException e) {
             LOG.warn("not rehearsed: {}", e.toString());
         } catch (InterruptedException e) {
@@ -141,7 +141,7 @@
         }
     }
 
-    private static void end(Proxy proxy, QueuedLog log) {
+    private static void end(ProxyServer proxy, AsyncLog log) {
         try {
             if (proxy != null) {
                 proxy.drain();
--- a/src/main/java/lemondrift/serve/Proxy.java
+++ b/src/main/java/lemondrift/serve/ProxyServer.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lemondrift.decide.Balancer;
-import lemondrift.model.Forward;
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.model.Attempt;
+import lemondrift.model.Decision;
 import lemondrift.model.Settings;
-import lemondrift.model.Turn;
-import lemondrift.peer.Holdings;
-import lemondrift.serve.admin.Operated;
-import lemondrift.serve.recovery.Comeback;
-import lemondrift.settings.Grades;
-import lemondrift.shadow.Shadow;
-import lemondrift.tally.Tally;
+import lemondrift.gossip.LoadGossip;
+import lemondrift.serve.admin.AdminOperations;
+import lemondrift.serve.recovery.RecoveryCoordinator;
+import lemondrift.settings.RequestClassIndex;
+import lemondrift.shadow.ShadowEvaluator;
+import lemondrift.metrics.ProxyMetrics;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.OptionMap;
@@ -32,11 +32,11 @@
 import org.xnio.XnioWorker;
 
 /** The program: one real proxy, from its start to its exit. */
-public final class Proxy {
+public final class ProxyServer {
     /** What the program is doing; it only goes forward. */
     enum Phase { STARTING, SERVING, DRAINING, STOPPED }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Proxy.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ProxyServer.class);
     private static final int BUFFER = 8 * 1024, MOST_BUFFERS = 512;
     /**
      * Seconds in which new clients may still come after a drain has begun; by how much later than the longest
@@ -56,58 +56,58 @@
 
     private static final OptionMap NO_DELAY = OptionMap.create(Options.TCP_NODELAY, true);
 
-    private final Clock clock = Clock.system();
-    private final Tally tally = new Tally();
+    private final MonotonicClock clock = MonotonicClock.system();
+    private final ProxyMetrics tally = new ProxyMetrics();
     private final XnioWorker worker;
-    private final Owner owner;
-    private final Front front;
-    private final Watch watch;
-    private final Backends backends;
-    private volatile Config config;
+    private final DecisionLoop owner;
+    private final ClientListener front;
+    private final EndpointListWatch watch;
+    private final BackendClient backends;
+    private volatile ProxyConfig config;
     /** Until when what came under an earlier configuration may be open. */
     private volatile double formerExpiry;
     /** The list from before; null once the decisions have been told of it. */
     private JsonObject known;
     /** Null where the other proxies are told nothing. */
-    private final Peers peers;
+    private final GossipTransport peers;
     private volatile Phase phase = Phase.STARTING;
 
-    Proxy(Config config) throws IOException {
+    ProxyServer(ProxyConfig config) throws IOException {
         this(config, worker(), null);
     }
 
     /** The one that serves, on a worker that may stand already. */
-    Proxy(Config config, XnioWorker worker) {
+    ProxyServer(ProxyConfig config, XnioWorker worker) {
         this(config, worker, null);
     }
 
     /** Its backends' connections are opened by dial, or where that is null on sockets. */
-    Proxy(Config told, XnioWorker worker, Dial dial) {
-        Config config = told.withoutKnown();
+    ProxyServer(ProxyConfig told, XnioWorker worker, BackendConnector dial) {
+        ProxyConfig config = told.withoutKnown();
         known = told.known();
         this.worker = worker;
         XnioIoThread io = worker.getIoThread();
-        Dial sockets = (to, opened) -> io.openStreamConnection(to, opened, NO_DELAY);
+        BackendConnector sockets = (to, opened) -> io.openStreamConnection(to, opened, NO_DELAY);
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER, MOST_BUFFERS, 8);
         this.config = config;
-        Grades grades = new Grades(config.gradeNames(), config.settings().grades());
-        Balancer balancer = new Balancer(config.settings(), config.seed());
-        owner = new Owner(balancer, new Directory(config.locations()), clock, new Sockets(io), grades,
+        RequestClassIndex grades = new RequestClassIndex(config.gradeNames(), config.settings().grades());
+        LoadBalancer balancer = new LoadBalancer(config.settings(), config.seed());
+        owner = new DecisionLoop(balancer, new BackendDirectory(config.locations()), clock, new Sockets(io), grades,
                 config.settings());
         if (config.shadow() != null && dial == null) {
             owner.watches(config.shadow(), config.seed());
         }
-        front = new Front(config, grades, clock, worker, buffers, owner, tally);
-        watch = new Watch(config, clock, io, sockets, buffers, owner);
-        backends = new Backends(config, clock, io, dial == null ? sockets : dial, buffers, owner,
+        front = new ClientListener(config, grades, clock, worker, buffers, owner, tally);
+        watch = new EndpointListWatch(config, clock, io, sockets, buffers, owner);
+        backends = new BackendClient(config, clock, io, dial == null ? sockets : dial, buffers, owner,
                 tally, front::awaits);
         peers = config.peers() == null || dial != null || !balancer.isToBeTold() ? null
-                : new Peers(config.peers(), owner);
+                : new GossipTransport(config.peers(), owner);
         if (peers != null) {
             if (config.recovery() == null) {
                 owner.tells(config.peers());
             } else {
-                owner.tells(config.peers(), new Comeback(config.recovery(), config.name(),
+                owner.tells(config.peers(), new RecoveryCoordinator(config.recovery(), config.name(),
                         config.peers().self(), config.peers().proxies().size(), clock.now()));
             }
         }
@@ -130,7 +130,7 @@
             peers.begin(worker);
             front.first(peers::receive);
         }
-        owner.listed(MemberList.of(known), true, () -> { });
+        owner.listed(EndpointList.of(known), true, () -> { });
         known = null;
         owner.start();
         worker.getIoThread().execute(watch::begin);
@@ -148,7 +148,7 @@
      * Follows a new configuration, from now on or, what can't change while clients are served, not before the
      * next start. One that is short of something is not followed at all.
      */
-    void reload(Config next) {
+    void reload(ProxyConfig next) {
         next.requireAllOf(config);
         LOG.info("configuration read again, discovery at {}, classes {}", next.discovery(),
                 next.gradeNames());
@@ -166,7 +166,7 @@
     }
 
     /** What it goes by now. */
-    Config config() {
+    ProxyConfig config() {
         return config;
     }
 
@@ -176,15 +176,15 @@
     }
 
     /** What operators may ask of it. */
-    Operated operated() {
-        return new Operated() {
+    AdminOperations operated() {
+        return new AdminOperations() {
             @Override
             public boolean isReady() {
                 return phase == Phase.SERVING;
             }
 
             @Override
-            public Tally.Figures figures() {
+            public ProxyMetrics.Figures figures() {
                 return tally.figures();
             }
 
@@ -221,7 +221,7 @@
     /** Decides and forwards without a listener or discovery, on the list and the connections it is given. */
     void rehearse(JsonObject list) {
         owner.start();
-        owner.listed(MemberList.of(list), false, () -> { });
+        owner.listed(EndpointList.of(list), false, () -> { });
     }
 
     void accept(StreamConnection connection) {
@@ -239,7 +239,7 @@
     }
 
     /** Looks from time to time who else is there, and keeps to its part. Before serving. */
-    void meets(Meeting meeting) {
+    void meets(TakeoverLock meeting) {
         meeting.look();
         sharedBy(meeting.processes());
         worker.getIoThread().executeAtInterval(() -> worker.execute(() -> {
@@ -328,7 +328,7 @@
     }
 
     /** What watching has counted; null where nobody watches. Once the owner has stopped. */
-    Shadow watched() {
+    ShadowEvaluator watched() {
         return owner.watched();
     }
 
@@ -341,7 +341,7 @@
     }
 
     /** Carries the wishes of the owner to the I/O thread, many at once: each wake of it costs a switch. */
-    private final class Sockets implements Hands {
+    private final class Sockets implements ProxyActions {
         private final XnioIoThread io;
         private List<Runnable> wishes = new ArrayList<>();
 
@@ -350,12 +350,12 @@
         }
 
         @Override
-        public void send(Forward f, Taken taken, InetSocketAddress to) {
+        public void send(Attempt f, PendingRequest taken, InetSocketAddress to) {
             wishes.add(() -> backends.send(f, taken, to));
         }
 
         @Override
-        public void cancel(Forward f) {
+        public void cancel(Attempt f) {
             wishes.add(() -> backends.cancel(f));
         }
 
@@ -365,22 +365,22 @@
         }
 
         @Override
-        public void list(Turn.ListCall call) {
+        public void list(Decision.ListCall call) {
             wishes.add(() -> watch.asked(call));
         }
 
         @Override
-        public void deliver(Taken taken, Answer answer) {
+        public void deliver(PendingRequest taken, BackendResponse answer) {
             wishes.add(() -> front.deliver(taken, answer));
         }
 
         @Override
-        public void drop(Answer answer) {
+        public void drop(BackendResponse answer) {
             wishes.add(() -> answer.rest().drop());
         }
 
         @Override
-        public void giveUp(Taken taken, boolean shed, double retryAfter) {
+        public void giveUp(PendingRequest taken, boolean shed, double retryAfter) {
             wishes.add(() -> front.giveUp(taken.client(), shed, retryAfter));
         }
 
@@ -400,7 +400,7 @@
         }
 
         @Override
-        public void retuned(Grades grades, Settings settings) {
+        public void retuned(RequestClassIndex grades, Settings settings) {
             wishes.add(() -> {
                 front.retuned(grades, settings);
                 owner.followed(front.grades());
@@ -408,7 +408,7 @@
         }
 
         @Override
-        public void tell(Holdings.Telling telling) {
+        public void tell(LoadGossip.Telling telling) {
             wishes.add(() -> peers.tell(telling));
         }
 
--- a/src/main/java/lemondrift/serve/Upload.java
+++ b/src/main/java/lemondrift/serve/RequestBody.java
@@ -9,21 +9,21 @@
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.Deque;
-import lemondrift.body.Holding;
+import lemondrift.buffer.BodyBufferBudget;
 import org.xnio.channels.StreamSourceChannel;
 
 /**
  * A request's body as it comes: held as long as it may be, then given on piece by piece, in chunks where
  * nobody tells its length. I/O thread only.
  */
-final class Upload implements Pieces {
+final class RequestBody implements BodyChunks {
     /** Who hears what becomes of it. */
     interface Hearer {
         /** All of it has come and is held. */
         void held(byte[] body);
 
         /** It can't be held to its end and is to be passed on. */
-        void passes(Upload upload);
+        void passes(RequestBody upload);
 
         /** The last byte of one that is passed on has come. */
         void whole();
@@ -38,7 +38,7 @@
     private static final ByteBuffer END = ByteBuffer.wrap(new byte[] {'\r', '\n'});
 
     private final StreamSourceChannel channel;
-    private final Holding holding;
+    private final BodyBufferBudget holding;
     private final ByteBufferPool buffers;
     private final long longest;
     private final Hearer hearer;
@@ -56,7 +56,7 @@
     private boolean beyond, ended, given, failed;
     private Runnable released = () -> { };
 
-    Upload(HttpServerExchange client, Holding holding, ByteBufferPool buffers, long longest, double stall,
+    RequestBody(HttpServerExchange client, BodyBufferBudget holding, ByteBufferPool buffers, long longest, double stall,
             Hearer hearer) {
         this.stall = stall;
         channel = client.getRequestChannel();
--- a/src/main/java/lemondrift/serve/AnswerReader.java
+++ b/src/main/java/lemondrift/serve/ResponseReader.java
@@ -15,7 +15,7 @@
  * do here: it takes any 1xx but 100 for the answer, the first of two lengths for the length, and keeps what
  * lies beyond an answer for the next one.
  */
-final class AnswerReader {
+final class ResponseReader {
     private static final Pattern CHUNK = Pattern.compile("([0-9A-Fa-f]{1,7})[ \\t]*(;.*)?");
 
     private enum Part { STATUS, FIELDS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, TO_THE_END, WHOLE }
@@ -38,7 +38,7 @@
      * The most is that of a body that is held; heads, 1xx too, and lines between chunks have bounds of their
      * own. A longer one, if it may be, is passed on in pieces.
      */
-    AnswerReader(int most, boolean mayPass) {
+    ResponseReader(int most, boolean mayPass) {
         this.most = most;
         this.mayPass = mayPass;
     }
@@ -62,7 +62,7 @@
         byte[] bytes = new byte[piece.remaining()];
         piece.get(bytes);
         body.writeBytes(bytes);
-        require(body.size() <= most || mayPass && status == Answer.OK, "over " + most + " bytes");
+        require(body.size() <= most || mayPass && status == BackendResponse.OK, "over " + most + " bytes");
     }
 
     /** The next piece of the body out of what has come; null where more must come first, or it is whole. */
@@ -95,7 +95,7 @@
 
     /** Whether nobody can say how long it will be; its head is in. */
     boolean isEndless() {
-        return status == Answer.OK && declared < 0 && part.compareTo(Part.FIELDS) > 0 && part != Part.WHOLE;
+        return status == BackendResponse.OK && declared < 0 && part.compareTo(Part.FIELDS) > 0 && part != Part.WHOLE;
     }
 
     /** It is passed on whatever its length. */
@@ -128,13 +128,13 @@
         return connection == null ? old : !connection.equalsIgnoreCase("keep-alive");
     }
 
-    Answer answer() {
-        return new Answer(status, headers, body.toByteArray(), true, false, null);
+    BackendResponse answer() {
+        return new BackendResponse(status, headers, body.toByteArray(), true, false, null);
     }
 
     /** What of it was held, and whoever has the rest. */
-    Answer begun(Call rest) {
-        return new Answer(status, headers, body.toByteArray(), true, false, rest);
+    BackendResponse begun(BackendCall rest) {
+        return new BackendResponse(status, headers, body.toByteArray(), true, false, rest);
     }
 
     /** The next line without its end; null until it has come. */
@@ -143,8 +143,8 @@
             char c = (char) (from.get() & 0xFF);
             // Danger: lines without end between chunks would hold a connection as a head without end does.
             boolean inHead = part == Part.STATUS || part == Part.FIELDS;
-            if ((inHead ? ++inHeads : ++inChunks) > Fields.MOST) {
-                throw new IOException("a head of over " + Fields.MOST + " bytes");
+            if ((inHead ? ++inHeads : ++inChunks) > HttpFieldRules.MOST) {
+                throw new IOException("a head of over " + HttpFieldRules.MOST + " bytes");
             }
             if (c == '\n') {
                 int end = line.length() - 1;
@@ -162,9 +162,9 @@
         switch (part) {
             case STATUS -> {
                 old = text.startsWith("HTTP/1.0 ");
-                require((old || text.startsWith("HTTP/1.1 ")) && text.length() >= 12 && Fields.isValue(text)
+                require((old || text.startsWith("HTTP/1.1 ")) && text.length() >= 12 && HttpFieldRules.isValue(text)
                         && (text.length() == 12 || text.charAt(12) == ' '), text);
-                status = Fields.number(text.substring(9, 12), 3);
+                status = HttpFieldRules.number(text.substring(9, 12), 3);
                 require(status >= 100 && status < 600, text);
                 part = Part.FIELDS;
             }
@@ -174,7 +174,7 @@
                 } else {
                     int colon = text.indexOf(':');
                     String name = text.substring(0, Math.max(0, colon));
-                    require(Fields.isToken(name) && Fields.isValue(text), text);
+                    require(HttpFieldRules.isToken(name) && HttpFieldRules.isValue(text), text);
                     headers.add(new HttpString(name), text.substring(colon + 1).strip());
                 }
             }
@@ -208,8 +208,8 @@
             part = Part.CHUNK_SIZE;
         } else if (lengths != null) {
             // Danger: one of 3 GB is known to be too long here, and would come for as long as it is read.
-            declared = left = Fields.number(lengths.getFirst(), 9);
-            boolean passes = mayPass && status == Answer.OK;
+            declared = left = HttpFieldRules.number(lengths.getFirst(), 9);
+            boolean passes = mayPass && status == BackendResponse.OK;
             require(lengths.size() == 1 && left >= 0 && left <= (passes ? LONGEST : most), lengths);
             part = left == 0 ? Part.WHOLE : Part.BODY;
         } else if (status == 204 || status == 304) {
--- a/src/main/java/lemondrift/serve/Meeting.java
+++ b/src/main/java/lemondrift/serve/TakeoverLock.java
@@ -6,7 +6,7 @@
 import java.nio.channels.OverlappingFileLockException;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import lemondrift.succession.Succession;
+import lemondrift.hotrestart.ResourceSplit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.IoUtils;
@@ -16,17 +16,17 @@
  * of a lock however its process ends, so that nothing here can be stale. Its looks are for a thread that may
  * wait.
  */
-final class Meeting {
-    private static final Logger LOG = LoggerFactory.getLogger(Meeting.class);
+final class TakeoverLock {
+    private static final Logger LOG = LoggerFactory.getLogger(TakeoverLock.class);
 
     private final Path serving, waiting;
-    private final Succession succession = new Succession();
+    private final ResourceSplit succession = new ResourceSplit();
     private FileChannel servingFile, waitingFile;
     private FileLock serves, waits;
     private boolean failed;
 
     /** In a folder that both have, under a name that is the proxy's. */
-    Meeting(Path folder, String name) {
+    TakeoverLock(Path folder, String name) {
         String plain = name.replaceAll("[^A-Za-z0-9._-]", "_");
         serving = folder.resolve("lemondrift-" + plain + ".serving");
         waiting = folder.resolve("lemondrift-" + plain + ".waiting");
--- a/src/main/java/lemondrift/serve/Rehearsal.java
+++ b/src/main/java/lemondrift/serve/Warmup.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import java.util.stream.Collectors;
-import lemondrift.model.Effect;
+import lemondrift.model.Idempotency;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.ChannelListener;
@@ -26,29 +26,29 @@
  * socket is opened. Danger: code that has not run yet takes ten times the processor; with a part of a core
  * the first exchanges would be late, and their clients' further tries more than it can ever take.
  */
-final class Rehearsal {
-    private static final Logger LOG = LoggerFactory.getLogger(Rehearsal.class);
+final class Warmup {
+    private static final Logger LOG = LoggerFactory.getLogger(Warmup.class);
     private static final int CLIENTS = 6, BACKENDS = 4, EXCHANGES = 120;
     /** Seconds that it may take at the most, and that the last answers may. */
     private static final double MOST = 1.5, LAST = 0.5;
 
-    private final Config config;
+    private final ProxyConfig config;
     private final XnioWorker worker;
     private final CountDownLatch left = new CountDownLatch(EXCHANGES);
     private final CountDownLatch quiet = new CountDownLatch(CLIENTS);
     private volatile boolean over;
     private long sent, told;
 
-    private Rehearsal(Config config, XnioWorker worker) {
+    private Warmup(ProxyConfig config, XnioWorker worker) {
         this.config = config;
         this.worker = worker;
     }
 
     /** Says whether all that was asked had its answer. */
-    static boolean play(Config config) throws IOException, InterruptedException {
-        XnioWorker worker = Proxy.worker();
-        Rehearsal rehearsal = new Rehearsal(config, worker);
-        Proxy proxy = new Proxy(config, worker, rehearsal::dial);
+    static boolean play(ProxyConfig config) throws IOException, InterruptedException {
+        XnioWorker worker = ProxyServer.worker();
+        Warmup rehearsal = new Warmup(config, worker);
+        ProxyServer proxy = new ProxyServer(config, worker, rehearsal::dial);
         proxy.rehearse(rehearsal.list());
         worker.getIoThread().execute(() -> {
             for (int i = 0; i < CLIENTS; i++) {
@@ -102,7 +102,7 @@
                 + report.length() + "\r\n\r\n" + report;
     }
 
-    private void client(Proxy proxy) {
+    private void client(ProxyServer proxy) {
         try {
             ChannelPipe<StreamConnection, StreamConnection> pipe = worker.createFullDuplexPipeConnection();
             talk(pipe.getLeftSide(), answer -> {
@@ -123,7 +123,7 @@
     private String request() {
         int grade = (int) (++sent % config.gradeNames().size());
         String tenant = config.tenantNames().isEmpty() ? "" : config.tenantNames().get(0);
-        boolean pure = config.settings().grades().get(grade).effect() == Effect.PURE;
+        boolean pure = config.settings().grades().get(grade).effect() == Idempotency.PURE;
         return (pure ? "GET" : "POST") + " /rehearsal HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + sent
                 + "\r\nX-Qos: " + config.gradeNames().get(grade) + "\r\nX-Customer: " + tenant
                 + "\r\nX-Expires-In-Ms: 5000\r\n" + (pure ? "\r\n" : "Content-Length: 1\r\n\r\nx");
--- a/src/main/java/lemondrift/serve/admin/Operated.java
+++ b/src/main/java/lemondrift/serve/admin/AdminOperations.java
@@ -1,13 +1,13 @@
 package lemondrift.serve.admin;
 
-import lemondrift.tally.Tally;
+import lemondrift.metrics.ProxyMetrics;
 
 /** What operators may ask of the process; each returns at once. I/O thread only. */
-public interface Operated {
+public interface AdminOperations {
     /** Whether this process can serve. */
     boolean isReady();
 
-    Tally.Figures figures();
+    ProxyMetrics.Figures figures();
 
     /** How far it is on its way back after its start, as JSON; null where it asks nobody. */
     String recovery();
--- a/src/main/java/lemondrift/serve/admin/Admin.java
+++ b/src/main/java/lemondrift/serve/admin/AdminServer.java
@@ -17,7 +17,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import lemondrift.tally.Tally;
+import lemondrift.metrics.ProxyMetrics;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.ChannelListener;
@@ -33,8 +33,8 @@
  * The operators' address: fixed calls, one to a connection. It never waits for another thread. Its places
  * and buffers are its own. Danger: with the clients' own, a crowd of theirs would keep operators out.
  */
-public final class Admin {
-    private static final Logger LOG = LoggerFactory.getLogger(Admin.class);
+public final class AdminServer {
+    private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
     /** How many calls may be open, and how many seconds one may take. */
     private static final int PLACES = 16;
     private static final double LONGEST = 2;
@@ -47,9 +47,9 @@
     /** Whoever connected first is first. */
     private final Set<StreamConnection> open = new LinkedHashSet<>();
     /** Null until there is something to operate. */
-    private Operated operated;
+    private AdminOperations operated;
 
-    public Admin(InetSocketAddress address, XnioWorker worker) throws IOException {
+    public AdminServer(InetSocketAddress address, XnioWorker worker) throws IOException {
         this.worker = worker;
         ByteBufferPool buffers = new DefaultByteBufferPool(true, HEAD, PLACES, 0);
         http = new HttpOpenListener(buffers, OptionMap.builder()
@@ -69,7 +69,7 @@
     }
 
     /** From now on there is something to operate. */
-    public void operates(Operated it) {
+    public void operates(AdminOperations it) {
         worker.getIoThread().execute(() -> operated = it);
     }
 
@@ -111,7 +111,7 @@
             return;
         }
         if (path.equals("/admin/stats")) {
-            Tally.Figures figures = operated == null ? new Tally().figures() : operated.figures();
+            ProxyMetrics.Figures figures = operated == null ? new ProxyMetrics().figures() : operated.figures();
             call.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
             call.getResponseSender().send(json(figures));
             return;
@@ -137,11 +137,11 @@
         call.getResponseSender().send(StatusCodes.getReason(status) + "\n");
     }
 
-    static String json(Tally.Figures figures) {
+    static String json(ProxyMetrics.Figures figures) {
         JsonObject replies = new JsonObject();
         figures.replies().forEach((grade, counts) -> {
             JsonObject own = new JsonObject();
-            for (Tally.Reply reply : Tally.Reply.values()) {
+            for (ProxyMetrics.Reply reply : ProxyMetrics.Reply.values()) {
                 own.addProperty(reply.name().toLowerCase(Locale.ROOT), counts[reply.ordinal()]);
             }
             replies.add(grade, own);
--- a/src/main/java/lemondrift/serve/recovery/Comeback.java
+++ b/src/main/java/lemondrift/serve/recovery/RecoveryCoordinator.java
@@ -6,38 +6,38 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
-import lemondrift.decide.Balancer;
-import lemondrift.peer.Holdings;
-import lemondrift.recovery.Hello;
-import lemondrift.recovery.Pace;
-import lemondrift.recovery.Recovery;
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.gossip.LoadGossip;
+import lemondrift.recovery.PeerPollBackoff;
+import lemondrift.recovery.PeerStatus;
+import lemondrift.recovery.RecoveryState;
 import lemondrift.recovery.Snapshot;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Carries out a proxy's way back to service. Owner's thread only, but where it says otherwise. */
-public final class Comeback implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Comeback.class);
+public final class RecoveryCoordinator implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(RecoveryCoordinator.class);
 
     /** How it asks, where it keeps snapshots or null, and every how many seconds it writes one. */
-    public record Plan(Pace pace, Path folder, double period) {}
+    public record Plan(PeerPollBackoff pace, Path folder, double period) {}
 
     /** Who is to know that another proxy has started anew. */
     public interface Anew {
         void startedAnew(int proxy, long start);
     }
 
-    private record Said(int from, Hello hello) {}
+    private record Said(int from, PeerStatus hello) {}
 
     private final Queue<Said> said = new ConcurrentLinkedQueue<>();
     /** Null where no disk lasts. */
-    private final Keeper keeper;
+    private final SnapshotStore keeper;
     private final Snapshot.Trusted trusted;
     private final double period;
     private double keepAt;
     /** A value, so that any thread may look at it. */
-    private volatile Recovery recovery;
-    private volatile Recovery.Lesson lesson;
+    private volatile RecoveryState recovery;
+    private volatile RecoveryState.Lesson lesson;
     private volatile double judgedAt;
     private boolean told;
 
@@ -45,13 +45,13 @@
      * Of a proxy by its name and number. Before it returns, the start number is kept where a disk lasts.
      * Danger: one that others have heard and that is not kept could be taken a second time.
      */
-    public Comeback(Plan plan, String name, int self, int proxies, double now) {
+    public RecoveryCoordinator(Plan plan, String name, int self, int proxies, double now) {
         period = plan.period();
-        keeper = plan.folder() == null ? null : new Keeper(plan.folder(), name);
+        keeper = plan.folder() == null ? null : new SnapshotStore(plan.folder(), name);
         trusted = keeper == null ? Snapshot.Trusted.NOTHING : keeper.trusted();
         // Danger: a wall clock that went back would give a number that was had before.
         long start = Math.max(trusted.above() + 1, System.currentTimeMillis());
-        recovery = Recovery.begins(plan.pace(), self, proxies, start, now);
+        recovery = RecoveryState.begins(plan.pace(), self, proxies, start, now);
         judgedAt = now;
         keepAt = now + period;
         if (keeper != null) {
@@ -63,12 +63,12 @@
 
     /** Whether a datagram is for this, and no telling. Any thread. */
     public static boolean isFor(byte[] datagram) {
-        return datagram.length > 0 && datagram[0] == Hello.KIND;
+        return datagram.length > 0 && datagram[0] == PeerStatus.KIND;
     }
 
     /** Any thread. */
     public void heard(int from, byte[] datagram) {
-        Hello hello = Hello.of(datagram);
+        PeerStatus hello = PeerStatus.of(datagram);
         if (hello != null) {
             said.add(new Said(from, hello));
         }
@@ -83,14 +83,14 @@
     }
 
     /** Follows what has come, learns for the decisions, and says what is due to others. */
-    public void passes(double now, Balancer balancer, Anew anew, Consumer<Holdings.Telling> tell) {
+    public void passes(double now, LoadBalancer balancer, Anew anew, Consumer<LoadGossip.Telling> tell) {
         boolean settled = recovery.isSettled();
         if (!settled) {
             double[] work = balancer.work();
             recovery = recovery.found(work[0], (int) work[1]);
         }
         for (Said next = said.poll(); next != null; next = said.poll()) {
-            Recovery.Step step = recovery.heard(next.from, next.hello, now);
+            RecoveryState.Step step = recovery.heard(next.from, next.hello, now);
             if (step.anew()) {
                 anew.startedAnew(next.from, next.hello.start());
             }
@@ -111,8 +111,8 @@
         }
     }
 
-    private void learns(Balancer balancer, double now) {
-        Recovery.Lesson its = recovery.lesson(now);
+    private void learns(LoadBalancer balancer, double now) {
+        RecoveryState.Lesson its = recovery.lesson(now);
         if (its != null) {
             balancer.learned(its.work(), its.answers());
         } else if (!told && trusted.work() > 0) {
@@ -122,14 +122,14 @@
         lesson = its;
     }
 
-    private void follows(Recovery.Step step, double now, Consumer<Holdings.Telling> tell) {
+    private void follows(RecoveryState.Step step, double now, Consumer<LoadGossip.Telling> tell) {
         if (step.next().standing() != recovery.standing()) {
             judgedAt = now;
             LOG.info("recovery standing={} was={} after={} heard={}", step.next().standing(),
                     recovery.standing(), seconds(now - recovery.began()), step.next().heard().size());
         }
         recovery = step.next();
-        step.sent().forEach(each -> tell.accept(new Holdings.Telling(each.to(), each.hello().encoded())));
+        step.sent().forEach(each -> tell.accept(new LoadGossip.Telling(each.to(), each.hello().encoded())));
     }
 
     private static String seconds(double span) {
@@ -138,8 +138,8 @@
 
     /** For people, as JSON. Any thread. */
     public String told(double now) {
-        Recovery its = recovery;
-        Recovery.Lesson learned = lesson;
+        RecoveryState its = recovery;
+        RecoveryState.Lesson learned = lesson;
         JsonObject all = new JsonObject();
         all.addProperty("start", its.start());
         all.addProperty("up", now - its.began());
--- a/src/main/java/lemondrift/serve/recovery/Keeper.java
+++ b/src/main/java/lemondrift/serve/recovery/SnapshotStore.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Keeps a proxy's snapshots in a folder, on a thread of its own. A disk that fails costs no exchange. */
-final class Keeper implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Keeper.class);
+final class SnapshotStore implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(SnapshotStore.class);
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
 
     private final Path file;
@@ -26,7 +26,7 @@
     });
     private volatile boolean failed;
 
-    Keeper(Path folder, String name) {
+    SnapshotStore(Path folder, String name) {
         file = folder.resolve(name + ".snap");
         this.name = name;
         boot = boot();
--- a/src/main/java/lemondrift/settings/Grades.java
+++ b/src/main/java/lemondrift/settings/RequestClassIndex.java
@@ -6,26 +6,26 @@
 import java.util.Objects;
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
-import lemondrift.model.ServiceGrade;
+import lemondrift.model.RequestClass;
 
 /**
  * Under which index each named service grade stands. It keeps it over retunes as long as it is named with the
  * same effect, so that what is learnt of one is never held against another.
  */
-public final class Grades {
+public final class RequestClassIndex {
     /** By index; null where one stands for none any more. */
     private final List<String> names;
-    private final List<ServiceGrade> indexed;
+    private final List<RequestClass> indexed;
     /** The index of each in the order of the file, and the indexes that stand for another one than before. */
     private final int[] index;
     private final List<Integer> fresh = new ArrayList<>();
 
     /** The first ones, in the order of the file. */
-    public Grades(List<String> names, List<ServiceGrade> grades) {
+    public RequestClassIndex(List<String> names, List<RequestClass> grades) {
         this(names, grades, IntStream.range(0, names.size()).toArray(), names.size());
     }
 
-    private Grades(List<String> stated, List<ServiceGrade> grades, int[] index, int size) {
+    private RequestClassIndex(List<String> stated, List<RequestClass> grades, int[] index, int size) {
         this.index = index;
         String[] named = new String[size];
         for (int at = 0; at < index.length; at++) {
@@ -39,7 +39,7 @@
      * The next ones. An index that was dropped before is given out again if nothing is open under it. Danger:
      * one dropped just now may still be on its way to the decisions with an exchange.
      */
-    public Grades retuned(List<String> stated, List<ServiceGrade> grades, IntPredicate isOpen) {
+    public RequestClassIndex retuned(List<String> stated, List<RequestClass> grades, IntPredicate isOpen) {
         int[] next = IntStream.range(0, stated.size()).map(at -> kept(stated.get(at), grades.get(at)))
                 .toArray();
         List<Integer> fresh = new ArrayList<>();
@@ -52,13 +52,13 @@
                 fresh.add(next[at]);
             }
         }
-        Grades grown = new Grades(stated, grades, next, size);
+        RequestClassIndex grown = new RequestClassIndex(stated, grades, next, size);
         grown.fresh.addAll(fresh);
         return grown;
     }
 
-    private int kept(String name, ServiceGrade grade) {
-        ServiceGrade old = index(name) < 0 ? null : indexed.get(index(name));
+    private int kept(String name, RequestClass grade) {
+        RequestClass old = index(name) < 0 ? null : indexed.get(index(name));
         boolean same = old != null && old.effect() == grade.effect() && old.group() == grade.group();
         return same ? index(name) : -1;
     }
@@ -73,17 +73,17 @@
         return names.indexOf(name);
     }
 
-    public List<ServiceGrade> indexed() {
+    public List<RequestClass> indexed() {
         return indexed;
     }
 
     /** Others that are stated for the same names in the same order, each under its index. */
-    public List<ServiceGrade> indexed(List<ServiceGrade> stated) {
+    public List<RequestClass> indexed(List<RequestClass> stated) {
         return indexed(stated, names.size());
     }
 
-    private List<ServiceGrade> indexed(List<ServiceGrade> stated, int size) {
-        ServiceGrade[] all = new ServiceGrade[size];
+    private List<RequestClass> indexed(List<RequestClass> stated, int size) {
+        RequestClass[] all = new RequestClass[size];
         for (int at = 0; at < index.length; at++) {
             all[index[at]] = stated.get(at);
         }
