--- a/src/main/java/lemondrift/settings/SettingsReader.java
+++ b/src/main/java/lemondrift/settings/SettingsReader.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemondrift.model.Effect;
-import lemondrift.model.Group;
-import lemondrift.model.ServiceGrade;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.Idempotency;
+import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 
 /** Turns path=value pairs, as both doors have them, into Settings; unknown keys are passed over. */
@@ -33,12 +33,12 @@
     }
 
     public Settings settings() {
-        List<ServiceGrade> grades = new ArrayList<>();
+        List<RequestClass> grades = new ArrayList<>();
         for (int i = 0; i < (int) number("serviceGrades.count"); i++) {
             grades.add(grade("serviceGrades." + i + "."));
         }
         if (grades.isEmpty()) {
-            throw new BadInput("setting serviceGrades.count: no service grade");
+            throw new InvalidSettingsException("setting serviceGrades.count: no service grade");
         }
         double[] quota = new double[(int) number("realms.count", 0)];
         for (int i = 0; i < quota.length; i++) {
@@ -69,7 +69,7 @@
     private String choice(String key, String... words) {
         String value = text(key, words[0]);
         if (!Arrays.asList(words).contains(value)) {
-            throw new BadInput("setting " + key + ": " + value + " is none of " + String.join(", ", words));
+            throw new InvalidSettingsException("setting " + key + ": " + value + " is none of " + String.join(", ", words));
         }
         return value;
     }
@@ -87,19 +87,19 @@
         return Arrays.asList(text(key, "").split(","));
     }
 
-    private ServiceGrade grade(String at) {
-        return new ServiceGrade(number(at + "benefit"), number(at + "lateBenefit", 0),
+    private RequestClass grade(String at) {
+        return new RequestClass(number(at + "benefit"), number(at + "lateBenefit", 0),
                 between(at + "contractTime", LEAST, MOST) / 1000, between(at + "expiry", LEAST, MOST) / 1000,
                 switch (text(at + "effect", null)) {
-                    case "retryable" -> Effect.PURE;
-                    case "dedup" -> Effect.RECEIPTED;
-                    case "fragile" -> Effect.EFFECTFUL;
-                    default -> throw new BadInput("setting " + at + "effect: " + text(at + "effect", ""));
+                    case "retryable" -> Idempotency.PURE;
+                    case "dedup" -> Idempotency.RECEIPTED;
+                    case "fragile" -> Idempotency.EFFECTFUL;
+                    default -> throw new InvalidSettingsException("setting " + at + "effect: " + text(at + "effect", ""));
                 },
                 switch (choice(at + "group", "cell", "zone", "all")) {
-                    case "all" -> Group.ALL;
-                    case "zone" -> Group.LOCATION;
-                    default -> Group.CELL;
+                    case "all" -> DeduplicationScope.ALL;
+                    case "zone" -> DeduplicationScope.LOCATION;
+                    default -> DeduplicationScope.CELL;
                 },
                 number(at + "keyTtl", 0) / 1000);
     }
@@ -107,7 +107,7 @@
     public String text(String key, String otherwise) {
         String value = pairs.getOrDefault(key, otherwise);
         if (value == null) {
-            throw new BadInput("setting " + key + ": missing");
+            throw new InvalidSettingsException("setting " + key + ": missing");
         }
         return value;
     }
@@ -119,7 +119,7 @@
     private double between(String key, double least, double most) {
         double number = number(key);
         if (number < least || number > most) {
-            throw new BadInput("setting " + key + ": out of range: " + text(key, null));
+            throw new InvalidSettingsException("setting " + key + ": out of range: " + text(key, null));
         }
         return number;
     }
@@ -137,8 +137,8 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            throw new BadInput("setting " + key + ": not a number: " + value);
+            throw new InvalidSettingsException("setting " + key + ": not a number: " + value);
         }
-        throw new BadInput("setting " + key + ": out of range: " + value);
+        throw new InvalidSettingsException("setting " + key + ": out of range: " + value);
     }
 }
--- a/src/main/java/lemondrift/shadow/Shadow.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -6,13 +6,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import lemondrift.decide.Balancer;
-import lemondrift.model.Exchange;
-import lemondrift.model.Forward;
-import lemondrift.model.Listed;
-import lemondrift.model.Outcome;
-import lemondrift.model.Settings;
-import lemondrift.model.Turn;
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.model.*;
 
 /**
  * The watching mode: a second module with other settings sees all that happens, is asked at each decision
@@ -20,7 +15,7 @@
  * Nothing of it is carried out; its chance, probes and budgets are its own, so that the deciding module never
  * notices it.
  */
-public final class Shadow {
+public final class ShadowEvaluator {
     /** What it would have done in place of what was done. */
     public enum Kind { ANOTHER_BACKEND, CROSS, NOT_CROSS, SHED, NOT_SHED, SEND_AGAIN, NOT_SEND_AGAIN }
 
@@ -28,25 +23,25 @@
 
     /** An exchange as the second module knows it, and the forward that stands for the one that is out. */
     private static final class Copy {
-        final Exchange exchange;
-        Forward followed;
+        final Request exchange;
+        Attempt followed;
 
-        Copy(Exchange x) {
-            exchange = new Exchange(x.id, x.grade, x.tenant, x.arrived, x.expiry - x.arrived, x.retry);
+        Copy(Request x) {
+            exchange = new Request(x.id, x.grade, x.tenant, x.arrived, x.expiry - x.arrived, x.retry);
         }
     }
 
-    private final Balancer balancer;
+    private final LoadBalancer balancer;
     private final int here;
     private Settings settings;
-    private final Map<Exchange, Copy> copies = new HashMap<>();
+    private final Map<Request, Copy> copies = new HashMap<>();
     private final long[] counts = new long[Kind.values().length];
     private final Map<Integer, Integer> locations = new HashMap<>();
     private long decisions;
     private double wakeAt = Double.POSITIVE_INFINITY;
 
-    public Shadow(Settings settings, long seed) {
-        balancer = new Balancer(settings, seed);
+    public ShadowEvaluator(Settings settings, long seed) {
+        balancer = new LoadBalancer(settings, seed);
         here = settings.location();
         this.settings = settings;
     }
@@ -57,12 +52,12 @@
         balancer.stated(settings, fresh);
     }
 
-    public void listed(double now, boolean whole, boolean stale, List<Listed> lines) {
+    public void listed(double now, boolean whole, boolean stale, List<EndpointUpdate> lines) {
         lines.forEach(line -> locations.put(line.backend(), line.location()));
         settle(now, balancer.backendsListed(now, whole, stale, lines));
     }
 
-    public void arrived(double now, Exchange x) {
+    public void arrived(double now, Request x) {
         if (settings.grades().get(x.grade) == null) {
             return;
         }
@@ -72,31 +67,31 @@
     }
 
     /** Compares with what the deciding module has done, and follows that. */
-    public void decided(double now, Turn turn) {
-        for (Forward f : turn.sends) {
+    public void decided(double now, Decision turn) {
+        for (Attempt f : turn.sends) {
             Copy copy = copies.get(f.exchange);
             if (copy != null) {
-                Forward own = own(copy);
+                Attempt own = own(copy);
                 compare(own == null ? NONE : own.backend, f.backend, f.number > 0);
                 follow(now, copy, own, f);
             }
         }
-        for (Turn.Answer a : turn.answers) {
+        for (Decision.Answer a : turn.answers) {
             Copy copy = copies.get(a.exchange());
             if (copy != null && copy.followed == null) {
-                Forward own = own(copy);
+                Attempt own = own(copy);
                 compare(own == null ? NONE : own.backend, NONE, a.exchange().forwards > 0);
             }
             left(now, a.exchange());
         }
     }
 
-    public void ended(double now, Forward f, Outcome outcome, double took, boolean over, double[] report) {
+    public void ended(double now, Attempt f, AttemptOutcome outcome, double took, boolean over, double[] report) {
         Copy copy = copies.get(f.exchange);
         if (copy == null || copy.followed == null) {
             return;
         }
-        Forward followed = copy.followed;
+        Attempt followed = copy.followed;
         copy.followed = null;
         settle(now, balancer.forwardEnded(now, followed, outcome, took, over, report));
         if (over) {
@@ -104,17 +99,17 @@
         }
     }
 
-    public void probed(double now, int backend, Outcome outcome, double[] report) {
+    public void probed(double now, int backend, AttemptOutcome outcome, double[] report) {
         settle(now, balancer.probeEnded(now, backend, outcome, report));
     }
 
     /** The exchange is over. Danger: a forward that is still out counts there until its end is told. */
-    public void left(double now, Exchange x) {
+    public void left(double now, Request x) {
         Copy copy = copies.get(x);
         if (copy == null) {
             return;
         }
-        Forward own = own(copy);
+        Attempt own = own(copy);
         settle(now, balancer.clientLeft(now, copy.exchange));
         if (own != null) {
             takeBack(now, copy.exchange, own);
@@ -153,8 +148,8 @@
     }
 
     /** Its own choice that is not carried out yet; null where it would give up. */
-    private static Forward own(Copy copy) {
-        Forward latest = copy.exchange.latest;
+    private static Attempt own(Copy copy) {
+        Attempt latest = copy.exchange.latest;
         return latest == null || latest.ended || latest == copy.followed ? null : latest;
     }
 
@@ -179,8 +174,8 @@
     }
 
     /** Puts the forward that was made in the place of its own choice, if there is one. */
-    private void follow(double now, Copy copy, Forward own, Forward done) {
-        Exchange x = copy.exchange;
+    private void follow(double now, Copy copy, Attempt own, Attempt done) {
+        Request x = copy.exchange;
         if (own != null && own.backend == done.backend) {
             copy.followed = own;
             return;
@@ -189,14 +184,14 @@
             takeBack(now, x, own);
         }
         x.over = false;
-        copy.followed = new Forward(x, done.backend, done.sent, done.timeOut, done.ahead);
+        copy.followed = new Attempt(x, done.backend, done.sent, done.timeOut, done.ahead);
         x.latest = copy.followed;
         x.forwards++;
         x.out++;
         balancer.followed(now, done.backend, 1);
     }
 
-    private void takeBack(double now, Exchange x, Forward own) {
+    private void takeBack(double now, Request x, Attempt own) {
         own.ended = true;
         x.latest = own.earlier;
         x.forwards--;
@@ -205,10 +200,10 @@
     }
 
     /** Danger: probes are not sent for it, and one that nobody answers would make its backend look silent. */
-    private void settle(double now, Turn turn) {
+    private void settle(double now, Decision turn) {
         Deque<Integer> asked = new ArrayDeque<>(turn.probes);
         while (!asked.isEmpty()) {
-            asked.addAll(balancer.probeEnded(now, asked.poll(), Outcome.MOOT, null).probes);
+            asked.addAll(balancer.probeEnded(now, asked.poll(), AttemptOutcome.MOOT, null).probes);
         }
         wakeAt = turn.wakeAt;
     }
--- a/src/main/java/lemondrift/drill/FrameReader.java
+++ b/src/main/java/lemondrift/simulator/FrameReader.java
@@ -1,4 +1,4 @@
-package lemondrift.drill;
+package lemondrift.simulator;
 
 import java.io.EOFException;
 import java.io.IOException;
--- a/src/main/java/lemondrift/drill/Instance.java
+++ b/src/main/java/lemondrift/simulator/SimulatedProxy.java
@@ -1,33 +1,29 @@
-package lemondrift.drill;
+package lemondrift.simulator;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemondrift.decide.Balancer;
-import lemondrift.model.Exchange;
-import lemondrift.model.Forward;
-import lemondrift.model.Listed;
-import lemondrift.model.Settings;
-import lemondrift.model.Turn;
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.model.*;
 
 /** One proxy's decisions with the ids by which the wire names its exchanges and backends. */
-final class Instance {
+final class SimulatedProxy {
     /** One line of a list as it came, before the instance gives its backend an index. */
-    record Line(long address, int location, int cell, Listed.State state, double started,
+    record Line(long address, int location, int cell, EndpointUpdate.State state, double started,
             double size) {}
 
-    final Balancer balancer;
+    final LoadBalancer balancer;
     private final int number;
-    private final Map<Long, Exchange> exchanges = new HashMap<>();
+    private final Map<Long, Request> exchanges = new HashMap<>();
     private final Map<Long, Integer> indexes = new HashMap<>();
     private final List<Long> addresses = new ArrayList<>();
     private double alarmAt = Double.POSITIVE_INFINITY;
     private long alarmTag;
 
-    Instance(int number, Settings settings, long seed) {
+    SimulatedProxy(int number, Settings settings, long seed) {
         this.number = number;
-        this.balancer = new Balancer(settings, seed);
+        this.balancer = new LoadBalancer(settings, seed);
     }
 
     int index(long address) {
@@ -40,29 +36,29 @@
         return known;
     }
 
-    List<Listed> listed(List<Line> lines) {
-        List<Listed> result = new ArrayList<>(lines.size());
+    List<EndpointUpdate> listed(List<Line> lines) {
+        List<EndpointUpdate> result = new ArrayList<>(lines.size());
         for (Line line : lines) {
             boolean fresh = !indexes.containsKey(line.address);
-            result.add(new Listed(index(line.address), fresh, line.location, line.cell, line.state,
+            result.add(new EndpointUpdate(index(line.address), fresh, line.location, line.cell, line.state,
                     line.started, line.size));
         }
         return result;
     }
 
-    Exchange taken(Exchange exchange) {
+    Request taken(Request exchange) {
         exchanges.put(exchange.id, exchange);
         return exchange;
     }
 
     /** Null where the id is no longer held. */
-    Exchange exchange(long id) {
+    Request exchange(long id) {
         return exchanges.get(id);
     }
 
-    Forward forward(long id, int forwardNumber) {
-        Exchange exchange = exchanges.get(id);
-        Forward forward = exchange == null ? null : exchange.latest;
+    Attempt forward(long id, int forwardNumber) {
+        Request exchange = exchanges.get(id);
+        Attempt forward = exchange == null ? null : exchange.latest;
         while (forward != null && forward.number != forwardNumber) {
             forward = forward.earlier;
         }
@@ -70,7 +66,7 @@
     }
 
     /** Lets go of an exchange that is over and has nothing out. */
-    void release(Exchange exchange) {
+    void release(Request exchange) {
         if (exchange.over && exchange.out == 0) {
             exchanges.remove(exchange.id);
         }
@@ -85,14 +81,14 @@
         return true;
     }
 
-    void write(Turn turn, double now, ReplyWriter reply) {
-        for (Forward f : turn.cancels) {
+    void write(Decision turn, double now, ReplyWriter reply) {
+        for (Attempt f : turn.cancels) {
             reply.cancel(number, f.exchange.id, f.number);
         }
-        for (Forward f : turn.sends) {
+        for (Attempt f : turn.sends) {
             reply.send(number, f.exchange.id, addresses.get(f.backend), f.timeOut);
         }
-        for (Turn.Answer a : turn.answers) {
+        for (Decision.Answer a : turn.answers) {
             if (a.shed()) {
                 reply.shed(number, a.exchange().id, a.retryAfter());
             } else {
@@ -103,8 +99,8 @@
         for (int backend : turn.probes) {
             reply.probe(number, addresses.get(backend));
         }
-        for (Turn.ListCall call : turn.listCalls) {
-            if (call == Turn.ListCall.WATCH) {
+        for (Decision.ListCall call : turn.listCalls) {
+            if (call == Decision.ListCall.WATCH) {
                 reply.watch(number);
             } else {
                 reply.askWhole(number);
--- a/src/main/java/lemondrift/drill/Drill.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package lemondrift.drill;
+package lemondrift.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -10,17 +10,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemondrift.model.Exchange;
-import lemondrift.model.Forward;
-import lemondrift.model.Listed;
-import lemondrift.model.Outcome;
-import lemondrift.model.Settings;
-import lemondrift.model.Turn;
-import lemondrift.settings.BadInput;
+import lemondrift.model.*;
+import lemondrift.settings.InvalidSettingsException;
 import lemondrift.settings.SettingsReader;
 
 /** The bench adapter: decodes batches into calls to the decisions and encodes what they return. */
-public final class Drill {
+public final class SimulatorAdapter {
     /** The bit of an arrival that says that the client has tried before. */
     private static final int RETRY = 2;
 
@@ -34,21 +29,21 @@
     private static final int CHECKED = 8;
     private static final int CRASH_NOW = 10;
     private static final int DEFINE_LIST = 11;
-    private static final Outcome[] OUTCOMES = Outcome.values();
+    private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
-    private final Map<Integer, Instance> instances = new HashMap<>();
-    private final Map<Integer, List<Instance.Line>> lists = new HashMap<>();
+    private final Map<Integer, SimulatedProxy> instances = new HashMap<>();
+    private final Map<Integer, List<SimulatedProxy.Line>> lists = new HashMap<>();
     private final ReplyWriter reply = new ReplyWriter();
     private final PrintStream err;
     private double now;
 
-    private Drill(PrintStream err) {
+    private SimulatorAdapter(PrintStream err) {
         this.err = err;
     }
 
     /** Plays until the input ends; returns the process's exit code. */
     public static int run(InputStream in, OutputStream out, PrintStream err) {
-        Drill drill = new Drill(err);
+        SimulatorAdapter drill = new SimulatorAdapter(err);
         FrameReader frames = new FrameReader(in);
         long batch = 0;
         try {
@@ -59,7 +54,7 @@
                 drill.reply.finish(out);
             }
             return 0;
-        } catch (BadInput | IOException e) {
+        } catch (InvalidSettingsException | IOException e) {
             err.println("lemondrift drill: batch " + batch + ": " + e.getMessage());
             return 1;
         }
@@ -72,12 +67,12 @@
         for (int i = 0; i < count; i++) {
             int at = body.position();
             if (limit - at < 5) {
-                throw new BadInput("record " + i + " of " + count + " at byte " + at + " is cut short");
+                throw new InvalidSettingsException("record " + i + " of " + count + " at byte " + at + " is cut short");
             }
             int code = Byte.toUnsignedInt(body.get());
             int length = body.getInt();
             if (length < 0 || length > limit - body.position()) {
-                throw new BadInput("record " + i + " (code " + code + ") at byte " + at + " has length "
+                throw new InvalidSettingsException("record " + i + " (code " + code + ") at byte " + at + " has length "
                         + Integer.toUnsignedString(length) + ", more than the batch holds");
             }
             int end = body.position() + length;
@@ -85,13 +80,13 @@
             try {
                 record(code, body);
             } catch (java.nio.BufferUnderflowException | IllegalArgumentException e) {
-                throw new BadInput("record " + i + " (code " + code + ") at byte " + at + " of length "
+                throw new InvalidSettingsException("record " + i + " (code " + code + ") at byte " + at + " of length "
                         + length + " is too short for its fields");
             }
             body.limit(limit).position(end);
         }
         if (body.hasRemaining()) {
-            throw new BadInput(body.remaining() + " bytes follow the last record");
+            throw new InvalidSettingsException(body.remaining() + " bytes follow the last record");
         }
     }
 
@@ -105,7 +100,7 @@
                 byte[] text = new byte[checked(b, b.getInt(), 1)];
                 b.get(text);
                 Settings settings = SettingsReader.read(new String(text, StandardCharsets.UTF_8));
-                instances.put(number, new Instance(number, settings, seed));
+                instances.put(number, new SimulatedProxy(number, settings, seed));
             } else if (code == CRASH_NOW) {
                 instances.remove(number);
             } else {
@@ -115,14 +110,14 @@
     }
 
     private void event(int code, int number, ByteBuffer b) {
-        Instance instance = instances.get(number);
+        SimulatedProxy instance = instances.get(number);
         if (instance == null) {
             return;
         }
-        Turn turn;
+        Decision turn;
         try {
             turn = call(code, instance, b);
-        } catch (java.nio.BufferUnderflowException | BadInput e) {
+        } catch (java.nio.BufferUnderflowException | InvalidSettingsException e) {
             throw e;
         } catch (RuntimeException e) {
             err.println("lemondrift drill: instance " + number + ", event code " + code + ":");
@@ -137,7 +132,7 @@
     }
 
     /** Null where the event needs no decision. */
-    private Turn call(int code, Instance instance, ByteBuffer b) {
+    private Decision call(int code, SimulatedProxy instance, ByteBuffer b) {
         switch (code) {
             case SYNC: {
                 int set = Byte.toUnsignedInt(b.get());
@@ -145,9 +140,9 @@
                 if (kind == 3) {
                     return instance.balancer.listFailed(now);
                 }
-                List<Instance.Line> lines = lists.get(set);
+                List<SimulatedProxy.Line> lines = lists.get(set);
                 if (lines == null) {
-                    throw new BadInput("list " + set + " was never defined");
+                    throw new InvalidSettingsException("list " + set + " was never defined");
                 }
                 return instance.balancer.backendsListed(now, kind != 0, kind == 2, instance.listed(lines));
             }
@@ -159,14 +154,14 @@
                 double left = b.getDouble() / 1000;
                 b.getDouble();
                 return instance.balancer.exchangeArrived(now, instance.taken(
-                        new Exchange(id, grade, tenant, now, left, (b.get() & RETRY) != 0)));
+                        new Request(id, grade, tenant, now, left, (b.get() & RETRY) != 0)));
             }
             case UNDER_WAY: {
-                Forward forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
+                Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
                 return forward == null ? null : instance.balancer.answerBegun(now, forward);
             }
             case FORWARD_END: {
-                Forward forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
+                Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
                 address(b);
                 int outcome = Short.toUnsignedInt(b.getShort());
                 double took = b.getDouble() / 1000;
@@ -175,17 +170,17 @@
                 if (forward == null || outcome >= OUTCOMES.length) {
                     return null;
                 }
-                Turn turn = instance.balancer.forwardEnded(now, forward, OUTCOMES[outcome], took, over,
+                Decision turn = instance.balancer.forwardEnded(now, forward, OUTCOMES[outcome], took, over,
                         report);
                 instance.release(forward.exchange);
                 return turn;
             }
             case VANISHED: {
-                Exchange exchange = instance.exchange(b.getLong());
+                Request exchange = instance.exchange(b.getLong());
                 if (exchange == null) {
                     return null;
                 }
-                Turn turn = instance.balancer.clientLeft(now, exchange);
+                Decision turn = instance.balancer.clientLeft(now, exchange);
                 instance.release(exchange);
                 return turn;
             }
@@ -203,28 +198,28 @@
         }
     }
 
-    private static List<Instance.Line> lines(ByteBuffer b) {
+    private static List<SimulatedProxy.Line> lines(ByteBuffer b) {
         int count = checked(b, b.getInt(), 24);
-        List<Instance.Line> lines = new ArrayList<>(count);
+        List<SimulatedProxy.Line> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             long address = address(b);
             int location = Short.toUnsignedInt(b.getShort());
             b.get();
             int cell = Short.toUnsignedInt(b.getShort());
-            Listed.State state = switch (b.get()) {
-                case 1 -> Listed.State.READY;
-                case 2 -> Listed.State.DRAINING;
-                default -> Listed.State.GONE;
+            EndpointUpdate.State state = switch (b.get()) {
+                case 1 -> EndpointUpdate.State.READY;
+                case 2 -> EndpointUpdate.State.DRAINING;
+                default -> EndpointUpdate.State.GONE;
             };
             double size = b.getFloat();
-            lines.add(new Instance.Line(address, location, cell, state, b.getDouble() / 1000, size));
+            lines.add(new SimulatedProxy.Line(address, location, cell, state, b.getDouble() / 1000, size));
         }
         return lines;
     }
 
     private static int checked(ByteBuffer b, int count, int bytesEach) {
         if (count < 0 || (long) count * bytesEach > b.remaining()) {
-            throw new BadInput("a count of " + Integer.toUnsignedString(count) + " does not fit its record");
+            throw new InvalidSettingsException("a count of " + Integer.toUnsignedString(count) + " does not fit its record");
         }
         return count;
     }
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -13,11 +13,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import lemondrift.drill.Drill;
-import lemondrift.peer.Holdings;
-import lemondrift.peer.SubsetAssignment;
-import lemondrift.recovery.Hello;
-import lemondrift.serve.Serve;
+import lemondrift.simulator.SimulatorAdapter;
+import lemondrift.gossip.LoadGossip;
+import lemondrift.gossip.SubsetAssignment;
+import lemondrift.recovery.PeerStatus;
+import lemondrift.serve.ProxyLauncher;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -29,35 +29,35 @@
 
     @Test
     void aDatagramOfRecoveryIsReadAndWrittenAsBefore() throws IOException {
-        Hello hello = new Hello(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
+        PeerStatus hello = new PeerStatus(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
         LandedBytes.assertHex("recovery-datagram.hex", hello.encoded());
-        assertEquals(hello, Hello.of(LandedBytes.ofHex("recovery-datagram.hex")));
+        assertEquals(hello, PeerStatus.of(LandedBytes.ofHex("recovery-datagram.hex")));
     }
 
     @Test
     void aDatagramOfGossipIsReadAndWrittenAsBefore() throws IOException {
-        Holdings sender = holdings(0), receiver = holdings(1);
-        sender.sent(Holdings.tag("backend-1"));
-        sender.sent(Holdings.tag("backend-1"));
-        sender.sent(Holdings.tag("backend-2"));
-        List<Holdings.Telling> due = sender.tellings(1);
+        LoadGossip sender = holdings(0), receiver = holdings(1);
+        sender.sent(LoadGossip.tag("backend-1"));
+        sender.sent(LoadGossip.tag("backend-1"));
+        sender.sent(LoadGossip.tag("backend-2"));
+        List<LoadGossip.Telling> due = sender.tellings(1);
         assertEquals(1, due.size());
         LandedBytes.assertHex("gossip-datagram.hex", due.get(0).datagram());
         receiver.told(0, LandedBytes.ofHex("gossip-datagram.hex"), 1);
-        assertEquals(2, receiver.others(Holdings.tag("backend-1")));
-        assertEquals(1, receiver.others(Holdings.tag("backend-2")));
+        assertEquals(2, receiver.others(LoadGossip.tag("backend-1")));
+        assertEquals(1, receiver.others(LoadGossip.tag("backend-2")));
     }
 
-    private static Holdings holdings(int self) {
+    private static LoadGossip holdings(int self) {
         SubsetAssignment subsets = new SubsetAssignment(2, 2);
-        subsets.listed(new int[] {Holdings.tag("backend-1"), Holdings.tag("backend-2")});
-        return new Holdings(2, self, 1764756000123L, 0.01, 0.1, subsets, tag -> { });
+        subsets.listed(new int[] {LoadGossip.tag("backend-1"), LoadGossip.tag("backend-2")});
+        return new LoadGossip(2, self, 1764756000123L, 0.01, 0.1, subsets, tag -> { });
     }
 
     @Test
     void theSimulatorsBatchGetsTheReplyOfBefore() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream(), err = new ByteArrayOutputStream();
-        int code = Drill.run(new ByteArrayInputStream(LandedBytes.ofHex("simulator-batch.hex")), out,
+        int code = SimulatorAdapter.run(new ByteArrayInputStream(LandedBytes.ofHex("simulator-batch.hex")), out,
                 new PrintStream(err));
         assertEquals("", err.toString());
         assertEquals(0, code);
@@ -112,7 +112,7 @@
     /** The exit code and what is printed, without the folder's name. */
     private String checked(Map<String, String> environment) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int code = Serve.check(environment, new PrintStream(err, true, StandardCharsets.UTF_8));
+        int code = ProxyLauncher.check(environment, new PrintStream(err, true, StandardCharsets.UTF_8));
         String printed = err.toString(StandardCharsets.UTF_8).replace(folder.toString(), "FOLDER");
         return code + " " + (printed.isEmpty() ? "\n" : printed);
     }
--- a/src/test/java/lemondrift/DecisionsTest.java
+++ b/src/test/java/lemondrift/DecisionsTest.java
@@ -17,7 +17,7 @@
     private static double share(World w, int backend, int of) {
         int hits = 0;
         for (int i = 0; i < of; i++) {
-            Forward f = w.arrive(PURE);
+            Attempt f = w.arrive(PURE);
             hits += f != null && f.backend == backend ? 1 : 0;
         }
         return (double) hits / of;
@@ -28,9 +28,9 @@
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < exchanges; i++) {
             w.wakeUntil(w.now + apart);
-            Forward f = w.arrive(ONCE);
+            Attempt f = w.arrive(ONCE);
             used.add(f.backend);
-            w.end(f, Outcome.DELIVERED);
+            w.end(f, AttemptOutcome.DELIVERED);
         }
         return used;
     }
@@ -45,10 +45,10 @@
     @Test
     void aReportOverwritesTheEstimateAndClearsTheSends() {
         World w = World.of(2).load(0.5, 0.6);
-        Forward f = w.arrive(ONCE);
+        Attempt f = w.arrive(ONCE);
         assertEquals(0, f.backend);
         assertEquals(1, w.arrive(ONCE).backend);
-        w.end(f, Outcome.DELIVERED, 0.1, 0);
+        w.end(f, AttemptOutcome.DELIVERED, 0.1, 0);
         assertEquals(0, w.arrive(ONCE).backend);
     }
 
@@ -56,10 +56,10 @@
     void anAnswersReportDoesNotCountTheExchangeItAnswers() {
         World w = new World(World.settings(14, false, new Settings.Reports(true, 0, 1, true, -1), false), 7);
         w.list(true, false, World.lines(2));
-        Forward first = w.arrive(ONCE), second = w.arrive(ONCE);
+        Attempt first = w.arrive(ONCE), second = w.arrive(ONCE);
         w.now += 0.1;
-        w.end(first, Outcome.DELIVERED, 0.5, 1);
-        w.end(second, Outcome.DELIVERED, 0.4, 2);
+        w.end(first, AttemptOutcome.DELIVERED, 0.5, 1);
+        w.end(second, AttemptOutcome.DELIVERED, 0.4, 2);
         assertEquals(0, w.balancer.word(w.now, ONCE).retryAfter(), "an idle fleet sheds nothing");
         assertEquals(first.backend, w.arrive(ONCE).backend, "idle, though its report says one");
     }
@@ -67,15 +67,15 @@
     @Test
     void whatOthersHaveOutCountsLikeOwnAndNeverWarmsACold() {
         World w = new World(World.settings(14, false, World.ANSWERS, false), 7);
-        w.list(true, false, List.of(World.line(0, Listed.State.READY, 0),
-                World.line(1, Listed.State.READY, 0), World.line(2, Listed.State.READY, w.now)));
+        w.list(true, false, List.of(World.line(0, EndpointUpdate.State.READY, 0),
+                World.line(1, EndpointUpdate.State.READY, 0), World.line(2, EndpointUpdate.State.READY, w.now)));
         w.balancer.othersHold(0, 3);
         w.balancer.othersHold(2, 0);
         w.balancer.othersHeard(true);
         assertEquals(1, w.arrive(ONCE).backend, "idle as told");
         int cold = 0;
         for (int i = 0; i < 30; i++) {
-            Forward f = w.arrive(ONCE);
+            Attempt f = w.arrive(ONCE);
             cold += f != null && f.backend == 2 ? 1 : 0;
         }
         assertTrue(cold <= 1, cold + " went to one that looks idle and is cold");
@@ -141,16 +141,16 @@
         int taken = 0;
         for (int i = 0; i < 40; i++) {
             w.wakeUntil(w.now + 1);
-            Forward f = w.arrive(ONCE);
+            Attempt f = w.arrive(ONCE);
             if (f != null) {
                 taken++;
-                w.end(f, Outcome.DELIVERED, 1, 0);
+                w.end(f, AttemptOutcome.DELIVERED, 1, 0);
             }
         }
         assertTrue(taken > 8, taken + " taken by the one that is idle");
         World gone = World.of(60);
         Set<Integer> used = used(gone, 30, 0.01);
-        gone.list(false, false, used.stream().map(i -> World.line(i, Listed.State.DRAINING, 0)).toList());
+        gone.list(false, false, used.stream().map(i -> World.line(i, EndpointUpdate.State.DRAINING, 0)).toList());
         assertTrue(used(gone, 30, 0.01).stream().noneMatch(used::contains), "replaced at once");
     }
 
@@ -166,9 +166,9 @@
     @Test
     void anErrorsReportDrawsNoTraffic() {
         World w = World.of(3).load(0.5, 0.9, 0.2);
-        Forward f = w.arrive(ONCE);
+        Attempt f = w.arrive(ONCE);
         assertEquals(2, f.backend);
-        w.end(f, Outcome.ERROR, 0, 0);
+        w.end(f, AttemptOutcome.ERROR, 0, 0);
         assertEquals(0, w.arrive(ONCE).backend, "the mean stands for the one that errors");
     }
 
@@ -177,9 +177,9 @@
         World w = World.of(4);
         int bad = 0;
         for (int i = 0; i < 200; i++) {
-            Forward f = w.arrive(PURE);
+            Attempt f = w.arrive(PURE);
             w.now += 0.001;
-            w.end(f, f.backend == 2 ? Outcome.RESET : Outcome.DELIVERED, 0.3, 0);
+            w.end(f, f.backend == 2 ? AttemptOutcome.RESET : AttemptOutcome.DELIVERED, 0.3, 0);
             bad += f.backend == 2 ? 1 : 0;
         }
         assertTrue(bad >= 3 && bad <= 8, bad + " went to the sick one");
@@ -193,11 +193,11 @@
     void anIndexThatPassesOnCarriesNothingOver() {
         World w = World.of(2).load(0.9, 0);
         for (int i = 0; i < 20; i++) {
-            Forward f = w.arrive(PURE);
-            w.end(f, f.backend == 1 ? Outcome.RESET : Outcome.DELIVERED, 0.9, 0);
+            Attempt f = w.arrive(PURE);
+            w.end(f, f.backend == 1 ? AttemptOutcome.RESET : AttemptOutcome.DELIVERED, 0.9, 0);
         }
         assertEquals(0, w.arrive(PURE).backend, "the other is suspended");
-        w.list(false, false, List.of(new Listed(1, true, 0, 0, Listed.State.READY, 0)));
+        w.list(false, false, List.of(new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0)));
         assertEquals(1, w.arrive(PURE).backend);
     }
 
@@ -207,10 +207,10 @@
         int[] bad = new int[4], good = new int[4];
         for (int i = 0; i < 400; i++) {
             int grade = i % 4 == 0 ? ONCE : PURE;
-            Forward f = w.arrive(grade);
+            Attempt f = w.arrive(grade);
             w.now += 0.001;
             boolean fails = f.backend == 2 && grade == ONCE;
-            w.end(f, fails ? Outcome.RESET : Outcome.DELIVERED, 0.3, 0);
+            w.end(f, fails ? AttemptOutcome.RESET : AttemptOutcome.DELIVERED, 0.3, 0);
             bad[f.backend] += fails ? 1 : 0;
             good[f.backend] += fails ? 0 : 1;
         }
@@ -223,9 +223,9 @@
         World w = World.of(4);
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            Forward f = w.arrive(ONCE);
+            Attempt f = w.arrive(ONCE);
             w.wakeUntil(w.now + 0.2);
-            if (f != null && w.end(f, Outcome.RESET) == null && i > 100) {
+            if (f != null && w.end(f, AttemptOutcome.RESET) == null && i > 100) {
                 used.add(f.backend);
             }
         }
@@ -235,31 +235,31 @@
     @Test
     void aColdBackendIsNotPushedOverByAShareOfTheProxies() {
         World w = World.of(2).load(0.9, 0.9);
-        w.list(false, false, List.of(World.line(2, Listed.State.READY, w.now)));
+        w.list(false, false, List.of(World.line(2, EndpointUpdate.State.READY, w.now)));
         assertTrue(share(w, 2, 30) <= 0.1, "its near-zero load draws no more than its allowance");
     }
 
     @Test
     void aDrainingBackendGetsNothingNew() {
         World w = World.of(2);
-        w.list(false, false, List.of(World.line(0, Listed.State.DRAINING, 0)));
+        w.list(false, false, List.of(World.line(0, EndpointUpdate.State.DRAINING, 0)));
         assertEquals(0, share(w, 0, 4));
     }
 
     @Test
     void provenOutcomesAreForwardedAgainAndOthersByGrade() {
-        for (Outcome proof : List.of(Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)) {
+        for (AttemptOutcome proof : List.of(AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MOOT)) {
             World w = World.of(2);
-            Forward f = w.arrive(ONCE);
+            Attempt f = w.arrive(ONCE);
             assertEquals(1 - f.backend, w.end(f, proof).backend);
         }
-        for (Outcome doubt : List.of(Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT, Outcome.CANCELLED)) {
+        for (AttemptOutcome doubt : List.of(AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)) {
             World w = World.of(60);
             assertNull(w.end(w.arrive(ONCE), doubt));
             assertFalse(w.answers.get(0).shed(), "no promise where it may have run");
-            Forward f = w.arrive(MARKED);
+            Attempt f = w.arrive(MARKED);
             assertEquals(f.backend % 2, w.end(f, doubt).backend % 2, "a repeat stays in its group");
-            Forward late = w.arrive(MARKED);
+            Attempt late = w.arrive(MARKED);
             w.now += 0.6;
             assertNull(w.end(late, doubt), "receipts are forgotten");
             assertNotNull(w.end(w.arrive(PURE), doubt));
@@ -271,7 +271,7 @@
         World w = World.of(8);
         int sent = 0;
         for (int i = 0; i < 40; i++) {
-            for (Forward f = w.arrive(PURE); f != null; f = w.end(f, Outcome.FULL)) {
+            for (Attempt f = w.arrive(PURE); f != null; f = w.end(f, AttemptOutcome.FULL)) {
                 sent++;
                 assertTrue(f.number < 4);
             }
@@ -300,7 +300,7 @@
         w.loads.put(0, new double[] {1, 9});
         w.loads.put(1, new double[] {1, 9});
         assertNull(w.arrive(PURE));
-        Word word = w.balancer.word(w.now, PURE);
+        ShedThreshold word = w.balancer.word(w.now, PURE);
         assertTrue(word.leastLeft() > 1, "not with a whole contract time");
         assertEquals(w.answers.get(0).retryAfter(), word.retryAfter(), 1e-9);
         assertTrue(w.balancer.word(w.now, ONCE).leastLeft() < word.leastLeft(),
@@ -310,11 +310,11 @@
         World asked = World.of(20), other = World.of(20);
         for (int k = 0; k < 200; k++) {
             asked.balancer.word(asked.now, k % 4);
-            Forward f = asked.arrive(k % 4), same = other.arrive(k % 4);
+            Attempt f = asked.arrive(k % 4), same = other.arrive(k % 4);
             assertEquals(f == null ? -1 : f.backend, same == null ? -1 : same.backend);
             for (World each : List.of(asked, other)) {
                 if (k % 3 == 0 && f != null) {
-                    each.end(each == asked ? f : same, Outcome.DELIVERED, k % 10 / 10.0, 0);
+                    each.end(each == asked ? f : same, AttemptOutcome.DELIVERED, k % 10 / 10.0, 0);
                 }
                 each.wakeUntil(each.now + 0.013);
             }
@@ -330,9 +330,9 @@
         assertNotNull(w.arrive(PURE), "one ahead is a short wait");
         w.load(0);
         for (int i = 0; i < 12; i++) {
-            Forward f = w.arrive(PURE);
+            Attempt f = w.arrive(PURE);
             w.wakeUntil(w.now + 1);
-            w.end(f, Outcome.TIMED_OUT);
+            w.end(f, AttemptOutcome.TIMED_OUT);
         }
         assertNotNull(w.arrive(PURE));
         w.loads.put(0, new double[] {1, 1});
@@ -343,13 +343,13 @@
     @Test
     void everyExchangeIsAnsweredByItsExpiryAndTheClientsLeavingCancels() {
         World w = World.of(2);
-        Forward f = w.arrive(ONCE);
+        Attempt f = w.arrive(ONCE);
         w.wakeUntil(f.exchange.expiry);
         assertEquals(1, w.answers.size());
-        Forward g = w.arrive(PURE);
+        Attempt g = w.arrive(PURE);
         w.did(w.balancer.clientLeft(w.now, g.exchange));
         assertTrue(w.cancels.contains(g));
-        assertNull(w.end(g, Outcome.CANCELLED));
+        assertNull(w.end(g, AttemptOutcome.CANCELLED));
         assertEquals(1, w.answers.size(), "nothing is owed to a client that left");
     }
 
@@ -357,7 +357,7 @@
     void aRetryWhoseFirstTrysContractTimeIsOverIsShedAtOnce() {
         World w = World.of(2);
         assertNotNull(w.arrive(ONCE));
-        w.did(w.balancer.exchangeArrived(w.now, new Exchange(9, ONCE, 0, w.now, 0.9)));
+        w.did(w.balancer.exchangeArrived(w.now, new Request(9, ONCE, 0, w.now, 0.9)));
         assertEquals(1, w.sends.size());
         assertTrue(w.answers.get(0).shed());
     }
@@ -365,13 +365,13 @@
     @Test
     void anOddTryWithMoreTimeDoesNotMakeRetriesOfAllThatFollow() {
         World w = World.of(2);
-        w.did(w.balancer.exchangeArrived(w.now, new Exchange(9, ONCE, 0, w.now, 9)));
+        w.did(w.balancer.exchangeArrived(w.now, new Request(9, ONCE, 0, w.now, 9)));
         int sent = 0;
         for (int i = 0; i < 20; i++) {
-            Forward f = w.arrive(ONCE);
+            Attempt f = w.arrive(ONCE);
             sent += f == null ? 0 : 1;
             if (f != null) {
-                w.end(f, Outcome.DELIVERED, 0, 0);
+                w.end(f, AttemptOutcome.DELIVERED, 0, 0);
             }
         }
         assertTrue(sent >= 10, sent + " of 20 went out");
@@ -382,21 +382,21 @@
         World w = new World(World.marked(World.settings(3, false, World.ANSWERS, true)), 7);
         w.list(true, false, World.lines(2));
         for (int i = 0; i < 20; i++) {
-            w.did(w.balancer.exchangeArrived(w.now, new Exchange(2 * i, ONCE, 0, w.now, 0.9)));
-            w.did(w.balancer.exchangeArrived(w.now, new Exchange(2 * i + 1, ONCE, 0, w.now, 1.9, true)));
+            w.did(w.balancer.exchangeArrived(w.now, new Request(2 * i, ONCE, 0, w.now, 0.9)));
+            w.did(w.balancer.exchangeArrived(w.now, new Request(2 * i + 1, ONCE, 0, w.now, 1.9, true)));
             w.now += 0.1;
             List.copyOf(w.sends.subList(2 * i, w.sends.size()))
-                    .forEach(f -> w.end(f, Outcome.DELIVERED, 0, 0));
+                    .forEach(f -> w.end(f, AttemptOutcome.DELIVERED, 0, 0));
         }
         assertEquals(40, w.sends.size(), "first tries are first tries, and retries are young");
-        w.did(w.balancer.exchangeArrived(w.now, new Exchange(99, ONCE, 0, w.now, 0.7, true)));
+        w.did(w.balancer.exchangeArrived(w.now, new Request(99, ONCE, 0, w.now, 0.7, true)));
         assertTrue(w.answers.get(0).shed(), "its first try's contract time is over");
     }
 
     @Test
     void aBegunStreamHasNoExpiry() {
         World w = World.of(1);
-        Forward f = w.arrive(ONCE);
+        Attempt f = w.arrive(ONCE);
         w.did(w.balancer.answerBegun(w.now, f));
         w.wakeUntil(w.now + 9);
         assertTrue(w.answers.isEmpty());
@@ -406,7 +406,7 @@
     void theListIsFollowedAndAskedForAgain() {
         World w = new World(World.settings(3, true, World.PROBES, true), 7);
         w.list(true, true, World.lines(3));
-        assertEquals(List.of(Turn.ListCall.WATCH), w.listCalls);
+        assertEquals(List.of(Decision.ListCall.WATCH), w.listCalls);
         w.did(w.balancer.listFailed(w.now));
         w.wakeUntil(w.now + 3);
         assertEquals(2, w.listCalls.size());
--- a/src/test/java/lemondrift/DrillTest.java
+++ b/src/test/java/lemondrift/DrillTest.java
@@ -10,7 +10,7 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.util.Arrays;
-import lemondrift.drill.Drill;
+import lemondrift.simulator.SimulatorAdapter;
 import org.junit.jupiter.api.Test;
 
 /** The adapter, byte for byte. */
@@ -29,7 +29,7 @@
         for (byte[] frame : frames) {
             all.writeBytes(frame);
         }
-        return Drill.run(new ByteArrayInputStream(all.toByteArray()), out, new PrintStream(err));
+        return SimulatorAdapter.run(new ByteArrayInputStream(all.toByteArray()), out, new PrintStream(err));
     }
 
     private ByteBuffer replies() {
--- a/src/test/java/lemondrift/LayersTest.java
+++ b/src/test/java/lemondrift/LayersTest.java
@@ -10,10 +10,10 @@
 
 /** Arrows between packages point down: adapters use cores, cores use the model alone and do no I/O. */
 class LayersTest {
-    private static final String[] CORES = {"lemondrift.model..", "lemondrift.decide..", "lemondrift.door..",
-        "lemondrift.peer..", "lemondrift.shadow..", "lemondrift.tally..", "lemondrift.body..",
-        "lemondrift.succession..",
-        "lemondrift.lab.world.."};
+    private static final String[] CORES = {"lemondrift.model..", "lemondrift.balancer..", "lemondrift.connection..",
+        "lemondrift.gossip..", "lemondrift.shadow..", "lemondrift.metrics..", "lemondrift.buffer..",
+        "lemondrift.hotrestart..",
+        "lemondrift.lab.simulation.."};
 
     private final JavaClasses all = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("lemondrift");
@@ -24,7 +24,7 @@
                 .resideInAnyPackage("java.io..", "java.net..", "java.nio.channels..", "java.nio.file..",
                         "java.util.concurrent..",
                         "java.time..", "java.sql..", "org.slf4j..", "org.xnio..", "io.undertow..",
-                        "com.google..", "lemondrift.serve..", "lemondrift.drill..", "lemondrift.settings..")
+                        "com.google..", "lemondrift.serve..", "lemondrift.simulator..", "lemondrift.settings..")
                 .check(all);
         noClasses().that().resideInAnyPackage(CORES).should().callMethod(System.class, "nanoTime")
                 .orShould().callMethod(System.class, "currentTimeMillis")
@@ -33,10 +33,10 @@
 
     @Test
     void coresDoNotUseEachOther() {
-        noClasses().that().resideInAPackage("lemondrift.door..").should().dependOnClassesThat()
-                .resideInAnyPackage("lemondrift.decide..").check(all);
-        noClasses().that().resideInAPackage("lemondrift.decide..").should().dependOnClassesThat()
-                .resideInAnyPackage("lemondrift.door..").check(all);
+        noClasses().that().resideInAPackage("lemondrift.connection..").should().dependOnClassesThat()
+                .resideInAnyPackage("lemondrift.balancer..").check(all);
+        noClasses().that().resideInAPackage("lemondrift.balancer..").should().dependOnClassesThat()
+                .resideInAnyPackage("lemondrift.connection..").check(all);
     }
 
     @Test
--- a/src/test/java/lemondrift/RulesTest.java
+++ b/src/test/java/lemondrift/RulesTest.java
@@ -17,15 +17,15 @@
 class RulesTest {
     /** The work of each exchange; answers never take less. */
     private static final double WORK = 0.1;
-    private static final ServiceGrade[] GRADES = {World.PURE, World.MARKED, World.ONCE, World.CELLS};
+    private static final RequestClass[] GRADES = {World.PURE, World.MARKED, World.ONCE, World.CELLS};
 
-    private final Map<Exchange, List<Forward>> made = new HashMap<>();
-    private final Map<Forward, Outcome> outcomes = new HashMap<>();
-    private final Map<Exchange, Integer> answered = new HashMap<>();
-    private final Map<Integer, Listed> told = new HashMap<>();
-    private final List<Forward> open = new ArrayList<>();
+    private final Map<Request, List<Attempt>> made = new HashMap<>();
+    private final Map<Attempt, AttemptOutcome> outcomes = new HashMap<>();
+    private final Map<Request, Integer> answered = new HashMap<>();
+    private final Map<Integer, EndpointUpdate> told = new HashMap<>();
+    private final List<Attempt> open = new ArrayList<>();
     private World w;
-    private Exchange latest;
+    private Request latest;
 
     @Property(tries = 150, seed = "20261201")
     void theModuleKeepsTheRules(@ForAll long seed, @ForAll @IntRange(min = 1, max = 7) int backends,
@@ -57,13 +57,13 @@
         List<Double> sent = new ArrayList<>();
         for (int i = 0; i < proxies; i++) {
             World each = new World(World.settings(proxies, false, World.ANSWERS, true), i);
-            each.list(true, i % 2 == 0, List.of(World.line(0, Listed.State.READY, each.now)));
+            each.list(true, i % 2 == 0, List.of(World.line(0, EndpointUpdate.State.READY, each.now)));
             for (double at = 0.5 / aSecond; at < 6; at += 1.0 / aSecond) {
                 each.wakeUntil(100 + at);
-                Forward f = each.arrive(0);
+                Attempt f = each.arrive(0);
                 if (f != null) {
                     sent.add(at);
-                    each.end(f, Outcome.DELIVERED, 0, 0);
+                    each.end(f, AttemptOutcome.DELIVERED, 0, 0);
                 }
             }
         }
@@ -79,22 +79,22 @@
     private void event(Random chance, int backends) {
         int kind = chance.nextInt(20);
         if (kind < 9) {
-            latest = new Exchange(made.size(), chance.nextInt(4), 0, w.now, chance.nextInt(4) == 0 ? 1.2 : 2);
+            latest = new Request(made.size(), chance.nextInt(4), 0, w.now, chance.nextInt(4) == 0 ? 1.2 : 2);
             made.put(latest, new ArrayList<>());
             w.did(w.balancer.exchangeArrived(w.now, latest));
         } else if (kind < 16 && !open.isEmpty()) {
-            Forward f = open.get(chance.nextInt(open.size()));
-            Outcome outcome = Outcome.values()[chance.nextInt(Outcome.values().length)];
-            if (outcome != Outcome.DELIVERED || w.now - f.sent >= WORK) {
+            Attempt f = open.get(chance.nextInt(open.size()));
+            AttemptOutcome outcome = AttemptOutcome.values()[chance.nextInt(AttemptOutcome.values().length)];
+            if (outcome != AttemptOutcome.DELIVERED || w.now - f.sent >= WORK) {
                 end(f, outcome, chance.nextDouble());
             }
         } else if (kind < 18) {
             int i = chance.nextInt(backends + 2);
-            Listed.State state = Listed.State.values()[chance.nextInt(3)];
+            EndpointUpdate.State state = EndpointUpdate.State.values()[chance.nextInt(3)];
             told.put(i, World.line(i, state, chance.nextBoolean() ? w.now : 0));
             w.list(false, false, List.of(told.get(i)));
         } else if (kind == 18) {
-            w.did(w.balancer.probeEnded(w.now, chance.nextInt(backends), Outcome.values()[chance.nextInt(8)],
+            w.did(w.balancer.probeEnded(w.now, chance.nextInt(backends), AttemptOutcome.values()[chance.nextInt(8)],
                     new double[] {0, 0}));
         } else if (latest != null && !answered.containsKey(latest)) {
             answered.put(latest, 1);
@@ -104,36 +104,36 @@
 
     /** A forward whose time is up ends as a time-out, so that its exchange can be answered. */
     private void endOverdue() {
-        for (Forward f : List.copyOf(open)) {
+        for (Attempt f : List.copyOf(open)) {
             if (w.now >= f.sent + f.timeOut) {
-                end(f, Outcome.TIMED_OUT, 1);
+                end(f, AttemptOutcome.TIMED_OUT, 1);
             }
         }
     }
 
-    private void end(Forward f, Outcome outcome, double utilisation) {
+    private void end(Attempt f, AttemptOutcome outcome, double utilisation) {
         open.remove(f);
         outcomes.put(f, outcome);
-        if (outcome == Outcome.DELIVERED) {
+        if (outcome == AttemptOutcome.DELIVERED) {
             answered.putIfAbsent(f.exchange, 1);
         }
         w.did(w.balancer.forwardEnded(w.now, f, outcome, w.now - f.sent, answered.containsKey(f.exchange),
                 new double[] {utilisation, 0}));
     }
 
-    private void check(Turn turn) {
-        for (Forward f : turn.sends) {
-            List<Forward> before = made.get(f.exchange);
+    private void check(Decision turn) {
+        for (Attempt f : turn.sends) {
+            List<Attempt> before = made.get(f.exchange);
             assertTrue(!answered.containsKey(f.exchange) && w.now < f.exchange.expiry, "rule 1: sent late");
             before.forEach(b -> assertTrue(outcomes.containsKey(b), "two forwards out at once"));
             before.stream().filter(b -> !outcomes.get(b).neverRan).findFirst().ifPresent(b ->
                     assertTrue(mayRepeat(GRADES[f.exchange.grade], b, f), "rule 2: " + outcomes.get(b)));
-            assertEquals(Listed.State.READY, told.get(f.backend).state(), "rule 3");
+            assertEquals(EndpointUpdate.State.READY, told.get(f.backend).state(), "rule 3");
             before.add(f);
             open.add(f);
             assertTrue(work(f.backend) <= budget(f.backend) + WORK, "rule 4: " + work(f.backend));
         }
-        for (Turn.Answer a : turn.answers) {
+        for (Decision.Answer a : turn.answers) {
             assertTrue(w.now <= a.exchange().expiry, "rule 1: answered late");
             assertEquals(1, answered.merge(a.exchange(), 1, Integer::sum), "rule 1: answered twice");
             boolean harmless = made.get(a.exchange()).stream()
@@ -142,12 +142,12 @@
         }
     }
 
-    private boolean mayRepeat(ServiceGrade grade, Forward ran, Forward again) {
-        Listed from = told.get(ran.backend);
-        Listed to = told.get(again.backend);
-        return grade.effect() == Effect.PURE || grade.effect() == Effect.RECEIPTED
+    private boolean mayRepeat(RequestClass grade, Attempt ran, Attempt again) {
+        EndpointUpdate from = told.get(ran.backend);
+        EndpointUpdate to = told.get(again.backend);
+        return grade.effect() == Idempotency.PURE || grade.effect() == Idempotency.RECEIPTED
                 && w.now - ran.sent <= grade.receiptMemory() && from.location() == to.location()
-                && (grade.group() == Group.LOCATION || from.cell() == to.cell());
+                && (grade.group() == DeduplicationScope.LOCATION || from.cell() == to.cell());
     }
 
     /** All that was sent to a backend within the window up to now, since it started. */
--- a/src/test/java/lemondrift/ShadowTest.java
+++ b/src/test/java/lemondrift/ShadowTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Random;
 import lemondrift.model.*;
-import lemondrift.shadow.Shadow;
+import lemondrift.shadow.ShadowEvaluator;
 import org.junit.jupiter.api.Test;
 
 /** Watching: what is done stays as it is, and what would be done otherwise is counted by kind. */
@@ -19,10 +19,10 @@
     }
 
     /** Plays a day of chance; what was done, as text. */
-    private static String play(Settings settings, Shadow shadow, boolean sound) {
+    private static String play(Settings settings, ShadowEvaluator shadow, boolean sound) {
         World w = new World(settings, 7, shadow);
         Random chance = new Random(11);
-        List<Forward> open = new ArrayList<>();
+        List<Attempt> open = new ArrayList<>();
         w.list(true, false, World.lines(6));
         for (int event = 0; event < 3000; event++) {
             w.load(chance.doubles(6).toArray()).wakeUntil(w.now + 0.004 * chance.nextDouble());
@@ -30,8 +30,8 @@
             if (kind < 4 || open.isEmpty()) {
                 w.arrive(chance.nextBoolean() ? 0 : 2);
             } else {
-                Outcome outcome = sound || kind < 8 ? Outcome.DELIVERED : Outcome.values()[chance.nextInt(6)];
-                Forward f = open.remove(chance.nextInt(open.size()));
+                AttemptOutcome outcome = sound || kind < 8 ? AttemptOutcome.DELIVERED : AttemptOutcome.values()[chance.nextInt(6)];
+                Attempt f = open.remove(chance.nextInt(open.size()));
                 w.end(f, outcome, chance.nextDouble(), chance.nextInt(3));
             }
             open.addAll(w.sends.subList(before, w.sends.size()));
@@ -42,13 +42,13 @@
         return did.toString();
     }
 
-    private static Shadow watched(Settings own, Settings other, boolean sound) {
-        Shadow shadow = new Shadow(other, 7);
+    private static ShadowEvaluator watched(Settings own, Settings other, boolean sound) {
+        ShadowEvaluator shadow = new ShadowEvaluator(other, 7);
         play(own, shadow, sound);
         return shadow;
     }
 
-    private static void counts(long atLeast, Shadow.Kind kind, Shadow shadow) {
+    private static void counts(long atLeast, ShadowEvaluator.Kind kind, ShadowEvaluator shadow) {
         assertTrue(shadow.count(kind) >= atLeast, shadow.told());
     }
 
@@ -56,7 +56,7 @@
     void whatIsDoneIsTheSameWithWatchingOnAndOff() {
         for (boolean probes : new boolean[] {false, true}) {
             Settings own = settings(0.05, 4, probes);
-            Shadow shadow = new Shadow(settings(0, 1, true), 7);
+            ShadowEvaluator shadow = new ShadowEvaluator(settings(0, 1, true), 7);
             assertEquals(play(own, null, false), play(own, shadow, false));
             assertTrue(shadow.decisions() > 500, shadow.told());
         }
@@ -64,8 +64,8 @@
 
     @Test
     void theSameSettingsWouldDecideTheSame() {
-        Shadow shadow = watched(settings(0.05, 4, false), settings(0.05, 4, false), false);
-        for (Shadow.Kind kind : Shadow.Kind.values()) {
+        ShadowEvaluator shadow = watched(settings(0.05, 4, false), settings(0.05, 4, false), false);
+        for (ShadowEvaluator.Kind kind : ShadowEvaluator.Kind.values()) {
             assertEquals(0, shadow.count(kind), shadow.told());
         }
     }
@@ -73,11 +73,11 @@
     @Test
     void eachKindIsCounted() {
         Settings free = settings(0, 4, false), dear = settings(9, 4, false), once = settings(0, 1, false);
-        Shadow stays = watched(free, dear, true);
-        counts(100, Shadow.Kind.NOT_CROSS, stays);
-        counts(stays.count(Shadow.Kind.NOT_CROSS), Shadow.Kind.ANOTHER_BACKEND, stays);
-        counts(100, Shadow.Kind.CROSS, watched(dear, free, true));
-        counts(10, Shadow.Kind.NOT_SEND_AGAIN, watched(free, once, false));
-        counts(10, Shadow.Kind.SEND_AGAIN, watched(once, free, false));
+        ShadowEvaluator stays = watched(free, dear, true);
+        counts(100, ShadowEvaluator.Kind.NOT_CROSS, stays);
+        counts(stays.count(ShadowEvaluator.Kind.NOT_CROSS), ShadowEvaluator.Kind.ANOTHER_BACKEND, stays);
+        counts(100, ShadowEvaluator.Kind.CROSS, watched(dear, free, true));
+        counts(10, ShadowEvaluator.Kind.NOT_SEND_AGAIN, watched(free, once, false));
+        counts(10, ShadowEvaluator.Kind.SEND_AGAIN, watched(once, free, false));
     }
 }
--- a/src/test/java/lemondrift/ThinProxyTest.java
+++ b/src/test/java/lemondrift/ThinProxyTest.java
@@ -14,7 +14,7 @@
 class ThinProxyTest {
     private static final int PURE = 0, ONCE = 2;
 
-    private static World world(boolean sizes, Listed... lines) {
+    private static World world(boolean sizes, EndpointUpdate... lines) {
         Settings s = World.settings(70, false, World.ANSWERS, false);
         World w = new World(new Settings(s.balancers(), s.locations(), s.location(), s.listOnRequest(),
                 s.grades(), s.tenantQuota(), s.excessBenefit(), s.marksRetries(), s.reports(), s.limits(),
@@ -25,23 +25,23 @@
 
     /** One that has been told the same reports again for some windows. */
     private static World old(int backends) {
-        World w = world(false, World.lines(backends).toArray(new Listed[0]));
-        to(w, ONCE, 20 * backends, 0.1, i -> Outcome.DELIVERED);
+        World w = world(false, World.lines(backends).toArray(new EndpointUpdate[0]));
+        to(w, ONCE, 20 * backends, 0.1, i -> AttemptOutcome.DELIVERED);
         return w;
     }
 
     /** How many go to each backend; each ends after 0.01 s as told, its report the same as ever. */
     private static int[] to(World w, int grade, int exchanges, double apart,
-            Function<Integer, Outcome> ends) {
+            Function<Integer, AttemptOutcome> ends) {
         return to(w, grade, exchanges, apart, 0.01, ends);
     }
 
     private static int[] to(World w, int grade, int exchanges, double apart, double took,
-            Function<Integer, Outcome> ends) {
+            Function<Integer, AttemptOutcome> ends) {
         int[] hits = new int[60];
         for (int n = 0; n < exchanges; n++) {
             w.wakeUntil(w.now + apart);
-            Forward f = w.arrive(grade);
+            Attempt f = w.arrive(grade);
             for (w.now += took; f != null; ) {
                 hits[f.backend]++;
                 f = w.end(f, ends.apply(f.backend), 0.5, 0);
@@ -53,12 +53,12 @@
     @Test
     void whatTheListSaysOfSizesSetsTheShareWhereReportsAreOld() {
         for (double none : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
-            assertEquals(1, new Listed(0, false, 0, 0, Listed.State.READY, 0, none).size());
+            assertEquals(1, new EndpointUpdate(0, false, 0, 0, EndpointUpdate.State.READY, 0, none).size());
         }
         World w = world(true, IntStream.range(0, 3).mapToObj(i ->
-                new Listed(i, false, 0, 0, Listed.State.READY, 0, i == 2 ? 2 : 1)).toArray(Listed[]::new));
-        to(w, ONCE, 60, 1, i -> Outcome.DELIVERED);
-        int large = to(w, ONCE, 400, 1, i -> Outcome.DELIVERED)[2];
+                new EndpointUpdate(i, false, 0, 0, EndpointUpdate.State.READY, 0, i == 2 ? 2 : 1)).toArray(EndpointUpdate[]::new));
+        to(w, ONCE, 60, 1, i -> AttemptOutcome.DELIVERED);
+        int large = to(w, ONCE, 400, 1, i -> AttemptOutcome.DELIVERED)[2];
         assertTrue(large > 160 && large < 240, large + " of 400 went to one of half the fleet's size");
     }
 
@@ -66,9 +66,9 @@
     void aReportCountsUntilTheNextWhereNoneCanBeAskedFor() {
         World w = new World(World.settings(100, false, World.ANSWERS, false), 7);
         w.list(true, false, World.lines(2));
-        List<Forward> both = List.of(w.arrive(PURE), w.arrive(PURE));
+        List<Attempt> both = List.of(w.arrive(PURE), w.arrive(PURE));
         w.now += 0.1;
-        both.forEach(f -> w.end(f, Outcome.DELIVERED, f.backend == 0 ? 1 : 0.1, f.backend == 0 ? 3 : 0));
+        both.forEach(f -> w.end(f, AttemptOutcome.DELIVERED, f.backend == 0 ? 1 : 0.1, f.backend == 0 ? 3 : 0));
         w.now += 1;
         assertEquals(1, w.arrive(PURE).backend, "a window later: near and busy, or across and idle");
     }
@@ -78,12 +78,12 @@
         World w = new World(World.settings(100, false, World.ANSWERS, false), 7);
         assertTrue(w.balancer.isToBeTold(), "where none is asked others are to tell");
         assertFalse(World.of(2).balancer.isToBeTold(), "where reports can be asked for nobody need tell");
-        List<Listed> lines = IntStream.range(0, 60).mapToObj(i -> World.line(i, Listed.State.READY, 0)
+        List<EndpointUpdate> lines = IntStream.range(0, 60).mapToObj(i -> World.line(i, EndpointUpdate.State.READY, 0)
                 .drawn((i * 37 % 60) / 60.0, i * 37 % 60 < 16 ? 0.2 : 0)).toList();
         w.list(true, false, lines);
         w.balancer.othersHeard(true);
         for (int round = 0; round < 3; round++) {
-            int[] hits = to(w, ONCE, 200, 0.1, i -> Outcome.DELIVERED);
+            int[] hits = to(w, ONCE, 200, 0.1, i -> AttemptOutcome.DELIVERED);
             int used = (int) Arrays.stream(hits).filter(n -> n > 0).count();
             assertTrue(used >= 6 && used <= 16, used + " are used");
             lines.stream().filter(line -> line.lot() * 60 > 15.5).forEach(line ->
@@ -95,15 +95,15 @@
     /** How many of a flood go to one that has just started, the only one that there is. */
     private static int toACold(double used, boolean heard) {
         World w = new World(World.settings(6, false, World.ANSWERS, false), 7);
-        w.list(true, false, List.of(World.line(0, Listed.State.READY, w.now).drawn(0, used)));
+        w.list(true, false, List.of(World.line(0, EndpointUpdate.State.READY, w.now).drawn(0, used)));
         w.balancer.othersHeard(heard);
         int sent = 0;
         for (int n = 0; n < 600; n++) {
             w.now += 0.01;
-            Forward f = w.arrive(PURE);
+            Attempt f = w.arrive(PURE);
             sent += f == null ? 0 : 1;
             for (w.now += 0.0001; f != null; ) {
-                f = w.end(f, Outcome.DELIVERED, 0.1, 0);
+                f = w.end(f, AttemptOutcome.DELIVERED, 0.1, 0);
             }
         }
         return sent;
@@ -119,9 +119,9 @@
     @Test
     void whoFailsFastIsLeftAfterOneErrorAndUsedAgainOnceSound() {
         World w = old(8);
-        int errors = to(w, ONCE, 200, 0.1, i -> i == 0 ? Outcome.ERROR : Outcome.DELIVERED)[0];
+        int errors = to(w, ONCE, 200, 0.1, i -> i == 0 ? AttemptOutcome.ERROR : AttemptOutcome.DELIVERED)[0];
         assertTrue(errors <= 3, errors + " of 200 went to one that fails fast and reports that it is idle");
-        int again = to(w, ONCE, 1500, 0.1, i -> Outcome.DELIVERED)[0];
+        int again = to(w, ONCE, 1500, 0.1, i -> AttemptOutcome.DELIVERED)[0];
         assertTrue(again > 50, again + " of 1500: sound again, used again");
     }
 
@@ -130,14 +130,14 @@
         int herd = 0;
         for (int n = 0; n < 40; n++) {
             World w = old(2);
-            to(w, ONCE, n, 0.1, i -> Outcome.DELIVERED);
+            to(w, ONCE, n, 0.1, i -> AttemptOutcome.DELIVERED);
             w.wakeUntil(w.now + 1);
-            List<Forward> out = new ArrayList<>();
+            List<Attempt> out = new ArrayList<>();
             for (int k = 0; k < 4; k++) {
                 out.add(w.arrive(ONCE));
             }
-            Forward first = out.get(0);
-            w.end(first, Outcome.DELIVERED, 0.5, 0);
+            Attempt first = out.get(0);
+            w.end(first, AttemptOutcome.DELIVERED, 0.5, 0);
             assertEquals(first.backend, w.arrive(ONCE).backend, "one out against two");
             herd += w.arrive(ONCE).backend == first.backend ? 1 : 0;
         }
@@ -147,17 +147,17 @@
     @Test
     void aJamIsShedAtOnceAndForgottenOnceItIsLongAgo() {
         World w = old(4);
-        List<Forward> slow = new ArrayList<>();
+        List<Attempt> slow = new ArrayList<>();
         for (int n = 0; n < 60; n++) {
             w.now += 0.02;
             int answered = w.answers.size();
-            Forward f = w.arrive(PURE);
+            Attempt f = w.arrive(PURE);
             assertTrue(f != null || w.answers.size() == answered + 1, "given up is answered at once");
             slow.addAll(f == null ? List.of() : List.of(f));
         }
         assertTrue(slow.size() < 60, "sixty out and none answered is a jam");
         w.now += 0.5;
-        slow.forEach(f -> w.end(f, Outcome.TIMED_OUT));
+        slow.forEach(f -> w.end(f, AttemptOutcome.TIMED_OUT));
         w.wakeUntil(w.now + 20);
         assertNotNull(w.arrive(PURE), "nothing out, and no wait met lately");
     }
@@ -166,33 +166,33 @@
     void groupsThatDieWhileReportsComeLateAreLeftAndSparedOnceBack() {
         World w = old(9);
         // No report is new from here on, and three refuse.
-        int[] hits = to(w, ONCE, 300, 0.05, i -> i < 3 ? Outcome.CONNECT_FAILED : Outcome.DELIVERED);
+        int[] hits = to(w, ONCE, 300, 0.05, i -> i < 3 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.DELIVERED);
         assertTrue(hits[0] + hits[1] + hits[2] <= 30, "300 went, to the dead " + hits[0] + hits[1] + hits[2]);
         double back = w.now;
-        w.list(false, false, IntStream.range(0, 3).mapToObj(i -> World.line(i, Listed.State.READY, back))
+        w.list(false, false, IntStream.range(0, 3).mapToObj(i -> World.line(i, EndpointUpdate.State.READY, back))
                 .toList());
-        hits = to(w, ONCE, 20, 0.05, i -> Outcome.DELIVERED);
+        hits = to(w, ONCE, 20, 0.05, i -> AttemptOutcome.DELIVERED);
         assertTrue(hits[0] + hits[1] + hits[2] <= 3, "cold, though the last report is an idle one's");
         w.wakeUntil(back + 2 * World.RULES.cold());
-        hits = to(w, ONCE, 300, 0.05, i -> Outcome.DELIVERED);
+        hits = to(w, ONCE, 300, 0.05, i -> AttemptOutcome.DELIVERED);
         assertTrue(hits[0] > 0 && hits[1] > 0 && hits[2] > 0, "warm, and used again");
     }
 
     @Test
     void crossingIsForWhatTheOwnLocationCannotCarry() {
-        Listed[] lines = IntStream.range(0, 6).mapToObj(i -> new Listed(i, false, i == 0 ? 0 : 1, 0,
-                Listed.State.READY, 0)).toArray(Listed[]::new);
+        EndpointUpdate[] lines = IntStream.range(0, 6).mapToObj(i -> new EndpointUpdate(i, false, i == 0 ? 0 : 1, 0,
+                EndpointUpdate.State.READY, 0)).toArray(EndpointUpdate[]::new);
         World w = world(false, lines);
-        assertTrue(to(w, PURE, 200, 0.5, i -> Outcome.DELIVERED)[0] >= 190, "one at a time stays");
-        List<Forward> open = new ArrayList<>();
+        assertTrue(to(w, PURE, 200, 0.5, i -> AttemptOutcome.DELIVERED)[0] >= 190, "one at a time stays");
+        List<Attempt> open = new ArrayList<>();
         int away = 0;
         for (int n = 0; n < 200; n++) {
             w.wakeUntil(w.now + 0.003);
-            Forward f = w.arrive(ONCE);
+            Attempt f = w.arrive(ONCE);
             away += f != null && f.backend != 0 ? 1 : 0;
             open.addAll(f == null ? List.of() : List.of(f));
             if (open.size() > 2) {
-                w.end(open.remove(0), Outcome.DELIVERED, 0.5, 0);
+                w.end(open.remove(0), AttemptOutcome.DELIVERED, 0.5, 0);
             }
         }
         assertTrue(away > 80, away + " of 200 left one backend that held several");
@@ -204,10 +204,10 @@
         for (int proxy = 0; proxy < 70; proxy++) {
             World w = new World(World.settings(70, false, World.ANSWERS, false), 1000 + proxy);
             w.list(true, false, World.lines(8));
-            to(w, ONCE, 60, 0.01, 0.1, i -> Outcome.DELIVERED);
-            w.list(false, false, List.of(World.line(0, Listed.State.READY, w.now)));
+            to(w, ONCE, 60, 0.01, 0.1, i -> AttemptOutcome.DELIVERED);
+            w.list(false, false, List.of(World.line(0, EndpointUpdate.State.READY, w.now)));
             double window = World.RULES.fallWindow(), apart = proxy < 5 ? 0.01 : 0.5;
-            cold += to(w, ONCE, (int) (window / (apart + 0.1)), apart, 0.1, i -> Outcome.DELIVERED)[0];
+            cold += to(w, ONCE, (int) (window / (apart + 0.1)), apart, 0.1, i -> AttemptOutcome.DELIVERED)[0];
         }
         double budget = World.RULES.fallMultiple() * World.RULES.coldFrom() * World.RULES.fallWindow();
         assertTrue(cold > 0 && cold * 0.1 <= budget, cold + " exchanges of 0.1 s for a budget of " + budget);
@@ -216,7 +216,7 @@
     /** One among forty that tell, of whose thirty backends it uses sixteen. */
     private static World told(double started) {
         World w = new World(World.settings(40, false, World.ANSWERS, false), 7);
-        w.list(true, false, IntStream.range(0, 30).mapToObj(i -> World.line(i, Listed.State.READY, started)
+        w.list(true, false, IntStream.range(0, 30).mapToObj(i -> World.line(i, EndpointUpdate.State.READY, started)
                 .drawn(i / 30.0, i < 16 ? 0.5 : 0)).toList());
         w.balancer.othersHeard(true);
         return w;
@@ -228,10 +228,10 @@
         World w = told(0);
         for (int n = 0; n < 60; n++) {
             w.now += 0.01;
-            Forward f = w.arrive(ONCE);
+            Attempt f = w.arrive(ONCE);
             if (f != null) {
                 w.now += 1;
-                w.end(f, Outcome.TIMED_OUT);
+                w.end(f, AttemptOutcome.TIMED_OUT);
             }
         }
         for (int grade : new int[] {0, ONCE}) {
@@ -259,11 +259,11 @@
             for (int n = 0; n < 30; n++) {
                 w.now += 0.1;
                 int grade = n % 2 == 0 ? 0 : ONCE;
-                Forward f = w.arrive(grade);
+                Attempt f = w.arrive(grade);
                 went[grade] += f == null ? 0 : 1;
                 if (f != null) {
                     w.now += 0.1;
-                    w.end(f, Outcome.DELIVERED, 0.5, 0);
+                    w.end(f, AttemptOutcome.DELIVERED, 0.5, 0);
                     w.now -= 0.1;
                 }
             }
@@ -282,11 +282,11 @@
             double work = i == 2 ? 0.8 : 0.02;
             for (int n = 0; n < 300; n++) {
                 w.now += 0.01;
-                Forward f = w.arrive(ONCE);
+                Attempt f = w.arrive(ONCE);
                 sent[i] += f == null ? 0 : 1;
                 if (f != null) {
                     w.now += work;
-                    w.end(f, Outcome.DELIVERED, 0.5, 0);
+                    w.end(f, AttemptOutcome.DELIVERED, 0.5, 0);
                     w.now -= work;
                 }
             }
--- a/src/test/java/lemondrift/World.java
+++ b/src/test/java/lemondrift/World.java
@@ -8,44 +8,44 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import lemondrift.decide.Balancer;
+import lemondrift.balancer.LoadBalancer;
 import lemondrift.model.*;
-import lemondrift.shadow.Shadow;
+import lemondrift.shadow.ShadowEvaluator;
 
 /** One proxy's decisions in a small made-up deployment, and frames built by hand. */
 final class World {
-    static final ServiceGrade PURE = new ServiceGrade(1, 0, 1, 2, Effect.PURE, Group.ALL, 0);
-    static final ServiceGrade MARKED = new ServiceGrade(4, 0, 1, 2, Effect.RECEIPTED, Group.LOCATION, 0.5);
-    static final ServiceGrade ONCE = new ServiceGrade(8, 0, 1, 2, Effect.EFFECTFUL, Group.ALL, 0);
-    static final ServiceGrade CELLS = new ServiceGrade(2, 0, 1, 2, Effect.RECEIPTED, Group.CELL, 0.8);
+    static final RequestClass PURE = new RequestClass(1, 0, 1, 2, Idempotency.PURE, DeduplicationScope.ALL, 0);
+    static final RequestClass MARKED = new RequestClass(4, 0, 1, 2, Idempotency.RECEIPTED, DeduplicationScope.LOCATION, 0.5);
+    static final RequestClass ONCE = new RequestClass(8, 0, 1, 2, Idempotency.EFFECTFUL, DeduplicationScope.ALL, 0);
+    static final RequestClass CELLS = new RequestClass(2, 0, 1, 2, Idempotency.RECEIPTED, DeduplicationScope.CELL, 0.8);
     static final Settings.Reports ANSWERS = new Settings.Reports(true, 0, 1, false, -1);
     static final Settings.Reports PROBES = new Settings.Reports(false, 0, -1, false, -1);
     static final Settings.Rules RULES = new Settings.Rules(0.25, 8, 3, 2, 10);
 
-    final Balancer balancer;
-    final List<Turn.Answer> answers = new ArrayList<>();
-    final List<Forward> sends = new ArrayList<>();
-    final List<Forward> cancels = new ArrayList<>();
+    final LoadBalancer balancer;
+    final List<Decision.Answer> answers = new ArrayList<>();
+    final List<Attempt> sends = new ArrayList<>();
+    final List<Attempt> cancels = new ArrayList<>();
     final List<Integer> probes = new ArrayList<>();
-    final List<Turn.ListCall> listCalls = new ArrayList<>();
+    final List<Decision.ListCall> listCalls = new ArrayList<>();
     /** What each backend answers to a probe: its utilisation and what it holds; null is no answer. */
     final Map<Integer, double[]> loads = new HashMap<>();
     double now = 100;
     double wakeAt;
-    Consumer<Turn> watcher = turn -> { };
-    private final Shadow shadow;
+    Consumer<Decision> watcher = turn -> { };
+    private final ShadowEvaluator shadow;
 
     World(Settings settings, long seed) {
         this(settings, seed, null);
     }
 
     /** One that is watched, where the shadow is not null. */
-    World(Settings settings, long seed, Shadow shadow) {
-        balancer = new Balancer(settings, seed);
+    World(Settings settings, long seed, ShadowEvaluator shadow) {
+        balancer = new LoadBalancer(settings, seed);
         this.shadow = shadow;
     }
 
-    private void watch(Consumer<Shadow> event) {
+    private void watch(Consumer<ShadowEvaluator> event) {
         if (shadow != null) {
             event.accept(shadow);
         }
@@ -70,19 +70,19 @@
                 s.tenantQuota(), s.excessBenefit(), true, s.reports(), s.limits(), s.rules(), s.charges());
     }
 
-    static List<Listed> lines(int backends) {
-        List<Listed> lines = new ArrayList<>();
+    static List<EndpointUpdate> lines(int backends) {
+        List<EndpointUpdate> lines = new ArrayList<>();
         for (int i = 0; i < backends; i++) {
-            lines.add(line(i, Listed.State.READY, 0));
+            lines.add(line(i, EndpointUpdate.State.READY, 0));
         }
         return lines;
     }
 
-    static Listed line(int i, Listed.State state, double started) {
-        return new Listed(i, false, i % 2, i % 4, state, started);
+    static EndpointUpdate line(int i, EndpointUpdate.State state, double started) {
+        return new EndpointUpdate(i, false, i % 2, i % 4, state, started);
     }
 
-    void did(Turn turn) {
+    void did(Decision turn) {
         watcher.accept(turn);
         watch(s -> s.decided(now, turn));
         answers.addAll(turn.answers);
@@ -97,8 +97,8 @@
                 // No two reports are quite the same, unless one is told again.
                 double[] fresh = load.clone();
                 fresh[0] += 1e-9 * probes.size();
-                watch(s -> s.probed(now, i, Outcome.DELIVERED, fresh));
-                did(balancer.probeEnded(now, i, Outcome.DELIVERED, fresh));
+                watch(s -> s.probed(now, i, AttemptOutcome.DELIVERED, fresh));
+                did(balancer.probeEnded(now, i, AttemptOutcome.DELIVERED, fresh));
             }
         }
     }
@@ -110,24 +110,24 @@
         return this;
     }
 
-    void list(boolean whole, boolean stale, List<Listed> lines) {
+    void list(boolean whole, boolean stale, List<EndpointUpdate> lines) {
         watch(s -> s.listed(now, whole, stale, lines));
         did(balancer.backendsListed(now, whole, stale, lines));
     }
 
     /** The forward that a new exchange is sent by, or null. */
-    Forward arrive(int grade) {
+    Attempt arrive(int grade) {
         int before = sends.size();
-        Exchange x = new Exchange(sends.size(), grade, 0, now, 2);
+        Request x = new Request(sends.size(), grade, 0, now, 2);
         watch(s -> s.arrived(now, x));
         did(balancer.exchangeArrived(now, x));
         return sends.size() > before ? sends.get(before) : null;
     }
 
     /** The forward that follows, or null. */
-    Forward end(Forward f, Outcome outcome, double... report) {
+    Attempt end(Attempt f, AttemptOutcome outcome, double... report) {
         int before = sends.size();
-        boolean over = outcome == Outcome.DELIVERED || f.exchange.over;
+        boolean over = outcome == AttemptOutcome.DELIVERED || f.exchange.over;
         double[] told = report.length == 0 ? null : report;
         watch(s -> s.ended(now, f, outcome, now - f.sent, over, told));
         did(balancer.forwardEnded(now, f, outcome, now - f.sent, over, told));
--- a/src/test/java/lemondrift/body/HoldingTest.java
+++ b/src/test/java/lemondrift/buffer/HoldingTest.java
@@ -1,4 +1,4 @@
-package lemondrift.body;
+package lemondrift.buffer;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -13,7 +13,7 @@
     /** Bodies that come in pieces and end in any order: the bounds hold, and in the end nothing is held. */
     @Property(tries = 300, seed = "48")
     void neitherBoundIsPassedAndAllIsLetGo(@ForAll List<@IntRange(min = 0, max = 999) Integer> steps) {
-        Holding holding = new Holding(100, 250);
+        BodyBufferBudget holding = new BodyBufferBudget(100, 250);
         int[] has = new int[8];
         for (int step : steps) {
             int body = step % 8;
@@ -37,8 +37,8 @@
 
     @Test
     void withoutRoomNothingIsHeld() {
-        assertFalse(new Holding(0, 100).takes(0, 1));
-        assertFalse(new Holding(100, 0).takes(0, 1));
-        assertThrows(IllegalArgumentException.class, () -> new Holding(-1, 5));
+        assertFalse(new BodyBufferBudget(0, 100).takes(0, 1));
+        assertFalse(new BodyBufferBudget(100, 0).takes(0, 1));
+        assertThrows(IllegalArgumentException.class, () -> new BodyBufferBudget(-1, 5));
     }
 }
--- a/src/test/java/lemondrift/cli/LemondriftTest.java
+++ b/src/test/java/lemondrift/cli/LemondriftTest.java
@@ -18,23 +18,23 @@
                 "expect = [\"unanswered == 0\"]\n" + world);
         Path missed = Files.writeString(folder.resolve("missed.toml"),
                 "expect = [\"service >= 2\"]\n" + world);
-        assertEquals(0, Lemondrift.run("lab", "run", good.toString()));
-        assertEquals(1, Lemondrift.run("lab", "run", good.toString(), missed.toString()));
+        assertEquals(0, RootCommand.run("lab", "run", good.toString()));
+        assertEquals(1, RootCommand.run("lab", "run", good.toString(), missed.toString()));
         Path json = folder.resolve("report.json");
-        assertEquals(0, Lemondrift.run("lab", "run", "--json", json.toString(), good.toString()));
+        assertEquals(0, RootCommand.run("lab", "run", "--json", json.toString(), good.toString()));
         JsonNode run = new ObjectMapper().readTree(json.toFile()).get(0).get("runs").get(0);
         double wanted = 0;
         for (JsonNode second : run.get("figures").get("wantedIn")) {
             wanted += second.asDouble();
         }
         assertEquals(run.get("figures").get("wanted").asDouble(), wanted, 1e-9);
-        assertEquals(0, Lemondrift.run("lab", "list", folder.toString()));
-        assertEquals(0, Lemondrift.run("lab", "compare", good.toString()));
+        assertEquals(0, RootCommand.run("lab", "list", folder.toString()));
+        assertEquals(0, RootCommand.run("lab", "compare", good.toString()));
         Path bad = Files.writeString(folder.resolve("bad.toml"), "[wordl]\n");
-        assertEquals(2, Lemondrift.run("lab", "run", bad.toString()));
-        assertEquals(2, Lemondrift.run("lab", "run", folder.resolve("none.toml").toString()));
-        assertEquals(2, Lemondrift.run("lab", "play"));
-        assertEquals(2, Lemondrift.run());
-        assertEquals(0, Lemondrift.run("--version"));
+        assertEquals(2, RootCommand.run("lab", "run", bad.toString()));
+        assertEquals(2, RootCommand.run("lab", "run", folder.resolve("none.toml").toString()));
+        assertEquals(2, RootCommand.run("lab", "play"));
+        assertEquals(2, RootCommand.run());
+        assertEquals(0, RootCommand.run("--version"));
     }
 }
--- a/src/test/java/lemondrift/door/DoorTest.java
+++ b/src/test/java/lemondrift/connection/DoorTest.java
@@ -1,4 +1,4 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -16,17 +16,17 @@
 
 /** The door without sockets: its hard cases, and generated histories beside a plain model. */
 class DoorTest {
-    private static final Bounds.Sharing EACH = Bounds.Sharing.CONNECTION;
+    private static final ConnectionLimits.Sharing EACH = ConnectionLimits.Sharing.CONNECTION;
 
     @Property(tries = 400, seed = "48")
     void whateverComesTheRulesHold(@ForAll @IntRange(min = 1, max = 40) int places,
-            @ForAll Bounds.Sharing sharing,
+            @ForAll ConnectionLimits.Sharing sharing,
             @ForAll @Size(min = 50, max = 400) List<@IntRange(max = 9999) Integer> steps) {
         Street street = new Street(Street.bounds(places, sharing));
         for (int step : steps) {
             List<Integer> all = List.copyOf(street.clients.keySet());
             int i = all.isEmpty() ? -1 : all.get(step / 10 % all.size());
-            State state = i < 0 ? State.FREE : street.clients.get(i).state;
+            ConnectionState state = i < 0 ? ConnectionState.FREE : street.clients.get(i).state;
             switch (step % 10) {
                 case 0, 1, 2 -> {
                     if (street.clients.size() < street.bounds.last()) {
@@ -34,21 +34,21 @@
                     }
                 }
                 case 3 -> {
-                    if (state == State.NEW || state == State.QUIET || state == State.HEAD) {
+                    if (state == ConnectionState.NEW || state == ConnectionState.QUIET || state == ConnectionState.HEAD) {
                         street.says(i, 1 + step / 10 % 50);
                     }
                 }
                 case 4, 5 -> {
-                    if (state == State.NEW || state == State.QUIET || state == State.HEAD) {
+                    if (state == ConnectionState.NEW || state == ConnectionState.QUIET || state == ConnectionState.HEAD) {
                         street.opens(i, step / 10 % 3);
-                    } else if (state == State.OPEN) {
+                    } else if (state == ConnectionState.OPEN) {
                         street.answered(i, step / 10 % 3);
                     }
                 }
                 case 6 -> {
-                    if (state == State.NEW || state == State.QUIET) {
+                    if (state == ConnectionState.NEW || state == ConnectionState.QUIET) {
                         street.clients.get(i).unread = true;
-                    } else if (state != State.FREE) {
+                    } else if (state != ConnectionState.FREE) {
                         street.leaves(i);
                     }
                 }
@@ -63,8 +63,8 @@
         // All that say nothing give way in a crowd, so that it ends.
         street.clients.values().forEach(client -> client.unread = false);
         street.passes(2 * street.bounds.patience() + street.bounds.sweep());
-        long open = street.clients.values().stream().filter(client -> client.state == State.OPEN
-                || client.state == State.HEAD).count();
+        long open = street.clients.values().stream().filter(client -> client.state == ConnectionState.OPEN
+                || client.state == ConnectionState.HEAD).count();
         assertTrue(street.clients.size() <= Math.max(street.bounds.places(), open));
     }
 
@@ -75,15 +75,15 @@
     void givingWayIsMaxMin(@ForAll @Size(min = 1, max = 30) List<@IntRange(max = 5) Integer> holders,
             @ForAll @IntRange(max = 40) int many, @ForAll long seed) {
         Random random = new Random(seed);
-        Source[] sources = new Source[6];
+        ClientSource[] sources = new ClientSource[6];
         double[] weight = new double[6];
         int[] held = new int[6];
         for (int s = 0; s < 6; s++) {
-            sources[s] = new Source();
+            sources[s] = new ClientSource();
             sources[s].brought(random.nextInt(4), 0, 1);
             weight[s] = sources[s].weight(0, 1);
         }
-        Crowd crowd = new Crowd(holders.size(), 1);
+        FairEviction crowd = new FairEviction(holders.size(), 1);
         for (int i = 0; i < holders.size(); i++) {
             sources[holders.get(i)].held++;
             held[holders.get(i)]++;
@@ -164,7 +164,7 @@
 
     @Test
     void manySourcesWithOneEachStandBesideFewWithMany() {
-        Street street = new Street(Street.bounds(1000, Bounds.Sharing.ADDRESS));
+        Street street = new Street(Street.bounds(1000, ConnectionLimits.Sharing.ADDRESS));
         for (int i = 0; i < 1000; i++) {
             street.asks(street.comes(i));
         }
@@ -200,7 +200,7 @@
         assertTrue(street.clients.keySet().containsAll(List.of(fresh, half, kept)));
         street.passes(4);
         assertTrue(street.clients.isEmpty(), "without anything more all have gone");
-        assertEquals(2, street.ended(Reason.SLOW), "what they began is not gone on with");
+        assertEquals(2, street.ended(CloseReason.SLOW), "what they began is not gone on with");
     }
 
     @Test
@@ -213,8 +213,8 @@
         street.passes(0.1);
         street.clients.get(kept).unread = true;
         street.passes(0.6);
-        assertEquals(State.HEAD, street.door.state(kept));
-        assertEquals(State.HEAD, street.door.state(fresh));
+        assertEquals(ConnectionState.HEAD, street.door.state(kept));
+        assertEquals(ConnectionState.HEAD, street.door.state(fresh));
     }
 
     @Test
@@ -227,7 +227,7 @@
             street.passes(0.09);
         }
         assertTrue(street.now - began < street.bounds.pause() + 0.5, "ended after " + (street.now - began));
-        assertEquals(1, street.ended(Reason.SLOW));
+        assertEquals(1, street.ended(CloseReason.SLOW));
         int quick = street.comes();
         for (int k = 0; k < 100; k++) {
             street.says(quick, 200);
@@ -273,7 +273,7 @@
         int body = street.comes();
         street.door.heard(body, 300, street.now);
         street.door.headRead(body, street.now);
-        street.clients.get(body).state = State.BODY;
+        street.clients.get(body).state = ConnectionState.BODY;
         for (int k = 0; k < 4; k++) {
             street.passes(2);
             street.door.heard(body, 128_000, street.now);
@@ -288,7 +288,7 @@
         for (int i : new int[] {slow, quick}) {
             street.opens(i, 0);
             street.door.keeps(i, street.now);
-            street.clients.get(i).state = State.FETCHING;
+            street.clients.get(i).state = ConnectionState.FETCHING;
         }
         for (int second = 0; second < 10; second++) {
             for (int k = 0; k < 10; k++) {
@@ -300,7 +300,7 @@
             }
         }
         assertEquals(List.of(quick), List.copyOf(street.clients.keySet()));
-        assertEquals(1, street.ended(Reason.UNFETCHED));
+        assertEquals(1, street.ended(CloseReason.UNFETCHED));
     }
 
     @Test
@@ -320,7 +320,7 @@
             last = lingers;
             street.now += lingers;
             street.door.answered(i, -1, street.now);
-            street.clients.get(i).state = State.QUIET;
+            street.clients.get(i).state = ConnectionState.QUIET;
         }
         assertEquals(6, times);
         assertTrue(last > 4 * street.bounds.linger());
@@ -371,7 +371,7 @@
 
     @Test
     void whatIsPromisedIsHeldTo() {
-        Bounds bounds = new Bounds(8, 10, 2.2, 0, EACH, true, 2048, 1);
+        ConnectionLimits bounds = new ConnectionLimits(8, 10, 2.2, 0, EACH, true, 2048, 1);
         Street street = new Street(bounds);
         int i = street.comes();
         street.asks(i);
@@ -385,7 +385,7 @@
 
     @Test
     void theLimitFollowsWhatIsSeen() {
-        Reuse reuse = new Reuse(2.2, 0, 8);
+        IdleReuseEstimator reuse = new IdleReuseEstimator(2.2, 0, 8);
         assertEquals(2.2, reuse.limit(0, 0), "a place that costs nothing is kept");
         for (int k = 0; k < 400; k++) {
             // Half are used again within 0.1 s, half never are.
@@ -403,7 +403,7 @@
 
     @Test
     void theIntakeTakesNoMoreThanCanBeDecidedAndTheMostUrgentFirst() {
-        Intake<Integer> intake = new Intake<>(0.4);
+        RequestQueue<Integer> intake = new RequestQueue<>(0.4);
         assertTrue(intake.takes(), "nothing is known yet");
         intake.decided(1, 0);
         for (int k = 0; k < 200; k++) {
@@ -433,7 +433,7 @@
 
     @Test
     void whatIsReadOfAConnectionThatHasGoneBringsNothingBack() {
-        Street street = new Street(Street.bounds(8, Bounds.Sharing.CONNECTION));
+        Street street = new Street(Street.bounds(8, ConnectionLimits.Sharing.CONNECTION));
         int i = street.door.came(7, street.now);
         street.door.gone(i, street.now);
         street.door.headRead(i, street.now);
--- a/src/test/java/lemondrift/door/KeepAliveMixes.java
+++ b/src/test/java/lemondrift/connection/KeepAliveMixes.java
@@ -1,4 +1,4 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 import java.util.List;
 import java.util.PriorityQueue;
@@ -51,9 +51,9 @@
     private static void play(Mix mix, double fixed) {
         boolean learns = Double.isNaN(fixed);
         // Fixed ones: no price, so that each stays for the whole time that it may be quiet.
-        Bounds bounds = new Bounds(learns ? PLACES : 1_000_000, learns ? 227 : 1_000_000,
+        ConnectionLimits bounds = new ConnectionLimits(learns ? PLACES : 1_000_000, learns ? 227 : 1_000_000,
                 learns ? 2.2 : Math.max(0.2, fixed), learns ? 2 : Math.max(0.2, fixed),
-                        Bounds.Sharing.CONNECTION,
+                        ConnectionLimits.Sharing.CONNECTION,
                 false, 2048, 1);
         Street street = new Street(bounds);
         SplittableRandom chance = new SplittableRandom(11);
--- a/src/test/java/lemondrift/door/Street.java
+++ b/src/test/java/lemondrift/connection/Street.java
@@ -1,4 +1,4 @@
-package lemondrift.door;
+package lemondrift.connection;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -12,16 +12,16 @@
  * Clients before a door, without sockets, and a plain model of each: what it did in full, from which it is
  * reckoned anew at each look what the door must do and must not.
  */
-final class Street implements Door.Hands {
+final class Street implements ConnectionPolicy.Hands {
     /** A client's connection: when it came, when each byte of the present request came, what it waits for. */
     static final class Client {
         final double came;
         final long address;
         double since;
-        State state = State.NEW;
+        ConnectionState state = ConnectionState.NEW;
         final List<Double> heard = new ArrayList<>();
         boolean unread, answered;
-        Reason ended;
+        CloseReason ended;
 
         Client(double came, long address) {
             this.came = came;
@@ -30,20 +30,20 @@
         }
     }
 
-    final Bounds bounds;
-    final Door door;
+    final ConnectionLimits bounds;
+    final ConnectionPolicy door;
     final Map<Integer, Client> clients = new LinkedHashMap<>();
     final List<Client> gone = new ArrayList<>();
     double now = 1000;
 
-    Street(Bounds bounds) {
+    Street(ConnectionLimits bounds) {
         this.bounds = bounds;
-        door = new Door(bounds, this, 7);
+        door = new ConnectionPolicy(bounds, this, 7);
         door.sweep(now);
     }
 
-    static Bounds bounds(int places, Bounds.Sharing sharing) {
-        return new Bounds(places, places + places / 10 + 1, 2.2, 2, sharing, false, 2048, 1);
+    static ConnectionLimits bounds(int places, ConnectionLimits.Sharing sharing) {
+        return new ConnectionLimits(places, places + places / 10 + 1, 2.2, 2, sharing, false, 2048, 1);
     }
 
     @Override
@@ -58,10 +58,10 @@
     }
 
     @Override
-    public void close(int i, Reason why) {
+    public void close(int i, CloseReason why) {
         Client client = clients.get(i);
-        assertNotEquals(State.OPEN, client.state, "an exchange is open on it");
-        assertFalse(client.unread && (client.state == State.NEW || client.state == State.QUIET),
+        assertNotEquals(ConnectionState.OPEN, client.state, "an exchange is open on it");
+        assertFalse(client.unread && (client.state == ConnectionState.NEW || client.state == ConnectionState.QUIET),
                 "what it said was not looked at");
         leaves(i);
         client.ended = why;
@@ -77,16 +77,16 @@
         return comes(1);
     }
 
-    private void is(int i, State state) {
+    private void is(int i, ConnectionState state) {
         clients.get(i).state = state;
         clients.get(i).since = now;
     }
 
     void says(int i, int bytes) {
         Client client = clients.get(i);
-        if (client.state == State.NEW || client.state == State.QUIET) {
+        if (client.state == ConnectionState.NEW || client.state == ConnectionState.QUIET) {
             client.heard.clear();
-            is(i, State.HEAD);
+            is(i, ConnectionState.HEAD);
         }
         for (int b = 0; b < bytes; b++) {
             client.heard.add(now);
@@ -98,7 +98,7 @@
         says(i, 100);
         door.headRead(i, now);
         door.opened(i, tenant, now);
-        is(i, State.OPEN);
+        is(i, ConnectionState.OPEN);
     }
 
     /** Answers it; false where its connection closes with that. */
@@ -106,7 +106,7 @@
         boolean keeps = door.keeps(i, now);
         door.answered(i, benefit, now);
         clients.get(i).answered = true;
-        is(i, State.QUIET);
+        is(i, ConnectionState.QUIET);
         if (!keeps) {
             leaves(i);
         }
@@ -157,11 +157,11 @@
                 default -> { }
             }
         }
-        assertEquals(clients.size(), door.indexes() - door.in(State.FREE));
+        assertEquals(clients.size(), door.indexes() - door.in(ConnectionState.FREE));
     }
 
     /** Ends of any kind that are among these. */
-    long ended(Reason... why) {
+    long ended(CloseReason... why) {
         return gone.stream().filter(client -> client.ended != null
                 && Set.of(why).contains(client.ended)).count();
     }
--- a/src/test/java/lemondrift/peer/HoldingsTest.java
+++ b/src/test/java/lemondrift/gossip/HoldingsTest.java
@@ -1,4 +1,4 @@
-package lemondrift.peer;
+package lemondrift.gossip;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -16,11 +16,11 @@
     /** Seconds after which what one has told is forgotten. */
     private static final double FORGET = 0.1;
 
-    private record Flying(int from, Holdings.Telling telling) {}
+    private record Flying(int from, LoadGossip.Telling telling) {}
 
     /** One of a few that all use all backends. */
-    private static Holdings holdings(int proxies, int self, int backends) {
-        return new Holdings(proxies, self, 1, 0.01, FORGET, all(proxies, backends), tag -> { });
+    private static LoadGossip holdings(int proxies, int self, int backends) {
+        return new LoadGossip(proxies, self, 1, 0.01, FORGET, all(proxies, backends), tag -> { });
     }
 
     private static SubsetAssignment all(int proxies, int backends) {
@@ -30,15 +30,15 @@
     }
 
     /** The only telling that is due now. */
-    private static byte[] telling(Holdings from, double now) {
-        List<Holdings.Telling> due = from.tellings(now);
+    private static byte[] telling(LoadGossip from, double now) {
+        List<LoadGossip.Telling> due = from.tellings(now);
         assertEquals(1, due.size(), "due");
         return due.get(0).datagram();
     }
 
     @Test
     void nonsenseLateAndRepeatedTellingsChangeNothing() {
-        Holdings a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
         a.sent(7);
         byte[] old = telling(a, 1);
         a.sent(7);
@@ -60,7 +60,7 @@
 
     @Test
     void whatAKilledProxyHadOutIsForgottenAndItsNewStartIsHeard() {
-        Holdings a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
         for (int i = 0; i < 50; i++) {
             a.sent(7);
             b.told(0, telling(a, 1 + 0.02 * i), 1 + 0.02 * i);
@@ -68,7 +68,7 @@
         b.forget(2.09);
         assertEquals(0, b.others(7));
         assertEquals(0, b.heard(2.09), "who is silent counts no more than what it told");
-        Holdings restarted = holdings(2, 0, 10);
+        LoadGossip restarted = holdings(2, 0, 10);
         restarted.sent(8);
         b.told(0, telling(restarted, 3), 3);
         assertEquals(1, b.others(8));
@@ -77,11 +77,11 @@
 
     @Test
     void aTellingStaysWithinItsBytesAndIsPaced() {
-        Holdings a = holdings(2, 0, 1000);
+        LoadGossip a = holdings(2, 0, 1000);
         for (int i = 0; i < 1000; i++) {
             a.sent(i);
         }
-        assertTrue(telling(a, 1).length <= Holdings.MOST_BYTES);
+        assertTrue(telling(a, 1).length <= LoadGossip.MOST_BYTES);
         a.sent(1);
         assertEquals(List.of(), a.tellings(1.005));
         telling(a, 1.011);
@@ -92,13 +92,13 @@
     void onlyThoseAreToldWhoUseTheBackendHoweverManyThereAre() {
         for (int proxies : new int[] {20, 100, 300}) {
             int backends = 2 * proxies, told = 0;
-            int[] tags = IntStream.range(0, backends).map(i -> Holdings.tag("s-" + i)).toArray();
+            int[] tags = IntStream.range(0, backends).map(i -> LoadGossip.tag("s-" + i)).toArray();
             SubsetAssignment subsets = new SubsetAssignment(proxies, 16);
             subsets.listed(tags);
             for (int tag : tags) {
-                Holdings one = new Holdings(proxies, 3, 1, 0.01, 0.1, subsets, t -> { });
+                LoadGossip one = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> { });
                 one.sent(tag);
-                int[] to = one.tellings(1).stream().mapToInt(Holdings.Telling::to).toArray();
+                int[] to = one.tellings(1).stream().mapToInt(LoadGossip.Telling::to).toArray();
                 int[] use = IntStream.range(0, proxies).filter(p -> p != 3 && Arrays.stream(tags)
                         .filter(other -> SubsetAssignment.score(p, other)
                         < SubsetAssignment.score(p, tag)).count() < 16).toArray();
@@ -117,7 +117,7 @@
     void onceTellingsArriveAllKnowWhatTheOthersHaveOut(@ForAll long seed) {
         Random random = new Random(seed);
         int proxies = 4, backends = 5;
-        Holdings[] all = new Holdings[proxies];
+        LoadGossip[] all = new LoadGossip[proxies];
         Arrays.setAll(all, i -> holdings(proxies, i, backends));
         int[][] model = new int[proxies][backends];
         List<Flying> flying = new ArrayList<>();
@@ -153,13 +153,13 @@
     }
 
     /** All that is due is told and arrives, and what is too old is forgotten. */
-    private static void arrive(Holdings[] all, double now) {
+    private static void arrive(LoadGossip[] all, double now) {
         for (int i = 0; i < all.length; i++) {
-            for (Holdings.Telling each : all[i].tellings(now)) {
+            for (LoadGossip.Telling each : all[i].tellings(now)) {
                 all[each.to()].told(i, each.datagram(), now);
             }
         }
-        for (Holdings each : all) {
+        for (LoadGossip each : all) {
             each.forget(now);
         }
     }
@@ -167,7 +167,7 @@
     /** Danger: the last word of one that has nothing out any more may be lost, and it says no more. */
     @Test
     void aLostLastWordIsMadeGoodByForgettingAndNoLater() {
-        Holdings a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
         a.sent(7);
         b.told(0, telling(a, 1), 1);
         a.ended(7);
@@ -182,7 +182,7 @@
     /** Danger: a backend may be at work for long on what nobody waits for any more. */
     @Test
     void whatIsGivenUpCountsAsOutForAWhileHereAndElsewhere() {
-        Holdings a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
         a.sent(7);
         a.givenUp(7, 1);
         b.told(0, telling(a, 1), 1);
@@ -197,7 +197,7 @@
     /** Danger: what a killed one had out would look busy, and its new self not be heard, for a while. */
     @Test
     void whoHasStartedAnewHasNothingOutAndIsHeardAtOnce() {
-        Holdings a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
         for (int i = 0; i < 9; i++) {
             a.sent(7);
             b.told(0, telling(a, 1 + 0.02 * i), 1 + 0.02 * i);
@@ -207,7 +207,7 @@
         byte[] late = telling(a, 1.19);
         b.startedAnew(0, 2);
         assertEquals(0, b.others(7));
-        Holdings next = new Holdings(2, 0, 2, 0.01, 0.1, all(2, 10), tag -> { });
+        LoadGossip next = new LoadGossip(2, 0, 2, 0.01, 0.1, all(2, 10), tag -> { });
         next.sent(3);
         b.told(0, late, 1.2);
         assertEquals(0, b.others(7), "its former self's word comes late");
@@ -220,12 +220,12 @@
     /** Danger: until it is forgotten, all would go by what the others had out when they fell silent. */
     @Test
     void manyUsualGapsWithoutAWordAreDeafnessLongBeforeAllIsForgotten() {
-        Holdings a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
         assertEquals(0, b.heard(0));
         double now = 1;
         for (int i = 0; i < 200; i++, now += 0.0025) {
             a.sent(i % 10);
-            for (Holdings.Telling each : a.tellings(now)) {
+            for (LoadGossip.Telling each : a.tellings(now)) {
                 b.told(0, each.datagram(), now);
             }
             assertEquals(1, b.heard(now), "a few gaps are none");
--- a/src/test/java/lemondrift/peer/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -1,4 +1,4 @@
-package lemondrift.peer;
+package lemondrift.gossip;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
-import lemondrift.model.Listed;
+import lemondrift.model.EndpointUpdate;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -22,15 +22,15 @@
 class SubsetAssignmentTest {
     private static final int WIDTH = 12;
 
-    private static Listed line(int backend, Listed.State state) {
-        return new Listed(backend, false, 0, 0, state, 0);
+    private static EndpointUpdate line(int backend, EndpointUpdate.State state) {
+        return new EndpointUpdate(backend, false, 0, 0, state, 0);
     }
 
-    private static List<Listed> lines(int from, int to) {
-        return IntStream.range(from, to).mapToObj(i -> line(i, Listed.State.READY)).toList();
+    private static List<EndpointUpdate> lines(int from, int to) {
+        return IntStream.range(from, to).mapToObj(i -> line(i, EndpointUpdate.State.READY)).toList();
     }
 
-    private static Listed of(List<Listed> told, int backend) {
+    private static EndpointUpdate of(List<EndpointUpdate> told, int backend) {
         return told.stream().filter(line -> line.backend() == backend).findFirst().orElseThrow();
     }
 
@@ -40,7 +40,7 @@
             @ForAll @IntRange(min = 1, max = 40) int backends) {
         double[] sum = new double[backends];
         for (int p = 0; p < proxies; p++) {
-            for (Listed line : new SubsetAssignment(proxies, WIDTH).assigned(p, true, lines(0, backends),
+            for (EndpointUpdate line : new SubsetAssignment(proxies, WIDTH).assigned(p, true, lines(0, backends),
                     i -> i)) {
                 // One that does not use it has the part that it had before parts were known.
                 sum[line.backend()] += line.used() > 0 ? 1 / (proxies * line.used()) : 0;
@@ -70,31 +70,31 @@
         int proxies = 1 + random.nextInt(8), own = random.nextInt(proxies), backends = 60;
         SubsetAssignment subsets = new SubsetAssignment(proxies, WIDTH);
         TreeSet<Integer> ready = new TreeSet<>();
-        Map<Integer, Listed> told = new HashMap<>();
+        Map<Integer, EndpointUpdate> told = new HashMap<>();
         for (int step = 0; step < 25; step++) {
             boolean whole = random.nextInt(8) == 0;
-            Map<Integer, Listed> changes = new HashMap<>();
+            Map<Integer, EndpointUpdate> changes = new HashMap<>();
             for (int i = random.nextInt(whole ? 40 : 10); i > 0; i--) {
                 int backend = random.nextInt(backends);
-                changes.put(backend, line(backend, Listed.State.values()[random.nextInt(3)]));
+                changes.put(backend, line(backend, EndpointUpdate.State.values()[random.nextInt(3)]));
             }
             if (whole) {
                 ready.clear();
             }
             changes.values().forEach(line -> {
                 ready.remove(line.backend());
-                if (line.state() == Listed.State.READY) {
+                if (line.state() == EndpointUpdate.State.READY) {
                     ready.add(line.backend());
                 }
             });
-            Map<Integer, Listed> before = Map.copyOf(told);
-            List<Listed> news = subsets.assigned(own, whole, List.copyOf(changes.values()), i -> i);
+            Map<Integer, EndpointUpdate> before = Map.copyOf(told);
+            List<EndpointUpdate> news = subsets.assigned(own, whole, List.copyOf(changes.values()), i -> i);
             news.forEach(line -> told.put(line.backend(), line));
             for (int id : ready) {
                 assertEquals(used(own, proxies, id, ready), told.get(id).used(), "seed " + seed);
                 assertEquals(subset(own, ready).contains(id), subsets.uses(own, id), "seed " + seed);
             }
-            for (Listed line : news) {
+            for (EndpointUpdate line : news) {
                 assertTrue(changes.containsKey(line.backend())
                         || before.get(line.backend()).used() != line.used(), seed + " says " + line);
             }
@@ -118,34 +118,34 @@
     @Test
     void aListTellsWhatItChangesAndNoMore() {
         SubsetAssignment subsets = new SubsetAssignment(50, WIDTH);
-        List<Listed> first = subsets.assigned(3, true, lines(0, 60), i -> i);
-        List<Listed> gone = new ArrayList<>(IntStream.range(0, 40)
-                .mapToObj(i -> line(i, Listed.State.GONE)).toList());
-        List<Listed> then = subsets.assigned(3, false, gone, i -> i);
-        List<Integer> stay = then.stream().map(Listed::backend).filter(i -> i >= 40).toList();
+        List<EndpointUpdate> first = subsets.assigned(3, true, lines(0, 60), i -> i);
+        List<EndpointUpdate> gone = new ArrayList<>(IntStream.range(0, 40)
+                .mapToObj(i -> line(i, EndpointUpdate.State.GONE)).toList());
+        List<EndpointUpdate> then = subsets.assigned(3, false, gone, i -> i);
+        List<Integer> stay = then.stream().map(EndpointUpdate::backend).filter(i -> i >= 40).toList();
         assertEquals(stay.size(), stay.stream().distinct().count());
         TreeSet<Integer> ready = new TreeSet<>(IntStream.range(40, 60).boxed().toList());
         assertTrue(stay.containsAll(subset(3, ready)), "each that is used by more now");
         assertTrue(then.stream().filter(line -> line.backend() >= 40)
-                .mapToDouble(Listed::used).sum() > first.stream().filter(line -> line.backend() >= 40)
-                .mapToDouble(Listed::used).sum(), "twenty are used by more");
+                .mapToDouble(EndpointUpdate::used).sum() > first.stream().filter(line -> line.backend() >= 40)
+                .mapToDouble(EndpointUpdate::used).sum(), "twenty are used by more");
         assertEquals(List.of(), subsets.assigned(3, false, List.of(), i -> i), "nothing has changed");
         assertEquals(1, subsets.assigned(3, true, lines(47, 48), i -> i).size(), "a whole list is all");
         SubsetAssignment large = new SubsetAssignment(100, WIDTH);
         large.assigned(3, true, lines(0, 3200), i -> i);
-        List<Listed> one = List.of(line(7, Listed.State.GONE));
+        List<EndpointUpdate> one = List.of(line(7, EndpointUpdate.State.GONE));
         assertTrue(large.assigned(3, false, one, i -> i).size() <= 1 + WIDTH, "one line of thousands");
     }
 
     @Test
     void whoComesAndGoesWithinOneListIsGone() {
         SubsetAssignment subsets = new SubsetAssignment(10, WIDTH);
-        Listed comes = line(4, Listed.State.READY), goes = line(4, Listed.State.GONE);
+        EndpointUpdate comes = line(4, EndpointUpdate.State.READY), goes = line(4, EndpointUpdate.State.GONE);
         subsets.assigned(0, false, List.of(comes, goes), i -> i);
         assertFalse(subsets.uses(0, 4));
-        List<Listed> told = subsets.assigned(0, false, List.of(goes, comes), i -> i);
+        List<EndpointUpdate> told = subsets.assigned(0, false, List.of(goes, comes), i -> i);
         assertTrue(subsets.uses(0, 4));
-        assertEquals(Listed.State.READY, told.get(told.size() - 1).state());
+        assertEquals(EndpointUpdate.State.READY, told.get(told.size() - 1).state());
     }
 
     /** Danger: an index that passes on within one list would leave its former backend in the draw. */
@@ -155,8 +155,8 @@
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
         subsets.assigned(0, true, lines(0, 3), i -> ids[i]);
         ids[1] = 777;
-        Listed fresh = new Listed(1, true, 0, 0, Listed.State.READY, 0);
-        subsets.assigned(0, false, List.of(line(1, Listed.State.GONE), fresh), i -> ids[i]);
+        EndpointUpdate fresh = new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0);
+        subsets.assigned(0, false, List.of(line(1, EndpointUpdate.State.GONE), fresh), i -> ids[i]);
         int users = Arrays.stream(new int[] {500, 502, 777}).map(id -> subsets.users(id).length).sum();
         assertEquals(10, users, "each proxy uses one of those that are there");
         assertEquals(0, subsets.users(501).length);
@@ -165,11 +165,11 @@
     @Test
     void whatIsToldAgainIsNoNewOne() {
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
-        Listed fresh = new Listed(4, true, 0, 0, Listed.State.READY, 12);
+        EndpointUpdate fresh = new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
         assertTrue(of(subsets.assigned(0, false, List.of(fresh), i -> i), 4).fresh());
         int lower = IntStream.range(5, 1000).filter(i -> SubsetAssignment.score(0, i)
                 < SubsetAssignment.score(0, 4)).findFirst().orElseThrow();
-        Listed again = of(subsets.assigned(0, false, lines(lower, lower + 1), i -> i), 4);
+        EndpointUpdate again = of(subsets.assigned(0, false, lines(lower, lower + 1), i -> i), 4);
         assertFalse(again.fresh(), "its index stands for it already");
         assertEquals(12, again.started());
         assertEquals(0, again.used(), "another has the least score now");
--- a/src/test/java/lemondrift/succession/SuccessionTest.java
+++ b/src/test/java/lemondrift/hotrestart/SuccessionTest.java
@@ -1,4 +1,4 @@
-package lemondrift.succession;
+package lemondrift.hotrestart;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -7,13 +7,13 @@
 class SuccessionTest {
     @Test
     void halfIsUsedUntilItIsSureThatNobodyElseHasTheRest() {
-        Succession one = new Succession();
+        ResourceSplit one = new ResourceSplit();
         assertEquals(2, one.processes(), "nobody has looked yet");
         assertTrue(one.looked(true, false));
         assertEquals(1, one.processes());
         assertFalse(one.looked(true, false));
         assertTrue(one.looked(true, true));
-        assertEquals(Succession.State.FOLLOWED, one.state());
+        assertEquals(ResourceSplit.State.FOLLOWED, one.state());
         assertEquals(2, one.processes());
         assertTrue(one.looked(true, false), "the successor did not live");
         assertEquals(1, one.processes());
@@ -21,7 +21,7 @@
 
     @Test
     void aSuccessorHasAllOnceThePredecessorHasEnded() {
-        Succession next = new Succession();
+        ResourceSplit next = new ResourceSplit();
         assertFalse(next.looked(false, true));
         assertEquals(2, next.processes());
         assertTrue(next.looked(true, false));
--- a/src/test/java/lemondrift/lab/ExperimentTest.java
+++ b/src/test/java/lemondrift/lab/ExperimentTest.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -62,7 +62,7 @@
                 GOOD.replace("seeds = [1, 2]", "seeds = [1, 2"), ":4: ", GOOD.replace("\"500ms\"", "\"0s\""),
                 ":14: lasts");
         bad.forEach((text, where) -> {
-            BadInput refused = assertThrows(BadInput.class, () -> read(text), text);
+            InvalidSettingsException refused = assertThrows(InvalidSettingsException.class, () -> read(text), text);
             assertTrue(refused.getMessage().contains("one.toml" + where), refused.getMessage());
             assertEquals(1, refused.getMessage().lines().count());
         });
@@ -78,16 +78,16 @@
                 good.replace("\"cut\"", "\"lose\"\nchannel = \"backends\""), ":19: kind",
                 good.replace("\"processes\"", "\"threads\""), ":1: host", good + "by = 3\n", ":22: by");
         bad.forEach((text, where) -> {
-            BadInput refused = assertThrows(BadInput.class, () -> read(text), text);
+            InvalidSettingsException refused = assertThrows(InvalidSettingsException.class, () -> read(text), text);
             assertTrue(refused.getMessage().contains("one.toml" + where), refused.getMessage());
         });
     }
 
     @Test
     void pairsTellADifferenceFromChance() {
-        Paired same = Paired.of(new double[] {1, 2, 3, 4}, new double[] {1.1, 1.9, 3.1, 3.9});
+        PairedDifference same = PairedDifference.of(new double[] {1, 2, 3, 4}, new double[] {1.1, 1.9, 3.1, 3.9});
         assertTrue(same.low() < 0 && same.high() > 0, same.toString());
-        Paired better = Paired.of(new double[] {1, 2, 3, 4}, new double[] {0.8, 1.7, 2.9, 3.6});
+        PairedDifference better = PairedDifference.of(new double[] {1, 2, 3, 4}, new double[] {0.8, 1.7, 2.9, 3.6});
         assertEquals(0.25, better.mean(), 1e-9);
         assertTrue(better.low() > 0, better.toString());
     }
--- a/src/test/java/lemondrift/lab/fleet/FaultsTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FaultsTest.java
@@ -4,26 +4,26 @@
 
 import java.util.List;
 import java.util.stream.IntStream;
-import lemondrift.lab.world.Fault;
-import lemondrift.lab.world.Who;
+import lemondrift.lab.simulation.Fault;
+import lemondrift.lab.simulation.FaultTarget;
 import org.junit.jupiter.api.Test;
 
 class FaultsTest {
-    private static Faults of(boolean apart, Fault... faults) {
-        return new Faults(List.of(faults), 8, 6, 4, 1, apart, 100);
+    private static FaultPlan of(boolean apart, Fault... faults) {
+        return new FaultPlan(List.of(faults), 8, 6, 4, 1, apart, 100);
     }
 
     @Test
     void aCutBetweenGroupsFallsOnTheirPairsAndBothWaysOnlyWhereItSaysSo() {
-        Fault one = new Fault(Fault.Kind.CUT, Fault.Channel.DATAGRAMS, Who.of("location 0"),
-                Who.of("location 1"), false, 2, 3, 1, 0);
-        Faults faults = of(false, one);
+        Fault one = new Fault(Fault.Kind.CUT, Fault.Channel.DATAGRAMS, FaultTarget.of("location 0"),
+                FaultTarget.of("location 1"), false, 2, 3, 1, 0);
+        FaultPlan faults = of(false, one);
         assertEquals(List.of(one), faults.onDatagram(4, 1, 102));
         assertEquals(List.of(), faults.onDatagram(1, 4, 102), "the way back");
         assertEquals(List.of(), faults.onDatagram(4, 2, 102), "another location");
         assertEquals(List.of(), faults.onDatagram(4, 1, 101.9), "before it");
         assertEquals(List.of(), faults.onDatagram(4, 1, 105), "after it");
-        Fault both = new Fault(Fault.Kind.CUT, Fault.Channel.DATAGRAMS, Who.of("location 0"), Who.ALL, true,
+        Fault both = new Fault(Fault.Kind.CUT, Fault.Channel.DATAGRAMS, FaultTarget.of("location 0"), FaultTarget.ALL, true,
                 2, 3, 1, 0);
         assertEquals(List.of(both), of(false, both).onDatagram(1, 4, 102));
     }
@@ -31,7 +31,7 @@
     @Test
     void proxiesThatMeetTheSameFaultsTowardsBackendsShareASegment() {
         Fault cut = Fleets.cut(Fault.Channel.BACKENDS, "location 2", "number 3", 2, 3);
-        Faults faults = of(false, cut);
+        FaultPlan faults = of(false, cut);
         assertEquals(2, faults.heads.length);
         assertEquals(faults.segments[2], faults.segments[6]);
         assertNotEquals(faults.segments[1], faults.segments[2]);
@@ -55,7 +55,7 @@
     @Test
     void wordsThatNameNobodyAreNone() {
         for (String each : List.of("", "alle", "location", "location -1", "number x", "101%", "30", "%")) {
-            assertNull(Who.of(each), each);
+            assertNull(FaultTarget.of(each), each);
         }
     }
 }
--- a/src/test/java/lemondrift/lab/fleet/Fleets.java
+++ b/src/test/java/lemondrift/lab/fleet/Fleets.java
@@ -6,11 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import lemondrift.lab.Experiment;
-import lemondrift.lab.world.Day;
-import lemondrift.lab.world.Fault;
-import lemondrift.lab.world.Figures;
-import lemondrift.lab.world.Trouble;
-import lemondrift.lab.world.Who;
+import lemondrift.lab.simulation.*;
 
 /** Small fleets of real processes, from the classes that are tested. */
 final class Fleets {
@@ -20,48 +16,48 @@
 
     /** Little traffic for what there is, so that no answer hangs on how fast the machine is. */
     static Experiment experiment(double load) {
-        Day day = new Day(Experiment.settings(PROXIES, 2, 0.08, 1.5), PROXIES, BACKENDS, 1,
+        Scenario day = new Scenario(Experiment.settings(PROXIES, 2, 0.08, 1.5), PROXIES, BACKENDS, 1,
                 load * BACKENDS / 0.05, 0.05, 0.5, 3, 0, 0.1, 2, 3, 1, List.of());
         return new Experiment("small", "", day, List.of(), List.of(1L), List.of(), true, true,
                 Experiment.Host.PROCESSES, 0, 0, List.of());
     }
 
-    static Launcher launcher(Path peers, Path recovery) {
-        return new Launcher(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+    static ProcessLauncher launcher(Path peers, Path recovery) {
+        return new ProcessLauncher(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx88m", "-Xss256k", "-cp",
                 System.getProperty("java.class.path"), "lemondrift.Main", "serve"), Path.of("."),
                 Map.of("PROXY_PEERS", peers.toString(), "PROXY_RECOVERY", recovery.toString()));
     }
 
-    static Stand start(double load, Path peers) throws Exception {
+    static FleetTestbed start(double load, Path peers) throws Exception {
         return start(load, peers, Path.of("deploy/recovery.json"));
     }
 
-    static Stand start(double load, Path peers, Path recovery) throws Exception {
-        Stand stand = new Stand(experiment(load), 1, launcher(peers, recovery), null, line -> { });
+    static FleetTestbed start(double load, Path peers, Path recovery) throws Exception {
+        FleetTestbed stand = new FleetTestbed(experiment(load), 1, launcher(peers, recovery), null, line -> { });
         stand.start();
         return stand;
     }
 
     static Fault fault(Fault.Kind kind, String from, String to, double at, double lasts, double share) {
-        return new Fault(kind, Fault.Channel.DATAGRAMS, Who.of(from), Who.of(to), true, at, lasts, share,
+        return new Fault(kind, Fault.Channel.DATAGRAMS, FaultTarget.of(from), FaultTarget.of(to), true, at, lasts, share,
                 0.3);
     }
 
     static Fault cut(Fault.Channel channel, String from, String to, double at, double lasts) {
-        return new Fault(Fault.Kind.CUT, channel, Who.of(from), Who.of(to), false, at, lasts, 1, 0);
+        return new Fault(Fault.Kind.CUT, channel, FaultTarget.of(from), FaultTarget.of(to), false, at, lasts, 1, 0);
     }
 
     /** A day with these troubles and faults, on which all rules are kept. */
-    static Figures play(Stand stand, List<Trouble> troubles, Fault... faults) throws Exception {
-        Stand.Played played = stand.play(troubles, List.of(faults), faults.length > 0 ? 5 : 2);
+    static RunResult play(FleetTestbed stand, List<BackendFault> troubles, Fault... faults) throws Exception {
+        FleetTestbed.Played played = stand.play(troubles, List.of(faults), faults.length > 0 ? 5 : 2);
         assertNull(played.broken(), played.broken());
         return played.figures();
     }
 
     /** All drain and end with 0. */
-    static void ends(Stand stand) throws Exception {
-        try (Stand its = stand) {
+    static void ends(FleetTestbed stand) throws Exception {
+        try (FleetTestbed its = stand) {
             assertEquals(List.of(), its.stop());
         }
     }
--- a/src/test/java/lemondrift/lab/fleet/HangUpTest.java
+++ b/src/test/java/lemondrift/lab/fleet/HangUpTest.java
@@ -26,15 +26,15 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final HttpClient http = HttpClient.newHttpClient();
-    private Stand stand;
+    private FleetTestbed stand;
     private int asked;
 
     /** The status of a request of the class that only the changed settings have. */
     private int fresh() {
         InetSocketAddress to = stand.address(0);
         try {
-            return http.send(HttpRequest.newBuilder(URI.create("http://" + Loop.text(to) + "/api"))
-                    .header("X-Trace-Id", Bank.ASIDE + ++asked).header("X-Qos", "fresh")
+            return http.send(HttpRequest.newBuilder(URI.create("http://" + LoopbackAddresses.text(to) + "/api"))
+                    .header("X-Trace-Id", BackendFleet.ASIDE + ++asked).header("X-Qos", "fresh")
                     .header("X-Expires-In-Ms", "4000").build(), HttpResponse.BodyHandlers.ofString())
                     .statusCode();
         } catch (Exception e) {
@@ -64,8 +64,8 @@
         String good = Files.readString(Path.of("deploy/peers.json"));
         Files.writeString(peers, good);
         stand = Fleets.start(0.3, peers);
-        try (Stand its = stand) {
-            CompletableFuture<Stand.Played> traffic = CompletableFuture.supplyAsync(() -> {
+        try (FleetTestbed its = stand) {
+            CompletableFuture<FleetTestbed.Played> traffic = CompletableFuture.supplyAsync(() -> {
                 try {
                     return stand.play(List.of(), List.of(), 8);
                 } catch (InterruptedException e) {
@@ -97,7 +97,7 @@
                     }
                 }
             }
-            Stand.Played played = traffic.get();
+            FleetTestbed.Played played = traffic.get();
             assertNull(played.broken());
             assertEquals(played.figures().wants, played.figures().delivered, played.figures().toString());
             assertEquals(List.of(), its.stop());
--- a/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
+++ b/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
@@ -10,10 +10,10 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.IntStream;
-import lemondrift.lab.world.Fault;
-import lemondrift.lab.world.Fault.Kind;
-import lemondrift.lab.world.Figures;
-import lemondrift.lab.world.Trouble;
+import lemondrift.lab.simulation.BackendFault;
+import lemondrift.lab.simulation.Fault;
+import lemondrift.lab.simulation.Fault.Kind;
+import lemondrift.lab.simulation.RunResult;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -22,8 +22,8 @@
 /** Four real processes that lose their power, with snapshots on a disk that lasts. */
 class RecoveryProcessTest {
     private static final int TRIES = 12;
-    private static final Trouble COLD = new Trouble(Trouble.Kind.CRASH, 1, 0.5, 1, 1);
-    private static Stand stand;
+    private static final BackendFault COLD = new BackendFault(BackendFault.Kind.CRASH, 1, 0.5, 1, 1);
+    private static FleetTestbed stand;
     @TempDir
     static Path disk;
 
@@ -39,15 +39,15 @@
         Fleets.ends(stand);
     }
 
-    private static Figures play(List<Trouble> troubles, Fault... faults) throws Exception {
-        Figures day = Fleets.play(stand, troubles, faults);
+    private static RunResult play(List<BackendFault> troubles, Fault... faults) throws Exception {
+        RunResult day = Fleets.play(stand, troubles, faults);
         assertEquals(0, day.fallen, "no cold backend is pushed over by all of them together");
         return day;
     }
 
     /** Reached at last: all that is asked for is had, and each proxy goes by what it has found itself. */
     private static void comesBack() throws Exception {
-        Figures last = null;
+        RunResult last = null;
         for (int i = 0; i < TRIES; i++) {
             last = play(List.of());
             if (last.delivered == last.wants && last.shed == 0
@@ -87,7 +87,7 @@
 
     @Test
     void allKilledAtOnceAndAllBackendsBackColdTwiceInARow() throws Exception {
-        Trouble again = new Trouble(Trouble.Kind.CRASH, 3.5, 0.5, 1, 1);
+        BackendFault again = new BackendFault(BackendFault.Kind.CRASH, 3.5, 0.5, 1, 1);
         play(List.of(COLD, again), fault(Kind.KILL, "all", "all", 1, 0.3, 1),
                 fault(Kind.KILL, "all", "all", 3.5, 0.3, 1));
         comesBack();
@@ -95,7 +95,7 @@
 
     @Test
     void allKilledAtOnceWithDiscoverySilentAndTheBackendsReplacedMeanwhile() throws Exception {
-        play(List.of(COLD, new Trouble(Trouble.Kind.DEPLOY, 1.5, 2, 0.3, 1)),
+        play(List.of(COLD, new BackendFault(BackendFault.Kind.DEPLOY, 1.5, 2, 0.3, 1)),
                 fault(Kind.KILL, "all", "all", 1, 0.3, 1), cut(Fault.Channel.DISCOVERY, "all", "all", 1, 3));
         comesBack();
     }
--- a/src/test/java/lemondrift/lab/fleet/SoakTest.java
+++ b/src/test/java/lemondrift/lab/fleet/SoakTest.java
@@ -13,9 +13,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void allRulesAreKeptAndAllProcessesEndWell(long seed) throws Exception {
-        Soak.Plan plan = Soak.plan(seed);
-        Launcher launcher = Fleets.launcher(Path.of("deploy/peers.json"), Path.of("deploy/recovery.json"));
-        Soak.Verdict verdict = Soak.play(plan, launcher, line -> { });
+        SoakRun.Plan plan = SoakRun.plan(seed);
+        ProcessLauncher launcher = Fleets.launcher(Path.of("deploy/peers.json"), Path.of("deploy/recovery.json"));
+        SoakRun.Verdict verdict = SoakRun.play(plan, launcher, line -> { });
         assertEquals(List.of(), verdict.wrong(), plan.about());
         assertTrue(verdict.figures().delivered > 0, plan.about());
     }
@@ -23,10 +23,10 @@
     @Test
     void aSeedDrawsTheSameDayEachTime() {
         for (long seed = 0; seed < 50; seed++) {
-            assertEquals(Soak.plan(seed).about(), Soak.plan(seed).about());
+            assertEquals(SoakRun.plan(seed).about(), SoakRun.plan(seed).about());
         }
-        assertNotEquals(Soak.plan(1).about(), Soak.plan(2).about());
-        assertTrue(Soak.plan(1).experiment().faults().stream()
-                .anyMatch(each -> each.kind() == lemondrift.lab.world.Fault.Kind.TERMINATE));
+        assertNotEquals(SoakRun.plan(1).about(), SoakRun.plan(2).about());
+        assertTrue(SoakRun.plan(1).experiment().faults().stream()
+                .anyMatch(each -> each.kind() == lemondrift.lab.simulation.Fault.Kind.TERMINATE));
     }
 }
--- a/src/test/java/lemondrift/lab/fleet/StandTest.java
+++ b/src/test/java/lemondrift/lab/fleet/StandTest.java
@@ -7,10 +7,10 @@
 import java.nio.file.Path;
 import java.util.List;
 import lemondrift.lab.Baseline;
-import lemondrift.lab.world.Fault;
-import lemondrift.lab.world.Fault.Kind;
-import lemondrift.lab.world.Figures;
-import lemondrift.lab.world.Trouble;
+import lemondrift.lab.simulation.BackendFault;
+import lemondrift.lab.simulation.Fault;
+import lemondrift.lab.simulation.Fault.Kind;
+import lemondrift.lab.simulation.RunResult;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
@@ -18,7 +18,7 @@
 /** Four real processes with faults between them; the same ones over all days. */
 class StandTest {
     private static final int TRIES = 10;
-    private static Stand stand;
+    private static FleetTestbed stand;
 
     @BeforeAll
     static void starts() throws Exception {
@@ -30,13 +30,13 @@
         Fleets.ends(stand);
     }
 
-    private static Figures play(List<Trouble> troubles, Fault... faults) throws Exception {
+    private static RunResult play(List<BackendFault> troubles, Fault... faults) throws Exception {
         return Fleets.play(stand, troubles, faults);
     }
 
     /** Reached at last: a day on which all that is asked for is had. Each day before that keeps the rules. */
     private static void comesBack() throws Exception {
-        Figures last = null;
+        RunResult last = null;
         for (int i = 0; i < TRIES; i++) {
             last = play(List.of());
             if (last.delivered == last.wants && last.shed == 0) {
@@ -46,7 +46,7 @@
         fail("not as before after " + TRIES + " calm days: " + last);
     }
 
-    private static void allAreAnswered(Figures day) {
+    private static void allAreAnswered(RunResult day) {
         assertEquals(0, day.unanswered, day.toString());
         assertEquals(0, day.unreached, day.toString());
         assertTrue(day.wants > 0 && day.delivered > 0, day.toString());
@@ -63,7 +63,7 @@
 
     @Test
     void allDeafAndBack() throws Exception {
-        Figures day = play(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
+        RunResult day = play(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
         allAreAnswered(day);
         assertTrue(day.messages > 0, "they go on telling");
         comesBack();
@@ -71,7 +71,7 @@
 
     @Test
     void oneKilledWithMuchOutAndStartedAgainUnderItsNumberWithOldDatagramsOnTheWay() throws Exception {
-        Figures day = play(List.of(), fault(Kind.LATE, "all", "all", 0, 5, 1),
+        RunResult day = play(List.of(), fault(Kind.LATE, "all", "all", 0, 5, 1),
                 fault(Kind.KILL, "number 1", "all", 1, 0.5, 1));
         assertEquals(0, day.fallen);
         comesBack();
@@ -85,7 +85,7 @@
 
     @Test
     void allRestartedInTurnWhileBackendsAreReplacedAndDiscoveryIsSilent() throws Exception {
-        Figures day = play(List.of(new Trouble(Trouble.Kind.DEPLOY, 0.5, 3, 0.5, 1)),
+        RunResult day = play(List.of(new BackendFault(BackendFault.Kind.DEPLOY, 0.5, 3, 0.5, 1)),
                 fault(Kind.ROLL, "all", "all", 0.5, 4, 1), cut(Fault.Channel.DISCOVERY, "30%", "all", 1, 2));
         assertEquals(0, day.fallen, "no cold backend is pushed over by all of them together");
         comesBack();
@@ -101,9 +101,9 @@
     /** The baselines play the same file, and there is no process that its faults could fall on. */
     @Test
     void aPolicyWithoutProxiesPlaysTheSameDay() throws Exception {
-        try (Stand direct = new Stand(Fleets.experiment(0.4), 1, null, Baseline.Kind.ORACLE, line -> { })) {
+        try (FleetTestbed direct = new FleetTestbed(Fleets.experiment(0.4), 1, null, Baseline.Kind.ORACLE, line -> { })) {
             direct.start();
-            Stand.Played day = direct.play(List.of(), List.of(fault(Kind.KILL, "all", "all", 0, 1, 1)), 1);
+            FleetTestbed.Played day = direct.play(List.of(), List.of(fault(Kind.KILL, "all", "all", 0, 1, 1)), 1);
             assertNull(day.broken());
             assertEquals(day.figures().wants, day.figures().delivered, day.figures().toString());
             assertEquals(List.of(), direct.stop());
@@ -112,10 +112,10 @@
 
     @Test
     void backendsThatCrashAreSilentOrErrAllAtOnce() throws Exception {
-        Figures day = play(List.of(new Trouble(Trouble.Kind.CRASH, 0.5, 2, 0.2, 1),
-                new Trouble(Trouble.Kind.VANISH, 1, 2, 0.2, 1),
-                new Trouble(Trouble.Kind.ERRORS, 1, 3, 0.2, 0.8),
-                new Trouble(Trouble.Kind.BURST, 1, 2, 1, 1.5)));
+        RunResult day = play(List.of(new BackendFault(BackendFault.Kind.CRASH, 0.5, 2, 0.2, 1),
+                new BackendFault(BackendFault.Kind.VANISH, 1, 2, 0.2, 1),
+                new BackendFault(BackendFault.Kind.ERRORS, 1, 3, 0.2, 0.8),
+                new BackendFault(BackendFault.Kind.BURST, 1, 2, 1, 1.5)));
         allAreAnswered(day);
         comesBack();
     }
--- a/src/test/java/lemondrift/lab/load/LoadTest.java
+++ b/src/test/java/lemondrift/lab/load/LoadTest.java
@@ -8,7 +8,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 
 /** The load against a bare stand-in that answers after a known delay. */
@@ -80,7 +80,7 @@
     }
 
     private static void refused(InetSocketAddress to, double rate) {
-        assertThrows(BadInput.class, () -> new Load.Plan(to, rate, 1, 0, 1, "look", 1));
+        assertThrows(InvalidSettingsException.class, () -> new Load.Plan(to, rate, 1, 0, 1, "look", 1));
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/lemondrift/lab/simulation/Days.java
@@ -0,0 +1,35 @@
+package lemondrift.lab.simulation;
+
+import java.util.List;
+import lemondrift.lab.ModuleUnderTest;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.Idempotency;
+import lemondrift.model.RequestClass;
+import lemondrift.model.Settings;
+
+/** Small days to play. */
+final class Days {
+    private static final List<RequestClass> GRADES = List.of(
+            new RequestClass(1, 0, 0.5, 1.2, Idempotency.PURE, DeduplicationScope.ALL, 0),
+            new RequestClass(3, 0, 0.5, 1.2, Idempotency.RECEIPTED, DeduplicationScope.LOCATION, 0.6),
+            new RequestClass(9, 0, 0.5, 1.2, Idempotency.EFFECTFUL, DeduplicationScope.ALL, 0));
+
+    private Days() {}
+
+    static Settings settings(int proxies) {
+        return new Settings(proxies, 2, 0, false, GRADES, new double[0], 1, false,
+                new Settings.Reports(true, 0, 1, false, -1), new Settings.Limits(true, true, 4, 0.5),
+                new Settings.Rules(0.3, 6, 3, 2, 10), new Settings.Charges(0.01, 0.002));
+    }
+
+    /** Some 0.65 of what the backends can do, for twenty seconds. */
+    static Scenario of(int proxies, int backends, long seed, BackendFault... troubles) {
+        double rate = 0.65 * Math.max(1, backends) * 2 / 0.05;
+        return new Scenario(settings(proxies), proxies, backends, 2, rate, 0.05, 0.5, 3, 0.0005, 0.4, 2, 20, seed,
+                List.of(troubles));
+    }
+
+    static RunResult play(Scenario day) {
+        return new Simulation(day, p -> new ModuleUnderTest(day.settings(), day.seed() * 1000 + p)).play();
+    }
+}
--- a/src/test/java/lemondrift/lab/world/EvennessTest.java
+++ b/src/test/java/lemondrift/lab/simulation/EvennessTest.java
@@ -1,4 +1,4 @@
-package lemondrift.lab.world;
+package lemondrift.lab.simulation;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -11,13 +11,13 @@
 class EvennessTest {
     @Test
     void wasteIsIdlenessWhileAsManyQueueElsewhere() {
-        Evenness its = new Evenness(4, 1, 1);
+        LoadEvenness its = new LoadEvenness(4, 1, 1);
         its.holds(0, 3, true, 0);
         its.holds(1, 1, true, 0);
         // Two stand idle and two wait; from 1 s on one of the idle is down, from 2 s on nobody waits.
         its.holds(2, 0, false, 1);
         its.holds(0, 1, true, 2);
-        Evenness.Measure day = its.measure(4);
+        LoadEvenness.Measure day = its.measure(4);
         assertEquals((2 + 1) / 4.0 / 4, day.waste(), 1e-9);
         assertEquals((2 + 1 + 1 + 1) / 4.0 / 4, day.idle(), 1e-9);
         assertEquals((3 * 2 + 1 * 2) / 4.0, day.fullest(), 1e-9);
@@ -25,7 +25,7 @@
 
     @Test
     void longestIdleCountsOnlyWhileAnotherHoldsThreeBeyondItsCores() {
-        Evenness its = new Evenness(2, 1, 1);
+        LoadEvenness its = new LoadEvenness(2, 1, 1);
         its.holds(0, 3, true, 1);
         its.holds(0, 4, true, 2);
         its.holds(1, 1, true, 4.5);
@@ -39,7 +39,7 @@
 
     @Test
     void herdIsTheMostThatOneGotWithinATenthOfAContractTime() {
-        Evenness its = new Evenness(2, 1, 1);
+        LoadEvenness its = new LoadEvenness(2, 1, 1);
         for (double at : new double[] {0, 0.05, 0.09, 0.16, 0.3}) {
             its.sends(0, at);
         }
@@ -56,7 +56,7 @@
     @Property(tries = 200, seed = "48")
     void wasteAndFullestAreThoseOfAPlainSum(@ForAll @Size(30) int[] moves,
             @ForAll @IntRange(min = 1, max = 3) int cores) {
-        Evenness its = new Evenness(3, cores, 1);
+        LoadEvenness its = new LoadEvenness(3, cores, 1);
         int[] held = new int[3];
         double waste = 0, fullest = 0;
         for (int t = 0; t < moves.length; t++) {
@@ -72,7 +72,7 @@
             waste += Math.min(idle, queued);
             fullest += most;
         }
-        Evenness.Measure day = its.measure(moves.length);
+        LoadEvenness.Measure day = its.measure(moves.length);
         assertEquals(waste / moves.length / 3, day.waste(), 1e-9);
         assertEquals(fullest / moves.length, day.fullest(), 1e-9);
     }
@@ -80,7 +80,7 @@
     @Test
     void whatCouldBeBorneGoesToMostBenefitAndNoneIsCarriedOver() {
         var grades = lemondrift.lab.Experiment.settings(1, 1, 0, 1).grades();
-        Bearable it = new Bearable(grades, 3);
+        ServableOracle it = new ServableOracle(grades, 3);
         for (int grade = 0; grade < 3; grade++) {
             it.wants(0, grade);
             it.wants(1, grade);
--- a/src/test/java/lemondrift/tally/LoopFiguresTest.java
+++ b/src/test/java/lemondrift/metrics/LoopFiguresTest.java
@@ -1,4 +1,4 @@
-package lemondrift.tally;
+package lemondrift.metrics;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -8,16 +8,16 @@
 
 /** What is told of how the decisions keep up. */
 class LoopFiguresTest {
-    private final LoopFigures figures = new LoopFigures();
+    private final EventLoopMetrics figures = new EventLoopMetrics();
 
     @Test
     void aLongWaitIsALineOfTheLogOnceAndStaysAmongTheFigures() {
-        figures.handles(LoopFigures.Kind.ARRIVAL, 0.001);
+        figures.handles(EventLoopMetrics.Kind.ARRIVAL, 0.001);
         assertNull(figures.turned(0.001, 0, 10), "nothing of note");
-        figures.handles(LoopFigures.Kind.TIMER, 0.3);
-        figures.handles(LoopFigures.Kind.LIST, -1);
+        figures.handles(EventLoopMetrics.Kind.TIMER, 0.3);
+        figures.handles(EventLoopMetrics.Kind.LIST, -1);
         assertTrue(figures.turned(0.06, 7, 10.5).startsWith("lately_waited_ms=300 lately_lasted_ms=60"));
-        figures.handles(LoopFigures.Kind.ARRIVAL, 0.2);
+        figures.handles(EventLoopMetrics.Kind.ARRIVAL, 0.2);
         assertNull(figures.turned(0.01, 0, 11), "a line a second at the most");
         assertTrue(figures.turned(0.01, 0, 11.6).startsWith("lately_waited_ms=200"));
         assertNull(figures.turned(0.01, 0, 13), "no longer of late");
--- a/src/test/java/lemondrift/tally/TallyTest.java
+++ b/src/test/java/lemondrift/metrics/TallyTest.java
@@ -1,4 +1,4 @@
-package lemondrift.tally;
+package lemondrift.metrics;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -12,7 +12,7 @@
     /** 0 takes one, 1 answers and ends one, 2 ends one whose client has gone. */
     @Property(seed = "48")
     void inHandIsWhatWasTakenLessWhatHasEnded(@ForAll List<@IntRange(min = 0, max = 2) Integer> events) {
-        Tally tally = new Tally();
+        ProxyMetrics tally = new ProxyMetrics();
         tally.grades(List.of("look"));
         int open = 0, answered = 0, gone = 0, taken = 0;
         for (int event : events) {
@@ -22,7 +22,7 @@
                 open++;
             } else if (open > 0) {
                 if (event == 1) {
-                    tally.replied("look", Tally.Reply.SUCCESS);
+                    tally.replied("look", ProxyMetrics.Reply.SUCCESS);
                     answered++;
                 } else {
                     gone++;
@@ -31,19 +31,19 @@
                 open--;
             }
         }
-        Tally.Figures figures = tally.figures();
+        ProxyMetrics.Figures figures = tally.figures();
         assertEquals(open, figures.concurrent());
-        assertEquals(answered, figures.replies().get("look")[Tally.Reply.SUCCESS.ordinal()]);
+        assertEquals(answered, figures.replies().get("look")[ProxyMetrics.Reply.SUCCESS.ordinal()]);
         assertEquals(taken, answered + gone + figures.concurrent());
     }
 
     @Test
     void aGradeThatIsDroppedKeepsItsCountsAndANewOneBeginsAtNone() {
-        Tally tally = new Tally();
+        ProxyMetrics tally = new ProxyMetrics();
         tally.grades(List.of("look", "order"));
-        tally.replied("look", Tally.Reply.OVERLOAD);
+        tally.replied("look", ProxyMetrics.Reply.OVERLOAD);
         tally.grades(List.of("order", "book"));
-        tally.replied("nobody's", Tally.Reply.ERROR);
+        tally.replied("nobody's", ProxyMetrics.Reply.ERROR);
         assertArrayEquals(new long[] {0, 1, 0}, tally.figures().replies().get("look"));
         assertArrayEquals(new long[3], tally.figures().replies().get("book"));
         assertEquals(3, tally.figures().replies().size());
@@ -51,10 +51,10 @@
 
     @Test
     void figuresOnceReadDoNotChange() {
-        Tally tally = new Tally();
+        ProxyMetrics tally = new ProxyMetrics();
         tally.grades(List.of("look"));
-        Tally.Figures figures = tally.figures();
-        tally.replied("look", Tally.Reply.ERROR);
+        ProxyMetrics.Figures figures = tally.figures();
+        tally.replied("look", ProxyMetrics.Reply.ERROR);
         tally.taken();
         assertEquals(0, figures.replies().get("look")[2] + figures.concurrent());
     }
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -20,25 +20,25 @@
  */
 class RecoveryExplorationTest {
     private static final int PROXIES = 3, TICKS = 5, MOST = 600_000, FAIR = 12, EVERY = 97;
-    private static final Pace PACE = new Pace(1, 1, 2, 1, 2);
+    private static final PeerPollBackoff PACE = new PeerPollBackoff(1, 1, 2, 1, 2);
 
-    private record Message(int from, int to, Hello hello) {}
+    private record Message(int from, int to, PeerStatus hello) {}
 
     /** All there is at one time, and what may still go wrong. */
-    private record All(List<Recovery> proxies, Map<Message, Integer> under, int now, int starts, int repeats,
+    private record All(List<RecoveryState> proxies, Map<Message, Integer> under, int now, int starts, int repeats,
             int answers, int next) {}
 
     /** The core, or one that is broken on purpose. */
     private static class Core {
-        Recovery.Lesson lesson(Recovery one, double now) {
+        RecoveryState.Lesson lesson(RecoveryState one, double now) {
             return one.lesson(now);
         }
 
-        Recovery.Step heard(Recovery one, int from, Hello hello, double now) {
+        RecoveryState.Step heard(RecoveryState one, int from, PeerStatus hello, double now) {
             return one.heard(from, hello, now);
         }
 
-        Recovery.Step wake(Recovery one, double now) {
+        RecoveryState.Step wake(RecoveryState one, double now) {
             return one.wake(now);
         }
     }
@@ -51,11 +51,11 @@
         broken = broken == null && !holds ? promise + " at " + at : broken;
     }
 
-    private All with(All at, int p, Recovery.Step step, Map<Message, Integer> under) {
-        List<Recovery> all = new ArrayList<>(at.proxies);
+    private All with(All at, int p, RecoveryState.Step step, Map<Message, Integer> under) {
+        List<RecoveryState> all = new ArrayList<>(at.proxies);
         all.set(p, step.next());
-        for (Recovery.Sent each : step.sent()) {
-            Hello its = each.hello();
+        for (RecoveryState.Sent each : step.sent()) {
+            PeerStatus its = each.hello();
             must(its.answers() == step.next().answers() && (its.answers() == 0 || its.work() == its.start()),
                     "a proxy tells only what it has found itself", at);
             under.merge(new Message(p, each.to(), its), 1, Integer::sum);
@@ -68,9 +68,9 @@
         if (!again) {
             under.computeIfPresent(message, (m, n) -> n > 1 ? n - 1 : null);
         }
-        Recovery one = at.proxies.get(message.to);
-        Heard before = one.heard().get(message.from);
-        Recovery.Step step = core.heard(one, message.from, message.hello, at.now);
+        RecoveryState one = at.proxies.get(message.to);
+        PeerObservation before = one.heard().get(message.from);
+        RecoveryState.Step step = core.heard(one, message.from, message.hello, at.now);
         boolean former = before != null && at.now - before.at() <= PACE.forget()
                 && message.hello.start() < before.hello().start()
                 || message.hello.to() != 0 && message.hello.to() != one.start();
@@ -91,15 +91,15 @@
     }
 
     private All finds(All at, int p) {
-        Recovery one = at.proxies.get(p);
-        List<Recovery> all = new ArrayList<>(at.proxies);
+        RecoveryState one = at.proxies.get(p);
+        List<RecoveryState> all = new ArrayList<>(at.proxies);
         all.set(p, one.found(one.start(), one.answers() + 1));
         return new All(all, at.under, at.now, at.starts, at.repeats, at.answers - 1, at.next);
     }
 
     private All startsAnew(All at, int p) {
-        List<Recovery> all = new ArrayList<>(at.proxies);
-        all.set(p, Recovery.begins(PACE, p, PROXIES, at.next, at.now));
+        List<RecoveryState> all = new ArrayList<>(at.proxies);
+        all.set(p, RecoveryState.begins(PACE, p, PROXIES, at.next, at.now));
         return new All(all, at.under, at.now, at.starts - 1, at.repeats, at.answers, at.next + 1);
     }
 
@@ -126,10 +126,10 @@
     }
 
     private void promises(All at) {
-        for (Recovery one : at.proxies) {
-            List<Hello> fresh = one.heard().values().stream().filter(each -> at.now - each.at()
-                    <= PACE.forget()).map(Heard::hello).toList();
-            Recovery.Lesson lesson = core.lesson(one, at.now);
+        for (RecoveryState one : at.proxies) {
+            List<PeerStatus> fresh = one.heard().values().stream().filter(each -> at.now - each.at()
+                    <= PACE.forget()).map(PeerObservation::hello).toList();
+            RecoveryState.Lesson lesson = core.lesson(one, at.now);
             must(lesson == null || fresh.stream().anyMatch(each -> each.work() == lesson.work()
                     && each.answers() > 0), "no figure is believed past its age or made up", at);
             // What it is among them was judged when something last happened to it, one tick ago at the most.
@@ -137,8 +137,8 @@
                 boolean any = one.heard().values().stream().anyMatch(each -> at.now - each.at()
                         <= PACE.forget() + 1);
                 boolean warm = one.heard().values().stream().anyMatch(each -> each.hello().settled());
-                must(one.standing() != Standing.ALL_NEW || any, "not heard is not all new", at);
-                must(one.standing() != Standing.ALONE || warm, "alone only beside one that knows", at);
+                must(one.standing() != RecoveryPhase.ALL_NEW || any, "not heard is not all new", at);
+                must(one.standing() != RecoveryPhase.ALONE || warm, "alone only beside one that knows", at);
             }
         }
     }
@@ -155,18 +155,18 @@
             }
             at = tick(at);
         }
-        Recovery last = at.proxies.get(PROXIES - 1);
-        must(at.proxies.stream().limit(PROXIES - 1).allMatch(Recovery::isSettled), "who has answers settles",
+        RecoveryState last = at.proxies.get(PROXIES - 1);
+        must(at.proxies.stream().limit(PROXIES - 1).allMatch(RecoveryState::isSettled), "who has answers settles",
                 at);
-        must(last.isSettled() || last.standing() == Standing.ALONE && last.lesson(at.now) != null,
+        must(last.isSettled() || last.standing() == RecoveryPhase.ALONE && last.lesson(at.now) != null,
                 "one that has none is alone among them at last, and is taught", at);
     }
 
     /** The first promise that is broken; null where all hold to the bound. */
     private String explore() {
-        List<Recovery> all = new ArrayList<>();
+        List<RecoveryState> all = new ArrayList<>();
         for (int p = 0; p < PROXIES; p++) {
-            all.add(Recovery.begins(PACE, p, PROXIES, 1 + p, 0));
+            all.add(RecoveryState.begins(PACE, p, PROXIES, 1 + p, 0));
         }
         All first = new All(all, Map.of(), 0, 1, 1, 3, 1 + PROXIES);
         Set<All> known = new HashSet<>(Set.of(first));
@@ -203,10 +203,10 @@
     void oneThatHearsFormerSelvesIsCaught() {
         caught("a former self", new Core() {
             @Override
-            Recovery.Step heard(Recovery one, int from, Hello hello, double now) {
-                Heard before = one.heard().get(from);
+            RecoveryState.Step heard(RecoveryState one, int from, PeerStatus hello, double now) {
+                PeerObservation before = one.heard().get(from);
                 long start = before == null ? hello.start() : Math.max(hello.start(), before.hello().start());
-                return one.heard(from, new Hello(start, 0, hello.asks(), hello.up() + 9, hello.work(),
+                return one.heard(from, new PeerStatus(start, 0, hello.asks(), hello.up() + 9, hello.work(),
                         hello.answers(), hello.settled()), now);
             }
         });
@@ -216,11 +216,11 @@
     void oneThatPassesOnWhatItHasBorrowedIsCaught() {
         caught("a proxy tells only", new Core() {
             @Override
-            Recovery.Step wake(Recovery one, double now) {
-                Recovery.Step step = one.wake(now);
-                Recovery.Lesson its = one.lesson(now);
-                return its == null || one.answers() > 0 ? step : new Recovery.Step(step.next(),
-                        step.sent().stream().map(each -> new Recovery.Sent(each.to(), new Hello(one.start(),
+            RecoveryState.Step wake(RecoveryState one, double now) {
+                RecoveryState.Step step = one.wake(now);
+                RecoveryState.Lesson its = one.lesson(now);
+                return its == null || one.answers() > 0 ? step : new RecoveryState.Step(step.next(),
+                        step.sent().stream().map(each -> new RecoveryState.Sent(each.to(), new PeerStatus(one.start(),
                                 0, true, each.hello().up(), (float) its.work(), its.answers(), false)))
                                 .toList(), false);
             }
@@ -231,7 +231,7 @@
     void oneThatForgetsNothingIsCaught() {
         caught("no figure", new Core() {
             @Override
-            Recovery.Lesson lesson(Recovery one, double now) {
+            RecoveryState.Lesson lesson(RecoveryState one, double now) {
                 return one.lesson(one.began());
             }
         });
@@ -241,12 +241,12 @@
     void oneThatTakesSilenceForAllNewIsCaught() {
         caught("not heard", new Core() {
             @Override
-            Recovery.Step wake(Recovery one, double now) {
-                Recovery.Step step = one.wake(now);
-                Recovery its = step.next();
-                return its.standing() != Standing.CUT_OFF ? step : new Recovery.Step(new Recovery(its.pace(),
+            RecoveryState.Step wake(RecoveryState one, double now) {
+                RecoveryState.Step step = one.wake(now);
+                RecoveryState its = step.next();
+                return its.standing() != RecoveryPhase.CUT_OFF ? step : new RecoveryState.Step(new RecoveryState(its.pace(),
                         its.self(), its.proxies(), its.start(), its.began(), its.work(), its.answers(),
-                        new TreeMap<>(its.heard()), Standing.ALL_NEW, its.asked(), its.askAt()), step.sent(),
+                        new TreeMap<>(its.heard()), RecoveryPhase.ALL_NEW, its.asked(), its.askAt()), step.sent(),
                         false);
             }
         });
@@ -256,9 +256,9 @@
     void oneThatAnswersNobodyIsCaught() {
         caught("one that has none", new Core() {
             @Override
-            Recovery.Step heard(Recovery one, int from, Hello hello, double now) {
-                Recovery.Step step = one.heard(from, hello, now);
-                return new Recovery.Step(step.next(), List.of(), step.anew());
+            RecoveryState.Step heard(RecoveryState one, int from, PeerStatus hello, double now) {
+                RecoveryState.Step step = one.heard(from, hello, now);
+                return new RecoveryState.Step(step.next(), List.of(), step.anew());
             }
         });
     }
--- a/src/test/java/lemondrift/recovery/RecoveryTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryTest.java
@@ -12,17 +12,17 @@
 import org.junit.jupiter.api.Test;
 
 class RecoveryTest {
-    private static final Pace PACE = new Pace(1, 5, 20, 2, 3);
+    private static final PeerPollBackoff PACE = new PeerPollBackoff(1, 5, 20, 2, 3);
 
-    private static Hello of(long start, float up, float work, int answers, boolean settled) {
-        return new Hello(start, 0, false, up, work, answers, settled);
+    private static PeerStatus of(long start, float up, float work, int answers, boolean settled) {
+        return new PeerStatus(start, 0, false, up, work, answers, settled);
     }
 
-    private static Recovery fresh(int proxies) {
-        return Recovery.begins(PACE, 0, proxies, 100, 0);
+    private static RecoveryState fresh(int proxies) {
+        return RecoveryState.begins(PACE, 0, proxies, 100, 0);
     }
 
-    private static Recovery hears(Recovery one, double now, Hello... said) {
+    private static RecoveryState hears(RecoveryState one, double now, PeerStatus... said) {
         for (int i = 0; i < said.length; i++) {
             one = one.heard(i + 1, said[i], now).next();
         }
@@ -31,60 +31,60 @@
 
     @Test
     void aDatagramThatIsCutForeignOfAnotherVersionOrAbsurdIsNone() {
-        byte[] good = new Hello(7, 9, true, 1.5f, 0.25f, 300, false).encoded();
-        assertEquals(new Hello(7, 9, true, 1.5f, 0.25f, 255, false), Hello.of(good));
-        IntStream.range(0, good.length).forEach(i -> assertNull(Hello.of(Arrays.copyOf(good, i))));
-        assertNull(Hello.of(Arrays.copyOf(good, good.length + 1)));
+        byte[] good = new PeerStatus(7, 9, true, 1.5f, 0.25f, 300, false).encoded();
+        assertEquals(new PeerStatus(7, 9, true, 1.5f, 0.25f, 255, false), PeerStatus.of(good));
+        IntStream.range(0, good.length).forEach(i -> assertNull(PeerStatus.of(Arrays.copyOf(good, i))));
+        assertNull(PeerStatus.of(Arrays.copyOf(good, good.length + 1)));
         for (int[] change : new int[][] {{0, 2}, {1, 2}, {4, -1}, {20, 0xff}, {24, 0xff}}) {
             byte[] bad = good.clone();
             bad[change[0]] = (byte) change[1];
-            assertNull(Hello.of(bad), "byte " + change[0]);
+            assertNull(PeerStatus.of(bad), "byte " + change[0]);
         }
-        assertNull(Hello.of(of(1, 1, 0, 5, false).encoded()), "answers that took no work");
+        assertNull(PeerStatus.of(of(1, 1, 0, 5, false).encoded()), "answers that took no work");
     }
 
     @Property(tries = 300, seed = "48")
     void noBytesAtAllAreMoreThanNoWord(@ForAll @Size(28) byte[] any) {
-        any[0] = Hello.KIND;
-        any[1] = Hello.VERSION;
-        Hello its = Hello.of(any);
+        any[0] = PeerStatus.KIND;
+        any[1] = PeerStatus.VERSION;
+        PeerStatus its = PeerStatus.of(any);
         assertTrue(its == null || its.up() >= 0 && its.work() >= 0 && its.start() > 0);
     }
 
     @Test
     void whoAnswersSaysWhatOneIsAmongThem() {
-        assertEquals(Standing.UNKNOWN, fresh(4).wake(1).next().standing());
-        assertEquals(Standing.CUT_OFF, fresh(4).wake(5).next().standing(), "nobody answers");
-        Hello warm = of(50, 99, 0.2f, 40, true), newOne = of(101, 1, 0, 0, false);
-        assertEquals(Standing.ALONE, hears(fresh(9), 1, warm).standing(), "at once");
-        assertEquals(Standing.UNKNOWN, hears(fresh(4), 1, newOne).standing(), "others may be warm");
-        assertEquals(Standing.ALL_NEW, hears(fresh(4), 1, newOne, newOne, newOne).standing(), "at once");
-        assertEquals(Standing.AMONG_SOME, hears(fresh(4), 1, newOne, warm, newOne).standing());
-        Recovery late = hears(fresh(9), 1, newOne).wake(5).next();
-        assertEquals(Standing.ALL_NEW, late.standing());
-        Hello settled = of(101, 6, 0.2f, 3, true);
-        assertEquals(Standing.ALONE, hears(late, 6, settled, warm).standing(), "corrected by later answers");
-        assertEquals(Standing.CUT_OFF, hears(fresh(9), 1, warm).wake(22).next().standing(), "forgotten");
+        assertEquals(RecoveryPhase.UNKNOWN, fresh(4).wake(1).next().standing());
+        assertEquals(RecoveryPhase.CUT_OFF, fresh(4).wake(5).next().standing(), "nobody answers");
+        PeerStatus warm = of(50, 99, 0.2f, 40, true), newOne = of(101, 1, 0, 0, false);
+        assertEquals(RecoveryPhase.ALONE, hears(fresh(9), 1, warm).standing(), "at once");
+        assertEquals(RecoveryPhase.UNKNOWN, hears(fresh(4), 1, newOne).standing(), "others may be warm");
+        assertEquals(RecoveryPhase.ALL_NEW, hears(fresh(4), 1, newOne, newOne, newOne).standing(), "at once");
+        assertEquals(RecoveryPhase.AMONG_SOME, hears(fresh(4), 1, newOne, warm, newOne).standing());
+        RecoveryState late = hears(fresh(9), 1, newOne).wake(5).next();
+        assertEquals(RecoveryPhase.ALL_NEW, late.standing());
+        PeerStatus settled = of(101, 6, 0.2f, 3, true);
+        assertEquals(RecoveryPhase.ALONE, hears(late, 6, settled, warm).standing(), "corrected by later answers");
+        assertEquals(RecoveryPhase.CUT_OFF, hears(fresh(9), 1, warm).wake(22).next().standing(), "forgotten");
     }
 
     @Test
     void oneThatKnowsForItselfAsksNobodyAndKeepsItsStanding() {
-        Recovery one = hears(fresh(4), 1, of(50, 99, 0.2f, 40, true)).found(0.3, 3);
+        RecoveryState one = hears(fresh(4), 1, of(50, 99, 0.2f, 40, true)).found(0.3, 3);
         assertTrue(one.isSettled());
         assertEquals(Double.POSITIVE_INFINITY, one.wakeAt());
         assertEquals(List.of(), one.wake(40).sent());
-        assertEquals(Standing.ALONE, one.wake(40).next().standing());
-        Recovery.Step asked = one.heard(2, new Hello(300, 100, true, 0.1f, 0, 0, false), 50);
-        assertEquals(List.of(new Recovery.Sent(2, new Hello(100, 300, false, 50, 0.3f, 3, true))),
+        assertEquals(RecoveryPhase.ALONE, one.wake(40).next().standing());
+        RecoveryState.Step asked = one.heard(2, new PeerStatus(300, 100, true, 0.1f, 0, 0, false), 50);
+        assertEquals(List.of(new RecoveryState.Sent(2, new PeerStatus(100, 300, false, 50, 0.3f, 3, true))),
                 asked.sent());
     }
 
     @Test
     void whatAFormerSelfHasSaidOrWasMeantForChangesNothing() {
-        Recovery one = hears(fresh(4), 1, of(200, 3, 0.2f, 4, false));
+        RecoveryState one = hears(fresh(4), 1, of(200, 3, 0.2f, 4, false));
         assertSame(one, one.heard(1, of(199, 9, 0.9f, 9, true), 2).next(), "its sender's former self");
         assertSame(one, one.heard(1, of(200, 2, 0.9f, 9, true), 2).next(), "out of order");
-        assertSame(one, one.heard(2, new Hello(300, 99, true, 1, 0.9f, 9, true), 2).next(), "its own");
+        assertSame(one, one.heard(2, new PeerStatus(300, 99, true, 1, 0.9f, 9, true), 2).next(), "its own");
         assertSame(one, one.heard(0, of(300, 1, 0.9f, 9, true), 2).next(), "itself");
         assertSame(one, one.heard(4, of(300, 1, 0.9f, 9, true), 2).next(), "nobody");
         assertSame(one, one.heard(-1, of(300, 1, 0.9f, 9, true), 2).next(), "nobody");
@@ -95,27 +95,27 @@
     /** Danger: a proxy whose wall clock went back an hour with the power would never be heard again. */
     @Test
     void aLowerStartNumberIsHeardOnceTheHigherOneHasBeenSilent() {
-        Recovery one = hears(fresh(4), 1, of(200, 3, 0.2f, 4, true));
-        Hello back = of(150, 1, 0, 0, false);
+        RecoveryState one = hears(fresh(4), 1, of(200, 3, 0.2f, 4, true));
+        PeerStatus back = of(150, 1, 0, 0, false);
         assertSame(one, one.heard(1, back, 15).next());
         assertEquals(back, one.heard(1, back, 22).next().heard().get(1).hello());
     }
 
     @Test
     void newOnesTeachOnlyWhatTheyHaveFoundThemselves() {
-        Recovery a = fresh(2), b = Recovery.begins(PACE, 1, 2, 101, 0);
+        RecoveryState a = fresh(2), b = RecoveryState.begins(PACE, 1, 2, 101, 0);
         for (double now = 0; now < 15; now++) {
-            Recovery.Step ask = a.wake(now);
+            RecoveryState.Step ask = a.wake(now);
             a = ask.next();
-            for (Recovery.Sent each : ask.sent()) {
-                Recovery.Step answer = b.heard(0, each.hello(), now);
+            for (RecoveryState.Sent each : ask.sent()) {
+                RecoveryState.Step answer = b.heard(0, each.hello(), now);
                 b = answer.next();
                 a = a.heard(1, answer.sent().get(0).hello(), now).next();
             }
             assertNull(a.lesson(now), "two that know nothing");
         }
-        Recovery taught = hears(a, 15, of(101, 15, 0.4f, 2, false));
-        assertEquals(new Recovery.Lesson(0.4f, 2), taught.lesson(15));
+        RecoveryState taught = hears(a, 15, of(101, 15, 0.4f, 2, false));
+        assertEquals(new RecoveryState.Lesson(0.4f, 2), taught.lesson(15));
         assertTrue(taught.wake(taught.wakeAt()).sent().stream().allMatch(each -> each.hello().answers() == 0),
                 "what is borrowed is not passed on");
         assertNull(taught.lesson(36), "past its age");
@@ -123,20 +123,20 @@
 
     @Test
     void noSingleOneOfSeveralMovesTheLesson() {
-        Hello[] all = {of(1, 9, 0.2f, 40, true), of(1, 9, 0.3f, 3, true), of(1, 9, 1e-9f, 255, true),
+        PeerStatus[] all = {of(1, 9, 0.2f, 40, true), of(1, 9, 0.3f, 3, true), of(1, 9, 1e-9f, 255, true),
             of(1, 9, 0.0001f, 8, false)};
-        assertEquals(new Recovery.Lesson(0.2f, 19), hears(fresh(9), 1, all).lesson(1));
-        assertEquals(new Recovery.Lesson(0.3f, 11), hears(fresh(9), 1, all[0], all[1]).lesson(1));
+        assertEquals(new RecoveryState.Lesson(0.2f, 19), hears(fresh(9), 1, all).lesson(1));
+        assertEquals(new RecoveryState.Lesson(0.3f, 11), hears(fresh(9), 1, all[0], all[1]).lesson(1));
     }
 
     @Property(tries = 100, seed = "48")
     void eachRoundAsksOthersInTurn(@ForAll @IntRange(min = 2, max = 40) int proxies,
             @ForAll @IntRange(min = 0, max = 39) int self) {
-        Recovery one = Recovery.begins(new Pace(1, 5, 20, 3, 8), self % proxies, proxies, 1, 0);
+        RecoveryState one = RecoveryState.begins(new PeerPollBackoff(1, 5, 20, 3, 8), self % proxies, proxies, 1, 0);
         boolean[] asked = new boolean[proxies];
         for (int round = 0; round < proxies; round++) {
-            Recovery.Step step = one.wake(one.wakeAt());
-            assertEquals(Math.min(3, proxies - 1), step.sent().stream().map(Recovery.Sent::to).distinct()
+            RecoveryState.Step step = one.wake(one.wakeAt());
+            assertEquals(Math.min(3, proxies - 1), step.sent().stream().map(RecoveryState.Sent::to).distinct()
                     .count());
             step.sent().forEach(each -> asked[each.to()] = true);
             one = step.next();
--- a/src/test/java/lemondrift/serve/AdminTest.java
+++ b/src/test/java/lemondrift/serve/AdminTest.java
@@ -14,7 +14,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-import lemondrift.serve.admin.Admin;
+import lemondrift.serve.admin.AdminServer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.xnio.XnioWorker;
@@ -22,7 +22,7 @@
 /** The operators' address on loopback, and what its calls do to the proxy. */
 class AdminTest extends Loopback {
     private XnioWorker worker;
-    private Admin admin;
+    private AdminServer admin;
 
     private void operate(StandIn... backends) throws Exception {
         start(backends);
@@ -31,8 +31,8 @@
     }
 
     private void listen() throws IOException {
-        worker = Proxy.worker();
-        admin = new Admin(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
+        worker = ProxyServer.worker();
+        admin = new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
     }
 
     @AfterEach
@@ -188,7 +188,7 @@
     @Test
     void reloadsAreCounted() throws Exception {
         operate(backend(OK));
-        proxy.reload(Config.read(config(discovery.port(), false)));
+        proxy.reload(ProxyConfig.read(config(discovery.port(), false)));
         proxy.reloadFailed();
         proxy.reloadFailed();
         while (stats().get("reload_failure").getAsInt() < 2) {
--- a/src/test/java/lemondrift/serve/ConfigFileTest.java
+++ b/src/test/java/lemondrift/serve/ConfigFileTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.stream.IntStream;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -46,6 +46,6 @@
     void whatIsCutOffIsRefused(String text) throws Exception {
         Map<String, String> environment = file(text);
         assertThrows(Exception.class, () -> ConfigFile.readWithoutKnown(environment));
-        assertThrows(BadInput.class, () -> ConfigFile.read(Map.of()));
+        assertThrows(InvalidSettingsException.class, () -> ConfigFile.read(Map.of()));
     }
 }
--- a/src/test/java/lemondrift/serve/CrossingsTest.java
+++ b/src/test/java/lemondrift/serve/CrossingsTest.java
@@ -55,8 +55,8 @@
     }
 
     /** Waits for a state that is to be reached at last. */
-    private Proxy.InHand await(Predicate<Proxy.InHand> state) throws Exception {
-        Proxy.InHand now = proxy.inHand().get(5, TimeUnit.SECONDS);
+    private ProxyServer.InHand await(Predicate<ProxyServer.InHand> state) throws Exception {
+        ProxyServer.InHand now = proxy.inHand().get(5, TimeUnit.SECONDS);
         for (long until = System.nanoTime() + 10_000_000_000L; !state.test(now); Thread.sleep(2)) {
             assertTrue(System.nanoTime() < until, "not reached, but " + now);
             now = proxy.inHand().get(5, TimeUnit.SECONDS);
@@ -65,11 +65,11 @@
     }
 
     private void nothingIsInHand() throws Exception {
-        await(new Proxy.InHand(0, 0, 0, 0)::equals);
+        await(new ProxyServer.InHand(0, 0, 0, 0)::equals);
     }
 
     private void lateConnections() throws IOException {
-        dial = new LateDial(Proxy.worker());
+        dial = new LateDial(ProxyServer.worker());
     }
 
     private void letUp(LateDial.Up connection) {
@@ -383,7 +383,7 @@
 
     @Test
     void aForwardThatCannotBeBegunEndsOnce() throws Exception {
-        dial = new LateDial(Proxy.worker()) {
+        dial = new LateDial(ProxyServer.worker()) {
             @Override
             public IoFuture<StreamConnection> open(java.net.InetSocketAddress to,
                     ChannelListener<StreamConnection> opened) {
@@ -422,7 +422,7 @@
         String whole = "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
                 + "X-Expires-In-Ms: 4000\r\nContent-Length: 4\r\n\r\nbody";
         for (int cut : new int[] {whole.length() - 2, whole.length() - 30}) {
-            if (proxy.phase() == Proxy.Phase.STOPPED) {
+            if (proxy.phase() == ProxyServer.Phase.STOPPED) {
                 start(backend(OK));
             }
             try (Socket client = client()) {
@@ -529,8 +529,8 @@
                 .addProperty("name", "new");
         CountDownLatch decides = new CountDownLatch(1);
         proxy.onOwner(() -> awaits(decides));
-        proxy.reload(Config.read(none.toString()));
-        proxy.reload(Config.read(other.toString()));
+        proxy.reload(ProxyConfig.read(none.toString()));
+        proxy.reload(ProxyConfig.read(other.toString()));
         try (Socket client = client()) {
             write(client, get("a"));
             awaitOnIo(1);
@@ -555,12 +555,12 @@
         });
         JsonObject config = JsonParser.parseString(config(discovery.port(), false)).getAsJsonObject();
         config.add("known", JsonParser.parseString(list(1, true, member(0, leaving.port(), "active"))));
-        proxy = new Proxy(Config.read(config.toString()));
+        proxy = new ProxyServer(ProxyConfig.read(config.toString()));
         Thread serves = new Thread(() -> assertDoesNotThrow(() -> proxy.serve()));
         serves.start();
         assertNotNull(discovery.requests.poll(5, TimeUnit.SECONDS));
         serves.join(200);
-        if (proxy.phase() == Proxy.Phase.SERVING) {
+        if (proxy.phase() == ProxyServer.Phase.SERVING) {
             assertEquals(200, look().statusCode());
         }
         tells.countDown();
--- a/src/test/java/lemondrift/serve/DoorTest.java
+++ b/src/test/java/lemondrift/serve/DoorTest.java
@@ -19,8 +19,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.zip.ZipEntry;
 import java.util.zip.ZipOutputStream;
-import lemondrift.door.Bounds;
-import lemondrift.settings.BadInput;
+import lemondrift.connection.ConnectionLimits;
+import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -76,7 +76,7 @@
             assertEquals(-1, each.getInputStream().read(), "closed, with nothing begun for the second");
         }
         drain.join();
-        assertEquals(Proxy.Phase.STOPPED, proxy.phase());
+        assertEquals(ProxyServer.Phase.STOPPED, proxy.phase());
         assertTrue(backend.requests.stream().noneMatch(request -> request.matches(
                 "(?s).*X-Trace-Id: door-\\d*[13579]\r\n.*")), "what crossed was not forwarded");
     }
@@ -122,8 +122,8 @@
     @Test
     void whatIsPromisedStandsInTheAnswer() throws Exception {
         changed = config -> {
-            Bounds usual = config.door();
-            return config.with(new Bounds(usual.places(), usual.last(), 5, 4, usual.sharing(), true,
+            ConnectionLimits usual = config.door();
+            return config.with(new ConnectionLimits(usual.places(), usual.last(), 5, 4, usual.sharing(), true,
                     usual.leastRate(), usual.benefit()));
         };
         start(backend(OK));
@@ -182,12 +182,12 @@
         go.countDown();
         assertTrue(read(taken).startsWith("HTTP/1.1 200"));
         drain.join();
-        assertEquals(Proxy.Phase.STOPPED, proxy.phase());
+        assertEquals(ProxyServer.Phase.STOPPED, proxy.phase());
     }
 
     /** The program as one file, as it is run: a class in a folder can't be loaded without a descriptor. */
     private static Path jar(Path folder) throws Exception {
-        Path classes = Path.of(Serve.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path classes = Path.of(ProxyLauncher.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         Path jar = folder.resolve("lemondrift.jar");
         try (var out = new ZipOutputStream(Files.newOutputStream(jar)); var files = Files.walk(classes)) {
             for (Path each : files.filter(Files::isRegularFile).toList()) {
@@ -253,20 +253,20 @@
     @Test
     void theDoorsFileIsReadOrRefusedInOneLine(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("door.json");
-        Bounds usual = Config.read(config(1, false)).door();
+        ConnectionLimits usual = ProxyConfig.read(config(1, false)).door();
         Files.writeString(file, "{\"quiet\": 60, \"sharing\": \"tenant\", \"announces\": true}");
-        Bounds read = DoorFile.read(file, usual);
+        ConnectionLimits read = ConnectionSettingsFile.read(file, usual);
         assertEquals(60, read.quiet());
-        assertEquals(Bounds.Sharing.TENANT, read.sharing());
+        assertEquals(ConnectionLimits.Sharing.TENANT, read.sharing());
         assertEquals(usual.earliest() / usual.quiet(), read.earliest() / read.quiet(), 1e-9);
         Path config = Files.writeString(folder.resolve("config.json"), config(1, false));
         for (String bad : List.of("", "[]", "{\"quiet\": \"soon\"}", "{\"quiet\": 0}", "{\"quite\": 2}",
                 "{\"quiet\": 2, \"earliest\": 3}", "{\"sharing\": \"all\"}", "{\"announces\": 1}",
                 "{\"leastRate\": []}", "{\"quiet\": null}")) {
             Files.writeString(file, bad);
-            assertThrows(BadInput.class, () -> DoorFile.read(file, usual), bad);
+            assertThrows(InvalidSettingsException.class, () -> ConnectionSettingsFile.read(file, usual), bad);
             ByteArrayOutputStream err = new ByteArrayOutputStream();
-            assertEquals(1, Serve.check(Map.of("PROXY_CONFIG", config.toString(), "PROXY_DOOR",
+            assertEquals(1, ProxyLauncher.check(Map.of("PROXY_CONFIG", config.toString(), "PROXY_DOOR",
                     file.toString()),
                     new PrintStream(err)));
             assertEquals(1, err.toString().lines().count(), err.toString());
--- a/src/test/java/lemondrift/serve/LongBodiesTest.java
+++ b/src/test/java/lemondrift/serve/LongBodiesTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import lemondrift.tally.Tally;
+import lemondrift.metrics.ProxyMetrics;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -94,7 +94,7 @@
     }
 
     private void awaitReplies(String grade, String kind, int count) throws Exception {
-        int ordinal = Tally.Reply.valueOf(kind.toUpperCase(Locale.ROOT)).ordinal();
+        int ordinal = ProxyMetrics.Reply.valueOf(kind.toUpperCase(Locale.ROOT)).ordinal();
         long[] counts = {};
         for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end;) {
             var read = new CompletableFuture<long[]>();
@@ -421,7 +421,7 @@
 
     @Test
     void withLittleMemoryMoreIsPassedOn() throws Exception {
-        changed = config -> Config.read(config(discovery.port(), false).replace("\"sockets\":64",
+        changed = config -> ProxyConfig.read(config(discovery.port(), false).replace("\"sockets\":64",
                 "\"sockets\":64,\"memory_mb\":0.1"));
         try (Sink sink = new Sink(NEVER)) {
             start(false, sink.server.getLocalPort());
@@ -447,7 +447,7 @@
         byte[] all = ("HTTP/1.1 100 Continue\r\n\r\n" + (chunks ? chunked(body, chunk) : length(body)))
                 .getBytes(StandardCharsets.ISO_8859_1);
         Random random = new Random(seed);
-        AnswerReader reader = new AnswerReader(1000, true);
+        ResponseReader reader = new ResponseReader(1000, true);
         ByteArrayOutputStream got = new ByteArrayOutputStream();
         boolean isLong = false;
         for (int at = 0; at < all.length;) {
--- a/src/test/java/lemondrift/serve/Loopback.java
+++ b/src/test/java/lemondrift/serve/Loopback.java
@@ -48,14 +48,14 @@
     final HttpClient http = HttpClient.newHttpClient();
     String lists = "pushed";
     /** What a test changes of the configuration. */
-    UnaryOperator<Config> changed = config -> config;
+    UnaryOperator<ProxyConfig> changed = config -> config;
     StandIn discovery;
-    Proxy proxy;
+    ProxyServer proxy;
     /** How connections to backends come up; null is as they do. */
     LateDial dial;
 
     /** Connections to backends come up when they are let. */
-    static class LateDial implements Dial {
+    static class LateDial implements BackendConnector {
         final XnioWorker worker;
         /** Those that wait, each to be let up on the I/O thread. */
         final LinkedBlockingQueue<Up> waiting = new LinkedBlockingQueue<>();
@@ -199,8 +199,8 @@
                 return CLOSE;
             }
         });
-        Config config = changed.apply(Config.read(config(discovery.port(), probes)));
-        proxy = dial == null ? new Proxy(config) : new Proxy(config, dial.worker, dial);
+        ProxyConfig config = changed.apply(ProxyConfig.read(config(discovery.port(), probes)));
+        proxy = dial == null ? new ProxyServer(config) : new ProxyServer(config, dial.worker, dial);
         proxy.serve();
         // The watch has begun, so the list has been told.
         awaitWatch("from=1");
@@ -271,7 +271,7 @@
             }
         });
         drain.start();
-        while (proxy.phase() != Proxy.Phase.DRAINING) {
+        while (proxy.phase() != ProxyServer.Phase.DRAINING) {
             Thread.onSpinWait();
         }
         return drain;
@@ -284,7 +284,7 @@
     @AfterEach
     void stop() throws Exception {
         news.add(CLOSE);
-        if (proxy != null && proxy.phase() == Proxy.Phase.SERVING) {
+        if (proxy != null && proxy.phase() == ProxyServer.Phase.SERVING) {
             proxy.drain();
         }
         for (StandIn each : standIns) {
--- a/src/test/java/lemondrift/serve/MeetingTest.java
+++ b/src/test/java/lemondrift/serve/MeetingTest.java
@@ -15,7 +15,7 @@
         private Other() {}
 
         public static void main(String[] args) throws IOException {
-            Meeting meeting = new Meeting(Path.of(args[0]), "n/0");
+            TakeoverLock meeting = new TakeoverLock(Path.of(args[0]), "n/0");
             meeting.look();
             System.out.println(meeting.processes());
             System.in.read();
@@ -40,7 +40,7 @@
 
     @Test
     void aSuccessorMakesThemTwoAndAnEndMakesThemOne(@TempDir Path folder) throws Exception {
-        Meeting own = new Meeting(folder, "n/0");
+        TakeoverLock own = new TakeoverLock(folder, "n/0");
         assertTrue(own.look());
         assertEquals(1, own.processes());
         Process next = other(folder);
@@ -57,7 +57,7 @@
     void aPredecessorThatIsKilledLeavesAll(@TempDir Path folder) throws Exception {
         Process old = other(folder);
         assertEquals(1, said(old));
-        Meeting own = new Meeting(folder, "n/0");
+        TakeoverLock own = new TakeoverLock(folder, "n/0");
         own.look();
         assertEquals(2, own.processes());
         own.look();
@@ -72,7 +72,7 @@
     void oneOfAnotherNameIsAnotherProxy(@TempDir Path folder) throws Exception {
         Process other = other(folder);
         said(other);
-        Meeting own = new Meeting(folder, "n/1");
+        TakeoverLock own = new TakeoverLock(folder, "n/1");
         own.look();
         assertEquals(1, own.processes());
         own.leave();
@@ -81,7 +81,7 @@
 
     @Test
     void whereNothingCanBeSeenHalfIsUsed(@TempDir Path folder) throws Exception {
-        Meeting own = new Meeting(Files.createFile(folder.resolve("no-folder")), "n/0");
+        TakeoverLock own = new TakeoverLock(Files.createFile(folder.resolve("no-folder")), "n/0");
         own.look();
         assertEquals(2, own.processes());
     }
@@ -89,7 +89,7 @@
     @Test
     void twoTogetherKeepWithinTheDescriptorsOfOne() {
         for (int sockets : new int[] {256, 384, 1024}) {
-            Config config = Config.read(new Loopback() { }.config(1, false)
+            ProxyConfig config = ProxyConfig.read(new Loopback() { }.config(1, false)
                     .replace("\"sockets\":64", "\"sockets\":" + sockets));
             double each = 40 + config.share(2) * (config.door().last() + 0.33 * config.connections());
             assertTrue(2 * each <= sockets, "two hold " + 2 * each);
--- a/src/test/java/lemondrift/serve/MemberListParserTest.java
+++ b/src/test/java/lemondrift/serve/MemberListParserTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Random;
-import lemondrift.model.Listed;
+import lemondrift.model.EndpointUpdate;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -16,8 +16,8 @@
 
 /** Lists of discovery, read in steps of any size. */
 class MemberListParserTest {
-    private static MemberList read(String text, int step) throws IOException {
-        MemberListParser parser = new MemberListParser(text.getBytes(StandardCharsets.UTF_8));
+    private static EndpointList read(String text, int step) throws IOException {
+        EndpointListParser parser = new EndpointListParser(text.getBytes(StandardCharsets.UTF_8));
         int steps = 0;
         while (!parser.advance(step)) {
             assertTrue(++steps < 10_000, "it comes to an end");
@@ -46,19 +46,19 @@
         }
         String members = "\"members\":[" + lines + "]", rest = "\"revision\":41,\"complete\":true";
         String text = "{" + (random.nextBoolean() ? members + "," + rest : rest + "," + members) + "}";
-        MemberList whole = MemberList.of(JsonParser.parseString(text).getAsJsonObject());
+        EndpointList whole = EndpointList.of(JsonParser.parseString(text).getAsJsonObject());
         assertEquals(whole, read(text, 1 + random.nextInt(30)), "seed " + seed + ": " + text);
     }
 
     @Test
     void theLastLineOfABackendCountsAndAnUnreadableOneKeepsIt() throws IOException {
-        MemberList list = read("{\"revision\":3,\"complete\":false,\"members\":["
+        EndpointList list = read("{\"revision\":3,\"complete\":false,\"members\":["
                 + "{\"id\":\"a\",\"phase\":\"active\",\"host_port\":\"127.0.0.1:1\"},"
                 + "{\"id\":\"b\",\"phase\":\"active\",\"host_port\":\"nowhere\"},"
                 + "{\"id\":\"a\",\"phase\":\"left\"}]}", 1);
-        assertEquals(List.of("b", "a"), list.members().stream().map(MemberList.Member::id).toList());
+        assertEquals(List.of("b", "a"), list.members().stream().map(EndpointList.Member::id).toList());
         assertFalse(list.members().get(0).isReadable());
-        assertEquals(Listed.State.GONE, list.members().get(1).state());
+        assertEquals(EndpointUpdate.State.GONE, list.members().get(1).state());
         assertEquals(1, list.unreadable().size());
     }
 
--- a/src/test/java/lemondrift/serve/ProxyTest.java
+++ b/src/test/java/lemondrift/serve/ProxyTest.java
@@ -328,12 +328,12 @@
 
     @Test
     void aFullBudgetClosesTheOldestIdleConnectionOfAnotherPool() throws Exception {
-        XnioWorker worker = Proxy.worker();
-        Links.Budget budget = new Links.Budget(1);
-        Links one = new Links(null, worker.getIoThread(), null, null, () -> 0, budget, 4, Links.Rest.NONE);
-        Links other = new Links(null, worker.getIoThread(), null, null, () -> 0, budget, 4, Links.Rest.NONE);
+        XnioWorker worker = ProxyServer.worker();
+        ConnectionPool.Budget budget = new ConnectionPool.Budget(1);
+        ConnectionPool one = new ConnectionPool(null, worker.getIoThread(), null, null, () -> 0, budget, 4, ConnectionPool.Rest.NONE);
+        ConnectionPool other = new ConnectionPool(null, worker.getIoThread(), null, null, () -> 0, budget, 4, ConnectionPool.Rest.NONE);
         assertTrue(one.reserve());
-        Links.Link link = one.opened(worker.createFullDuplexPipeConnection().getLeftSide());
+        ConnectionPool.Link link = one.opened(worker.createFullDuplexPipeConnection().getLeftSide());
         assertFalse(other.reserve(), "busy");
         one.back(link);
         assertTrue(other.reserve());
@@ -344,10 +344,10 @@
     @Test
     void aReportWithFiguresThatAreNoneIsNone() {
         List<String> names = List.of("queue", "util");
-        assertArrayEquals(new double[] {2, 0.5}, Backends.report("TEXT util=0.5, x=1, queue=2", names));
+        assertArrayEquals(new double[] {2, 0.5}, BackendClient.report("TEXT util=0.5, x=1, queue=2", names));
         for (String bad : List.of("", "TEXT", "TEXT queue=2", "queue=2, util=NaN", "queue=-1, util=0.5",
                 "queue=2, util=Infinity", "queue=2, util=1e300", "queue=2, util=", "\u0001\u0002")) {
-            assertNull(Backends.report(bad, names), bad);
+            assertNull(BackendClient.report(bad, names), bad);
         }
     }
 
@@ -408,7 +408,7 @@
         assertEquals(200, late.get().statusCode());
         assertEquals("close", late.get().headers().firstValue("Connection").orElse(""));
         drain.join();
-        assertEquals(Proxy.Phase.STOPPED, proxy.phase());
+        assertEquals(ProxyServer.Phase.STOPPED, proxy.phase());
         assertThrows(IOException.class, () -> new Socket("127.0.0.1", port).close());
     }
 
@@ -420,10 +420,10 @@
         for (String text : bad) {
             Path file = Files.writeString(folder.resolve("config.json"), text);
             ByteArrayOutputStream err = new ByteArrayOutputStream();
-            assertEquals(1, Serve.run(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(err)), text);
-            assertEquals(1, Serve.check(Map.of("PROXY_CONFIG", file.toString()), System.err), text);
+            assertEquals(1, ProxyLauncher.run(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(err)), text);
+            assertEquals(1, ProxyLauncher.check(Map.of("PROXY_CONFIG", file.toString()), System.err), text);
             assertEquals(1, err.toString().lines().count(), err.toString());
         }
-        assertEquals(1, Serve.run(Map.of(), new PrintStream(new ByteArrayOutputStream())));
+        assertEquals(1, ProxyLauncher.run(Map.of(), new PrintStream(new ByteArrayOutputStream())));
     }
 }
--- a/src/test/java/lemondrift/serve/QueuedLogTest.java
+++ b/src/test/java/lemondrift/serve/QueuedLogTest.java
@@ -18,7 +18,7 @@
     void whoLogsWaitsForNoReaderAndWhatIsLeftOutIsCounted() throws Exception {
         CountDownLatch reads = new CountDownLatch(1);
         ByteArrayOutputStream read = new ByteArrayOutputStream();
-        QueuedLog log = new QueuedLog(new OutputStream() {
+        AsyncLog log = new AsyncLog(new OutputStream() {
             @Override
             public void write(int b) {
                 try {
--- a/src/test/java/lemondrift/serve/RehearsalTest.java
+++ b/src/test/java/lemondrift/serve/RehearsalTest.java
@@ -8,6 +8,6 @@
 class RehearsalTest {
     @Test
     void nothingIsLeftInHandWhenItEnds() throws Exception {
-        assertTrue(Rehearsal.play(Config.read(new Loopback() { }.config(1, false))));
+        assertTrue(Warmup.play(ProxyConfig.read(new Loopback() { }.config(1, false))));
     }
 }
--- a/src/test/java/lemondrift/serve/RetuneTest.java
+++ b/src/test/java/lemondrift/serve/RetuneTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import lemondrift.settings.BadInput;
+import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 
 /** Settings at SIGHUP, on loopback. */
@@ -31,7 +31,7 @@
 
     /** A file is followed for what is read after it; a request of this class shows that it is. */
     private void follow(JsonObject config, String shows) throws Exception {
-        proxy.reload(Config.read(config.toString()));
+        proxy.reload(ProxyConfig.read(config.toString()));
         for (int i = 0; ask(shows, "shows-" + i) != 200; i++) {
             Thread.onSpinWait();
         }
@@ -69,7 +69,7 @@
         JsonObject next = running();
         name(next, 0, "look", "fragile");
         next.getAsJsonObject("settings").getAsJsonObject("limits").addProperty("mostForwards", 1);
-        proxy.reload(Config.read(next.toString()));
+        proxy.reload(ProxyConfig.read(next.toString()));
         // What came before it on the owner's queue is done when this is answered.
         while (ask("order", "after") != 200) {
             Thread.onSpinWait();
@@ -92,7 +92,7 @@
         start(one, other);
         JsonObject next = running();
         name(next, 0, "look", "fragile");
-        proxy.reload(Config.read(next.toString()));
+        proxy.reload(ProxyConfig.read(next.toString()));
         HttpRequest.Builder fragile = request("look");
         int before = 0, now = 2;
         for (int i = 0; now > 1 && i < 50; i++) {
@@ -119,7 +119,7 @@
             JsonElement value = at.remove(key);
             String text = path.isEmpty() ? at.toString() : replaced(path, at);
             keys.add(path + key);
-            assertThrows(BadInput.class, () -> proxy.reload(Config.read(text)), path + key);
+            assertThrows(InvalidSettingsException.class, () -> proxy.reload(ProxyConfig.read(text)), path + key);
             at.add(key, value);
             cut++;
             if (value.isJsonObject()) {
@@ -162,12 +162,12 @@
         for (String[] each : bad) {
             assertTrue(good.contains(each[0]), each[0]);
             String text = good.replace(each[0], each[1]);
-            String said = assertThrows(BadInput.class, () -> proxy.reload(Config.read(text))).getMessage();
+            String said = assertThrows(InvalidSettingsException.class, () -> proxy.reload(ProxyConfig.read(text))).getMessage();
             assertTrue(said.contains(each[2]), said);
         }
         for (int cut = 0; cut < good.length(); cut += 7) {
             String text = good.substring(0, cut);
-            assertThrows(BadInput.class, () -> proxy.reload(Config.read(text)));
+            assertThrows(InvalidSettingsException.class, () -> proxy.reload(ProxyConfig.read(text)));
         }
         assertEquals(200, ask("look", "still"));
     }
@@ -178,8 +178,8 @@
         JsonObject next = running();
         next.addProperty("listen", "127.0.0.1:9");
         next.getAsJsonObject("settings").getAsJsonObject("charges").addProperty("probe", 0.5);
-        assertEquals(List.of("listen"), Config.read(next.toString()).changesAtAStart(
-                Config.read(running().toString())));
+        assertEquals(List.of("listen"), ProxyConfig.read(next.toString()).changesAtAStart(
+                ProxyConfig.read(running().toString())));
     }
 
     @Test
--- a/src/test/java/lemondrift/serve/ShadowFileTest.java
+++ b/src/test/java/lemondrift/serve/ShadowFileTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import lemondrift.shadow.Shadow;
+import lemondrift.shadow.ShadowEvaluator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -25,7 +25,7 @@
 
     private String check(String shadow, int code) throws Exception {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        assertEquals(code, Serve.check(files(shadow), new PrintStream(err)));
+        assertEquals(code, ProxyLauncher.check(files(shadow), new PrintStream(err)));
         assertEquals(code, err.toString().lines().count(), err.toString());
         return err.toString();
     }
@@ -33,16 +33,16 @@
     @Test
     void whatIsWatchedIsCountedAndNotDone() throws Exception {
         StandIn full = backend(NEVER_RAN);
-        Config watched = Config.read(files("{\"limits\":{\"mostForwards\":1}}"));
+        ProxyConfig watched = ProxyConfig.read(files("{\"limits\":{\"mostForwards\":1}}"));
         changed = config -> config.watching(watched.shadow());
         start(full, backend(OK));
         for (int i = 0; i < 6; i++) {
             assertEquals(200, order("x").statusCode(), "sent again as before");
         }
         proxy.drain();
-        Shadow shadow = proxy.watched();
+        ShadowEvaluator shadow = proxy.watched();
         assertTrue(full.requests.size() > 0);
-        assertEquals(full.requests.size(), shadow.count(Shadow.Kind.NOT_SEND_AGAIN), shadow.told());
+        assertEquals(full.requests.size(), shadow.count(ShadowEvaluator.Kind.NOT_SEND_AGAIN), shadow.told());
         assertEquals(6 + full.requests.size(), shadow.decisions(), shadow.told());
     }
 
