--- a/src/test/java/lemondrift/serve/UpgradeTest.java
+++ b/src/test/java/lemondrift/serve/UpgradeTest.java
@@ -28,16 +28,16 @@
     private String[] members;
     private int ids;
 
-    private Proxy serve() throws Exception {
+    private ProxyServer serve() throws Exception {
         // Whoever waits in the queue is asked for at once, so the list has to be known.
         String known = "{\"known\":" + list(1, true, members) + ",";
-        Proxy next = new Proxy(Config.read(known + config(discovery.port(), false).substring(1)));
+        ProxyServer next = new ProxyServer(ProxyConfig.read(known + config(discovery.port(), false).substring(1)));
         next.serve(given);
         awaitWatch("from=1");
         return next;
     }
 
-    private Proxy first(StandIn... backends) throws Exception {
+    private ProxyServer first(StandIn... backends) throws Exception {
         start(backends);
         proxy.drain();
         members = IntStream.range(0, backends.length).mapToObj(i -> member(i, backends[i].port(), "active"))
@@ -72,10 +72,10 @@
                 return CLOSE;
             }
         });
-        Proxy old = first(slow);
+        ProxyServer old = first(slow);
         Socket open = ask("look");
         assertNotNull(slow.requests.poll(5, TimeUnit.SECONDS));
-        Proxy next = serve();
+        ProxyServer next = serve();
         Thread drain = new Thread(() -> {
             try {
                 old.drain();
@@ -84,7 +84,7 @@
             }
         });
         drain.start();
-        while (old.phase() == Proxy.Phase.SERVING) {
+        while (old.phase() == ProxyServer.Phase.SERVING) {
             Thread.onSpinWait();
         }
         served(20);
@@ -100,18 +100,18 @@
 
     @Test
     void withTheSocketNobodyIsRefusedBetweenTwoProcesses() throws Exception {
-        Proxy old = first(backend(OK));
+        ProxyServer old = first(backend(OK));
         served(3);
         old.drain();
         Socket waits = ask("look");
-        Proxy next = serve();
+        ProxyServer next = serve();
         assertTrue(read(waits).startsWith("HTTP/1.1 200 "), "who came between waits in the queue");
         next.drain();
     }
 
     @Test
     void noMoreAreTakenThanThereArePlacesAndTheRestWait() throws Exception {
-        Proxy only = first(backend(OK));
+        ProxyServer only = first(backend(OK));
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             silent.add(new Socket(InetAddress.getLoopbackAddress(), given.socket().getLocalPort()));
@@ -129,7 +129,7 @@
         Path file = Files.writeString(folder.resolve("config.json"), config(1, false));
         for (String descriptor : List.of("0", "1", "none", "")) {
             var err = new ByteArrayOutputStream();
-            assertEquals(1, Serve.run(Map.of("PROXY_CONFIG", file.toString(), "PROXY_INHERITED_FD",
+            assertEquals(1, ProxyLauncher.run(Map.of("PROXY_CONFIG", file.toString(), "PROXY_INHERITED_FD",
                     descriptor), new PrintStream(err)));
             assertTrue(err.toString().contains("PROXY_INHERITED_FD: descriptor " + descriptor),
                     err.toString());
--- a/src/test/java/lemondrift/serve/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/serve/admin/AdminCompatibilityTest.java
@@ -8,8 +8,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import lemondrift.LandedBytes;
-import lemondrift.tally.LoopFigures;
-import lemondrift.tally.Tally;
+import lemondrift.metrics.EventLoopMetrics;
+import lemondrift.metrics.ProxyMetrics;
 import org.junit.jupiter.api.Test;
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -19,23 +19,23 @@
 /** The answers at the operators' address, byte for byte as the landed program gave them. */
 class AdminCompatibilityTest {
     /** A proxy whose figures are all known. */
-    private static final class Known implements Operated {
+    private static final class Known implements AdminOperations {
         @Override
         public boolean isReady() {
             return true;
         }
 
         @Override
-        public Tally.Figures figures() {
-            Tally tally = new Tally();
+        public ProxyMetrics.Figures figures() {
+            ProxyMetrics tally = new ProxyMetrics();
             tally.grades(List.of("read", "write"));
             tally.taken();
             tally.taken();
             tally.taken();
             tally.ended();
-            tally.replied("read", Tally.Reply.SUCCESS);
-            tally.replied("write", Tally.Reply.OVERLOAD);
-            tally.replied("write", Tally.Reply.ERROR);
+            tally.replied("read", ProxyMetrics.Reply.SUCCESS);
+            tally.replied("write", ProxyMetrics.Reply.OVERLOAD);
+            tally.replied("write", ProxyMetrics.Reply.ERROR);
             tally.dispatched();
             tally.targets(5, 2);
             tally.reloaded(true);
@@ -51,11 +51,11 @@
 
         @Override
         public String loop() {
-            LoopFigures figures = new LoopFigures();
-            for (LoopFigures.Kind kind : LoopFigures.Kind.values()) {
+            EventLoopMetrics figures = new EventLoopMetrics();
+            for (EventLoopMetrics.Kind kind : EventLoopMetrics.Kind.values()) {
                 figures.handles(kind, 0.25);
             }
-            figures.handles(LoopFigures.Kind.LIST, 0.5);
+            figures.handles(EventLoopMetrics.Kind.LIST, 0.5);
             figures.turned(0.125, 3, 1);
             return figures.json();
         }
@@ -75,7 +75,7 @@
     void answersAreTheSame() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         try {
-            Admin admin = new Admin(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
+            AdminServer admin = new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
             StringBuilder all = new StringBuilder();
             askAll(admin, all.append("before there is a proxy\n"));
             admin.operates(new Known());
@@ -86,7 +86,7 @@
         }
     }
 
-    private static void askAll(Admin admin, StringBuilder all) throws IOException {
+    private static void askAll(AdminServer admin, StringBuilder all) throws IOException {
         for (String path : List.of("health", "stats", "recovery", "loop", "quiesce", "resume", "nothing")) {
             for (String method : List.of("GET", "PUT")) {
                 String request = method + " /admin/" + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -96,7 +96,7 @@
         }
     }
 
-    private static String ask(Admin admin, String request) throws IOException {
+    private static String ask(AdminServer admin, String request) throws IOException {
         try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), admin.address().getPort())) {
             caller.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             ByteArrayOutputStream answer = new ByteArrayOutputStream();
--- a/src/test/java/lemondrift/serve/recovery/SnapshotFileTest.java
+++ b/src/test/java/lemondrift/serve/recovery/SnapshotFileTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.function.UnaryOperator;
-import lemondrift.recovery.Pace;
+import lemondrift.recovery.PeerPollBackoff;
 import lemondrift.recovery.Snapshot;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -24,11 +24,11 @@
         return folder.resolve("n1.snap");
     }
 
-    private static Comeback begins(Path folder, String name) {
-        return new Comeback(new Comeback.Plan(Pace.of(1), folder, 1), name, 0, 3, 0);
+    private static RecoveryCoordinator begins(Path folder, String name) {
+        return new RecoveryCoordinator(new RecoveryCoordinator.Plan(PeerPollBackoff.of(1), folder, 1), name, 0, 3, 0);
     }
 
-    private static long start(Comeback its) {
+    private static long start(RecoveryCoordinator its) {
         return Long.parseLong(its.told(0).replaceAll(".*\"start\":(\\d+).*", "$1"));
     }
 
@@ -44,7 +44,7 @@
         writesBoth();
         Files.write(file(), how.apply(Files.readAllBytes(file())));
         assertThrows(IOException.class, () -> SnapshotFile.read(file()));
-        try (Keeper keeper = new Keeper(folder, "n1")) {
+        try (SnapshotStore keeper = new SnapshotStore(folder, "n1")) {
             assertEquals(7, keeper.trusted().above());
         }
         assertFalse(Files.exists(file()), "set aside");
@@ -81,7 +81,7 @@
         Files.write(folder.resolve("n1.snap.new"), new byte[] {1, 2, 3});
         assertEquals(NEWER, SnapshotFile.read(file()), "before the new one is synced");
         Files.move(file(), SnapshotFile.before(file()), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
-        try (Keeper keeper = new Keeper(folder, "n1")) {
+        try (SnapshotStore keeper = new SnapshotStore(folder, "n1")) {
             assertEquals(8, keeper.trusted().above(), "between its two renames");
             assertTrue(keeper.keepNow(9, 0, 0));
         }
@@ -92,16 +92,16 @@
     void startNumbersRiseThoughTheClockGoesBackAndBothFilesAreBadOnlyWithIt() throws IOException {
         long ahead = System.currentTimeMillis() + 3_600_000;
         SnapshotFile.write(file(), new Snapshot("n1", "", ahead, ahead / 1e3, 0.2, 9));
-        try (Comeback its = begins(folder, "n1")) {
+        try (RecoveryCoordinator its = begins(folder, "n1")) {
             assertEquals(ahead + 1, start(its));
             assertEquals(ahead + 1, SnapshotFile.read(file()).start(), "kept before any word");
         }
-        try (Comeback its = begins(folder, "n1")) {
+        try (RecoveryCoordinator its = begins(folder, "n1")) {
             assertEquals(ahead + 2, start(its));
         }
         Files.write(file(), new byte[0]);
         Files.write(SnapshotFile.before(file()), new byte[0]);
-        try (Comeback its = begins(folder, "n1")) {
+        try (RecoveryCoordinator its = begins(folder, "n1")) {
             assertTrue(start(its) <= System.currentTimeMillis());
         }
     }
@@ -109,7 +109,7 @@
     @Test
     void oneCopiedFromAnotherProxyIsNotUsed() throws IOException {
         SnapshotFile.write(folder.resolve("n2.snap"), NEWER);
-        try (Keeper keeper = new Keeper(folder, "n2")) {
+        try (SnapshotStore keeper = new SnapshotStore(folder, "n2")) {
             assertEquals(0, keeper.trusted().above());
             assertTrue(keeper.trusted().why().contains("n1"));
         }
@@ -118,10 +118,10 @@
     @Test
     void aFolderThatCantBeWrittenToCostsNoStart() throws IOException {
         Path none = Files.write(folder.resolve("no-folder"), new byte[0]);
-        try (Keeper keeper = new Keeper(none, "n1")) {
+        try (SnapshotStore keeper = new SnapshotStore(none, "n1")) {
             assertFalse(keeper.keepNow(1, 0, 0));
         }
-        try (Comeback its = begins(none, "n1")) {
+        try (RecoveryCoordinator its = begins(none, "n1")) {
             assertTrue(start(its) > 0);
         }
     }
--- a/src/test/java/lemondrift/settings/GradesTest.java
+++ b/src/test/java/lemondrift/settings/GradesTest.java
@@ -5,9 +5,9 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.stream.Stream;
-import lemondrift.model.Effect;
-import lemondrift.model.Group;
-import lemondrift.model.ServiceGrade;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.Idempotency;
+import lemondrift.model.RequestClass;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -16,20 +16,20 @@
 import org.junit.jupiter.api.Test;
 
 class GradesTest {
-    private static ServiceGrade grade(Effect effect, double benefit) {
-        return new ServiceGrade(benefit, 0, 1, 2, effect, Group.ALL, 0);
+    private static RequestClass grade(Idempotency effect, double benefit) {
+        return new RequestClass(benefit, 0, 1, 2, effect, DeduplicationScope.ALL, 0);
     }
 
-    private static final ServiceGrade PURE = grade(Effect.PURE, 1), ONCE = grade(Effect.EFFECTFUL, 2);
+    private static final RequestClass PURE = grade(Idempotency.PURE, 1), ONCE = grade(Idempotency.EFFECTFUL, 2);
 
-    private static Grades retuned(Grades old, boolean open, String... names) {
+    private static RequestClassIndex retuned(RequestClassIndex old, boolean open, String... names) {
         return old.retuned(List.of(names), Collections.nCopies(names.length, PURE), i -> open);
     }
 
     @Test
     void aClassKeepsItsIndexWhereverItStands() {
-        Grades first = new Grades(List.of("a", "b"), List.of(PURE, PURE));
-        Grades next = first.retuned(List.of("c", "b"), List.of(PURE, grade(Effect.PURE, 7)), i -> false);
+        RequestClassIndex first = new RequestClassIndex(List.of("a", "b"), List.of(PURE, PURE));
+        RequestClassIndex next = first.retuned(List.of("c", "b"), List.of(PURE, grade(Idempotency.PURE, 7)), i -> false);
         assertEquals(1, next.index("b"));
         assertEquals(7, next.indexed().get(1).benefit(), "what comes has what is stated now");
         assertEquals(2, next.index("c"), "an index dropped just now may still be on its way");
@@ -43,7 +43,7 @@
 
     @Test
     void anotherEffectIsAnotherClass() {
-        Grades next = new Grades(List.of("a"), List.of(PURE)).retuned(List.of("a"), List.of(ONCE),
+        RequestClassIndex next = new RequestClassIndex(List.of("a"), List.of(PURE)).retuned(List.of("a"), List.of(ONCE),
                 i -> false);
         assertEquals(1, next.index("a"));
         assertNull(next.indexed().get(0));
@@ -51,7 +51,7 @@
 
     @Test
     void othersOfTheSameNamesStandUnderTheSameIndexes() {
-        Grades next = new Grades(List.of("a", "b"), List.of(PURE, PURE)).retuned(List.of("b"), List.of(PURE),
+        RequestClassIndex next = new RequestClassIndex(List.of("a", "b"), List.of(PURE, PURE)).retuned(List.of("b"), List.of(PURE),
                 i -> false);
         assertEquals(Stream.of(null, ONCE).toList(), next.indexed(List.of(ONCE)));
     }
@@ -60,9 +60,9 @@
     @Property(tries = 200, seed = "48")
     void indexesAreBoundedAndTellNamesApart(@ForAll @Size(min = 1, max = 40) List<@Size(min = 1, max = 5)
             @UniqueElements List<@IntRange(max = 7) Integer>> retunes) {
-        Grades grades = new Grades(List.of("0"), List.of(PURE));
+        RequestClassIndex grades = new RequestClassIndex(List.of("0"), List.of(PURE));
         for (List<Integer> each : retunes) {
-            Grades old = grades;
+            RequestClassIndex old = grades;
             grades = retuned(old, false, each.stream().map(String::valueOf).toArray(String[]::new));
             for (int name : each) {
                 int at = grades.index("" + name);
--- a/src/test/java/lemondrift/settings/SettingsReaderTest.java
+++ b/src/test/java/lemondrift/settings/SettingsReaderTest.java
@@ -27,7 +27,7 @@
                 + "siblings=0 siblings=-3 zone=2 invariants.coldFrom=1.5 invariants.coldFrom=0 "
                 + "limits.probes=2 serviceGrades.0.contractTime=0 serviceGrades.0.effect=sometimes "
                 + "serviceGrades.0.group=some").split(" ")) {
-            BadInput e = assertThrows(BadInput.class, () -> SettingsReader.read(TEXT + line + "\n"), line);
+            InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> SettingsReader.read(TEXT + line + "\n"), line);
             String key = line.substring(0, line.indexOf('='));
             assertTrue(e.getMessage().startsWith("setting " + key + ": "), e.getMessage());
             assertFalse(e.getMessage().contains("\n"));
