--- a/src/test/java/lemondrift/RulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -14,30 +14,30 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** A slow, plain model of the four rules beside the module on generated days. */
-class RulesTest {
+class FourRulesTest {
     /** The work of each exchange; answers never take less. */
     private static final double WORK = 0.1;
-    private static final RequestClass[] GRADES = {World.PURE, World.MARKED, World.ONCE, World.CELLS};
+    private static final RequestClass[] GRADES = {TestDeployment.PURE, TestDeployment.MARKED, TestDeployment.ONCE, TestDeployment.CELLS};
 
     private final Map<Request, List<Attempt>> made = new HashMap<>();
     private final Map<Attempt, AttemptOutcome> outcomes = new HashMap<>();
     private final Map<Request, Integer> answered = new HashMap<>();
     private final Map<Integer, EndpointUpdate> told = new HashMap<>();
     private final List<Attempt> open = new ArrayList<>();
-    private World w;
+    private TestDeployment w;
     private Request latest;
 
     @Property(tries = 150, seed = "20261201")
     void theModuleKeepsTheRules(@ForAll long seed, @ForAll @IntRange(min = 1, max = 7) int backends,
             @ForAll boolean byProbe, @ForAll @IntRange(min = 1, max = 40) int pace) {
         Random chance = new Random(seed);
-        w = new World(World.settings(3, chance.nextBoolean(), byProbe ? World.PROBES : World.ANSWERS,
+        w = new TestDeployment(TestDeployment.settings(3, chance.nextBoolean(), byProbe ? TestDeployment.PROBES : TestDeployment.ANSWERS,
                 byProbe), 7);
         w.watcher = this::check;
         List.of(made, outcomes, answered, told).forEach(Map::clear);
         open.clear();
-        World.lines(backends).forEach(line -> told.put(line.backend(), line));
-        w.list(true, true, World.lines(backends));
+        TestDeployment.lines(backends).forEach(line -> told.put(line.backend(), line));
+        w.list(true, true, TestDeployment.lines(backends));
         for (int step = 0; step < 300; step++) {
             w.loads.put(chance.nextInt(backends), chance.nextInt(4) == 0 ? null
                     : new double[] {chance.nextDouble(), chance.nextInt(4)});
@@ -56,8 +56,8 @@
             @ForAll @IntRange(min = 1, max = 4) int aSecond) {
         List<Double> sent = new ArrayList<>();
         for (int i = 0; i < proxies; i++) {
-            World each = new World(World.settings(proxies, false, World.ANSWERS, true), i);
-            each.list(true, i % 2 == 0, List.of(World.line(0, EndpointUpdate.State.READY, each.now)));
+            TestDeployment each = new TestDeployment(TestDeployment.settings(proxies, false, TestDeployment.ANSWERS, true), i);
+            each.list(true, i % 2 == 0, List.of(TestDeployment.line(0, EndpointUpdate.State.READY, each.now)));
             for (double at = 0.5 / aSecond; at < 6; at += 1.0 / aSecond) {
                 each.wakeUntil(100 + at);
                 Attempt f = each.arrive(0);
@@ -68,10 +68,10 @@
             }
         }
         for (double from = 0; from < 4; from += 0.25) {
-            double start = from, end = from + World.RULES.fallWindow();
+            double start = from, end = from + TestDeployment.RULES.fallWindow();
             long count = sent.stream().filter(at -> at >= start && at < end).count();
-            double share = World.RULES.coldFrom() + (1 - World.RULES.coldFrom()) * from / World.RULES.cold();
-            double bearable = World.RULES.fallMultiple() * share * World.RULES.fallWindow();
+            double share = TestDeployment.RULES.coldFrom() + (1 - TestDeployment.RULES.coldFrom()) * from / TestDeployment.RULES.cold();
+            double bearable = TestDeployment.RULES.fallMultiple() * share * TestDeployment.RULES.fallWindow();
             assertTrue(count * WORK <= bearable + WORK, count + " from " + from);
         }
     }
@@ -91,7 +91,7 @@
         } else if (kind < 18) {
             int i = chance.nextInt(backends + 2);
             EndpointUpdate.State state = EndpointUpdate.State.values()[chance.nextInt(3)];
-            told.put(i, World.line(i, state, chance.nextBoolean() ? w.now : 0));
+            told.put(i, TestDeployment.line(i, state, chance.nextBoolean() ? w.now : 0));
             w.list(false, false, List.of(told.get(i)));
         } else if (kind == 18) {
             w.did(w.balancer.probeEnded(w.now, chance.nextInt(backends), AttemptOutcome.values()[chance.nextInt(8)],
@@ -153,14 +153,14 @@
     /** All that was sent to a backend within the window up to now, since it started. */
     private double work(int i) {
         return WORK * made.values().stream().flatMap(List::stream).filter(f -> f.backend == i
-                && f.sent > w.now - World.RULES.fallWindow() && f.sent >= told.get(i).started()).count();
+                && f.sent > w.now - TestDeployment.RULES.fallWindow() && f.sent >= told.get(i).started()).count();
     }
 
     /** This proxy's part of what a cold backend bears in one window; without bound where it is warm. */
     private double budget(int i) {
-        double age = (w.now - told.get(i).started()) / World.RULES.cold();
-        double share = World.RULES.coldFrom() + (1 - World.RULES.coldFrom()) * age;
+        double age = (w.now - told.get(i).started()) / TestDeployment.RULES.cold();
+        double share = TestDeployment.RULES.coldFrom() + (1 - TestDeployment.RULES.coldFrom()) * age;
         return told.get(i).started() == 0 || age >= 1 ? Double.POSITIVE_INFINITY
-                : World.RULES.fallMultiple() * share * World.RULES.fallWindow() / 3;
+                : TestDeployment.RULES.fallMultiple() * share * TestDeployment.RULES.fallWindow() / 3;
     }
 }
--- a/src/test/java/lemondrift/DecisionsTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Each danger that the module names, on the module alone. */
-class DecisionsTest {
+class LoadBalancerTest {
     private static final int PURE = 0;
     private static final int MARKED = 1;
     private static final int ONCE = 2;
 
-    private static double share(World w, int backend, int of) {
+    private static double share(TestDeployment w, int backend, int of) {
         int hits = 0;
         for (int i = 0; i < of; i++) {
             Attempt f = w.arrive(PURE);
@@ -24,7 +24,7 @@
     }
 
     /** The backends that so many exchanges go to, one every so many seconds, each delivered at once. */
-    private static Set<Integer> used(World w, int exchanges, double apart) {
+    private static Set<Integer> used(TestDeployment w, int exchanges, double apart) {
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < exchanges; i++) {
             w.wakeUntil(w.now + apart);
@@ -37,14 +37,14 @@
 
     @Test
     void theLeastEstimateWinsUntilOwnSendsRaiseIt() {
-        World w = World.of(3).load(0.8, 0.1, 0.8);
+        TestDeployment w = TestDeployment.of(3).load(0.8, 0.1, 0.8);
         assertEquals(1, w.arrive(PURE).backend);
         assertTrue(share(w, 1, 9) < 1, "own sends raise the estimate");
     }
 
     @Test
     void aReportOverwritesTheEstimateAndClearsTheSends() {
-        World w = World.of(2).load(0.5, 0.6);
+        TestDeployment w = TestDeployment.of(2).load(0.5, 0.6);
         Attempt f = w.arrive(ONCE);
         assertEquals(0, f.backend);
         assertEquals(1, w.arrive(ONCE).backend);
@@ -54,8 +54,8 @@
 
     @Test
     void anAnswersReportDoesNotCountTheExchangeItAnswers() {
-        World w = new World(World.settings(14, false, new Settings.Reports(true, 0, 1, true, -1), false), 7);
-        w.list(true, false, World.lines(2));
+        TestDeployment w = new TestDeployment(TestDeployment.settings(14, false, new Settings.Reports(true, 0, 1, true, -1), false), 7);
+        w.list(true, false, TestDeployment.lines(2));
         Attempt first = w.arrive(ONCE), second = w.arrive(ONCE);
         w.now += 0.1;
         w.end(first, AttemptOutcome.DELIVERED, 0.5, 1);
@@ -66,9 +66,9 @@
 
     @Test
     void whatOthersHaveOutCountsLikeOwnAndNeverWarmsACold() {
-        World w = new World(World.settings(14, false, World.ANSWERS, false), 7);
-        w.list(true, false, List.of(World.line(0, EndpointUpdate.State.READY, 0),
-                World.line(1, EndpointUpdate.State.READY, 0), World.line(2, EndpointUpdate.State.READY, w.now)));
+        TestDeployment w = new TestDeployment(TestDeployment.settings(14, false, TestDeployment.ANSWERS, false), 7);
+        w.list(true, false, List.of(TestDeployment.line(0, EndpointUpdate.State.READY, 0),
+                TestDeployment.line(1, EndpointUpdate.State.READY, 0), TestDeployment.line(2, EndpointUpdate.State.READY, w.now)));
         w.balancer.othersHold(0, 3);
         w.balancer.othersHold(2, 0);
         w.balancer.othersHeard(true);
@@ -83,22 +83,22 @@
 
     @Test
     void exchangesHeldSeparateWhereUtilisationsSaturate() {
-        World w = World.of(2).load(0.9, 1);
+        TestDeployment w = TestDeployment.of(2).load(0.9, 1);
         w.loads.put(0, new double[] {0.9, 2});
         assertEquals(1, w.arrive(ONCE).backend);
     }
 
     @Test
     void crossingIsPaidForByBenefit() {
-        World w = World.of(2).load(0.5, 0.4);
+        TestDeployment w = TestDeployment.of(2).load(0.5, 0.4);
         assertEquals(0, w.arrive(PURE).backend, "a low benefit stays in its location");
-        w = World.of(2).load(0.5, 0.4);
+        w = TestDeployment.of(2).load(0.5, 0.4);
         assertEquals(1, w.arrive(ONCE).backend, "a high benefit crosses for the lower utilisation");
     }
 
     @Test
     void reportsThatAreOldAreRenewedBeforeAPick() {
-        World w = World.of(9).load(1, 1, 1, 1, 1, 1, 1, 1, 1);
+        TestDeployment w = TestDeployment.of(9).load(1, 1, 1, 1, 1, 1, 1, 1, 1);
         w.loads.put(7, new double[] {0, 0});
         w.loads.put(8, null);
         assertNull(w.arrive(ONCE), "kept while one has not answered");
@@ -111,7 +111,7 @@
 
     @Test
     void theSilentAreNotPickedThoughTheyLookIdle() {
-        World w = World.of(2).load(0.9);
+        TestDeployment w = TestDeployment.of(2).load(0.9);
         w.loads.put(1, null);
         for (int i = 0; i < 20; i++) {
             w.arrive(ONCE);
@@ -122,19 +122,19 @@
 
     @Test
     void aLargeFleetIsUsedInPartAndThePartChangesFromTimeToTime() {
-        World w = World.of(60);
+        TestDeployment w = TestDeployment.of(60);
         assertTrue(used(w, 30, 0.01).size() <= 9, "a part");
         int many = used(w, 300, 1).size();
         assertTrue(many > 9, many + " by exchanging one at a time");
-        Set<Integer> one = used(World.of(60), 30, 0.01);
-        World other = new World(World.settings(3, false, World.ANSWERS, true), 8);
-        other.list(true, false, World.lines(60));
+        Set<Integer> one = used(TestDeployment.of(60), 30, 0.01);
+        TestDeployment other = new TestDeployment(TestDeployment.settings(3, false, TestDeployment.ANSWERS, true), 8);
+        other.list(true, false, TestDeployment.lines(60));
         assertNotEquals(one, used(other, 30, 0.01), "each proxy draws its own");
     }
 
     @Test
     void aPartNeverShedsWhatOthersCouldTake() {
-        World w = World.of(60);
+        TestDeployment w = TestDeployment.of(60);
         for (int i = 0; i < 60; i++) {
             w.loads.put(i, new double[] {1, i == 41 ? 0 : 40});
         }
@@ -148,16 +148,16 @@
             }
         }
         assertTrue(taken > 8, taken + " taken by the one that is idle");
-        World gone = World.of(60);
+        TestDeployment gone = TestDeployment.of(60);
         Set<Integer> used = used(gone, 30, 0.01);
-        gone.list(false, false, used.stream().map(i -> World.line(i, EndpointUpdate.State.DRAINING, 0)).toList());
+        gone.list(false, false, used.stream().map(i -> TestDeployment.line(i, EndpointUpdate.State.DRAINING, 0)).toList());
         assertTrue(used(gone, 30, 0.01).stream().noneMatch(used::contains), "replaced at once");
     }
 
     @Test
     void withoutProbesExchangesGoOutAtOnce() {
-        World w = new World(World.settings(400, false, World.ANSWERS, false), 7);
-        w.list(true, false, World.lines(60));
+        TestDeployment w = new TestDeployment(TestDeployment.settings(400, false, TestDeployment.ANSWERS, false), 7);
+        w.list(true, false, TestDeployment.lines(60));
         int many = used(w, 40, 0.5).size();
         assertTrue(many > 3, many + " used");
         assertTrue(w.probes.isEmpty());
@@ -165,7 +165,7 @@
 
     @Test
     void anErrorsReportDrawsNoTraffic() {
-        World w = World.of(3).load(0.5, 0.9, 0.2);
+        TestDeployment w = TestDeployment.of(3).load(0.5, 0.9, 0.2);
         Attempt f = w.arrive(ONCE);
         assertEquals(2, f.backend);
         w.end(f, AttemptOutcome.ERROR, 0, 0);
@@ -174,7 +174,7 @@
 
     @Test
     void badOutcomesSuspendAndATrialRestores() {
-        World w = World.of(4);
+        TestDeployment w = TestDeployment.of(4);
         int bad = 0;
         for (int i = 0; i < 200; i++) {
             Attempt f = w.arrive(PURE);
@@ -191,7 +191,7 @@
 
     @Test
     void anIndexThatPassesOnCarriesNothingOver() {
-        World w = World.of(2).load(0.9, 0);
+        TestDeployment w = TestDeployment.of(2).load(0.9, 0);
         for (int i = 0; i < 20; i++) {
             Attempt f = w.arrive(PURE);
             w.end(f, f.backend == 1 ? AttemptOutcome.RESET : AttemptOutcome.DELIVERED, 0.9, 0);
@@ -203,7 +203,7 @@
 
     @Test
     void oneThatFailsOneGradeAloneTakesTheOthers() {
-        World w = World.of(4);
+        TestDeployment w = TestDeployment.of(4);
         int[] bad = new int[4], good = new int[4];
         for (int i = 0; i < 400; i++) {
             int grade = i % 4 == 0 ? ONCE : PURE;
@@ -220,7 +220,7 @@
 
     @Test
     void aSharedFaultSuspendsAtMostHalf() {
-        World w = World.of(4);
+        TestDeployment w = TestDeployment.of(4);
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             Attempt f = w.arrive(ONCE);
@@ -234,27 +234,27 @@
 
     @Test
     void aColdBackendIsNotPushedOverByAShareOfTheProxies() {
-        World w = World.of(2).load(0.9, 0.9);
-        w.list(false, false, List.of(World.line(2, EndpointUpdate.State.READY, w.now)));
+        TestDeployment w = TestDeployment.of(2).load(0.9, 0.9);
+        w.list(false, false, List.of(TestDeployment.line(2, EndpointUpdate.State.READY, w.now)));
         assertTrue(share(w, 2, 30) <= 0.1, "its near-zero load draws no more than its allowance");
     }
 
     @Test
     void aDrainingBackendGetsNothingNew() {
-        World w = World.of(2);
-        w.list(false, false, List.of(World.line(0, EndpointUpdate.State.DRAINING, 0)));
+        TestDeployment w = TestDeployment.of(2);
+        w.list(false, false, List.of(TestDeployment.line(0, EndpointUpdate.State.DRAINING, 0)));
         assertEquals(0, share(w, 0, 4));
     }
 
     @Test
     void provenOutcomesAreForwardedAgainAndOthersByGrade() {
         for (AttemptOutcome proof : List.of(AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MOOT)) {
-            World w = World.of(2);
+            TestDeployment w = TestDeployment.of(2);
             Attempt f = w.arrive(ONCE);
             assertEquals(1 - f.backend, w.end(f, proof).backend);
         }
         for (AttemptOutcome doubt : List.of(AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)) {
-            World w = World.of(60);
+            TestDeployment w = TestDeployment.of(60);
             assertNull(w.end(w.arrive(ONCE), doubt));
             assertFalse(w.answers.get(0).shed(), "no promise where it may have run");
             Attempt f = w.arrive(MARKED);
@@ -268,7 +268,7 @@
 
     @Test
     void forwardsAreBoundedByALimitAndABudget() {
-        World w = World.of(8);
+        TestDeployment w = TestDeployment.of(8);
         int sent = 0;
         for (int i = 0; i < 40; i++) {
             for (Attempt f = w.arrive(PURE); f != null; f = w.end(f, AttemptOutcome.FULL)) {
@@ -282,7 +282,7 @@
 
     @Test
     void whatCannotBeAnsweredInTimeIsShedAtOnceWithATimeToComeBack() {
-        World w = World.of(2);
+        TestDeployment w = TestDeployment.of(2);
         w.loads.put(0, new double[] {1, 9});
         w.loads.put(1, new double[] {1, 9});
         assertNull(w.arrive(PURE));
@@ -295,7 +295,7 @@
 
     @Test
     void theWordIsWhatWouldBeShedAndAskingChangesNothing() {
-        World w = World.of(2);
+        TestDeployment w = TestDeployment.of(2);
         assertEquals(0, w.balancer.word(w.now, PURE).leastLeft(), "nothing is shed of an idle fleet");
         w.loads.put(0, new double[] {1, 9});
         w.loads.put(1, new double[] {1, 9});
@@ -307,12 +307,12 @@
                 "the least benefit goes first");
         w.list(true, false, List.of());
         assertEquals(Double.POSITIVE_INFINITY, w.balancer.word(w.now, ONCE).leastLeft());
-        World asked = World.of(20), other = World.of(20);
+        TestDeployment asked = TestDeployment.of(20), other = TestDeployment.of(20);
         for (int k = 0; k < 200; k++) {
             asked.balancer.word(asked.now, k % 4);
             Attempt f = asked.arrive(k % 4), same = other.arrive(k % 4);
             assertEquals(f == null ? -1 : f.backend, same == null ? -1 : same.backend);
-            for (World each : List.of(asked, other)) {
+            for (TestDeployment each : List.of(asked, other)) {
                 if (k % 3 == 0 && f != null) {
                     each.end(each == asked ? f : same, AttemptOutcome.DELIVERED, k % 10 / 10.0, 0);
                 }
@@ -325,7 +325,7 @@
 
     @Test
     void whereAllTurnSlowOnlyTheIdleAreUsed() {
-        World w = World.of(1);
+        TestDeployment w = TestDeployment.of(1);
         w.loads.put(0, new double[] {1, 1});
         assertNotNull(w.arrive(PURE), "one ahead is a short wait");
         w.load(0);
@@ -342,7 +342,7 @@
 
     @Test
     void everyExchangeIsAnsweredByItsExpiryAndTheClientsLeavingCancels() {
-        World w = World.of(2);
+        TestDeployment w = TestDeployment.of(2);
         Attempt f = w.arrive(ONCE);
         w.wakeUntil(f.exchange.expiry);
         assertEquals(1, w.answers.size());
@@ -355,7 +355,7 @@
 
     @Test
     void aRetryWhoseFirstTrysContractTimeIsOverIsShedAtOnce() {
-        World w = World.of(2);
+        TestDeployment w = TestDeployment.of(2);
         assertNotNull(w.arrive(ONCE));
         w.did(w.balancer.exchangeArrived(w.now, new Request(9, ONCE, 0, w.now, 0.9)));
         assertEquals(1, w.sends.size());
@@ -364,7 +364,7 @@
 
     @Test
     void anOddTryWithMoreTimeDoesNotMakeRetriesOfAllThatFollow() {
-        World w = World.of(2);
+        TestDeployment w = TestDeployment.of(2);
         w.did(w.balancer.exchangeArrived(w.now, new Request(9, ONCE, 0, w.now, 9)));
         int sent = 0;
         for (int i = 0; i < 20; i++) {
@@ -379,8 +379,8 @@
 
     @Test
     void aMarkedRetryWithMoreTimeMakesNoRetriesOfFirstTries() {
-        World w = new World(World.marked(World.settings(3, false, World.ANSWERS, true)), 7);
-        w.list(true, false, World.lines(2));
+        TestDeployment w = new TestDeployment(TestDeployment.marked(TestDeployment.settings(3, false, TestDeployment.ANSWERS, true)), 7);
+        w.list(true, false, TestDeployment.lines(2));
         for (int i = 0; i < 20; i++) {
             w.did(w.balancer.exchangeArrived(w.now, new Request(2 * i, ONCE, 0, w.now, 0.9)));
             w.did(w.balancer.exchangeArrived(w.now, new Request(2 * i + 1, ONCE, 0, w.now, 1.9, true)));
@@ -395,7 +395,7 @@
 
     @Test
     void aBegunStreamHasNoExpiry() {
-        World w = World.of(1);
+        TestDeployment w = TestDeployment.of(1);
         Attempt f = w.arrive(ONCE);
         w.did(w.balancer.answerBegun(w.now, f));
         w.wakeUntil(w.now + 9);
@@ -404,8 +404,8 @@
 
     @Test
     void theListIsFollowedAndAskedForAgain() {
-        World w = new World(World.settings(3, true, World.PROBES, true), 7);
-        w.list(true, true, World.lines(3));
+        TestDeployment w = new TestDeployment(TestDeployment.settings(3, true, TestDeployment.PROBES, true), 7);
+        w.list(true, true, TestDeployment.lines(3));
         assertEquals(List.of(Decision.ListCall.WATCH), w.listCalls);
         w.did(w.balancer.listFailed(w.now));
         w.wakeUntil(w.now + 3);
--- a/src/test/java/lemondrift/ShadowTest.java
+++ b/src/test/java/lemondrift/ShadowEvaluatorTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Watching: what is done stays as it is, and what would be done otherwise is counted by kind. */
-class ShadowTest {
+class ShadowEvaluatorTest {
     private static Settings settings(double crossing, int forwards, boolean probes) {
-        Settings s = World.settings(3, false, World.ANSWERS, probes);
+        Settings s = TestDeployment.settings(3, false, TestDeployment.ANSWERS, probes);
         return new Settings(3, 2, 0, false, s.grades(), s.tenantQuota(), 1, false, s.reports(),
                 new Settings.Limits(true, probes, forwards, 0.5), s.rules(),
                 new Settings.Charges(crossing, 0.001));
@@ -20,10 +20,10 @@
 
     /** Plays a day of chance; what was done, as text. */
     private static String play(Settings settings, ShadowEvaluator shadow, boolean sound) {
-        World w = new World(settings, 7, shadow);
+        TestDeployment w = new TestDeployment(settings, 7, shadow);
         Random chance = new Random(11);
         List<Attempt> open = new ArrayList<>();
-        w.list(true, false, World.lines(6));
+        w.list(true, false, TestDeployment.lines(6));
         for (int event = 0; event < 3000; event++) {
             w.load(chance.doubles(6).toArray()).wakeUntil(w.now + 0.004 * chance.nextDouble());
             int kind = chance.nextInt(10), before = w.sends.size();
--- a/src/test/java/lemondrift/DrillTest.java
+++ b/src/test/java/lemondrift/SimulatorAdapterTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter, byte for byte. */
-class DrillTest {
+class SimulatorAdapterTest {
     private static final String LIST = "0b 1d000000 00 01000000 0a124a07 931f 0000 00 0000 01 0000803f"
             + " 0000000000000000";
     private static final String CACHED = "02 0e000000 03000000 00 02 2900000000000000";
@@ -38,15 +38,15 @@
 
     @Test
     void anEmptyBatchGetsAnEmptyReplyAndTheEndBetweenFramesIsGood() {
-        assertEquals(0, run(World.batch(0)));
-        assertArrayEquals(World.hex("04000000 00000000"), out.toByteArray());
+        assertEquals(0, run(TestDeployment.batch(0)));
+        assertArrayEquals(TestDeployment.hex("04000000 00000000"), out.toByteArray());
     }
 
     @Test
     void anArrivalIsSentAndItsDeliveryEndsIt() {
         String ok = "05 1f000000 03000000 c4913a5d5a520000 00 0a124a07 931f 0100 0000000000803240 01 00";
-        assertEquals(0, run(World.batch(4, World.born(3), LIST, CACHED, ARRIVAL), World.batch(1, ok)));
-        byte[] send = World.hex(SEND);
+        assertEquals(0, run(TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL), TestDeployment.batch(1, ok)));
+        byte[] send = TestDeployment.hex(SEND);
         assertArrayEquals(send, Arrays.copyOfRange(out.toByteArray(), 8, 8 + send.length));
         assertEquals(240, replies().getDouble(8 + send.length), 1e-6, "the time-out in ms");
         assertEquals(2, replies().getInt(4), "the send and the safe alarm");
@@ -58,38 +58,38 @@
         String bell = "07 0c000000 03000000 4d00000000000000";
         String vanished = "06 0c000000 05000000 192b6f0ecc230400";
         String unknown = "63 03000000 010203";
-        assertEquals(0, run(World.batch(5, World.born(3), World.born(5), bell, vanished, unknown)));
+        assertEquals(0, run(TestDeployment.batch(5, TestDeployment.born(3), TestDeployment.born(5), bell, vanished, unknown)));
         assertEquals(0, replies().getInt(4));
     }
 
     @Test
     void aCrashForgetsAndASecondBirthInTheSameBatchStartsEmpty() {
-        assertEquals(0, run(World.batch(4, World.born(3), LIST, CACHED, ARRIVAL),
-                World.batch(4, "0a 04000000 03000000", World.born(3), CACHED, ARRIVAL)));
+        assertEquals(0, run(TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL),
+                TestDeployment.batch(4, "0a 04000000 03000000", TestDeployment.born(3), CACHED, ARRIVAL)));
         int second = 4 + replies().getInt(0);
         assertEquals(2, replies().getInt(second + 4), "the same id is a new exchange, sent anew");
     }
 
     @Test
     void anInstanceActsAlikeWhateverElseItsProcessHosts() {
-        run(World.batch(4, World.born(3), LIST, CACHED, ARRIVAL));
+        run(TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL));
         byte[] alone = out.toByteArray();
         out.reset();
-        run(World.batch(5, World.born(9), World.born(3), LIST, CACHED, ARRIVAL));
+        run(TestDeployment.batch(5, TestDeployment.born(9), TestDeployment.born(3), LIST, CACHED, ARRIVAL));
         assertArrayEquals(alone, out.toByteArray());
     }
 
     @Test
     void badInputGetsOnePlainLineAndAnExitCode() {
-        byte[] whole = World.batch(1, "07 0c000000 03000000 4d00000000000000");
+        byte[] whole = TestDeployment.batch(1, "07 0c000000 03000000 4d00000000000000");
         bad("ends after 20 of", Arrays.copyOf(whole, 24));
         bad("ends after 2 of 4", Arrays.copyOf(whole, 2));
-        bad("has length 99", World.batch(1, "07 63000000 03000000"));
-        bad("too short", World.batch(2, World.born(3), "03 04000000 03000000"));
-        bad("cut short", World.batch(2, "07 0c000000 03000000 4d00000000000000"));
+        bad("has length 99", TestDeployment.batch(1, "07 63000000 03000000"));
+        bad("too short", TestDeployment.batch(2, TestDeployment.born(3), "03 04000000 03000000"));
+        bad("cut short", TestDeployment.batch(2, "07 0c000000 03000000 4d00000000000000"));
         String key = "serviceGrades.0.contractTime";
-        bad(key + ": missing", World.batch(1, World.born(3, key)));
-        bad("list 0 was never defined", World.batch(2, World.born(3), CACHED));
+        bad(key + ": missing", TestDeployment.batch(1, TestDeployment.born(3, key)));
+        bad("list 0 was never defined", TestDeployment.batch(2, TestDeployment.born(3), CACHED));
     }
 
     private void bad(String message, byte[] frames) {
--- a/src/test/java/lemondrift/World.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -13,7 +13,7 @@
 import lemondrift.shadow.ShadowEvaluator;
 
 /** One proxy's decisions in a small made-up deployment, and frames built by hand. */
-final class World {
+final class TestDeployment {
     static final RequestClass PURE = new RequestClass(1, 0, 1, 2, Idempotency.PURE, DeduplicationScope.ALL, 0);
     static final RequestClass MARKED = new RequestClass(4, 0, 1, 2, Idempotency.RECEIPTED, DeduplicationScope.LOCATION, 0.5);
     static final RequestClass ONCE = new RequestClass(8, 0, 1, 2, Idempotency.EFFECTFUL, DeduplicationScope.ALL, 0);
@@ -35,12 +35,12 @@
     Consumer<Decision> watcher = turn -> { };
     private final ShadowEvaluator shadow;
 
-    World(Settings settings, long seed) {
+    TestDeployment(Settings settings, long seed) {
         this(settings, seed, null);
     }
 
     /** One that is watched, where the shadow is not null. */
-    World(Settings settings, long seed, ShadowEvaluator shadow) {
+    TestDeployment(Settings settings, long seed, ShadowEvaluator shadow) {
         balancer = new LoadBalancer(settings, seed);
         this.shadow = shadow;
     }
@@ -51,8 +51,8 @@
         }
     }
 
-    static World of(int backends) {
-        World world = new World(settings(3, false, ANSWERS, true), 7);
+    static TestDeployment of(int backends) {
+        TestDeployment world = new TestDeployment(settings(3, false, ANSWERS, true), 7);
         world.list(true, false, lines(backends));
         return world;
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    World load(double... utilisation) {
+    TestDeployment load(double... utilisation) {
         for (int i = 0; i < utilisation.length; i++) {
             loads.put(i, new double[] {utilisation[i], 0});
         }
--- a/src/test/java/lemondrift/ThinProxyTest.java
+++ b/src/test/java/lemondrift/ThinProxyTest.java
@@ -14,9 +14,9 @@
 class ThinProxyTest {
     private static final int PURE = 0, ONCE = 2;
 
-    private static World world(boolean sizes, EndpointUpdate... lines) {
-        Settings s = World.settings(70, false, World.ANSWERS, false);
-        World w = new World(new Settings(s.balancers(), s.locations(), s.location(), s.listOnRequest(),
+    private static TestDeployment world(boolean sizes, EndpointUpdate... lines) {
+        Settings s = TestDeployment.settings(70, false, TestDeployment.ANSWERS, false);
+        TestDeployment w = new TestDeployment(new Settings(s.balancers(), s.locations(), s.location(), s.listOnRequest(),
                 s.grades(), s.tenantQuota(), s.excessBenefit(), s.marksRetries(), s.reports(), s.limits(),
                 s.rules(), s.charges(), sizes), 7);
         w.list(true, false, List.of(lines));
@@ -24,19 +24,19 @@
     }
 
     /** One that has been told the same reports again for some windows. */
-    private static World old(int backends) {
-        World w = world(false, World.lines(backends).toArray(new EndpointUpdate[0]));
+    private static TestDeployment old(int backends) {
+        TestDeployment w = world(false, TestDeployment.lines(backends).toArray(new EndpointUpdate[0]));
         to(w, ONCE, 20 * backends, 0.1, i -> AttemptOutcome.DELIVERED);
         return w;
     }
 
     /** How many go to each backend; each ends after 0.01 s as told, its report the same as ever. */
-    private static int[] to(World w, int grade, int exchanges, double apart,
+    private static int[] to(TestDeployment w, int grade, int exchanges, double apart,
             Function<Integer, AttemptOutcome> ends) {
         return to(w, grade, exchanges, apart, 0.01, ends);
     }
 
-    private static int[] to(World w, int grade, int exchanges, double apart, double took,
+    private static int[] to(TestDeployment w, int grade, int exchanges, double apart, double took,
             Function<Integer, AttemptOutcome> ends) {
         int[] hits = new int[60];
         for (int n = 0; n < exchanges; n++) {
@@ -55,7 +55,7 @@
         for (double none : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
             assertEquals(1, new EndpointUpdate(0, false, 0, 0, EndpointUpdate.State.READY, 0, none).size());
         }
-        World w = world(true, IntStream.range(0, 3).mapToObj(i ->
+        TestDeployment w = world(true, IntStream.range(0, 3).mapToObj(i ->
                 new EndpointUpdate(i, false, 0, 0, EndpointUpdate.State.READY, 0, i == 2 ? 2 : 1)).toArray(EndpointUpdate[]::new));
         to(w, ONCE, 60, 1, i -> AttemptOutcome.DELIVERED);
         int large = to(w, ONCE, 400, 1, i -> AttemptOutcome.DELIVERED)[2];
@@ -64,8 +64,8 @@
 
     @Test
     void aReportCountsUntilTheNextWhereNoneCanBeAskedFor() {
-        World w = new World(World.settings(100, false, World.ANSWERS, false), 7);
-        w.list(true, false, World.lines(2));
+        TestDeployment w = new TestDeployment(TestDeployment.settings(100, false, TestDeployment.ANSWERS, false), 7);
+        w.list(true, false, TestDeployment.lines(2));
         List<Attempt> both = List.of(w.arrive(PURE), w.arrive(PURE));
         w.now += 0.1;
         both.forEach(f -> w.end(f, AttemptOutcome.DELIVERED, f.backend == 0 ? 1 : 0.1, f.backend == 0 ? 3 : 0));
@@ -75,10 +75,10 @@
 
     @Test
     void whereOthersTellOnlyThoseDrawnByLotAreUsedAndTheyAgainAfterAList() {
-        World w = new World(World.settings(100, false, World.ANSWERS, false), 7);
+        TestDeployment w = new TestDeployment(TestDeployment.settings(100, false, TestDeployment.ANSWERS, false), 7);
         assertTrue(w.balancer.isToBeTold(), "where none is asked others are to tell");
-        assertFalse(World.of(2).balancer.isToBeTold(), "where reports can be asked for nobody need tell");
-        List<EndpointUpdate> lines = IntStream.range(0, 60).mapToObj(i -> World.line(i, EndpointUpdate.State.READY, 0)
+        assertFalse(TestDeployment.of(2).balancer.isToBeTold(), "where reports can be asked for nobody need tell");
+        List<EndpointUpdate> lines = IntStream.range(0, 60).mapToObj(i -> TestDeployment.line(i, EndpointUpdate.State.READY, 0)
                 .drawn((i * 37 % 60) / 60.0, i * 37 % 60 < 16 ? 0.2 : 0)).toList();
         w.list(true, false, lines);
         w.balancer.othersHeard(true);
@@ -94,8 +94,8 @@
 
     /** How many of a flood go to one that has just started, the only one that there is. */
     private static int toACold(double used, boolean heard) {
-        World w = new World(World.settings(6, false, World.ANSWERS, false), 7);
-        w.list(true, false, List.of(World.line(0, EndpointUpdate.State.READY, w.now).drawn(0, used)));
+        TestDeployment w = new TestDeployment(TestDeployment.settings(6, false, TestDeployment.ANSWERS, false), 7);
+        w.list(true, false, List.of(TestDeployment.line(0, EndpointUpdate.State.READY, w.now).drawn(0, used)));
         w.balancer.othersHeard(heard);
         int sent = 0;
         for (int n = 0; n < 600; n++) {
@@ -118,7 +118,7 @@
 
     @Test
     void whoFailsFastIsLeftAfterOneErrorAndUsedAgainOnceSound() {
-        World w = old(8);
+        TestDeployment w = old(8);
         int errors = to(w, ONCE, 200, 0.1, i -> i == 0 ? AttemptOutcome.ERROR : AttemptOutcome.DELIVERED)[0];
         assertTrue(errors <= 3, errors + " of 200 went to one that fails fast and reports that it is idle");
         int again = to(w, ONCE, 1500, 0.1, i -> AttemptOutcome.DELIVERED)[0];
@@ -129,7 +129,7 @@
     void aReportToldAgainClearsNoSends() {
         int herd = 0;
         for (int n = 0; n < 40; n++) {
-            World w = old(2);
+            TestDeployment w = old(2);
             to(w, ONCE, n, 0.1, i -> AttemptOutcome.DELIVERED);
             w.wakeUntil(w.now + 1);
             List<Attempt> out = new ArrayList<>();
@@ -146,7 +146,7 @@
 
     @Test
     void aJamIsShedAtOnceAndForgottenOnceItIsLongAgo() {
-        World w = old(4);
+        TestDeployment w = old(4);
         List<Attempt> slow = new ArrayList<>();
         for (int n = 0; n < 60; n++) {
             w.now += 0.02;
@@ -164,16 +164,16 @@
 
     @Test
     void groupsThatDieWhileReportsComeLateAreLeftAndSparedOnceBack() {
-        World w = old(9);
+        TestDeployment w = old(9);
         // No report is new from here on, and three refuse.
         int[] hits = to(w, ONCE, 300, 0.05, i -> i < 3 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.DELIVERED);
         assertTrue(hits[0] + hits[1] + hits[2] <= 30, "300 went, to the dead " + hits[0] + hits[1] + hits[2]);
         double back = w.now;
-        w.list(false, false, IntStream.range(0, 3).mapToObj(i -> World.line(i, EndpointUpdate.State.READY, back))
+        w.list(false, false, IntStream.range(0, 3).mapToObj(i -> TestDeployment.line(i, EndpointUpdate.State.READY, back))
                 .toList());
         hits = to(w, ONCE, 20, 0.05, i -> AttemptOutcome.DELIVERED);
         assertTrue(hits[0] + hits[1] + hits[2] <= 3, "cold, though the last report is an idle one's");
-        w.wakeUntil(back + 2 * World.RULES.cold());
+        w.wakeUntil(back + 2 * TestDeployment.RULES.cold());
         hits = to(w, ONCE, 300, 0.05, i -> AttemptOutcome.DELIVERED);
         assertTrue(hits[0] > 0 && hits[1] > 0 && hits[2] > 0, "warm, and used again");
     }
@@ -182,7 +182,7 @@
     void crossingIsForWhatTheOwnLocationCannotCarry() {
         EndpointUpdate[] lines = IntStream.range(0, 6).mapToObj(i -> new EndpointUpdate(i, false, i == 0 ? 0 : 1, 0,
                 EndpointUpdate.State.READY, 0)).toArray(EndpointUpdate[]::new);
-        World w = world(false, lines);
+        TestDeployment w = world(false, lines);
         assertTrue(to(w, PURE, 200, 0.5, i -> AttemptOutcome.DELIVERED)[0] >= 190, "one at a time stays");
         List<Attempt> open = new ArrayList<>();
         int away = 0;
@@ -202,21 +202,21 @@
     void allTogetherKeepTheColdBudgetThoughFewCarryMostTraffic() {
         int cold = 0;
         for (int proxy = 0; proxy < 70; proxy++) {
-            World w = new World(World.settings(70, false, World.ANSWERS, false), 1000 + proxy);
-            w.list(true, false, World.lines(8));
+            TestDeployment w = new TestDeployment(TestDeployment.settings(70, false, TestDeployment.ANSWERS, false), 1000 + proxy);
+            w.list(true, false, TestDeployment.lines(8));
             to(w, ONCE, 60, 0.01, 0.1, i -> AttemptOutcome.DELIVERED);
-            w.list(false, false, List.of(World.line(0, EndpointUpdate.State.READY, w.now)));
-            double window = World.RULES.fallWindow(), apart = proxy < 5 ? 0.01 : 0.5;
+            w.list(false, false, List.of(TestDeployment.line(0, EndpointUpdate.State.READY, w.now)));
+            double window = TestDeployment.RULES.fallWindow(), apart = proxy < 5 ? 0.01 : 0.5;
             cold += to(w, ONCE, (int) (window / (apart + 0.1)), apart, 0.1, i -> AttemptOutcome.DELIVERED)[0];
         }
-        double budget = World.RULES.fallMultiple() * World.RULES.coldFrom() * World.RULES.fallWindow();
+        double budget = TestDeployment.RULES.fallMultiple() * TestDeployment.RULES.coldFrom() * TestDeployment.RULES.fallWindow();
         assertTrue(cold > 0 && cold * 0.1 <= budget, cold + " exchanges of 0.1 s for a budget of " + budget);
     }
 
     /** One among forty that tell, of whose thirty backends it uses sixteen. */
-    private static World told(double started) {
-        World w = new World(World.settings(40, false, World.ANSWERS, false), 7);
-        w.list(true, false, IntStream.range(0, 30).mapToObj(i -> World.line(i, EndpointUpdate.State.READY, started)
+    private static TestDeployment told(double started) {
+        TestDeployment w = new TestDeployment(TestDeployment.settings(40, false, TestDeployment.ANSWERS, false), 7);
+        w.list(true, false, IntStream.range(0, 30).mapToObj(i -> TestDeployment.line(i, EndpointUpdate.State.READY, started)
                 .drawn(i / 30.0, i < 16 ? 0.5 : 0)).toList());
         w.balancer.othersHeard(true);
         return w;
@@ -225,7 +225,7 @@
     /** Danger: after an overload all was shed for the waits of that time, backends idle beside it. */
     @Test
     void waitsMetBeforeShedNothingWhereNobodyHasAnythingOut() {
-        World w = told(0);
+        TestDeployment w = told(0);
         for (int n = 0; n < 60; n++) {
             w.now += 0.01;
             Attempt f = w.arrive(ONCE);
@@ -242,7 +242,7 @@
     /** Danger: those of whom nobody tells look idle whatever they hold. */
     @Test
     void noneOfWhomNobodyTellsIsDrawnWhereOneOfThePartCouldTakeIt() {
-        World w = told(0);
+        TestDeployment w = told(0);
         IntStream.range(0, 30).forEach(i -> w.balancer.othersHold(i, i < 16 ? 30 : 0));
         assertNull(w.arrive(0), "all that it knows of are busy");
         IntStream.range(0, 16).forEach(i -> w.balancer.othersHold(i, 0));
@@ -254,7 +254,7 @@
     void theLastRoomOfColdOnesIsForWhatIsWorthMost() {
         int[] went = new int[4];
         for (int seed = 0; seed < 20; seed++) {
-            World w = told(99);
+            TestDeployment w = told(99);
             w.balancer.learned(0.1, 8);
             for (int n = 0; n < 30; n++) {
                 w.now += 0.1;
@@ -275,7 +275,7 @@
     void whatOthersHaveFoundOpensColdOnesUntilOwnAnswersSayOtherwise() {
         int[] sent = new int[3];
         for (int i = 0; i < 3; i++) {
-            World w = told(99);
+            TestDeployment w = told(99);
             if (i > 0) {
                 w.balancer.learned(0.02, 8);
             }
--- a/src/test/java/lemondrift/buffer/HoldingTest.java
+++ b/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class HoldingTest {
+class BodyBufferBudgetTest {
     /** Bodies that come in pieces and end in any order: the bounds hold, and in the end nothing is held. */
     @Property(tries = 300, seed = "48")
     void neitherBoundIsPassedAndAllIsLetGo(@ForAll List<@IntRange(min = 0, max = 999) Integer> steps) {
--- a/src/test/java/lemondrift/cli/LemondriftTest.java
+++ b/src/test/java/lemondrift/cli/RootCommandTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Exit codes of the command line. */
-class LemondriftTest {
+class RootCommandTest {
     @Test
     void exitCodesTellWhatCameOfIt(@TempDir Path folder) throws Exception {
         String world = "[world]\nproxies = 1\nbackends = 2\nlasts = \"1s\"\n";
--- a/src/test/java/lemondrift/connection/Street.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -12,7 +12,7 @@
  * Clients before a door, without sockets, and a plain model of each: what it did in full, from which it is
  * reckoned anew at each look what the door must do and must not.
  */
-final class Street implements ConnectionPolicy.Hands {
+final class ConnectionPolicyModel implements ConnectionPolicy.Hands {
     /** A client's connection: when it came, when each byte of the present request came, what it waits for. */
     static final class Client {
         final double came;
@@ -36,7 +36,7 @@
     final List<Client> gone = new ArrayList<>();
     double now = 1000;
 
-    Street(ConnectionLimits bounds) {
+    ConnectionPolicyModel(ConnectionLimits bounds) {
         this.bounds = bounds;
         door = new ConnectionPolicy(bounds, this, 7);
         door.sweep(now);
--- a/src/test/java/lemondrift/connection/DoorTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The door without sockets: its hard cases, and generated histories beside a plain model. */
-class DoorTest {
+class ConnectionPolicyTest {
     private static final ConnectionLimits.Sharing EACH = ConnectionLimits.Sharing.CONNECTION;
 
     @Property(tries = 400, seed = "48")
     void whateverComesTheRulesHold(@ForAll @IntRange(min = 1, max = 40) int places,
             @ForAll ConnectionLimits.Sharing sharing,
             @ForAll @Size(min = 50, max = 400) List<@IntRange(max = 9999) Integer> steps) {
-        Street street = new Street(Street.bounds(places, sharing));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(places, sharing));
         for (int step : steps) {
             List<Integer> all = List.copyOf(street.clients.keySet());
             int i = all.isEmpty() ? -1 : all.get(step / 10 % all.size());
@@ -104,7 +104,7 @@
 
     @Test
     void clientsThatAskOnceAndStayLeavePlacesToThoseThatComeAgain() {
-        Street street = new Street(Street.bounds(200, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(200, EACH));
         int[] usual = IntStream.range(0, 20).map(i -> street.comes()).toArray();
         int reused = 0, asked = 0, most = 0;
         for (int turn = 0; turn < 200; turn++) {
@@ -131,7 +131,7 @@
 
     @Test
     void twoInThreeThatAreSilentFromTheStartMakeRoom() {
-        Street street = new Street(Street.bounds(60, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(60, EACH));
         int served = 0, tried = 0;
         for (int turn = 0; turn < 100; turn++) {
             for (int k = 0; k < 9; k++) {
@@ -153,7 +153,7 @@
 
     @Test
     void oneThatPausesForALittleLessThanIsAllowedKeepsItsPlace() {
-        Street street = new Street(Street.bounds(100, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(100, EACH));
         int i = street.comes();
         for (int k = 0; k < 4; k++) {
             assertTrue(street.asks(i));
@@ -164,7 +164,7 @@
 
     @Test
     void manySourcesWithOneEachStandBesideFewWithMany() {
-        Street street = new Street(Street.bounds(1000, ConnectionLimits.Sharing.ADDRESS));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(1000, ConnectionLimits.Sharing.ADDRESS));
         for (int i = 0; i < 1000; i++) {
             street.asks(street.comes(i));
         }
@@ -189,7 +189,7 @@
 
     @Test
     void aPauseOfTheProcessMakesNobodyOverdue() {
-        Street street = new Street(Street.bounds(20, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int fresh = street.comes(), half = street.comes(), kept = street.comes();
         street.asks(kept);
         street.passes(0.5);
@@ -205,7 +205,7 @@
 
     @Test
     void unreadBytesAreLookedForBeforeAnyClose() {
-        Street street = new Street(Street.bounds(20, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int fresh = street.comes(), kept = street.comes();
         street.asks(kept);
         street.passes(1.7);
@@ -219,7 +219,7 @@
 
     @Test
     void aByteEach90MillisecondsIsNoProgress() {
-        Street street = new Street(Street.bounds(20, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int i = street.comes();
         double began = street.now;
         for (int k = 0; k < 50 && street.clients.containsKey(i); k++) {
@@ -238,7 +238,7 @@
 
     @Test
     void withFewerPlacesTheQuietGiveWayAndComeBackWhenThereAreMore() {
-        Street street = new Street(Street.bounds(20, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         for (int i = 0; i < 4; i++) {
             assertTrue(street.asks(street.comes()));
         }
@@ -259,7 +259,7 @@
 
     @Test
     void aHeadMayTakeTwoSecondsAndABodyPauseAsLong() {
-        Street street = new Street(Street.bounds(20, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int slow = street.comes(), half = street.comes();
         street.says(half, 100);
         for (int k = 0; k < 10; k++) {
@@ -283,7 +283,7 @@
 
     @Test
     void anAnswerThatIsNotFetchedEndsByTheSameRule() {
-        Street street = new Street(Street.bounds(20, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int slow = street.comes(), quick = street.comes();
         for (int i : new int[] {slow, quick}) {
             street.opens(i, 0);
@@ -305,7 +305,7 @@
 
     @Test
     void whoIsTurnedAwayAgainAndAgainIsReadLessAndThenClosed() {
-        Street street = new Street(Street.bounds(20, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int i = street.comes();
         double last = 0;
         boolean keeps = true;
@@ -328,7 +328,7 @@
 
     @Test
     void aDrainSpreadsThoseWithoutAWordOverItsTime() {
-        Street street = new Street(Street.bounds(300, EACH));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(300, EACH));
         List<Integer> quiet = new ArrayList<>();
         for (int k = 0; k < 40; k++) {
             quiet.add(street.comes());
@@ -356,7 +356,7 @@
     @Test
     void eachBoundHolds() {
         for (int places : new int[] {14, 129, 9806}) {
-            Street street = new Street(Street.bounds(places, EACH));
+            ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(places, EACH));
             for (int k = 0; k < 2 * places; k++) {
                 if (street.clients.size() >= street.bounds.last()) {
                     street.passes(0.2);
@@ -372,7 +372,7 @@
     @Test
     void whatIsPromisedIsHeldTo() {
         ConnectionLimits bounds = new ConnectionLimits(8, 10, 2.2, 0, EACH, true, 2048, 1);
-        Street street = new Street(bounds);
+        ConnectionPolicyModel street = new ConnectionPolicyModel(bounds);
         int i = street.comes();
         street.asks(i);
         assertEquals(2, street.door.promise(i));
@@ -433,7 +433,7 @@
 
     @Test
     void whatIsReadOfAConnectionThatHasGoneBringsNothingBack() {
-        Street street = new Street(Street.bounds(8, ConnectionLimits.Sharing.CONNECTION));
+        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(8, ConnectionLimits.Sharing.CONNECTION));
         int i = street.door.came(7, street.now);
         street.door.gone(i, street.now);
         street.door.headRead(i, street.now);
--- a/src/test/java/lemondrift/connection/KeepAliveMixes.java
+++ b/src/test/java/lemondrift/connection/KeepAliveMixes.java
@@ -55,7 +55,7 @@
                 learns ? 2.2 : Math.max(0.2, fixed), learns ? 2 : Math.max(0.2, fixed),
                         ConnectionLimits.Sharing.CONNECTION,
                 false, 2048, 1);
-        Street street = new Street(bounds);
+        ConnectionPolicyModel street = new ConnectionPolicyModel(bounds);
         SplittableRandom chance = new SplittableRandom(11);
         PriorityQueue<Client> next = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
         for (int i = 0; i < mix.usual; i++) {
--- a/src/test/java/lemondrift/gossip/HoldingsTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What proxies tell one another, beside a plain model, under loss, repeats, disorder and nonsense. */
-class HoldingsTest {
+class LoadGossipTest {
     /** Seconds after which what one has told is forgotten. */
     private static final double FORGET = 0.1;
 
--- a/src/test/java/lemondrift/hotrestart/SuccessionTest.java
+++ b/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-class SuccessionTest {
+class ResourceSplitTest {
     @Test
     void halfIsUsedUntilItIsSureThatNobodyElseHasTheRest() {
         ResourceSplit one = new ResourceSplit();
--- a/src/test/java/lemondrift/lab/fleet/FaultsTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
@@ -8,7 +8,7 @@
 import lemondrift.lab.simulation.FaultTarget;
 import org.junit.jupiter.api.Test;
 
-class FaultsTest {
+class FaultPlanTest {
     private static FaultPlan of(boolean apart, Fault... faults) {
         return new FaultPlan(List.of(faults), 8, 6, 4, 1, apart, 100);
     }
--- a/src/test/java/lemondrift/lab/fleet/StandTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Four real processes with faults between them; the same ones over all days. */
-class StandTest {
+class FleetTestbedTest {
     private static final int TRIES = 10;
     private static FleetTestbed stand;
 
--- a/src/test/java/lemondrift/lab/fleet/HangUpTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A real process at SIGHUP, its files changing under it, beside live traffic. */
-class HangUpTest {
+class ReloadSignalTest {
     private static final int TIMES = 50;
     private static final long BOUND = TimeUnit.SECONDS.toNanos(30);
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/test/java/lemondrift/lab/fleet/SoakTest.java
+++ b/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A few days of the soak, of fixed seeds. */
-class SoakTest {
+class SoakRunTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void allRulesAreKeptAndAllProcessesEndWell(long seed) throws Exception {
--- a/src/test/java/lemondrift/lab/simulation/EvennessTest.java
+++ b/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class EvennessTest {
+class LoadEvennessTest {
     @Test
     void wasteIsIdlenessWhileAsManyQueueElsewhere() {
         LoadEvenness its = new LoadEvenness(4, 1, 1);
--- a/src/test/java/lemondrift/lab/simulation/Days.java
+++ b/src/test/java/lemondrift/lab/simulation/Scenarios.java
@@ -8,13 +8,13 @@
 import lemondrift.model.Settings;
 
 /** Small days to play. */
-final class Days {
+final class Scenarios {
     private static final List<RequestClass> GRADES = List.of(
             new RequestClass(1, 0, 0.5, 1.2, Idempotency.PURE, DeduplicationScope.ALL, 0),
             new RequestClass(3, 0, 0.5, 1.2, Idempotency.RECEIPTED, DeduplicationScope.LOCATION, 0.6),
             new RequestClass(9, 0, 0.5, 1.2, Idempotency.EFFECTFUL, DeduplicationScope.ALL, 0));
 
-    private Days() {}
+    private Scenarios() {}
 
     static Settings settings(int proxies) {
         return new Settings(proxies, 2, 0, false, GRADES, new double[0], 1, false,
--- a/src/test/java/lemondrift/lab/simulation/WorldTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The world in virtual time: its hard cases, and a referee that catches whoever breaks a rule. */
-class WorldTest {
+class SimulationTest {
     private static BackendFault trouble(Kind kind, double share, double strength) {
         return new BackendFault(kind, 5, 6, share, strength);
     }
@@ -37,15 +37,15 @@
 
     @Test
     void theSameSeedIsTheSameDay() {
-        Scenario day = Days.of(3, 8, 1, usual(Kind.CRASH), usual(Kind.SLOW));
-        assertEquals(Days.play(day).toString(), Days.play(day).toString());
-        assertNotEquals(Days.play(day).toString(), Days.play(Days.of(3, 8, 2, usual(Kind.CRASH),
+        Scenario day = Scenarios.of(3, 8, 1, usual(Kind.CRASH), usual(Kind.SLOW));
+        assertEquals(Scenarios.play(day).toString(), Scenarios.play(day).toString());
+        assertNotEquals(Scenarios.play(day).toString(), Scenarios.play(Scenarios.of(3, 8, 2, usual(Kind.CRASH),
                 usual(Kind.SLOW))).toString());
     }
 
     @Test
     void aCalmDayIsServed() {
-        RunResult figures = Days.play(Days.of(3, 8, 1));
+        RunResult figures = Scenarios.play(Scenarios.of(3, 8, 1));
         assertTrue(figures.service() > 0.98, figures.toString());
         assertEquals(0, figures.unanswered);
     }
@@ -53,7 +53,7 @@
     @Test
     void theModuleKeepsTheRulesInEachTroubleAlone() {
         for (Kind kind : Kind.values()) {
-            RunResult figures = Days.play(Days.of(3, 10, 3, usual(kind)));
+            RunResult figures = Scenarios.play(Scenarios.of(3, 10, 3, usual(kind)));
             assertTrue(figures.service() > 0.4, kind + ": " + figures);
             assertEquals(0, figures.unanswered, kind + ": " + figures);
         }
@@ -62,13 +62,13 @@
     @Property(tries = 12, seed = "20261201")
     void andInAnyTogether(@ForAll @Size(min = 2, max = 4) List<Kind> kinds,
             @ForAll @IntRange(max = 99) int seed) {
-        BackendFault[] troubles = kinds.stream().map(WorldTest::usual).toArray(BackendFault[]::new);
-        assertEquals(0, Days.play(Days.of(3, 6, seed, troubles)).unanswered);
+        BackendFault[] troubles = kinds.stream().map(SimulationTest::usual).toArray(BackendFault[]::new);
+        assertEquals(0, Scenarios.play(Scenarios.of(3, 6, seed, troubles)).unanswered);
     }
 
     @Test
     void theFiguresTellWhenAndWhereMostIsLost() {
-        RunResult figures = Days.play(Days.of(2, 4, 1, new BackendFault(Kind.CRASH, 8, 3, 1, 1)));
+        RunResult figures = Scenarios.play(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 8, 3, 1, 1)));
         int worst = figures.worstWindow(3);
         assertTrue(worst >= 7 && worst <= 9, "from " + worst);
         double lost = 0;
@@ -81,18 +81,18 @@
 
     @Test
     void whereEveryBackendIsGoneAllIsAnsweredAtOnce() {
-        RunResult none = Days.play(Days.of(2, 0, 1));
+        RunResult none = Scenarios.play(Scenarios.of(2, 0, 1));
         assertEquals(none.taken, none.shed);
-        RunResult gone = Days.play(Days.of(2, 4, 1, new BackendFault(Kind.CRASH, 4, 30, 1, 1)));
+        RunResult gone = Scenarios.play(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 4, 30, 1, 1)));
         assertEquals(0, gone.unanswered);
         assertTrue(gone.shed > 0.5 * gone.taken, gone.toString());
     }
 
     @Test
     void twoTroublesThatEndAtTheSameInstantEndOnce() {
-        Scenario day = Days.of(3, 4, 1, new BackendFault(Kind.CRASH, 4, 4, 1, 1), new BackendFault(Kind.VANISH, 3, 5, 1, 1),
+        Scenario day = Scenarios.of(3, 4, 1, new BackendFault(Kind.CRASH, 4, 4, 1, 1), new BackendFault(Kind.VANISH, 3, 5, 1, 1),
                 new BackendFault(Kind.SLOW, 2, 6, 1, 4), new BackendFault(Kind.STALL, 2, 6, 1, 1));
-        RunResult figures = Days.play(day);
+        RunResult figures = Scenarios.play(day);
         assertEquals(0, figures.unanswered);
         assertTrue(figures.service() > 0.2, "it goes on after them: " + figures);
     }
@@ -153,7 +153,7 @@
 
     @Test
     void aModuleThatDoesNotAnswerIsCaught() {
-        Scenario day = Days.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 10, 1, 1));
+        Scenario day = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 10, 1, 1));
         breaks(1, day, new Spoilt(day.settings()) {
             @Override
             Decision spoils(Decision turn) {
@@ -165,7 +165,7 @@
 
     @Test
     void aModuleThatRepeatsWhatMayHaveRunIsCaught() {
-        Scenario day = Days.of(1, 4, 1, new BackendFault(Kind.ERRORS, 2, 10, 1, 1));
+        Scenario day = Scenarios.of(1, 4, 1, new BackendFault(Kind.ERRORS, 2, 10, 1, 1));
         Map<Request, Attempt> again = new HashMap<>();
         breaks(2, day, new Spoilt(day.settings()) {
             @Override
@@ -185,7 +185,7 @@
     @Test
     void aModuleThatSendsToTheDrainingIsCaught() {
         // The drain is told; its process lives on for longer than the grace.
-        Scenario quick = Days.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
+        Scenario quick = Scenarios.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
         Scenario day = new Scenario(quick.settings(), 1, 3, 2, quick.rate(), quick.work(), 0.5, 3, 0.0005, 0.4, 0.2, 20,
                 1, quick.troubles());
         breaks(3, day, new Spoilt(day.settings()) {
@@ -195,12 +195,12 @@
                         line.cell(), EndpointUpdate.State.READY, line.started())).toList();
             }
         });
-        Days.play(day);
+        Scenarios.play(day);
     }
 
     @Test
     void aModuleThatTakesTheColdForWarmIsCaught() {
-        Scenario usual = Days.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 4, 0.75, 1));
+        Scenario usual = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 4, 0.75, 1));
         Settings told = usual.settings();
         Settings frail = new Settings(1, 2, 0, false, told.grades(), new double[0], 1, false, told.reports(),
                 told.limits(), new Settings.Rules(0.3, 6, 1.5, 2, 10), told.charges());
@@ -223,13 +223,13 @@
                 return turn;
             }
         });
-        Days.play(few);
+        Scenarios.play(few);
     }
 
     @Test
     void baselinesKeepTheFirstThreeRulesAndPushTheColdOver() {
-        Scenario day = Days.of(3, 8, 1, new BackendFault(Kind.CRASH, 4, 3, 0.6, 1), trouble(Kind.BURST, 1, 2));
-        double module = Days.play(day).service();
+        Scenario day = Scenarios.of(3, 8, 1, new BackendFault(Kind.CRASH, 4, 3, 0.6, 1), trouble(Kind.BURST, 1, 2));
+        double module = Scenarios.play(day).service();
         for (Baseline.Kind kind : Baseline.Kind.values()) {
             Simulation[] world = {null};
             world[0] = new Simulation(day, 3, p -> new Baseline(kind, day.settings(), p,
@@ -243,13 +243,13 @@
     /** A client that asks again and again keeps a world tipped after its trouble, where nothing is shed. */
     @Test
     void aRetryStormOutlivesItsTroubleWithANaivePolicyAndNotWithTheModule() {
-        Scenario calm = Days.of(2, 6, 1);
+        Scenario calm = Scenarios.of(2, 6, 1);
         Scenario storm = new Scenario(calm.settings(), 2, 6, 2, 1.25 * calm.rate(), 0.05, 0.5, 6, 0.0005, 0.4, 2, 40, 1,
                 List.of(new BackendFault(Kind.HEAVY, 5, 5, 1, 4)));
         Simulation[] world = {null};
         world[0] = new Simulation(storm, 3, p -> new Baseline(Baseline.Kind.LEAST_OUTSTANDING, storm.settings(), p,
                 i -> world[0].trueLoad(i)));
-        double naive = world[0].play().service(), module = Days.play(storm).service();
+        double naive = world[0].play().service(), module = Scenarios.play(storm).service();
         assertTrue(module > naive + 0.1, "module " + module + ", naive " + naive);
     }
 
@@ -258,7 +258,7 @@
         assertThrows(IllegalArgumentException.class, () -> new BackendFault(Kind.SLOW, -1, 1, 0.5, 1));
         assertThrows(IllegalArgumentException.class, () -> new BackendFault(Kind.SLOW, 1, 0, 0.5, 1));
         assertThrows(IllegalArgumentException.class, () -> new BackendFault(Kind.SLOW, 1, 1, Double.NaN, 1));
-        Scenario day = Days.of(1, 1, 1);
+        Scenario day = Scenarios.of(1, 1, 1);
         assertThrows(IllegalArgumentException.class, () -> new Scenario(day.settings(), 0, 1, 1, 1, 1, 0, 1, 0, 0,
                 0, 1, 1, List.of()));
     }
--- a/src/test/java/lemondrift/metrics/LoopFiguresTest.java
+++ b/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What is told of how the decisions keep up. */
-class LoopFiguresTest {
+class EventLoopMetricsTest {
     private final EventLoopMetrics figures = new EventLoopMetrics();
 
     @Test
--- a/src/test/java/lemondrift/metrics/TallyTest.java
+++ b/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class TallyTest {
+class ProxyMetricsTest {
     /** 0 takes one, 1 answers and ends one, 2 ends one whose client has gone. */
     @Property(seed = "48")
     void inHandIsWhatWasTakenLessWhatHasEnded(@ForAll List<@IntRange(min = 0, max = 2) Integer> events) {
--- a/src/test/java/lemondrift/recovery/RecoveryTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class RecoveryTest {
+class RecoveryStateTest {
     private static final PeerPollBackoff PACE = new PeerPollBackoff(1, 5, 20, 2, 3);
 
     private static PeerStatus of(long start, float up, float work, int answers, boolean settled) {
--- a/src/test/java/lemondrift/serve/AdminTest.java
+++ b/src/test/java/lemondrift/serve/AdminServerTest.java
@@ -20,7 +20,7 @@
 import org.xnio.XnioWorker;
 
 /** The operators' address on loopback, and what its calls do to the proxy. */
-class AdminTest extends Loopback {
+class AdminServerTest extends LoopbackFixture {
     private XnioWorker worker;
     private AdminServer admin;
 
--- a/src/test/java/lemondrift/serve/QueuedLogTest.java
+++ b/src/test/java/lemondrift/serve/AsyncLogTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The log beside a reader that takes nothing for a while. */
-class QueuedLogTest {
+class AsyncLogTest {
     private static final int MANY = 3000;
 
     /** Danger: whoever logs owes answers, and would wait for a reader that has stopped. */
--- a/src/test/java/lemondrift/serve/DoorLoad.java
+++ b/src/test/java/lemondrift/serve/ClientConnectionLoad.java
@@ -16,10 +16,10 @@
 
 /**
  * What an exchange and each kind of flood cost a proxy, for builds given as jars, in turns; run by hand, no
- * part of CI. Loopback alone; everything is bounded in number. Delay counts from when a request should have
+ * part of CI. LoopbackFixture alone; everything is bounded in number. Delay counts from when a request should have
  * been sent.
  */
-final class DoorLoad {
+final class ClientConnectionLoad {
     private static final int CONNECTIONS = 24, TURNS = 4;
     private static final double SECONDS = 4;
 
@@ -81,7 +81,7 @@
         void play(int port, int number) throws IOException;
     }
 
-    private DoorLoad() {}
+    private ClientConnectionLoad() {}
 
     /** The port of a server on loopback that answers 200 with what the script says, or holds on null. */
     private static int answering(Script script) throws IOException {
--- a/src/test/java/lemondrift/serve/DoorTest.java
+++ b/src/test/java/lemondrift/serve/ClientConnectionsTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The door's hard cases on loopback, with scripted clients. */
-class DoorTest extends Loopback {
+class ClientConnectionsTest extends LoopbackFixture {
     private final List<Socket> clients = new ArrayList<>();
 
     @AfterEach
--- a/src/test/java/lemondrift/serve/ConfigFileTest.java
+++ b/src/test/java/lemondrift/serve/ConfigFileTest.java
@@ -33,8 +33,8 @@
 
     @Test
     void thousandsOfLinesArePassedOver() throws Exception {
-        String known = Loopback.list(1, true, IntStream.range(0, 3200)
-                .mapToObj(i -> Loopback.member(i, 1 + i, "active")).toArray(String[]::new));
+        String known = LoopbackFixture.list(1, true, IntStream.range(0, 3200)
+                .mapToObj(i -> LoopbackFixture.member(i, 1 + i, "active")).toArray(String[]::new));
         JsonObject read = ConfigFile.readWithoutKnown(file("{\"known\":" + known + ",\"name\":\"n\"}"));
         assertEquals("{\"name\":\"n\"}", read.toString());
     }
--- a/src/test/java/lemondrift/serve/RetuneTest.java
+++ b/src/test/java/lemondrift/serve/ConfigReloadTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Settings at SIGHUP, on loopback. */
-class RetuneTest extends Loopback {
+class ConfigReloadTest extends LoopbackFixture {
     private JsonObject running() {
         return JsonParser.parseString(config(discovery.port(), false)).getAsJsonObject();
     }
--- a/src/test/java/lemondrift/serve/OwnerTest.java
+++ b/src/test/java/lemondrift/serve/DecisionLoopTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The owner without sockets, its clock in the test's hand. */
-class OwnerTest implements ProxyActions {
+class DecisionLoopTest implements ProxyActions {
     private static final int MANY = 3200;
     private static final Settings SETTINGS = new Settings(1, 1, 0, false,
             List.of(new RequestClass(1, 0, 1, 2, Idempotency.EFFECTFUL, DeduplicationScope.ALL, 0)), new double[0], 1, false,
--- a/src/test/java/lemondrift/serve/MemberListParserTest.java
+++ b/src/test/java/lemondrift/serve/EndpointListParserTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Lists of discovery, read in steps of any size. */
-class MemberListParserTest {
+class EndpointListParserTest {
     private static EndpointList read(String text, int step) throws IOException {
         EndpointListParser parser = new EndpointListParser(text.getBytes(StandardCharsets.UTF_8));
         int steps = 0;
--- a/src/test/java/lemondrift/serve/LargeFleetTest.java
+++ b/src/test/java/lemondrift/serve/LargeFleetTest.java
@@ -25,7 +25,7 @@
  * A real process with a small part of a core, a hundred peers and thousands of backends, most of which are
  * replaced while discovery is away and right after its return. Every request is owed its answer in time.
  */
-class LargeFleetTest extends Loopback {
+class LargeFleetTest extends LoopbackFixture {
     private static final int BACKENDS = 3200, PROXIES = 100, STEP = 160;
     /** The machine's last core; the first has work of the system's. */
     private static final String CORE = String.valueOf(Runtime.getRuntime().availableProcessors() - 1);
--- a/src/test/java/lemondrift/serve/LongBodiesTest.java
+++ b/src/test/java/lemondrift/serve/LongBodiesTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Bodies that are longer than what is held, and peers that are slow with them. */
-class LongBodiesTest extends Loopback {
+class LongBodiesTest extends LoopbackFixture {
     private static byte[] bytes(int count) {
         byte[] bytes = new byte[count];
         new Random(count).nextBytes(bytes);
--- a/src/test/java/lemondrift/serve/Loopback.java
+++ b/src/test/java/lemondrift/serve/LoopbackFixture.java
@@ -34,7 +34,7 @@
 import org.xnio.XnioWorker;
 
 /** The real proxy on loopback, between stand-ins for clients, backends and discovery. */
-abstract class Loopback {
+abstract class LoopbackFixture {
     static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
     static final String HALF = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nbo";
     static final String CHUNKS = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n";
--- a/src/test/java/lemondrift/serve/ManyBackends.java
+++ b/src/test/java/lemondrift/serve/ManyBackends.java
@@ -28,7 +28,7 @@
             server.register(selector, SelectionKey.OP_ACCEPT);
             ports[i] = server.socket().getLocalPort();
         }
-        Loopback.daemon(this::serve);
+        LoopbackFixture.daemon(this::serve);
     }
 
     int port(int backend) {
@@ -37,7 +37,7 @@
 
     /** Lines of a list about backends of consecutive numbers, in one phase. */
     String[] members(int from, int to, String phase) {
-        return IntStream.range(from, to).mapToObj(i -> Loopback.member(i, ports[i], phase))
+        return IntStream.range(from, to).mapToObj(i -> LoopbackFixture.member(i, ports[i], phase))
                 .toArray(String[]::new);
     }
 
--- a/src/test/java/lemondrift/serve/StandstillTest.java
+++ b/src/test/java/lemondrift/serve/ProcessPauseTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A real process that stands still while requests come; on loopback. */
-class StandstillTest extends Loopback {
+class ProcessPauseTest extends LoopbackFixture {
     /** Time enough to be noticed as a pause, and for the short request's to pass. */
     private static final long STILL = 900;
 
@@ -23,7 +23,7 @@
     private static void awaitStill(Process child) throws Exception {
         for (boolean still = false; !still; ) {
             try (Stream<Path> threads = Files.list(Path.of("/proc", String.valueOf(child.pid()), "task"))) {
-                still = threads.allMatch(StandstillTest::isStill);
+                still = threads.allMatch(ProcessPauseTest::isStill);
             }
         }
     }
--- a/src/test/java/lemondrift/serve/ProxyTest.java
+++ b/src/test/java/lemondrift/serve/ProxyServerTest.java
@@ -24,7 +24,7 @@
 import org.xnio.XnioWorker;
 
 /** The real proxy on loopback. */
-class ProxyTest extends Loopback {
+class ProxyServerTest extends LoopbackFixture {
     @Test
     void whatGoesOnUnchangedDoes() throws Exception {
         StandIn backend = backend(OK);
--- a/src/test/java/lemondrift/serve/CrossingsTest.java
+++ b/src/test/java/lemondrift/serve/RaceConditionsTest.java
@@ -26,7 +26,7 @@
 import org.xnio.StreamConnection;
 
 /** Two events that cross, in the order that does harm; docs/incidents/narrow-moments.md has the list. */
-class CrossingsTest extends Loopback {
+class RaceConditionsTest extends LoopbackFixture {
     private boolean mayCancel = true;
     private int contractTime = 1500, expiry = 4000;
 
--- a/src/test/java/lemondrift/serve/ShadowFileTest.java
+++ b/src/test/java/lemondrift/serve/ShadowSettingsFileTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The watching mode in the program, on loopback. */
-class ShadowFileTest extends Loopback {
+class ShadowSettingsFileTest extends LoopbackFixture {
     @TempDir
     Path folder;
 
--- a/src/test/java/lemondrift/serve/ShutdownTest.java
+++ b/src/test/java/lemondrift/serve/ShutdownTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A real process at SIGTERM, whatever it is doing then. */
-class ShutdownTest extends Loopback {
+class ShutdownTest extends LoopbackFixture {
     private static final int CLIENTS = 8;
     /** Nanoseconds after SIGTERM in which clients still open connections. */
     private static final long STRAGGLE = 350_000_000L;
--- a/src/test/java/lemondrift/serve/MeetingTest.java
+++ b/src/test/java/lemondrift/serve/TakeoverLockTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Processes of one proxy that find out about one another. */
-class MeetingTest {
+class TakeoverLockTest {
     /** Another process, which says a line when it has looked and then stays. */
     public static final class Other {
         private Other() {}
@@ -89,7 +89,7 @@
     @Test
     void twoTogetherKeepWithinTheDescriptorsOfOne() {
         for (int sockets : new int[] {256, 384, 1024}) {
-            ProxyConfig config = ProxyConfig.read(new Loopback() { }.config(1, false)
+            ProxyConfig config = ProxyConfig.read(new LoopbackFixture() { }.config(1, false)
                     .replace("\"sockets\":64", "\"sockets\":" + sockets));
             double each = 40 + config.share(2) * (config.door().last() + 0.33 * config.connections());
             assertTrue(2 * each <= sockets, "two hold " + 2 * each);
--- a/src/test/java/lemondrift/serve/UpgradeTest.java
+++ b/src/test/java/lemondrift/serve/UpgradeTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Two proxies that accept on one listening socket, which both were given. */
-class UpgradeTest extends Loopback {
+class UpgradeTest extends LoopbackFixture {
     private ServerSocketChannel given;
     private String[] members;
     private int ids;
--- a/src/test/java/lemondrift/serve/RehearsalTest.java
+++ b/src/test/java/lemondrift/serve/WarmupTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test;
 
 /** The rehearsal before a start. */
-class RehearsalTest {
+class WarmupTest {
     @Test
     void nothingIsLeftInHandWhenItEnds() throws Exception {
-        assertTrue(Warmup.play(ProxyConfig.read(new Loopback() { }.config(1, false))));
+        assertTrue(Warmup.play(ProxyConfig.read(new LoopbackFixture() { }.config(1, false))));
     }
 }
--- a/src/test/java/lemondrift/settings/GradesTest.java
+++ b/src/test/java/lemondrift/settings/RequestClassIndexTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.UniqueElements;
 import org.junit.jupiter.api.Test;
 
-class GradesTest {
+class RequestClassIndexTest {
     private static RequestClass grade(Idempotency effect, double benefit) {
         return new RequestClass(benefit, 0, 1, 2, effect, DeduplicationScope.ALL, 0);
     }
