--- a/src/main/java/lemondrift/Main.java
+++ b/src/main/java/lemondrift/Main.java
@@ -2,7 +2,7 @@
 
 import lemondrift.cli.RootCommand;
 import lemondrift.simulator.SimulatorAdapter;
-import lemondrift.serve.ProxyLauncher;
+import lemondrift.proxy.lifecycle.ProxyLauncher;
 
 /** Dispatches serve, check and drill at once: a proxy starts without the library of the other commands. */
 public final class Main {
--- a/src/main/java/lemondrift/cli/RecoveryCommand.java
+++ b/src/main/java/lemondrift/cli/RecoveryCommand.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import lemondrift.recovery.Snapshot;
-import lemondrift.serve.recovery.SnapshotFile;
+import lemondrift.proxy.recovery.SnapshotFile;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
--- a/src/main/java/lemondrift/serve/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -1,4 +1,19 @@
-package lemondrift.serve;
+package lemondrift.proxy;
+
+import lemondrift.proxy.backend.BackendClient;
+import lemondrift.proxy.backend.BackendConnector;
+import lemondrift.proxy.backend.BackendResponse;
+import lemondrift.proxy.client.ClientListener;
+import lemondrift.proxy.client.PendingRequest;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.discovery.BackendDirectory;
+import lemondrift.proxy.discovery.EndpointList;
+import lemondrift.proxy.discovery.EndpointListWatch;
+import lemondrift.proxy.gossip.GossipTransport;
+import lemondrift.proxy.lifecycle.MonotonicClock;
+import lemondrift.proxy.lifecycle.TakeoverLock;
+import lemondrift.proxy.loop.DecisionLoop;
+import lemondrift.proxy.loop.ProxyActions;
 
 import com.google.gson.JsonObject;
 import io.undertow.connector.ByteBufferPool;
@@ -16,8 +31,8 @@
 import lemondrift.model.Decision;
 import lemondrift.model.Settings;
 import lemondrift.gossip.LoadGossip;
-import lemondrift.serve.admin.AdminOperations;
-import lemondrift.serve.recovery.RecoveryCoordinator;
+import lemondrift.proxy.admin.AdminOperations;
+import lemondrift.proxy.recovery.RecoveryCoordinator;
 import lemondrift.settings.RequestClassIndex;
 import lemondrift.shadow.ShadowEvaluator;
 import lemondrift.metrics.ProxyMetrics;
@@ -72,17 +87,17 @@
     private final GossipTransport peers;
     private volatile Phase phase = Phase.STARTING;
 
-    ProxyServer(ProxyConfig config) throws IOException {
+    public ProxyServer(ProxyConfig config) throws IOException {
         this(config, worker(), null);
     }
 
     /** The one that serves, on a worker that may stand already. */
-    ProxyServer(ProxyConfig config, XnioWorker worker) {
+    public ProxyServer(ProxyConfig config, XnioWorker worker) {
         this(config, worker, null);
     }
 
     /** Its backends' connections are opened by dial, or where that is null on sockets. */
-    ProxyServer(ProxyConfig told, XnioWorker worker, BackendConnector dial) {
+    public ProxyServer(ProxyConfig told, XnioWorker worker, BackendConnector dial) {
         ProxyConfig config = told.withoutKnown();
         known = told.known();
         this.worker = worker;
@@ -113,19 +128,19 @@
         }
     }
 
-    static XnioWorker worker() throws IOException {
+    public static XnioWorker worker() throws IOException {
         return Xnio.getInstance().createWorker(OptionMap.builder()
                 .set(Options.WORKER_IO_THREADS, 1).set(Options.WORKER_TASK_CORE_THREADS, 1)
                 .set(Options.WORKER_TASK_MAX_THREADS, 1).set(Options.WORKER_NAME, "io")
                 .set(Options.THREAD_DAEMON, false).getMap());
     }
 
-    void serve() throws IOException {
+    public void serve() throws IOException {
         serve(null);
     }
 
     /** On a listening socket that the process was given, or where that is null on one of its own. */
-    void serve(ServerSocketChannel given) throws IOException {
+    public void serve(ServerSocketChannel given) throws IOException {
         if (peers != null) {
             peers.begin(worker);
             front.first(peers::receive);
@@ -148,7 +163,7 @@
      * Follows a new configuration, from now on or, what can't change while clients are served, not before the
      * next start. One that is short of something is not followed at all.
      */
-    void reload(ProxyConfig next) {
+    public void reload(ProxyConfig next) {
         next.requireAllOf(config);
         LOG.info("configuration read again, discovery at {}, classes {}", next.discovery(),
                 next.gradeNames());
@@ -166,17 +181,17 @@
     }
 
     /** What it goes by now. */
-    ProxyConfig config() {
+    public ProxyConfig config() {
         return config;
     }
 
     /** A new configuration can't be used. */
-    void reloadFailed() {
+    public void reloadFailed() {
         worker.getIoThread().execute(() -> tally.reloaded(false));
     }
 
     /** What operators may ask of it. */
-    AdminOperations operated() {
+    public AdminOperations operated() {
         return new AdminOperations() {
             @Override
             public boolean isReady() {
@@ -219,12 +234,12 @@
     }
 
     /** Decides and forwards without a listener or discovery, on the list and the connections it is given. */
-    void rehearse(JsonObject list) {
+    public void rehearse(JsonObject list) {
         owner.start();
         owner.listed(EndpointList.of(list), false, () -> { });
     }
 
-    void accept(StreamConnection connection) {
+    public void accept(StreamConnection connection) {
         front.accepted(connection);
     }
 
@@ -239,7 +254,7 @@
     }
 
     /** Looks from time to time who else is there, and keeps to its part. Before serving. */
-    void meets(TakeoverLock meeting) {
+    public void meets(TakeoverLock meeting) {
         meeting.look();
         sharedBy(meeting.processes());
         worker.getIoThread().executeAtInterval(() -> worker.execute(() -> {
@@ -250,7 +265,7 @@
     }
 
     /** Takes clients as long as they come, answers all that was taken, and returns. */
-    void drain() throws InterruptedException {
+    public void drain() throws InterruptedException {
         double began = clock.now(), last = Math.max(began + config.longestExpiry(), formerExpiry);
         front.leaveGiven();
         front.drain(began + STRAGGLERS, last + ANSWERS);
@@ -283,7 +298,7 @@
         phase = next.compareTo(phase) > 0 ? next : phase;
     }
 
-    void close() {
+    public void close() {
         front.close();
         worker.getIoThread().execute(() -> {
             watch.stop();
--- a/src/main/java/lemondrift/serve/admin/AdminOperations.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminOperations.java
@@ -1,4 +1,4 @@
-package lemondrift.serve.admin;
+package lemondrift.proxy.admin;
 
 import lemondrift.metrics.ProxyMetrics;
 
--- a/src/main/java/lemondrift/serve/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -1,4 +1,8 @@
-package lemondrift.serve;
+package lemondrift.proxy.backend;
+
+import lemondrift.proxy.client.RequestBody;
+import lemondrift.proxy.http.BodyChunks;
+import lemondrift.proxy.http.BodyRelay;
 
 import io.undertow.connector.PooledByteBuffer;
 import java.io.IOException;
@@ -18,7 +22,7 @@
  * One request on one connection and its answer, whole, or where it is long its beginning and then piece by
  * piece as it is asked for. It never tries again by itself. I/O thread only.
  */
-final class BackendCall implements BodyChunks {
+public final class BackendCall implements BodyChunks {
     /** What is to be sent; the upload, if any, follows in place of a body. */
     record Request(Head head, byte[] body, RequestBody upload) {
         Request(byte[] head) {
@@ -70,7 +74,7 @@
     /**
      * A call to be started; end hears of its answer once, not after abandon. Null if there is no room.
      */
-    static BackendCall make(ConnectionPool links, byte[] request, int most, double connectTimeout, double within,
+    public static BackendCall make(ConnectionPool links, byte[] request, int most, double connectTimeout, double within,
             Consumer<BackendResponse> end) {
         BackendCall call = new BackendCall(links, new Request(request), most, false, () -> { }, end);
         return make(links, call, connectTimeout, within);
@@ -105,7 +109,7 @@
         return call;
     }
 
-    static byte[] get(String path, String host) {
+    public static byte[] get(String path, String host) {
         return ("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
@@ -115,7 +119,7 @@
         return links.io.executeAfter(() -> broken(true), nanos, TimeUnit.NANOSECONDS);
     }
 
-    void start() {
+    public void start() {
         if (link != null) {
             send();
         } else {
@@ -282,7 +286,7 @@
     }
 
     /** The length of a long answer's body; -1 where nobody tells. */
-    int declared() {
+    public int declared() {
         return reader.declared();
     }
 
@@ -321,7 +325,7 @@
     }
 
     /** What was passed on is whole. */
-    void passed() {
+    public void passed() {
         boolean spent = passing.getBuffer().hasRemaining() || reader.closes() || !isSent();
         release();
         if (spent) {
@@ -332,7 +336,7 @@
     }
 
     /** Nobody wants what is passed on any more. */
-    void drop() {
+    public void drop() {
         release();
         link.close();
     }
@@ -371,7 +375,7 @@
     }
 
     /** Gives the request up by closing its connection, so that no copy is left out. */
-    void abandon() {
+    public void abandon() {
         if (done) {
             return;
         }
--- a/src/main/java/lemondrift/serve/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -1,4 +1,10 @@
-package lemondrift.serve;
+package lemondrift.proxy.backend;
+
+import lemondrift.proxy.client.PendingRequest;
+import lemondrift.proxy.client.RequestBody;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.lifecycle.MonotonicClock;
+import lemondrift.proxy.loop.DecisionLoop;
 
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.HttpServerExchange;
@@ -25,9 +31,9 @@
 import org.xnio.XnioIoThread;
 
 /** Forwards, probes and load reports over bounded pools of connections. I/O thread only. */
-final class BackendClient {
+public final class BackendClient {
     private static final Logger LOG = LoggerFactory.getLogger(BackendClient.class);
-    static final HttpString EXPIRES = new HttpString("X-Expires-In-Ms");
+    public static final HttpString EXPIRES = new HttpString("X-Expires-In-Ms");
     private static final HttpString LOAD = new HttpString("Endpoint-Load-Metrics");
     private static final HttpString NEVER_RAN = new HttpString("X-Never-Ran");
     private static final Set<HttpString> OWN = Set.of(Headers.CONNECTION, Headers.KEEP_ALIVE, Headers.TE,
@@ -60,7 +66,7 @@
     private final Map<Attempt, BackendCall> calls = new HashMap<>();
 
     /** Awaited says whether the client of an exchange is there and has no answer yet. */
-    BackendClient(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers, DecisionLoop owner,
+    public BackendClient(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers, DecisionLoop owner,
             ProxyMetrics tally, Predicate<PendingRequest> awaited) {
         this.awaited = awaited;
         this.config = config;
@@ -76,7 +82,7 @@
                 (long) (limit * 1e9 / 8), TimeUnit.NANOSECONDS);
     }
 
-    void send(Attempt f, PendingRequest taken, InetSocketAddress to) {
+    public void send(Attempt f, PendingRequest taken, InetSocketAddress to) {
         try {
             begin(f, taken, to);
         } catch (RuntimeException e) {
@@ -141,7 +147,7 @@
         return head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    void cancel(Attempt f) {
+    public void cancel(Attempt f) {
         BackendCall call = calls.remove(f);
         if (call != null) {
             call.abandon();
@@ -150,7 +156,7 @@
     }
 
     /** A probe waits as long as a connect may. */
-    void probe(int backend, InetSocketAddress to) {
+    public void probe(int backend, InetSocketAddress to) {
         String path = config.reportNames().isEmpty() ? "/healthz" : "/load";
         BackendCall call = BackendCall.make(links(backend, to), BackendCall.get(path, "backend"), MOST_BODY,
                 config.connectTimeout(), config.connectTimeout(), answer -> owner.probed(backend,
@@ -164,11 +170,11 @@
     }
 
     /** How many forwards are out. */
-    int calls() {
+    public int calls() {
         return calls.size();
     }
 
-    void letGo(int backend) {
+    public void letGo(int backend) {
         ConnectionPool known = links.remove(backend);
         if (known != null) {
             known.retire();
@@ -176,11 +182,11 @@
     }
 
     /** A share of its connections is this process's from now on. */
-    void share(double share) {
+    public void share(double share) {
         budget.most((int) (share * SHARE * config.connections()));
     }
 
-    void stop() {
+    public void stop() {
         sweep.remove();
     }
 
@@ -197,7 +203,7 @@
     }
 
     /** Everything but what belongs to one connection. */
-    static void copy(HeaderMap from, HeaderMap to) {
+    public static void copy(HeaderMap from, HeaderMap to) {
         for (HeaderValues values : from) {
             if (!OWN.contains(values.getHeaderName())) {
                 to.putAll(values.getHeaderName(), values);
@@ -224,7 +230,7 @@
     }
 
     /** Reads TEXT name=value, name=value into the figures of these names; null if one lacks or is none. */
-    static double[] report(String text, List<String> names) {
+    public static double[] report(String text, List<String> names) {
         Map<String, String> pairs = new HashMap<>();
         String list = text.strip();
         for (String pair : list.substring(list.startsWith("TEXT ") ? 5 : 0).split(",")) {
--- a/src/main/java/lemondrift/serve/BackendConnector.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendConnector.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.backend;
 
 import java.net.InetSocketAddress;
 import org.xnio.ChannelListener;
@@ -6,6 +6,6 @@
 import org.xnio.StreamConnection;
 
 /** Opens connections to backends. */
-interface BackendConnector {
+public interface BackendConnector {
     IoFuture<StreamConnection> open(InetSocketAddress to, ChannelListener<StreamConnection> opened);
 }
--- a/src/main/java/lemondrift/serve/BackendResponse.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendResponse.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.backend;
 
 import io.undertow.util.HeaderMap;
 
@@ -6,8 +6,8 @@
  * What came back on a call; status 0 where the connection failed before the answer was whole. Where it is
  * passed on, the body is its beginning and the rest is whoever has what follows, else null.
  */
-record BackendResponse(int status, HeaderMap headers, byte[] body, boolean sent, boolean timedOut, BackendCall rest) {
-    static final int OK = 200;
+public record BackendResponse(int status, HeaderMap headers, byte[] body, boolean sent, boolean timedOut, BackendCall rest) {
+    public static final int OK = 200;
 
     /** Given up before all of its request was sent, through no fault of its backend. */
     static final int UNSENT = -1;
--- a/src/main/java/lemondrift/serve/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy.backend;
+
+import lemondrift.proxy.lifecycle.MonotonicClock;
 
 import io.undertow.connector.ByteBufferPool;
 import java.io.IOException;
@@ -13,10 +15,10 @@
 import org.xnio.XnioIoThread;
 
 /** A bounded pool of connections to one address; one request at a time on each. I/O thread only. */
-final class ConnectionPool {
+public final class ConnectionPool {
     /** One connection. */
-    static final class Link {
-        final StreamConnection connection;
+    public static final class Link {
+        public final StreamConnection connection;
         private double idleSince;
 
         private Link(StreamConnection connection) {
@@ -38,14 +40,14 @@
     }
 
     /** How many connections may be open over all pools that share it, and the idle ones, oldest first. */
-    static final class Budget {
+    public static final class Budget {
         private int most;
         /** Until when connections rest. */
         private double waryUntil = Double.NEGATIVE_INFINITY;
         private final Set<Link> idle = new LinkedHashSet<>();
         private int open;
 
-        Budget(int most) {
+        public Budget(int most) {
             this.most = most;
         }
 
@@ -70,11 +72,11 @@
      * For so many seconds a connection is not used again after an answer, while somebody has said more than
      * his answer less than so many seconds ago.
      */
-    record Rest(double seconds, double memory) {
-        static final Rest NONE = new Rest(0, 0);
+    public record Rest(double seconds, double memory) {
+        public static final Rest NONE = new Rest(0, 0);
     }
 
-    final InetSocketAddress address;
+    public final InetSocketAddress address;
     final XnioIoThread io;
     final BackendConnector dial;
     final ByteBufferPool buffers;
@@ -86,7 +88,7 @@
     private int open;
     private boolean retired;
 
-    ConnectionPool(InetSocketAddress address, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers, MonotonicClock clock,
+    public ConnectionPool(InetSocketAddress address, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers, MonotonicClock clock,
             Budget budget, int most, Rest rest) {
         this.address = address;
         this.io = io;
@@ -132,7 +134,7 @@
     }
 
     /** Whether another connection may be opened; it counts from now on. */
-    boolean reserve() {
+    public boolean reserve() {
         if (open >= most || !budget.hasRoom()) {
             return false;
         }
@@ -147,7 +149,7 @@
         budget.open--;
     }
 
-    Link opened(StreamConnection connection) {
+    public Link opened(StreamConnection connection) {
         Link link = new Link(connection);
         connection.setCloseListener(closed -> {
             released();
@@ -157,7 +159,7 @@
         return link;
     }
 
-    void back(Link link) {
+    public void back(Link link) {
         if (retired || !link.connection.isOpen()) {
             link.close();
             return;
@@ -178,7 +180,7 @@
     }
 
     /** No more is sent here: idle connections are closed now, busy ones when their request has ended. */
-    void retire() {
+    public void retire() {
         retired = true;
         closeIdleSince(Double.POSITIVE_INFINITY);
     }
--- a/src/main/java/lemondrift/serve/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy.backend;
+
+import lemondrift.proxy.http.HttpFieldRules;
 
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HeaderValues;
@@ -15,7 +17,7 @@
  * do here: it takes any 1xx but 100 for the answer, the first of two lengths for the length, and keeps what
  * lies beyond an answer for the next one.
  */
-final class ResponseReader {
+public final class ResponseReader {
     private static final Pattern CHUNK = Pattern.compile("([0-9A-Fa-f]{1,7})[ \\t]*(;.*)?");
 
     private enum Part { STATUS, FIELDS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, TO_THE_END, WHOLE }
@@ -38,7 +40,7 @@
      * The most is that of a body that is held; heads, 1xx too, and lines between chunks have bounds of their
      * own. A longer one, if it may be, is passed on in pieces.
      */
-    ResponseReader(int most, boolean mayPass) {
+    public ResponseReader(int most, boolean mayPass) {
         this.most = most;
         this.mayPass = mayPass;
     }
@@ -47,7 +49,7 @@
      * Takes what has come; whether the answer is whole. What is left in the buffer then is not its own. It
      * leaves the rest of one that is too long to be held.
      */
-    boolean read(ByteBuffer from) throws IOException {
+    public boolean read(ByteBuffer from) throws IOException {
         while (!isLong()) {
             ByteBuffer piece = piece(from);
             if (piece == null) {
@@ -66,7 +68,7 @@
     }
 
     /** The next piece of the body out of what has come; null where more must come first, or it is whole. */
-    ByteBuffer piece(ByteBuffer from) throws IOException {
+    public ByteBuffer piece(ByteBuffer from) throws IOException {
         while (part != Part.WHOLE && from.hasRemaining()) {
             if (part == Part.BODY || part == Part.CHUNK || part == Part.TO_THE_END) {
                 int count = part == Part.TO_THE_END ? from.remaining() : Math.min(left, from.remaining());
@@ -89,7 +91,7 @@
     }
 
     /** Whether it is too long to be held, so that it has to be passed on in pieces. */
-    boolean isLong() {
+    public boolean isLong() {
         return passed || declared > most || body.size() > most;
     }
 
@@ -103,7 +105,7 @@
         passed = true;
     }
 
-    boolean isWhole() {
+    public boolean isWhole() {
         return part == Part.WHOLE;
     }
 
@@ -128,12 +130,12 @@
         return connection == null ? old : !connection.equalsIgnoreCase("keep-alive");
     }
 
-    BackendResponse answer() {
+    public BackendResponse answer() {
         return new BackendResponse(status, headers, body.toByteArray(), true, false, null);
     }
 
     /** What of it was held, and whoever has the rest. */
-    BackendResponse begun(BackendCall rest) {
+    public BackendResponse begun(BackendCall rest) {
         return new BackendResponse(status, headers, body.toByteArray(), true, false, rest);
     }
 
--- a/src/main/java/lemondrift/serve/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy.client;
+
+import lemondrift.proxy.lifecycle.MonotonicClock;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/lemondrift/serve/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -1,4 +1,14 @@
-package lemondrift.serve;
+package lemondrift.proxy.client;
+
+import lemondrift.proxy.backend.BackendClient;
+import lemondrift.proxy.backend.BackendResponse;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.http.BodyChunks;
+import lemondrift.proxy.http.BodyRelay;
+import lemondrift.proxy.http.HttpFieldRules;
+import lemondrift.proxy.lifecycle.MonotonicClock;
+import lemondrift.proxy.logging.FailureLog;
+import lemondrift.proxy.loop.DecisionLoop;
 
 import io.undertow.Handlers;
 import io.undertow.UndertowOptions;
@@ -41,7 +51,7 @@
 import org.xnio.nio.InheritedServer;
 
 /** The clients' side: takes exchanges in, answers them as told, and says when a client has gone. */
-final class ClientListener {
+public final class ClientListener {
     private static final HttpString TRACE = new HttpString("X-Trace-Id");
     private static final HttpString GRADE = new HttpString("X-Qos");
     private static final HttpString RETRY = new HttpString("X-Second-Try");
@@ -81,7 +91,7 @@
     /** When the last answers are to be out. */
     private volatile double lastAnswers = Double.POSITIVE_INFINITY;
 
-    ClientListener(ProxyConfig config, RequestClassIndex grades, MonotonicClock clock, XnioWorker worker, ByteBufferPool buffers, DecisionLoop owner,
+    public ClientListener(ProxyConfig config, RequestClassIndex grades, MonotonicClock clock, XnioWorker worker, ByteBufferPool buffers, DecisionLoop owner,
             ProxyMetrics tally) {
         this.config = config;
         this.clock = clock;
@@ -102,7 +112,7 @@
     }
 
     /** Other grades are stated for what is read from now on. */
-    void retuned(RequestClassIndex other, Settings settings) {
+    public void retuned(RequestClassIndex other, Settings settings) {
         grades = other;
         terms = new RequestTerms[settings.grades().size()];
         Arrays.setAll(terms, settings::terms);
@@ -111,7 +121,7 @@
     }
 
     /** A share of what it may use is this process's from now on. I/O thread only. */
-    void share(double share, int processes) {
+    public void share(double share, int processes) {
         visitors.share(share);
         holding.all((long) (HELD_SHARE * config.memory() / processes));
         if (inherited != null) {
@@ -119,17 +129,17 @@
         }
     }
 
-    int classesKnown() {
+    public int classesKnown() {
         return terms.length;
     }
 
     /** Accepts on a socket that the process was given, and that others may accept on as well. */
-    void listen(ServerSocketChannel given) throws IOException {
+    public void listen(ServerSocketChannel given) throws IOException {
         inherited = new InheritedServer(given, worker.getIoThread(), config.door().last(), this::accepted);
         worker.getIoThread().execute(inherited::listen);
     }
 
-    void listen() throws IOException {
+    public void listen() throws IOException {
         // Danger: XNIO accepts again only when one closes at the low mark or under it, so with a lower
         // low mark places that are freed one by one would never be filled.
         int last = config.door().last();
@@ -141,16 +151,16 @@
         server.resumeAccepts();
     }
 
-    void accepted(StreamConnection connection) {
+    public void accepted(StreamConnection connection) {
         visitors.came(connection, http);
     }
 
-    InetSocketAddress address() {
+    public InetSocketAddress address() {
         return server.getLocalAddress(InetSocketAddress.class);
     }
 
     /** Who still comes is taken by others. Danger: a socket of its own left so would refuse them. */
-    void leaveGiven() {
+    public void leaveGiven() {
         if (inherited != null) {
             worker.getIoThread().execute(inherited::stop);
         }
@@ -160,29 +170,29 @@
      * From now on answers close their connections, those without a word go by then; new ones are taken, and
      * whatever is taken is to be answered by the last time.
      */
-    void drain(double until, double last) {
+    public void drain(double until, double last) {
         draining = true;
         lastAnswers = last;
         worker.getIoThread().execute(() -> visitors.drain(until));
     }
 
     /** Clients are no longer sent away. */
-    void resume() {
+    public void resume() {
         draining = false;
         worker.getIoThread().execute(visitors::resume);
     }
 
     /** The indexes of classes that open exchanges name. I/O thread only. */
-    Set<Integer> grades() {
+    public Set<Integer> grades() {
         return visitors.grades();
     }
 
     /** How many clients have an exchange open. I/O thread only. */
-    int open() {
+    public int open() {
         return visitors.open();
     }
 
-    boolean isDraining() {
+    public boolean isDraining() {
         return draining;
     }
 
@@ -191,7 +201,7 @@
      * thread only. Danger: what came since such a look would be lost, so that whoever ends upon it does so
      * there.
      */
-    boolean isDrained() {
+    public boolean isDrained() {
         try {
             for (StreamConnection next = accept(); next != null; next = accept()) {
                 accepted(next);
@@ -206,7 +216,7 @@
         return server == null ? null : server.accept();
     }
 
-    void close() {
+    public void close() {
         worker.getIoThread().execute(visitors::stop);
         IoUtils.safeClose(server);
     }
@@ -426,7 +436,7 @@
     }
 
     /** What is to be done before an exchange is decided; set before listening. */
-    void first(Runnable task) {
+    public void first(Runnable task) {
         first = task;
     }
 
@@ -449,7 +459,7 @@
     }
 
     /** The decisions have room for more. */
-    void decided(int exchanges, double seconds) {
+    public void decided(int exchanges, double seconds) {
         intake.decided(exchanges, seconds);
         for (PendingRequest next = intake.next(); next != null; next = intake.next()) {
             owner.arrived(next);
@@ -524,7 +534,7 @@
      * Whether its client is there and has no answer yet. Danger: whoever has closed is known to have gone
      * once its connection is read, and this may be asked before that where the I/O thread was held up.
      */
-    boolean awaits(PendingRequest taken) {
+    public boolean awaits(PendingRequest taken) {
         if (isOpen(taken) && taken.client().isRequestComplete()) {
             lookAhead((AbstractServerConnection) taken.client().getConnection());
         }
@@ -537,7 +547,7 @@
     }
 
     /** Passes a backend's answer on. */
-    void deliver(PendingRequest taken, BackendResponse answer) {
+    public void deliver(PendingRequest taken, BackendResponse answer) {
         HttpServerExchange client = taken.client();
         client.getAttachment(VISITOR).brings(taken.exchange().terms.grade().benefit());
         BackendClient.copy(answer.headers(), client.getResponseHeaders());
@@ -607,7 +617,7 @@
     }
 
     /** A shed answer promises that a retry is harmless; a scrapped one promises nothing. */
-    void giveUp(HttpServerExchange client, boolean shed, double retryAfter) {
+    public void giveUp(HttpServerExchange client, boolean shed, double retryAfter) {
         Request x = client.getAttachment(VISITOR).exchange;
         if (x != null) {
             endings.notServed(x, only(client.getRequestHeaders(), TRACE),
--- a/src/main/java/lemondrift/serve/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy.client;
+
+import lemondrift.proxy.http.BodyChunks;
 
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.connector.PooledByteBuffer;
@@ -16,7 +18,7 @@
  * A request's body as it comes: held as long as it may be, then given on piece by piece, in chunks where
  * nobody tells its length. I/O thread only.
  */
-final class RequestBody implements BodyChunks {
+public final class RequestBody implements BodyChunks {
     /** Who hears what becomes of it. */
     interface Hearer {
         /** All of it has come and is held. */
@@ -43,11 +45,11 @@
     private final long longest;
     private final Hearer hearer;
     /** How long a backend may take nothing of it. */
-    final double stall;
+    public final double stall;
     private final boolean chunked;
     private final Deque<ByteBuffer> next = new ArrayDeque<>();
     /** How many seconds there are for the answer from the last byte on; set when it is passed on. */
-    double within;
+    public double within;
     private byte[] held = {};
     private int count;
     private long came;
@@ -97,12 +99,12 @@
         }
     }
 
-    boolean isChunked() {
+    public boolean isChunked() {
         return chunked;
     }
 
     /** From its first byte; false where that is no longer held. */
-    boolean restart() {
+    public boolean restart() {
         if (beyond) {
             return false;
         }
@@ -188,7 +190,7 @@
     }
 
     /** What is to be done when its request is over, by whoever passes it on. */
-    void whenReleased(Runnable then) {
+    public void whenReleased(Runnable then) {
         released = then;
     }
 
--- a/src/main/java/lemondrift/serve/ConfigFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConfigFile.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.config;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -15,7 +15,7 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /** The configuration's file as JSON, read once for all that needs it. */
-final class ConfigFile {
+public final class ConfigFile {
     /** The list of before is passed over so many lines at a time, with so many nanoseconds in between. */
     private static final int LINES_AT_A_TIME = 64;
     private static final long BETWEEN_PARTS = 500_000;
@@ -34,7 +34,7 @@
      *
      * @throws InvalidSettingsException where it is no JSON object
      */
-    static JsonObject read(Map<String, String> environment) throws IOException {
+    public static JsonObject read(Map<String, String> environment) throws IOException {
         return object(Files.readString(path(environment)));
     }
 
@@ -55,7 +55,7 @@
      * The same without the list of before, which holds at a start only. Danger: on a large fleet it is nearly
      * all of the file, and who reads it while clients are served shares a core with those who owe answers.
      */
-    static JsonObject readWithoutKnown(Map<String, String> environment) throws IOException {
+    public static JsonObject readWithoutKnown(Map<String, String> environment) throws IOException {
         try (Reader file = Files.newBufferedReader(path(environment));
                 JsonReader reader = new JsonReader(file)) {
             JsonObject all = new JsonObject();
--- a/src/main/java/lemondrift/serve/ConnectionSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy.config;
+
+import lemondrift.proxy.http.HttpFieldRules;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -16,7 +18,7 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /** Reads what a deployment may say of the door, in a file of its own; docs/door.md has the keys. */
-final class ConnectionSettingsFile {
+public final class ConnectionSettingsFile {
     /** The share of the proxy's connections that clients may have, and where no more are accepted. */
     private static final double SHARE = 0.6, LAST = 0.66;
     /** Seconds that an answered connection may be quiet, and before which none is closed between requests. */
@@ -35,7 +37,7 @@
     }
 
     /** The same with what a file says; what can't be used is one line that names file and key. */
-    static ConnectionLimits read(Path file, ConnectionLimits usual) throws IOException {
+    public static ConnectionLimits read(Path file, ConnectionLimits usual) throws IOException {
         double quiet = usual.quiet(), earliest = -1, leastRate = usual.leastRate();
         ConnectionLimits.Sharing sharing = usual.sharing();
         boolean announces = usual.announces();
--- a/src/main/java/lemondrift/serve/GossipSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy.config;
+
+import lemondrift.proxy.gossip.GossipTransport;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -20,7 +22,7 @@
     private GossipSettingsFile() {}
 
     /** Null where the configuration forbids messages between proxies or names no addresses for them. */
-    static GossipTransport.Place read(Path file, Settings settings, JsonObject config) throws IOException {
+    public static GossipTransport.Place read(Path file, Settings settings, JsonObject config) throws IOException {
         double pace = PACE, forget = FORGET;
         int part = PART;
         for (Map.Entry<String, JsonElement> each : ConnectionSettingsFile.object(file).entrySet()) {
--- a/src/main/java/lemondrift/serve/ProxyConfig.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfig.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy.config;
+
+import lemondrift.proxy.gossip.GossipTransport;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -16,7 +18,7 @@
 import lemondrift.connection.ConnectionLimits;
 import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
-import lemondrift.serve.recovery.RecoveryCoordinator;
+import lemondrift.proxy.recovery.RecoveryCoordinator;
 import lemondrift.settings.InvalidSettingsException;
 import lemondrift.settings.SettingsReader;
 import org.slf4j.Logger;
@@ -26,7 +28,7 @@
  * What one proxy is told at start: the decisions' settings, the names at its door, and its own addresses; the
  * operators' is null where there is none.
  */
-record ProxyConfig(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery,
+public record ProxyConfig(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery,
         long seed, int sockets, long memory, Settings settings, List<String> gradeNames,
         List<String> tenantNames, List<String> locations, List<String> reportNames, double idle,
         double connectTimeout,
@@ -42,12 +44,12 @@
     private static final int OTHERS = 40;
 
     /** How many connections the proxy may hold. */
-    int connections() {
+    public int connections() {
         return connections(sockets);
     }
 
     /** The share of them that each of so many processes may hold, as each has descriptors of its own too. */
-    double share(int processes) {
+    public double share(int processes) {
         return processes == 1 ? 1 : (double) connections(sockets / processes) / connections(sockets);
     }
 
@@ -63,14 +65,14 @@
     }
 
     /** The same without the list of before, which is thousands of lines on a large fleet. */
-    ProxyConfig withoutKnown() {
+    public ProxyConfig withoutKnown() {
         return new ProxyConfig(name, listen, admin, discovery, seed, sockets, memory, settings, gradeNames,
                 tenantNames, locations, reportNames, idle, connectTimeout, none(), stated, door, peers,
                 recovery, shadow);
     }
 
     /** The same with another door. */
-    ProxyConfig with(ConnectionLimits other) {
+    public ProxyConfig with(ConnectionLimits other) {
         return with(other, peers, recovery);
     }
 
@@ -79,7 +81,7 @@
     }
 
     /** The same with settings that are watched. */
-    ProxyConfig watching(Settings other) {
+    public ProxyConfig watching(Settings other) {
         return with(admin, door, peers, recovery, other);
     }
 
@@ -89,7 +91,7 @@
     }
 
     /** What the files named in an environment say: PROXY_CONFIG, and the others where there are any. */
-    static ProxyConfig read(Map<String, String> environment) throws IOException {
+    public static ProxyConfig read(Map<String, String> environment) throws IOException {
         JsonObject json = ConfigFile.read(environment);
         ProxyConfig config = read(json);
         config = config.with(door(environment, config), peers(environment, config, json),
@@ -102,7 +104,7 @@
      * that is gone or can't be used by now must not keep the proxy from following the settings; the log tells
      * of it.
      */
-    static ProxyConfig readAgain(Map<String, String> environment, ProxyConfig running) throws IOException {
+    public static ProxyConfig readAgain(Map<String, String> environment, ProxyConfig running) throws IOException {
         JsonObject json = ConfigFile.readWithoutKnown(environment);
         ProxyConfig config = read(json).with(running.door, running.peers, running.recovery)
                 .named(environment, json);
@@ -141,7 +143,7 @@
         return shadow == null ? config : config.watching(ShadowSettingsFile.read(Path.of(shadow), json));
     }
 
-    static ProxyConfig read(String json) {
+    public static ProxyConfig read(String json) {
         return read(ConfigFile.object(json));
     }
 
@@ -189,7 +191,7 @@
         return none;
     }
 
-    double longestExpiry() {
+    public double longestExpiry() {
         return settings.live().mapToDouble(RequestClass::expiry).max().orElse(1);
     }
 
@@ -197,7 +199,7 @@
      * Danger: a file that was cut or left half written may still be one that can be read, and what it lacks
      * would fall back to what holds where nothing is said.
      */
-    void requireAllOf(ProxyConfig running) {
+    public void requireAllOf(ProxyConfig running) {
         for (String key : running.stated.keySet()) {
             // Of a list's entries each has to have what all had; there may be fewer of them.
             boolean all = IntStream.range(0, running.count(key)).allMatch(i -> running.stated.containsKey(
@@ -221,7 +223,7 @@
     }
 
     /** The keys that differ from the running configuration's, and hold only from the next start on. */
-    List<String> changesAtAStart(ProxyConfig running) {
+    public List<String> changesAtAStart(ProxyConfig running) {
         return Stream.concat(stated.keySet().stream(), running.stated.keySet().stream()).distinct().sorted()
                 .filter(key -> key.matches(AT_A_START))
                 .filter(key -> !Objects.equals(stated.get(key), running.stated.get(key))).toList();
@@ -264,7 +266,7 @@
         }
     }
 
-    static InetSocketAddress address(String what, String text) {
+    public static InetSocketAddress address(String what, String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
--- a/src/main/java/lemondrift/serve/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -1,11 +1,11 @@
-package lemondrift.serve;
+package lemondrift.proxy.config;
 
 import com.google.gson.JsonElement;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Map;
 import lemondrift.recovery.PeerPollBackoff;
-import lemondrift.serve.recovery.RecoveryCoordinator;
+import lemondrift.proxy.recovery.RecoveryCoordinator;
 import lemondrift.settings.InvalidSettingsException;
 
 /** Reads what a deployment may say of a proxy's way back after its start; docs/recovery.md has the keys. */
@@ -16,7 +16,7 @@
     private RecoverySettingsFile() {}
 
     /** Spans are given as shares of the shortest contract time, which is so many seconds. */
-    static RecoveryCoordinator.Plan read(Path file, double window) throws IOException {
+    public static RecoveryCoordinator.Plan read(Path file, double window) throws IOException {
         PeerPollBackoff usual = PeerPollBackoff.of(1);
         double ask = usual.ask(), bound = usual.bound(), forget = usual.forget(), period = PERIOD;
         int fanout = usual.fanout(), enough = usual.enough();
--- a/src/main/java/lemondrift/serve/ShadowSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ShadowSettingsFile.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.config;
 
 import com.google.gson.JsonObject;
 import java.io.IOException;
@@ -17,7 +17,7 @@
 
     private ShadowSettingsFile() {}
 
-    static Settings read(Path file, JsonObject whole) throws IOException {
+    public static Settings read(Path file, JsonObject whole) throws IOException {
         Map<String, String> pairs = new HashMap<>();
         ProxyConfig.flatten("", whole.has("settings") ? whole.get("settings") : new JsonObject(), pairs);
         Map<String, String> own = Map.copyOf(pairs);
--- a/src/main/java/lemondrift/serve/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.discovery;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
  * Backends' ids, which end here, their dense indexes, and where this proxy reaches each. What one line of a
  * list costs does not go with the number of backends.
  */
-final class BackendDirectory {
+public final class BackendDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(BackendDirectory.class);
 
     /** What one index stands for. */
@@ -45,20 +45,20 @@
     private final TreeSet<Integer> free = new TreeSet<>();
     private int listed, held, lists;
 
-    BackendDirectory(List<String> locations) {
+    public BackendDirectory(List<String> locations) {
         this.locations = locations;
     }
 
-    InetSocketAddress address(int backend) {
+    public InetSocketAddress address(int backend) {
         return entries.get(backend).address;
     }
 
-    String id(int backend) {
+    public String id(int backend) {
         return entries.get(backend).id;
     }
 
     /** How many backends the list has, draining ones too. */
-    int listed() {
+    public int listed() {
         return listed;
     }
 
@@ -68,19 +68,19 @@
     }
 
     /** Whether it has another address than when this was asked last. */
-    boolean hasMoved(int backend) {
+    public boolean hasMoved(int backend) {
         boolean moved = entries.get(backend).moved;
         entries.get(backend).moved = false;
         return moved;
     }
 
     /** How often something speaks of any of them. */
-    int held() {
+    public int held() {
         return held;
     }
 
     /** Something speaks of the backend by its index, which stands for it until it is let go. */
-    void hold(int backend) {
+    public void hold(int backend) {
         Entry entry = entries.get(backend);
         if (!entry.logged) {
             // Once it is used, not when it is listed: a line for each of thousands would fill the log.
@@ -92,7 +92,7 @@
         keepFree(entry);
     }
 
-    void letGo(int backend) {
+    public void letGo(int backend) {
         Entry entry = entries.get(backend);
         entry.held--;
         held--;
--- a/src/main/java/lemondrift/serve/EndpointList.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointList.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy.discovery;
+
+import lemondrift.proxy.config.ProxyConfig;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -14,15 +16,15 @@
  * One list of discovery, read: its revision, whether it names all there are or changes only, and a line for
  * each backend, the last where it names one twice; and the lines that can't be read.
  */
-record EndpointList(long revision, boolean complete, List<Member> members, List<String> unreadable) {
+public record EndpointList(long revision, boolean complete, List<Member> members, List<String> unreadable) {
 
     /**
      * One backend's line. Null stands for what the line does not tell; a line of which only the id can be
      * read has no state. The start is Unix time in seconds, 0 for long ago.
      */
-    record Member(String id, EndpointUpdate.State state, InetSocketAddress address, String locality, Integer cell,
+    public record Member(String id, EndpointUpdate.State state, InetSocketAddress address, String locality, Integer cell,
             double size, double started) {
-        boolean isReadable() {
+        public boolean isReadable() {
             return state != null;
         }
 
@@ -59,7 +61,7 @@
     }
 
     /** From discovery's form, whatever its revision; it has to have members. */
-    static EndpointList of(JsonObject list) {
+    public static EndpointList of(JsonObject list) {
         Builder lines = new Builder();
         list.getAsJsonArray("members").forEach(lines::add);
         return lines.build(list.has("revision") ? list.get("revision").getAsLong() : -1,
--- a/src/main/java/lemondrift/serve/EndpointListParser.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.discovery;
 
 import com.google.gson.JsonParser;
 import com.google.gson.stream.JsonReader;
@@ -9,14 +9,14 @@
 import java.nio.charset.StandardCharsets;
 
 /** Reads a list of discovery from its bytes in steps, so that one of thousands of lines holds nobody up. */
-final class EndpointListParser {
+public final class EndpointListParser {
     private final JsonReader reader;
     private final EndpointList.Builder lines = new EndpointList.Builder();
     private Long revision;
     private Boolean complete;
     private boolean begun, inMembers, hadMembers, done;
 
-    EndpointListParser(byte[] bytes) {
+    public EndpointListParser(byte[] bytes) {
         reader = new JsonReader(new InputStreamReader(new ByteArrayInputStream(bytes),
                 StandardCharsets.UTF_8));
     }
@@ -26,7 +26,7 @@
      *
      * @throws IOException or a runtime exception where it is no list in discovery's form
      */
-    boolean advance(int most) throws IOException {
+    public boolean advance(int most) throws IOException {
         if (!begun) {
             reader.beginObject();
             begun = true;
@@ -71,7 +71,7 @@
     }
 
     /** What was read, once it has come to the end. */
-    EndpointList list() throws IOException {
+    public EndpointList list() throws IOException {
         // Danger: a revision taken from half a list would never be asked for again.
         require(done && hadMembers && revision != null && complete != null, "a list without its fields");
         return lines.build(revision, complete);
--- a/src/main/java/lemondrift/serve/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.discovery;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,7 +9,7 @@
  * drains or has gone comes first, then who is new or has changed; what says nothing new costs a look. Owner's
  * thread only.
  */
-final class EndpointListUpdate {
+public final class EndpointListUpdate {
     /** What one slice may cost; a look at a line costs 1, and a line that says something new LINE. */
     private static final int SLICE = 512, LINE = 8;
 
@@ -27,32 +27,32 @@
     private int at, slices, lines;
 
     /** Stale is a list of before the start; applied is told when the decisions have all of it. */
-    EndpointListUpdate(BackendDirectory directory, EndpointList list, boolean stale, Runnable applied) {
+    public EndpointListUpdate(BackendDirectory directory, EndpointList list, boolean stale, Runnable applied) {
         this.directory = directory;
         this.list = list;
         this.stale = stale;
         this.applied = applied;
     }
 
-    boolean isStale() {
+    public boolean isStale() {
         return stale;
     }
 
     /** Whether it says nothing at all, as a watch does that nothing came of. */
-    boolean isEmpty() {
+    public boolean isEmpty() {
         return list.members().isEmpty() && !list.complete();
     }
 
-    boolean isDone() {
+    public boolean isDone() {
         return step == Step.DONE;
     }
 
-    void applied() {
+    public void applied() {
         applied.run();
     }
 
     /** The next lines for the decisions, perhaps none. */
-    List<EndpointUpdate> slice() {
+    public List<EndpointUpdate> slice() {
         List<EndpointUpdate> told = new ArrayList<>();
         number = slices++ == 0 ? directory.nextList() : number;
         for (int left = SLICE; left > 0 && step != Step.DONE; ) {
@@ -108,14 +108,14 @@
     }
 
     /** For the log. */
-    String told() {
+    public String told() {
         return "revision=" + list.revision() + " whole=" + list.complete() + " lines="
                 + list.members().size() + " unreadable=" + list.unreadable().size() + " absent="
                 + absent.size() + " withdrawn=" + withdrawn.size() + " new_or_changed=" + added.size()
                 + " told=" + lines + " slices=" + slices;
     }
 
-    List<String> unreadable() {
+    public List<String> unreadable() {
         return list.unreadable();
     }
 }
--- a/src/main/java/lemondrift/serve/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -1,4 +1,12 @@
-package lemondrift.serve;
+package lemondrift.proxy.discovery;
+
+import lemondrift.proxy.backend.BackendCall;
+import lemondrift.proxy.backend.BackendConnector;
+import lemondrift.proxy.backend.BackendResponse;
+import lemondrift.proxy.backend.ConnectionPool;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.lifecycle.MonotonicClock;
+import lemondrift.proxy.loop.DecisionLoop;
 
 import io.undertow.connector.ByteBufferPool;
 import java.io.IOException;
@@ -15,7 +23,7 @@
 import org.xnio.XnioWorker;
 
 /** Keeps the list up to date: the whole list once, then one watch. I/O thread only. */
-final class EndpointListWatch {
+public final class EndpointListWatch {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListWatch.class);
     private static final int MOST_LIST = 4 << 20;
     /**
@@ -47,7 +55,7 @@
     private ConnectionPool links;
     private BackendCall call;
 
-    EndpointListWatch(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers,
+    public EndpointListWatch(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers,
             DecisionLoop owner) {
         this.clock = clock;
         this.io = io;
@@ -64,7 +72,7 @@
     }
 
     /** Where lists are told unasked the watch runs from the start; elsewhere the decisions begin it. */
-    void begin() {
+    public void begin() {
         if (!onRequest) {
             call();
         }
@@ -75,7 +83,7 @@
      * agent has counts as told from the first moment of the process, and the list known from before may name
      * backends that have drained for longer than the grace. Any thread but the I/O thread.
      */
-    void awaitFirst() {
+    public void awaitFirst() {
         try {
             first.await((long) (2 * AT_ONCE * 1e9), TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
@@ -84,7 +92,7 @@
     }
 
     /** Leaves discovery for another address. Danger: the old one's late answer would undo the new one's. */
-    void move(InetSocketAddress discovery) {
+    public void move(InetSocketAddress discovery) {
         if (stopped) {
             return;
         }
@@ -100,7 +108,7 @@
         call();
     }
 
-    void asked(Decision.ListCall call) {
+    public void asked(Decision.ListCall call) {
         if (call == Decision.ListCall.WHOLE) {
             revision = -1;
         }
@@ -123,7 +131,7 @@
         }
     }
 
-    void stop() {
+    public void stop() {
         stopped = true;
         if (call != null) {
             call.abandon();
--- a/src/main/java/lemondrift/serve/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy.gossip;
+
+import lemondrift.proxy.discovery.BackendDirectory;
 
 import java.util.Arrays;
 import java.util.HashMap;
@@ -13,7 +15,7 @@
 import lemondrift.gossip.SubsetAssignment;
 
 /** What this proxy tells the others and hears of them. Owner's thread only, but for told. */
-final class GossipSession {
+public final class GossipSession {
     private record Told(int from, byte[] datagram) {}
 
     private final LoadBalancer balancer;
@@ -27,7 +29,7 @@
     /** By index. */
     private int[] tags = {};
 
-    GossipSession(GossipTransport.Place place, long start, LoadBalancer balancer, BackendDirectory directory) {
+    public GossipSession(GossipTransport.Place place, long start, LoadBalancer balancer, BackendDirectory directory) {
         this.balancer = balancer;
         this.directory = directory;
         self = place.self();
@@ -44,11 +46,11 @@
     }
 
     /** Danger: the owner is not woken, as what others have out matters only when it decides. Any thread. */
-    void told(int from, byte[] datagram) {
+    public void told(int from, byte[] datagram) {
         told.add(new Told(from, datagram));
     }
 
-    void hear(double now) {
+    public void hear(double now) {
         for (Told next = told.poll(); next != null; next = told.poll()) {
             holdings.told(next.from, next.datagram, now);
         }
@@ -57,7 +59,7 @@
     }
 
     /** Tags changed lines of the list and adds this proxy's scores and whose subset changes with them. */
-    List<EndpointUpdate> assigned(List<EndpointUpdate> lines) {
+    public List<EndpointUpdate> assigned(List<EndpointUpdate> lines) {
         for (EndpointUpdate line : lines) {
             int backend = line.backend();
             if (backend >= tags.length) {
@@ -73,15 +75,15 @@
     }
 
     /** The decisions have been told of a list. */
-    void listed(List<EndpointUpdate> lines) {
+    public void listed(List<EndpointUpdate> lines) {
         lines.forEach(line -> balancer.othersHold(line.backend(), holdings.others(tags[line.backend()])));
     }
 
-    void sent(int backend) {
+    public void sent(int backend) {
         holdings.sent(tags[backend]);
     }
 
-    void ended(int backend, AttemptOutcome outcome, double now) {
+    public void ended(int backend, AttemptOutcome outcome, double now) {
         if (outcome.mayRunOn) {
             holdings.givenUp(tags[backend], now);
         } else {
@@ -90,15 +92,15 @@
     }
 
     /** Another proxy has started anew: what its former self had out is over. */
-    void startedAnew(int proxy, long start) {
+    public void startedAnew(int proxy, long start) {
         holdings.startedAnew(proxy, start);
     }
 
-    double tellAt() {
+    public double tellAt() {
         return holdings.tellAt();
     }
 
-    List<LoadGossip.Telling> tellings(double now) {
+    public List<LoadGossip.Telling> tellings(double now) {
         return holdings.tellings(now);
     }
 }
--- a/src/main/java/lemondrift/serve/GossipTransport.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy.gossip;
+
+import lemondrift.proxy.loop.DecisionLoop;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -19,14 +21,14 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /** Datagrams from and to the other proxies. I/O thread only, once it has begun. */
-final class GossipTransport {
+public final class GossipTransport {
     private static final Logger LOG = LoggerFactory.getLogger(GossipTransport.class);
 
     /**
      * Where this proxy hears the others, the address of each by its number and its own number, the file's two
      * spans, and how many backends each uses.
      */
-    record Place(InetSocketAddress listen, List<InetSocketAddress> proxies, int self, double pace,
+    public record Place(InetSocketAddress listen, List<InetSocketAddress> proxies, int self, double pace,
             double forget, int part) {}
 
     private final Place place;
@@ -38,7 +40,7 @@
     private XnioExecutor.Key timer;
     private boolean failed;
 
-    GossipTransport(Place place, DecisionLoop owner) {
+    public GossipTransport(Place place, DecisionLoop owner) {
         this.place = place;
         this.owner = owner;
         for (int i = 0; i < place.proxies.size(); i++) {
@@ -47,7 +49,7 @@
     }
 
     /** Danger: a proxy that can't hear the others can still serve. */
-    void begin(XnioWorker worker) {
+    public void begin(XnioWorker worker) {
         try {
             channel = worker.createUdpServer(place.listen, OptionMap.EMPTY);
         } catch (IOException e) {
@@ -63,7 +65,7 @@
      * Reads all that has come; each exchange that arrives has this done first. Danger: a datagram from an
      * unknown sender, or a longer one than any may be, is not from a proxy.
      */
-    void receive() {
+    public void receive() {
         if (channel == null) {
             return;
         }
@@ -82,7 +84,7 @@
         }
     }
 
-    void tell(LoadGossip.Telling telling) {
+    public void tell(LoadGossip.Telling telling) {
         if (channel == null) {
             return;
         }
@@ -100,7 +102,7 @@
         failed = true;
     }
 
-    void stop() {
+    public void stop() {
         if (timer != null) {
             timer.remove();
         }
--- a/src/main/java/lemondrift/serve/BodyChunks.java
+++ b/src/main/java/lemondrift/proxy/http/BodyChunks.java
@@ -1,10 +1,10 @@
-package lemondrift.serve;
+package lemondrift.proxy.http;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
 /** A body that comes piece by piece. */
-interface BodyChunks {
+public interface BodyChunks {
     /** The next one; null where it has to come first, or all have come. */
     ByteBuffer next() throws IOException;
 
--- a/src/main/java/lemondrift/serve/BodyRelay.java
+++ b/src/main/java/lemondrift/proxy/http/BodyRelay.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.http;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -12,9 +12,9 @@
  * Passes a body on as it comes: nothing is read of one side while the other does not take, so that no more
  * than one buffer is held. I/O thread only.
  */
-final class BodyRelay {
+public final class BodyRelay {
     /** How many seconds either side may stand still; 0 where somebody else looks after it. */
-    record Patience(double giver, double taker) {}
+    public record Patience(double giver, double taker) {}
 
     /** Pieces in a row. Danger: one quick pair would keep all others from the I/O thread. */
     private static final int AT_A_TIME = 16;
@@ -30,7 +30,7 @@
     private boolean over;
 
     /** Offered hears of each piece, end once whether all was passed on; neither does after stop. */
-    BodyRelay(BodyChunks from, StreamSinkChannel to, XnioIoThread io, Patience patience, Runnable offered,
+    public BodyRelay(BodyChunks from, StreamSinkChannel to, XnioIoThread io, Patience patience, Runnable offered,
             Consumer<Boolean> end) {
         this.from = from;
         this.to = to;
@@ -42,7 +42,7 @@
     }
 
     /** Does what can be done now and waits for whichever side it is that has to go on. */
-    void run() {
+    public void run() {
         if (over) {
             return;
         }
@@ -103,7 +103,7 @@
     }
 
     /** Nobody wants the rest. */
-    void stop() {
+    public void stop() {
         over = true;
         stopTimer();
     }
--- a/src/main/java/lemondrift/serve/HttpFieldRules.java
+++ b/src/main/java/lemondrift/proxy/http/HttpFieldRules.java
@@ -1,11 +1,11 @@
-package lemondrift.serve;
+package lemondrift.proxy.http;
 
 import java.util.BitSet;
 
 /** What may stand in a message's head. Danger: what one reader skips another may take for a line's end. */
-final class HttpFieldRules {
+public final class HttpFieldRules {
     /** Bytes that a head may have, a client's or a backend's. */
-    static final int MOST = 16 * 1024;
+    public static final int MOST = 16 * 1024;
     private static final BitSet TOKEN = new BitSet();
 
     static {
@@ -16,7 +16,7 @@
 
     private HttpFieldRules() {}
 
-    static boolean isToken(CharSequence text) {
+    public static boolean isToken(CharSequence text) {
         for (int i = 0; i < text.length(); i++) {
             if (!TOKEN.get(text.charAt(i))) {
                 return false;
@@ -25,7 +25,7 @@
         return text.length() > 0;
     }
 
-    static boolean isValue(CharSequence text) {
+    public static boolean isValue(CharSequence text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < ' ' && text.charAt(i) != '\t') {
                 return false;
@@ -35,7 +35,7 @@
     }
 
     /** Digits only, so many at the most; -1 where it is something else. */
-    static int number(String text, int digits) {
+    public static int number(String text, int digits) {
         int number = 0;
         for (int i = 0; i < text.length(); i++) {
             int digit = text.charAt(i) - '0';
--- a/src/main/java/lemondrift/serve/MonotonicClock.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/MonotonicClock.java
@@ -1,7 +1,7 @@
-package lemondrift.serve;
+package lemondrift.proxy.lifecycle;
 
 /** The time in seconds, which never runs back. */
-interface MonotonicClock {
+public interface MonotonicClock {
     double now();
 
     /** Starts at the Unix time, which starts of backends are told in, and goes on by the monotonic clock. */
--- a/src/main/java/lemondrift/serve/ProxyLauncher.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
@@ -1,4 +1,8 @@
-package lemondrift.serve;
+package lemondrift.proxy.lifecycle;
+
+import lemondrift.proxy.ProxyServer;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.logging.AsyncLog;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -7,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import lemondrift.serve.admin.AdminServer;
+import lemondrift.proxy.admin.AdminServer;
 import lemondrift.settings.InvalidSettingsException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/lemondrift/serve/TakeoverLock.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.lifecycle;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -16,7 +16,7 @@
  * of a lock however its process ends, so that nothing here can be stale. Its looks are for a thread that may
  * wait.
  */
-final class TakeoverLock {
+public final class TakeoverLock {
     private static final Logger LOG = LoggerFactory.getLogger(TakeoverLock.class);
 
     private final Path serving, waiting;
@@ -26,19 +26,19 @@
     private boolean failed;
 
     /** In a folder that both have, under a name that is the proxy's. */
-    TakeoverLock(Path folder, String name) {
+    public TakeoverLock(Path folder, String name) {
         String plain = name.replaceAll("[^A-Za-z0-9._-]", "_");
         serving = folder.resolve("lemondrift-" + plain + ".serving");
         waiting = folder.resolve("lemondrift-" + plain + ".waiting");
     }
 
     /** Among how many processes all is shared now. */
-    int processes() {
+    public int processes() {
         return succession.processes();
     }
 
     /** Looks who is there; whether that has changed anything. Where it can't see, it does as with another. */
-    boolean look() {
+    public boolean look() {
         try {
             if (serves == null) {
                 servingFile = servingFile == null ? open(serving) : servingFile;
@@ -89,7 +89,7 @@
         }
     }
 
-    void leave() {
+    public void leave() {
         IoUtils.safeClose(servingFile);
         IoUtils.safeClose(waitingFile);
     }
--- a/src/main/java/lemondrift/serve/Warmup.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
@@ -1,4 +1,7 @@
-package lemondrift.serve;
+package lemondrift.proxy.lifecycle;
+
+import lemondrift.proxy.ProxyServer;
+import lemondrift.proxy.config.ProxyConfig;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -26,7 +29,7 @@
  * socket is opened. Danger: code that has not run yet takes ten times the processor; with a part of a core
  * the first exchanges would be late, and their clients' further tries more than it can ever take.
  */
-final class Warmup {
+public final class Warmup {
     private static final Logger LOG = LoggerFactory.getLogger(Warmup.class);
     private static final int CLIENTS = 6, BACKENDS = 4, EXCHANGES = 120;
     /** Seconds that it may take at the most, and that the last answers may. */
@@ -45,7 +48,7 @@
     }
 
     /** Says whether all that was asked had its answer. */
-    static boolean play(ProxyConfig config) throws IOException, InterruptedException {
+    public static boolean play(ProxyConfig config) throws IOException, InterruptedException {
         XnioWorker worker = ProxyServer.worker();
         Warmup rehearsal = new Warmup(config, worker);
         ProxyServer proxy = new ProxyServer(config, worker, rehearsal::dial);
--- a/src/main/java/lemondrift/serve/AsyncLog.java
+++ b/src/main/java/lemondrift/proxy/logging/AsyncLog.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.logging;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -14,7 +14,7 @@
  * Writes lines of the log on a thread of its own, so that whoever reads them slowly, or not at all, holds up
  * nobody who owes an answer. What there is no room for is left out and counted.
  */
-final class AsyncLog extends OutputStream {
+public final class AsyncLog extends OutputStream {
     /** Lines that wait at the most. */
     private static final int ROOM = 1024;
 
@@ -24,7 +24,7 @@
     private final AtomicLong leftOut = new AtomicLong();
     private volatile boolean writing;
 
-    AsyncLog(OutputStream to) {
+    public AsyncLog(OutputStream to) {
         this.to = to;
         Thread writer = new Thread(this::run, "log");
         writer.setDaemon(true);
@@ -32,7 +32,7 @@
     }
 
     /** Has the log's lines go through one from now on. */
-    static AsyncLog ofStandardError() {
+    public static AsyncLog ofStandardError() {
         AsyncLog log = new AsyncLog(System.err);
         System.setErr(new PrintStream(log, true));
         return log;
@@ -81,7 +81,7 @@
     }
 
     /** Waits until all has been written, so many seconds at the most. */
-    void drain(double seconds) {
+    public void drain(double seconds) {
         long until = System.nanoTime() + (long) (seconds * 1e9);
         while ((writing || !waiting.isEmpty()) && System.nanoTime() < until) {
             try {
--- a/src/main/java/lemondrift/serve/FailureLog.java
+++ b/src/main/java/lemondrift/proxy/logging/FailureLog.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy.logging;
 
 import lemondrift.model.Request;
 import lemondrift.metrics.ProxyMetrics;
@@ -6,7 +6,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Says in the log why requests are not served, a few a second; the rest are counted. I/O thread only. */
-final class FailureLog {
+public final class FailureLog {
     private static final Logger LOG = LoggerFactory.getLogger(FailureLog.class);
     /** So many requests have a line of their own in one second. */
     private static final int MOST = 5;
@@ -15,12 +15,12 @@
     private double secondBegan = Double.NEGATIVE_INFINITY;
     private int inThisSecond;
 
-    FailureLog(ProxyMetrics tally) {
+    public FailureLog(ProxyMetrics tally) {
         this.tally = tally;
     }
 
     /** A request is rejected, which promises that a retry is harmless, or failed. */
-    void notServed(Request x, String trace, String requestClass, boolean rejected, double now) {
+    public void notServed(Request x, String trace, String requestClass, boolean rejected, double now) {
         if (now >= secondBegan + 1) {
             endsSecond();
             secondBegan = now;
--- a/src/main/java/lemondrift/serve/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -1,4 +1,13 @@
-package lemondrift.serve;
+package lemondrift.proxy.loop;
+
+import lemondrift.proxy.backend.BackendResponse;
+import lemondrift.proxy.client.PendingRequest;
+import lemondrift.proxy.discovery.BackendDirectory;
+import lemondrift.proxy.discovery.EndpointList;
+import lemondrift.proxy.discovery.EndpointListUpdate;
+import lemondrift.proxy.gossip.GossipSession;
+import lemondrift.proxy.gossip.GossipTransport;
+import lemondrift.proxy.lifecycle.MonotonicClock;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -14,7 +23,7 @@
 import java.util.stream.IntStream;
 import lemondrift.balancer.LoadBalancer;
 import lemondrift.model.*;
-import lemondrift.serve.recovery.RecoveryCoordinator;
+import lemondrift.proxy.recovery.RecoveryCoordinator;
 import lemondrift.settings.RequestClassIndex;
 import lemondrift.shadow.ShadowEvaluator;
 import lemondrift.metrics.EventLoopMetrics;
@@ -22,7 +31,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The one thread that calls the decisions. Everybody else reaches it through its queue. */
-final class DecisionLoop {
+public final class DecisionLoop {
     private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
     private static final int QUEUED = 4096;
     /** How many events are handled before the sockets are told what came of them. */
@@ -71,7 +80,7 @@
     private int unfollowed;
     private Set<Integer> held = Set.of();
 
-    DecisionLoop(LoadBalancer balancer, BackendDirectory directory, MonotonicClock clock, ProxyActions hands, RequestClassIndex grades,
+    public DecisionLoop(LoadBalancer balancer, BackendDirectory directory, MonotonicClock clock, ProxyActions hands, RequestClassIndex grades,
             Settings settings) {
         this.grades = grades;
         this.settings = settings;
@@ -83,22 +92,22 @@
     }
 
     /** Tells the other proxies what is out here and hears it of them; before the start. */
-    void tells(GossipTransport.Place place) {
+    public void tells(GossipTransport.Place place) {
         tellings = new GossipSession(place, System.currentTimeMillis(), balancer, directory);
     }
 
     /** The same, and asks others after the start. */
-    void tells(GossipTransport.Place place, RecoveryCoordinator its) {
+    public void tells(GossipTransport.Place place, RecoveryCoordinator its) {
         comeback = its;
         tellings = new GossipSession(place, its.start(), balancer, directory);
     }
 
-    RecoveryCoordinator comeback() {
+    public RecoveryCoordinator comeback() {
         return comeback;
     }
 
     /** Counts what these settings would have decided otherwise; before the start. */
-    void watches(Settings settings, long seed) {
+    public void watches(Settings settings, long seed) {
         shadow = new ShadowEvaluator(settings, seed);
         shownAt = clock.now();
     }
@@ -113,7 +122,7 @@
         }
     }
 
-    ShadowEvaluator watched() {
+    public ShadowEvaluator watched() {
         return shadow;
     }
 
@@ -125,7 +134,7 @@
     }
 
     /** Another proxy's datagram has come. */
-    void told(int from, byte[] datagram) {
+    public void told(int from, byte[] datagram) {
         if (comeback != null && RecoveryCoordinator.isFor(datagram)) {
             comeback.heard(from, datagram);
             put(null, () -> null);
@@ -134,12 +143,12 @@
         }
     }
 
-    void start() {
+    public void start() {
         thread.start();
     }
 
     /** Danger: what the owner still has in hand would find the I/O thread gone. */
-    void stop() {
+    public void stop() {
         thread.interrupt();
         try {
             thread.join();
@@ -151,7 +160,7 @@
         }
     }
 
-    void arrived(PendingRequest taken) {
+    public void arrived(PendingRequest taken) {
         put(EventLoopMetrics.Kind.ARRIVAL, taken.exchange(), () -> {
             arrived++;
             open.put(taken.exchange(), taken);
@@ -165,13 +174,13 @@
     /**
      * Whether the decisions would shed an exchange now; null if not, else with what retry-after. Any thread.
      */
-    ShedThreshold shed(int grade, double left) {
+    public ShedThreshold shed(int grade, double left) {
         ShedThreshold word = grade < words.size() ? words.get(grade) : null;
         return word != null && left < word.leastLeft() ? word : null;
     }
 
     /** The answer is the one to pass on if this forward delivers. */
-    void ended(Attempt f, AttemptOutcome outcome, double took, double[] report, BackendResponse answer) {
+    public void ended(Attempt f, AttemptOutcome outcome, double took, double[] report, BackendResponse answer) {
         put(EventLoopMetrics.Kind.OUTCOME, f.exchange, () -> {
             boolean wins = outcome == AttemptOutcome.DELIVERED && !f.exchange.over;
             PendingRequest taken = open.get(f.exchange);
@@ -191,7 +200,7 @@
         });
     }
 
-    void probed(int backend, AttemptOutcome outcome, double[] report) {
+    public void probed(int backend, AttemptOutcome outcome, double[] report) {
         put(null, () -> {
             directory.letGo(backend);
             if (shadow != null) {
@@ -201,7 +210,7 @@
         });
     }
 
-    void left(Request x) {
+    public void left(Request x) {
         put(EventLoopMetrics.Kind.CLIENT_LEFT, x, () -> {
             if (shadow != null) {
                 watch(s -> s.left(clock.now(), x));
@@ -211,7 +220,7 @@
     }
 
     /** So many processes share what is this proxy's, its part of a cold backend's budget too. */
-    void sharedBy(int many) {
+    public void sharedBy(int many) {
         put(null, () -> {
             processes = many;
             balancer.stated(settings.sharedBy(many), List.of());
@@ -220,7 +229,7 @@
     }
 
     /** Its request can't be sent whole any more. */
-    void letGo(Request x) {
+    public void letGo(Request x) {
         put(x, () -> {
             x.terms = x.terms.upTo(x.forwards);
             return null;
@@ -228,7 +237,7 @@
     }
 
     /** A list has come; stale is one of before the start. Applied hears when the decisions have all of it. */
-    void listed(EndpointList list, boolean stale, Runnable applied) {
+    public void listed(EndpointList list, boolean stale, Runnable applied) {
         put(EventLoopMetrics.Kind.LIST, null, () -> {
             updates.add(new EndpointListUpdate(directory, list, stale, applied));
             // What is small is followed at once.
@@ -271,7 +280,7 @@
     }
 
     /** Other settings hold from now on, for what comes; watched is null where nobody watches. */
-    void retune(Settings to, List<String> names, Settings watched) {
+    public void retune(Settings to, List<String> names, Settings watched) {
         put(null, () -> {
             grades = grades.retuned(names, to.grades(), i -> unfollowed > 0 || held.contains(i)
                     || open.keySet().stream().anyMatch(x -> x.grade == i));
@@ -290,7 +299,7 @@
     }
 
     /** The front goes by what was stated last, and has exchanges under these indexes of classes. */
-    void followed(Set<Integer> under) {
+    public void followed(Set<Integer> under) {
         put(null, () -> {
             unfollowed--;
             held = under;
@@ -306,7 +315,7 @@
      * Answers all that is open: refused where nothing was forwarded. Danger: at the end of the process what
      * has no answer is lost.
      */
-    void endAll() {
+    public void endAll() {
         put(null, () -> {
             for (Request x : List.copyOf(open.keySet())) {
                 if (!x.over) {
@@ -321,7 +330,7 @@
     }
 
     /** What is the owner's own is to be seen there only. What it has asked of the sockets is on its way. */
-    void onOwner(Runnable task) {
+    public void onOwner(Runnable task) {
         put(null, () -> {
             hands.act();
             task.run();
@@ -330,16 +339,16 @@
     }
 
     /** How often something speaks of a backend by its index. Owner's thread only. */
-    int spokenOf() {
+    public int spokenOf() {
         return directory.held();
     }
 
     /** How many exchanges are open. Owner's thread only. */
-    int open() {
+    public int open() {
         return open.size();
     }
 
-    void listFailed() {
+    public void listFailed() {
         put(null, () -> balancer.listFailed(clock.now()));
     }
 
@@ -413,7 +422,7 @@
     }
 
     /** How it keeps up, as JSON. Any thread. */
-    String figures() {
+    public String figures() {
         return figures.json();
     }
 
--- a/src/main/java/lemondrift/serve/ProxyActions.java
+++ b/src/main/java/lemondrift/proxy/loop/ProxyActions.java
@@ -1,4 +1,7 @@
-package lemondrift.serve;
+package lemondrift.proxy.loop;
+
+import lemondrift.proxy.backend.BackendResponse;
+import lemondrift.proxy.client.PendingRequest;
 
 import java.net.InetSocketAddress;
 import lemondrift.model.Attempt;
@@ -8,7 +11,7 @@
 import lemondrift.settings.RequestClassIndex;
 
 /** What the owner of the decisions has the sockets do; each returns at once. */
-interface ProxyActions {
+public interface ProxyActions {
     void send(Attempt f, PendingRequest taken, InetSocketAddress to);
 
     void cancel(Attempt f);
@@ -38,7 +41,7 @@
     void retuned(RequestClassIndex grades, Settings settings);
 
     /** Tells another proxy. */
-    void tell(LoadGossip.Telling telling);
+    public void tell(LoadGossip.Telling telling);
 
     /** All that was asked for since the last time is to be done now. */
     void act();
--- a/src/main/java/lemondrift/serve/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -1,4 +1,4 @@
-package lemondrift.serve.recovery;
+package lemondrift.proxy.recovery;
 
 import com.google.gson.JsonObject;
 import java.nio.file.Path;
--- a/src/main/java/lemondrift/serve/recovery/SnapshotFile.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
@@ -1,4 +1,4 @@
-package lemondrift.serve.recovery;
+package lemondrift.proxy.recovery;
 
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import java.io.IOException;
--- a/src/main/java/lemondrift/serve/recovery/SnapshotStore.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
@@ -1,4 +1,4 @@
-package lemondrift.serve.recovery;
+package lemondrift.proxy.recovery;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -17,7 +17,7 @@
 import lemondrift.gossip.LoadGossip;
 import lemondrift.gossip.SubsetAssignment;
 import lemondrift.recovery.PeerStatus;
-import lemondrift.serve.ProxyLauncher;
+import lemondrift.proxy.lifecycle.ProxyLauncher;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/lemondrift/LayersTest.java
+++ b/src/test/java/lemondrift/LayersTest.java
@@ -24,7 +24,7 @@
                 .resideInAnyPackage("java.io..", "java.net..", "java.nio.channels..", "java.nio.file..",
                         "java.util.concurrent..",
                         "java.time..", "java.sql..", "org.slf4j..", "org.xnio..", "io.undertow..",
-                        "com.google..", "lemondrift.serve..", "lemondrift.simulator..", "lemondrift.settings..")
+                        "com.google..", "lemondrift.proxy..", "lemondrift.simulator..", "lemondrift.settings..")
                 .check(all);
         noClasses().that().resideInAnyPackage(CORES).should().callMethod(System.class, "nanoTime")
                 .orShould().callMethod(System.class, "currentTimeMillis")
--- a/src/test/java/lemondrift/serve/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/AdminServerTest.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy;
+
+import lemondrift.proxy.config.ProxyConfig;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -14,7 +16,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-import lemondrift.serve.admin.AdminServer;
+import lemondrift.proxy.admin.AdminServer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.xnio.XnioWorker;
--- a/src/test/java/lemondrift/serve/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionLoad.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/lemondrift/serve/ConfigFileTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigFileTest.java
@@ -1,4 +1,6 @@
-package lemondrift.serve;
+package lemondrift.proxy;
+
+import lemondrift.proxy.config.ConfigFile;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/lemondrift/serve/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/DecisionLoopTest.java
@@ -1,4 +1,13 @@
-package lemondrift.serve;
+package lemondrift.proxy;
+
+import lemondrift.proxy.backend.BackendResponse;
+import lemondrift.proxy.client.PendingRequest;
+import lemondrift.proxy.discovery.BackendDirectory;
+import lemondrift.proxy.discovery.EndpointList;
+import lemondrift.proxy.discovery.EndpointListUpdate;
+import lemondrift.proxy.gossip.GossipTransport;
+import lemondrift.proxy.loop.DecisionLoop;
+import lemondrift.proxy.loop.ProxyActions;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/lemondrift/serve/EndpointListParserTest.java
+++ b/src/test/java/lemondrift/proxy/EndpointListParserTest.java
@@ -1,4 +1,7 @@
-package lemondrift.serve;
+package lemondrift.proxy;
+
+import lemondrift.proxy.discovery.EndpointList;
+import lemondrift.proxy.discovery.EndpointListParser;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/lemondrift/serve/LargeFleetTest.java
+++ b/src/test/java/lemondrift/proxy/LargeFleetTest.java
@@ -1,4 +1,4 @@
-package lemondrift.serve;
+package lemondrift.proxy;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/lemondrift/serve/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/LongBodiesTest.java
@@ -1,4 +1,7 @@
-package lemondrift.serve;
+package lemondrift.proxy;
+
+import lemondrift.proxy.backend.ResponseReader;
+import lemondrift.proxy.config.ProxyConfig;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/lemondrift/serve/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -1,4 +1,8 @@
-package lemondrift.serve;
+package lemondrift.proxy;
+
+import lemondrift.proxy.backend.BackendClient;
+import lemondrift.proxy.backend.ConnectionPool;
+import lemondrift.proxy.lifecycle.ProxyLauncher;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/lemondrift/serve/TakeoverLockTest.java
+++ b/src/test/java/lemondrift/proxy/TakeoverLockTest.java
@@ -1,4 +1,7 @@
-package lemondrift.serve;
+package lemondrift.proxy;
+
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.lifecycle.TakeoverLock;
 
 import static org.junit.jupiter.api.Assertions.*;
 
--- a/src/test/java/lemondrift/serve/recovery/SnapshotCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
@@ -1,4 +1,4 @@
-package lemondrift.serve.recovery;
+package lemondrift.proxy.recovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
