--- a/src/main/java/lemondrift/balancer/AdmissionControl.java
+++ b/src/main/java/lemondrift/balancer/AdmissionControl.java
@@ -9,53 +9,53 @@
      * may wait, not work; and of how many exchanges' work where reports are old: longer queues slow all. */
     private static final double LEAST_SHARE = 0.4, TOLD_SHARE = 0.2, MOST_SHARE = 0.65, CROWD = 3;
 
-    private final BackendSelector selection;
-    private final UtilizationEstimator estimate;
+    private final BackendSelector selector;
+    private final UtilizationEstimator estimator;
     private final double[] quota;
     private final DecayingSum[] used;
-    private final BackendTable fleet;
+    private final BackendTable backends;
 
-    AdmissionControl(BackendTable fleet, UtilizationEstimator estimate, BackendSelector selection) {
-        this.fleet = fleet;
-        this.estimate = estimate;
-        this.selection = selection;
-        quota = fleet.stated.tenantQuota();
+    AdmissionControl(BackendTable backends, UtilizationEstimator estimator, BackendSelector selector) {
+        this.backends = backends;
+        this.estimator = estimator;
+        this.selector = selector;
+        quota = backends.stated.tenantQuotaPerSecond();
         used = new DecayingSum[quota.length];
         Arrays.setAll(used, tenant -> new DecayingSum());
     }
 
     @Override
-    void offer(Request x, double now, Decision turn) {
-        if (selection.asks(x, now, turn)) {
+    void offer(Request request, double now, Decision decision) {
+        if (selector.asks(request, now, decision)) {
             return;
         }
-        double rank = fleet.stated.rank(x.terms.grade());
-        if (x.tenant < quota.length) {
-            used[x.tenant].span = estimate.memory;
-            used[x.tenant].add(x.forwards + x.draws == 0 ? 1 / estimate.memory : 0, now);
-            double share = quota[x.tenant] / fleet.stated.balancers();
-            rank *= used[x.tenant].at(now) > share ? fleet.stated.excessBenefit() : 1;
+        double rank = backends.stated.relativePriority(request.terms.requestClass());
+        if (request.tenant < quota.length) {
+            used[request.tenant].span = estimator.memory;
+            used[request.tenant].add(request.attemptCount + request.subsetRedraws == 0 ? 1 / estimator.memory : 0, now);
+            double share = quota[request.tenant] / backends.stated.proxyCount();
+            rank *= used[request.tenant].at(now) > share ? backends.stated.overQuotaWeight() : 1;
         }
-        double wait = selection.expectedWait(x, now), most = CROWD * estimate.workTime(x.best, now);
-        double limit = share(rank) * Math.min(x.contract - now, estimate.old() ? most : estimate.memory);
-        if (wait > limit && selection.drawsOthers(x, now)) {
-            offer(x, now, turn);
+        double wait = selector.expectedWait(request, now), most = CROWD * estimator.workTime(request.bestBackend, now);
+        double limit = share(rank) * Math.min(request.attemptDeadline - now, estimator.old() ? most : estimator.memory);
+        if (wait > limit && selector.drawsOthers(request, now)) {
+            offer(request, now, decision);
         } else if (wait > limit) {
-            x.ending = x.best < 0 ? FailureReason.NO_BACKEND : FailureReason.WAIT_TOO_LONG;
-            giveUp(x, Math.min(wait, estimate.window), now, turn);
+            request.failureReason = request.bestBackend < 0 ? FailureReason.NO_BACKEND : FailureReason.WAIT_TOO_LONG;
+            giveUp(request, Math.min(wait, estimator.window), now, decision);
         } else {
-            super.offer(x, now, turn);
+            super.offer(request, now, decision);
         }
     }
 
     private double share(double rank) {
-        double least = estimate.othersHeard ? TOLD_SHARE : LEAST_SHARE;
+        double least = estimator.othersHeard ? TOLD_SHARE : LEAST_SHARE;
         return least + (MOST_SHARE - least) * Math.min(1, rank);
     }
 
     /** What it would shed of a grade now, without asking or drawing anybody; changes nothing. */
-    ShedThreshold word(Request x, double now) {
-        double wait = selection.leastWait(x, now);
-        return new ShedThreshold(wait / share(fleet.stated.rank(x.terms.grade())), Math.min(wait, estimate.window));
+    ShedThreshold word(Request request, double now) {
+        double wait = selector.leastWait(request, now);
+        return new ShedThreshold(wait / share(backends.stated.relativePriority(request.terms.requestClass())), Math.min(wait, estimator.window));
     }
 }
--- a/src/main/java/lemondrift/balancer/BackendTable.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -9,7 +9,7 @@
     Settings stated;
     /** For sorting, a score stands above its place in one number, so that no object is made for each. */
     private static final int SCORE_BITS = 40, PLACE_BITS = 20;
-    private final DeterministicRandom chance;
+    private final DeterministicRandom random;
     int size;
     /** What was last told of each, whether it may be used, and what this proxy has out there; when a probe
      * that is still out was sent, 0 if there is none, and the figure that each was last ranked by. */
@@ -26,39 +26,39 @@
     private boolean[] ordered = {};
     private boolean arranged = true;
 
-    BackendTable(Settings s, DeterministicRandom chance) {
-        stated = s;
-        this.chance = chance;
+    BackendTable(Settings settings, DeterministicRandom random) {
+        stated = settings;
+        this.random = random;
     }
 
     /**
      * Rule 3: whoever is not told ready gets nothing new at once; the grace is slack, not a budget. The work
      * is that of the lines told, and one plain pass over the order where somebody leaves it.
      */
-    void listed(boolean whole, List<EndpointUpdate> lines) {
+    void listed(boolean whole, List<EndpointUpdate> updates) {
         boolean leaves = whole;
         Arrays.fill(ready, 0, whole ? size : 0, false);
-        grow(lines);
-        for (EndpointUpdate told : lines) {
-            int i = told.backend();
-            line[i] = told.sized(stated.sizes());
-            leaves |= ready[i] && told.state() != EndpointUpdate.State.READY;
-            ready[i] = told.state() == EndpointUpdate.State.READY;
-            started[i] = Math.max(told.fresh() ? 0 : started[i], told.started());
-            startSeen[i] = told.fresh() ? 0 : startSeen[i];
+        grow(updates);
+        for (EndpointUpdate update : updates) {
+            int i = update.backend();
+            line[i] = update.withWeightIf(stated.usesEndpointWeights());
+            leaves |= ready[i] && update.state() != EndpointUpdate.State.READY;
+            ready[i] = update.state() == EndpointUpdate.State.READY;
+            started[i] = Math.max(update.newBackend() ? 0 : started[i], update.startedAt());
+            startSeen[i] = update.newBackend() ? 0 : startSeen[i];
         }
         if (leaves) {
             dropUnready();
         }
-        append(lines);
-        meanPower = stated.sizes() ? meanSize() : 1;
+        append(updates);
+        meanPower = stated.usesEndpointWeights() ? meanSize() : 1;
         arranged = false;
     }
 
-    private void grow(List<EndpointUpdate> lines) {
+    private void grow(List<EndpointUpdate> updates) {
         int most = size;
-        for (EndpointUpdate told : lines) {
-            most = Math.max(most, told.backend() + 1);
+        for (EndpointUpdate update : updates) {
+            most = Math.max(most, update.backend() + 1);
         }
         if (most == size) {
             return;
@@ -86,22 +86,22 @@
     }
 
     /** Puts each that has become ready at a random place. */
-    private void append(List<EndpointUpdate> lines) {
-        int[] fresh = lines.stream().mapToInt(EndpointUpdate::backend).filter(i -> ready[i] && !ordered[i]).sorted()
+    private void append(List<EndpointUpdate> updates) {
+        int[] fresh = updates.stream().mapToInt(EndpointUpdate::backend).filter(i -> ready[i] && !ordered[i]).sorted()
                 .distinct().toArray();
         int kept = order.length;
         order = Arrays.copyOf(order, kept + fresh.length);
         System.arraycopy(fresh, 0, order, kept, fresh.length);
         for (int j = kept; j < order.length; j++) {
             ordered[order[j]] = true;
-            swap(j, (int) (chance.next() * (j + 1)));
+            swap(j, (int) (random.next() * (j + 1)));
         }
     }
 
     private double meanSize() {
         double sum = 0;
         for (int i : order) {
-            sum += line[i].size();
+            sum += line[i].weight();
         }
         return order.length == 0 ? 1 : sum / order.length;
     }
@@ -114,7 +114,7 @@
         arranged = true;
         told = 0;
         for (int i : order) {
-            told += line[i].used() > 0 ? 1 : 0;
+            told += line[i].userShare() > 0 ? 1 : 0;
         }
         home();
     }
@@ -124,7 +124,7 @@
         long[] places = new long[order.length];
         boolean scored = false;
         for (int j = 0; j < order.length; j++) {
-            double score = line[order[j]].lot();
+            double score = line[order[j]].subsetScore();
             scored |= score > 0;
             places[j] = (long) (score * (1L << SCORE_BITS)) << PLACE_BITS | j;
         }
@@ -147,8 +147,8 @@
 
     /** The share of its full capacity that a backend has at the least; 1 is warm. */
     double coldShare(int i, double now) {
-        double age = started[i] <= 0 ? 1 : Math.max(0, now - started[i]) / stated.rules().cold();
-        double from = stated.rules().coldFrom();
+        double age = started[i] <= 0 ? 1 : Math.max(0, now - started[i]) / stated.rules().slowStartSeconds();
+        double from = stated.rules().slowStartMinShare();
         return age >= 1 ? 1 : from + (1 - from) * age;
     }
 }
--- a/src/main/java/lemondrift/balancer/DecisionStage.java
+++ b/src/main/java/lemondrift/balancer/DecisionStage.java
@@ -14,21 +14,21 @@
     }
 
     /** Passes the exchange on, keeps it, or gives it up; the exchange has nothing out. */
-    void offer(Request x, double now, Decision turn) {
-        outer.offer(x, now, turn);
+    void offer(Request request, double now, Decision decision) {
+        outer.offer(request, now, decision);
     }
 
     /** Whether a backend may take the exchange now, as far as this stage and those before it say. */
-    boolean mayTake(Request x, int i, double now) {
-        return inner == null || inner.mayTake(x, i, now);
+    boolean mayTake(Request request, int i, double now) {
+        return inner == null || inner.mayTake(request, i, now);
     }
 
-    void ended(Attempt f, AttemptOutcome outcome, double took, double now, Decision turn) {
-        inner.ended(f, outcome, took, now, turn);
+    void ended(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double now, Decision decision) {
+        inner.ended(attempt, outcome, durationSeconds, now, decision);
     }
 
     /** Ends the exchange with an answer at once; comeBack is when a retry makes sense, 0 where unknown. */
-    void giveUp(Request x, double comeBack, double now, Decision turn) {
-        inner.giveUp(x, comeBack, now, turn);
+    void giveUp(Request request, double comeBack, double now, Decision decision) {
+        inner.giveUp(request, comeBack, now, decision);
     }
 }
--- a/src/main/java/lemondrift/balancer/EndpointListPolling.java
+++ b/src/main/java/lemondrift/balancer/EndpointListPolling.java
@@ -6,13 +6,13 @@
 final class EndpointListPolling {
     private final boolean onRequest;
     private final double patience;
-    private final DeterministicRandom chance;
+    private final DeterministicRandom random;
     double askAt = Double.POSITIVE_INFINITY;
 
-    EndpointListPolling(Settings s, DeterministicRandom chance) {
-        onRequest = s.listOnRequest();
-        patience = s.rules().askWithin() / 4;
-        this.chance = chance;
+    EndpointListPolling(Settings settings, DeterministicRandom random) {
+        onRequest = settings.pollsEndpointList();
+        patience = settings.rules().pollWithinSeconds() / 4;
+        this.random = random;
     }
 
     void listed(boolean stale, double now) {
@@ -20,16 +20,16 @@
     }
 
     /** Danger: all proxies asking again in step keep a list service of fixed capacity down. */
-    void failed(double now, Decision turn) {
+    void failed(double now, Decision decision) {
         if (onRequest) {
-            askAt = now + chance.jitter(patience / 2);
-            turn.notes.add("list call failed, asking again");
+            askAt = now + random.jitter(patience / 2);
+            decision.logMessages.add("list call failed, asking again");
         }
     }
 
-    void wake(double now, Decision turn) {
+    void wake(double now, Decision decision) {
         if (askAt <= now) {
-            turn.listCalls.add(Decision.ListCall.WATCH);
+            decision.endpointListCalls.add(Decision.ListCall.WATCH);
             askAt = now + 2 * patience;
         }
     }
--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -6,136 +6,136 @@
 /** The decisions of one proxy. Tell it each thing that happens, in order, with the time in seconds, and carry
  * out the Turn it returns before the next call reuses it; call wake at or after Turn.wakeAt. */
 public final class LoadBalancer {
-    private final Decision turn = new Decision();
-    private final BackendTable fleet;
-    private final UtilizationEstimator estimate;
-    private final RequestDeadlines expiry;
+    private final Decision decision = new Decision();
+    private final BackendTable backends;
+    private final UtilizationEstimator estimator;
+    private final RequestDeadlines deadlines;
     private final AdmissionControl admission;
     private final Eligibility eligibility;
-    private final BackendSelector selection;
-    private final EndpointListPolling lists;
+    private final BackendSelector selector;
+    private final EndpointListPolling polling;
 
     public LoadBalancer(Settings settings, long seed) {
-        DeterministicRandom chance = new DeterministicRandom(seed);
-        fleet = new BackendTable(settings, chance);
-        expiry = new RequestDeadlines(fleet);
-        estimate = new UtilizationEstimator(fleet);
-        eligibility = new Eligibility(fleet, estimate, chance);
-        selection = new BackendSelector(fleet, estimate, eligibility, chance);
-        lists = new EndpointListPolling(settings, chance);
-        admission = new AdmissionControl(fleet, estimate, selection);
-        expiry.then(admission).then(new RetryPolicy(fleet)).then(eligibility).then(selection);
+        DeterministicRandom random = new DeterministicRandom(seed);
+        backends = new BackendTable(settings, random);
+        deadlines = new RequestDeadlines(backends);
+        estimator = new UtilizationEstimator(backends);
+        eligibility = new Eligibility(backends, estimator, random);
+        selector = new BackendSelector(backends, estimator, eligibility, random);
+        polling = new EndpointListPolling(settings, random);
+        admission = new AdmissionControl(backends, estimator, selector);
+        deadlines.then(admission).then(new RetryPolicy(backends)).then(eligibility).then(selector);
     }
 
-    public Decision exchangeArrived(double now, Request x) {
-        x.terms = x.terms == null ? fleet.stated.terms(x.grade) : x.terms;
-        return turn(now, () -> expiry.take(x, now, turn));
+    public Decision requestArrived(double now, Request request) {
+        request.terms = request.terms == null ? backends.stated.termsFor(request.requestClass) : request.terms;
+        return decide(now, () -> deadlines.take(request, now, decision));
     }
 
-    public Decision forwardEnded(double now, Attempt f, AttemptOutcome outcome, double took, boolean over,
-            double[] report) {
-        f.ended = true;
-        f.exchange.out--;
-        f.exchange.over |= over;
-        estimate.reported(f.backend, report, outcome == AttemptOutcome.DELIVERED, true, now);
-        return turn(now, () -> selection.ended(f, outcome, took, now, turn));
+    public Decision attemptEnded(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over,
+            double[] loadReport) {
+        attempt.ended = true;
+        attempt.request.attemptsInFlight--;
+        attempt.request.completed |= over;
+        estimator.reported(attempt.backend, loadReport, outcome == AttemptOutcome.SUCCESS, true, now);
+        return decide(now, () -> selector.ended(attempt, outcome, durationSeconds, now, decision));
     }
 
-    public Decision answerBegun(double now, Attempt f) {
-        return turn(now, () -> f.exchange.begun = true);
+    public Decision responseStarted(double now, Attempt attempt) {
+        return decide(now, () -> attempt.request.responseStarted = true);
     }
 
-    public Decision backendsListed(double now, boolean whole, boolean stale, List<EndpointUpdate> lines) {
-        backendsChanged(now, whole, lines);
-        lists.listed(stale, now);
+    public Decision endpointsListed(double now, boolean whole, boolean stale, List<EndpointUpdate> updates) {
+        endpointsChanged(now, whole, updates);
+        polling.listed(stale, now);
         return wake(now);
     }
 
     /** Some lines of a list of which more come; backendsListed ends it. */
-    public void backendsChanged(double now, boolean whole, List<EndpointUpdate> lines) {
-        fleet.listed(whole, lines);
-        estimate.listed();
-        eligibility.listed(lines, now);
+    public void endpointsChanged(double now, boolean whole, List<EndpointUpdate> updates) {
+        backends.listed(whole, updates);
+        estimator.listed();
+        eligibility.listed(updates, now);
     }
 
-    public Decision listFailed(double now) {
-        return turn(now, () -> lists.failed(now, turn));
+    public Decision endpointListFailed(double now) {
+        return decide(now, () -> polling.failed(now, decision));
     }
 
-    public Decision probeEnded(double now, int backend, AttemptOutcome outcome, double[] report) {
-        fleet.askedAt[backend] = 0;
-        return turn(now, () -> estimate.reported(backend, report, outcome == AttemptOutcome.DELIVERED, false, now));
+    public Decision probeEnded(double now, int backend, AttemptOutcome outcome, double[] loadReport) {
+        backends.askedAt[backend] = 0;
+        return decide(now, () -> estimator.reported(backend, loadReport, outcome == AttemptOutcome.SUCCESS, false, now));
     }
 
     /** Other grades and limits are stated. At a fresh index stands one of which nothing is known. */
-    public void stated(Settings settings, List<Integer> fresh) {
-        fleet.stated = settings;
-        estimate.stated();
-        expiry.stated(fresh);
+    public void settingsChanged(Settings settings, List<Integer> fresh) {
+        backends.stated = settings;
+        estimator.stated();
+        deadlines.stated(fresh);
         eligibility.stated(fresh);
     }
 
     /** How many exchanges the other proxies have out at a backend, as far as they have told. */
-    public void othersHold(int backend, int exchanges) {
-        estimate.others[backend] = exchanges;
+    public void peerLoadReported(int backend, int exchanges) {
+        estimator.others[backend] = exchanges;
     }
 
     /** Whether others are to tell what they have out; not where reports can be asked for, which say more. */
-    public boolean isToBeTold() {
-        return estimate.rounds() == 0;
+    public boolean wantsGossip() {
+        return estimator.rounds() == 0;
     }
 
-    public void othersHeard(boolean any) {
-        estimate.othersHeard = any;
+    public void peersHeard(boolean any) {
+        estimator.othersHeard = any;
     }
 
     /** What others have found the work of an exchange to be, in seconds, from at least one answer. */
-    public void learned(double work, double answers) {
+    public void seedServiceTime(double work, double answers) {
         eligibility.supposed = work;
         eligibility.weight = Math.min(answers, Eligibility.BORROWED);
     }
 
     /** The mean work of an exchange as found here, in seconds, and from how many answers. */
-    public double[] work() {
+    public double[] measuredServiceTime() {
         return new double[] {eligibility.answerTime, eligibility.answers};
     }
 
     /** For watching: forwards made there by another's choice, or fewer by its own. */
-    public void followed(double now, int backend, int forwards) {
-        estimate.sent(backend, forwards, now);
+    public void adjustAttempts(double now, int backend, int forwards) {
+        estimator.sent(backend, forwards, now);
     }
 
     /** A question that changes nothing: what would be shed of a service grade on arrival now. */
-    public ShedThreshold word(double now, int grade) {
-        Request x = new Request(0, grade, 0, now, 0);
-        x.terms = fleet.stated.terms(grade);
-        return admission.word(x, now).upTo(fleet.stated.limits().retryAfter());
+    public ShedThreshold shedThreshold(double now, int requestClass) {
+        Request request = new Request(0, requestClass, 0, now, 0);
+        request.terms = backends.stated.termsFor(requestClass);
+        return admission.word(request, now).withMaxRetryAfter(backends.stated.limits().maxRetryAfterSeconds());
     }
 
     /** How many backends may be sent to, those left out for one grade only among them. */
-    public int usable() {
+    public int usableBackendCount() {
         return eligibility.sound(0);
     }
 
-    public Decision clientLeft(double now, Request x) {
-        return turn(now, () -> expiry.clientLeft(x, turn));
+    public Decision clientLeft(double now, Request request) {
+        return decide(now, () -> deadlines.clientLeft(request, decision));
     }
 
     public Decision wake(double now) {
-        return turn(now, () -> {
-            expiry.wake(now, turn);
-            lists.wake(now, turn);
+        return decide(now, () -> {
+            deadlines.wake(now, decision);
+            polling.wake(now, decision);
         });
     }
 
-    private Decision turn(double now, Runnable event) {
-        turn.clear();
+    private Decision decide(double now, Runnable event) {
+        decision.clear();
         event.run();
-        for (Request x = selection.released(now); x != null; x = selection.released(now)) {
-            expiry.again(x, now, turn);
+        for (Request request = selector.released(now); request != null; request = selector.released(now)) {
+            deadlines.again(request, now, decision);
         }
-        turn.probes.forEach(i -> eligibility.spend(i, Eligibility.PROBE_WORK, now));
-        turn.wakeAt = Math.min(expiry.wakeAt(), Math.min(lists.askAt, selection.wakeAt()));
-        return turn;
+        decision.probes.forEach(i -> eligibility.spend(i, Eligibility.PROBE_WORK, now));
+        decision.wakeAt = Math.min(deadlines.wakeAt(), Math.min(polling.askAt, selector.wakeAt()));
+        return decision;
     }
 }
--- a/src/main/java/lemondrift/balancer/RequestDeadlines.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -10,100 +10,100 @@
 
     /** The time left of a usual first try, by grade, and how many in a row had less. */
     private double[] usual = {}, since = {};
-    private final BackendTable fleet;
-    private final PriorityQueue<Request> open = new PriorityQueue<>(Comparator.comparing(x -> x.expiry));
+    private final BackendTable backends;
+    private final PriorityQueue<Request> open = new PriorityQueue<>(Comparator.comparing(request -> request.deadline));
 
-    RequestDeadlines(BackendTable fleet) {
-        this.fleet = fleet;
+    RequestDeadlines(BackendTable backends) {
+        this.backends = backends;
         stated(List.of());
     }
 
     void stated(List<Integer> fresh) {
-        usual = Arrays.copyOf(usual, fleet.stated.grades().size());
+        usual = Arrays.copyOf(usual, backends.stated.requestClasses().size());
         since = Arrays.copyOf(since, usual.length);
         fresh.forEach(grade -> usual[grade] = since[grade] = 0);
     }
 
     /** Takes a new exchange; where a late answer brings nothing, its useful time is the contract time. */
-    void take(Request x, double now, Decision turn) {
-        RequestClass grade = x.terms.grade();
-        double useful = grade.lateBenefit() > 0 ? grade.expiry() : grade.contractTime();
+    void take(Request request, double now, Decision decision) {
+        RequestClass requestClass = request.terms.requestClass();
+        double useful = requestClass.latePriorityWeight() > 0 ? requestClass.timeoutSeconds() : requestClass.latencyObjectiveSeconds();
         // Danger: work done after the first try's time is lost, so a retry has less by what has passed.
-        double left = x.expiry - now;
-        boolean marked = fleet.stated.marksRetries();
+        double left = request.deadline - now;
+        boolean marked = backends.stated.clientsMarkRetries();
         // Clients may give a first try up sooner than the next, which then has more time left, not less.
-        boolean retry = marked ? x.retry && Math.abs(left - usual[x.grade]) > 0.01 * usual[x.grade]
-                : isRetry(x.grade, left);
-        double age = retry ? Math.max(0, grade.expiry() - left) : 0;
-        usual[x.grade] = marked && !x.retry ? left : usual[x.grade];
-        x.contract = Math.min(x.expiry, x.arrived + useful - age);
-        open.add(x);
-        again(x, now, turn);
+        boolean retry = marked ? request.markedRetry && Math.abs(left - usual[request.requestClass]) > 0.01 * usual[request.requestClass]
+                : isRetry(request.requestClass, left);
+        double age = retry ? Math.max(0, requestClass.timeoutSeconds() - left) : 0;
+        usual[request.requestClass] = marked && !request.markedRetry ? left : usual[request.requestClass];
+        request.attemptDeadline = Math.min(request.deadline, request.arrivedAt + useful - age);
+        open.add(request);
+        again(request, now, decision);
     }
 
     /** Where clients do not mark their retries, a try with less time left than others is taken for one. */
-    private boolean isRetry(int grade, double left) {
-        since[grade] = left < 0.99 * usual[grade] ? since[grade] + 1 : 0;
-        usual[grade] = since[grade] > ODD ? left : Math.max(usual[grade], left);
-        return left < 0.99 * usual[grade];
+    private boolean isRetry(int requestClass, double left) {
+        since[requestClass] = left < 0.99 * usual[requestClass] ? since[requestClass] + 1 : 0;
+        usual[requestClass] = since[requestClass] > ODD ? left : Math.max(usual[requestClass], left);
+        return left < 0.99 * usual[requestClass];
     }
 
-    void again(Request x, double now, Decision turn) {
-        if (!x.over && now < x.contract) {
-            offer(x, now, turn);
+    void again(Request request, double now, Decision decision) {
+        if (!request.completed && now < request.attemptDeadline) {
+            offer(request, now, decision);
         } else {
-            x.ending = FailureReason.NO_TIME_LEFT;
-            giveUp(x, 0, now, turn);
+            request.failureReason = FailureReason.NO_TIME_LEFT;
+            giveUp(request, 0, now, decision);
         }
     }
 
     @Override
-    void ended(Attempt f, AttemptOutcome outcome, double took, double now, Decision turn) {
-        if (f.exchange.out == 0) {
-            again(f.exchange, now, turn);
+    void ended(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double now, Decision decision) {
+        if (attempt.request.attemptsInFlight == 0) {
+            again(attempt.request, now, decision);
         }
     }
 
     /** Danger: a shed reply invites a retry, which would be a second effect if an earlier forward ran. */
     @Override
-    void giveUp(Request x, double comeBack, double now, Decision turn) {
-        if (!x.over) {
-            x.over = true;
-            boolean shed = RetryPolicy.mayShed(x);
-            double retryAfter = Math.min(comeBack, fleet.stated.limits().retryAfter());
-            turn.answers.add(new Decision.Answer(x, shed, shed ? retryAfter : 0));
-            cancelAll(x, turn);
+    void giveUp(Request request, double comeBack, double now, Decision decision) {
+        if (!request.completed) {
+            request.completed = true;
+            boolean shed = RetryPolicy.mayShed(request);
+            double retryAfter = Math.min(comeBack, backends.stated.limits().maxRetryAfterSeconds());
+            decision.localReplies.add(new Decision.Answer(request, shed, shed ? retryAfter : 0));
+            cancelAll(request, decision);
         }
     }
 
-    void clientLeft(Request x, Decision turn) {
-        x.over = true;
-        cancelAll(x, turn);
+    void clientLeft(Request request, Decision decision) {
+        request.completed = true;
+        cancelAll(request, decision);
     }
 
-    private void cancelAll(Request x, Decision turn) {
-        for (Attempt f = x.latest; f != null && fleet.stated.limits().cancel() && !x.begun; f = f.earlier) {
-            if (!f.ended) {
-                turn.cancels.add(f);
+    private void cancelAll(Request request, Decision decision) {
+        for (Attempt attempt = request.latestAttempt; attempt != null && backends.stated.limits().canCancel() && !request.responseStarted; attempt = attempt.previous) {
+            if (!attempt.ended) {
+                decision.cancellations.add(attempt);
             }
         }
     }
 
     /** The safe alarm: whatever went wrong, what is still open at its expiry is answered. */
-    void wake(double now, Decision turn) {
+    void wake(double now, Decision decision) {
         while (wakeAt() <= now) {
-            Request x = open.poll();
-            if (!x.begun) {
-                x.ending = FailureReason.EXPIRED;
-                giveUp(x, 0, now, turn);
+            Request request = open.poll();
+            if (!request.responseStarted) {
+                request.failureReason = FailureReason.EXPIRED;
+                giveUp(request, 0, now, decision);
             }
         }
     }
 
     double wakeAt() {
-        while (!open.isEmpty() && open.peek().over) {
+        while (!open.isEmpty() && open.peek().completed) {
             open.poll();
         }
-        return open.isEmpty() ? Double.POSITIVE_INFINITY : open.peek().expiry;
+        return open.isEmpty() ? Double.POSITIVE_INFINITY : open.peek().deadline;
     }
 }
--- a/src/main/java/lemondrift/balancer/RetryPolicy.java
+++ b/src/main/java/lemondrift/balancer/RetryPolicy.java
@@ -7,54 +7,54 @@
     /** Further forwards stay under this share of first ones: a retry storm is never of our making. */
     private static final double RETRY_SHARE = 0.25;
 
-    private final BackendTable fleet;
+    private final BackendTable backends;
     private double credit;
 
-    RetryPolicy(BackendTable fleet) {
-        credit = fleet.stated.limits().forwards();
-        this.fleet = fleet;
+    RetryPolicy(BackendTable backends) {
+        credit = backends.stated.limits().maxAttempts();
+        this.backends = backends;
     }
 
     /** A shed reply promises that a retry is harmless. */
-    static boolean mayShed(Request x) {
-        return x.terms.grade().effect() == Idempotency.PURE || x.mayHaveRun == null && x.out == 0
-                || x.terms.grade().effect() == Idempotency.RECEIPTED && x.terms.grade().group() == DeduplicationScope.ALL;
+    static boolean mayShed(Request request) {
+        return request.terms.requestClass().idempotency() == Idempotency.IDEMPOTENT || request.possiblyExecuted == null && request.attemptsInFlight == 0
+                || request.terms.requestClass().idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && request.terms.requestClass().deduplicationScope() == DeduplicationScope.ALL;
     }
 
     @Override
-    void offer(Request x, double now, Decision turn) {
-        boolean repeat = x.forwards > 0;
-        if (repeat && (x.forwards >= x.terms.forwards() || credit < 1)) {
-            x.ending = credit < 1 ? FailureReason.RETRY_BUDGET_SPENT : FailureReason.ATTEMPTS_USED;
-            giveUp(x, 0, now, turn);
+    void offer(Request request, double now, Decision decision) {
+        boolean repeat = request.attemptCount > 0;
+        if (repeat && (request.attemptCount >= request.terms.maxAttempts() || credit < 1)) {
+            request.failureReason = credit < 1 ? FailureReason.RETRY_BUDGET_SPENT : FailureReason.ATTEMPTS_USED;
+            giveUp(request, 0, now, decision);
             return;
         }
-        credit = repeat ? credit - 1 : Math.min(x.terms.forwards(), credit + RETRY_SHARE);
-        super.offer(x, now, turn);
+        credit = repeat ? credit - 1 : Math.min(request.terms.maxAttempts(), credit + RETRY_SHARE);
+        super.offer(request, now, decision);
     }
 
     @Override
-    boolean mayTake(Request x, int i, double now) {
-        Attempt f = x.latest;
-        for (; f != null && f.backend != i; f = f.earlier) { }
-        return f == null && (x.mayHaveRun == null || mayRepeat(x.terms.grade(), x.mayHaveRun, i, now))
-                && super.mayTake(x, i, now);
+    boolean mayTake(Request request, int i, double now) {
+        Attempt attempt = request.latestAttempt;
+        for (; attempt != null && attempt.backend != i; attempt = attempt.previous) { }
+        return attempt == null && (request.possiblyExecuted == null || mayRepeat(request.terms.requestClass(), request.possiblyExecuted, i, now))
+                && super.mayTake(request, i, now);
     }
 
-    private boolean mayRepeat(RequestClass grade, Attempt ran, int i, double now) {
+    private boolean mayRepeat(RequestClass requestClass, Attempt ran, int i, double now) {
         // Danger: receipts are forgotten after a while, counted from the first send that may have run.
-        return grade.effect() == Idempotency.PURE || grade.effect() == Idempotency.RECEIPTED
-                && now - ran.sent < grade.receiptMemory() && (grade.group() == DeduplicationScope.ALL
-                || fleet.line[ran.backend].location() == fleet.line[i].location()
-                && (grade.group() == DeduplicationScope.LOCATION
-                || fleet.line[ran.backend].cell() == fleet.line[i].cell()));
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && now - ran.sentAt < requestClass.idempotencyKeyTtlSeconds() && (requestClass.deduplicationScope() == DeduplicationScope.ALL
+                || backends.line[ran.backend].location() == backends.line[i].location()
+                && (requestClass.deduplicationScope() == DeduplicationScope.LOCATION
+                || backends.line[ran.backend].cell() == backends.line[i].cell()));
     }
 
     @Override
-    void ended(Attempt f, AttemptOutcome outcome, double took, double now, Decision turn) {
-        if (!outcome.neverRan && f.exchange.mayHaveRun == null) {
-            f.exchange.mayHaveRun = f;
+    void ended(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double now, Decision decision) {
+        if (!outcome.neverExecuted && attempt.request.possiblyExecuted == null) {
+            attempt.request.possiblyExecuted = attempt;
         }
-        super.ended(f, outcome, took, now, turn);
+        super.ended(attempt, outcome, durationSeconds, now, decision);
     }
 }
--- a/src/main/java/lemondrift/balancer/UtilizationEstimator.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -14,7 +14,7 @@
 
     /** The window of the design page, and the span over which own figures are remembered. */
     double window, memory;
-    private final BackendTable fleet;
+    private final BackendTable backends;
     /** Answer times' lower quartile (three steps down balance one up) and number; time per one ahead. */
     private double quick, answers, pace;
     /** How long a report is told again, the fleet's service time as told, when a wait was first asked for. */
@@ -23,26 +23,26 @@
     final DecayingSum ownRate = new DecayingSum(), metWait = new DecayingSum();
     private final DecayingSum heard = new DecayingSum(), heards = new DecayingSum();
 
-    private double[] report = {}, reportedAt = {}, sends = {}, rated = {}, use = {}, held = {};
+    private double[] loadReport = {}, reportedAt = {}, sends = {}, rated = {}, use = {}, held = {};
     /** Where other proxies tell what they have out: that. */
     boolean othersHeard;
     double[] others = {};
 
-    UtilizationEstimator(BackendTable fleet) {
-        this.fleet = fleet;
+    UtilizationEstimator(BackendTable backends) {
+        this.backends = backends;
         stated();
         pace = quick = window / 16;
-        told = fleet.stated.reports().rate() < 0 ? 0 : quick;
+        told = backends.stated.loadReports().requestRateField() < 0 ? 0 : quick;
     }
 
     void stated() {
-        window = fleet.stated.window();
+        window = backends.stated.windowSeconds();
         ownRate.span = metWait.span = memory = MEMORY * window;
     }
 
     /** How often an exchange may ask for reports. */
     int rounds() {
-        return old() ? 0 : (int) Math.min(ROUNDS, MOST_COST / ASKED / fleet.stated.probeCharge());
+        return old() ? 0 : (int) Math.min(ROUNDS, MOST_COST / ASKED / backends.stated.probeCost());
     }
 
     /** How long a report counts: where none can be asked for, until the next may come by itself. */
@@ -51,25 +51,25 @@
     }
 
     void listed() {
-        if (report.length == fleet.size) {
+        if (loadReport.length == backends.size) {
             return;
         }
-        report = Arrays.copyOf(report, fleet.size);
-        reportedAt = Arrays.copyOf(reportedAt, fleet.size);
-        sends = Arrays.copyOf(sends, fleet.size);
-        rated = Arrays.copyOf(rated, fleet.size);
-        others = Arrays.copyOf(others, fleet.size);
-        use = Arrays.copyOf(use, fleet.size);
-        held = Arrays.copyOf(held, fleet.size);
+        loadReport = Arrays.copyOf(loadReport, backends.size);
+        reportedAt = Arrays.copyOf(reportedAt, backends.size);
+        sends = Arrays.copyOf(sends, backends.size);
+        rated = Arrays.copyOf(rated, backends.size);
+        others = Arrays.copyOf(others, backends.size);
+        use = Arrays.copyOf(use, backends.size);
+        held = Arrays.copyOf(held, backends.size);
     }
 
     /** A report overwrites the estimate and clears the sends; exchanges held add their work to it. */
     void reported(int i, double[] figures, boolean delivered, boolean answer, double now) {
-        Settings.Reports places = fleet.stated.reports();
-        double u = Settings.Reports.figure(figures, places.utilisation());
+        Settings.Reports places = backends.stated.loadReports();
+        double u = Settings.Reports.field(figures, places.utilizationField());
         // Danger: one that comes with an answer counts the exchange answered, so the idle would look busy.
-        double itself = places.countsAnswered() && answer && delivered ? 1 : 0;
-        double h = Math.max(0, Settings.Reports.figure(figures, places.held()) - itself);
+        double itself = places.countsAnsweredRequest() && answer && delivered ? 1 : 0;
+        double h = Math.max(0, Settings.Reports.field(figures, places.inFlightField()) - itself);
         if (figures == null || !(u + h >= 0)) {
             return;
         }
@@ -81,14 +81,14 @@
         period -= reportedAt[i] > 0 && delivered ? Math.max(0, period - now + reportedAt[i]) / 4 : 0;
         use[i] = delivered ? u : 1;
         held[i] = h;
-        double s = u / Settings.Reports.figure(figures, places.rate());
+        double s = u / Settings.Reports.field(figures, places.requestRateField());
         if (s > 0 && s < window) {
             told += u * (s - told) / (FEW * FEW);
             rated[i] += (s - rated[i]) * (rated[i] == 0 ? 1 : 2.0 / FEW);
         }
         double busy = u + h * worth(i, now);
         // Danger: a backend that errors quickly reports the lowest figure and draws traffic.
-        report[i] = delivered ? busy : Math.max(busy, mean(now));
+        loadReport[i] = delivered ? busy : Math.max(busy, mean(now));
         reportedAt[i] = now;
         sends[i] = 0;
         heard.span = heards.span = horizon();
@@ -107,7 +107,7 @@
 
     /** Whether the others tell what they have out there. */
     boolean known(int i) {
-        return othersHeard && fleet.line[i].used() > 0;
+        return othersHeard && backends.line[i].userShare() > 0;
     }
 
     /** The wait that own forwards meet now, by Little's law, where reports are old. */
@@ -120,15 +120,15 @@
     }
 
     double workTime(int i, double now) {
-        return i < 0 ? 0 : (told > 0 ? told : pace) / fleet.coldShare(i, now);
+        return i < 0 ? 0 : (told > 0 ? told : pace) / backends.coldShare(i, now);
     }
 
     /** The utilisation that one exchange adds if the others send alike, no more than a whole window's. */
     double worth(int i, double now) {
         double usual = told > 0 ? told : quick;
-        double share = rated[i] > 0 ? rated[i] / usual : fleet.meanPower / fleet.line[i].size();
-        return Math.min(1, quick * fleet.stated.balancers() / window)
-                * Math.max(1 / SPREAD, Math.min(SPREAD, share)) / fleet.coldShare(i, now);
+        double share = rated[i] > 0 ? rated[i] / usual : backends.meanPower / backends.line[i].weight();
+        return Math.min(1, quick * backends.stated.proxyCount() / window)
+                * Math.max(1 / SPREAD, Math.min(SPREAD, share)) / backends.coldShare(i, now);
     }
 
     double trust(int i, double now) {
@@ -137,45 +137,45 @@
 
     /** The estimate. What a report no longer tells, being old, the mean and own forwards out do. */
     double of(int i, double now) {
-        double trust = trust(i, now), mean = mean(now), base = mean + trust * (report[i] - mean);
-        double own = trust * sends[i] + (1 - trust) * fleet.out[i];
+        double trust = trust(i, now), mean = mean(now), base = mean + trust * (loadReport[i] - mean);
+        double own = trust * sends[i] + (1 - trust) * backends.out[i];
         if (othersHeard) {
             // What is out is known of all, so the report adds how busy it was, and what it held beyond that.
-            own = Math.max(fleet.out[i] + others[i], trust * (held[i] + sends[i]));
+            own = Math.max(backends.out[i] + others[i], trust * (held[i] + sends[i]));
             mean = Math.min(1, mean);
             base = mean + trust * (use[i] - mean);
         }
         // Danger: a cold backend reports near nothing and draws more than it can bear.
-        return (fleet.coldShare(i, now) < 1 ? Math.max(base, mean) : base) + own * worth(i, now);
+        return (backends.coldShare(i, now) < 1 ? Math.max(base, mean) : base) + own * worth(i, now);
     }
 
     /** So many forwards more; fewer where one of watching's own was never made. */
     void sent(int i, int forwards, double now) {
         sends[i] = Math.max(0, sends[i] + forwards);
-        fleet.out[i] += forwards;
+        backends.out[i] += forwards;
         allOut += forwards;
         ownRate.add(forwards / memory, now);
     }
 
-    void ended(Attempt f, AttemptOutcome outcome, double took, double now) {
-        int i = f.backend;
-        fleet.out[i]--;
+    void ended(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double now) {
+        int i = attempt.backend;
+        backends.out[i]--;
         allOut--;
-        boolean good = outcome == AttemptOutcome.DELIVERED;
+        boolean good = outcome == AttemptOutcome.SUCCESS;
         if (good || outcome == AttemptOutcome.TIMED_OUT) {
             // Danger: where all turn slow only the quickest are delivered, and the rest must count too.
             // What an old report says is ahead is no measure; what the answer's own report says is.
-            double ahead = old() ? held[i] : f.ahead;
-            pace += (took / (1 + ahead) - pace) / Math.min(++answers, old() ? FEW * FEW : FEW);
+            double ahead = old() ? held[i] : attempt.queueAhead;
+            pace += (durationSeconds / (1 + ahead) - pace) / Math.min(++answers, old() ? FEW * FEW : FEW);
         }
         if (good) {
             double step = Math.max(STEP, 1 / (3 + answers));
-            quick = answers == 1 ? Math.max(took, window / 1000)
-                    : quick * (took < quick ? 1 - 3 * step : 1 + step);
+            quick = answers == 1 ? Math.max(durationSeconds, window / 1000)
+                    : quick * (durationSeconds < quick ? 1 - 3 * step : 1 + step);
         }
-        if (good || outcome == AttemptOutcome.TIMED_OUT || outcome.neverRan && outcome != AttemptOutcome.MOOT) {
-            double wait = outcome == AttemptOutcome.FULL ? window : !good ? took : fleet.stated.reports().inAnswers()
-                    && !old() ? wait(i, now) : Math.max(0, took - workTime(i, now));
+        if (good || outcome == AttemptOutcome.TIMED_OUT || outcome.neverExecuted && outcome != AttemptOutcome.NOT_SENT) {
+            double wait = outcome == AttemptOutcome.OVERLOADED ? window : !good ? durationSeconds : backends.stated.loadReports().inResponses()
+                    && !old() ? wait(i, now) : Math.max(0, durationSeconds - workTime(i, now));
             // Over four outcomes at least, so that none decides; it fades sooner where no report ends a jam.
             metWait.span = old() ? MET * window : memory;
             metWait.add((wait - metWait.at(now)) / Math.max(4, MET * window * ownRate.at(now)), now);
--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -40,11 +40,11 @@
     /** What an exchange shed or scrapped counts beside a delivered one: its client is not at fault. */
     private static final double UNSERVED = 0.25;
 
-    private final ConnectionLimits bounds;
+    private final ConnectionLimits limits;
     private final Hands hands;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final ClientSourceTable sources;
-    private final FairEviction crowd;
+    private final FairEviction fairEviction;
     private final IdleReuseEstimator[] reuse = new IdleReuseEstimator[KINDS];
     private final double[] limit = new double[KINDS];
     private final Map<ConnectionState, ConnectionOrder> orders = new EnumMap<>(ConnectionState.class);
@@ -71,18 +71,18 @@
     private double drainBegan = Double.POSITIVE_INFINITY, drainUntil;
 
     /** The seed decides which connections are kept to learn from. */
-    public ConnectionPolicy(ConnectionLimits bounds, Hands hands, long seed) {
-        this.bounds = bounds;
+    public ConnectionPolicy(ConnectionLimits limits, Hands hands, long seed) {
+        this.limits = limits;
         this.hands = hands;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         // Danger: the system may count one as closed before it is told here, and its successor needs an
         // index.
-        places = bounds.places();
-        int last = bounds.last() + SLACK + bounds.last() / SLACK;
+        places = limits.places();
+        int last = limits.last() + SLACK + limits.last() / SLACK;
         sources = new ClientSourceTable(last);
-        crowd = new FairEviction(last, bounds.memory());
-        Arrays.setAll(reuse, kind -> new IdleReuseEstimator(bounds.quiet(), bounds.earliest(), bounds.memory()));
-        Arrays.fill(limit, bounds.quiet());
+        fairEviction = new FairEviction(last, limits.memory());
+        Arrays.setAll(reuse, kind -> new IdleReuseEstimator(limits.quiet(), limits.earliest(), limits.memory()));
+        Arrays.fill(limit, limits.quiet());
         state = new ConnectionState[last];
         source = new ClientSource[last];
         key = new long[last];
@@ -107,10 +107,10 @@
 
     /** Danger: after a pause of the process all would seem overdue while their requests wait unread. */
     private double time(double now) {
-        if (now - toldAt > PAUSE * bounds.sweep() && toldAt > Double.NEGATIVE_INFINITY) {
-            stoodStill += now - toldAt - bounds.sweep();
+        if (now - toldAt > PAUSE * limits.sweep() && toldAt > Double.NEGATIVE_INFINITY) {
+            stoodStill += now - toldAt - limits.sweep();
             wentStill = toldAt;
-            caughtUp = now + bounds.sweep() / CATCHING_UP;
+            caughtUp = now + limits.sweep() / CATCHING_UP;
         }
         toldAt = Math.max(toldAt, now);
         return toldAt - stoodStill;
@@ -147,20 +147,20 @@
         }
         used++;
         key[i] = address;
-        source[i] = bounds.sharing() == ConnectionLimits.Sharing.CONNECTION ? new ClientSource() : sources.enter(address);
-        if (bounds.sharing() == ConnectionLimits.Sharing.CONNECTION) {
+        source[i] = limits.sharing() == ConnectionLimits.Sharing.CONNECTION ? new ClientSource() : sources.enter(address);
+        if (limits.sharing() == ConnectionLimits.Sharing.CONNECTION) {
             source[i].held++;
         }
         ending[i] = CloseReason.GONE;
         promised[i] = false;
         ahead[i] = false;
         // Danger: one that comes while all are sent away would stay for as long as it says nothing.
-        drainAt[i] = t >= drainBegan ? Math.max(drainUntil, t + bounds.firstWord() / 2)
+        drainAt[i] = t >= drainBegan ? Math.max(drainUntil, t + limits.firstWord() / 2)
                 : Double.POSITIVE_INFINITY;
         answers[i] = 0;
         turnedAway[i] = 0;
         came[i] = t;
-        due[i] = t + bounds.firstWord();
+        due[i] = t + limits.firstWord();
         enter(i, ConnectionState.NEW, t);
         return i;
     }
@@ -172,7 +172,7 @@
 
     /** Only so many connections are to stay from now on, of those that its bounds allow. */
     public void places(int many) {
-        places = Math.min(bounds.places(), Math.max(1, many));
+        places = Math.min(limits.places(), Math.max(1, many));
     }
 
     /** Whether there are more than there should be, so that some must give way. */
@@ -187,17 +187,17 @@
             if (state[i] == ConnectionState.QUIET) {
                 reuse[kind(i)].usedAfter(t - since[i], t);
             }
-            due[i] = t + bounds.pause();
+            due[i] = t + limits.pause();
             enter(i, ConnectionState.HEAD, t);
         } else if (state[i] == ConnectionState.HEAD || state[i] == ConnectionState.BODY) {
-            progress(i, bytes, bounds.pause(), t);
+            progress(i, bytes, limits.pause(), t);
         } else {
             ahead[i] = true;
         }
     }
 
     private void progress(int i, int bytes, double ahead, double t) {
-        due[i] = Math.min(t + ahead, due[i] + bytes / bounds.leastRate());
+        due[i] = Math.min(t + ahead, due[i] + bytes / limits.leastRate());
     }
 
     /** The head of a request was read; it may have come with the answer to the one before, in one piece. */
@@ -210,7 +210,7 @@
             reuse[kind(i)].usedAfter(t - since[i], t);
         }
         ahead[i] = false;
-        due[i] = t + bounds.pause();
+        due[i] = t + limits.pause();
         enter(i, ConnectionState.BODY, t);
     }
 
@@ -218,7 +218,7 @@
     public void opened(int i, int tenant, double now) {
         double t = time(now);
         turnedAway[i] = 0;
-        if (bounds.sharing() == ConnectionLimits.Sharing.TENANT && key[i] != -1L - tenant) {
+        if (limits.sharing() == ConnectionLimits.Sharing.TENANT && key[i] != -1L - tenant) {
             sources.leave(key[i], source[i]);
             key[i] = -1L - tenant;
             source[i] = sources.enter(key[i]);
@@ -233,10 +233,10 @@
     public boolean keeps(int i, double now) {
         double t = time(now);
         answers[i]++;
-        due[i] = t + bounds.fetch();
+        due[i] = t + limits.fetch();
         enter(i, ConnectionState.FETCHING, t);
         ending[i] = ending(i, t);
-        promised[i] = ending[i] == CloseReason.GONE && bounds.announces() && price() < 1 / bounds.quiet();
+        promised[i] = ending[i] == CloseReason.GONE && limits.announces() && price() < 1 / limits.quiet();
         return ending[i] == CloseReason.GONE;
     }
 
@@ -247,7 +247,7 @@
             return CloseReason.TURNED_AWAY;
         }
         boolean worth = reuse[kind(i)].limit(price(), t) > 0;
-        boolean explores = unusedShare() < MOST_EXPLORING && chance.nextDouble() < EXPLORED;
+        boolean explores = unusedShare() < MOST_EXPLORING && random.nextDouble() < EXPLORED;
         return worth || explores ? CloseReason.GONE : CloseReason.WITH_ANSWER;
     }
 
@@ -255,7 +255,7 @@
      * How many whole seconds its client may be told that the connection stays, 0 where nothing is promised.
      */
     public int promise(int i) {
-        return promised[i] ? (int) bounds.quiet() : 0;
+        return promised[i] ? (int) limits.quiet() : 0;
     }
 
     private int kind(int i) {
@@ -270,13 +270,13 @@
 
     /** What a place costs for a second, in connections opened again: nothing while most of them are free. */
     private double price() {
-        return Math.pow(unusedShare(), STEEP) / bounds.quiet();
+        return Math.pow(unusedShare(), STEEP) / limits.quiet();
     }
 
     /** More of its answer is there. Danger: what its backend takes long to give is not its client's fault. */
     public void offered(int i, double now) {
         if (state[i] == ConnectionState.FETCHING) {
-            due[i] = time(now) + bounds.fetch();
+            due[i] = time(now) + limits.fetch();
         }
     }
 
@@ -284,7 +284,7 @@
     public void fetched(int i, int bytes, double now) {
         double t = time(now);
         if (state[i] == ConnectionState.FETCHING) {
-            progress(i, bytes, bounds.fetch(), t);
+            progress(i, bytes, limits.fetch(), t);
         }
     }
 
@@ -296,11 +296,11 @@
     public void answered(int i, double benefit, double now) {
         double t = time(now);
         if (benefit >= 0) {
-            double brought = benefit > 0 ? benefit / bounds.benefit() : UNSERVED;
-            source[i].brought(brought, t, bounds.memory());
+            double brought = benefit > 0 ? benefit / limits.benefit() : UNSERVED;
+            source[i].brought(brought, t, limits.memory());
         }
         // What came ahead of the answer is the next request's beginning, unless its head is read right away.
-        due[i] = t + bounds.pause();
+        due[i] = t + limits.pause();
         enter(i, ahead[i] ? ConnectionState.HEAD : ConnectionState.QUIET, t);
     }
 
@@ -310,7 +310,7 @@
             return;
         }
         turnedAway[i]++;
-        source[i].cost(time(now), bounds.memory());
+        source[i].cost(time(now), limits.memory());
     }
 
     /**
@@ -320,9 +320,9 @@
     public double lingers(int i, double now) {
         double t = time(now);
         enter(i, ConnectionState.TURNED_AWAY, t);
-        double costs = Math.max(turnedAway[i], source[i].costs(t, bounds.memory()));
-        double lingers = bounds.linger() * Math.scalb(1.0, (int) Math.max(0, costs - 1));
-        return Math.min(bounds.longestLinger(), lingers);
+        double costs = Math.max(turnedAway[i], source[i].costs(t, limits.memory()));
+        double lingers = limits.linger() * Math.scalb(1.0, (int) Math.max(0, costs - 1));
+        return Math.min(limits.longestLinger(), lingers);
     }
 
     /** A connection is closed, by whichever side; its index goes to another one. */
@@ -335,10 +335,10 @@
             reuse[kind(i)].endedAfter(t - since[i], t);
         }
         if (answers[i] == 0 && state[i] != ConnectionState.OPEN) {
-            source[i].cost(t, bounds.memory());
+            source[i].cost(t, limits.memory());
         }
         closed[state[i].ordinal()][ending[i].ordinal()]++;
-        if (bounds.sharing() != ConnectionLimits.Sharing.CONNECTION) {
+        if (limits.sharing() != ConnectionLimits.Sharing.CONNECTION) {
             sources.leave(key[i], source[i]);
         }
         source[i] = null;
@@ -358,24 +358,24 @@
             return;
         }
         for (int i = orders.get(ConnectionState.NEW).first(); i >= 0; i = orders.get(ConnectionState.NEW).after(i)) {
-            if (t - came[i] > bounds.patience()) {
-                crowd.mayYield(i, source[i]);
+            if (t - came[i] > limits.patience()) {
+                fairEviction.mayYield(i, source[i]);
             }
         }
         // Danger: heads without end would keep all others out. None was answered here: nothing is lost.
         for (ConnectionState each : new ConnectionState[] {ConnectionState.HEAD, ConnectionState.BODY}) {
             for (int i = orders.get(each).first(); i >= 0; i = orders.get(each).after(i)) {
-                if (answers[i] == 0 && t - came[i] > 2 * bounds.patience()) {
-                    crowd.mayYield(i, source[i]);
+                if (answers[i] == 0 && t - came[i] > 2 * limits.patience()) {
+                    fairEviction.mayYield(i, source[i]);
                 }
             }
         }
         for (int i = orders.get(ConnectionState.QUIET).first(); i >= 0; i = orders.get(ConnectionState.QUIET).after(i)) {
             if (!promised[i]) {
-                crowd.mayYield(i, source[i]);
+                fairEviction.mayYield(i, source[i]);
             }
         }
-        crowd.yield(used - places, t, i -> {
+        fairEviction.yield(used - places, t, i -> {
             // Danger: a request that has come and waits unread, after a pause of the process, would be lost.
             boolean silent = answers[i] == 0 && state[i] != ConnectionState.NEW || hands.isSilent(i);
             if (silent) {
@@ -390,7 +390,7 @@
         double t = time(now);
         makeRoom(now);
         for (int kind = 0; kind < KINDS; kind++) {
-            limit[kind] = Math.max(bounds.earliest(), reuse[kind].limit(price(), t));
+            limit[kind] = Math.max(limits.earliest(), reuse[kind].limit(price(), t));
         }
         for (int i = 0; i < state.length; i++) {
             CloseReason why = overdue(i, t);
@@ -410,7 +410,7 @@
             case FETCHING -> t > due[i] ? CloseReason.UNFETCHED : null;
             case QUIET -> {
                 double quiet = t - since[i];
-                yield quiet > bounds.quiet() ? CloseReason.QUIET
+                yield quiet > limits.quiet() ? CloseReason.QUIET
                         : quiet > limit[kind(i)] && !promised[i] ? CloseReason.UNUSED : drains(i, t);
             }
             case FREE, OPEN, TURNED_AWAY -> null;
@@ -450,7 +450,7 @@
     public boolean isDrained(double now) {
         double t = time(now);
         for (int i = 0; i < state.length; i++) {
-            boolean answered = ending[i] == CloseReason.DRAIN && t - since[i] >= bounds.linger()
+            boolean answered = ending[i] == CloseReason.DRAIN && t - since[i] >= limits.linger()
                     && (state[i] == ConnectionState.QUIET || state[i] == ConnectionState.HEAD);
             if (state[i] != ConnectionState.FREE && !answered) {
                 return false;
--- a/src/main/java/lemondrift/gossip/LoadGossip.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -19,14 +19,14 @@
  * that one which is lost or comes twice does no harm. Backends go by a tag of their id. Times are in seconds.
  */
 public final class LoadGossip {
-    public static final int MOST_BYTES = 256;
+    public static final int MAX_DATAGRAM_BYTES = 256;
     private static final byte KIND = 4;
     /** Of a number the low bits count, and the others are of the sender's start number. */
     private static final int COUNT_BITS = 12, COUNTS = 1 << COUNT_BITS, STARTS = 16,
             NONE = -1;
     /** A former self, and how far one has counted, are remembered for so many times the span of a telling. */
     private static final double REMEMBERED = 2;
-    private static final int HEAD = 3, TAG_BYTES = 3, TAG_BITS = 24, MOST = (MOST_BYTES - HEAD) / TAG_BYTES;
+    private static final int HEAD = 3, TAG_BYTES = 3, TAG_BITS = 24, MOST = (MAX_DATAGRAM_BYTES - HEAD) / TAG_BYTES;
     /** One that was given up counts as out for this share of the same span. */
     private static final double LINGER = 0.125;
     /** An unchanged telling is told again after this share of the span after which one is forgotten. */
@@ -85,12 +85,12 @@
         return (int) (crc.getValue() & (1 << TAG_BITS) - 1);
     }
 
-    public void sent(int tag) {
+    public void attemptSent(int tag) {
         own.merge(tag, 1, Integer::sum);
         changes(tag);
     }
 
-    public void ended(int tag) {
+    public void attemptEnded(int tag) {
         own.computeIfPresent(tag, (t, n) -> n > 1 ? n - 1 : null);
         changes(tag);
     }
@@ -99,7 +99,7 @@
      * Nobody waits any more for an exchange that was sent to the backend of a tag; it counts as out for a
      * while. Danger: the backend may be at work on it still, and where most are given up so, all look idle.
      */
-    public void givenUp(int tag, double now) {
+    public void attemptAbandoned(int tag, double now) {
         lingering.add(new Lingering(tag, now + LINGER * forget));
         lingeringByTag.merge(tag, 1, Integer::sum);
         changed.accept(tag);
@@ -109,7 +109,7 @@
         while (!lingering.isEmpty() && lingering.peek().until <= now) {
             int tag = lingering.remove().tag;
             lingeringByTag.computeIfPresent(tag, (t, n) -> n > 1 ? n - 1 : null);
-            ended(tag);
+            attemptEnded(tag);
             changed.accept(tag);
         }
     }
@@ -121,7 +121,7 @@
     }
 
     /** How many exchanges the others have out at a backend, and how many of its own it has given up there. */
-    public int others(int tag) {
+    public int peerLoad(int tag) {
         return others.getOrDefault(tag, 0) + lingeringByTag.getOrDefault(tag, 0);
     }
 
@@ -130,7 +130,7 @@
      * and who went on by that would take all backends for idle; and until that is forgotten, by what they had
      * out when they fell silent. So a silence of many times what is usual between two tellings is deafness.
      */
-    public int heard(double now) {
+    public int livePeerCount(double now) {
         boolean deaf = now - latestAt > Math.max(LEAST_SILENCE * pace, SILENCE * gap);
         return deaf ? 0 : (int) Arrays.stream(peers).filter(peer -> now - peer.heardAt <= forget).count();
     }
@@ -140,7 +140,7 @@
      * counts from the beginning again, or from a former self after that; what can't be read or is older than
      * what is held changes nothing.
      */
-    public void told(int from, byte[] datagram, double now) {
+    public void receive(int from, byte[] datagram, double now) {
         Peer peer = from < 0 || from >= peers.length || from == self ? null : peers[from];
         int length = datagram.length - HEAD;
         if (peer == null || length < 0 || length % TAG_BYTES != 0 || datagram[0] != KIND) {
@@ -170,7 +170,7 @@
      * Another proxy has started anew, under a start number. Danger: what its former self had out would look
      * busy until it is forgotten, and what that has told and still comes would be taken for the new one's.
      */
-    public void startedAnew(int proxy, long start) {
+    public void peerRestarted(int proxy, long start) {
         Peer peer = peers[proxy];
         int[] before = peer.tags;
         peer.tags = new int[0];
@@ -183,7 +183,7 @@
     }
 
     /** Danger: what a proxy had out that was killed would keep its backends looking busy for good. */
-    public void forget(double now) {
+    public void expireSilentPeers(double now) {
         lapse(now);
         for (Peer peer : peers) {
             if (peer.tags.length > 0 && now - peer.heardAt > forget) {
@@ -208,29 +208,29 @@
     }
 
     /** When the next telling is due; infinite where nothing is to be told. */
-    public double tellAt() {
+    public double nextSendAt() {
         double lapses = lingering.isEmpty() ? Double.POSITIVE_INFINITY : lingering.peek().until;
-        return Math.min(lapses, Arrays.stream(peers).mapToDouble(this::tellAt).min().orElse(lapses));
+        return Math.min(lapses, Arrays.stream(peers).mapToDouble(this::nextSendAt).min().orElse(lapses));
     }
 
-    private double tellAt(Peer peer) {
+    private double nextSendAt(Peer peer) {
         return peer.dirty ? peer.toldAt + pace : peer.knows ? peer.toldAt + AGAIN * forget
                 : Double.POSITIVE_INFINITY;
     }
 
     /** The tellings that are due, which count as told. What does not fit is left out. */
-    public List<Telling> tellings(double now) {
+    public List<Telling> dueMessages(double now) {
         lapse(now);
         List<Telling> due = new ArrayList<>();
         for (int to = 0; to < peers.length; to++) {
-            if (tellAt(peers[to]) <= now) {
-                due.add(telling(to, now));
+            if (nextSendAt(peers[to]) <= now) {
+                due.add(message(to, now));
             }
         }
         return due;
     }
 
-    private Telling telling(int to, double now) {
+    private Telling message(int to, double now) {
         int[] tags = own.entrySet().stream().filter(each -> uses(to, each.getKey()))
                 .flatMapToInt(each -> IntStream.generate(each::getKey).limit(each.getValue()))
                 .limit(MOST).toArray();
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -87,30 +87,30 @@
      * @param whole whether nothing is listed but these lines
      * @param id the backend id of an index
      */
-    public List<EndpointUpdate> assigned(int proxy, boolean whole, List<EndpointUpdate> lines, IntUnaryOperator id) {
+    public List<EndpointUpdate> assigned(int proxy, boolean whole, List<EndpointUpdate> updates, IntUnaryOperator id) {
         Set<Integer> affected = backendsOfSubset(proxy);
         if (whole) {
             List.copyOf(known.keySet()).forEach(this::withdraw);
         }
-        lines.forEach(line -> replace(line, id.applyAsInt(line.backend())));
-        List<EndpointUpdate> told = new ArrayList<>(lines.size() + width);
+        updates.forEach(update -> replace(update, id.applyAsInt(update.backend())));
+        List<EndpointUpdate> told = new ArrayList<>(updates.size() + width);
         affected.addAll(backendsOfSubset(proxy));
-        for (EndpointUpdate line : lines) {
-            affected.remove(line.backend());
-            told.add(scored(proxy, line, id.applyAsInt(line.backend())));
+        for (EndpointUpdate update : updates) {
+            affected.remove(update.backend());
+            told.add(scored(proxy, update, id.applyAsInt(update.backend())));
         }
         affected.forEach(backend -> tellChange(proxy, backend, told));
         return told;
     }
 
-    private void replace(EndpointUpdate line, int id) {
-        withdraw(line.backend());
-        if (line.state() == EndpointUpdate.State.READY) {
-            byId.computeIfAbsent(id, none -> new HashSet<>()).add(line.backend());
+    private void replace(EndpointUpdate update, int id) {
+        withdraw(update.backend());
+        if (update.state() == EndpointUpdate.State.READY) {
+            byId.computeIfAbsent(id, none -> new HashSet<>()).add(update.backend());
             add(id);
         }
-        if (line.state() != EndpointUpdate.State.GONE) {
-            known.put(line.backend(), new Known(line.again(), id));
+        if (update.state() != EndpointUpdate.State.GONE) {
+            known.put(update.backend(), new Known(update.asKnownBackend(), id));
         }
     }
 
@@ -127,16 +127,16 @@
         }
     }
 
-    private EndpointUpdate scored(int proxy, EndpointUpdate line, int id) {
+    private EndpointUpdate scored(int proxy, EndpointUpdate update, int id) {
         double score = score(proxy, id), used = used(proxy, id);
-        known.computeIfPresent(line.backend(),
-                (backend, its) -> new Known(its.line.drawn(score, used), its.id));
-        return line.drawn(score, used);
+        known.computeIfPresent(update.backend(),
+                (backend, its) -> new Known(its.line.withSubset(score, used), its.id));
+        return update.withSubset(score, used);
     }
 
     private void tellChange(int proxy, int backend, List<EndpointUpdate> told) {
         Known its = known.get(backend);
-        if (its != null && its.line.used() != used(proxy, its.id)) {
+        if (its != null && its.line.userShare() != used(proxy, its.id)) {
             told.add(scored(proxy, its.line, its.id));
         }
     }
--- a/src/main/java/lemondrift/lab/Baseline.java
+++ b/src/main/java/lemondrift/lab/Baseline.java
@@ -38,7 +38,7 @@
     private final Settings settings;
     private final UniformRandomProvider chance;
     private final IntToDoubleFunction trueLoad;
-    private final Decision turn = new Decision();
+    private final Decision decision = new Decision();
     private boolean[] ready = {};
     private int[] out = {};
     private double[] peak = {}, peakAt = {};
@@ -53,32 +53,32 @@
     }
 
     private Decision nothing() {
-        turn.clear();
-        return turn;
+        decision.clear();
+        return decision;
     }
 
     @Override
-    public Decision arrived(double now, Request x) {
+    public Decision arrived(double now, Request request) {
         nothing();
-        x.contract = Math.min(x.expiry, now + settings.grades().get(x.grade).contractTime());
-        sends(now, x);
-        return turn;
+        request.attemptDeadline = Math.min(request.deadline, now + settings.requestClasses().get(request.requestClass).latencyObjectiveSeconds());
+        sends(now, request);
+        return decision;
     }
 
-    private void sends(double now, Request x) {
-        int to = now < x.contract && x.forwards < MOST ? pick(now) : -1;
+    private void sends(double now, Request request) {
+        int to = now < request.attemptDeadline && request.attemptCount < MOST ? pick(now) : -1;
         if (to < 0) {
-            boolean shed = x.mayHaveRun == null
-                    || settings.grades().get(x.grade).effect() == Idempotency.PURE;
-            x.over = true;
-            turn.answers.add(new Decision.Answer(x, shed, 0));
+            boolean shed = request.possiblyExecuted == null
+                    || settings.requestClasses().get(request.requestClass).idempotency() == Idempotency.IDEMPOTENT;
+            request.completed = true;
+            decision.localReplies.add(new Decision.Answer(request, shed, 0));
             return;
         }
-        x.latest = new Attempt(x, to, now, x.contract - now, 0);
-        x.forwards++;
-        x.out++;
+        request.latestAttempt = new Attempt(request, to, now, request.attemptDeadline - now, 0);
+        request.attemptCount++;
+        request.attemptsInFlight++;
         out[to]++;
-        turn.sends.add(x.latest);
+        decision.attempts.add(request.latestAttempt);
     }
 
     private int pick(double now) {
@@ -116,45 +116,45 @@
     }
 
     @Override
-    public Decision ended(double now, Attempt f, AttemptOutcome outcome, double took, boolean over, double[] report) {
+    public Decision ended(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over, double[] loadReport) {
         nothing();
-        Request x = f.exchange;
-        f.ended = true;
-        x.out--;
-        out[f.backend]--;
-        x.over |= over;
-        double faded = peak[f.backend] * Math.exp((peakAt[f.backend] - now) / FADES);
-        peak[f.backend] = Math.max(took, faded + (took - faded) / 8);
-        peakAt[f.backend] = now;
-        x.mayHaveRun = !outcome.neverRan && x.mayHaveRun == null ? f : x.mayHaveRun;
-        if (!x.over && (outcome.neverRan || settings.grades().get(x.grade).effect() == Idempotency.PURE)) {
-            sends(now, x);
-        } else if (!x.over) {
-            x.over = true;
-            turn.answers.add(new Decision.Answer(x, false, 0));
+        Request request = attempt.request;
+        attempt.ended = true;
+        request.attemptsInFlight--;
+        out[attempt.backend]--;
+        request.completed |= over;
+        double faded = peak[attempt.backend] * Math.exp((peakAt[attempt.backend] - now) / FADES);
+        peak[attempt.backend] = Math.max(durationSeconds, faded + (durationSeconds - faded) / 8);
+        peakAt[attempt.backend] = now;
+        request.possiblyExecuted = !outcome.neverExecuted && request.possiblyExecuted == null ? attempt : request.possiblyExecuted;
+        if (!request.completed && (outcome.neverExecuted || settings.requestClasses().get(request.requestClass).idempotency() == Idempotency.IDEMPOTENT)) {
+            sends(now, request);
+        } else if (!request.completed) {
+            request.completed = true;
+            decision.localReplies.add(new Decision.Answer(request, false, 0));
         }
-        return turn;
+        return decision;
     }
 
     @Override
-    public Decision probed(double now, int backend, AttemptOutcome outcome, double[] report) {
+    public Decision probed(double now, int backend, AttemptOutcome outcome, double[] loadReport) {
         return nothing();
     }
 
     @Override
-    public Decision left(double now, Request x) {
-        x.over = true;
+    public Decision left(double now, Request request) {
+        request.completed = true;
         return nothing();
     }
 
     @Override
-    public Decision listed(double now, boolean whole, List<EndpointUpdate> lines) {
-        int size = Math.max(ready.length, lines.stream().mapToInt(EndpointUpdate::backend).max().orElse(-1) + 1);
+    public Decision listed(double now, boolean whole, List<EndpointUpdate> updates) {
+        int size = Math.max(ready.length, updates.stream().mapToInt(EndpointUpdate::backend).max().orElse(-1) + 1);
         ready = Arrays.copyOf(ready, size);
         out = Arrays.copyOf(out, size);
         peak = Arrays.copyOf(peak, size);
         peakAt = Arrays.copyOf(peakAt, size);
-        lines.forEach(line -> ready[line.backend()] = line.state() == EndpointUpdate.State.READY);
+        updates.forEach(update -> ready[update.backend()] = update.state() == EndpointUpdate.State.READY);
         return nothing();
     }
 
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -42,9 +42,9 @@
     /** Grades of the lab's own: a look, an order with a mark, and a booking that must never run twice. */
     private static List<RequestClass> grades(double contract) {
         double expiry = 2.4 * contract, memory = 1.2 * contract;
-        return List.of(new RequestClass(1, 0, contract, expiry, Idempotency.PURE, DeduplicationScope.ALL, 0),
-                new RequestClass(3, 0, contract, expiry, Idempotency.RECEIPTED, DeduplicationScope.LOCATION, memory),
-                new RequestClass(9, 0, contract, expiry, Idempotency.EFFECTFUL, DeduplicationScope.ALL, 0));
+        return List.of(new RequestClass(1, 0, contract, expiry, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
+                new RequestClass(3, 0, contract, expiry, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.LOCATION, memory),
+                new RequestClass(9, 0, contract, expiry, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0));
     }
 
     /** One figure of a day held against a bound. */
@@ -135,7 +135,7 @@
         Scenario its = day(seed);
         Simulation[] world = {null};
         if (policy.equals(MODULE)) {
-            world[0] = new Simulation(its, p -> module(its.settings().at(p % its.settings().locations()),
+            world[0] = new Simulation(its, p -> module(its.settings().inLocation(p % its.settings().locationCount()),
                     seed * 1000 + p, p));
         } else {
             Baseline.Kind kind = Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -20,7 +20,7 @@
     private final LoadBalancer balancer;
     private final int self;
     /** What it tells the others and hears of them, its backends' tags being their indexes; or null. */
-    private LoadGossip holdings;
+    private LoadGossip gossip;
     private SubsetAssignment subsets;
     /** Its way back after its start; null where it asks nobody. */
     private RecoveryState recovery;
@@ -34,17 +34,17 @@
     public ModuleUnderTest(Settings settings, long seed, int self, boolean tells) {
         balancer = new LoadBalancer(settings, seed);
         this.self = self;
-        if (tells && balancer.isToBeTold()) {
-            subsets = new SubsetAssignment(settings.balancers(), PART);
-            holdings = new LoadGossip(settings.balancers(), self, 1 + self, PACE * settings.window(),
-                    FORGET * settings.window(), subsets,
-                    tag -> balancer.othersHold(tag, holdings.others(tag)));
+        if (tells && balancer.wantsGossip()) {
+            subsets = new SubsetAssignment(settings.proxyCount(), PART);
+            gossip = new LoadGossip(settings.proxyCount(), self, 1 + self, PACE * settings.windowSeconds(),
+                    FORGET * settings.windowSeconds(), subsets,
+                    tag -> balancer.peerLoadReported(tag, gossip.peerLoad(tag)));
         }
     }
 
     /** One that asks the others at its start what they have found. */
     public ModuleUnderTest recovering(Settings settings) {
-        recovery = RecoveryState.begins(PeerPollBackoff.of(settings.window()), self, settings.balancers(), 1 + self, 0);
+        recovery = RecoveryState.begins(PeerPollBackoff.of(settings.windowSeconds()), self, settings.proxyCount(), 1 + self, 0);
         return this;
     }
 
@@ -53,62 +53,62 @@
         step.sent().forEach(each -> said.add(new LoadGossip.Telling(each.to(), each.hello().encoded())));
         RecoveryState.Lesson lesson = recovery.isSettled() ? null : recovery.lesson(now);
         if (lesson != null) {
-            balancer.learned(lesson.work(), lesson.answers());
+            balancer.seedServiceTime(lesson.work(), lesson.answers());
         }
     }
 
     private void hear(double now) {
         if (recovery != null) {
-            recovery = recovery.found(balancer.work()[0], (int) balancer.work()[1]);
+            recovery = recovery.found(balancer.measuredServiceTime()[0], (int) balancer.measuredServiceTime()[1]);
         }
-        if (holdings != null) {
-            holdings.forget(now);
-            balancer.othersHeard(holdings.heard(now) > 0);
+        if (gossip != null) {
+            gossip.expireSilentPeers(now);
+            balancer.peersHeard(gossip.livePeerCount(now) > 0);
         }
     }
 
-    private Decision sent(Decision turn) {
-        if (holdings != null) {
-            turn.sends.forEach(f -> holdings.sent(f.backend));
+    private Decision sent(Decision decision) {
+        if (gossip != null) {
+            decision.attempts.forEach(attempt -> gossip.attemptSent(attempt.backend));
         }
-        return turn;
+        return decision;
     }
 
     @Override
-    public Decision arrived(double now, Request x) {
+    public Decision arrived(double now, Request request) {
         hear(now);
-        return sent(balancer.exchangeArrived(now, x));
+        return sent(balancer.requestArrived(now, request));
     }
 
     @Override
-    public Decision ended(double now, Attempt f, AttemptOutcome outcome, double took, boolean over, double[] report) {
+    public Decision ended(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over, double[] loadReport) {
         hear(now);
-        if (holdings != null) {
-            if (outcome.mayRunOn) {
-                holdings.givenUp(f.backend, now);
+        if (gossip != null) {
+            if (outcome.mayStillRun) {
+                gossip.attemptAbandoned(attempt.backend, now);
             } else {
-                holdings.ended(f.backend);
+                gossip.attemptEnded(attempt.backend);
             }
         }
-        return sent(balancer.forwardEnded(now, f, outcome, took, over, report));
+        return sent(balancer.attemptEnded(now, attempt, outcome, durationSeconds, over, loadReport));
     }
 
     @Override
-    public Decision probed(double now, int backend, AttemptOutcome outcome, double[] report) {
-        return sent(balancer.probeEnded(now, backend, outcome, report));
+    public Decision probed(double now, int backend, AttemptOutcome outcome, double[] loadReport) {
+        return sent(balancer.probeEnded(now, backend, outcome, loadReport));
     }
 
     @Override
-    public Decision left(double now, Request x) {
-        return sent(balancer.clientLeft(now, x));
+    public Decision left(double now, Request request) {
+        return sent(balancer.clientLeft(now, request));
     }
 
     @Override
-    public Decision listed(double now, boolean whole, List<EndpointUpdate> lines) {
-        if (holdings == null) {
-            return balancer.backendsListed(now, whole, false, lines);
+    public Decision listed(double now, boolean whole, List<EndpointUpdate> updates) {
+        if (gossip == null) {
+            return balancer.endpointsListed(now, whole, false, updates);
         }
-        return sent(balancer.backendsListed(now, whole, false, subsets.assigned(self, whole, lines, i -> i)));
+        return sent(balancer.endpointsListed(now, whole, false, subsets.assigned(self, whole, updates, i -> i)));
     }
 
     @Override
@@ -118,7 +118,7 @@
 
     @Override
     public List<LoadGossip.Telling> tellings(double now) {
-        if (holdings == null) {
+        if (gossip == null) {
             return List.of();
         }
         if (recovery != null) {
@@ -126,28 +126,28 @@
         }
         List<LoadGossip.Telling> all = new ArrayList<>(said);
         said.clear();
-        all.addAll(holdings.tellings(now));
+        all.addAll(gossip.dueMessages(now));
         return all;
     }
 
     @Override
     public double tellAt() {
-        if (holdings == null) {
+        if (gossip == null) {
             return Double.POSITIVE_INFINITY;
         }
         double asks = recovery == null ? Double.POSITIVE_INFINITY : recovery.wakeAt();
-        return said.isEmpty() ? Math.min(holdings.tellAt(), asks) : 0;
+        return said.isEmpty() ? Math.min(gossip.nextSendAt(), asks) : 0;
     }
 
     @Override
     public void told(double now, int from, byte[] datagram) {
         if (datagram[0] != PeerStatus.KIND) {
-            holdings.told(from, datagram, now);
+            gossip.receive(from, datagram, now);
         } else if (recovery != null) {
             PeerStatus hello = PeerStatus.of(datagram);
             RecoveryState.Step step = recovery.heard(from, hello, now);
             if (step.anew()) {
-                holdings.startedAnew(from, hello.start());
+                gossip.peerRestarted(from, hello.start());
             }
             says(step, now);
         }
--- a/src/main/java/lemondrift/lab/fleet/BackendFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -189,13 +189,13 @@
         }
         line.forward = judge.reached(its, line.backend);
         boolean errs = chance.nextDouble() < Math.max(backend.errors,
-                its.x.grade == day.settings().grades().size() - 1 ? backend.gradeErrors : 0);
+                its.x.requestClass == day.settings().requestClasses().size() - 1 ? backend.gradeErrors : 0);
         if (backend.fallsOver(its.work)) {
             judge.figures().fallen++;
             judge.ended(line.forward, AttemptOutcome.RESET);
             fallen.accept(line.backend);
         } else if (backend.isFull() || isCrowded(line.backend)) {
-            ends(talk, line, AttemptOutcome.FULL, "503 Full", "\r\nX-Never-Ran: 1");
+            ends(talk, line, AttemptOutcome.OVERLOADED, "503 Full", "\r\nX-Never-Ran: 1");
         } else if (errs) {
             ends(talk, line, AttemptOutcome.ERROR, "500 Error", "");
         } else {
@@ -203,7 +203,7 @@
                 line.job = null;
                 changed(line.backend);
                 if (ran) {
-                    ends(talk, line, AttemptOutcome.DELIVERED, "200 OK", "");
+                    ends(talk, line, AttemptOutcome.SUCCESS, "200 OK", "");
                 } else {
                     judge.ended(line.forward, AttemptOutcome.RESET);
                 }
@@ -220,7 +220,7 @@
     private void ends(HttpConnection talk, Line line, AttemptOutcome outcome, String status, String field) {
         judge.ended(line.forward, outcome);
         line.forward = null;
-        answers(talk, line, status, outcome == AttemptOutcome.DELIVERED ? BODY : NONE, field);
+        answers(talk, line, status, outcome == AttemptOutcome.SUCCESS ? BODY : NONE, field);
     }
 
     private void answers(HttpConnection talk, Line line, String status, byte[] body, String field) {
--- a/src/main/java/lemondrift/lab/fleet/ClientFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientFleet.java
@@ -41,8 +41,8 @@
         final RunResult figures;
         int tries;
 
-        Want(int grade, double due, int second, double work, RunResult figures) {
-            this.grade = grade;
+        Want(int requestClass, double due, int second, double work, RunResult figures) {
+            this.grade = requestClass;
             this.due = due;
             this.second = second;
             this.work = work;
@@ -113,16 +113,16 @@
         private void sends(HttpConnection on) {
             talk = on;
             isOut(true);
-            RequestClass grade = day.settings().grades().get(want.grade);
+            RequestClass requestClass = day.settings().requestClasses().get(want.grade);
             if (its == null) {
                 its = judge.taken(trace, direct ? 0 : door, want.grade, want.work);
-                end = agenda.at(its.x.expiry + OutcomeRecorder.SLACK, this::expires);
+                end = agenda.at(its.x.deadline + OutcomeRecorder.SLACK, this::expires);
             }
-            long left = Math.round(1000 * (its.x.expiry - agenda.now()));
-            on.write(HttpConnection.message((grade.effect() == Idempotency.PURE ? "GET" : "POST") + " /api HTTP/1.1\r\n"
+            long left = Math.round(1000 * (its.x.deadline - agenda.now()));
+            on.write(HttpConnection.message((requestClass.idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST") + " /api HTTP/1.1\r\n"
                     + "Host: origin.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: "
                     + Experiment.GRADES.get(want.grade) + "\r\nX-Expires-In-Ms: " + left,
-                    grade.effect() == Idempotency.PURE ? NONE : BODY));
+                    requestClass.idempotency() == Idempotency.IDEMPOTENT ? NONE : BODY));
         }
 
         private void isOut(boolean now) {
@@ -165,13 +165,13 @@
 
         private void served() {
             want.figures.delivered++;
-            RequestClass grade = day.settings().grades().get(want.grade);
-            double took = agenda.now() - want.due;
-            judge.served(want.figures, took);
-            boolean inTime = took <= grade.contractTime();
+            RequestClass requestClass = day.settings().requestClasses().get(want.grade);
+            double durationSeconds = agenda.now() - want.due;
+            judge.served(want.figures, durationSeconds);
+            boolean inTime = durationSeconds <= requestClass.latencyObjectiveSeconds();
             want.figures.inTime += inTime ? 1 : 0;
             want.figures.late += inTime ? 0 : 1;
-            double brought = inTime ? grade.benefit() : grade.lateBenefit();
+            double brought = inTime ? requestClass.priorityWeight() : requestClass.latePriorityWeight();
             want.figures.served += brought;
             want.figures.servedIn[want.second] += brought;
             wanting--;
@@ -179,9 +179,9 @@
 
         /** It was not answered; trying again is harmless. */
         private void refused(double after) {
-            RequestClass grade = day.settings().grades().get(want.grade);
-            if (want.tries < day.tries() && agenda.now() - want.due < grade.expiry()) {
-                agenda.in(after > 0 ? after : WAIT * grade.contractTime(), () -> asks(want));
+            RequestClass requestClass = day.settings().requestClasses().get(want.grade);
+            if (want.tries < day.tries() && agenda.now() - want.due < requestClass.timeoutSeconds()) {
+                agenda.in(after > 0 ? after : WAIT * requestClass.latencyObjectiveSeconds(), () -> asks(want));
             } else {
                 wanting--;
             }
@@ -209,7 +209,7 @@
             done();
             want.figures.unanswered++;
             closes(door);
-            if (day.settings().grades().get(want.grade).effect() == Idempotency.PURE && judge.isExcused(its)) {
+            if (day.settings().requestClasses().get(want.grade).idempotency() == Idempotency.IDEMPOTENT && judge.isExcused(its)) {
                 refused(0);
             } else {
                 wanting--;
@@ -235,7 +235,7 @@
             isOut(false);
             end.strike();
             // A forward may still be out for it.
-            agenda.in(2 * day.settings().grades().get(want.grade).expiry() + OutcomeRecorder.SLACK,
+            agenda.in(2 * day.settings().requestClasses().get(want.grade).timeoutSeconds() + OutcomeRecorder.SLACK,
                     () -> judge.forgets(trace));
         }
     }
@@ -342,10 +342,10 @@
 
     private Want want() {
         double spread = day.spread();
-        int grade = chance.nextInt(day.settings().grades().size());
+        int requestClass = chance.nextInt(day.settings().requestClasses().size());
         wanting++;
-        int second = judge.wants(grade, day.settings().grades().get(grade).benefit());
-        return new Want(grade, agenda.now(), second, day.work() * heavy.getAsDouble()
+        int second = judge.wants(requestClass, day.settings().requestClasses().get(requestClass).priorityWeight());
+        return new Want(requestClass, agenda.now(), second, day.work() * heavy.getAsDouble()
                 * Math.exp(spread * bell.sample() - spread * spread / 2), judge.figures());
     }
 
--- a/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
+++ b/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
@@ -185,7 +185,7 @@
         return String.format(Locale.ROOT, "{\"id\":\"s-%d\",\"host_port\":\"%s\",\"locality\":\"l%d\","
                 + "\"flavor\":\"m\",\"cell\":%d,\"phase\":\"%s\",\"size\":1.0,\"up_since_ms\":%d}",
                 its.backend, LoopbackAddresses.text(bank.address(segments[proxy], its.backend)),
-                its.backend % day.settings().locations(), its.backend, phase, its.upSince);
+                its.backend % day.settings().locationCount(), its.backend, phase, its.upSince);
     }
 
     /** All agents hear of it, each at a time of its own but in order. */
--- a/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
@@ -122,7 +122,7 @@
                 RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 2));
         crowd = crowd(p -> listens[p], doors::pick);
         outages = new ProcessFaultInjector(processes, agents, doors, judge, agenda, listens, hears, failed,
-                day.settings().live().mapToDouble(RequestClass::expiry).max().orElse(1), crowd::stays);
+                day.settings().activeClasses().mapToDouble(RequestClass::timeoutSeconds).max().orElse(1), crowd::stays);
     }
 
     private ClientFleet crowd(IntFunction<InetSocketAddress> address, IntSupplier pick) {
@@ -132,7 +132,7 @@
     }
 
     private FaultPlan faults(List<Fault> all, double start) {
-        return new FaultPlan(all, day.proxies(), day.backends(), day.settings().locations(), seed,
+        return new FaultPlan(all, day.proxies(), day.backends(), day.settings().locationCount(), seed,
                 day.proxies() * day.backends() <= APART, start);
     }
 
--- a/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
+++ b/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
@@ -28,8 +28,8 @@
         /** Its client has stopped waiting while the proxy could not answer. */
         private boolean left;
 
-        private Asked(Request x, int proxy, double work) {
-            this.x = x;
+        private Asked(Request request, int proxy, double work) {
+            this.x = request;
             this.proxy = proxy;
             this.work = work;
         }
@@ -53,12 +53,12 @@
     OutcomeRecorder(Scenario day, int rules, DoubleSupplier clock) {
         this.day = day;
         this.clock = clock;
-        int[] location = IntStream.range(0, day.backends()).map(i -> i % day.settings().locations())
+        int[] location = IntStream.range(0, day.backends()).map(i -> i % day.settings().locationCount())
                 .toArray();
         referee = new Referee(day.settings(), rules, day.grace(), SLACK, day.proxies(), location,
                 day.cores());
         excused = new double[day.proxies()];
-        evenness = new LoadEvenness(day.backends(), day.cores(), day.settings().window());
+        evenness = new LoadEvenness(day.backends(), day.cores(), day.settings().windowSeconds());
         begins();
     }
 
@@ -67,7 +67,7 @@
         began = now();
         evenness.begins(began);
         figures = new RunResult(day);
-        bearable = new ServableOracle(day.settings().grades(), figures.wantedIn.length);
+        bearable = new ServableOracle(day.settings().requestClasses(), figures.wantedIn.length);
         latency = new Histogram(LONGEST, 3);
     }
 
@@ -90,12 +90,12 @@
     }
 
     /** A client wants something now; says in which second of the day that is. */
-    int wants(int grade, double benefit) {
+    int wants(int requestClass, double benefit) {
         int second = second(now());
         figures.wants++;
         figures.wanted += benefit;
         figures.wantedIn[second] += benefit;
-        bearable.wants(second, grade);
+        bearable.wants(second, requestClass);
         return second;
     }
 
@@ -129,12 +129,12 @@
         }
     }
 
-    Asked taken(String trace, int proxy, int grade, double work) {
-        Request x = new Request(++ids, grade, 0, now(), day.settings().grades().get(grade).expiry());
-        Asked its = new Asked(x, proxy, work);
+    Asked taken(String trace, int proxy, int requestClass, double work) {
+        Request request = new Request(++ids, requestClass, 0, now(), day.settings().requestClasses().get(requestClass).timeoutSeconds());
+        Asked its = new Asked(request, proxy, work);
         asked.put(trace, its);
         figures.taken++;
-        judged(() -> referee.taken(proxy, x, now()));
+        judged(() -> referee.taken(proxy, request, now()));
         return its;
     }
 
@@ -145,23 +145,23 @@
 
     /** A request has come to a backend whole. */
     Attempt reached(Asked its, int backend) {
-        Attempt f = new Attempt(its.x, backend, now(), 0, 0);
+        Attempt attempt = new Attempt(its.x, backend, now(), 0, 0);
         figures.forwards++;
         evenness.sends(backend, now());
         // What has waited for a process that stood still comes late for nobody; it is judged for nothing.
         if (!its.left) {
-            judged(() -> referee.sent(its.proxy, f, its.work, now()));
+            judged(() -> referee.sent(its.proxy, attempt, its.work, now()));
         }
-        return f;
+        return attempt;
     }
 
-    void ended(Attempt f, AttemptOutcome outcome) {
-        if (outcome == AttemptOutcome.DELIVERED) {
-            evenness.served(f.backend);
+    void ended(Attempt attempt, AttemptOutcome outcome) {
+        if (outcome == AttemptOutcome.SUCCESS) {
+            evenness.served(attempt.backend);
         } else {
-            figures.failedAt[f.backend]++;
+            figures.failedAt[attempt.backend]++;
         }
-        judged(() -> referee.ended(f, outcome, now()));
+        judged(() -> referee.ended(attempt, outcome, now()));
     }
 
     void answered(Asked its, boolean shed) {
@@ -175,7 +175,7 @@
     }
 
     boolean isExcused(Asked its) {
-        return excused[its.proxy] >= its.x.arrived;
+        return excused[its.proxy] >= its.x.arrivedAt;
     }
 
     /** Nothing more is to come of it. */
--- a/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
@@ -109,34 +109,34 @@
     }
 
     private void settings(int p, ObjectNode to) {
-        int locations = day.settings().locations();
-        to.put("siblings", day.settings().balancers()).put("zone", p % locations).put("slotNo", p);
+        int locations = day.settings().locationCount();
+        to.put("siblings", day.settings().proxyCount()).put("zone", p % locations).put("slotNo", p);
         ArrayNode names = to.putArray("localities");
         for (int i = 0; i < locations; i++) {
             names.add("l" + i);
         }
         to.put("membershipMode", "pushed");
-        to.putObject("limits").put("mayCancel", day.settings().limits().cancel())
-                .put("probes", day.settings().limits().probes())
-                .put("mostForwards", day.settings().limits().forwards()).put("retryAfter", true)
-                .put("maxRetryAfter", 1000 * day.settings().limits().retryAfter()).put("connIdle", 10_000)
+        to.putObject("limits").put("mayCancel", day.settings().limits().canCancel())
+                .put("probes", day.settings().limits().canProbe())
+                .put("mostForwards", day.settings().limits().maxAttempts()).put("retryAfter", true)
+                .put("maxRetryAfter", 1000 * day.settings().limits().maxRetryAfterSeconds()).put("connIdle", 10_000)
                 .put("connectTimeout", 250).put("mayTell", tells);
-        to.putObject("invariants").put("coldFrom", day.settings().rules().coldFrom())
-                .put("cold", 1000 * day.settings().rules().cold())
-                .put("fallMultiple", day.settings().rules().fallMultiple())
-                .put("overloadFor", 1000 * day.settings().rules().fallWindow());
+        to.putObject("invariants").put("coldFrom", day.settings().rules().slowStartMinShare())
+                .put("cold", 1000 * day.settings().rules().slowStartSeconds())
+                .put("fallMultiple", day.settings().rules().overloadFactor())
+                .put("overloadFor", 1000 * day.settings().rules().overloadWindowSeconds());
         to.putObject("report").put("how", "inline").putArray("names").add("util").add("queue");
-        to.putObject("charges").put("crossZone", day.settings().charges().crossing())
-                .put("probe", day.settings().charges().probe());
+        to.putObject("charges").put("crossZone", day.settings().costs().crossZone())
+                .put("probe", day.settings().costs().probe());
         ArrayNode grades = to.putArray("serviceGrades");
-        for (int i = 0; i < day.settings().grades().size(); i++) {
-            RequestClass its = day.settings().grades().get(i);
-            grades.addObject().put("name", Experiment.GRADES.get(i)).put("benefit", its.benefit())
-                    .put("contractTime", 1000 * its.contractTime()).put("expiry", 1000 * its.expiry())
-                    .put("effect", its.effect() == Idempotency.PURE ? "retryable"
-                            : its.effect() == Idempotency.RECEIPTED ? "dedup" : "fragile")
-                    .put("group", its.group() == DeduplicationScope.ALL ? "all" : "zone")
-                    .put("keyTtl", 1000 * its.receiptMemory());
+        for (int i = 0; i < day.settings().requestClasses().size(); i++) {
+            RequestClass requestClass = day.settings().requestClasses().get(i);
+            grades.addObject().put("name", Experiment.GRADES.get(i)).put("benefit", requestClass.priorityWeight())
+                    .put("contractTime", 1000 * requestClass.latencyObjectiveSeconds()).put("expiry", 1000 * requestClass.timeoutSeconds())
+                    .put("effect", requestClass.idempotency() == Idempotency.IDEMPOTENT ? "retryable"
+                            : requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? "dedup" : "fragile")
+                    .put("group", requestClass.deduplicationScope() == DeduplicationScope.ALL ? "all" : "zone")
+                    .put("keyTtl", 1000 * requestClass.idempotencyKeyTtlSeconds());
         }
     }
 
--- a/src/main/java/lemondrift/lab/fleet/SoakRun.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakRun.java
@@ -32,7 +32,7 @@
             StringBuilder text = new StringBuilder(String.format(Locale.ROOT,
                     "%d proxies, %d backends, %.0f/s, contract %.2f s, crowd %d:", experiment.day().proxies(),
                     experiment.day().backends(), experiment.day().rate(),
-                    experiment.day().settings().window(), crowd));
+                    experiment.day().settings().windowSeconds(), crowd));
             experiment.day().troubles().forEach(each -> text.append(String.format(Locale.ROOT,
                     " %s@%.1f+%.1fx%.2f", each.kind(), each.at(), each.lasts(), each.share())));
             experiment.faults().forEach(each -> text.append(String.format(Locale.ROOT, " %s/%s@%.1f+%.1f",
--- a/src/main/java/lemondrift/lab/simulation/Backend.java
+++ b/src/main/java/lemondrift/lab/simulation/Backend.java
@@ -54,8 +54,8 @@
 
     /** The share of its capacity that it has now. */
     private double warmth() {
-        double age = (agenda.now() - startedAt) / rules.cold();
-        return age >= 1 ? 1 : rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, age);
+        double age = (agenda.now() - startedAt) / rules.slowStartSeconds();
+        return age >= 1 ? 1 : rules.slowStartMinShare() + (1 - rules.slowStartMinShare()) * Math.max(0, age);
     }
 
     /** Whether this much more work pushes it over: cold, it got more in a window than it can bear. */
@@ -66,11 +66,11 @@
             return false;
         }
         coldWork.add(new double[] {now, work});
-        while (coldWork.peek()[0] < now - rules.fallWindow()) {
+        while (coldWork.peek()[0] < now - rules.overloadWindowSeconds()) {
             coldWork.remove();
         }
         return coldWork.size() > 1 && coldWork.stream().mapToDouble(each -> each[1]).sum()
-                > rules.fallMultiple() * warmth * cores * rules.fallWindow();
+                > rules.overloadFactor() * warmth * cores * rules.overloadWindowSeconds();
     }
 
     public boolean isFull() {
--- a/src/main/java/lemondrift/lab/simulation/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -102,94 +102,94 @@
         throw new Broken(rule, text.toString());
     }
 
-    public void taken(int proxy, Request x, double now) {
-        saw(now, "taken", proxy, x.id, -1);
-        open.put(x, new Seen());
+    public void taken(int proxy, Request request, double now) {
+        saw(now, "taken", proxy, request.id, -1);
+        open.put(request, new Seen());
     }
 
-    public void sent(int proxy, Attempt f, double work, double now) {
-        saw(now, "sent", proxy, f.exchange.id, f.backend);
-        Seen seen = open.get(f.exchange);
-        if (seen == null || seen.isOver(now, slack) || now >= f.exchange.expiry + slack) {
-            broken(1, "sent after its answer or expiry to backend " + f.backend, now, proxy, f.exchange.id);
+    public void sent(int proxy, Attempt attempt, double work, double now) {
+        saw(now, "sent", proxy, attempt.request.id, attempt.backend);
+        Seen seen = open.get(attempt.request);
+        if (seen == null || seen.isOver(now, slack) || now >= attempt.request.deadline + slack) {
+            broken(1, "sent after its answer or expiry to backend " + attempt.backend, now, proxy, attempt.request.id);
             return;
         }
         for (Attempt before : seen.forwards) {
             AttemptOutcome outcome = seen.outcomes.get(before);
-            if ((outcome == null || !outcome.neverRan) && !mayRepeat(f, before, now)) {
+            if ((outcome == null || !outcome.neverExecuted) && !mayRepeat(attempt, before, now)) {
                 broken(2, "sent again though it may have run at backend " + before.backend, now, proxy,
-                        f.exchange.id);
+                        attempt.request.id);
             }
         }
-        seen.forwards.add(f);
-        if (now > told[proxy][f.backend] + grace + slack) {
-            broken(3, "sent to a backend told as leaving at " + told[proxy][f.backend], now, proxy,
-                    f.exchange.id);
+        seen.forwards.add(attempt);
+        if (now > told[proxy][attempt.backend] + grace + slack) {
+            broken(3, "sent to a backend told as leaving at " + told[proxy][attempt.backend], now, proxy,
+                    attempt.request.id);
         }
-        countCold(proxy, f, work, now);
+        countCold(proxy, attempt, work, now);
     }
 
-    private boolean mayRepeat(Attempt f, Attempt before, double now) {
-        RequestClass grade = settings.grades().get(f.exchange.grade);
-        return grade.effect() == Idempotency.PURE || grade.effect() == Idempotency.RECEIPTED
-                && now - before.sent < grade.receiptMemory() + slack && (grade.group() == DeduplicationScope.ALL
-                || grade.group() == DeduplicationScope.LOCATION && location[before.backend] == location[f.backend]
-                || before.backend == f.backend);
+    private boolean mayRepeat(Attempt attempt, Attempt before, double now) {
+        RequestClass requestClass = settings.requestClasses().get(attempt.request.requestClass);
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && now - before.sentAt < requestClass.idempotencyKeyTtlSeconds() + slack && (requestClass.deduplicationScope() == DeduplicationScope.ALL
+                || requestClass.deduplicationScope() == DeduplicationScope.LOCATION && location[before.backend] == location[attempt.backend]
+                || before.backend == attempt.backend);
     }
 
     /** Rule 4: all proxies' work for a cold backend in any window, against what it can do then. */
-    private void countCold(int proxy, Attempt f, double work, double now) {
-        double age = now - started[f.backend], window = settings.rules().fallWindow();
-        if (age >= settings.rules().cold()) {
+    private void countCold(int proxy, Attempt attempt, double work, double now) {
+        double age = now - started[attempt.backend], window = settings.rules().overloadWindowSeconds();
+        if (age >= settings.rules().slowStartSeconds()) {
             return;
         }
-        Deque<Sent> sent = cold.get(f.backend);
+        Deque<Sent> sent = cold.get(attempt.backend);
         sent.add(new Sent(now, work));
         while (sent.peek().at < now - window) {
             sent.remove();
         }
-        double share = settings.rules().coldFrom()
-                + (1 - settings.rules().coldFrom()) * Math.max(0, age) / settings.rules().cold();
-        double bearable = settings.rules().fallMultiple() * share * capacity[f.backend] * window;
+        double share = settings.rules().slowStartMinShare()
+                + (1 - settings.rules().slowStartMinShare()) * Math.max(0, age) / settings.rules().slowStartSeconds();
+        double bearable = settings.rules().overloadFactor() * share * capacity[attempt.backend] * window;
         // One exchange that is heavier than the window's budget by itself pushes nobody over.
         if (sent.size() > 1 && sent.stream().mapToDouble(Sent::work).sum() > bearable) {
             broken(4, "a cold backend got more than it can bear, " + sent.size() + " exchanges in a window",
-                    now, proxy, f.exchange.id);
+                    now, proxy, attempt.request.id);
         }
     }
 
-    public void ended(Attempt f, AttemptOutcome outcome, double now) {
-        Seen seen = open.get(f.exchange);
-        saw(now, outcome.name(), -1, f.exchange.id, f.backend);
+    public void ended(Attempt attempt, AttemptOutcome outcome, double now) {
+        Seen seen = open.get(attempt.request);
+        saw(now, outcome.name(), -1, attempt.request.id, attempt.backend);
         if (seen != null) {
-            seen.outcomes.put(f, outcome);
+            seen.outcomes.put(attempt, outcome);
         }
     }
 
     /** A final answer; shed promises that a retry is harmless. */
-    public void answered(int proxy, Request x, boolean shed, double now) {
-        saw(now, shed ? "shed" : "answered", proxy, x.id, -1);
-        Seen seen = open.get(x);
-        if (seen == null || seen.answered || now > x.expiry + slack + 1e-9) {
-            broken(1, "answered twice or after its expiry", now, proxy, x.id);
+    public void answered(int proxy, Request request, boolean shed, double now) {
+        saw(now, shed ? "shed" : "answered", proxy, request.id, -1);
+        Seen seen = open.get(request);
+        if (seen == null || seen.answered || now > request.deadline + slack + 1e-9) {
+            broken(1, "answered twice or after its expiry", now, proxy, request.id);
             return;
         }
         seen.answered = true;
         seen.answeredAt = now;
-        RequestClass grade = settings.grades().get(x.grade);
-        boolean harmless = grade.effect() == Idempotency.PURE || grade.effect() == Idempotency.RECEIPTED
-                && grade.group() == DeduplicationScope.ALL || seen.forwards.stream()
-                        .allMatch(f -> seen.outcomes.get(f) != null && seen.outcomes.get(f).neverRan);
+        RequestClass requestClass = settings.requestClasses().get(request.requestClass);
+        boolean harmless = requestClass.idempotency() == Idempotency.IDEMPOTENT || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && requestClass.deduplicationScope() == DeduplicationScope.ALL || seen.forwards.stream()
+                        .allMatch(attempt -> seen.outcomes.get(attempt) != null && seen.outcomes.get(attempt).neverExecuted);
         if (shed && !harmless) {
-            broken(2, "shed though it may have run", now, proxy, x.id);
+            broken(2, "shed though it may have run", now, proxy, request.id);
         }
     }
 
     /** The client has gone, or its time is up: whoever has not answered by then never did. */
-    public void closed(int proxy, Request x, boolean left, double now) {
-        Seen seen = open.get(x);
+    public void closed(int proxy, Request request, boolean left, double now) {
+        Seen seen = open.get(request);
         if (seen != null && !seen.answered && !left) {
-            broken(1, "no answer by its expiry", now, proxy, x.id);
+            broken(1, "no answer by its expiry", now, proxy, request.id);
         }
         if (seen != null) {
             seen.answered = true;
@@ -198,8 +198,8 @@
     }
 
     /** Nothing more is to be seen of it. */
-    public void forgets(Request x) {
-        open.remove(x);
+    public void forgets(Request request) {
+        open.remove(request);
     }
 
     /** A proxy was told that a backend wants nothing new, or that it is ready. */
--- a/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
+++ b/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
@@ -6,15 +6,15 @@
 
 /** One instance's decisions, as the decision module's entry has them; baselines stand in its place. */
 public interface RoutingPolicy {
-    Decision arrived(double now, Request x);
+    Decision arrived(double now, Request request);
 
-    Decision ended(double now, Attempt f, AttemptOutcome outcome, double took, boolean over, double[] report);
+    Decision ended(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over, double[] loadReport);
 
-    Decision probed(double now, int backend, AttemptOutcome outcome, double[] report);
+    Decision probed(double now, int backend, AttemptOutcome outcome, double[] loadReport);
 
-    Decision left(double now, Request x);
+    Decision left(double now, Request request);
 
-    Decision listed(double now, boolean whole, List<EndpointUpdate> lines);
+    Decision listed(double now, boolean whole, List<EndpointUpdate> updates);
 
     Decision woken(double now);
 
--- a/src/main/java/lemondrift/lab/simulation/ServableOracle.java
+++ b/src/main/java/lemondrift/lab/simulation/ServableOracle.java
@@ -12,24 +12,24 @@
  * to a little more: by what was asked again later.
  */
 public final class ServableOracle {
-    private final List<RequestClass> grades;
+    private final List<RequestClass> requestClasses;
     private final int[] byBenefit;
     /** Exchanges wanted, by second and grade, and borne, by second. */
     private final double[][] wanted;
     private final double[] borne;
 
     /** For so many seconds. */
-    public ServableOracle(List<RequestClass> grades, int seconds) {
-        this.grades = grades;
-        byBenefit = IntStream.range(0, grades.size()).boxed().sorted(Comparator
-                .comparing((Integer g) -> -grades.get(g).benefit())).mapToInt(g -> g).toArray();
-        wanted = new double[seconds][grades.size()];
+    public ServableOracle(List<RequestClass> requestClasses, int seconds) {
+        this.requestClasses = requestClasses;
+        byBenefit = IntStream.range(0, requestClasses.size()).boxed().sorted(Comparator
+                .comparing((Integer g) -> -requestClasses.get(g).priorityWeight())).mapToInt(g -> g).toArray();
+        wanted = new double[seconds][requestClasses.size()];
         borne = new double[seconds];
     }
 
     /** One of a grade is wanted in a second. */
-    public void wants(int second, int grade) {
-        wanted[second][grade]++;
+    public void wants(int second, int requestClass) {
+        wanted[second][requestClass]++;
     }
 
     /** Backends do the work of so many more exchanges in a second. */
@@ -46,9 +46,9 @@
 
     private double benefit(int second) {
         double left = borne[second], benefit = 0;
-        for (int grade : byBenefit) {
-            double some = Math.min(left, wanted[second][grade]);
-            benefit += some * grades.get(grade).benefit();
+        for (int requestClass : byBenefit) {
+            double some = Math.min(left, wanted[second][requestClass]);
+            benefit += some * requestClasses.get(requestClass).priorityWeight();
             left -= some;
         }
         return benefit;
--- a/src/main/java/lemondrift/lab/simulation/Simulation.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -24,8 +24,8 @@
         final double until;
         int tries;
 
-        Want(int grade, int second, double until) {
-            this.grade = grade;
+        Want(int requestClass, int second, double until) {
+            this.grade = requestClass;
             this.second = second;
             this.until = until;
         }
@@ -83,10 +83,10 @@
         startTold = new double[day.backends()];
         for (int i = 0; i < backends.length; i++) {
             backends[i] = new Backend(agenda, day.cores(), settings.rules());
-            location[i] = i % settings.locations();
+            location[i] = i % settings.locationCount();
         }
         referee = new Referee(settings, rules, day.grace(), 0, day.proxies(), location, day.cores());
-        evenness = new LoadEvenness(day.backends(), day.cores(), settings.window());
+        evenness = new LoadEvenness(day.backends(), day.cores(), settings.windowSeconds());
         troubles = new BackendFaultInjector(agenda, chance, backends, day.delay(), this);
         proxies = new RoutingPolicy[day.proxies()];
         wakes = new Scheduler.Entry[day.proxies()];
@@ -110,7 +110,7 @@
         }
         agenda.in(gaps.sample() / day.rate(), this::comes);
         agenda.at(day.lasts(), () -> figures.evenness = evenness.measure(agenda.now()));
-        double longest = settings.grades().stream().mapToDouble(RequestClass::expiry).max().orElse(1);
+        double longest = settings.requestClasses().stream().mapToDouble(RequestClass::timeoutSeconds).max().orElse(1);
         agenda.runUntil(day.lasts() + (day.tries() + 1) * 2 * longest);
         if (!wants.isEmpty()) {
             throw new IllegalStateException(wants.size() + " exchanges are open after the day");
@@ -140,45 +140,45 @@
         if (agenda.now() >= day.lasts()) {
             return;
         }
-        int grade = chance.nextInt(settings.grades().size());
-        RequestClass its = settings.grades().get(grade);
-        figures.wanted += its.benefit();
+        int classIndex = chance.nextInt(settings.requestClasses().size());
+        RequestClass requestClass = settings.requestClasses().get(classIndex);
+        figures.wanted += requestClass.priorityWeight();
         figures.wants++;
-        figures.wantedIn[(int) agenda.now()] += its.benefit();
-        asks(new Want(grade, (int) agenda.now(), agenda.now() + its.contractTime()));
+        figures.wantedIn[(int) agenda.now()] += requestClass.priorityWeight();
+        asks(new Want(classIndex, (int) agenda.now(), agenda.now() + requestClass.latencyObjectiveSeconds()));
         agenda.in(gaps.sample() / (day.rate() * troubles.traffic), this::comes);
     }
 
     private void asks(Want want) {
         want.tries++;
-        RequestClass its = settings.grades().get(want.grade);
+        RequestClass requestClass = settings.requestClasses().get(want.grade);
         int proxy = chance.nextInt(proxies.length);
-        Request x = new Request(++exchanges, want.grade, 0, agenda.now(), its.expiry());
-        wants.put(x, want);
+        Request request = new Request(++exchanges, want.grade, 0, agenda.now(), requestClass.timeoutSeconds());
+        wants.put(request, want);
         figures.taken++;
-        referee.taken(proxy, x, agenda.now());
-        expiries.put(x, agenda.at(x.expiry, () -> expires(proxy, x)));
-        carryOut(proxy, proxies[proxy].arrived(agenda.now(), x));
+        referee.taken(proxy, request, agenda.now());
+        expiries.put(request, agenda.at(request.deadline, () -> expires(proxy, request)));
+        carryOut(proxy, proxies[proxy].arrived(agenda.now(), request));
     }
 
-    private void expires(int proxy, Request x) {
+    private void expires(int proxy, Request request) {
         figures.unanswered++;
-        wants.remove(x);
-        referee.closed(proxy, x, false, agenda.now());
+        wants.remove(request);
+        referee.closed(proxy, request, false, agenda.now());
     }
 
-    private void answered(int proxy, Request x, boolean delivered, boolean shed, double retryAfter) {
-        referee.answered(proxy, x, shed, agenda.now());
-        Want want = wants.remove(x);
+    private void answered(int proxy, Request request, boolean delivered, boolean shed, double retryAfter) {
+        referee.answered(proxy, request, shed, agenda.now());
+        Want want = wants.remove(request);
         if (want == null) {
             return;
         }
-        expiries.remove(x).strike();
-        RequestClass its = settings.grades().get(want.grade);
+        expiries.remove(request).strike();
+        RequestClass requestClass = settings.requestClasses().get(want.grade);
         if (delivered) {
             figures.delivered++;
             boolean inTime = agenda.now() <= want.until;
-            double brought = inTime ? its.benefit() : its.lateBenefit();
+            double brought = inTime ? requestClass.priorityWeight() : requestClass.latePriorityWeight();
             figures.served += brought;
             figures.servedIn[want.second] += brought;
             figures.late += inTime ? 0 : 1;
@@ -188,34 +188,34 @@
             figures.scrapped += shed ? 0 : 1;
             // What was scrapped may have run: a careful client does not ask for it again.
             if (shed && want.tries < day.tries()) {
-                agenda.in(retryAfter > 0 ? retryAfter : WAIT * its.contractTime(), () -> asks(want));
+                agenda.in(retryAfter > 0 ? retryAfter : WAIT * requestClass.latencyObjectiveSeconds(), () -> asks(want));
             }
         }
-        forgetIfDone(x);
+        forgetIfDone(request);
     }
 
-    private void forgetIfDone(Request x) {
-        if (!wants.containsKey(x) && x.out == 0) {
-            referee.forgets(x);
+    private void forgetIfDone(Request request) {
+        if (!wants.containsKey(request) && request.attemptsInFlight == 0) {
+            referee.forgets(request);
         }
     }
 
     // Proxies.
 
-    private void carryOut(int proxy, Decision turn) {
+    private void carryOut(int proxy, Decision decision) {
         // The next call reuses the turn: what it asks for is taken out of it first.
-        List<Attempt> cancels = List.copyOf(turn.cancels), sends = List.copyOf(turn.sends);
-        List<Decision.Answer> answers = List.copyOf(turn.answers);
-        List<Integer> probes = List.copyOf(turn.probes);
-        double wakeAt = Math.min(turn.wakeAt, tell(proxy));
+        List<Attempt> cancels = List.copyOf(decision.cancellations), sends = List.copyOf(decision.attempts);
+        List<Decision.Answer> answers = List.copyOf(decision.localReplies);
+        List<Integer> probes = List.copyOf(decision.probes);
+        double wakeAt = Math.min(decision.wakeAt, tell(proxy));
         if (wakes[proxy] != null) {
             wakes[proxy].strike();
         }
         wakes[proxy] = wakeAt == Double.POSITIVE_INFINITY ? null
                 : agenda.at(wakeAt, () -> carryOut(proxy, proxies[proxy].woken(agenda.now())));
-        cancels.forEach(f -> cancel(proxy, f));
-        sends.forEach(f -> send(proxy, f));
-        answers.forEach(a -> answered(proxy, a.exchange(), false, a.shed(), a.retryAfter()));
+        cancels.forEach(attempt -> cancel(proxy, attempt));
+        sends.forEach(attempt -> send(proxy, attempt));
+        answers.forEach(a -> answered(proxy, a.request(), false, a.rejected(), a.retryAfterSeconds()));
         probes.forEach(i -> probe(proxy, i));
     }
 
@@ -239,98 +239,98 @@
         }
     }
 
-    private void send(int proxy, Attempt f) {
+    private void send(int proxy, Attempt attempt) {
         double spread = day.spread();
         double work = day.work() * troubles.heavy * Math.exp(spread * bell.sample() - spread * spread / 2);
         figures.forwards++;
-        referee.sent(proxy, f, work, agenda.now());
+        referee.sent(proxy, attempt, work, agenda.now());
         Out its = new Out(proxy, work);
-        out.put(f, its);
-        its.timeOut = agenda.in(Math.max(0, f.timeOut), () -> {
-            drops(f, its);
-            ended(f, AttemptOutcome.TIMED_OUT);
+        out.put(attempt, its);
+        its.timeOut = agenda.in(Math.max(0, attempt.timeoutSeconds), () -> {
+            drops(attempt, its);
+            ended(attempt, AttemptOutcome.TIMED_OUT);
         });
-        agenda.in(day.way(), () -> reaches(f, its));
+        agenda.in(day.way(), () -> reaches(attempt, its));
     }
 
-    private void reaches(Attempt f, Out its) {
-        Backend backend = backends[f.backend];
-        if (!out.containsKey(f) || backend.silent > 0) {
+    private void reaches(Attempt attempt, Out its) {
+        Backend backend = backends[attempt.backend];
+        if (!out.containsKey(attempt) || backend.silent > 0) {
             return;
         }
-        evenness.sends(f.backend, agenda.now());
+        evenness.sends(attempt.backend, agenda.now());
         boolean errs = chance.nextDouble() < Math.max(backend.errors,
-                f.exchange.grade == settings.grades().size() - 1 ? backend.gradeErrors : 0);
+                attempt.request.requestClass == settings.requestClasses().size() - 1 ? backend.gradeErrors : 0);
         if (!backend.isUp()) {
-            back(f, AttemptOutcome.CONNECT_FAILED);
+            back(attempt, AttemptOutcome.CONNECT_FAILED);
         } else if (backend.fallsOver(its.work)) {
             // It stays down for the day: nobody brings it back.
             figures.fallen++;
-            troubles.dies(f.backend, true);
-            back(f, AttemptOutcome.CONNECT_FAILED);
+            troubles.dies(attempt.backend, true);
+            back(attempt, AttemptOutcome.CONNECT_FAILED);
         } else if (backend.isFull()) {
-            back(f, AttemptOutcome.FULL);
+            back(attempt, AttemptOutcome.OVERLOADED);
         } else if (errs) {
-            back(f, AttemptOutcome.ERROR);
+            back(attempt, AttemptOutcome.ERROR);
         } else {
             its.job = backend.take(its.work, ran -> {
-                holds(f.backend);
-                back(f, ran ? AttemptOutcome.DELIVERED : AttemptOutcome.RESET);
+                holds(attempt.backend);
+                back(attempt, ran ? AttemptOutcome.SUCCESS : AttemptOutcome.RESET);
             });
         }
-        holds(f.backend);
+        holds(attempt.backend);
     }
 
-    private void back(Attempt f, AttemptOutcome outcome) {
-        agenda.in(day.way(), () -> ended(f, outcome));
+    private void back(Attempt attempt, AttemptOutcome outcome) {
+        agenda.in(day.way(), () -> ended(attempt, outcome));
     }
 
-    private void ended(Attempt f, AttemptOutcome outcome) {
-        Out its = out.remove(f);
+    private void ended(Attempt attempt, AttemptOutcome outcome) {
+        Out its = out.remove(attempt);
         if (its == null) {
             return;
         }
         its.timeOut.strike();
-        referee.ended(f, outcome, agenda.now());
-        boolean wins = outcome == AttemptOutcome.DELIVERED && !f.exchange.over;
-        figures.failedAt[f.backend] += outcome == AttemptOutcome.DELIVERED || outcome == AttemptOutcome.CANCELLED ? 0 : 1;
-        if (outcome == AttemptOutcome.DELIVERED) {
-            evenness.served(f.backend);
+        referee.ended(attempt, outcome, agenda.now());
+        boolean wins = outcome == AttemptOutcome.SUCCESS && !attempt.request.completed;
+        figures.failedAt[attempt.backend] += outcome == AttemptOutcome.SUCCESS || outcome == AttemptOutcome.CANCELLED ? 0 : 1;
+        if (outcome == AttemptOutcome.SUCCESS) {
+            evenness.served(attempt.backend);
         }
         if (wins) {
-            answered(its.proxy, f.exchange, true, false, 0);
+            answered(its.proxy, attempt.request, true, false, 0);
         }
-        double[] report = outcome == AttemptOutcome.DELIVERED || outcome == AttemptOutcome.ERROR ? report(f.backend) : null;
-        carryOut(its.proxy, proxies[its.proxy].ended(agenda.now(), f, outcome, agenda.now() - f.sent,
-                wins || f.exchange.over, report));
-        forgetIfDone(f.exchange);
+        double[] loadReport = outcome == AttemptOutcome.SUCCESS || outcome == AttemptOutcome.ERROR ? report(attempt.backend) : null;
+        carryOut(its.proxy, proxies[its.proxy].ended(agenda.now(), attempt, outcome, agenda.now() - attempt.sentAt,
+                wins || attempt.request.completed, loadReport));
+        forgetIfDone(attempt.request);
     }
 
     /** A cancel drops what waits; what runs goes on to its end for nobody. */
-    private void cancel(int proxy, Attempt f) {
-        Out its = out.get(f);
+    private void cancel(int proxy, Attempt attempt) {
+        Out its = out.get(attempt);
         if (its != null) {
-            drops(f, its);
-            agenda.in(0, () -> ended(f, AttemptOutcome.CANCELLED));
+            drops(attempt, its);
+            agenda.in(0, () -> ended(attempt, AttemptOutcome.CANCELLED));
         }
     }
 
-    private void drops(Attempt f, Out its) {
+    private void drops(Attempt attempt, Out its) {
         if (its.job != null) {
-            backends[f.backend].drop(its.job);
-            holds(f.backend);
+            backends[attempt.backend].drop(its.job);
+            holds(attempt.backend);
         }
     }
 
     private double[] report(int i) {
-        double[] report = new double[3];
-        if (settings.reports().utilisation() >= 0) {
-            report[settings.reports().utilisation()] = backends[i].utilisation();
+        double[] loadReport = new double[3];
+        if (settings.loadReports().utilizationField() >= 0) {
+            loadReport[settings.loadReports().utilizationField()] = backends[i].utilisation();
         }
-        if (settings.reports().held() >= 0) {
-            report[settings.reports().held()] = backends[i].queued();
+        if (settings.loadReports().inFlightField() >= 0) {
+            loadReport[settings.loadReports().inFlightField()] = backends[i].queued();
         }
-        return report;
+        return loadReport;
     }
 
     private void probe(int proxy, int i) {
@@ -338,7 +338,7 @@
         agenda.in(2 * day.way(), () -> {
             boolean answers = backends[i].isUp() && backends[i].silent == 0;
             carryOut(proxy, proxies[proxy].probed(agenda.now(), i,
-                    answers ? AttemptOutcome.DELIVERED : AttemptOutcome.CONNECT_FAILED, answers ? report(i) : null));
+                    answers ? AttemptOutcome.SUCCESS : AttemptOutcome.CONNECT_FAILED, answers ? report(i) : null));
         });
     }
 
--- a/src/main/java/lemondrift/metrics/EventLoopMetrics.java
+++ b/src/main/java/lemondrift/metrics/EventLoopMetrics.java
@@ -23,7 +23,7 @@
     private double latelyWaited, latelyLasted, loggedAt = Double.NEGATIVE_INFINITY;
 
     /** An event is handled that has waited so long; below 0 where nobody knows. */
-    public void handles(Kind kind, double wait) {
+    public void eventHandled(Kind kind, double wait) {
         handled[kind.ordinal()]++;
         last = kind;
         if (wait > waitsNow) {
@@ -33,7 +33,7 @@
     }
 
     /** A turn is over that took so long; so many events wait now. A line for the log, or null. */
-    public String turned(double seconds, int queue, double now) {
+    public String iterationEnded(double seconds, int queue, double now) {
         longestQueue = Math.max(longestQueue, queue);
         if (waitsNow > longestWait) {
             longestWait = waitsNow;
--- a/src/main/java/lemondrift/metrics/ProxyMetrics.java
+++ b/src/main/java/lemondrift/metrics/ProxyMetrics.java
@@ -20,31 +20,31 @@
     private long taken, ended, overdue, dispatches, targets, targetsDisabled, reloadSuccess, reloadFailure;
 
     /** Names what is counted from now on; what is not named any more keeps its counts. */
-    public void grades(List<String> names) {
+    public void registerClasses(List<String> names) {
         names.forEach(name -> replies.computeIfAbsent(name, none -> new long[Reply.values().length]));
     }
 
-    public void taken() {
+    public void requestAccepted() {
         taken++;
     }
 
     /** Whatever became of it, and whether or not its client is still there. */
-    public void ended() {
+    public void requestCompleted() {
         ended++;
     }
 
     /** One was answered by the client's side, as the decisions had not done so by its expiry. */
-    public void answeredOverdue() {
+    public void overdueRequestFailed() {
         overdue++;
     }
 
     /** How many were. */
-    public long overdue() {
+    public long overdueRequestCount() {
         return overdue;
     }
 
     /** A reply is out whole; one of a grade that nobody has named counts nowhere. */
-    public void replied(String grade, Reply reply) {
+    public void replySent(String grade, Reply reply) {
         long[] counts = replies.get(grade);
         if (counts != null) {
             counts[reply.ordinal()]++;
@@ -52,17 +52,17 @@
     }
 
     /** The last byte of a forward is with the system. */
-    public void dispatched() {
+    public void attemptSent() {
         dispatches++;
     }
 
     /** How many backends the list has, and how many of them nothing is sent to now. */
-    public void targets(int listed, int disabled) {
+    public void backendsCounted(int listed, int disabled) {
         targets = listed;
         targetsDisabled = disabled;
     }
 
-    public void reloaded(boolean taken) {
+    public void configurationReloaded(boolean taken) {
         if (taken) {
             reloadSuccess++;
         } else {
@@ -71,7 +71,7 @@
     }
 
     /** A copy, which later counts do not change. */
-    public Figures figures() {
+    public Figures snapshot() {
         Map<String, long[]> copy = new LinkedHashMap<>();
         replies.forEach((grade, counts) -> copy.put(grade, counts.clone()));
         return new Figures(copy, taken - ended, dispatches, targets, targetsDisabled, reloadSuccess,
--- a/src/main/java/lemondrift/model/Attempt.java
+++ b/src/main/java/lemondrift/model/Attempt.java
@@ -2,24 +2,24 @@
 
 /** One forward of an exchange to a backend. */
 public final class Attempt {
-    public final Request exchange;
+    public final Request request;
     public final int backend;
-    public final int number;
-    public final double sent;
-    public final double timeOut;
+    public final int index;
+    public final double sentAt;
+    public final double timeoutSeconds;
     /** How many exchanges were thought to be ahead of it there. */
-    public final double ahead;
+    public final double queueAhead;
     /** The forward made before this one for the same exchange. */
-    public final Attempt earlier;
+    public final Attempt previous;
     public boolean ended;
 
     public Attempt(Request exchange, int backend, double sent, double timeOut, double ahead) {
-        this.exchange = exchange;
+        this.request = exchange;
         this.backend = backend;
-        this.number = exchange.forwards;
-        this.sent = sent;
-        this.timeOut = timeOut;
-        this.ahead = ahead;
-        this.earlier = exchange.latest;
+        this.index = exchange.attemptCount;
+        this.sentAt = sent;
+        this.timeoutSeconds = timeOut;
+        this.queueAhead = ahead;
+        this.previous = exchange.latestAttempt;
     }
 }
--- a/src/main/java/lemondrift/model/EndpointUpdate.java
+++ b/src/main/java/lemondrift/model/EndpointUpdate.java
@@ -6,11 +6,11 @@
  * for it, where others know of that, and used the share of all proxies that use it, this one among them; 0
  * where this one does not use it or that is not known.
  */
-public record EndpointUpdate(int backend, boolean fresh, int location, int cell, State state, double started,
-        double size, double lot, double used) {
+public record EndpointUpdate(int backend, boolean newBackend, int location, int cell, State state, double startedAt,
+        double weight, double subsetScore, double userShare) {
     /** Danger: a size that is no positive number would make service times none. */
     public EndpointUpdate {
-        size = size > 0 && size < Double.POSITIVE_INFINITY ? size : 1;
+        weight = weight > 0 && weight < Double.POSITIVE_INFINITY ? weight : 1;
     }
 
     /** One for which no lot was drawn. */
@@ -25,18 +25,18 @@
     }
 
     /** The same, its size counting only where sizes hold. */
-    public EndpointUpdate sized(boolean hold) {
-        return hold ? this : new EndpointUpdate(backend, fresh, location, cell, state, started, 1, lot, used);
+    public EndpointUpdate withWeightIf(boolean hold) {
+        return hold ? this : new EndpointUpdate(backend, newBackend, location, cell, state, startedAt, 1, subsetScore, userShare);
     }
 
     /** The same with a lot, and by which share of the proxies it is used. */
-    public EndpointUpdate drawn(double lot, double used) {
-        return new EndpointUpdate(backend, fresh, location, cell, state, started, size, lot, used);
+    public EndpointUpdate withSubset(double lot, double used) {
+        return new EndpointUpdate(backend, newBackend, location, cell, state, startedAt, weight, lot, used);
     }
 
     /** The same told again. */
-    public EndpointUpdate again() {
-        return new EndpointUpdate(backend, false, location, cell, state, started, size, lot, used);
+    public EndpointUpdate asKnownBackend() {
+        return new EndpointUpdate(backend, false, location, cell, state, startedAt, weight, subsetScore, userShare);
     }
 
     public enum State { READY, DRAINING, GONE }
--- a/src/main/java/lemondrift/model/Idempotency.java
+++ b/src/main/java/lemondrift/model/Idempotency.java
@@ -1,4 +1,4 @@
 package lemondrift.model;
 
 /** Whether an exchange may run again: harmless, recognised by its mark, or never. */
-public enum Idempotency { PURE, RECEIPTED, EFFECTFUL }
+public enum Idempotency { IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT }
--- a/src/main/java/lemondrift/model/Request.java
+++ b/src/main/java/lemondrift/model/Request.java
@@ -3,39 +3,39 @@
 /** One exchange a proxy has taken and owes an answer. The fields below are the decisions' own notes on it. */
 public final class Request {
     public final long id;
-    public final int grade;
+    public final int requestClass;
     public final int tenant;
-    public final double arrived;
-    public final double expiry;
+    public final double arrivedAt;
+    public final double deadline;
     /** Its client has said that this is not its first try. */
-    public final boolean retry;
+    public final boolean markedRetry;
     /** What it came under; set by whoever read it, or when it arrives. */
     public RequestTerms terms;
-    public boolean over;
-    public boolean begun;
-    public int forwards;
-    public int out;
-    public Attempt mayHaveRun;
-    public Attempt latest;
-    public double contract;
+    public boolean completed;
+    public boolean responseStarted;
+    public int attemptCount;
+    public int attemptsInFlight;
+    public Attempt possiblyExecuted;
+    public Attempt latestAttempt;
+    public double attemptDeadline;
     /** The least estimated backend, the asked on its behalf, until when it is kept, and how often each. */
-    public int best;
-    public int[] asked;
-    public double keptUntil;
-    public int asks, draws;
+    public int bestBackend;
+    public int[] probedBackends;
+    public double probeWaitUntil;
+    public int probeRounds, subsetRedraws;
     /** Why it was rejected or failed; null where it was not. */
-    public FailureReason ending;
+    public FailureReason failureReason;
 
-    public Request(long id, int grade, int tenant, double arrived, double timeLeft) {
-        this(id, grade, tenant, arrived, timeLeft, false);
+    public Request(long id, int requestClass, int tenant, double arrived, double timeLeft) {
+        this(id, requestClass, tenant, arrived, timeLeft, false);
     }
 
-    public Request(long id, int grade, int tenant, double arrived, double timeLeft, boolean retry) {
+    public Request(long id, int requestClass, int tenant, double arrived, double timeLeft, boolean retry) {
         this.id = id;
-        this.grade = grade;
+        this.requestClass = requestClass;
         this.tenant = tenant;
-        this.arrived = arrived;
-        this.expiry = arrived + timeLeft;
-        this.retry = retry;
+        this.arrivedAt = arrived;
+        this.deadline = arrived + timeLeft;
+        this.markedRetry = retry;
     }
 }
--- a/src/main/java/lemondrift/model/RequestClass.java
+++ b/src/main/java/lemondrift/model/RequestClass.java
@@ -1,5 +1,5 @@
 package lemondrift.model;
 
 /** One service grade; times in seconds. */
-public record RequestClass(double benefit, double lateBenefit, double contractTime, double expiry,
-        Idempotency effect, DeduplicationScope group, double receiptMemory) {}
+public record RequestClass(double priorityWeight, double latePriorityWeight, double latencyObjectiveSeconds, double timeoutSeconds,
+        Idempotency idempotency, DeduplicationScope deduplicationScope, double idempotencyKeyTtlSeconds) {}
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -72,19 +72,19 @@
     private static final OptionMap NO_DELAY = OptionMap.create(Options.TCP_NODELAY, true);
 
     private final MonotonicClock clock = MonotonicClock.system();
-    private final ProxyMetrics tally = new ProxyMetrics();
+    private final ProxyMetrics metrics = new ProxyMetrics();
     private final XnioWorker worker;
-    private final DecisionLoop owner;
-    private final ClientListener front;
+    private final DecisionLoop decisionLoop;
+    private final ClientListener clientListener;
     private final EndpointListWatch watch;
-    private final BackendClient backends;
+    private final BackendClient backendClient;
     private volatile ProxyConfig config;
     /** Until when what came under an earlier configuration may be open. */
     private volatile double formerExpiry;
     /** The list from before; null once the decisions have been told of it. */
     private JsonObject known;
     /** Null where the other proxies are told nothing. */
-    private final GossipTransport peers;
+    private final GossipTransport gossipTransport;
     private volatile Phase phase = Phase.STARTING;
 
     public ProxyServer(ProxyConfig config) throws IOException {
@@ -97,33 +97,33 @@
     }
 
     /** Its backends' connections are opened by dial, or where that is null on sockets. */
-    public ProxyServer(ProxyConfig told, XnioWorker worker, BackendConnector dial) {
-        ProxyConfig config = told.withoutKnown();
-        known = told.known();
+    public ProxyServer(ProxyConfig told, XnioWorker worker, BackendConnector connector) {
+        ProxyConfig config = told.withoutInitialEndpoints();
+        known = told.initialEndpoints();
         this.worker = worker;
         XnioIoThread io = worker.getIoThread();
         BackendConnector sockets = (to, opened) -> io.openStreamConnection(to, opened, NO_DELAY);
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER, MOST_BUFFERS, 8);
         this.config = config;
-        RequestClassIndex grades = new RequestClassIndex(config.gradeNames(), config.settings().grades());
+        RequestClassIndex requestClasses = new RequestClassIndex(config.requestClassNames(), config.settings().requestClasses());
         LoadBalancer balancer = new LoadBalancer(config.settings(), config.seed());
-        owner = new DecisionLoop(balancer, new BackendDirectory(config.locations()), clock, new Sockets(io), grades,
+        decisionLoop = new DecisionLoop(balancer, new BackendDirectory(config.locations()), clock, new Sockets(io), requestClasses,
                 config.settings());
-        if (config.shadow() != null && dial == null) {
-            owner.watches(config.shadow(), config.seed());
+        if (config.shadow() != null && connector == null) {
+            decisionLoop.enableShadow(config.shadow(), config.seed());
         }
-        front = new ClientListener(config, grades, clock, worker, buffers, owner, tally);
-        watch = new EndpointListWatch(config, clock, io, sockets, buffers, owner);
-        backends = new BackendClient(config, clock, io, dial == null ? sockets : dial, buffers, owner,
-                tally, front::awaits);
-        peers = config.peers() == null || dial != null || !balancer.isToBeTold() ? null
-                : new GossipTransport(config.peers(), owner);
-        if (peers != null) {
+        clientListener = new ClientListener(config, requestClasses, clock, worker, buffers, decisionLoop, metrics);
+        watch = new EndpointListWatch(config, clock, io, sockets, buffers, decisionLoop);
+        backendClient = new BackendClient(config, clock, io, connector == null ? sockets : connector, buffers, decisionLoop,
+                metrics, clientListener::isClientWaiting);
+        gossipTransport = config.gossip() == null || connector != null || !balancer.wantsGossip() ? null
+                : new GossipTransport(config.gossip(), decisionLoop);
+        if (gossipTransport != null) {
             if (config.recovery() == null) {
-                owner.tells(config.peers());
+                decisionLoop.enableGossip(config.gossip());
             } else {
-                owner.tells(config.peers(), new RecoveryCoordinator(config.recovery(), config.name(),
-                        config.peers().self(), config.peers().proxies().size(), clock.now()));
+                decisionLoop.enableGossip(config.gossip(), new RecoveryCoordinator(config.recovery(), config.name(),
+                        config.gossip().self(), config.gossip().proxies().size(), clock.now()));
             }
         }
     }
@@ -141,19 +141,19 @@
 
     /** On a listening socket that the process was given, or where that is null on one of its own. */
     public void serve(ServerSocketChannel given) throws IOException {
-        if (peers != null) {
-            peers.begin(worker);
-            front.first(peers::receive);
+        if (gossipTransport != null) {
+            gossipTransport.start(worker);
+            clientListener.beforeEachRequest(gossipTransport::receive);
         }
-        owner.listed(EndpointList.of(known), true, () -> { });
+        decisionLoop.endpointListReceived(EndpointList.of(known), true, () -> { });
         known = null;
-        owner.start();
-        worker.getIoThread().execute(watch::begin);
+        decisionLoop.start();
+        worker.getIoThread().execute(watch::start);
         watch.awaitFirst();
         if (given == null) {
-            front.listen();
+            clientListener.listen();
         } else {
-            front.listen(given);
+            clientListener.listen(given);
         }
         enter(Phase.SERVING);
         LOG.info("serving");
@@ -166,17 +166,17 @@
     public void reload(ProxyConfig next) {
         next.requireAllOf(config);
         LOG.info("configuration read again, discovery at {}, classes {}", next.discovery(),
-                next.gradeNames());
-        List<String> later = next.changesAtAStart(config);
+                next.requestClassNames());
+        List<String> later = next.keysAppliedAtStart(config);
         if (!later.isEmpty()) {
             LOG.warn("holds from the next start only: {}", later);
         }
-        formerExpiry = Math.max(formerExpiry, clock.now() + config.longestExpiry());
-        config = next.withoutKnown();
-        owner.retune(next.settings(), next.gradeNames(), next.shadow());
+        formerExpiry = Math.max(formerExpiry, clock.now() + config.longestTimeoutSeconds());
+        config = next.withoutInitialEndpoints();
+        decisionLoop.reload(next.settings(), next.requestClassNames(), next.shadow());
         worker.getIoThread().execute(() -> {
-            tally.reloaded(true);
-            watch.move(next.discovery());
+            metrics.configurationReloaded(true);
+            watch.moveTo(next.discovery());
         });
     }
 
@@ -187,11 +187,11 @@
 
     /** A new configuration can't be used. */
     public void reloadFailed() {
-        worker.getIoThread().execute(() -> tally.reloaded(false));
+        worker.getIoThread().execute(() -> metrics.configurationReloaded(false));
     }
 
     /** What operators may ask of it. */
-    public AdminOperations operated() {
+    public AdminOperations adminOperations() {
         return new AdminOperations() {
             @Override
             public boolean isReady() {
@@ -200,33 +200,33 @@
 
             @Override
             public ProxyMetrics.Figures figures() {
-                return tally.figures();
+                return metrics.snapshot();
             }
 
             @Override
             public String recovery() {
-                return owner.comeback() == null ? null : owner.comeback().told(clock.now());
+                return decisionLoop.recoveryCoordinator() == null ? null : decisionLoop.recoveryCoordinator().statusJson(clock.now());
             }
 
             @Override
             public String loop() {
-                return owner.figures();
+                return decisionLoop.metricsJson();
             }
 
             @Override
             public boolean quiesce() {
-                if (phase == Phase.SERVING && !front.isDraining()) {
+                if (phase == Phase.SERVING && !clientListener.isDraining()) {
                     LOG.info("sends clients away");
-                    front.drain(clock.now() + SENT_AWAY, Double.POSITIVE_INFINITY);
+                    clientListener.drain(clock.now() + SENT_AWAY, Double.POSITIVE_INFINITY);
                 }
                 return phase == Phase.SERVING;
             }
 
             @Override
             public boolean resume() {
-                if (phase == Phase.SERVING && front.isDraining()) {
+                if (phase == Phase.SERVING && clientListener.isDraining()) {
                     LOG.info("takes clients again");
-                    front.resume();
+                    clientListener.resume();
                 }
                 return phase == Phase.SERVING;
             }
@@ -234,53 +234,53 @@
     }
 
     /** Decides and forwards without a listener or discovery, on the list and the connections it is given. */
-    public void rehearse(JsonObject list) {
-        owner.start();
-        owner.listed(EndpointList.of(list), false, () -> { });
+    public void startWithoutListener(JsonObject list) {
+        decisionLoop.start();
+        decisionLoop.endpointListReceived(EndpointList.of(list), false, () -> { });
     }
 
     public void accept(StreamConnection connection) {
-        front.accepted(connection);
+        clientListener.accepted(connection);
     }
 
     /** So many processes share what the platform gives this proxy. */
-    void sharedBy(int processes) {
-        double share = config.share(processes);
+    void setProcessCount(int processes) {
+        double share = config.connectionShare(processes);
         worker.getIoThread().execute(() -> {
-            front.share(share, processes);
-            backends.share(share);
+            clientListener.setResourceShare(share, processes);
+            backendClient.setResourceShare(share);
         });
-        owner.sharedBy(processes);
+        decisionLoop.setProcessCount(processes);
     }
 
     /** Looks from time to time who else is there, and keeps to its part. Before serving. */
-    public void meets(TakeoverLock meeting) {
-        meeting.look();
-        sharedBy(meeting.processes());
+    public void watchOtherProcesses(TakeoverLock takeoverLock) {
+        takeoverLock.look();
+        setProcessCount(takeoverLock.processes());
         worker.getIoThread().executeAtInterval(() -> worker.execute(() -> {
-            if (meeting.look()) {
-                sharedBy(meeting.processes());
+            if (takeoverLock.look()) {
+                setProcessCount(takeoverLock.processes());
             }
         }), (long) (LOOKS * 1e9), TimeUnit.NANOSECONDS);
     }
 
     /** Takes clients as long as they come, answers all that was taken, and returns. */
     public void drain() throws InterruptedException {
-        double began = clock.now(), last = Math.max(began + config.longestExpiry(), formerExpiry);
-        front.leaveGiven();
-        front.drain(began + STRAGGLERS, last + ANSWERS);
+        double began = clock.now(), last = Math.max(began + config.longestTimeoutSeconds(), formerExpiry);
+        clientListener.closeInheritedSocket();
+        clientListener.drain(began + STRAGGLERS, last + ANSWERS);
         enter(Phase.DRAINING);
         LOG.info("draining");
         CountDownLatch drained = new CountDownLatch(1);
         XnioExecutor.Key looks = worker.getIoThread().executeAtInterval(() -> {
             // Danger: between a look and an end elsewhere one more request could be read and lost.
-            if (clock.now() >= began + STRAGGLERS && front.isDrained()) {
-                front.close();
+            if (clock.now() >= began + STRAGGLERS && clientListener.isDrained()) {
+                clientListener.close();
                 drained.countDown();
             }
         }, (long) (DRAIN_LOOKS * 1e9), TimeUnit.NANOSECONDS);
         if (!await(drained, last + ANSWERS)) {
-            owner.endAll();
+            decisionLoop.failOpenRequests();
             await(drained, last + FETCHED);
         }
         looks.remove();
@@ -299,56 +299,56 @@
     }
 
     public void close() {
-        front.close();
+        clientListener.close();
         worker.getIoThread().execute(() -> {
             watch.stop();
-            backends.stop();
-            if (peers != null) {
-                peers.stop();
+            backendClient.stop();
+            if (gossipTransport != null) {
+                gossipTransport.stop();
             }
         });
-        owner.stop();
-        if (owner.comeback() != null) {
-            owner.comeback().close();
+        decisionLoop.stop();
+        if (decisionLoop.recoveryCoordinator() != null) {
+            decisionLoop.recoveryCoordinator().close();
         }
         worker.shutdown();
     }
 
     /** What is I/O's own is to be seen there only. */
-    void onIo(Runnable task) {
+    void runOnIoThread(Runnable task) {
         worker.getIoThread().execute(task);
     }
 
     /** The same for the owner's. */
-    void onOwner(Runnable task) {
-        owner.onOwner(task);
+    void runOnLoop(Runnable task) {
+        decisionLoop.runOnLoop(task);
     }
 
     /** How much is in hand. */
-    record InHand(int visitors, int exchanges, int calls, int spokenOf) {}
+    record InHand(int connections, int requests, int calls, int backendReferences) {}
 
     /** What the I/O thread has in hand and then what the owner has. */
-    CompletableFuture<InHand> inHand() {
+    CompletableFuture<InHand> inFlight() {
         CompletableFuture<InHand> told = new CompletableFuture<>();
-        onIo(() -> {
-            int visitors = front.open(), calls = backends.calls();
-            onOwner(() -> told.complete(new InHand(visitors, owner.open(), calls, owner.spokenOf())));
+        runOnIoThread(() -> {
+            int visitors = clientListener.openConnectionCount(), calls = backendClient.callsInFlight();
+            runOnLoop(() -> told.complete(new InHand(visitors, decisionLoop.openRequestCount(), calls, decisionLoop.backendReferenceCount())));
         });
         return told;
     }
 
     /** How many indexes classes have taken up. */
     int classesKnown() {
-        return front.classesKnown();
+        return clientListener.classesKnown();
     }
 
     /** What watching has counted; null where nobody watches. Once the owner has stopped. */
-    ShadowEvaluator watched() {
-        return owner.watched();
+    ShadowEvaluator shadow() {
+        return decisionLoop.shadow();
     }
 
     InetSocketAddress address() {
-        return front.address();
+        return clientListener.address();
     }
 
     Phase phase() {
@@ -365,70 +365,70 @@
         }
 
         @Override
-        public void send(Attempt f, PendingRequest taken, InetSocketAddress to) {
-            wishes.add(() -> backends.send(f, taken, to));
+        public void send(Attempt attempt, PendingRequest pending, InetSocketAddress to) {
+            wishes.add(() -> backendClient.send(attempt, pending, to));
         }
 
         @Override
-        public void cancel(Attempt f) {
-            wishes.add(() -> backends.cancel(f));
+        public void cancel(Attempt attempt) {
+            wishes.add(() -> backendClient.cancel(attempt));
         }
 
         @Override
         public void probe(int backend, InetSocketAddress to) {
-            wishes.add(() -> backends.probe(backend, to));
+            wishes.add(() -> backendClient.probe(backend, to));
         }
 
         @Override
-        public void list(Decision.ListCall call) {
-            wishes.add(() -> watch.asked(call));
+        public void requestEndpointList(Decision.ListCall call) {
+            wishes.add(() -> watch.listRequested(call));
         }
 
         @Override
-        public void deliver(PendingRequest taken, BackendResponse answer) {
-            wishes.add(() -> front.deliver(taken, answer));
+        public void deliver(PendingRequest pending, BackendResponse response) {
+            wishes.add(() -> clientListener.deliver(pending, response));
         }
 
         @Override
-        public void drop(BackendResponse answer) {
-            wishes.add(() -> answer.rest().drop());
+        public void discard(BackendResponse response) {
+            wishes.add(() -> response.remainder().abandonResponse());
         }
 
         @Override
-        public void giveUp(PendingRequest taken, boolean shed, double retryAfter) {
-            wishes.add(() -> front.giveUp(taken.client(), shed, retryAfter));
+        public void fail(PendingRequest pending, boolean shed, double retryAfter) {
+            wishes.add(() -> clientListener.failRequest(pending.exchange(), shed, retryAfter));
         }
 
         @Override
-        public void letGo(int backend) {
-            wishes.add(() -> backends.letGo(backend));
+        public void retirePool(int backend) {
+            wishes.add(() -> backendClient.retirePool(backend));
         }
 
         @Override
-        public void decided(int exchanges, double seconds) {
-            wishes.add(() -> front.decided(exchanges, seconds));
+        public void requestsDecided(int exchanges, double seconds) {
+            wishes.add(() -> clientListener.requestsDecided(exchanges, seconds));
         }
 
         @Override
-        public void targets(int listed, int disabled) {
-            wishes.add(() -> tally.targets(listed, disabled));
+        public void backendsCounted(int listed, int disabled) {
+            wishes.add(() -> metrics.backendsCounted(listed, disabled));
         }
 
         @Override
-        public void retuned(RequestClassIndex grades, Settings settings) {
+        public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
             wishes.add(() -> {
-                front.retuned(grades, settings);
-                owner.followed(front.grades());
+                clientListener.settingsChanged(requestClasses, settings);
+                decisionLoop.settingsApplied(clientListener.classesInUse());
             });
         }
 
         @Override
-        public void tell(LoadGossip.Telling telling) {
-            wishes.add(() -> peers.tell(telling));
+        public void sendGossip(LoadGossip.Telling telling) {
+            wishes.add(() -> gossipTransport.send(telling));
         }
 
         @Override
-        public void act() {
+        public void flush() {
             if (!wishes.isEmpty()) {
                 List<Runnable> all = wishes;
                 wishes = new ArrayList<>();
--- a/src/main/java/lemondrift/proxy/admin/AdminServer.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminServer.java
@@ -111,7 +111,7 @@
             return;
         }
         if (path.equals("/admin/stats")) {
-            ProxyMetrics.Figures figures = operated == null ? new ProxyMetrics().figures() : operated.figures();
+            ProxyMetrics.Figures figures = operated == null ? new ProxyMetrics().snapshot() : operated.figures();
             call.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
             call.getResponseSender().send(json(figures));
             return;
--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -39,11 +39,11 @@
     /** Stands for a head that is not made yet; it is never written. */
     private static final ByteBuffer UNWRITTEN = ByteBuffer.allocate(1).asReadOnlyBuffer();
 
-    private final ConnectionPool links;
+    private final ConnectionPool pool;
     private final Head head;
     /** The head, once it can be written, and the body. */
     private final ByteBuffer[] request;
-    private final RequestBody upload;
+    private final RequestBody streamedBody;
     private BodyRelay uploading;
     private boolean uploaded;
     private final ResponseReader reader;
@@ -60,12 +60,12 @@
     private Runnable more;
     private double within = Double.POSITIVE_INFINITY, endless, began;
 
-    private BackendCall(ConnectionPool links, Request request, int most, boolean mayPass, Runnable written,
+    private BackendCall(ConnectionPool pool, Request request, int most, boolean mayPass, Runnable written,
             Consumer<BackendResponse> end) {
-        this.links = links;
+        this.pool = pool;
         head = request.head;
         this.request = new ByteBuffer[] {UNWRITTEN, ByteBuffer.wrap(request.body)};
-        upload = request.upload;
+        streamedBody = request.upload;
         this.reader = new ResponseReader(most, mayPass);
         this.written = written;
         this.end = end;
@@ -74,10 +74,10 @@
     /**
      * A call to be started; end hears of its answer once, not after abandon. Null if there is no room.
      */
-    public static BackendCall make(ConnectionPool links, byte[] request, int most, double connectTimeout, double within,
+    public static BackendCall make(ConnectionPool pool, byte[] request, int most, double connectTimeout, double within,
             Consumer<BackendResponse> end) {
-        BackendCall call = new BackendCall(links, new Request(request), most, false, () -> { }, end);
-        return make(links, call, connectTimeout, within);
+        BackendCall call = new BackendCall(pool, new Request(request), most, false, () -> { }, end);
+        return make(pool, call, connectTimeout, within);
     }
 
     /**
@@ -86,25 +86,25 @@
      * request is an upload that takes its time, both spans count from then on. Nothing more of the request is
      * sent once it is not wanted or its time is over.
      */
-    static BackendCall passing(ConnectionPool links, Request request, int most, double connectTimeout, double within,
+    static BackendCall passing(ConnectionPool pool, Request request, int most, double connectTimeout, double within,
             double endless, BooleanSupplier wanted, Runnable written, Consumer<BackendResponse> end) {
-        BackendCall call = new BackendCall(links, request, most, true, written, end);
+        BackendCall call = new BackendCall(pool, request, most, true, written, end);
         call.within = within;
         call.wanted = wanted;
         call.endless = endless;
-        return make(links, call, connectTimeout, within);
+        return make(pool, call, connectTimeout, within);
     }
 
-    private static BackendCall make(ConnectionPool links, BackendCall call, double connectTimeout, double within) {
-        call.link = links.rested();
-        if (call.link == null && !links.reserve()) {
-            call.link = links.idle();
+    private static BackendCall make(ConnectionPool pool, BackendCall call, double connectTimeout, double within) {
+        call.link = pool.rested();
+        if (call.link == null && !pool.reserve()) {
+            call.link = pool.idle();
             if (call.link == null) {
                 return null;
             }
         }
-        call.began = links.clock.now();
-        call.timer = call.upload == null ? call.after(within) : null;
+        call.began = pool.clock.now();
+        call.timer = call.streamedBody == null ? call.after(within) : null;
         call.connectTimer = call.link == null ? call.after(connectTimeout) : null;
         return call;
     }
@@ -116,7 +116,7 @@
 
     private XnioExecutor.Key after(double seconds) {
         long nanos = (long) (Math.max(0, seconds) * 1e9);
-        return links.io.executeAfter(() -> broken(true), nanos, TimeUnit.NANOSECONDS);
+        return pool.io.executeAfter(() -> broken(true), nanos, TimeUnit.NANOSECONDS);
     }
 
     public void start() {
@@ -130,7 +130,7 @@
     /** Danger: whoever fails here and is told so would end once more with the timers. */
     private void connect() {
         try {
-            connect = links.dial.open(links.address, this::connected);
+            connect = pool.dial.open(pool.address, this::connected);
             connect.addNotifier((future, nothing) -> {
                 if (future.getStatus() == IoFuture.Status.FAILED) {
                     broken(false);
@@ -147,19 +147,19 @@
             IoUtils.safeClose(connection);
             return;
         }
-        link = links.opened(connection);
+        link = pool.opened(connection);
         connectTimer.remove();
         send();
     }
 
     private void send() {
         // Danger: its backend may have been told to drain for long while the connection came up.
-        if (links.isRetired()) {
+        if (pool.isRetired()) {
             unsent();
             return;
         }
         // Danger: the time that was left before the connection came up is more than its client has now.
-        request[0] = ByteBuffer.wrap(head.within(began + within - links.clock.now()));
+        request[0] = ByteBuffer.wrap(head.within(began + within - pool.clock.now()));
         link.connection.getSourceChannel().setReadListener(source -> read());
         link.connection.getSourceChannel().resumeReads();
         link.connection.getSinkChannel().setWriteListener(sink -> write());
@@ -182,7 +182,7 @@
                 }
             }
             sink.suspendWrites();
-            if (!done && upload == null) {
+            if (!done && streamedBody == null) {
                 written.run();
             } else if (!done) {
                 upload();
@@ -193,7 +193,7 @@
     }
 
     private boolean isLate() {
-        return upload == null && links.clock.now() >= began + within;
+        return streamedBody == null && pool.clock.now() >= began + within;
     }
 
     /** Whether all but the upload, if there is one, is with the system. */
@@ -203,20 +203,20 @@
 
     private void upload() {
         // Danger: where no forward may be called off, one whose client left in the middle would stay out.
-        upload.whenReleased(() -> {
+        streamedBody.whenReleased(() -> {
             if (!isSent()) {
                 unsent();
             }
         });
         // Danger: a backend that takes nothing would keep its client for ever. The giver is the door's.
-        uploading = new BodyRelay(upload, link.connection.getSinkChannel(), links.io,
-                new BodyRelay.Patience(0, upload.stall), () -> { }, whole -> {
+        uploading = new BodyRelay(streamedBody, link.connection.getSinkChannel(), pool.io,
+                new BodyRelay.Patience(0, streamedBody.stall), () -> { }, whole -> {
                     if (!whole) {
                         broken(false);
                         return;
                     }
                     uploaded = true;
-                    began = links.clock.now();
+                    began = pool.clock.now();
                     timer = after(within);
                     written.run();
                 });
@@ -225,7 +225,7 @@
 
     /** Whether its last byte is with the system. */
     private boolean isSent() {
-        return isHanded() && (upload == null || uploaded);
+        return isHanded() && (streamedBody == null || uploaded);
     }
 
     /** When it began, or where it is an upload, when its last byte had gone. */
@@ -234,7 +234,7 @@
     }
 
     private void read() {
-        PooledByteBuffer pooled = links.buffers.allocate();
+        PooledByteBuffer pooled = pool.buffers.allocate();
         try {
             ByteBuffer buffer = pooled.getBuffer();
             int got = 1;
@@ -242,7 +242,7 @@
                 got = link.connection.getSourceChannel().read(buffer.clear());
                 if (got > 0 && reader.read(buffer.flip())) {
                     if (buffer.hasRemaining()) {
-                        links.saidMore();
+                        pool.saidMore();
                     }
                     whole(buffer.hasRemaining());
                 } else if (got > 0 && reader.isLong()) {
@@ -255,8 +255,8 @@
                 }
             }
             if (!done && reader.isEndless() && endless > 0 && passTimer == null && isSent()) {
-                double left = Math.max(0, began + endless - links.clock.now());
-                passTimer = links.io.executeAfter(this::pass, (long) (left * 1e9), TimeUnit.NANOSECONDS);
+                double left = Math.max(0, began + endless - pool.clock.now());
+                passTimer = pool.io.executeAfter(this::pass, (long) (left * 1e9), TimeUnit.NANOSECONDS);
             }
         } catch (IOException | RuntimeException e) {
             // Danger: an answer that makes a library fail would leave its forward without an end.
@@ -272,7 +272,7 @@
     private void pass() {
         if (!done) {
             reader.pass();
-            passing = links.buffers.allocate();
+            passing = pool.buffers.allocate();
             passing.getBuffer().limit(0);
             begun();
         }
@@ -331,12 +331,12 @@
         if (spent) {
             link.close();
         } else {
-            links.back(link);
+            pool.back(link);
         }
     }
 
     /** Nobody wants what is passed on any more. */
-    public void drop() {
+    public void abandonResponse() {
         release();
         link.close();
     }
@@ -354,7 +354,7 @@
         if (spent || !isSent() || reader.closes()) {
             link.close();
         } else {
-            links.back(link);
+            pool.back(link);
         }
         end.accept(reader.answer());
     }
@@ -383,7 +383,7 @@
         if (link != null) {
             link.close();
         } else {
-            links.released();
+            pool.released();
             if (connect != null) {
                 connect.cancel();
             }
--- a/src/main/java/lemondrift/proxy/backend/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -33,12 +33,12 @@
 /** Forwards, probes and load reports over bounded pools of connections. I/O thread only. */
 public final class BackendClient {
     private static final Logger LOG = LoggerFactory.getLogger(BackendClient.class);
-    public static final HttpString EXPIRES = new HttpString("X-Expires-In-Ms");
+    public static final HttpString TIMEOUT_HEADER = new HttpString("X-Expires-In-Ms");
     private static final HttpString LOAD = new HttpString("Endpoint-Load-Metrics");
     private static final HttpString NEVER_RAN = new HttpString("X-Never-Ran");
     private static final Set<HttpString> OWN = Set.of(Headers.CONNECTION, Headers.KEEP_ALIVE, Headers.TE,
             Headers.TRAILER, Headers.TRANSFER_ENCODING, Headers.UPGRADE, Headers.EXPECT,
-            Headers.CONTENT_LENGTH, EXPIRES, LOAD);
+            Headers.CONTENT_LENGTH, TIMEOUT_HEADER, LOAD);
     /** Of a body either way. */
     static final int MOST_BODY = 64 * 1024;
     /** The share of the proxy's connections that go to backends, and of those the share for one. */
@@ -55,10 +55,10 @@
     private final ProxyConfig config;
     private final MonotonicClock clock;
     private final XnioIoThread io;
-    private final BackendConnector dial;
+    private final BackendConnector connector;
     private final ByteBufferPool buffers;
-    private final DecisionLoop owner;
-    private final ProxyMetrics tally;
+    private final DecisionLoop decisionLoop;
+    private final ProxyMetrics metrics;
     private final Predicate<PendingRequest> awaited;
     private final ConnectionPool.Budget budget;
     private final XnioExecutor.Key sweep;
@@ -66,67 +66,67 @@
     private final Map<Attempt, BackendCall> calls = new HashMap<>();
 
     /** Awaited says whether the client of an exchange is there and has no answer yet. */
-    public BackendClient(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers, DecisionLoop owner,
-            ProxyMetrics tally, Predicate<PendingRequest> awaited) {
+    public BackendClient(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector connector, ByteBufferPool buffers, DecisionLoop decisionLoop,
+            ProxyMetrics metrics, Predicate<PendingRequest> awaited) {
         this.awaited = awaited;
         this.config = config;
         this.clock = clock;
         this.io = io;
-        this.dial = dial;
+        this.connector = connector;
         this.buffers = buffers;
-        this.owner = owner;
-        this.tally = tally;
-        budget = new ConnectionPool.Budget((int) (SHARE * config.connections()));
-        double limit = IDLE_SHARE * config.idle();
+        this.decisionLoop = decisionLoop;
+        this.metrics = metrics;
+        budget = new ConnectionPool.Budget((int) (SHARE * config.maxConnections()));
+        double limit = IDLE_SHARE * config.backendIdleSeconds();
         sweep = io.executeAtInterval(() -> links.values().forEach(l -> l.closeIdleSince(clock.now() - limit)),
                 (long) (limit * 1e9 / 8), TimeUnit.NANOSECONDS);
     }
 
-    public void send(Attempt f, PendingRequest taken, InetSocketAddress to) {
+    public void send(Attempt attempt, PendingRequest pending, InetSocketAddress to) {
         try {
-            begin(f, taken, to);
+            begin(attempt, pending, to);
         } catch (RuntimeException e) {
             // Danger: a forward that never ends would keep its exchange until the expiry.
             LOG.error("forward not begun", e);
-            owner.ended(f, AttemptOutcome.MOOT, 0, null, null);
+            decisionLoop.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
         }
     }
 
-    private void begin(Attempt f, PendingRequest taken, InetSocketAddress to) {
+    private void begin(Attempt attempt, PendingRequest pending, InetSocketAddress to) {
         // The time that passed in the queues is the exchange's own.
-        RequestBody upload = taken.upload();
-        double within = upload == null ? f.sent + f.timeOut - clock.now() : upload.within;
-        if (upload != null && !upload.restart()) {
-            owner.ended(f, AttemptOutcome.MOOT, 0, null, null);
+        RequestBody streamedBody = pending.streamedBody();
+        double within = streamedBody == null ? attempt.sentAt + attempt.timeoutSeconds - clock.now() : streamedBody.within;
+        if (streamedBody != null && !streamedBody.restart()) {
+            decisionLoop.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
             return;
         }
         BackendCall[] made = new BackendCall[1];
-        BackendCall call = BackendCall.passing(links(f.backend, to), request(taken), MOST_BODY,
-                config.connectTimeout(), within, PATIENCE * within, () -> awaited.test(taken),
-                tally::dispatched, answer -> {
-                    calls.remove(f);
+        BackendCall call = BackendCall.passing(links(attempt.backend, to), request(pending), MOST_BODY,
+                config.connectTimeoutSeconds(), within, PATIENCE * within, () -> awaited.test(pending),
+                metrics::attemptSent, response -> {
+                    calls.remove(attempt);
                     // The time that an upload took is its client's, not the backend's.
-                    double began = upload == null ? f.sent : made[0].began();
-                    owner.ended(f, outcome(answer), clock.now() - began, report(answer), answer);
+                    double began = streamedBody == null ? attempt.sentAt : made[0].began();
+                    decisionLoop.attemptEnded(attempt, outcome(response), clock.now() - began, report(response), response);
                 });
         made[0] = call;
         if (call == null) {
-            owner.ended(f, AttemptOutcome.MOOT, 0, null, null);
+            decisionLoop.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
         } else {
-            calls.put(f, call);
+            calls.put(attempt, call);
             call.start();
         }
     }
 
     /** The request as it came, but for what belongs to one connection and the time there is for it. */
-    private static BackendCall.Request request(PendingRequest taken) {
-        RequestBody upload = taken.upload();
-        BackendCall.Head head = upload == null ? left -> head(taken, left) : left -> head(taken, upload.within);
-        return new BackendCall.Request(head, taken.body(), upload);
+    private static BackendCall.Request request(PendingRequest pending) {
+        RequestBody streamedBody = pending.streamedBody();
+        BackendCall.Head head = streamedBody == null ? left -> head(pending, left) : left -> head(pending, streamedBody.within);
+        return new BackendCall.Request(head, pending.body(), streamedBody);
     }
 
-    private static byte[] head(PendingRequest taken, double left) {
-        HttpServerExchange client = taken.client();
+    private static byte[] head(PendingRequest pending, double left) {
+        HttpServerExchange client = pending.exchange();
         String query = client.getQueryString();
         StringBuilder head = new StringBuilder(256).append(client.getRequestMethod()).append(' ')
                 .append(client.getRequestURI()).append(query.isEmpty() ? "" : "?").append(query)
@@ -136,45 +136,45 @@
                 head.append(values.getHeaderName()).append(": ").append(values.get(i)).append("\r\n");
             }
         }
-        head.append(EXPIRES).append(": ").append(Math.max(1, Math.round(left * 1000))).append("\r\n");
-        if (taken.upload() != null && taken.upload().isChunked()) {
+        head.append(TIMEOUT_HEADER).append(": ").append(Math.max(1, Math.round(left * 1000))).append("\r\n");
+        if (pending.streamedBody() != null && pending.streamedBody().isChunked()) {
             head.append("Transfer-Encoding: chunked\r\n");
-        } else if (taken.upload() != null) {
+        } else if (pending.streamedBody() != null) {
             head.append("Content-Length: ").append(client.getRequestContentLength()).append("\r\n");
-        } else if (taken.body().length > 0 || !client.getRequestMethod().equals(Methods.GET)) {
-            head.append("Content-Length: ").append(taken.body().length).append("\r\n");
+        } else if (pending.body().length > 0 || !client.getRequestMethod().equals(Methods.GET)) {
+            head.append("Content-Length: ").append(pending.body().length).append("\r\n");
         }
         return head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    public void cancel(Attempt f) {
-        BackendCall call = calls.remove(f);
+    public void cancel(Attempt attempt) {
+        BackendCall call = calls.remove(attempt);
         if (call != null) {
             call.abandon();
-            owner.ended(f, AttemptOutcome.CANCELLED, clock.now() - f.sent, null, null);
+            decisionLoop.attemptEnded(attempt, AttemptOutcome.CANCELLED, clock.now() - attempt.sentAt, null, null);
         }
     }
 
     /** A probe waits as long as a connect may. */
     public void probe(int backend, InetSocketAddress to) {
-        String path = config.reportNames().isEmpty() ? "/healthz" : "/load";
+        String path = config.loadReportFields().isEmpty() ? "/healthz" : "/load";
         BackendCall call = BackendCall.make(links(backend, to), BackendCall.get(path, "backend"), MOST_BODY,
-                config.connectTimeout(), config.connectTimeout(), answer -> owner.probed(backend,
-                        outcome(answer), report(new String(answer.body(), StandardCharsets.ISO_8859_1),
-                                config.reportNames())));
+                config.connectTimeoutSeconds(), config.connectTimeoutSeconds(), response -> decisionLoop.probeEnded(backend,
+                        outcome(response), report(new String(response.body(), StandardCharsets.ISO_8859_1),
+                                config.loadReportFields())));
         if (call == null) {
-            owner.probed(backend, AttemptOutcome.MOOT, null);
+            decisionLoop.probeEnded(backend, AttemptOutcome.NOT_SENT, null);
         } else {
             call.start();
         }
     }
 
     /** How many forwards are out. */
-    public int calls() {
+    public int callsInFlight() {
         return calls.size();
     }
 
-    public void letGo(int backend) {
+    public void retirePool(int backend) {
         ConnectionPool known = links.remove(backend);
         if (known != null) {
             known.retire();
@@ -182,8 +182,8 @@
     }
 
     /** A share of its connections is this process's from now on. */
-    public void share(double share) {
-        budget.most((int) (share * SHARE * config.connections()));
+    public void setResourceShare(double share) {
+        budget.most((int) (share * SHARE * config.maxConnections()));
     }
 
     public void stop() {
@@ -193,17 +193,17 @@
     private ConnectionPool links(int backend, InetSocketAddress to) {
         ConnectionPool known = links.get(backend);
         if (known == null || !known.address.equals(to)) {
-            letGo(backend);
-            int most = (int) (MOST_OF_THEM * SHARE * config.connections());
-            known = new ConnectionPool(to, io, dial, buffers, clock, budget, most,
-                    new ConnectionPool.Rest(REST_SHARE * config.connectTimeout(), config.idle()));
+            retirePool(backend);
+            int most = (int) (MOST_OF_THEM * SHARE * config.maxConnections());
+            known = new ConnectionPool(to, io, connector, buffers, clock, budget, most,
+                    new ConnectionPool.Rest(REST_SHARE * config.connectTimeoutSeconds(), config.backendIdleSeconds()));
             links.put(backend, known);
         }
         return known;
     }
 
     /** Everything but what belongs to one connection. */
-    public static void copy(HeaderMap from, HeaderMap to) {
+    public static void copyEndToEndHeaders(HeaderMap from, HeaderMap to) {
         for (HeaderValues values : from) {
             if (!OWN.contains(values.getHeaderName())) {
                 to.putAll(values.getHeaderName(), values);
@@ -211,22 +211,22 @@
         }
     }
 
-    static AttemptOutcome outcome(BackendResponse answer) {
-        boolean neverRan = "1".equals(answer.headers().getFirst(NEVER_RAN));
-        return switch (answer.status()) {
-            case BackendResponse.UNSENT -> AttemptOutcome.MOOT;
-            case 0 -> !answer.sent() ? AttemptOutcome.CONNECT_FAILED
-                    : answer.timedOut() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.RESET;
-            case BackendResponse.OK -> AttemptOutcome.DELIVERED;
-            case 503, 504 -> neverRan ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
+    static AttemptOutcome outcome(BackendResponse response) {
+        boolean neverRan = "1".equals(response.headers().getFirst(NEVER_RAN));
+        return switch (response.status()) {
+            case BackendResponse.UNSENT -> AttemptOutcome.NOT_SENT;
+            case 0 -> !response.requestSent() ? AttemptOutcome.CONNECT_FAILED
+                    : response.timedOut() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.RESET;
+            case BackendResponse.OK -> AttemptOutcome.SUCCESS;
+            case 503, 504 -> neverRan ? AttemptOutcome.OVERLOADED : AttemptOutcome.ERROR;
             default -> AttemptOutcome.ERROR;
         };
     }
 
     /** Danger: of two reports it is not known which is meant. */
-    private double[] report(BackendResponse answer) {
-        return answer.headers().count(LOAD) != 1 ? null
-                : report(answer.headers().getFirst(LOAD), config.reportNames());
+    private double[] report(BackendResponse response) {
+        return response.headers().count(LOAD) != 1 ? null
+                : report(response.headers().getFirst(LOAD), config.loadReportFields());
     }
 
     /** Reads TEXT name=value, name=value into the figures of these names; null if one lacks or is none. */
--- a/src/main/java/lemondrift/proxy/backend/BackendResponse.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendResponse.java
@@ -6,7 +6,7 @@
  * What came back on a call; status 0 where the connection failed before the answer was whole. Where it is
  * passed on, the body is its beginning and the rest is whoever has what follows, else null.
  */
-public record BackendResponse(int status, HeaderMap headers, byte[] body, boolean sent, boolean timedOut, BackendCall rest) {
+public record BackendResponse(int status, HeaderMap headers, byte[] body, boolean requestSent, boolean timedOut, BackendCall remainder) {
     public static final int OK = 200;
 
     /** Given up before all of its request was sent, through no fault of its backend. */
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -88,11 +88,11 @@
     private int open;
     private boolean retired;
 
-    public ConnectionPool(InetSocketAddress address, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers, MonotonicClock clock,
+    public ConnectionPool(InetSocketAddress address, XnioIoThread io, BackendConnector connector, ByteBufferPool buffers, MonotonicClock clock,
             Budget budget, int most, Rest rest) {
         this.address = address;
         this.io = io;
-        this.dial = dial;
+        this.dial = connector;
         this.buffers = buffers;
         this.clock = clock;
         this.budget = budget;
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -136,13 +136,13 @@
         }
 
         /** False where another exchange of this id is open. Its request need not have come whole. */
-        boolean began(String id, Request x) {
+        boolean began(String id, Request request) {
             // Danger: two under one id could not be told apart by the backends.
             if (!traces.add(id)) {
                 return false;
             }
             trace = id;
-            exchange = x;
+            exchange = request;
             return true;
         }
 
@@ -150,7 +150,7 @@
         void whole() {
             if (!gone && !whole) {
                 whole = true;
-                tally.taken();
+                metrics.requestAccepted();
                 benefit = 0;
                 door.opened(index, exchange.tenant, clock.now());
             }
@@ -197,10 +197,10 @@
         }
 
         private Request ended() {
-            Request x = exchange;
+            Request request = exchange;
             traces.remove(trace);
             if (whole) {
-                tally.ended();
+                metrics.requestCompleted();
             }
             whole = false;
             if (upload != null) {
@@ -210,7 +210,7 @@
             exchange = null;
             answersOverdue = null;
             trace = null;
-            return x;
+            return request;
         }
 
         private boolean isSilent() {
@@ -234,7 +234,7 @@
     private final ConnectionPolicy door;
     private final double sweep;
     private final int places;
-    private final ProxyMetrics tally;
+    private final ProxyMetrics metrics;
     private final Visitor[] byIndex;
     private final Map<StreamConnection, Visitor> all = new HashMap<>();
     private final Set<String> traces = new HashSet<>();
@@ -244,14 +244,14 @@
     private boolean makingRoom, stopped;
     private double toldAt = Double.NEGATIVE_INFINITY;
 
-    ClientConnections(MonotonicClock clock, XnioIoThread io, ConnectionLimits bounds, long seed, ProxyMetrics tally, Consumer<Request> left) {
-        this.tally = tally;
+    ClientConnections(MonotonicClock clock, XnioIoThread io, ConnectionLimits limits, long seed, ProxyMetrics metrics, Consumer<Request> left) {
+        this.metrics = metrics;
         this.clock = clock;
         this.io = io;
         this.left = left;
-        door = new ConnectionPolicy(bounds, this, seed);
-        sweep = bounds.sweep();
-        places = bounds.places();
+        door = new ConnectionPolicy(limits, this, seed);
+        sweep = limits.sweep();
+        places = limits.places();
         byIndex = new Visitor[door.indexes()];
         // Danger: a class that is first needed when descriptors have run out may not be loaded any more.
         door.sweep(clock.now());
@@ -274,7 +274,7 @@
 
     /** The indexes of classes that open exchanges name. */
     Set<Integer> grades() {
-        return all.values().stream().filter(each -> each.exchange != null).map(each -> each.exchange.grade)
+        return all.values().stream().filter(each -> each.exchange != null).map(each -> each.exchange.requestClass)
                 .collect(Collectors.toSet());
     }
 
@@ -353,7 +353,7 @@
             return;
         }
         for (Visitor each : byIndex) {
-            if (each != null && each.answersOverdue != null && now > each.exchange.expiry + OVERDUE) {
+            if (each != null && each.answersOverdue != null && now > each.exchange.deadline + OVERDUE) {
                 each.answersOverdue.run();
             }
         }
@@ -379,9 +379,9 @@
         if (visitor.passing != null) {
             visitor.passing.run();
         }
-        Request x = visitor.ended();
-        if (x != null) {
-            left.accept(x);
+        Request request = visitor.ended();
+        if (request != null) {
+            left.accept(request);
         }
     }
 
