--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -69,19 +69,19 @@
             = AttachmentKey.create(ClientConnections.Visitor.class);
 
     private final ProxyConfig config;
-    private Runnable first = () -> { };
+    private Runnable beforeEachRequest = () -> { };
     private final MonotonicClock clock;
-    private final DecisionLoop owner;
-    private final ProxyMetrics tally;
+    private final DecisionLoop decisionLoop;
+    private final ProxyMetrics metrics;
     private final FailureLog endings;
     private final XnioWorker worker;
     private final HttpOpenListener http;
-    private final ClientConnections visitors;
+    private final ClientConnections clientConnections;
     private final RequestQueue<PendingRequest> intake;
     private final ByteBufferPool buffers;
-    private final BodyBufferBudget holding;
+    private final BodyBufferBudget bufferBudget;
     /** What is stated now: which grade a name means, and what an exchange of each comes under. */
-    private RequestClassIndex grades;
+    private RequestClassIndex requestClasses;
     private volatile RequestTerms[] terms;
     private AcceptingChannel<StreamConnection> server;
     /** In its place where the process was given a socket. */
@@ -91,19 +91,19 @@
     /** When the last answers are to be out. */
     private volatile double lastAnswers = Double.POSITIVE_INFINITY;
 
-    public ClientListener(ProxyConfig config, RequestClassIndex grades, MonotonicClock clock, XnioWorker worker, ByteBufferPool buffers, DecisionLoop owner,
-            ProxyMetrics tally) {
+    public ClientListener(ProxyConfig config, RequestClassIndex requestClasses, MonotonicClock clock, XnioWorker worker, ByteBufferPool buffers, DecisionLoop decisionLoop,
+            ProxyMetrics metrics) {
         this.config = config;
         this.clock = clock;
-        this.owner = owner;
+        this.decisionLoop = decisionLoop;
         this.worker = worker;
         this.buffers = buffers;
-        holding = new BodyBufferBudget(HELD, (long) (HELD_SHARE * config.memory()));
-        intake = new RequestQueue<>(config.settings().window());
-        visitors = new ClientConnections(clock, worker.getIoThread(), config.door(), config.seed(), tally, this::left);
-        this.tally = tally;
-        endings = new FailureLog(tally);
-        retuned(grades, config.settings());
+        bufferBudget = new BodyBufferBudget(HELD, (long) (HELD_SHARE * config.memoryBytes()));
+        intake = new RequestQueue<>(config.settings().windowSeconds());
+        clientConnections = new ClientConnections(clock, worker.getIoThread(), config.connectionLimits(), config.seed(), metrics, this::left);
+        this.metrics = metrics;
+        endings = new FailureLog(metrics);
+        settingsChanged(requestClasses, config.settings());
         // Danger: with Undertow's buffer for pipelined answers one would wait for the next request's end.
         http = new HttpOpenListener(buffers, OptionMap.builder()
                 .set(UndertowOptions.MAX_HEADER_SIZE, HttpFieldRules.MOST).set(UndertowOptions.ALWAYS_SET_DATE, false)
@@ -112,20 +112,20 @@
     }
 
     /** Other grades are stated for what is read from now on. */
-    public void retuned(RequestClassIndex other, Settings settings) {
-        grades = other;
-        terms = new RequestTerms[settings.grades().size()];
-        Arrays.setAll(terms, settings::terms);
-        intake.retuned(settings.window());
-        tally.grades(other.names());
+    public void settingsChanged(RequestClassIndex other, Settings settings) {
+        requestClasses = other;
+        terms = new RequestTerms[settings.requestClasses().size()];
+        Arrays.setAll(terms, settings::termsFor);
+        intake.retuned(settings.windowSeconds());
+        metrics.registerClasses(other.names());
     }
 
     /** A share of what it may use is this process's from now on. I/O thread only. */
-    public void share(double share, int processes) {
-        visitors.share(share);
-        holding.all((long) (HELD_SHARE * config.memory() / processes));
+    public void setResourceShare(double share, int processes) {
+        clientConnections.share(share);
+        bufferBudget.all((long) (HELD_SHARE * config.memoryBytes() / processes));
         if (inherited != null) {
-            inherited.most((int) (share * config.door().last()));
+            inherited.most((int) (share * config.connectionLimits().last()));
         }
     }
 
@@ -135,14 +135,14 @@
 
     /** Accepts on a socket that the process was given, and that others may accept on as well. */
     public void listen(ServerSocketChannel given) throws IOException {
-        inherited = new InheritedServer(given, worker.getIoThread(), config.door().last(), this::accepted);
+        inherited = new InheritedServer(given, worker.getIoThread(), config.connectionLimits().last(), this::accepted);
         worker.getIoThread().execute(inherited::listen);
     }
 
     public void listen() throws IOException {
         // Danger: XNIO accepts again only when one closes at the low mark or under it, so with a lower
         // low mark places that are freed one by one would never be filled.
-        int last = config.door().last();
+        int last = config.connectionLimits().last();
         server = worker.createStreamConnectionServer(config.listen(),
                 ChannelListeners.openListenerAdapter(this::accepted), OptionMap.builder()
                         .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
@@ -152,7 +152,7 @@
     }
 
     public void accepted(StreamConnection connection) {
-        visitors.came(connection, http);
+        clientConnections.came(connection, http);
     }
 
     public InetSocketAddress address() {
@@ -160,7 +160,7 @@
     }
 
     /** Who still comes is taken by others. Danger: a socket of its own left so would refuse them. */
-    public void leaveGiven() {
+    public void closeInheritedSocket() {
         if (inherited != null) {
             worker.getIoThread().execute(inherited::stop);
         }
@@ -173,23 +173,23 @@
     public void drain(double until, double last) {
         draining = true;
         lastAnswers = last;
-        worker.getIoThread().execute(() -> visitors.drain(until));
+        worker.getIoThread().execute(() -> clientConnections.drain(until));
     }
 
     /** Clients are no longer sent away. */
     public void resume() {
         draining = false;
-        worker.getIoThread().execute(visitors::resume);
+        worker.getIoThread().execute(clientConnections::resume);
     }
 
     /** The indexes of classes that open exchanges name. I/O thread only. */
-    public Set<Integer> grades() {
-        return visitors.grades();
+    public Set<Integer> classesInUse() {
+        return clientConnections.grades();
     }
 
     /** How many clients have an exchange open. I/O thread only. */
-    public int open() {
-        return visitors.open();
+    public int openConnectionCount() {
+        return clientConnections.open();
     }
 
     public boolean isDraining() {
@@ -209,7 +209,7 @@
         } catch (IOException e) {
             // Out of descriptors, say: whoever has one goes first.
         }
-        return visitors.isDrained();
+        return clientConnections.isDrained();
     }
 
     private StreamConnection accept() throws IOException {
@@ -217,12 +217,12 @@
     }
 
     public void close() {
-        worker.getIoThread().execute(visitors::stop);
+        worker.getIoThread().execute(clientConnections::stop);
         IoUtils.safeClose(server);
     }
 
     private void handle(HttpServerExchange client) {
-        ClientConnections.Visitor visitor = visitors.of(channel(client));
+        ClientConnections.Visitor visitor = clientConnections.of(channel(client));
         if (visitor == null) {
             // Danger: what Undertow had read of a connection before the door closed it is still handed on.
             IoUtils.safeClose(channel(client));
@@ -259,7 +259,7 @@
         } else if (client.isRequestComplete()) {
             received(client, new byte[0]);
         } else {
-            visitor.upload = new RequestBody(client, holding, buffers, LONGEST_BODY, config.door().stall(),
+            visitor.upload = new RequestBody(client, bufferBudget, buffers, LONGEST_BODY, config.connectionLimits().stall(),
                     hearer(client, visitor));
             visitor.upload.hold();
         }
@@ -273,8 +273,8 @@
             }
 
             @Override
-            public void passes(RequestBody upload) {
-                client.dispatch(SameThreadExecutor.INSTANCE, () -> pass(client, visitor, upload));
+            public void passes(RequestBody streamedBody) {
+                client.dispatch(SameThreadExecutor.INSTANCE, () -> pass(client, visitor, streamedBody));
             }
 
             @Override
@@ -285,7 +285,7 @@
 
             @Override
             public void letGo() {
-                owner.letGo(visitor.exchange);
+                decisionLoop.bodyNotReplayable(visitor.exchange);
             }
 
             @Override
@@ -300,22 +300,22 @@
     }
 
     /** Decided now and sent as it comes, with all the time that its client needs for it. */
-    private void pass(HttpServerExchange client, ClientConnections.Visitor visitor, RequestBody upload) {
+    private void pass(HttpServerExchange client, ClientConnections.Visitor visitor, RequestBody streamedBody) {
         Request usual = exchange(client.getRequestHeaders());
         if (usual == null || !visitor.began(only(client.getRequestHeaders(), TRACE), usual)) {
             reject(client, 400);
             return;
         }
-        upload.within = Math.min(usual.expiry - usual.arrived, usual.terms.grade().contractTime());
+        streamedBody.within = Math.min(usual.deadline - usual.arrivedAt, usual.terms.requestClass().latencyObjectiveSeconds());
         double most = LONGEST / 1e3;
-        Request x = new Request(usual.id, usual.grade, usual.tenant, usual.arrived, most, usual.retry);
-        x.terms = usual.terms.within(most);
-        visitor.exchange = x;
-        offer(new PendingRequest(x, client, new byte[0], upload));
+        Request request = new Request(usual.id, usual.requestClass, usual.tenant, usual.arrivedAt, most, usual.markedRetry);
+        request.terms = usual.terms.withTimeout(most);
+        visitor.exchange = request;
+        offer(new PendingRequest(request, client, new byte[0], streamedBody));
     }
 
     private void count(HttpServerExchange answered) {
-        tally.replied(only(answered.getRequestHeaders(), GRADE), reply(answered.getStatusCode()));
+        metrics.replySent(only(answered.getRequestHeaders(), GRADE), reply(answered.getStatusCode()));
     }
 
     private static boolean isTurnedAway(int status) {
@@ -404,82 +404,82 @@
 
     private void received(HttpServerExchange client, byte[] body) {
         client.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            Request x = exchange(client.getRequestHeaders());
+            Request request = exchange(client.getRequestHeaders());
             ClientConnections.Visitor visitor = client.getAttachment(VISITOR);
-            if (x == null || !visitor.began(only(client.getRequestHeaders(), TRACE), x)) {
+            if (request == null || !visitor.began(only(client.getRequestHeaders(), TRACE), request)) {
                 turnAway(client);
                 return;
             }
             visitor.whole();
             AbstractServerConnection connection = (AbstractServerConnection) client.getConnection();
             watchForClose(connection);
-            if (visitors.stoodStill()) {
+            if (clientConnections.stoodStill()) {
                 // Danger: what waited while the process stood still may have been left by its client since.
                 lookAhead(connection);
             }
-            PendingRequest taken = new PendingRequest(x, client, body, null);
-            visitor.answersOverdue = () -> answerOverdue(taken);
-            offer(taken);
+            PendingRequest pending = new PendingRequest(request, client, body, null);
+            visitor.answersOverdue = () -> answerOverdue(pending);
+            offer(pending);
         });
     }
 
     /** Fails a request that the decisions have not answered by its expiry, whatever keeps them. */
-    private void answerOverdue(PendingRequest taken) {
-        if (!awaits(taken)) {
+    private void answerOverdue(PendingRequest pending) {
+        if (!isClientWaiting(pending)) {
             return;
         }
-        Request x = taken.exchange();
-        x.ending = FailureReason.OVERDUE;
-        tally.answeredOverdue();
-        giveUp(taken.client(), false, 0);
-        owner.left(x);
+        Request request = pending.request();
+        request.failureReason = FailureReason.OVERDUE;
+        metrics.overdueRequestFailed();
+        failRequest(pending.exchange(), false, 0);
+        decisionLoop.clientLeft(request);
     }
 
     /** What is to be done before an exchange is decided; set before listening. */
-    public void first(Runnable task) {
-        first = task;
+    public void beforeEachRequest(Runnable task) {
+        beforeEachRequest = task;
     }
 
     /** Hands it to the decisions. Where they can't take it in time it waits, or is answered by their word. */
-    private void offer(PendingRequest taken) {
-        first.run();
-        Request x = taken.exchange();
-        double end = x.arrived + Math.min(x.expiry - x.arrived, x.terms.grade().contractTime());
+    private void offer(PendingRequest pending) {
+        beforeEachRequest.run();
+        Request request = pending.request();
+        double end = request.arrivedAt + Math.min(request.deadline - request.arrivedAt, request.terms.requestClass().latencyObjectiveSeconds());
         if (intake.takes()) {
-            owner.arrived(taken);
+            decisionLoop.requestArrived(pending);
             return;
         }
-        ShedThreshold shed = intake.isLong() ? owner.shed(x.grade, end - clock.now()) : null;
+        ShedThreshold shed = intake.isLong() ? decisionLoop.shedThreshold(request.requestClass, end - clock.now()) : null;
         if (shed == null) {
-            intake.waits(taken, end);
+            intake.waits(pending, end);
         } else {
-            x.ending = FailureReason.WAIT_TOO_LONG;
-            giveUp(taken.client(), true, shed.retryAfter());
+            request.failureReason = FailureReason.WAIT_TOO_LONG;
+            failRequest(pending.exchange(), true, shed.retryAfterSeconds());
         }
     }
 
     /** The decisions have room for more. */
-    public void decided(int exchanges, double seconds) {
+    public void requestsDecided(int exchanges, double seconds) {
         intake.decided(exchanges, seconds);
         for (PendingRequest next = intake.next(); next != null; next = intake.next()) {
-            owner.arrived(next);
+            decisionLoop.requestArrived(next);
         }
     }
 
     /** Null where a field is missing, malformed or there twice. */
     private Request exchange(HeaderMap headers) {
-        int grade = grades.index(only(headers, GRADE));
+        int requestClass = requestClasses.indexOf(only(headers, GRADE));
         int tenant = config.tenantNames().isEmpty() ? 0
                 : config.tenantNames().indexOf(only(headers, TENANT));
-        int milliseconds = HttpFieldRules.number(only(headers, BackendClient.EXPIRES), 9);
-        if (only(headers, TRACE).isEmpty() || grade < 0 || tenant < 0 || milliseconds < 0) {
+        int milliseconds = HttpFieldRules.number(only(headers, BackendClient.TIMEOUT_HEADER), 9);
+        if (only(headers, TRACE).isEmpty() || requestClass < 0 || tenant < 0 || milliseconds < 0) {
             return null;
         }
-        double arrived = visitors.arrival();
+        double arrived = clientConnections.arrival();
         double left = Math.min(Math.min(LONGEST, milliseconds) / 1e3, lastAnswers - arrived);
-        Request x = new Request(++taken, grade, tenant, arrived, left, only(headers, RETRY).equals("1"));
-        x.terms = terms[grade];
-        return x;
+        Request request = new Request(++taken, requestClass, tenant, arrived, left, only(headers, RETRY).equals("1"));
+        request.terms = terms[requestClass];
+        return request;
     }
 
     private static String only(HeaderMap headers, HttpString field) {
@@ -487,8 +487,8 @@
     }
 
     /** A client has gone whose exchange is open. */
-    private void left(Request x) {
-        owner.left(x);
+    private void left(Request request) {
+        decisionLoop.clientLeft(request);
     }
 
     /** Danger: Undertow reads nothing while an answer is awaited, so a client that goes is not seen. */
@@ -534,93 +534,93 @@
      * Whether its client is there and has no answer yet. Danger: whoever has closed is known to have gone
      * once its connection is read, and this may be asked before that where the I/O thread was held up.
      */
-    public boolean awaits(PendingRequest taken) {
-        if (isOpen(taken) && taken.client().isRequestComplete()) {
-            lookAhead((AbstractServerConnection) taken.client().getConnection());
+    public boolean isClientWaiting(PendingRequest pending) {
+        if (isOpen(pending) && pending.exchange().isRequestComplete()) {
+            lookAhead((AbstractServerConnection) pending.exchange().getConnection());
         }
-        return isOpen(taken);
+        return isOpen(pending);
     }
 
-    private static boolean isOpen(PendingRequest taken) {
-        return taken.client().getAttachment(VISITOR).exchange == taken.exchange()
-                && !taken.client().isResponseStarted();
+    private static boolean isOpen(PendingRequest pending) {
+        return pending.exchange().getAttachment(VISITOR).exchange == pending.request()
+                && !pending.exchange().isResponseStarted();
     }
 
     /** Passes a backend's answer on. */
-    public void deliver(PendingRequest taken, BackendResponse answer) {
-        HttpServerExchange client = taken.client();
-        client.getAttachment(VISITOR).brings(taken.exchange().terms.grade().benefit());
-        BackendClient.copy(answer.headers(), client.getResponseHeaders());
-        if (answer.rest() == null) {
-            answer(client, BackendResponse.OK, answer.body(), IoCallback.END_EXCHANGE);
+    public void deliver(PendingRequest pending, BackendResponse response) {
+        HttpServerExchange client = pending.exchange();
+        client.getAttachment(VISITOR).brings(pending.request().terms.requestClass().priorityWeight());
+        BackendClient.copyEndToEndHeaders(response.headers(), client.getResponseHeaders());
+        if (response.remainder() == null) {
+            answer(client, BackendResponse.OK, response.body(), IoCallback.END_EXCHANGE);
         } else {
-            pass(client, answer);
+            pass(client, response);
         }
     }
 
-    private void pass(HttpServerExchange client, BackendResponse answer) {
+    private void pass(HttpServerExchange client, BackendResponse response) {
         ClientConnections.Visitor visitor = client.getAttachment(VISITOR);
         if (!begin(client, BackendResponse.OK)) {
-            answer.rest().drop();
+            response.remainder().abandonResponse();
             return;
         }
-        if (answer.rest().declared() >= 0) {
-            client.setResponseContentLength(answer.rest().declared());
+        if (response.remainder().declared() >= 0) {
+            client.setResponseContentLength(response.remainder().declared());
         }
-        BodyRelay relay = new BodyRelay(new Begun(answer), client.getResponseChannel(), worker.getIoThread(),
-                new BodyRelay.Patience(config.door().stall(), 0), visitor::offered, whole -> {
+        BodyRelay relay = new BodyRelay(new Begun(response), client.getResponseChannel(), worker.getIoThread(),
+                new BodyRelay.Patience(config.connectionLimits().stall(), 0), visitor::offered, whole -> {
                     visitor.passing = null;
                     if (whole) {
-                        answer.rest().passed();
+                        response.remainder().passed();
                         client.endExchange();
                     } else {
                         // A visible break: the length is short, or the last chunk is missing.
-                        answer.rest().drop();
-                        tally.replied(only(client.getRequestHeaders(), GRADE), ProxyMetrics.Reply.ERROR);
+                        response.remainder().abandonResponse();
+                        metrics.replySent(only(client.getRequestHeaders(), GRADE), ProxyMetrics.Reply.ERROR);
                         IoUtils.safeClose(channel(client));
                     }
                 });
         visitor.passing = () -> {
             relay.stop();
-            answer.rest().drop();
+            response.remainder().abandonResponse();
         };
         relay.run();
     }
 
     /** A long answer from its beginning on. */
     private static final class Begun implements BodyChunks {
-        private final BackendResponse answer;
+        private final BackendResponse response;
         private boolean begun;
 
-        Begun(BackendResponse answer) {
-            this.answer = answer;
+        Begun(BackendResponse response) {
+            this.response = response;
         }
 
         @Override
         public ByteBuffer next() throws IOException {
             if (!begun) {
                 begun = true;
-                return ByteBuffer.wrap(answer.body());
+                return ByteBuffer.wrap(response.body());
             }
-            return answer.rest().next();
+            return response.remainder().next();
         }
 
         @Override
         public boolean isWhole() {
-            return begun && answer.rest().isWhole();
+            return begun && response.remainder().isWhole();
         }
 
         @Override
         public void awaitMore(Runnable then) {
-            answer.rest().awaitMore(then);
+            response.remainder().awaitMore(then);
         }
     }
 
     /** A shed answer promises that a retry is harmless; a scrapped one promises nothing. */
-    public void giveUp(HttpServerExchange client, boolean shed, double retryAfter) {
-        Request x = client.getAttachment(VISITOR).exchange;
-        if (x != null) {
-            endings.notServed(x, only(client.getRequestHeaders(), TRACE),
+    public void failRequest(HttpServerExchange client, boolean shed, double retryAfter) {
+        Request request = client.getAttachment(VISITOR).exchange;
+        if (request != null) {
+            endings.notServed(request, only(client.getRequestHeaders(), TRACE),
                     only(client.getRequestHeaders(), GRADE), shed, clock.now());
         }
         if (shed && retryAfter > 0) {
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -25,7 +25,7 @@
         void held(byte[] body);
 
         /** It can't be held to its end and is to be passed on. */
-        void passes(RequestBody upload);
+        void passes(RequestBody streamedBody);
 
         /** The last byte of one that is passed on has come. */
         void whole();
@@ -40,7 +40,7 @@
     private static final ByteBuffer END = ByteBuffer.wrap(new byte[] {'\r', '\n'});
 
     private final StreamSourceChannel channel;
-    private final BodyBufferBudget holding;
+    private final BodyBufferBudget bufferBudget;
     private final ByteBufferPool buffers;
     private final long longest;
     private final Hearer hearer;
@@ -58,12 +58,12 @@
     private boolean beyond, ended, given, failed;
     private Runnable released = () -> { };
 
-    RequestBody(HttpServerExchange client, BodyBufferBudget holding, ByteBufferPool buffers, long longest, double stall,
+    RequestBody(HttpServerExchange client, BodyBufferBudget bufferBudget, ByteBufferPool buffers, long longest, double stall,
             Hearer hearer) {
         this.stall = stall;
         channel = client.getRequestChannel();
         chunked = client.getRequestContentLength() < 0;
-        this.holding = holding;
+        this.bufferBudget = bufferBudget;
         this.buffers = buffers;
         this.longest = longest;
         this.hearer = hearer;
@@ -81,7 +81,7 @@
                 }
                 came += got;
                 buffer.flip();
-                if (!holding.takes(count, got)) {
+                if (!bufferBudget.takes(count, got)) {
                     loose = ByteBuffer.allocate(buffer.capacity()).put(buffer).flip();
                     channel.suspendReads();
                     hearer.passes(this);
@@ -196,7 +196,7 @@
 
     /** Its request is over: nothing is held any more. */
     void release() {
-        holding.letGo(count);
+        bufferBudget.letGo(count);
         count = 0;
         held = new byte[0];
         failed = true;
--- a/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
@@ -30,7 +30,7 @@
 
     /** The door's bounds for so many connections, where no file says otherwise. */
     static ConnectionLimits usual(int connections, Settings settings) {
-        double benefit = settings.grades().stream().mapToDouble(RequestClass::benefit)
+        double benefit = settings.requestClasses().stream().mapToDouble(RequestClass::priorityWeight)
                 .filter(each -> each > 0).average().orElse(1);
         return new ConnectionLimits((int) (SHARE * connections), (int) (LAST * connections), QUIET, EARLIEST,
                 ConnectionLimits.Sharing.CONNECTION, false, LEAST_RATE, benefit);
--- a/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
@@ -37,7 +37,7 @@
                 throw new InvalidSettingsException(file + ": " + each.getKey() + ": " + e.getMessage());
             }
         }
-        double window = settings.grades().stream().mapToDouble(g -> g.contractTime()).min().orElse(1);
+        double window = settings.requestClasses().stream().mapToDouble(g -> g.latencyObjectiveSeconds()).min().orElse(1);
         return place(config, pace * window, forget * window, part);
     }
 
--- a/src/main/java/lemondrift/proxy/config/ProxyConfig.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfig.java
@@ -29,10 +29,10 @@
  * operators' is null where there is none.
  */
 public record ProxyConfig(String name, InetSocketAddress listen, InetSocketAddress admin, InetSocketAddress discovery,
-        long seed, int sockets, long memory, Settings settings, List<String> gradeNames,
-        List<String> tenantNames, List<String> locations, List<String> reportNames, double idle,
-        double connectTimeout,
-        JsonObject known, Map<String, String> stated, ConnectionLimits door, GossipTransport.Place peers, RecoveryCoordinator.Plan recovery,
+        long seed, int sockets, long memoryBytes, Settings settings, List<String> requestClassNames,
+        List<String> tenantNames, List<String> locations, List<String> loadReportFields, double backendIdleSeconds,
+        double connectTimeoutSeconds,
+        JsonObject initialEndpoints, Map<String, String> statedKeys, ConnectionLimits connectionLimits, GossipTransport.Place gossip, RecoveryCoordinator.Plan recovery,
         Settings shadow) {
     private static final Logger LOG = LoggerFactory.getLogger(ProxyConfig.class);
     /** What is read once only, as a regular expression over the keys. */
@@ -44,57 +44,57 @@
     private static final int OTHERS = 40;
 
     /** How many connections the proxy may hold. */
-    public int connections() {
-        return connections(sockets);
+    public int maxConnections() {
+        return maxConnections(sockets);
     }
 
     /** The share of them that each of so many processes may hold, as each has descriptors of its own too. */
-    public double share(int processes) {
-        return processes == 1 ? 1 : (double) connections(sockets / processes) / connections(sockets);
+    public double connectionShare(int processes) {
+        return processes == 1 ? 1 : (double) maxConnections(sockets / processes) / maxConnections(sockets);
     }
 
-    private static int connections(int sockets) {
+    private static int maxConnections(int sockets) {
         return Math.max(OTHERS, sockets - OTHERS);
     }
 
-    private ProxyConfig with(InetSocketAddress admin, ConnectionLimits door, GossipTransport.Place peers, RecoveryCoordinator.Plan recovery,
+    private ProxyConfig with(InetSocketAddress admin, ConnectionLimits connectionLimits, GossipTransport.Place peers, RecoveryCoordinator.Plan recovery,
             Settings shadow) {
-        return new ProxyConfig(name, listen, admin, discovery, seed, sockets, memory, settings, gradeNames,
-                tenantNames, locations, reportNames, idle, connectTimeout, known, stated, door, peers,
+        return new ProxyConfig(name, listen, admin, discovery, seed, sockets, memoryBytes, settings, requestClassNames,
+                tenantNames, locations, loadReportFields, backendIdleSeconds, connectTimeoutSeconds, initialEndpoints, statedKeys, connectionLimits, peers,
                 recovery, shadow);
     }
 
     /** The same without the list of before, which is thousands of lines on a large fleet. */
-    public ProxyConfig withoutKnown() {
-        return new ProxyConfig(name, listen, admin, discovery, seed, sockets, memory, settings, gradeNames,
-                tenantNames, locations, reportNames, idle, connectTimeout, none(), stated, door, peers,
+    public ProxyConfig withoutInitialEndpoints() {
+        return new ProxyConfig(name, listen, admin, discovery, seed, sockets, memoryBytes, settings, requestClassNames,
+                tenantNames, locations, loadReportFields, backendIdleSeconds, connectTimeoutSeconds, none(), statedKeys, connectionLimits, gossip,
                 recovery, shadow);
     }
 
     /** The same with another door. */
     public ProxyConfig with(ConnectionLimits other) {
-        return with(other, peers, recovery);
+        return with(other, gossip, recovery);
     }
 
-    private ProxyConfig with(ConnectionLimits door, GossipTransport.Place peers, RecoveryCoordinator.Plan recovery) {
-        return with(admin, door, peers, recovery, shadow);
+    private ProxyConfig with(ConnectionLimits connectionLimits, GossipTransport.Place peers, RecoveryCoordinator.Plan recovery) {
+        return with(admin, connectionLimits, peers, recovery, shadow);
     }
 
     /** The same with settings that are watched. */
-    public ProxyConfig watching(Settings other) {
-        return with(admin, door, peers, recovery, other);
+    public ProxyConfig withShadow(Settings other) {
+        return with(admin, connectionLimits, gossip, recovery, other);
     }
 
     /** The same with an operators' address. */
-    ProxyConfig operatedAt(InetSocketAddress other) {
-        return with(other, door, peers, recovery, shadow);
+    ProxyConfig withAdminAddress(InetSocketAddress other) {
+        return with(other, connectionLimits, gossip, recovery, shadow);
     }
 
     /** What the files named in an environment say: PROXY_CONFIG, and the others where there are any. */
     public static ProxyConfig read(Map<String, String> environment) throws IOException {
         JsonObject json = ConfigFile.read(environment);
         ProxyConfig config = read(json);
-        config = config.with(door(environment, config), peers(environment, config, json),
+        config = config.with(connectionLimits(environment, config), gossip(environment, config, json),
                 recovery(environment, config));
         return config.named(environment, json);
     }
@@ -106,11 +106,11 @@
      */
     public static ProxyConfig readAgain(Map<String, String> environment, ProxyConfig running) throws IOException {
         JsonObject json = ConfigFile.readWithoutKnown(environment);
-        ProxyConfig config = read(json).with(running.door, running.peers, running.recovery)
+        ProxyConfig config = read(json).with(running.connectionLimits, running.gossip, running.recovery)
                 .named(environment, json);
         try {
-            door(environment, config);
-            peers(environment, config, json);
+            connectionLimits(environment, config);
+            gossip(environment, config, json);
             recovery(environment, config);
         } catch (IOException | RuntimeException e) {
             LOG.warn("would keep the next start from serving: {}", e.toString().replace('\n', ' '));
@@ -118,12 +118,12 @@
         return config;
     }
 
-    private static ConnectionLimits door(Map<String, String> environment, ProxyConfig config) throws IOException {
+    private static ConnectionLimits connectionLimits(Map<String, String> environment, ProxyConfig config) throws IOException {
         String file = environment.get("PROXY_DOOR");
-        return file == null ? config.door : ConnectionSettingsFile.read(Path.of(file), config.door);
+        return file == null ? config.connectionLimits : ConnectionSettingsFile.read(Path.of(file), config.connectionLimits);
     }
 
-    private static GossipTransport.Place peers(Map<String, String> environment, ProxyConfig config, JsonObject json)
+    private static GossipTransport.Place gossip(Map<String, String> environment, ProxyConfig config, JsonObject json)
             throws IOException {
         String file = environment.get("PROXY_PEERS");
         return file == null ? null : GossipSettingsFile.read(Path.of(file), config.settings, json);
@@ -133,14 +133,14 @@
     private static RecoveryCoordinator.Plan recovery(Map<String, String> environment, ProxyConfig config) throws IOException {
         String file = environment.get("PROXY_RECOVERY");
         return file == null || file.isEmpty() ? null
-                : RecoverySettingsFile.read(Path.of(file), config.settings.window());
+                : RecoverySettingsFile.read(Path.of(file), config.settings.windowSeconds());
     }
 
     /** With what else the environment names: the operators' address and what is watched. */
     private ProxyConfig named(Map<String, String> environment, JsonObject json) throws IOException {
         String other = environment.get("PROXY_ADMIN_ADDR"), shadow = environment.get("PROXY_SHADOW");
-        ProxyConfig config = other == null ? this : operatedAt(address("PROXY_ADMIN_ADDR", other));
-        return shadow == null ? config : config.watching(ShadowSettingsFile.read(Path.of(shadow), json));
+        ProxyConfig config = other == null ? this : withAdminAddress(address("PROXY_ADMIN_ADDR", other));
+        return shadow == null ? config : config.withShadow(ShadowSettingsFile.read(Path.of(shadow), json));
     }
 
     public static ProxyConfig read(String json) {
@@ -172,15 +172,15 @@
                 json.has("admin_addr") ? address("admin_addr", all.text("admin_addr", null)) : null,
                 address("discovery", all.text("discovery", null)), seed(all.text("seed", "0")),
                 sockets, (long) (all.number("limits.memory_mb", 192) * (1 << 20)), settings,
-                gradeNames(inner),
+                requestClassNames(inner),
                 names(inner, "realms"), reader.list("localities"), reader.list("report.names"),
                 reader.number("limits.connIdle", 10_000) / 1000,
-                reader.number("limits.connectTimeout", 250) / 1000, known(json), pairs,
-                ConnectionSettingsFile.usual(connections(sockets), settings), null, null, null);
+                reader.number("limits.connectTimeout", 250) / 1000, initialEndpoints(json), pairs,
+                ConnectionSettingsFile.usual(maxConnections(sockets), settings), null, null, null);
     }
 
     /** Danger: where lists come on request, a proxy that is told of none would never ask for one. */
-    private static JsonObject known(JsonObject json) {
+    private static JsonObject initialEndpoints(JsonObject json) {
         return json.has("known") ? json.getAsJsonObject("known") : none();
     }
 
@@ -191,8 +191,8 @@
         return none;
     }
 
-    public double longestExpiry() {
-        return settings.live().mapToDouble(RequestClass::expiry).max().orElse(1);
+    public double longestTimeoutSeconds() {
+        return settings.activeClasses().mapToDouble(RequestClass::timeoutSeconds).max().orElse(1);
     }
 
     /**
@@ -200,12 +200,12 @@
      * would fall back to what holds where nothing is said.
      */
     public void requireAllOf(ProxyConfig running) {
-        for (String key : running.stated.keySet()) {
+        for (String key : running.statedKeys.keySet()) {
             // Of a list's entries each has to have what all had; there may be fewer of them.
-            boolean all = IntStream.range(0, running.count(key)).allMatch(i -> running.stated.containsKey(
+            boolean all = IntStream.range(0, running.count(key)).allMatch(i -> running.statedKeys.containsKey(
                     at(key, i)));
             for (int i = 0; all && i < count(key); i++) {
-                if (!stated.containsKey(at(key, i))) {
+                if (!statedKeys.containsKey(at(key, i))) {
                     throw new InvalidSettingsException(at(key, i) + ": missing, and the running configuration has it");
                 }
             }
@@ -215,7 +215,7 @@
     /** How many entries the list has that a key lies in; 1 where it lies in none. */
     private int count(String key) {
         String[] parts = key.split(PLACE, 2);
-        return parts.length == 1 ? 1 : Integer.parseInt(stated.getOrDefault(parts[0] + ".count", "0"));
+        return parts.length == 1 ? 1 : Integer.parseInt(statedKeys.getOrDefault(parts[0] + ".count", "0"));
     }
 
     private static String at(String key, int place) {
@@ -223,13 +223,13 @@
     }
 
     /** The keys that differ from the running configuration's, and hold only from the next start on. */
-    public List<String> changesAtAStart(ProxyConfig running) {
-        return Stream.concat(stated.keySet().stream(), running.stated.keySet().stream()).distinct().sorted()
+    public List<String> keysAppliedAtStart(ProxyConfig running) {
+        return Stream.concat(statedKeys.keySet().stream(), running.statedKeys.keySet().stream()).distinct().sorted()
                 .filter(key -> key.matches(AT_A_START))
-                .filter(key -> !Objects.equals(stated.get(key), running.stated.get(key))).toList();
+                .filter(key -> !Objects.equals(statedKeys.get(key), running.statedKeys.get(key))).toList();
     }
 
-    private static List<String> gradeNames(Map<String, String> pairs) {
+    private static List<String> requestClassNames(Map<String, String> pairs) {
         List<String> names = names(pairs, "serviceGrades");
         for (int i = 0; i < names.size(); i++) {
             String key = "setting serviceGrades." + i + ".name: ";
--- a/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -26,7 +26,7 @@
         private InetSocketAddress address;
         private boolean gone, moved, logged;
         /** The last that was read of it. */
-        private EndpointUpdate line;
+        private EndpointUpdate update;
         private int held, location, cell;
         /** The number of the list that has named it last. */
         private int namedBy;
@@ -43,7 +43,7 @@
     private final Map<InetSocketAddress, Set<Entry>> byAddress = new HashMap<>();
     /** Indexes of those that have gone and that nothing speaks of any more. */
     private final TreeSet<Integer> free = new TreeSet<>();
-    private int listed, held, lists;
+    private int listedCount, referenceCount, lists;
 
     public BackendDirectory(List<String> locations) {
         this.locations = locations;
@@ -58,8 +58,8 @@
     }
 
     /** How many backends the list has, draining ones too. */
-    public int listed() {
-        return listed;
+    public int listedCount() {
+        return listedCount;
     }
 
     /** How many indexes have been given out. */
@@ -75,12 +75,12 @@
     }
 
     /** How often something speaks of any of them. */
-    public int held() {
-        return held;
+    public int referenceCount() {
+        return referenceCount;
     }
 
     /** Something speaks of the backend by its index, which stands for it until it is let go. */
-    public void hold(int backend) {
+    public void retain(int backend) {
         Entry entry = entries.get(backend);
         if (!entry.logged) {
             // Once it is used, not when it is listed: a line for each of thousands would fill the log.
@@ -88,14 +88,14 @@
             LOG.info("backend {} is {} at {}", backend, entry.id, entry.address);
         }
         entry.held++;
-        held++;
+        referenceCount++;
         keepFree(entry);
     }
 
-    public void letGo(int backend) {
+    public void release(int backend) {
         Entry entry = entries.get(backend);
         entry.held--;
-        held--;
+        referenceCount--;
         keepFree(entry);
     }
 
@@ -125,10 +125,10 @@
 
     /** Whether all that a line says is known. */
     private boolean says(Entry entry, EndpointList.Member member) {
-        return entry.line != null && entry.line.state() == member.state()
+        return entry.update != null && entry.update.state() == member.state()
                 && (member.address() == null || member.address().equals(entry.address))
                 && location(entry, member) == entry.location && cell(entry, member) == entry.cell
-                && entry.line.started() == member.started() && entry.line.size() == member.size();
+                && entry.update.startedAt() == member.started() && entry.update.weight() == member.size();
     }
 
     private int location(Entry entry, EndpointList.Member member) {
@@ -152,14 +152,14 @@
     }
 
     /** Follows what a line says, and adds what the decisions are to hear of it. */
-    void follow(EndpointList.Member member, List<EndpointUpdate> lines) {
+    void follow(EndpointList.Member member, List<EndpointUpdate> updates) {
         Entry entry = byId.get(member.id());
         boolean fresh = entry == null;
         if (fresh) {
             if (member.state() == EndpointUpdate.State.READY) {
                 // Danger: what is sent to one that was here before would reach this one under its name.
                 for (Entry former : List.copyOf(byAddress.getOrDefault(member.address(), Set.of()))) {
-                    lines.add(gone(former));
+                    updates.add(gone(former));
                 }
             }
             entry = entry(member.id());
@@ -170,15 +170,15 @@
                 member.address() != null ? member.address() : entry.address);
         entry.location = location(entry, member);
         entry.cell = cell(entry, member);
-        entry.line = new EndpointUpdate(entry.index, fresh, entry.location, entry.cell, member.state(),
+        entry.update = new EndpointUpdate(entry.index, fresh, entry.location, entry.cell, member.state(),
                 member.started(), member.size());
-        lines.add(entry.line);
+        updates.add(entry.update);
     }
 
     private EndpointUpdate gone(Entry entry) {
         settle(entry, true, entry.address);
-        entry.line = new EndpointUpdate(entry.index, false, entry.location, entry.cell, EndpointUpdate.State.GONE, 0);
-        return entry.line;
+        entry.update = new EndpointUpdate(entry.index, false, entry.location, entry.cell, EndpointUpdate.State.GONE, 0);
+        return entry.update;
     }
 
     /** Whether it is there, and where; all that goes by either is kept in step. */
@@ -189,7 +189,7 @@
                 return same.isEmpty() ? null : same;
             });
         }
-        listed += (gone ? 0 : 1) - (entry.gone ? 0 : 1);
+        listedCount += (gone ? 0 : 1) - (entry.gone ? 0 : 1);
         entry.gone = gone;
         entry.address = address;
         if (!gone && address != null) {
@@ -212,7 +212,7 @@
             entries.set(place, entry);
         }
         byId.put(id, entry);
-        listed++;
+        listedCount++;
         return entry;
     }
 }
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -18,7 +18,7 @@
     private final BackendDirectory directory;
     private final EndpointList list;
     private final boolean stale;
-    private final Runnable applied;
+    private final Runnable notifyApplied;
     private final List<EndpointList.Member> withdrawn = new ArrayList<>(), added = new ArrayList<>();
     private final List<Integer> absent = new ArrayList<>();
     private Step step = Step.LOOK_AT_LINES;
@@ -31,7 +31,7 @@
         this.directory = directory;
         this.list = list;
         this.stale = stale;
-        this.applied = applied;
+        this.notifyApplied = applied;
     }
 
     public boolean isStale() {
@@ -47,12 +47,12 @@
         return step == Step.DONE;
     }
 
-    public void applied() {
-        applied.run();
+    public void notifyApplied() {
+        notifyApplied.run();
     }
 
     /** The next lines for the decisions, perhaps none. */
-    public List<EndpointUpdate> slice() {
+    public List<EndpointUpdate> nextSlice() {
         List<EndpointUpdate> told = new ArrayList<>();
         number = slices++ == 0 ? directory.nextList() : number;
         for (int left = SLICE; left > 0 && step != Step.DONE; ) {
@@ -108,7 +108,7 @@
     }
 
     /** For the log. */
-    public String told() {
+    public String summary() {
         return "revision=" + list.revision() + " whole=" + list.complete() + " lines="
                 + list.members().size() + " unreadable=" + list.unreadable().size() + " absent="
                 + absent.size() + " withdrawn=" + withdrawn.size() + " new_or_changed=" + added.size()
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -42,9 +42,9 @@
     private final MonotonicClock clock;
     private final XnioIoThread io;
     private final XnioWorker worker;
-    private final BackendConnector dial;
+    private final BackendConnector connector;
     private final ByteBufferPool buffers;
-    private final DecisionLoop owner;
+    private final DecisionLoop decisionLoop;
     private final boolean onRequest;
     /** The first call has ended, with a list or without. */
     private final CountDownLatch first = new CountDownLatch(1);
@@ -52,27 +52,27 @@
     private boolean stopped, failing;
     /** An answer is read by the worker. */
     private boolean reading;
-    private ConnectionPool links;
+    private ConnectionPool pool;
     private BackendCall call;
 
-    public EndpointListWatch(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector dial, ByteBufferPool buffers,
-            DecisionLoop owner) {
+    public EndpointListWatch(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector connector, ByteBufferPool buffers,
+            DecisionLoop decisionLoop) {
         this.clock = clock;
         this.io = io;
         worker = io.getWorker();
-        this.dial = dial;
+        this.connector = connector;
         this.buffers = buffers;
-        this.owner = owner;
-        onRequest = config.settings().listOnRequest();
-        links = links(config.discovery());
+        this.decisionLoop = decisionLoop;
+        onRequest = config.settings().pollsEndpointList();
+        pool = links(config.discovery());
     }
 
     private ConnectionPool links(InetSocketAddress discovery) {
-        return new ConnectionPool(discovery, io, dial, buffers, clock, new ConnectionPool.Budget(4), 4, ConnectionPool.Rest.NONE);
+        return new ConnectionPool(discovery, io, connector, buffers, clock, new ConnectionPool.Budget(4), 4, ConnectionPool.Rest.NONE);
     }
 
     /** Where lists are told unasked the watch runs from the start; elsewhere the decisions begin it. */
-    public void begin() {
+    public void start() {
         if (!onRequest) {
             call();
         }
@@ -92,7 +92,7 @@
     }
 
     /** Leaves discovery for another address. Danger: the old one's late answer would undo the new one's. */
-    public void move(InetSocketAddress discovery) {
+    public void moveTo(InetSocketAddress discovery) {
         if (stopped) {
             return;
         }
@@ -101,15 +101,15 @@
             call = null;
         }
         reading = false;
-        links.retire();
-        links = links(discovery);
+        pool.retire();
+        pool = links(discovery);
         // Danger: the new one may count its revisions otherwise and never tell what the old one had not.
         revision = -1;
         call();
     }
 
-    public void asked(Decision.ListCall call) {
-        if (call == Decision.ListCall.WHOLE) {
+    public void listRequested(Decision.ListCall call) {
+        if (call == Decision.ListCall.FULL) {
             revision = -1;
         }
         call();
@@ -122,7 +122,7 @@
         double hold = onRequest ? COSTLY_HOLD : HOLD;
         String path = "/v1/servers" + (revision < 0 ? "" : "?from=" + revision + "&hold_ms="
                 + Math.round(hold * 1000));
-        call = BackendCall.make(links, BackendCall.get(path, links.address.getHostString()), MOST_LIST, AT_ONCE,
+        call = BackendCall.make(pool, BackendCall.get(path, pool.address.getHostString()), MOST_LIST, AT_ONCE,
                 revision < 0 ? AT_ONCE : hold + SLACK, this::answered);
         if (call == null) {
             failed("no connection free");
@@ -138,15 +138,15 @@
         }
     }
 
-    private void answered(BackendResponse answer) {
+    private void answered(BackendResponse response) {
         call = null;
-        if (answer.status() != BackendResponse.OK) {
-            failed("status " + answer.status());
+        if (response.status() != BackendResponse.OK) {
+            failed("status " + response.status());
             return;
         }
         reading = true;
-        ConnectionPool from = links;
-        EndpointListParser parser = new EndpointListParser(answer.body());
+        ConnectionPool from = pool;
+        EndpointListParser parser = new EndpointListParser(response.body());
         hand(worker, () -> read(parser, from));
     }
 
@@ -175,10 +175,10 @@
 
     /** Danger: what comes of an address that was left since would undo what the new one says. */
     private boolean isOfLate(ConnectionPool from) {
-        if (from == links) {
+        if (from == pool) {
             reading = false;
         }
-        return stopped || from != links;
+        return stopped || from != pool;
     }
 
     private void told(EndpointList list, ConnectionPool from) {
@@ -190,7 +190,7 @@
             LOG.info("list of revision {}, lines: {}", revision, list.members().size());
         }
         failing = false;
-        owner.listed(list, false, first::countDown);
+        decisionLoop.endpointListReceived(list, false, first::countDown);
         // Danger: a later call than 200 ms begins a new watch, and what changed before it counts as told.
         call();
     }
@@ -210,7 +210,7 @@
         failing = true;
         first.countDown();
         if (onRequest) {
-            owner.listFailed();
+            decisionLoop.endpointListFailed();
         } else {
             io.executeAfter(this::call, Math.round(PAUSE * 1e9), TimeUnit.NANOSECONDS);
         }
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -22,7 +22,7 @@
     private final BackendDirectory directory;
     private final int self;
     private final SubsetAssignment subsets;
-    private final LoadGossip holdings;
+    private final LoadGossip gossip;
     /** What has come and is not handled yet. */
     private final Queue<Told> told = new ConcurrentLinkedQueue<>();
     private final Map<Integer, Integer> byTag = new HashMap<>();
@@ -34,73 +34,73 @@
         this.directory = directory;
         self = place.self();
         subsets = new SubsetAssignment(place.proxies().size(), place.part());
-        holdings = new LoadGossip(place.proxies().size(), self, start, place.pace(), place.forget(), subsets,
+        gossip = new LoadGossip(place.proxies().size(), self, start, place.pace(), place.forget(), subsets,
                 this::changed);
     }
 
     private void changed(int tag) {
         Integer backend = byTag.get(tag);
         if (backend != null) {
-            balancer.othersHold(backend, holdings.others(tag));
+            balancer.peerLoadReported(backend, gossip.peerLoad(tag));
         }
     }
 
     /** Danger: the owner is not woken, as what others have out matters only when it decides. Any thread. */
-    public void told(int from, byte[] datagram) {
+    public void received(int from, byte[] datagram) {
         told.add(new Told(from, datagram));
     }
 
-    public void hear(double now) {
+    public void processReceived(double now) {
         for (Told next = told.poll(); next != null; next = told.poll()) {
-            holdings.told(next.from, next.datagram, now);
+            gossip.receive(next.from, next.datagram, now);
         }
-        holdings.forget(now);
-        balancer.othersHeard(holdings.heard(now) > 0);
+        gossip.expireSilentPeers(now);
+        balancer.peersHeard(gossip.livePeerCount(now) > 0);
     }
 
     /** Tags changed lines of the list and adds this proxy's scores and whose subset changes with them. */
-    public List<EndpointUpdate> assigned(List<EndpointUpdate> lines) {
-        for (EndpointUpdate line : lines) {
-            int backend = line.backend();
+    public List<EndpointUpdate> withSubsets(List<EndpointUpdate> updates) {
+        for (EndpointUpdate update : updates) {
+            int backend = update.backend();
             if (backend >= tags.length) {
                 tags = Arrays.copyOf(tags, Math.max(2 * tags.length, backend + 1));
             }
             byTag.remove(tags[backend], backend);
             tags[backend] = LoadGossip.tag(directory.id(backend));
-            if (line.state() == EndpointUpdate.State.READY) {
+            if (update.state() == EndpointUpdate.State.READY) {
                 byTag.put(tags[backend], backend);
             }
         }
-        return subsets.assigned(self, false, lines, backend -> tags[backend]);
+        return subsets.assigned(self, false, updates, backend -> tags[backend]);
     }
 
     /** The decisions have been told of a list. */
-    public void listed(List<EndpointUpdate> lines) {
-        lines.forEach(line -> balancer.othersHold(line.backend(), holdings.others(tags[line.backend()])));
+    public void endpointsApplied(List<EndpointUpdate> updates) {
+        updates.forEach(update -> balancer.peerLoadReported(update.backend(), gossip.peerLoad(tags[update.backend()])));
     }
 
-    public void sent(int backend) {
-        holdings.sent(tags[backend]);
+    public void attemptSent(int backend) {
+        gossip.attemptSent(tags[backend]);
     }
 
-    public void ended(int backend, AttemptOutcome outcome, double now) {
-        if (outcome.mayRunOn) {
-            holdings.givenUp(tags[backend], now);
+    public void attemptEnded(int backend, AttemptOutcome outcome, double now) {
+        if (outcome.mayStillRun) {
+            gossip.attemptAbandoned(tags[backend], now);
         } else {
-            holdings.ended(tags[backend]);
+            gossip.attemptEnded(tags[backend]);
         }
     }
 
     /** Another proxy has started anew: what its former self had out is over. */
-    public void startedAnew(int proxy, long start) {
-        holdings.startedAnew(proxy, start);
+    public void peerRestarted(int proxy, long start) {
+        gossip.peerRestarted(proxy, start);
     }
 
-    public double tellAt() {
-        return holdings.tellAt();
+    public double nextSendAt() {
+        return gossip.nextSendAt();
     }
 
-    public List<LoadGossip.Telling> tellings(double now) {
-        return holdings.tellings(now);
+    public List<LoadGossip.Telling> dueMessages(double now) {
+        return gossip.dueMessages(now);
     }
 }
--- a/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
@@ -32,24 +32,24 @@
             double forget, int part) {}
 
     private final Place place;
-    private final DecisionLoop owner;
+    private final DecisionLoop decisionLoop;
     private final Map<SocketAddress, Integer> numbers = new HashMap<>();
-    private final ByteBuffer buffer = ByteBuffer.allocate(LoadGossip.MOST_BYTES + 1);
+    private final ByteBuffer buffer = ByteBuffer.allocate(LoadGossip.MAX_DATAGRAM_BYTES + 1);
     private final SocketAddressBuffer sender = new SocketAddressBuffer();
     private MulticastMessageChannel channel;
     private XnioExecutor.Key timer;
     private boolean failed;
 
-    public GossipTransport(Place place, DecisionLoop owner) {
+    public GossipTransport(Place place, DecisionLoop decisionLoop) {
         this.place = place;
-        this.owner = owner;
+        this.decisionLoop = decisionLoop;
         for (int i = 0; i < place.proxies.size(); i++) {
             numbers.put(place.proxies.get(i), i);
         }
     }
 
     /** Danger: a proxy that can't hear the others can still serve. */
-    public void begin(XnioWorker worker) {
+    public void start(XnioWorker worker) {
         try {
             channel = worker.createUdpServer(place.listen, OptionMap.EMPTY);
         } catch (IOException e) {
@@ -73,10 +73,10 @@
             for (int got = channel.receiveFrom(sender, buffer.clear()); got > 0;
                     got = channel.receiveFrom(sender, buffer.clear())) {
                 Integer from = numbers.get(sender.getSourceAddress());
-                if (from != null && got <= LoadGossip.MOST_BYTES) {
+                if (from != null && got <= LoadGossip.MAX_DATAGRAM_BYTES) {
                     byte[] datagram = new byte[got];
                     buffer.flip().get(datagram);
-                    owner.told(from, datagram);
+                    decisionLoop.datagramReceived(from, datagram);
                 }
             }
         } catch (IOException | RuntimeException e) {
@@ -84,7 +84,7 @@
         }
     }
 
-    public void tell(LoadGossip.Telling telling) {
+    public void send(LoadGossip.Telling telling) {
         if (channel == null) {
             return;
         }
--- a/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
@@ -56,19 +56,19 @@
             }
             ServerSocketChannel given = given(environment.get("PROXY_INHERITED_FD"));
             XnioWorker worker = serving ? ProxyServer.worker() : null;
-            TakeoverLock meeting = given == null ? null : meeting(environment.get("TMPDIR"), config.name());
+            TakeoverLock takeoverLock = given == null ? null : meeting(environment.get("TMPDIR"), config.name());
             // Before the rehearsal, so that who asks meanwhile hears that it is not ready.
-            AdminServer admin = serving && config.admin() != null ? new AdminServer(config.admin(), worker) : null;
+            AdminServer adminServer = serving && config.admin() != null ? new AdminServer(config.admin(), worker) : null;
             rehearse(config);
             if (serving) {
                 proxy.set(new ProxyServer(config, worker));
-                if (meeting != null) {
-                    proxy.get().meets(meeting);
+                if (takeoverLock != null) {
+                    proxy.get().watchOtherProcesses(takeoverLock);
                 }
                 LOG.info("{} starts, listens on {}", config.name(), config.listen());
                 proxy.get().serve(given);
-                if (admin != null) {
-                    admin.operates(proxy.get().operated());
+                if (adminServer != null) {
+                    adminServer.operates(proxy.get().adminOperations());
                 }
                 if (hungUp.get()) {
                     // The file may have been replaced after it was read for this start.
@@ -84,9 +84,9 @@
 
     /** Others are to know of this process as soon as it starts, so that they make room. */
     private static TakeoverLock meeting(String folder, String name) {
-        TakeoverLock meeting = new TakeoverLock(Path.of(folder == null ? "/tmp" : folder), name);
-        meeting.look();
-        return meeting;
+        TakeoverLock takeoverLock = new TakeoverLock(Path.of(folder == null ? "/tmp" : folder), name);
+        takeoverLock.look();
+        return takeoverLock;
     }
 
     /** The listening socket that the platform holds; null where it holds none. */
@@ -105,14 +105,14 @@
      * Danger: two hang-ups in a row have a thread each, and the older file must not be followed last. An
      * archive that was replaced under a running program may lack a class; that is a failed reload too.
      */
-    private static synchronized void reload(ProxyServer proxy, Map<String, String> environment) {
-        if (proxy == null) {
+    private static synchronized void reload(ProxyServer proxyServer, Map<String, String> environment) {
+        if (proxyServer == null) {
             return;
         }
         try {
-            proxy.reload(ProxyConfig.readAgain(environment, proxy.config()));
+            proxyServer.reload(ProxyConfig.readAgain(environment, proxyServer.config()));
         } catch (IOException | RuntimeException | LinkageError e) {
-            proxy.reloadFailed();
+            proxyServer.reloadFailed();
             LOG.warn("new configuration not used, the old one stays: {}", e.toString().replace('\n', ' '));
         }
     }
@@ -145,10 +145,10 @@
         }
     }
 
-    private static void end(ProxyServer proxy, AsyncLog log) {
+    private static void end(ProxyServer proxyServer, AsyncLog log) {
         try {
-            if (proxy != null) {
-                proxy.drain();
+            if (proxyServer != null) {
+                proxyServer.drain();
             }
         } catch (InterruptedException | RuntimeException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
@@ -51,18 +51,18 @@
     public static boolean play(ProxyConfig config) throws IOException, InterruptedException {
         XnioWorker worker = ProxyServer.worker();
         Warmup rehearsal = new Warmup(config, worker);
-        ProxyServer proxy = new ProxyServer(config, worker, rehearsal::dial);
-        proxy.rehearse(rehearsal.list());
+        ProxyServer proxyServer = new ProxyServer(config, worker, rehearsal::dial);
+        proxyServer.startWithoutListener(rehearsal.list());
         worker.getIoThread().execute(() -> {
             for (int i = 0; i < CLIENTS; i++) {
-                rehearsal.client(proxy);
+                rehearsal.client(proxyServer);
             }
         });
         rehearsal.left.await((long) (MOST * 1e3), TimeUnit.MILLISECONDS);
         // Danger: forwards that are begun while the threads end would each leave a trace in the log.
         rehearsal.over = true;
         boolean quiet = rehearsal.quiet.await((long) (LAST * 1e3), TimeUnit.MILLISECONDS);
-        proxy.close();
+        proxyServer.close();
         LOG.info("rehearsed, {} exchanges", EXCHANGES - rehearsal.left.getCount());
         return quiet;
     }
@@ -99,13 +99,13 @@
     /** Danger: the same report each time would be taken for an old one, and nobody would be asked. */
     private String answer() {
         double load = 0.1 + ++told % 1000 / 1e4;
-        String report = config.reportNames().stream().map(name -> name + "=" + load)
+        String report = config.loadReportFields().stream().map(name -> name + "=" + load)
                 .collect(Collectors.joining(", ", "TEXT ", ""));
         return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: " + report + "\r\nContent-Length: "
                 + report.length() + "\r\n\r\n" + report;
     }
 
-    private void client(ProxyServer proxy) {
+    private void client(ProxyServer proxyServer) {
         try {
             ChannelPipe<StreamConnection, StreamConnection> pipe = worker.createFullDuplexPipeConnection();
             talk(pipe.getLeftSide(), answer -> {
@@ -117,18 +117,18 @@
                 return request();
             });
             write(pipe.getLeftSide(), request());
-            proxy.accept(pipe.getRightSide());
+            proxyServer.accept(pipe.getRightSide());
         } catch (IOException e) {
             left.countDown();
         }
     }
 
     private String request() {
-        int grade = (int) (++sent % config.gradeNames().size());
+        int requestClass = (int) (++sent % config.requestClassNames().size());
         String tenant = config.tenantNames().isEmpty() ? "" : config.tenantNames().get(0);
-        boolean pure = config.settings().grades().get(grade).effect() == Idempotency.PURE;
+        boolean pure = config.settings().requestClasses().get(requestClass).idempotency() == Idempotency.IDEMPOTENT;
         return (pure ? "GET" : "POST") + " /rehearsal HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + sent
-                + "\r\nX-Qos: " + config.gradeNames().get(grade) + "\r\nX-Customer: " + tenant
+                + "\r\nX-Qos: " + config.requestClassNames().get(requestClass) + "\r\nX-Customer: " + tenant
                 + "\r\nX-Expires-In-Ms: 5000\r\n" + (pure ? "\r\n" : "Content-Length: 1\r\n\r\nx");
     }
 
--- a/src/main/java/lemondrift/proxy/logging/FailureLog.java
+++ b/src/main/java/lemondrift/proxy/logging/FailureLog.java
@@ -11,16 +11,16 @@
     /** So many requests have a line of their own in one second. */
     private static final int MOST = 5;
 
-    private final ProxyMetrics tally;
+    private final ProxyMetrics metrics;
     private double secondBegan = Double.NEGATIVE_INFINITY;
     private int inThisSecond;
 
-    public FailureLog(ProxyMetrics tally) {
-        this.tally = tally;
+    public FailureLog(ProxyMetrics metrics) {
+        this.metrics = metrics;
     }
 
     /** A request is rejected, which promises that a retry is harmless, or failed. */
-    public void notServed(Request x, String trace, String requestClass, boolean rejected, double now) {
+    public void notServed(Request request, String trace, String requestClass, boolean rejected, double now) {
         if (now >= secondBegan + 1) {
             endsSecond();
             secondBegan = now;
@@ -28,15 +28,15 @@
         if (++inThisSecond <= MOST) {
             LOG.info("not served trace=" + trace + " class=" + requestClass
                     + (rejected ? " rejected=" : " failed=")
-                    + x.ending + " attempts=" + x.forwards + " age_ms=" + milliseconds(now - x.arrived)
-                    + " left_ms=" + milliseconds(x.expiry - now));
+                    + request.failureReason + " attempts=" + request.attemptCount + " age_ms=" + milliseconds(now - request.arrivedAt)
+                    + " left_ms=" + milliseconds(request.deadline - now));
         }
     }
 
     private void endsSecond() {
         if (inThisSecond > MOST) {
             LOG.info("not served, and not logged: {} requests; overdue so far: {}", inThisSecond - MOST,
-                    tally.overdue());
+                    metrics.overdueRequestCount());
         }
         inThisSecond = 0;
     }
--- a/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -53,24 +53,24 @@
     private final LoadBalancer balancer;
     private final BackendDirectory directory;
     private final MonotonicClock clock;
-    private final ProxyActions hands;
+    private final ProxyActions actions;
     private final Map<Request, PendingRequest> open = new HashMap<>();
     private final Thread thread = new Thread(this::run, "owner");
-    private final EventLoopMetrics figures = new EventLoopMetrics();
+    private final EventLoopMetrics loopMetrics = new EventLoopMetrics();
     private double turnBegan;
     /** What others tell and are told; null where they tell nothing. */
-    private GossipSession tellings;
+    private GossipSession gossipSession;
     /** The way back after the start; null where nobody is asked. */
-    private RecoveryCoordinator comeback;
+    private RecoveryCoordinator recoveryCoordinator;
     private double wakeAt = Double.POSITIVE_INFINITY;
     /** What other settings would have decided; null where nobody watches. */
     private ShadowEvaluator shadow;
     private double shownAt;
     private int arrived;
     /** What the decisions would shed of each grade, as of the last time that the queue was long. */
-    private volatile List<ShedThreshold> words = List.of();
+    private volatile List<ShedThreshold> shedThresholds = List.of();
     /** What is stated now, the grades under the indexes that exchanges name. */
-    private RequestClassIndex grades;
+    private RequestClassIndex requestClasses;
     private Settings settings;
     private int processes = 1;
     /**
@@ -80,34 +80,34 @@
     private int unfollowed;
     private Set<Integer> held = Set.of();
 
-    public DecisionLoop(LoadBalancer balancer, BackendDirectory directory, MonotonicClock clock, ProxyActions hands, RequestClassIndex grades,
+    public DecisionLoop(LoadBalancer balancer, BackendDirectory directory, MonotonicClock clock, ProxyActions actions, RequestClassIndex requestClasses,
             Settings settings) {
-        this.grades = grades;
+        this.requestClasses = requestClasses;
         this.settings = settings;
         this.balancer = balancer;
         this.directory = directory;
         this.clock = clock;
-        this.hands = hands;
+        this.actions = actions;
         thread.setDaemon(true);
     }
 
     /** Tells the other proxies what is out here and hears it of them; before the start. */
-    public void tells(GossipTransport.Place place) {
-        tellings = new GossipSession(place, System.currentTimeMillis(), balancer, directory);
+    public void enableGossip(GossipTransport.Place place) {
+        gossipSession = new GossipSession(place, System.currentTimeMillis(), balancer, directory);
     }
 
     /** The same, and asks others after the start. */
-    public void tells(GossipTransport.Place place, RecoveryCoordinator its) {
-        comeback = its;
-        tellings = new GossipSession(place, its.start(), balancer, directory);
+    public void enableGossip(GossipTransport.Place place, RecoveryCoordinator its) {
+        recoveryCoordinator = its;
+        gossipSession = new GossipSession(place, its.startNumber(), balancer, directory);
     }
 
-    public RecoveryCoordinator comeback() {
-        return comeback;
+    public RecoveryCoordinator recoveryCoordinator() {
+        return recoveryCoordinator;
     }
 
     /** Counts what these settings would have decided otherwise; before the start. */
-    public void watches(Settings settings, long seed) {
+    public void enableShadow(Settings settings, long seed) {
         shadow = new ShadowEvaluator(settings, seed);
         shownAt = clock.now();
     }
@@ -122,24 +122,24 @@
         }
     }
 
-    public ShadowEvaluator watched() {
+    public ShadowEvaluator shadow() {
         return shadow;
     }
 
     private void showAtTimes() {
         if (shadow != null && clock.now() >= shownAt + SHOWN) {
             shownAt = clock.now();
-            LOG.info("watching: {}", shadow.told());
+            LOG.info("watching: {}", shadow.summary());
         }
     }
 
     /** Another proxy's datagram has come. */
-    public void told(int from, byte[] datagram) {
-        if (comeback != null && RecoveryCoordinator.isFor(datagram)) {
-            comeback.heard(from, datagram);
+    public void datagramReceived(int from, byte[] datagram) {
+        if (recoveryCoordinator != null && RecoveryCoordinator.isRecoveryDatagram(datagram)) {
+            recoveryCoordinator.received(from, datagram);
             put(null, () -> null);
         } else {
-            tellings.told(from, datagram);
+            gossipSession.received(from, datagram);
         }
     }
 
@@ -156,88 +156,88 @@
             Thread.currentThread().interrupt();
         }
         if (shadow != null) {
-            LOG.info("watching: {}", shadow.told());
+            LOG.info("watching: {}", shadow.summary());
         }
     }
 
-    public void arrived(PendingRequest taken) {
-        put(EventLoopMetrics.Kind.ARRIVAL, taken.exchange(), () -> {
+    public void requestArrived(PendingRequest pending) {
+        put(EventLoopMetrics.Kind.ARRIVAL, pending.request(), () -> {
             arrived++;
-            open.put(taken.exchange(), taken);
+            open.put(pending.request(), pending);
             if (shadow != null) {
-                watch(s -> s.arrived(clock.now(), taken.exchange()));
+                watch(s -> s.requestArrived(clock.now(), pending.request()));
             }
-            return balancer.exchangeArrived(clock.now(), taken.exchange());
+            return balancer.requestArrived(clock.now(), pending.request());
         });
     }
 
     /**
      * Whether the decisions would shed an exchange now; null if not, else with what retry-after. Any thread.
      */
-    public ShedThreshold shed(int grade, double left) {
-        ShedThreshold word = grade < words.size() ? words.get(grade) : null;
-        return word != null && left < word.leastLeft() ? word : null;
+    public ShedThreshold shedThreshold(int requestClass, double left) {
+        ShedThreshold word = requestClass < shedThresholds.size() ? shedThresholds.get(requestClass) : null;
+        return word != null && left < word.minSecondsLeft() ? word : null;
     }
 
     /** The answer is the one to pass on if this forward delivers. */
-    public void ended(Attempt f, AttemptOutcome outcome, double took, double[] report, BackendResponse answer) {
-        put(EventLoopMetrics.Kind.OUTCOME, f.exchange, () -> {
-            boolean wins = outcome == AttemptOutcome.DELIVERED && !f.exchange.over;
-            PendingRequest taken = open.get(f.exchange);
-            if (wins && taken != null) {
-                hands.deliver(taken, answer);
-            } else if (answer != null && answer.rest() != null) {
-                hands.drop(answer);
+    public void attemptEnded(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double[] loadReport, BackendResponse response) {
+        put(EventLoopMetrics.Kind.OUTCOME, attempt.request, () -> {
+            boolean wins = outcome == AttemptOutcome.SUCCESS && !attempt.request.completed;
+            PendingRequest pending = open.get(attempt.request);
+            if (wins && pending != null) {
+                actions.deliver(pending, response);
+            } else if (response != null && response.remainder() != null) {
+                actions.discard(response);
             }
-            if (tellings != null) {
-                tellings.ended(f.backend, outcome, clock.now());
+            if (gossipSession != null) {
+                gossipSession.attemptEnded(attempt.backend, outcome, clock.now());
             }
-            boolean over = wins || f.exchange.over;
+            boolean over = wins || attempt.request.completed;
             if (shadow != null) {
-                watch(s -> s.ended(clock.now(), f, outcome, took, over, report));
+                watch(s -> s.attemptEnded(clock.now(), attempt, outcome, durationSeconds, over, loadReport));
             }
-            return balancer.forwardEnded(clock.now(), f, outcome, took, over, report);
+            return balancer.attemptEnded(clock.now(), attempt, outcome, durationSeconds, over, loadReport);
         });
     }
 
-    public void probed(int backend, AttemptOutcome outcome, double[] report) {
+    public void probeEnded(int backend, AttemptOutcome outcome, double[] loadReport) {
         put(null, () -> {
-            directory.letGo(backend);
+            directory.release(backend);
             if (shadow != null) {
-                watch(s -> s.probed(clock.now(), backend, outcome, report));
+                watch(s -> s.probeEnded(clock.now(), backend, outcome, loadReport));
             }
-            return balancer.probeEnded(clock.now(), backend, outcome, report);
+            return balancer.probeEnded(clock.now(), backend, outcome, loadReport);
         });
     }
 
-    public void left(Request x) {
-        put(EventLoopMetrics.Kind.CLIENT_LEFT, x, () -> {
+    public void clientLeft(Request request) {
+        put(EventLoopMetrics.Kind.CLIENT_LEFT, request, () -> {
             if (shadow != null) {
-                watch(s -> s.left(clock.now(), x));
+                watch(s -> s.clientLeft(clock.now(), request));
             }
-            return x.over ? null : balancer.clientLeft(clock.now(), x);
+            return request.completed ? null : balancer.clientLeft(clock.now(), request);
         });
     }
 
     /** So many processes share what is this proxy's, its part of a cold backend's budget too. */
-    public void sharedBy(int many) {
+    public void setProcessCount(int many) {
         put(null, () -> {
             processes = many;
-            balancer.stated(settings.sharedBy(many), List.of());
+            balancer.settingsChanged(settings.dividedAmong(many), List.of());
             return null;
         });
     }
 
     /** Its request can't be sent whole any more. */
-    public void letGo(Request x) {
-        put(x, () -> {
-            x.terms = x.terms.upTo(x.forwards);
+    public void bodyNotReplayable(Request request) {
+        put(request, () -> {
+            request.terms = request.terms.withMaxAttempts(request.attemptCount);
             return null;
         });
     }
 
     /** A list has come; stale is one of before the start. Applied hears when the decisions have all of it. */
-    public void listed(EndpointList list, boolean stale, Runnable applied) {
+    public void endpointListReceived(EndpointList list, boolean stale, Runnable applied) {
         put(EventLoopMetrics.Kind.LIST, null, () -> {
             updates.add(new EndpointListUpdate(directory, list, stale, applied));
             // What is small is followed at once.
@@ -248,19 +248,19 @@
     /** Follows a part of the list that has come first. */
     private Decision nextSlice() {
         EndpointListUpdate update = updates.peek();
-        List<EndpointUpdate> listed = update.slice();
-        List<EndpointUpdate> lines = tellings == null || listed.isEmpty() ? listed : tellings.assigned(listed);
+        List<EndpointUpdate> listed = update.nextSlice();
+        List<EndpointUpdate> lines = gossipSession == null || listed.isEmpty() ? listed : gossipSession.withSubsets(listed);
         if (shadow != null) {
-            watch(s -> s.listed(clock.now(), false, update.isStale(), lines));
+            watch(s -> s.endpointsListed(clock.now(), false, update.isStale(), lines));
         }
-        balancer.backendsChanged(clock.now(), false, lines);
-        if (tellings != null) {
-            tellings.listed(lines);
+        balancer.endpointsChanged(clock.now(), false, lines);
+        if (gossipSession != null) {
+            gossipSession.endpointsApplied(lines);
         }
         for (EndpointUpdate line : lines) {
             // Danger: what waits for a connection to where it was would reach whoever is there now.
             if (line.state() != EndpointUpdate.State.READY || directory.hasMoved(line.backend())) {
-                hands.letGo(line.backend());
+                actions.retirePool(line.backend());
             }
         }
         return update.isDone() ? endOf(updates.remove()) : null;
@@ -272,34 +272,34 @@
             LOG.warn("lines of the list are passed over, the first: {}", update.unreadable().get(0));
         }
         if (!update.isEmpty()) {
-            LOG.info("list followed {} backends={} usable={}", update.told(), directory.listed(),
-                    balancer.usable());
+            LOG.info("list followed {} backends={} usable={}", update.summary(), directory.listedCount(),
+                    balancer.usableBackendCount());
         }
-        update.applied();
-        return balancer.backendsListed(clock.now(), false, update.isStale(), List.of());
+        update.notifyApplied();
+        return balancer.endpointsListed(clock.now(), false, update.isStale(), List.of());
     }
 
     /** Other settings hold from now on, for what comes; watched is null where nobody watches. */
-    public void retune(Settings to, List<String> names, Settings watched) {
+    public void reload(Settings to, List<String> names, Settings watched) {
         put(null, () -> {
-            grades = grades.retuned(names, to.grades(), i -> unfollowed > 0 || held.contains(i)
-                    || open.keySet().stream().anyMatch(x -> x.grade == i));
+            requestClasses = requestClasses.reloaded(names, to.requestClasses(), i -> unfollowed > 0 || held.contains(i)
+                    || open.keySet().stream().anyMatch(request -> request.requestClass == i));
             unfollowed++;
             // Danger: under an index another class may stand from now on.
-            words = List.of();
-            settings = settings.retuned(to, grades.indexed());
-            balancer.stated(settings.sharedBy(processes), grades.fresh());
+            shedThresholds = List.of();
+            settings = settings.reloaded(to, requestClasses.byIndex());
+            balancer.settingsChanged(settings.dividedAmong(processes), requestClasses.reassigned());
             if (shadow != null && watched != null) {
-                watch(s -> s.stated(watched.retuned(watched, grades.indexed(watched.grades())),
-                        grades.fresh()));
+                watch(s -> s.settingsChanged(watched.reloaded(watched, requestClasses.byIndex(watched.requestClasses())),
+                        requestClasses.reassigned()));
             }
-            hands.retuned(grades, settings);
+            actions.settingsChanged(requestClasses, settings);
             return null;
         });
     }
 
     /** The front goes by what was stated last, and has exchanges under these indexes of classes. */
-    public void followed(Set<Integer> under) {
+    public void settingsApplied(Set<Integer> under) {
         put(null, () -> {
             unfollowed--;
             held = under;
@@ -308,21 +308,21 @@
     }
 
     private void count() {
-        hands.targets(directory.listed(), directory.listed() - balancer.usable());
+        actions.backendsCounted(directory.listedCount(), directory.listedCount() - balancer.usableBackendCount());
     }
 
     /**
      * Answers all that is open: refused where nothing was forwarded. Danger: at the end of the process what
      * has no answer is lost.
      */
-    public void endAll() {
+    public void failOpenRequests() {
         put(null, () -> {
-            for (Request x : List.copyOf(open.keySet())) {
-                if (!x.over) {
-                    x.ending = FailureReason.SHUTDOWN;
-                    carryOut(balancer.clientLeft(clock.now(), x));
-                    answer(x, x.forwards == 0, 0);
-                    release(x);
+            for (Request request : List.copyOf(open.keySet())) {
+                if (!request.completed) {
+                    request.failureReason = FailureReason.SHUTDOWN;
+                    carryOut(balancer.clientLeft(clock.now(), request));
+                    answer(request, request.attemptCount == 0, 0);
+                    release(request);
                 }
             }
             return null;
@@ -330,26 +330,26 @@
     }
 
     /** What is the owner's own is to be seen there only. What it has asked of the sockets is on its way. */
-    public void onOwner(Runnable task) {
+    public void runOnLoop(Runnable task) {
         put(null, () -> {
-            hands.act();
+            actions.flush();
             task.run();
             return null;
         });
     }
 
     /** How often something speaks of a backend by its index. Owner's thread only. */
-    public int spokenOf() {
-        return directory.held();
+    public int backendReferenceCount() {
+        return directory.referenceCount();
     }
 
     /** How many exchanges are open. Owner's thread only. */
-    public int open() {
+    public int openRequestCount() {
         return open.size();
     }
 
-    public void listFailed() {
-        put(null, () -> balancer.listFailed(clock.now()));
+    public void endpointListFailed() {
+        put(null, () -> balancer.endpointListFailed(clock.now()));
     }
 
     private void put(Request about, Supplier<Decision> call) {
@@ -358,7 +358,7 @@
 
     /** Danger: to read the clock for each event takes more of a small part of a core than most events do. */
     private void put(EventLoopMetrics.Kind kind, Request about, Supplier<Decision> call) {
-        double came = kind == EventLoopMetrics.Kind.ARRIVAL ? about.arrived : UNKNOWN;
+        double came = kind == EventLoopMetrics.Kind.ARRIVAL ? about.arrivedAt : UNKNOWN;
         try {
             queue.put(new Event(kind, came, about, call));
         } catch (InterruptedException e) {
@@ -369,23 +369,23 @@
     private void run() {
         while (!Thread.interrupted()) {
             try {
-                double next = tellings == null ? wakeAt : Math.min(wakeAt, tellings.tellAt());
-                next = comeback == null ? next : Math.min(next, comeback.wakeAt());
+                double next = gossipSession == null ? wakeAt : Math.min(wakeAt, gossipSession.nextSendAt());
+                next = recoveryCoordinator == null ? next : Math.min(next, recoveryCoordinator.wakeAt());
                 next = shadow == null ? next : Math.min(next, shadow.wakeAt());
                 double wait = Math.min(updates.isEmpty() ? LONGEST_WAIT : BETWEEN_SLICES, next - clock.now());
                 long nanos = (long) (Math.max(0, wait) * 1e9);
                 Event event = queue.poll(nanos, TimeUnit.NANOSECONDS);
                 turnBegan = clock.now();
                 int handled = 0;
-                if (tellings != null) {
-                    tellings.hear(clock.now());
+                if (gossipSession != null) {
+                    gossipSession.processReceived(clock.now());
                 }
                 for (; event != null; handled++) {
                     handle(event);
                     event = handled < AT_A_TIME ? queue.poll() : null;
                 }
                 if (handled > AT_A_TIME) {
-                    words = IntStream.range(0, settings.grades().size()).mapToObj(this::word).toList();
+                    shedThresholds = IntStream.range(0, settings.requestClasses().size()).mapToObj(this::word).toList();
                 }
                 if (wakeAt <= clock.now()) {
                     handle(new Event(EventLoopMetrics.Kind.TIMER, wakeAt, null, () -> balancer.wake(clock.now())));
@@ -399,16 +399,16 @@
                     showAtTimes();
                 }
                 if (arrived > 0) {
-                    hands.decided(arrived, clock.now() - turnBegan);
+                    actions.requestsDecided(arrived, clock.now() - turnBegan);
                     arrived = 0;
                 }
-                if (comeback != null) {
-                    comeback.passes(clock.now(), balancer, tellings::startedAnew, hands::tell);
+                if (recoveryCoordinator != null) {
+                    recoveryCoordinator.advance(clock.now(), balancer, gossipSession::peerRestarted, actions::sendGossip);
                 }
-                if (tellings != null) {
-                    tellings.tellings(clock.now()).forEach(hands::tell);
+                if (gossipSession != null) {
+                    gossipSession.dueMessages(clock.now()).forEach(actions::sendGossip);
                 }
-                hands.act();
+                actions.flush();
                 turned(clock.now());
             } catch (InterruptedException e) {
                 return;
@@ -422,21 +422,21 @@
     }
 
     /** How it keeps up, as JSON. Any thread. */
-    public String figures() {
-        return figures.json();
+    public String metricsJson() {
+        return loopMetrics.json();
     }
 
-    private ShedThreshold word(int grade) {
-        return settings.grades().get(grade) == null ? null : balancer.word(clock.now(), grade);
+    private ShedThreshold word(int requestClass) {
+        return settings.requestClasses().get(requestClass) == null ? null : balancer.shedThreshold(clock.now(), requestClass);
     }
 
     private void handle(Event event) {
-        figures.handles(event.kind, turnBegan - event.came);
+        loopMetrics.eventHandled(event.kind, turnBegan - event.came);
         carryOut(event);
     }
 
     private void turned(double now) {
-        String line = figures.turned(now - turnBegan, queue.size(), now);
+        String line = loopMetrics.iterationEnded(now - turnBegan, queue.size(), now);
         if (line != null) {
             LOG.info("decision loop {}", line);
         }
@@ -445,17 +445,17 @@
     /** Danger: an exception in one exchange must not end the proxy, nor leave the exchange unanswered. */
     private void carryOut(Event event) {
         try {
-            Decision turn = event.call.get();
-            if (turn != null) {
-                carryOut(turn);
+            Decision decision = event.call.get();
+            if (decision != null) {
+                carryOut(decision);
             }
         } catch (RuntimeException | Error e) {
             LOG.error("event failed", e);
-            if (event.about != null && !event.about.over) {
-                event.about.over = true;
+            if (event.about != null && !event.about.completed) {
+                event.about.completed = true;
                 answer(event.about, false, 0);
                 if (shadow != null) {
-                    watch(s -> s.left(clock.now(), event.about));
+                    watch(s -> s.clientLeft(clock.now(), event.about));
                 }
             }
             wakeAt = Math.min(wakeAt, clock.now() + 1);
@@ -466,48 +466,48 @@
         }
     }
 
-    private void carryOut(Decision turn) {
+    private void carryOut(Decision decision) {
         if (shadow != null) {
-            watch(s -> s.decided(clock.now(), turn));
+            watch(s -> s.decided(clock.now(), decision));
         }
-        turn.cancels.forEach(hands::cancel);
-        for (Attempt f : turn.sends) {
-            directory.hold(f.backend);
-            if (tellings != null) {
-                tellings.sent(f.backend);
+        decision.cancellations.forEach(actions::cancel);
+        for (Attempt attempt : decision.attempts) {
+            directory.retain(attempt.backend);
+            if (gossipSession != null) {
+                gossipSession.attemptSent(attempt.backend);
             }
-            hands.send(f, open.get(f.exchange), directory.address(f.backend));
+            actions.send(attempt, open.get(attempt.request), directory.address(attempt.backend));
         }
-        for (Decision.Answer a : turn.answers) {
-            answer(a.exchange(), a.shed(), a.retryAfter());
-            release(a.exchange());
+        for (Decision.Answer a : decision.localReplies) {
+            answer(a.request(), a.rejected(), a.retryAfterSeconds());
+            release(a.request());
         }
-        for (int backend : turn.probes) {
-            directory.hold(backend);
-            hands.probe(backend, directory.address(backend));
+        for (int backend : decision.probes) {
+            directory.retain(backend);
+            actions.probe(backend, directory.address(backend));
         }
-        turn.listCalls.forEach(hands::list);
-        turn.notes.forEach(LOG::info);
+        decision.endpointListCalls.forEach(actions::requestEndpointList);
+        decision.logMessages.forEach(LOG::info);
         // Who is avoided changes with a list or with a note on it.
-        if (!turn.notes.isEmpty()) {
+        if (!decision.logMessages.isEmpty()) {
             count();
         }
-        wakeAt = turn.wakeAt;
+        wakeAt = decision.wakeAt;
     }
 
-    private void answer(Request x, boolean shed, double retryAfter) {
-        PendingRequest taken = open.get(x);
-        if (taken != null) {
-            hands.giveUp(taken, shed, retryAfter);
+    private void answer(Request request, boolean shed, double retryAfter) {
+        PendingRequest pending = open.get(request);
+        if (pending != null) {
+            actions.fail(pending, shed, retryAfter);
         }
     }
 
     /** Lets go of an exchange that is over and has nothing out. */
-    private void release(Request x) {
-        if (x.over && x.out == 0 && open.remove(x) != null) {
+    private void release(Request request) {
+        if (request.completed && request.attemptsInFlight == 0 && open.remove(request) != null) {
             // Danger: whether a forward may be repeated goes by where the earlier ones went.
-            for (Attempt f = x.latest; f != null; f = f.earlier) {
-                directory.letGo(f.backend);
+            for (Attempt attempt = request.latestAttempt; attempt != null; attempt = attempt.previous) {
+                directory.release(attempt.backend);
             }
         }
     }
--- a/src/main/java/lemondrift/proxy/loop/ProxyActions.java
+++ b/src/main/java/lemondrift/proxy/loop/ProxyActions.java
@@ -12,37 +12,37 @@
 
 /** What the owner of the decisions has the sockets do; each returns at once. */
 public interface ProxyActions {
-    void send(Attempt f, PendingRequest taken, InetSocketAddress to);
+    void send(Attempt attempt, PendingRequest pending, InetSocketAddress to);
 
-    void cancel(Attempt f);
+    void cancel(Attempt attempt);
 
     void probe(int backend, InetSocketAddress to);
 
-    void list(Decision.ListCall call);
+    void requestEndpointList(Decision.ListCall call);
 
-    void deliver(PendingRequest taken, BackendResponse answer);
+    void deliver(PendingRequest pending, BackendResponse response);
 
     /** Nobody wants the rest of an answer that is passed on. */
-    void drop(BackendResponse answer);
+    void discard(BackendResponse response);
 
     /** Ends an exchange as the decisions say; the retry-after is in seconds, 0 where there is none. */
-    void giveUp(PendingRequest taken, boolean shed, double retryAfter);
+    void fail(PendingRequest pending, boolean shed, double retryAfter);
 
     /** A backend is no longer ready or has another address: what stands idle there is closed. */
-    void letGo(int backend);
+    void retirePool(int backend);
 
     /** So many exchanges that had arrived were decided, in so many seconds for all that was done. */
-    void decided(int exchanges, double seconds);
+    void requestsDecided(int exchanges, double seconds);
 
     /** So many backends are listed, and to so many of them nothing is sent now. */
-    void targets(int listed, int disabled);
+    void backendsCounted(int listed, int disabled);
 
     /** These are stated from now on. */
-    void retuned(RequestClassIndex grades, Settings settings);
+    void settingsChanged(RequestClassIndex requestClasses, Settings settings);
 
     /** Tells another proxy. */
-    public void tell(LoadGossip.Telling telling);
+    public void sendGossip(LoadGossip.Telling telling);
 
     /** All that was asked for since the last time is to be done now. */
-    void act();
+    void flush();
 }
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -24,7 +24,7 @@
 
     /** Who is to know that another proxy has started anew. */
     public interface Anew {
-        void startedAnew(int proxy, long start);
+        void peerRestarted(int proxy, long start);
     }
 
     private record Said(int from, PeerStatus hello) {}
@@ -62,19 +62,19 @@
     }
 
     /** Whether a datagram is for this, and no telling. Any thread. */
-    public static boolean isFor(byte[] datagram) {
+    public static boolean isRecoveryDatagram(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == PeerStatus.KIND;
     }
 
     /** Any thread. */
-    public void heard(int from, byte[] datagram) {
+    public void received(int from, byte[] datagram) {
         PeerStatus hello = PeerStatus.of(datagram);
         if (hello != null) {
             said.add(new Said(from, hello));
         }
     }
 
-    public long start() {
+    public long startNumber() {
         return recovery.start();
     }
 
@@ -83,16 +83,16 @@
     }
 
     /** Follows what has come, learns for the decisions, and says what is due to others. */
-    public void passes(double now, LoadBalancer balancer, Anew anew, Consumer<LoadGossip.Telling> tell) {
+    public void advance(double now, LoadBalancer balancer, Anew anew, Consumer<LoadGossip.Telling> tell) {
         boolean settled = recovery.isSettled();
         if (!settled) {
-            double[] work = balancer.work();
+            double[] work = balancer.measuredServiceTime();
             recovery = recovery.found(work[0], (int) work[1]);
         }
         for (Said next = said.poll(); next != null; next = said.poll()) {
             RecoveryState.Step step = recovery.heard(next.from, next.hello, now);
             if (step.anew()) {
-                anew.startedAnew(next.from, next.hello.start());
+                anew.peerRestarted(next.from, next.hello.start());
             }
             follows(step, now, tell);
         }
@@ -104,7 +104,7 @@
                     seconds(now - recovery.began()), recovery.work(), recovery.answers(), recovery.asked());
         }
         if (keeper != null && now >= keepAt) {
-            double[] work = balancer.work();
+            double[] work = balancer.measuredServiceTime();
             // Danger: all proxies writing in step would have one disk of a machine stand still for all.
             keepAt = now + period * (0.5 + Math.random());
             keeper.keep(recovery.start(), work[0], (int) Math.min(work[1], Short.MAX_VALUE));
@@ -114,9 +114,9 @@
     private void learns(LoadBalancer balancer, double now) {
         RecoveryState.Lesson its = recovery.lesson(now);
         if (its != null) {
-            balancer.learned(its.work(), its.answers());
+            balancer.seedServiceTime(its.work(), its.answers());
         } else if (!told && trusted.work() > 0) {
-            balancer.learned(trusted.work(), trusted.answers());
+            balancer.seedServiceTime(trusted.work(), trusted.answers());
         }
         told = true;
         lesson = its;
@@ -137,7 +137,7 @@
     }
 
     /** For people, as JSON. Any thread. */
-    public String told(double now) {
+    public String statusJson(double now) {
         RecoveryState its = recovery;
         RecoveryState.Lesson learned = lesson;
         JsonObject all = new JsonObject();
--- a/src/main/java/lemondrift/settings/RequestClassIndex.java
+++ b/src/main/java/lemondrift/settings/RequestClassIndex.java
@@ -15,32 +15,32 @@
 public final class RequestClassIndex {
     /** By index; null where one stands for none any more. */
     private final List<String> names;
-    private final List<RequestClass> indexed;
+    private final List<RequestClass> byIndex;
     /** The index of each in the order of the file, and the indexes that stand for another one than before. */
     private final int[] index;
-    private final List<Integer> fresh = new ArrayList<>();
+    private final List<Integer> reassigned = new ArrayList<>();
 
     /** The first ones, in the order of the file. */
-    public RequestClassIndex(List<String> names, List<RequestClass> grades) {
-        this(names, grades, IntStream.range(0, names.size()).toArray(), names.size());
+    public RequestClassIndex(List<String> names, List<RequestClass> requestClasses) {
+        this(names, requestClasses, IntStream.range(0, names.size()).toArray(), names.size());
     }
 
-    private RequestClassIndex(List<String> stated, List<RequestClass> grades, int[] index, int size) {
+    private RequestClassIndex(List<String> stated, List<RequestClass> requestClasses, int[] index, int size) {
         this.index = index;
         String[] named = new String[size];
         for (int at = 0; at < index.length; at++) {
             named[index[at]] = stated.get(at);
         }
         names = Arrays.asList(named);
-        indexed = indexed(grades, size);
+        byIndex = byIndex(requestClasses, size);
     }
 
     /**
      * The next ones. An index that was dropped before is given out again if nothing is open under it. Danger:
      * one dropped just now may still be on its way to the decisions with an exchange.
      */
-    public RequestClassIndex retuned(List<String> stated, List<RequestClass> grades, IntPredicate isOpen) {
-        int[] next = IntStream.range(0, stated.size()).map(at -> kept(stated.get(at), grades.get(at)))
+    public RequestClassIndex reloaded(List<String> stated, List<RequestClass> requestClasses, IntPredicate isOpen) {
+        int[] next = IntStream.range(0, stated.size()).map(at -> kept(stated.get(at), requestClasses.get(at)))
                 .toArray();
         List<Integer> fresh = new ArrayList<>();
         int size = names.size();
@@ -52,15 +52,15 @@
                 fresh.add(next[at]);
             }
         }
-        RequestClassIndex grown = new RequestClassIndex(stated, grades, next, size);
-        grown.fresh.addAll(fresh);
+        RequestClassIndex grown = new RequestClassIndex(stated, requestClasses, next, size);
+        grown.reassigned.addAll(fresh);
         return grown;
     }
 
-    private int kept(String name, RequestClass grade) {
-        RequestClass old = index(name) < 0 ? null : indexed.get(index(name));
-        boolean same = old != null && old.effect() == grade.effect() && old.group() == grade.group();
-        return same ? index(name) : -1;
+    private int kept(String name, RequestClass requestClass) {
+        RequestClass old = indexOf(name) < 0 ? null : byIndex.get(indexOf(name));
+        boolean same = old != null && old.idempotency() == requestClass.idempotency() && old.deduplicationScope() == requestClass.deduplicationScope();
+        return same ? indexOf(name) : -1;
     }
 
     /** Those that are named now. */
@@ -69,20 +69,20 @@
     }
 
     /** -1 where none is named so. */
-    public int index(String name) {
+    public int indexOf(String name) {
         return names.indexOf(name);
     }
 
-    public List<RequestClass> indexed() {
-        return indexed;
+    public List<RequestClass> byIndex() {
+        return byIndex;
     }
 
     /** Others that are stated for the same names in the same order, each under its index. */
-    public List<RequestClass> indexed(List<RequestClass> stated) {
-        return indexed(stated, names.size());
+    public List<RequestClass> byIndex(List<RequestClass> stated) {
+        return byIndex(stated, names.size());
     }
 
-    private List<RequestClass> indexed(List<RequestClass> stated, int size) {
+    private List<RequestClass> byIndex(List<RequestClass> stated, int size) {
         RequestClass[] all = new RequestClass[size];
         for (int at = 0; at < index.length; at++) {
             all[index[at]] = stated.get(at);
@@ -91,7 +91,7 @@
     }
 
     /** The indexes that stand for another one than before. */
-    public List<Integer> fresh() {
-        return fresh;
+    public List<Integer> reassigned() {
+        return reassigned;
     }
 }
--- a/src/main/java/lemondrift/settings/SettingsReader.java
+++ b/src/main/java/lemondrift/settings/SettingsReader.java
@@ -33,11 +33,11 @@
     }
 
     public Settings settings() {
-        List<RequestClass> grades = new ArrayList<>();
+        List<RequestClass> requestClasses = new ArrayList<>();
         for (int i = 0; i < (int) number("serviceGrades.count"); i++) {
-            grades.add(grade("serviceGrades." + i + "."));
+            requestClasses.add(grade("serviceGrades." + i + "."));
         }
-        if (grades.isEmpty()) {
+        if (requestClasses.isEmpty()) {
             throw new InvalidSettingsException("setting serviceGrades.count: no service grade");
         }
         double[] quota = new double[(int) number("realms.count", 0)];
@@ -47,7 +47,7 @@
         boolean onRequest = choice("membershipMode", "pushed", "on_request").equals("on_request");
         int locations = list("localities").size();
         return new Settings((int) between("siblings", 1, Integer.MAX_VALUE), locations,
-                (int) between("zone", 0, locations - 1), onRequest, List.copyOf(grades), quota,
+                (int) between("zone", 0, locations - 1), onRequest, List.copyOf(requestClasses), quota,
                 number("excessBenefit", 1), flag("clients.marksRetry"), reports(),
                 new Settings.Limits(flag("limits.mayCancel"), flag("limits.probes"),
                         (int) between("limits.mostForwards", 1, MOST),
@@ -91,9 +91,9 @@
         return new RequestClass(number(at + "benefit"), number(at + "lateBenefit", 0),
                 between(at + "contractTime", LEAST, MOST) / 1000, between(at + "expiry", LEAST, MOST) / 1000,
                 switch (text(at + "effect", null)) {
-                    case "retryable" -> Idempotency.PURE;
-                    case "dedup" -> Idempotency.RECEIPTED;
-                    case "fragile" -> Idempotency.EFFECTFUL;
+                    case "retryable" -> Idempotency.IDEMPOTENT;
+                    case "dedup" -> Idempotency.IDEMPOTENT_WITH_KEY;
+                    case "fragile" -> Idempotency.NOT_IDEMPOTENT;
                     default -> throw new InvalidSettingsException("setting " + at + "effect: " + text(at + "effect", ""));
                 },
                 switch (choice(at + "group", "cell", "zone", "all")) {
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -26,8 +26,8 @@
         final Request exchange;
         Attempt followed;
 
-        Copy(Request x) {
-            exchange = new Request(x.id, x.grade, x.tenant, x.arrived, x.expiry - x.arrived, x.retry);
+        Copy(Request request) {
+            exchange = new Request(request.id, request.requestClass, request.tenant, request.arrivedAt, request.deadline - request.arrivedAt, request.markedRetry);
         }
     }
 
@@ -47,65 +47,65 @@
     }
 
     /** The program's own were stated anew, and with them these. */
-    public void stated(Settings other, List<Integer> fresh) {
-        settings = settings.retuned(other, other.grades());
-        balancer.stated(settings, fresh);
+    public void settingsChanged(Settings other, List<Integer> fresh) {
+        settings = settings.reloaded(other, other.requestClasses());
+        balancer.settingsChanged(settings, fresh);
     }
 
-    public void listed(double now, boolean whole, boolean stale, List<EndpointUpdate> lines) {
-        lines.forEach(line -> locations.put(line.backend(), line.location()));
-        settle(now, balancer.backendsListed(now, whole, stale, lines));
+    public void endpointsListed(double now, boolean whole, boolean stale, List<EndpointUpdate> updates) {
+        updates.forEach(update -> locations.put(update.backend(), update.location()));
+        settle(now, balancer.endpointsListed(now, whole, stale, updates));
     }
 
-    public void arrived(double now, Request x) {
-        if (settings.grades().get(x.grade) == null) {
+    public void requestArrived(double now, Request request) {
+        if (settings.requestClasses().get(request.requestClass) == null) {
             return;
         }
-        Copy copy = new Copy(x);
-        copies.put(x, copy);
-        settle(now, balancer.exchangeArrived(now, copy.exchange));
+        Copy copy = new Copy(request);
+        copies.put(request, copy);
+        settle(now, balancer.requestArrived(now, copy.exchange));
     }
 
     /** Compares with what the deciding module has done, and follows that. */
-    public void decided(double now, Decision turn) {
-        for (Attempt f : turn.sends) {
-            Copy copy = copies.get(f.exchange);
+    public void decided(double now, Decision decision) {
+        for (Attempt attempt : decision.attempts) {
+            Copy copy = copies.get(attempt.request);
             if (copy != null) {
                 Attempt own = own(copy);
-                compare(own == null ? NONE : own.backend, f.backend, f.number > 0);
-                follow(now, copy, own, f);
+                compare(own == null ? NONE : own.backend, attempt.backend, attempt.index > 0);
+                follow(now, copy, own, attempt);
             }
         }
-        for (Decision.Answer a : turn.answers) {
-            Copy copy = copies.get(a.exchange());
+        for (Decision.Answer a : decision.localReplies) {
+            Copy copy = copies.get(a.request());
             if (copy != null && copy.followed == null) {
                 Attempt own = own(copy);
-                compare(own == null ? NONE : own.backend, NONE, a.exchange().forwards > 0);
+                compare(own == null ? NONE : own.backend, NONE, a.request().attemptCount > 0);
             }
-            left(now, a.exchange());
+            clientLeft(now, a.request());
         }
     }
 
-    public void ended(double now, Attempt f, AttemptOutcome outcome, double took, boolean over, double[] report) {
-        Copy copy = copies.get(f.exchange);
+    public void attemptEnded(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over, double[] loadReport) {
+        Copy copy = copies.get(attempt.request);
         if (copy == null || copy.followed == null) {
             return;
         }
         Attempt followed = copy.followed;
         copy.followed = null;
-        settle(now, balancer.forwardEnded(now, followed, outcome, took, over, report));
+        settle(now, balancer.attemptEnded(now, followed, outcome, durationSeconds, over, loadReport));
         if (over) {
-            copies.remove(f.exchange);
+            copies.remove(attempt.request);
         }
     }
 
-    public void probed(double now, int backend, AttemptOutcome outcome, double[] report) {
-        settle(now, balancer.probeEnded(now, backend, outcome, report));
+    public void probeEnded(double now, int backend, AttemptOutcome outcome, double[] loadReport) {
+        settle(now, balancer.probeEnded(now, backend, outcome, loadReport));
     }
 
     /** The exchange is over. Danger: a forward that is still out counts there until its end is told. */
-    public void left(double now, Request x) {
-        Copy copy = copies.get(x);
+    public void clientLeft(double now, Request request) {
+        Copy copy = copies.get(request);
         if (copy == null) {
             return;
         }
@@ -115,7 +115,7 @@
             takeBack(now, copy.exchange, own);
         }
         if (copy.followed == null) {
-            copies.remove(x);
+            copies.remove(request);
         }
     }
 
@@ -138,7 +138,7 @@
     }
 
     /** One line: how many decisions were compared, and those that would have been others, by kind. */
-    public String told() {
+    public String summary() {
         StringBuilder text = new StringBuilder("decisions " + decisions);
         for (Kind kind : Kind.values()) {
             text.append(", would ").append(kind.name().toLowerCase(Locale.ROOT).replace('_', ' ')).append(' ')
@@ -149,7 +149,7 @@
 
     /** Its own choice that is not carried out yet; null where it would give up. */
     private static Attempt own(Copy copy) {
-        Attempt latest = copy.exchange.latest;
+        Attempt latest = copy.exchange.latestAttempt;
         return latest == null || latest.ended || latest == copy.followed ? null : latest;
     }
 
@@ -175,36 +175,36 @@
 
     /** Puts the forward that was made in the place of its own choice, if there is one. */
     private void follow(double now, Copy copy, Attempt own, Attempt done) {
-        Request x = copy.exchange;
+        Request request = copy.exchange;
         if (own != null && own.backend == done.backend) {
             copy.followed = own;
             return;
         }
         if (own != null) {
-            takeBack(now, x, own);
+            takeBack(now, request, own);
         }
-        x.over = false;
-        copy.followed = new Attempt(x, done.backend, done.sent, done.timeOut, done.ahead);
-        x.latest = copy.followed;
-        x.forwards++;
-        x.out++;
-        balancer.followed(now, done.backend, 1);
+        request.completed = false;
+        copy.followed = new Attempt(request, done.backend, done.sentAt, done.timeoutSeconds, done.queueAhead);
+        request.latestAttempt = copy.followed;
+        request.attemptCount++;
+        request.attemptsInFlight++;
+        balancer.adjustAttempts(now, done.backend, 1);
     }
 
-    private void takeBack(double now, Request x, Attempt own) {
+    private void takeBack(double now, Request request, Attempt own) {
         own.ended = true;
-        x.latest = own.earlier;
-        x.forwards--;
-        x.out--;
-        balancer.followed(now, own.backend, -1);
+        request.latestAttempt = own.previous;
+        request.attemptCount--;
+        request.attemptsInFlight--;
+        balancer.adjustAttempts(now, own.backend, -1);
     }
 
     /** Danger: probes are not sent for it, and one that nobody answers would make its backend look silent. */
-    private void settle(double now, Decision turn) {
-        Deque<Integer> asked = new ArrayDeque<>(turn.probes);
+    private void settle(double now, Decision decision) {
+        Deque<Integer> asked = new ArrayDeque<>(decision.probes);
         while (!asked.isEmpty()) {
-            asked.addAll(balancer.probeEnded(now, asked.poll(), AttemptOutcome.MOOT, null).probes);
+            asked.addAll(balancer.probeEnded(now, asked.poll(), AttemptOutcome.NOT_SENT, null).probes);
         }
-        wakeAt = turn.wakeAt;
+        wakeAt = decision.wakeAt;
     }
 }
--- a/src/main/java/lemondrift/simulator/SimulatedProxy.java
+++ b/src/main/java/lemondrift/simulator/SimulatedProxy.java
@@ -58,16 +58,16 @@
 
     Attempt forward(long id, int forwardNumber) {
         Request exchange = exchanges.get(id);
-        Attempt forward = exchange == null ? null : exchange.latest;
-        while (forward != null && forward.number != forwardNumber) {
-            forward = forward.earlier;
+        Attempt forward = exchange == null ? null : exchange.latestAttempt;
+        while (forward != null && forward.index != forwardNumber) {
+            forward = forward.previous;
         }
         return forward == null || forward.ended ? null : forward;
     }
 
     /** Lets go of an exchange that is over and has nothing out. */
     void release(Request exchange) {
-        if (exchange.over && exchange.out == 0) {
+        if (exchange.completed && exchange.attemptsInFlight == 0) {
             exchanges.remove(exchange.id);
         }
     }
@@ -81,39 +81,39 @@
         return true;
     }
 
-    void write(Decision turn, double now, ReplyWriter reply) {
-        for (Attempt f : turn.cancels) {
-            reply.cancel(number, f.exchange.id, f.number);
+    void write(Decision decision, double now, ReplyWriter reply) {
+        for (Attempt attempt : decision.cancellations) {
+            reply.cancel(number, attempt.request.id, attempt.index);
         }
-        for (Attempt f : turn.sends) {
-            reply.send(number, f.exchange.id, addresses.get(f.backend), f.timeOut);
+        for (Attempt attempt : decision.attempts) {
+            reply.send(number, attempt.request.id, addresses.get(attempt.backend), attempt.timeoutSeconds);
         }
-        for (Decision.Answer a : turn.answers) {
-            if (a.shed()) {
-                reply.shed(number, a.exchange().id, a.retryAfter());
+        for (Decision.Answer a : decision.localReplies) {
+            if (a.rejected()) {
+                reply.shed(number, a.request().id, a.retryAfterSeconds());
             } else {
-                reply.scrap(number, a.exchange().id);
+                reply.scrap(number, a.request().id);
             }
-            release(a.exchange());
+            release(a.request());
         }
-        for (int backend : turn.probes) {
+        for (int backend : decision.probes) {
             reply.probe(number, addresses.get(backend));
         }
-        for (Decision.ListCall call : turn.listCalls) {
+        for (Decision.ListCall call : decision.endpointListCalls) {
             if (call == Decision.ListCall.WATCH) {
                 reply.watch(number);
             } else {
                 reply.askWhole(number);
             }
         }
-        for (String text : turn.peerTexts) {
+        for (String text : decision.peerTexts) {
             reply.toAllPeers(number, text);
         }
-        for (String text : turn.notes) {
+        for (String text : decision.logMessages) {
             reply.note(number, text);
         }
-        if (turn.wakeAt < alarmAt) {
-            alarmAt = turn.wakeAt;
+        if (decision.wakeAt < alarmAt) {
+            alarmAt = decision.wakeAt;
             reply.alarm(number, Math.max(0, alarmAt - now), ++alarmTag);
         }
     }
--- a/src/main/java/lemondrift/simulator/SimulatorAdapter.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -114,9 +114,9 @@
         if (instance == null) {
             return;
         }
-        Decision turn;
+        Decision decision;
         try {
-            turn = call(code, instance, b);
+            decision = call(code, instance, b);
         } catch (java.nio.BufferUnderflowException | InvalidSettingsException e) {
             throw e;
         } catch (RuntimeException e) {
@@ -126,8 +126,8 @@
             instances.remove(number);
             return;
         }
-        if (turn != null) {
-            instance.write(turn, now, reply);
+        if (decision != null) {
+            instance.write(decision, now, reply);
         }
     }
 
@@ -138,51 +138,51 @@
                 int set = Byte.toUnsignedInt(b.get());
                 int kind = b.get();
                 if (kind == 3) {
-                    return instance.balancer.listFailed(now);
+                    return instance.balancer.endpointListFailed(now);
                 }
                 List<SimulatedProxy.Line> lines = lists.get(set);
                 if (lines == null) {
                     throw new InvalidSettingsException("list " + set + " was never defined");
                 }
-                return instance.balancer.backendsListed(now, kind != 0, kind == 2, instance.listed(lines));
+                return instance.balancer.endpointsListed(now, kind != 0, kind == 2, instance.listed(lines));
             }
             case ARRIVAL: {
                 long id = b.getLong();
-                int grade = Short.toUnsignedInt(b.getShort());
+                int requestClass = Short.toUnsignedInt(b.getShort());
                 int tenant = b.getInt();
                 b.getLong();
                 double left = b.getDouble() / 1000;
                 b.getDouble();
-                return instance.balancer.exchangeArrived(now, instance.taken(
-                        new Request(id, grade, tenant, now, left, (b.get() & RETRY) != 0)));
+                return instance.balancer.requestArrived(now, instance.taken(
+                        new Request(id, requestClass, tenant, now, left, (b.get() & RETRY) != 0)));
             }
             case UNDER_WAY: {
                 Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
-                return forward == null ? null : instance.balancer.answerBegun(now, forward);
+                return forward == null ? null : instance.balancer.responseStarted(now, forward);
             }
             case FORWARD_END: {
                 Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
                 address(b);
                 int outcome = Short.toUnsignedInt(b.getShort());
-                double took = b.getDouble() / 1000;
+                double durationSeconds = b.getDouble() / 1000;
                 boolean over = b.get() != 0;
-                double[] report = report(b);
+                double[] loadReport = report(b);
                 if (forward == null || outcome >= OUTCOMES.length) {
                     return null;
                 }
-                Decision turn = instance.balancer.forwardEnded(now, forward, OUTCOMES[outcome], took, over,
-                        report);
-                instance.release(forward.exchange);
-                return turn;
+                Decision decision = instance.balancer.attemptEnded(now, forward, OUTCOMES[outcome], durationSeconds, over,
+                        loadReport);
+                instance.release(forward.request);
+                return decision;
             }
             case VANISHED: {
                 Request exchange = instance.exchange(b.getLong());
                 if (exchange == null) {
                     return null;
                 }
-                Decision turn = instance.balancer.clientLeft(now, exchange);
+                Decision decision = instance.balancer.clientLeft(now, exchange);
                 instance.release(exchange);
-                return turn;
+                return decision;
             }
             case BELL:
                 return instance.isCurrentAlarm(b.getLong()) ? instance.balancer.wake(now) : null;
@@ -235,10 +235,10 @@
         if (count == 0) {
             return null;
         }
-        double[] report = new double[count];
+        double[] loadReport = new double[count];
         for (int i = 0; i < count; i++) {
-            report[i] = b.getFloat();
+            loadReport[i] = b.getFloat();
         }
-        return report;
+        return loadReport;
     }
 }
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -37,15 +37,15 @@
     @Test
     void aDatagramOfGossipIsReadAndWrittenAsBefore() throws IOException {
         LoadGossip sender = holdings(0), receiver = holdings(1);
-        sender.sent(LoadGossip.tag("backend-1"));
-        sender.sent(LoadGossip.tag("backend-1"));
-        sender.sent(LoadGossip.tag("backend-2"));
-        List<LoadGossip.Telling> due = sender.tellings(1);
+        sender.attemptSent(LoadGossip.tag("backend-1"));
+        sender.attemptSent(LoadGossip.tag("backend-1"));
+        sender.attemptSent(LoadGossip.tag("backend-2"));
+        List<LoadGossip.Telling> due = sender.dueMessages(1);
         assertEquals(1, due.size());
         LandedBytes.assertHex("gossip-datagram.hex", due.get(0).datagram());
-        receiver.told(0, LandedBytes.ofHex("gossip-datagram.hex"), 1);
-        assertEquals(2, receiver.others(LoadGossip.tag("backend-1")));
-        assertEquals(1, receiver.others(LoadGossip.tag("backend-2")));
+        receiver.receive(0, LandedBytes.ofHex("gossip-datagram.hex"), 1);
+        assertEquals(2, receiver.peerLoad(LoadGossip.tag("backend-1")));
+        assertEquals(1, receiver.peerLoad(LoadGossip.tag("backend-2")));
     }
 
     private static LoadGossip holdings(int self) {
--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -36,7 +36,7 @@
         w.watcher = this::check;
         List.of(made, outcomes, answered, told).forEach(Map::clear);
         open.clear();
-        TestDeployment.lines(backends).forEach(line -> told.put(line.backend(), line));
+        TestDeployment.lines(backends).forEach(update -> told.put(update.backend(), update));
         w.list(true, true, TestDeployment.lines(backends));
         for (int step = 0; step < 300; step++) {
             w.loads.put(chance.nextInt(backends), chance.nextInt(4) == 0 ? null
@@ -47,7 +47,7 @@
         }
         w.wakeUntil(w.now + 3);
         endOverdue();
-        made.keySet().forEach(x -> assertEquals(1, answered.getOrDefault(x, 0), "one final answer each"));
+        made.keySet().forEach(request -> assertEquals(1, answered.getOrDefault(request, 0), "one final answer each"));
     }
 
     /** Hundreds of proxies, told of one start at once, share its budget; each keeps only its own part. */
@@ -60,18 +60,18 @@
             each.list(true, i % 2 == 0, List.of(TestDeployment.line(0, EndpointUpdate.State.READY, each.now)));
             for (double at = 0.5 / aSecond; at < 6; at += 1.0 / aSecond) {
                 each.wakeUntil(100 + at);
-                Attempt f = each.arrive(0);
-                if (f != null) {
+                Attempt attempt = each.arrive(0);
+                if (attempt != null) {
                     sent.add(at);
-                    each.end(f, AttemptOutcome.DELIVERED, 0, 0);
+                    each.end(attempt, AttemptOutcome.SUCCESS, 0, 0);
                 }
             }
         }
         for (double from = 0; from < 4; from += 0.25) {
-            double start = from, end = from + TestDeployment.RULES.fallWindow();
+            double start = from, end = from + TestDeployment.RULES.overloadWindowSeconds();
             long count = sent.stream().filter(at -> at >= start && at < end).count();
-            double share = TestDeployment.RULES.coldFrom() + (1 - TestDeployment.RULES.coldFrom()) * from / TestDeployment.RULES.cold();
-            double bearable = TestDeployment.RULES.fallMultiple() * share * TestDeployment.RULES.fallWindow();
+            double share = TestDeployment.RULES.slowStartMinShare() + (1 - TestDeployment.RULES.slowStartMinShare()) * from / TestDeployment.RULES.slowStartSeconds();
+            double bearable = TestDeployment.RULES.overloadFactor() * share * TestDeployment.RULES.overloadWindowSeconds();
             assertTrue(count * WORK <= bearable + WORK, count + " from " + from);
         }
     }
@@ -81,12 +81,12 @@
         if (kind < 9) {
             latest = new Request(made.size(), chance.nextInt(4), 0, w.now, chance.nextInt(4) == 0 ? 1.2 : 2);
             made.put(latest, new ArrayList<>());
-            w.did(w.balancer.exchangeArrived(w.now, latest));
+            w.did(w.balancer.requestArrived(w.now, latest));
         } else if (kind < 16 && !open.isEmpty()) {
-            Attempt f = open.get(chance.nextInt(open.size()));
+            Attempt attempt = open.get(chance.nextInt(open.size()));
             AttemptOutcome outcome = AttemptOutcome.values()[chance.nextInt(AttemptOutcome.values().length)];
-            if (outcome != AttemptOutcome.DELIVERED || w.now - f.sent >= WORK) {
-                end(f, outcome, chance.nextDouble());
+            if (outcome != AttemptOutcome.SUCCESS || w.now - attempt.sentAt >= WORK) {
+                end(attempt, outcome, chance.nextDouble());
             }
         } else if (kind < 18) {
             int i = chance.nextInt(backends + 2);
@@ -104,63 +104,63 @@
 
     /** A forward whose time is up ends as a time-out, so that its exchange can be answered. */
     private void endOverdue() {
-        for (Attempt f : List.copyOf(open)) {
-            if (w.now >= f.sent + f.timeOut) {
-                end(f, AttemptOutcome.TIMED_OUT, 1);
+        for (Attempt attempt : List.copyOf(open)) {
+            if (w.now >= attempt.sentAt + attempt.timeoutSeconds) {
+                end(attempt, AttemptOutcome.TIMED_OUT, 1);
             }
         }
     }
 
-    private void end(Attempt f, AttemptOutcome outcome, double utilisation) {
-        open.remove(f);
-        outcomes.put(f, outcome);
-        if (outcome == AttemptOutcome.DELIVERED) {
-            answered.putIfAbsent(f.exchange, 1);
+    private void end(Attempt attempt, AttemptOutcome outcome, double utilisation) {
+        open.remove(attempt);
+        outcomes.put(attempt, outcome);
+        if (outcome == AttemptOutcome.SUCCESS) {
+            answered.putIfAbsent(attempt.request, 1);
         }
-        w.did(w.balancer.forwardEnded(w.now, f, outcome, w.now - f.sent, answered.containsKey(f.exchange),
+        w.did(w.balancer.attemptEnded(w.now, attempt, outcome, w.now - attempt.sentAt, answered.containsKey(attempt.request),
                 new double[] {utilisation, 0}));
     }
 
-    private void check(Decision turn) {
-        for (Attempt f : turn.sends) {
-            List<Attempt> before = made.get(f.exchange);
-            assertTrue(!answered.containsKey(f.exchange) && w.now < f.exchange.expiry, "rule 1: sent late");
+    private void check(Decision decision) {
+        for (Attempt attempt : decision.attempts) {
+            List<Attempt> before = made.get(attempt.request);
+            assertTrue(!answered.containsKey(attempt.request) && w.now < attempt.request.deadline, "rule 1: sent late");
             before.forEach(b -> assertTrue(outcomes.containsKey(b), "two forwards out at once"));
-            before.stream().filter(b -> !outcomes.get(b).neverRan).findFirst().ifPresent(b ->
-                    assertTrue(mayRepeat(GRADES[f.exchange.grade], b, f), "rule 2: " + outcomes.get(b)));
-            assertEquals(EndpointUpdate.State.READY, told.get(f.backend).state(), "rule 3");
-            before.add(f);
-            open.add(f);
-            assertTrue(work(f.backend) <= budget(f.backend) + WORK, "rule 4: " + work(f.backend));
+            before.stream().filter(b -> !outcomes.get(b).neverExecuted).findFirst().ifPresent(b ->
+                    assertTrue(mayRepeat(GRADES[attempt.request.requestClass], b, attempt), "rule 2: " + outcomes.get(b)));
+            assertEquals(EndpointUpdate.State.READY, told.get(attempt.backend).state(), "rule 3");
+            before.add(attempt);
+            open.add(attempt);
+            assertTrue(work(attempt.backend) <= budget(attempt.backend) + WORK, "rule 4: " + work(attempt.backend));
         }
-        for (Decision.Answer a : turn.answers) {
-            assertTrue(w.now <= a.exchange().expiry, "rule 1: answered late");
-            assertEquals(1, answered.merge(a.exchange(), 1, Integer::sum), "rule 1: answered twice");
-            boolean harmless = made.get(a.exchange()).stream()
-                    .allMatch(f -> outcomes.containsKey(f) && outcomes.get(f).neverRan);
-            assertTrue(!a.shed() || harmless || a.exchange().grade == 0, "rule 2: shed, may have run");
+        for (Decision.Answer a : decision.localReplies) {
+            assertTrue(w.now <= a.request().deadline, "rule 1: answered late");
+            assertEquals(1, answered.merge(a.request(), 1, Integer::sum), "rule 1: answered twice");
+            boolean harmless = made.get(a.request()).stream()
+                    .allMatch(attempt -> outcomes.containsKey(attempt) && outcomes.get(attempt).neverExecuted);
+            assertTrue(!a.rejected() || harmless || a.request().requestClass == 0, "rule 2: shed, may have run");
         }
     }
 
-    private boolean mayRepeat(RequestClass grade, Attempt ran, Attempt again) {
+    private boolean mayRepeat(RequestClass requestClass, Attempt ran, Attempt again) {
         EndpointUpdate from = told.get(ran.backend);
         EndpointUpdate to = told.get(again.backend);
-        return grade.effect() == Idempotency.PURE || grade.effect() == Idempotency.RECEIPTED
-                && w.now - ran.sent <= grade.receiptMemory() && from.location() == to.location()
-                && (grade.group() == DeduplicationScope.LOCATION || from.cell() == to.cell());
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && w.now - ran.sentAt <= requestClass.idempotencyKeyTtlSeconds() && from.location() == to.location()
+                && (requestClass.deduplicationScope() == DeduplicationScope.LOCATION || from.cell() == to.cell());
     }
 
     /** All that was sent to a backend within the window up to now, since it started. */
     private double work(int i) {
-        return WORK * made.values().stream().flatMap(List::stream).filter(f -> f.backend == i
-                && f.sent > w.now - TestDeployment.RULES.fallWindow() && f.sent >= told.get(i).started()).count();
+        return WORK * made.values().stream().flatMap(List::stream).filter(attempt -> attempt.backend == i
+                && attempt.sentAt > w.now - TestDeployment.RULES.overloadWindowSeconds() && attempt.sentAt >= told.get(i).startedAt()).count();
     }
 
     /** This proxy's part of what a cold backend bears in one window; without bound where it is warm. */
     private double budget(int i) {
-        double age = (w.now - told.get(i).started()) / TestDeployment.RULES.cold();
-        double share = TestDeployment.RULES.coldFrom() + (1 - TestDeployment.RULES.coldFrom()) * age;
-        return told.get(i).started() == 0 || age >= 1 ? Double.POSITIVE_INFINITY
-                : TestDeployment.RULES.fallMultiple() * share * TestDeployment.RULES.fallWindow() / 3;
+        double age = (w.now - told.get(i).startedAt()) / TestDeployment.RULES.slowStartSeconds();
+        double share = TestDeployment.RULES.slowStartMinShare() + (1 - TestDeployment.RULES.slowStartMinShare()) * age;
+        return told.get(i).startedAt() == 0 || age >= 1 ? Double.POSITIVE_INFINITY
+                : TestDeployment.RULES.overloadFactor() * share * TestDeployment.RULES.overloadWindowSeconds() / 3;
     }
 }
--- a/src/test/java/lemondrift/LoadBalancerTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -17,8 +17,8 @@
     private static double share(TestDeployment w, int backend, int of) {
         int hits = 0;
         for (int i = 0; i < of; i++) {
-            Attempt f = w.arrive(PURE);
-            hits += f != null && f.backend == backend ? 1 : 0;
+            Attempt attempt = w.arrive(PURE);
+            hits += attempt != null && attempt.backend == backend ? 1 : 0;
         }
         return (double) hits / of;
     }
@@ -28,9 +28,9 @@
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < exchanges; i++) {
             w.wakeUntil(w.now + apart);
-            Attempt f = w.arrive(ONCE);
-            used.add(f.backend);
-            w.end(f, AttemptOutcome.DELIVERED);
+            Attempt attempt = w.arrive(ONCE);
+            used.add(attempt.backend);
+            w.end(attempt, AttemptOutcome.SUCCESS);
         }
         return used;
     }
@@ -45,10 +45,10 @@
     @Test
     void aReportOverwritesTheEstimateAndClearsTheSends() {
         TestDeployment w = TestDeployment.of(2).load(0.5, 0.6);
-        Attempt f = w.arrive(ONCE);
-        assertEquals(0, f.backend);
+        Attempt attempt = w.arrive(ONCE);
+        assertEquals(0, attempt.backend);
         assertEquals(1, w.arrive(ONCE).backend);
-        w.end(f, AttemptOutcome.DELIVERED, 0.1, 0);
+        w.end(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
         assertEquals(0, w.arrive(ONCE).backend);
     }
 
@@ -58,9 +58,9 @@
         w.list(true, false, TestDeployment.lines(2));
         Attempt first = w.arrive(ONCE), second = w.arrive(ONCE);
         w.now += 0.1;
-        w.end(first, AttemptOutcome.DELIVERED, 0.5, 1);
-        w.end(second, AttemptOutcome.DELIVERED, 0.4, 2);
-        assertEquals(0, w.balancer.word(w.now, ONCE).retryAfter(), "an idle fleet sheds nothing");
+        w.end(first, AttemptOutcome.SUCCESS, 0.5, 1);
+        w.end(second, AttemptOutcome.SUCCESS, 0.4, 2);
+        assertEquals(0, w.balancer.shedThreshold(w.now, ONCE).retryAfterSeconds(), "an idle fleet sheds nothing");
         assertEquals(first.backend, w.arrive(ONCE).backend, "idle, though its report says one");
     }
 
@@ -69,14 +69,14 @@
         TestDeployment w = new TestDeployment(TestDeployment.settings(14, false, TestDeployment.ANSWERS, false), 7);
         w.list(true, false, List.of(TestDeployment.line(0, EndpointUpdate.State.READY, 0),
                 TestDeployment.line(1, EndpointUpdate.State.READY, 0), TestDeployment.line(2, EndpointUpdate.State.READY, w.now)));
-        w.balancer.othersHold(0, 3);
-        w.balancer.othersHold(2, 0);
-        w.balancer.othersHeard(true);
+        w.balancer.peerLoadReported(0, 3);
+        w.balancer.peerLoadReported(2, 0);
+        w.balancer.peersHeard(true);
         assertEquals(1, w.arrive(ONCE).backend, "idle as told");
         int cold = 0;
         for (int i = 0; i < 30; i++) {
-            Attempt f = w.arrive(ONCE);
-            cold += f != null && f.backend == 2 ? 1 : 0;
+            Attempt attempt = w.arrive(ONCE);
+            cold += attempt != null && attempt.backend == 2 ? 1 : 0;
         }
         assertTrue(cold <= 1, cold + " went to one that looks idle and is cold");
     }
@@ -117,7 +117,7 @@
             w.arrive(ONCE);
             w.wakeUntil(w.now + 0.3);
         }
-        assertTrue(w.sends.size() >= 19 && w.sends.stream().allMatch(f -> f.backend == 0));
+        assertTrue(w.sends.size() >= 19 && w.sends.stream().allMatch(attempt -> attempt.backend == 0));
     }
 
     @Test
@@ -141,10 +141,10 @@
         int taken = 0;
         for (int i = 0; i < 40; i++) {
             w.wakeUntil(w.now + 1);
-            Attempt f = w.arrive(ONCE);
-            if (f != null) {
+            Attempt attempt = w.arrive(ONCE);
+            if (attempt != null) {
                 taken++;
-                w.end(f, AttemptOutcome.DELIVERED, 1, 0);
+                w.end(attempt, AttemptOutcome.SUCCESS, 1, 0);
             }
         }
         assertTrue(taken > 8, taken + " taken by the one that is idle");
@@ -166,9 +166,9 @@
     @Test
     void anErrorsReportDrawsNoTraffic() {
         TestDeployment w = TestDeployment.of(3).load(0.5, 0.9, 0.2);
-        Attempt f = w.arrive(ONCE);
-        assertEquals(2, f.backend);
-        w.end(f, AttemptOutcome.ERROR, 0, 0);
+        Attempt attempt = w.arrive(ONCE);
+        assertEquals(2, attempt.backend);
+        w.end(attempt, AttemptOutcome.ERROR, 0, 0);
         assertEquals(0, w.arrive(ONCE).backend, "the mean stands for the one that errors");
     }
 
@@ -177,10 +177,10 @@
         TestDeployment w = TestDeployment.of(4);
         int bad = 0;
         for (int i = 0; i < 200; i++) {
-            Attempt f = w.arrive(PURE);
+            Attempt attempt = w.arrive(PURE);
             w.now += 0.001;
-            w.end(f, f.backend == 2 ? AttemptOutcome.RESET : AttemptOutcome.DELIVERED, 0.3, 0);
-            bad += f.backend == 2 ? 1 : 0;
+            w.end(attempt, attempt.backend == 2 ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS, 0.3, 0);
+            bad += attempt.backend == 2 ? 1 : 0;
         }
         assertTrue(bad >= 3 && bad <= 8, bad + " went to the sick one");
         w.wakeUntil(w.now + 3);
@@ -193,8 +193,8 @@
     void anIndexThatPassesOnCarriesNothingOver() {
         TestDeployment w = TestDeployment.of(2).load(0.9, 0);
         for (int i = 0; i < 20; i++) {
-            Attempt f = w.arrive(PURE);
-            w.end(f, f.backend == 1 ? AttemptOutcome.RESET : AttemptOutcome.DELIVERED, 0.9, 0);
+            Attempt attempt = w.arrive(PURE);
+            w.end(attempt, attempt.backend == 1 ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS, 0.9, 0);
         }
         assertEquals(0, w.arrive(PURE).backend, "the other is suspended");
         w.list(false, false, List.of(new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0)));
@@ -206,13 +206,13 @@
         TestDeployment w = TestDeployment.of(4);
         int[] bad = new int[4], good = new int[4];
         for (int i = 0; i < 400; i++) {
-            int grade = i % 4 == 0 ? ONCE : PURE;
-            Attempt f = w.arrive(grade);
+            int requestClass = i % 4 == 0 ? ONCE : PURE;
+            Attempt attempt = w.arrive(requestClass);
             w.now += 0.001;
-            boolean fails = f.backend == 2 && grade == ONCE;
-            w.end(f, fails ? AttemptOutcome.RESET : AttemptOutcome.DELIVERED, 0.3, 0);
-            bad[f.backend] += fails ? 1 : 0;
-            good[f.backend] += fails ? 0 : 1;
+            boolean fails = attempt.backend == 2 && requestClass == ONCE;
+            w.end(attempt, fails ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS, 0.3, 0);
+            bad[attempt.backend] += fails ? 1 : 0;
+            good[attempt.backend] += fails ? 0 : 1;
         }
         assertTrue(bad[2] <= 8, bad[2] + " went where their grade fails");
         assertTrue(good[2] >= 40, good[2] + " of the others still do");
@@ -223,10 +223,10 @@
         TestDeployment w = TestDeployment.of(4);
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            Attempt f = w.arrive(ONCE);
+            Attempt attempt = w.arrive(ONCE);
             w.wakeUntil(w.now + 0.2);
-            if (f != null && w.end(f, AttemptOutcome.RESET) == null && i > 100) {
-                used.add(f.backend);
+            if (attempt != null && w.end(attempt, AttemptOutcome.RESET) == null && i > 100) {
+                used.add(attempt.backend);
             }
         }
         assertTrue(used.size() >= 2, used + " still used");
@@ -248,17 +248,17 @@
 
     @Test
     void provenOutcomesAreForwardedAgainAndOthersByGrade() {
-        for (AttemptOutcome proof : List.of(AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MOOT)) {
+        for (AttemptOutcome proof : List.of(AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)) {
             TestDeployment w = TestDeployment.of(2);
-            Attempt f = w.arrive(ONCE);
-            assertEquals(1 - f.backend, w.end(f, proof).backend);
+            Attempt attempt = w.arrive(ONCE);
+            assertEquals(1 - attempt.backend, w.end(attempt, proof).backend);
         }
         for (AttemptOutcome doubt : List.of(AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)) {
             TestDeployment w = TestDeployment.of(60);
             assertNull(w.end(w.arrive(ONCE), doubt));
-            assertFalse(w.answers.get(0).shed(), "no promise where it may have run");
-            Attempt f = w.arrive(MARKED);
-            assertEquals(f.backend % 2, w.end(f, doubt).backend % 2, "a repeat stays in its group");
+            assertFalse(w.answers.get(0).rejected(), "no promise where it may have run");
+            Attempt attempt = w.arrive(MARKED);
+            assertEquals(attempt.backend % 2, w.end(attempt, doubt).backend % 2, "a repeat stays in its group");
             Attempt late = w.arrive(MARKED);
             w.now += 0.6;
             assertNull(w.end(late, doubt), "receipts are forgotten");
@@ -271,9 +271,9 @@
         TestDeployment w = TestDeployment.of(8);
         int sent = 0;
         for (int i = 0; i < 40; i++) {
-            for (Attempt f = w.arrive(PURE); f != null; f = w.end(f, AttemptOutcome.FULL)) {
+            for (Attempt attempt = w.arrive(PURE); attempt != null; attempt = w.end(attempt, AttemptOutcome.OVERLOADED)) {
                 sent++;
-                assertTrue(f.number < 4);
+                assertTrue(attempt.index < 4);
             }
             w.wakeUntil(w.now + 1);
         }
@@ -286,7 +286,7 @@
         w.loads.put(0, new double[] {1, 9});
         w.loads.put(1, new double[] {1, 9});
         assertNull(w.arrive(PURE));
-        assertTrue(w.answers.get(0).shed() && w.answers.get(0).retryAfter() > 0);
+        assertTrue(w.answers.get(0).rejected() && w.answers.get(0).retryAfterSeconds() > 0);
         w.loads.put(0, new double[] {1, 8});
         assertNotNull(w.arrive(ONCE), "the least benefit goes first");
         w.load(0.5, 0.5).now += 1;
@@ -296,25 +296,25 @@
     @Test
     void theWordIsWhatWouldBeShedAndAskingChangesNothing() {
         TestDeployment w = TestDeployment.of(2);
-        assertEquals(0, w.balancer.word(w.now, PURE).leastLeft(), "nothing is shed of an idle fleet");
+        assertEquals(0, w.balancer.shedThreshold(w.now, PURE).minSecondsLeft(), "nothing is shed of an idle fleet");
         w.loads.put(0, new double[] {1, 9});
         w.loads.put(1, new double[] {1, 9});
         assertNull(w.arrive(PURE));
-        ShedThreshold word = w.balancer.word(w.now, PURE);
-        assertTrue(word.leastLeft() > 1, "not with a whole contract time");
-        assertEquals(w.answers.get(0).retryAfter(), word.retryAfter(), 1e-9);
-        assertTrue(w.balancer.word(w.now, ONCE).leastLeft() < word.leastLeft(),
+        ShedThreshold word = w.balancer.shedThreshold(w.now, PURE);
+        assertTrue(word.minSecondsLeft() > 1, "not with a whole contract time");
+        assertEquals(w.answers.get(0).retryAfterSeconds(), word.retryAfterSeconds(), 1e-9);
+        assertTrue(w.balancer.shedThreshold(w.now, ONCE).minSecondsLeft() < word.minSecondsLeft(),
                 "the least benefit goes first");
         w.list(true, false, List.of());
-        assertEquals(Double.POSITIVE_INFINITY, w.balancer.word(w.now, ONCE).leastLeft());
+        assertEquals(Double.POSITIVE_INFINITY, w.balancer.shedThreshold(w.now, ONCE).minSecondsLeft());
         TestDeployment asked = TestDeployment.of(20), other = TestDeployment.of(20);
         for (int k = 0; k < 200; k++) {
-            asked.balancer.word(asked.now, k % 4);
-            Attempt f = asked.arrive(k % 4), same = other.arrive(k % 4);
-            assertEquals(f == null ? -1 : f.backend, same == null ? -1 : same.backend);
+            asked.balancer.shedThreshold(asked.now, k % 4);
+            Attempt attempt = asked.arrive(k % 4), same = other.arrive(k % 4);
+            assertEquals(attempt == null ? -1 : attempt.backend, same == null ? -1 : same.backend);
             for (TestDeployment each : List.of(asked, other)) {
-                if (k % 3 == 0 && f != null) {
-                    each.end(each == asked ? f : same, AttemptOutcome.DELIVERED, k % 10 / 10.0, 0);
+                if (k % 3 == 0 && attempt != null) {
+                    each.end(each == asked ? attempt : same, AttemptOutcome.SUCCESS, k % 10 / 10.0, 0);
                 }
                 each.wakeUntil(each.now + 0.013);
             }
@@ -330,9 +330,9 @@
         assertNotNull(w.arrive(PURE), "one ahead is a short wait");
         w.load(0);
         for (int i = 0; i < 12; i++) {
-            Attempt f = w.arrive(PURE);
+            Attempt attempt = w.arrive(PURE);
             w.wakeUntil(w.now + 1);
-            w.end(f, AttemptOutcome.TIMED_OUT);
+            w.end(attempt, AttemptOutcome.TIMED_OUT);
         }
         assertNotNull(w.arrive(PURE));
         w.loads.put(0, new double[] {1, 1});
@@ -343,11 +343,11 @@
     @Test
     void everyExchangeIsAnsweredByItsExpiryAndTheClientsLeavingCancels() {
         TestDeployment w = TestDeployment.of(2);
-        Attempt f = w.arrive(ONCE);
-        w.wakeUntil(f.exchange.expiry);
+        Attempt attempt = w.arrive(ONCE);
+        w.wakeUntil(attempt.request.deadline);
         assertEquals(1, w.answers.size());
         Attempt g = w.arrive(PURE);
-        w.did(w.balancer.clientLeft(w.now, g.exchange));
+        w.did(w.balancer.clientLeft(w.now, g.request));
         assertTrue(w.cancels.contains(g));
         assertNull(w.end(g, AttemptOutcome.CANCELLED));
         assertEquals(1, w.answers.size(), "nothing is owed to a client that left");
@@ -357,21 +357,21 @@
     void aRetryWhoseFirstTrysContractTimeIsOverIsShedAtOnce() {
         TestDeployment w = TestDeployment.of(2);
         assertNotNull(w.arrive(ONCE));
-        w.did(w.balancer.exchangeArrived(w.now, new Request(9, ONCE, 0, w.now, 0.9)));
+        w.did(w.balancer.requestArrived(w.now, new Request(9, ONCE, 0, w.now, 0.9)));
         assertEquals(1, w.sends.size());
-        assertTrue(w.answers.get(0).shed());
+        assertTrue(w.answers.get(0).rejected());
     }
 
     @Test
     void anOddTryWithMoreTimeDoesNotMakeRetriesOfAllThatFollow() {
         TestDeployment w = TestDeployment.of(2);
-        w.did(w.balancer.exchangeArrived(w.now, new Request(9, ONCE, 0, w.now, 9)));
+        w.did(w.balancer.requestArrived(w.now, new Request(9, ONCE, 0, w.now, 9)));
         int sent = 0;
         for (int i = 0; i < 20; i++) {
-            Attempt f = w.arrive(ONCE);
-            sent += f == null ? 0 : 1;
-            if (f != null) {
-                w.end(f, AttemptOutcome.DELIVERED, 0, 0);
+            Attempt attempt = w.arrive(ONCE);
+            sent += attempt == null ? 0 : 1;
+            if (attempt != null) {
+                w.end(attempt, AttemptOutcome.SUCCESS, 0, 0);
             }
         }
         assertTrue(sent >= 10, sent + " of 20 went out");
@@ -382,22 +382,22 @@
         TestDeployment w = new TestDeployment(TestDeployment.marked(TestDeployment.settings(3, false, TestDeployment.ANSWERS, true)), 7);
         w.list(true, false, TestDeployment.lines(2));
         for (int i = 0; i < 20; i++) {
-            w.did(w.balancer.exchangeArrived(w.now, new Request(2 * i, ONCE, 0, w.now, 0.9)));
-            w.did(w.balancer.exchangeArrived(w.now, new Request(2 * i + 1, ONCE, 0, w.now, 1.9, true)));
+            w.did(w.balancer.requestArrived(w.now, new Request(2 * i, ONCE, 0, w.now, 0.9)));
+            w.did(w.balancer.requestArrived(w.now, new Request(2 * i + 1, ONCE, 0, w.now, 1.9, true)));
             w.now += 0.1;
             List.copyOf(w.sends.subList(2 * i, w.sends.size()))
-                    .forEach(f -> w.end(f, AttemptOutcome.DELIVERED, 0, 0));
+                    .forEach(attempt -> w.end(attempt, AttemptOutcome.SUCCESS, 0, 0));
         }
         assertEquals(40, w.sends.size(), "first tries are first tries, and retries are young");
-        w.did(w.balancer.exchangeArrived(w.now, new Request(99, ONCE, 0, w.now, 0.7, true)));
-        assertTrue(w.answers.get(0).shed(), "its first try's contract time is over");
+        w.did(w.balancer.requestArrived(w.now, new Request(99, ONCE, 0, w.now, 0.7, true)));
+        assertTrue(w.answers.get(0).rejected(), "its first try's contract time is over");
     }
 
     @Test
     void aBegunStreamHasNoExpiry() {
         TestDeployment w = TestDeployment.of(1);
-        Attempt f = w.arrive(ONCE);
-        w.did(w.balancer.answerBegun(w.now, f));
+        Attempt attempt = w.arrive(ONCE);
+        w.did(w.balancer.responseStarted(w.now, attempt));
         w.wakeUntil(w.now + 9);
         assertTrue(w.answers.isEmpty());
     }
@@ -407,7 +407,7 @@
         TestDeployment w = new TestDeployment(TestDeployment.settings(3, true, TestDeployment.PROBES, true), 7);
         w.list(true, true, TestDeployment.lines(3));
         assertEquals(List.of(Decision.ListCall.WATCH), w.listCalls);
-        w.did(w.balancer.listFailed(w.now));
+        w.did(w.balancer.endpointListFailed(w.now));
         w.wakeUntil(w.now + 3);
         assertEquals(2, w.listCalls.size());
         w.list(false, false, List.of());
--- a/src/test/java/lemondrift/ShadowEvaluatorTest.java
+++ b/src/test/java/lemondrift/ShadowEvaluatorTest.java
@@ -12,9 +12,9 @@
 /** Watching: what is done stays as it is, and what would be done otherwise is counted by kind. */
 class ShadowEvaluatorTest {
     private static Settings settings(double crossing, int forwards, boolean probes) {
-        Settings s = TestDeployment.settings(3, false, TestDeployment.ANSWERS, probes);
-        return new Settings(3, 2, 0, false, s.grades(), s.tenantQuota(), 1, false, s.reports(),
-                new Settings.Limits(true, probes, forwards, 0.5), s.rules(),
+        Settings settings = TestDeployment.settings(3, false, TestDeployment.ANSWERS, probes);
+        return new Settings(3, 2, 0, false, settings.requestClasses(), settings.tenantQuotaPerSecond(), 1, false, settings.loadReports(),
+                new Settings.Limits(true, probes, forwards, 0.5), settings.rules(),
                 new Settings.Charges(crossing, 0.001));
     }
 
@@ -30,15 +30,15 @@
             if (kind < 4 || open.isEmpty()) {
                 w.arrive(chance.nextBoolean() ? 0 : 2);
             } else {
-                AttemptOutcome outcome = sound || kind < 8 ? AttemptOutcome.DELIVERED : AttemptOutcome.values()[chance.nextInt(6)];
-                Attempt f = open.remove(chance.nextInt(open.size()));
-                w.end(f, outcome, chance.nextDouble(), chance.nextInt(3));
+                AttemptOutcome outcome = sound || kind < 8 ? AttemptOutcome.SUCCESS : AttemptOutcome.values()[chance.nextInt(6)];
+                Attempt attempt = open.remove(chance.nextInt(open.size()));
+                w.end(attempt, outcome, chance.nextDouble(), chance.nextInt(3));
             }
             open.addAll(w.sends.subList(before, w.sends.size()));
         }
         StringBuilder did = new StringBuilder(w.probes + " ");
-        w.sends.forEach(f -> did.append(f.exchange.id).append('>').append(f.backend).append(' '));
-        w.answers.forEach(a -> did.append(a.exchange().id).append(a.shed() ? "- " : "! "));
+        w.sends.forEach(attempt -> did.append(attempt.request.id).append('>').append(attempt.backend).append(' '));
+        w.answers.forEach(a -> did.append(a.request().id).append(a.rejected() ? "- " : "! "));
         return did.toString();
     }
 
@@ -49,7 +49,7 @@
     }
 
     private static void counts(long atLeast, ShadowEvaluator.Kind kind, ShadowEvaluator shadow) {
-        assertTrue(shadow.count(kind) >= atLeast, shadow.told());
+        assertTrue(shadow.count(kind) >= atLeast, shadow.summary());
     }
 
     @Test
@@ -58,7 +58,7 @@
             Settings own = settings(0.05, 4, probes);
             ShadowEvaluator shadow = new ShadowEvaluator(settings(0, 1, true), 7);
             assertEquals(play(own, null, false), play(own, shadow, false));
-            assertTrue(shadow.decisions() > 500, shadow.told());
+            assertTrue(shadow.decisions() > 500, shadow.summary());
         }
     }
 
@@ -66,7 +66,7 @@
     void theSameSettingsWouldDecideTheSame() {
         ShadowEvaluator shadow = watched(settings(0.05, 4, false), settings(0.05, 4, false), false);
         for (ShadowEvaluator.Kind kind : ShadowEvaluator.Kind.values()) {
-            assertEquals(0, shadow.count(kind), shadow.told());
+            assertEquals(0, shadow.count(kind), shadow.summary());
         }
     }
 
--- a/src/test/java/lemondrift/TestDeployment.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -14,10 +14,10 @@
 
 /** One proxy's decisions in a small made-up deployment, and frames built by hand. */
 final class TestDeployment {
-    static final RequestClass PURE = new RequestClass(1, 0, 1, 2, Idempotency.PURE, DeduplicationScope.ALL, 0);
-    static final RequestClass MARKED = new RequestClass(4, 0, 1, 2, Idempotency.RECEIPTED, DeduplicationScope.LOCATION, 0.5);
-    static final RequestClass ONCE = new RequestClass(8, 0, 1, 2, Idempotency.EFFECTFUL, DeduplicationScope.ALL, 0);
-    static final RequestClass CELLS = new RequestClass(2, 0, 1, 2, Idempotency.RECEIPTED, DeduplicationScope.CELL, 0.8);
+    static final RequestClass PURE = new RequestClass(1, 0, 1, 2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0);
+    static final RequestClass MARKED = new RequestClass(4, 0, 1, 2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.LOCATION, 0.5);
+    static final RequestClass ONCE = new RequestClass(8, 0, 1, 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0);
+    static final RequestClass CELLS = new RequestClass(2, 0, 1, 2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, 0.8);
     static final Settings.Reports ANSWERS = new Settings.Reports(true, 0, 1, false, -1);
     static final Settings.Reports PROBES = new Settings.Reports(false, 0, -1, false, -1);
     static final Settings.Rules RULES = new Settings.Rules(0.25, 8, 3, 2, 10);
@@ -32,7 +32,7 @@
     final Map<Integer, double[]> loads = new HashMap<>();
     double now = 100;
     double wakeAt;
-    Consumer<Decision> watcher = turn -> { };
+    Consumer<Decision> watcher = decision -> { };
     private final ShadowEvaluator shadow;
 
     TestDeployment(Settings settings, long seed) {
@@ -65,40 +65,40 @@
     }
 
     /** The same where clients mark their retries. */
-    static Settings marked(Settings s) {
-        return new Settings(s.balancers(), s.locations(), s.location(), s.listOnRequest(), s.grades(),
-                s.tenantQuota(), s.excessBenefit(), true, s.reports(), s.limits(), s.rules(), s.charges());
+    static Settings marked(Settings settings) {
+        return new Settings(settings.proxyCount(), settings.locationCount(), settings.location(), settings.pollsEndpointList(), settings.requestClasses(),
+                settings.tenantQuotaPerSecond(), settings.overQuotaWeight(), true, settings.loadReports(), settings.limits(), settings.rules(), settings.costs());
     }
 
     static List<EndpointUpdate> lines(int backends) {
-        List<EndpointUpdate> lines = new ArrayList<>();
+        List<EndpointUpdate> updates = new ArrayList<>();
         for (int i = 0; i < backends; i++) {
-            lines.add(line(i, EndpointUpdate.State.READY, 0));
+            updates.add(line(i, EndpointUpdate.State.READY, 0));
         }
-        return lines;
+        return updates;
     }
 
     static EndpointUpdate line(int i, EndpointUpdate.State state, double started) {
         return new EndpointUpdate(i, false, i % 2, i % 4, state, started);
     }
 
-    void did(Decision turn) {
-        watcher.accept(turn);
-        watch(s -> s.decided(now, turn));
-        answers.addAll(turn.answers);
-        sends.addAll(turn.sends);
-        cancels.addAll(turn.cancels);
-        probes.addAll(turn.probes);
-        listCalls.addAll(turn.listCalls);
-        wakeAt = turn.wakeAt;
-        for (int i : List.copyOf(turn.probes)) {
+    void did(Decision decision) {
+        watcher.accept(decision);
+        watch(s -> s.decided(now, decision));
+        answers.addAll(decision.localReplies);
+        sends.addAll(decision.attempts);
+        cancels.addAll(decision.cancellations);
+        probes.addAll(decision.probes);
+        listCalls.addAll(decision.endpointListCalls);
+        wakeAt = decision.wakeAt;
+        for (int i : List.copyOf(decision.probes)) {
             double[] load = loads.getOrDefault(i, new double[] {0, 0});
             if (load != null) {
                 // No two reports are quite the same, unless one is told again.
                 double[] fresh = load.clone();
                 fresh[0] += 1e-9 * probes.size();
-                watch(s -> s.probed(now, i, AttemptOutcome.DELIVERED, fresh));
-                did(balancer.probeEnded(now, i, AttemptOutcome.DELIVERED, fresh));
+                watch(s -> s.probeEnded(now, i, AttemptOutcome.SUCCESS, fresh));
+                did(balancer.probeEnded(now, i, AttemptOutcome.SUCCESS, fresh));
             }
         }
     }
@@ -110,27 +110,27 @@
         return this;
     }
 
-    void list(boolean whole, boolean stale, List<EndpointUpdate> lines) {
-        watch(s -> s.listed(now, whole, stale, lines));
-        did(balancer.backendsListed(now, whole, stale, lines));
+    void list(boolean whole, boolean stale, List<EndpointUpdate> updates) {
+        watch(s -> s.endpointsListed(now, whole, stale, updates));
+        did(balancer.endpointsListed(now, whole, stale, updates));
     }
 
     /** The forward that a new exchange is sent by, or null. */
-    Attempt arrive(int grade) {
+    Attempt arrive(int requestClass) {
         int before = sends.size();
-        Request x = new Request(sends.size(), grade, 0, now, 2);
-        watch(s -> s.arrived(now, x));
-        did(balancer.exchangeArrived(now, x));
+        Request request = new Request(sends.size(), requestClass, 0, now, 2);
+        watch(s -> s.requestArrived(now, request));
+        did(balancer.requestArrived(now, request));
         return sends.size() > before ? sends.get(before) : null;
     }
 
     /** The forward that follows, or null. */
-    Attempt end(Attempt f, AttemptOutcome outcome, double... report) {
+    Attempt end(Attempt attempt, AttemptOutcome outcome, double... loadReport) {
         int before = sends.size();
-        boolean over = outcome == AttemptOutcome.DELIVERED || f.exchange.over;
-        double[] told = report.length == 0 ? null : report;
-        watch(s -> s.ended(now, f, outcome, now - f.sent, over, told));
-        did(balancer.forwardEnded(now, f, outcome, now - f.sent, over, told));
+        boolean over = outcome == AttemptOutcome.SUCCESS || attempt.request.completed;
+        double[] told = loadReport.length == 0 ? null : loadReport;
+        watch(s -> s.attemptEnded(now, attempt, outcome, now - attempt.sentAt, over, told));
+        did(balancer.attemptEnded(now, attempt, outcome, now - attempt.sentAt, over, told));
         return sends.size() > before ? sends.get(before) : null;
     }
 
--- a/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
+++ b/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
@@ -13,25 +13,25 @@
     /** Bodies that come in pieces and end in any order: the bounds hold, and in the end nothing is held. */
     @Property(tries = 300, seed = "48")
     void neitherBoundIsPassedAndAllIsLetGo(@ForAll List<@IntRange(min = 0, max = 999) Integer> steps) {
-        BodyBufferBudget holding = new BodyBufferBudget(100, 250);
+        BodyBufferBudget bufferBudget = new BodyBufferBudget(100, 250);
         int[] has = new int[8];
         for (int step : steps) {
             int body = step % 8;
             if (step < 800) {
                 int more = 1 + step / 8;
-                if (holding.takes(has[body], more)) {
+                if (bufferBudget.takes(has[body], more)) {
                     has[body] += more;
                 } else {
                     int sum = Arrays.stream(has).sum();
                     assertTrue(has[body] + more > 100 || sum + more > 250, "refused without need");
                 }
             } else {
-                holding.letGo(has[body]);
+                bufferBudget.letGo(has[body]);
                 has[body] = 0;
             }
             assertTrue(has[body] <= 100);
-            assertEquals(Arrays.stream(has).sum(), holding.held());
-            assertTrue(holding.held() <= 250);
+            assertEquals(Arrays.stream(has).sum(), bufferBudget.held());
+            assertTrue(bufferBudget.held() <= 250);
         }
     }
 
--- a/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -36,9 +36,9 @@
     final List<Client> gone = new ArrayList<>();
     double now = 1000;
 
-    ConnectionPolicyModel(ConnectionLimits bounds) {
-        this.bounds = bounds;
-        door = new ConnectionPolicy(bounds, this, 7);
+    ConnectionPolicyModel(ConnectionLimits limits) {
+        this.bounds = limits;
+        door = new ConnectionPolicy(limits, this, 7);
         door.sweep(now);
     }
 
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -83,14 +83,14 @@
             sources[s].brought(random.nextInt(4), 0, 1);
             weight[s] = sources[s].weight(0, 1);
         }
-        FairEviction crowd = new FairEviction(holders.size(), 1);
+        FairEviction fairEviction = new FairEviction(holders.size(), 1);
         for (int i = 0; i < holders.size(); i++) {
             sources[holders.get(i)].held++;
             held[holders.get(i)]++;
-            crowd.mayYield(i, sources[holders.get(i)]);
+            fairEviction.mayYield(i, sources[holders.get(i)]);
         }
         List<Integer> gave = new ArrayList<>();
-        crowd.yield(many, 0, i -> {
+        fairEviction.yield(many, 0, i -> {
             gave.add(holders.get(i));
             return --sources[holders.get(i)].held >= 0;
         });
@@ -371,8 +371,8 @@
 
     @Test
     void whatIsPromisedIsHeldTo() {
-        ConnectionLimits bounds = new ConnectionLimits(8, 10, 2.2, 0, EACH, true, 2048, 1);
-        ConnectionPolicyModel street = new ConnectionPolicyModel(bounds);
+        ConnectionLimits limits = new ConnectionLimits(8, 10, 2.2, 0, EACH, true, 2048, 1);
+        ConnectionPolicyModel street = new ConnectionPolicyModel(limits);
         int i = street.comes();
         street.asks(i);
         assertEquals(2, street.door.promise(i));
--- a/src/test/java/lemondrift/connection/KeepAliveMixes.java
+++ b/src/test/java/lemondrift/connection/KeepAliveMixes.java
@@ -16,7 +16,7 @@
 
     /** Asks again after a gap; goes after so many, staying on its connection without a word. */
     private interface Habit {
-        double gap(SplittableRandom chance);
+        double gap(SplittableRandom random);
     }
 
     private record Mix(String name, int usual, Habit habit, double onceRate, int burst) {}
@@ -36,7 +36,7 @@
     private KeepAliveMixes() {}
 
     public static void main(String[] args) {
-        Habit half = chance -> -0.5 * Math.log(1 - chance.nextDouble());
+        Habit half = random -> -0.5 * Math.log(1 - random.nextDouble());
         List<Mix> mixes = List.of(new Mix("usual alone, 0.5 s between", 40, half, 0, 1),
                 new Mix("usual, and 60 a second that ask once and stay", 40, half, 60, 1),
                 new Mix("usual, and 15 a second that ask five times within 0.2 s and stay", 40, half, 15, 5));
@@ -51,11 +51,11 @@
     private static void play(Mix mix, double fixed) {
         boolean learns = Double.isNaN(fixed);
         // Fixed ones: no price, so that each stays for the whole time that it may be quiet.
-        ConnectionLimits bounds = new ConnectionLimits(learns ? PLACES : 1_000_000, learns ? 227 : 1_000_000,
+        ConnectionLimits limits = new ConnectionLimits(learns ? PLACES : 1_000_000, learns ? 227 : 1_000_000,
                 learns ? 2.2 : Math.max(0.2, fixed), learns ? 2 : Math.max(0.2, fixed),
                         ConnectionLimits.Sharing.CONNECTION,
                 false, 2048, 1);
-        ConnectionPolicyModel street = new ConnectionPolicyModel(bounds);
+        ConnectionPolicyModel street = new ConnectionPolicyModel(limits);
         SplittableRandom chance = new SplittableRandom(11);
         PriorityQueue<Client> next = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
         for (int i = 0; i < mix.usual; i++) {
--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -31,7 +31,7 @@
 
     /** The only telling that is due now. */
     private static byte[] telling(LoadGossip from, double now) {
-        List<LoadGossip.Telling> due = from.tellings(now);
+        List<LoadGossip.Telling> due = from.dueMessages(now);
         assertEquals(1, due.size(), "due");
         return due.get(0).datagram();
     }
@@ -39,53 +39,53 @@
     @Test
     void nonsenseLateAndRepeatedTellingsChangeNothing() {
         LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
-        a.sent(7);
+        a.attemptSent(7);
         byte[] old = telling(a, 1);
-        a.sent(7);
-        a.sent(9);
+        a.attemptSent(7);
+        a.attemptSent(9);
         byte[] last = telling(a, 1.02);
-        b.told(0, last, 1.03);
-        b.told(0, last, 1.04);
-        b.told(0, old, 1.04);
-        b.told(0, new byte[] {4, 2}, 1.04);
-        b.told(0, new byte[] {9, 0, 99, 0, 0, 7}, 1.04);
-        b.told(0, Arrays.copyOf(last, last.length - 1), 1.04);
-        b.told(5, last, 1.04);
-        b.told(1, last, 1.04);
-        b.told(-1, last, 1.04);
-        b.told(0, new byte[0], 1.04);
-        assertEquals(2, b.others(7));
-        assertEquals(1, b.others(9));
+        b.receive(0, last, 1.03);
+        b.receive(0, last, 1.04);
+        b.receive(0, old, 1.04);
+        b.receive(0, new byte[] {4, 2}, 1.04);
+        b.receive(0, new byte[] {9, 0, 99, 0, 0, 7}, 1.04);
+        b.receive(0, Arrays.copyOf(last, last.length - 1), 1.04);
+        b.receive(5, last, 1.04);
+        b.receive(1, last, 1.04);
+        b.receive(-1, last, 1.04);
+        b.receive(0, new byte[0], 1.04);
+        assertEquals(2, b.peerLoad(7));
+        assertEquals(1, b.peerLoad(9));
     }
 
     @Test
     void whatAKilledProxyHadOutIsForgottenAndItsNewStartIsHeard() {
         LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
         for (int i = 0; i < 50; i++) {
-            a.sent(7);
-            b.told(0, telling(a, 1 + 0.02 * i), 1 + 0.02 * i);
+            a.attemptSent(7);
+            b.receive(0, telling(a, 1 + 0.02 * i), 1 + 0.02 * i);
         }
-        b.forget(2.09);
-        assertEquals(0, b.others(7));
-        assertEquals(0, b.heard(2.09), "who is silent counts no more than what it told");
+        b.expireSilentPeers(2.09);
+        assertEquals(0, b.peerLoad(7));
+        assertEquals(0, b.livePeerCount(2.09), "who is silent counts no more than what it told");
         LoadGossip restarted = holdings(2, 0, 10);
-        restarted.sent(8);
-        b.told(0, telling(restarted, 3), 3);
-        assertEquals(1, b.others(8));
-        assertEquals(1, b.heard(3.05));
+        restarted.attemptSent(8);
+        b.receive(0, telling(restarted, 3), 3);
+        assertEquals(1, b.peerLoad(8));
+        assertEquals(1, b.livePeerCount(3.05));
     }
 
     @Test
     void aTellingStaysWithinItsBytesAndIsPaced() {
         LoadGossip a = holdings(2, 0, 1000);
         for (int i = 0; i < 1000; i++) {
-            a.sent(i);
+            a.attemptSent(i);
         }
-        assertTrue(telling(a, 1).length <= LoadGossip.MOST_BYTES);
-        a.sent(1);
-        assertEquals(List.of(), a.tellings(1.005));
+        assertTrue(telling(a, 1).length <= LoadGossip.MAX_DATAGRAM_BYTES);
+        a.attemptSent(1);
+        assertEquals(List.of(), a.dueMessages(1.005));
         telling(a, 1.011);
-        assertEquals(List.of(), a.tellings(1.02), "unchanged is told seldom");
+        assertEquals(List.of(), a.dueMessages(1.02), "unchanged is told seldom");
     }
 
     @Test
@@ -97,8 +97,8 @@
             subsets.listed(tags);
             for (int tag : tags) {
                 LoadGossip one = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> { });
-                one.sent(tag);
-                int[] to = one.tellings(1).stream().mapToInt(LoadGossip.Telling::to).toArray();
+                one.attemptSent(tag);
+                int[] to = one.dueMessages(1).stream().mapToInt(LoadGossip.Telling::to).toArray();
                 int[] use = IntStream.range(0, proxies).filter(p -> p != 3 && Arrays.stream(tags)
                         .filter(other -> SubsetAssignment.score(p, other)
                         < SubsetAssignment.score(p, tag)).count() < 16).toArray();
@@ -126,16 +126,16 @@
             int i = random.nextInt(proxies), b = random.nextInt(backends);
             if (model[i][b] > 0 && random.nextBoolean()) {
                 model[i][b]--;
-                all[i].ended(b);
+                all[i].attemptEnded(b);
             } else {
                 model[i][b]++;
-                all[i].sent(b);
+                all[i].attemptSent(b);
             }
-            all[i].tellings(now).forEach(telling -> flying.add(new Flying(i, telling)));
+            all[i].dueMessages(now).forEach(telling -> flying.add(new Flying(i, telling)));
             if (!flying.isEmpty() && random.nextInt(3) > 0) {
                 // Any that flies, perhaps again, perhaps never: lost, late, twice.
                 Flying any = flying.get(random.nextInt(flying.size()));
-                all[any.telling.to()].told(any.from, any.telling.datagram(), now);
+                all[any.telling.to()].receive(any.from, any.telling.datagram(), now);
             }
         }
         for (double end = now + FORGET + 0.01; now < end; now += 0.005) {
@@ -147,7 +147,7 @@
                 for (int i = 0; i < proxies; i++) {
                     want += i == j ? 0 : model[i][b];
                 }
-                assertEquals(want, all[j].others(b), "seed " + seed + ", proxy " + j + ", backend " + b);
+                assertEquals(want, all[j].peerLoad(b), "seed " + seed + ", proxy " + j + ", backend " + b);
             }
         }
     }
@@ -155,12 +155,12 @@
     /** All that is due is told and arrives, and what is too old is forgotten. */
     private static void arrive(LoadGossip[] all, double now) {
         for (int i = 0; i < all.length; i++) {
-            for (LoadGossip.Telling each : all[i].tellings(now)) {
-                all[each.to()].told(i, each.datagram(), now);
+            for (LoadGossip.Telling each : all[i].dueMessages(now)) {
+                all[each.to()].receive(i, each.datagram(), now);
             }
         }
         for (LoadGossip each : all) {
-            each.forget(now);
+            each.expireSilentPeers(now);
         }
     }
 
@@ -168,30 +168,30 @@
     @Test
     void aLostLastWordIsMadeGoodByForgettingAndNoLater() {
         LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
-        a.sent(7);
-        b.told(0, telling(a, 1), 1);
-        a.ended(7);
+        a.attemptSent(7);
+        b.receive(0, telling(a, 1), 1);
+        a.attemptEnded(7);
         assertTrue(telling(a, 1.02).length > 0, "told, and lost");
-        assertEquals(List.of(), a.tellings(1.1), "it has nothing more to say");
-        b.forget(1 + FORGET - 0.001);
-        assertEquals(1, b.others(7), "believed until then");
-        b.forget(1 + FORGET + 0.001);
-        assertEquals(0, b.others(7));
+        assertEquals(List.of(), a.dueMessages(1.1), "it has nothing more to say");
+        b.expireSilentPeers(1 + FORGET - 0.001);
+        assertEquals(1, b.peerLoad(7), "believed until then");
+        b.expireSilentPeers(1 + FORGET + 0.001);
+        assertEquals(0, b.peerLoad(7));
     }
 
     /** Danger: a backend may be at work for long on what nobody waits for any more. */
     @Test
     void whatIsGivenUpCountsAsOutForAWhileHereAndElsewhere() {
         LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
-        a.sent(7);
-        a.givenUp(7, 1);
-        b.told(0, telling(a, 1), 1);
-        assertEquals(1, a.others(7), "it is out no more for the decisions, so it counts beside");
-        assertEquals(1, b.others(7));
-        assertTrue(a.tellAt() <= 1.02, "its end will have to be told");
-        b.told(0, telling(a, 1.02), 1.02);
-        assertEquals(0, a.others(7));
-        assertEquals(0, b.others(7));
+        a.attemptSent(7);
+        a.attemptAbandoned(7, 1);
+        b.receive(0, telling(a, 1), 1);
+        assertEquals(1, a.peerLoad(7), "it is out no more for the decisions, so it counts beside");
+        assertEquals(1, b.peerLoad(7));
+        assertTrue(a.nextSendAt() <= 1.02, "its end will have to be told");
+        b.receive(0, telling(a, 1.02), 1.02);
+        assertEquals(0, a.peerLoad(7));
+        assertEquals(0, b.peerLoad(7));
     }
 
     /** Danger: what a killed one had out would look busy, and its new self not be heard, for a while. */
@@ -199,41 +199,41 @@
     void whoHasStartedAnewHasNothingOutAndIsHeardAtOnce() {
         LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
         for (int i = 0; i < 9; i++) {
-            a.sent(7);
-            b.told(0, telling(a, 1 + 0.02 * i), 1 + 0.02 * i);
+            a.attemptSent(7);
+            b.receive(0, telling(a, 1 + 0.02 * i), 1 + 0.02 * i);
         }
-        assertEquals(9, b.others(7));
-        a.sent(7);
+        assertEquals(9, b.peerLoad(7));
+        a.attemptSent(7);
         byte[] late = telling(a, 1.19);
-        b.startedAnew(0, 2);
-        assertEquals(0, b.others(7));
+        b.peerRestarted(0, 2);
+        assertEquals(0, b.peerLoad(7));
         LoadGossip next = new LoadGossip(2, 0, 2, 0.01, 0.1, all(2, 10), tag -> { });
-        next.sent(3);
-        b.told(0, late, 1.2);
-        assertEquals(0, b.others(7), "its former self's word comes late");
-        b.told(0, telling(next, 1.2), 1.2);
-        b.told(0, late, 1.21);
-        assertEquals(1, b.others(3));
-        assertEquals(0, b.others(7));
+        next.attemptSent(3);
+        b.receive(0, late, 1.2);
+        assertEquals(0, b.peerLoad(7), "its former self's word comes late");
+        b.receive(0, telling(next, 1.2), 1.2);
+        b.receive(0, late, 1.21);
+        assertEquals(1, b.peerLoad(3));
+        assertEquals(0, b.peerLoad(7));
     }
 
     /** Danger: until it is forgotten, all would go by what the others had out when they fell silent. */
     @Test
     void manyUsualGapsWithoutAWordAreDeafnessLongBeforeAllIsForgotten() {
         LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
-        assertEquals(0, b.heard(0));
+        assertEquals(0, b.livePeerCount(0));
         double now = 1;
         for (int i = 0; i < 200; i++, now += 0.0025) {
-            a.sent(i % 10);
-            for (LoadGossip.Telling each : a.tellings(now)) {
-                b.told(0, each.datagram(), now);
+            a.attemptSent(i % 10);
+            for (LoadGossip.Telling each : a.dueMessages(now)) {
+                b.receive(0, each.datagram(), now);
             }
-            assertEquals(1, b.heard(now), "a few gaps are none");
+            assertEquals(1, b.livePeerCount(now), "a few gaps are none");
         }
-        assertEquals(1, b.heard(now + 0.03));
-        assertEquals(0, b.heard(now + 0.15 * 0.6), "forgotten after 0.1 s, deaf before");
-        a.sent(3);
-        b.told(0, telling(a, now + 0.095), now + 0.095);
-        assertEquals(1, b.heard(now + 0.095), "the first word ends it");
+        assertEquals(1, b.livePeerCount(now + 0.03));
+        assertEquals(0, b.livePeerCount(now + 0.15 * 0.6), "forgotten after 0.1 s, deaf before");
+        a.attemptSent(3);
+        b.receive(0, telling(a, now + 0.095), now + 0.095);
+        assertEquals(1, b.livePeerCount(now + 0.095), "the first word ends it");
     }
 }
--- a/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -31,7 +31,7 @@
     }
 
     private static EndpointUpdate of(List<EndpointUpdate> told, int backend) {
-        return told.stream().filter(line -> line.backend() == backend).findFirst().orElseThrow();
+        return told.stream().filter(update -> update.backend() == backend).findFirst().orElseThrow();
     }
 
     /** Danger: the sum over all proxies of what each may send to a cold one must not pass the whole. */
@@ -40,11 +40,11 @@
             @ForAll @IntRange(min = 1, max = 40) int backends) {
         double[] sum = new double[backends];
         for (int p = 0; p < proxies; p++) {
-            for (EndpointUpdate line : new SubsetAssignment(proxies, WIDTH).assigned(p, true, lines(0, backends),
+            for (EndpointUpdate update : new SubsetAssignment(proxies, WIDTH).assigned(p, true, lines(0, backends),
                     i -> i)) {
                 // One that does not use it has the part that it had before parts were known.
-                sum[line.backend()] += line.used() > 0 ? 1 / (proxies * line.used()) : 0;
-                assertTrue(line.used() >= 0 && line.used() <= 1, line.toString());
+                sum[update.backend()] += update.userShare() > 0 ? 1 / (proxies * update.userShare()) : 0;
+                assertTrue(update.userShare() >= 0 && update.userShare() <= 1, update.toString());
             }
         }
         for (double each : sum) {
@@ -81,22 +81,22 @@
             if (whole) {
                 ready.clear();
             }
-            changes.values().forEach(line -> {
-                ready.remove(line.backend());
-                if (line.state() == EndpointUpdate.State.READY) {
-                    ready.add(line.backend());
+            changes.values().forEach(update -> {
+                ready.remove(update.backend());
+                if (update.state() == EndpointUpdate.State.READY) {
+                    ready.add(update.backend());
                 }
             });
             Map<Integer, EndpointUpdate> before = Map.copyOf(told);
             List<EndpointUpdate> news = subsets.assigned(own, whole, List.copyOf(changes.values()), i -> i);
-            news.forEach(line -> told.put(line.backend(), line));
+            news.forEach(update -> told.put(update.backend(), update));
             for (int id : ready) {
-                assertEquals(used(own, proxies, id, ready), told.get(id).used(), "seed " + seed);
+                assertEquals(used(own, proxies, id, ready), told.get(id).userShare(), "seed " + seed);
                 assertEquals(subset(own, ready).contains(id), subsets.uses(own, id), "seed " + seed);
             }
-            for (EndpointUpdate line : news) {
-                assertTrue(changes.containsKey(line.backend())
-                        || before.get(line.backend()).used() != line.used(), seed + " says " + line);
+            for (EndpointUpdate update : news) {
+                assertTrue(changes.containsKey(update.backend())
+                        || before.get(update.backend()).userShare() != update.userShare(), seed + " says " + update);
             }
             int some = random.nextInt(backends);
             assertArrayEquals(IntStream.range(0, proxies).filter(p -> subset(p, ready).contains(some))
@@ -126,9 +126,9 @@
         assertEquals(stay.size(), stay.stream().distinct().count());
         TreeSet<Integer> ready = new TreeSet<>(IntStream.range(40, 60).boxed().toList());
         assertTrue(stay.containsAll(subset(3, ready)), "each that is used by more now");
-        assertTrue(then.stream().filter(line -> line.backend() >= 40)
-                .mapToDouble(EndpointUpdate::used).sum() > first.stream().filter(line -> line.backend() >= 40)
-                .mapToDouble(EndpointUpdate::used).sum(), "twenty are used by more");
+        assertTrue(then.stream().filter(update -> update.backend() >= 40)
+                .mapToDouble(EndpointUpdate::userShare).sum() > first.stream().filter(update -> update.backend() >= 40)
+                .mapToDouble(EndpointUpdate::userShare).sum(), "twenty are used by more");
         assertEquals(List.of(), subsets.assigned(3, false, List.of(), i -> i), "nothing has changed");
         assertEquals(1, subsets.assigned(3, true, lines(47, 48), i -> i).size(), "a whole list is all");
         SubsetAssignment large = new SubsetAssignment(100, WIDTH);
@@ -166,13 +166,13 @@
     void whatIsToldAgainIsNoNewOne() {
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
         EndpointUpdate fresh = new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
-        assertTrue(of(subsets.assigned(0, false, List.of(fresh), i -> i), 4).fresh());
+        assertTrue(of(subsets.assigned(0, false, List.of(fresh), i -> i), 4).newBackend());
         int lower = IntStream.range(5, 1000).filter(i -> SubsetAssignment.score(0, i)
                 < SubsetAssignment.score(0, 4)).findFirst().orElseThrow();
         EndpointUpdate again = of(subsets.assigned(0, false, lines(lower, lower + 1), i -> i), 4);
-        assertFalse(again.fresh(), "its index stands for it already");
-        assertEquals(12, again.started());
-        assertEquals(0, again.used(), "another has the least score now");
-        assertEquals(SubsetAssignment.score(0, 4), again.lot());
+        assertFalse(again.newBackend(), "its index stands for it already");
+        assertEquals(12, again.startedAt());
+        assertEquals(0, again.userShare(), "another has the least score now");
+        assertEquals(SubsetAssignment.score(0, 4), again.subsetScore());
     }
 }
--- a/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
+++ b/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
@@ -79,11 +79,11 @@
 
     @Test
     void whatCouldBeBorneGoesToMostBenefitAndNoneIsCarriedOver() {
-        var grades = lemondrift.lab.Experiment.settings(1, 1, 0, 1).grades();
-        ServableOracle it = new ServableOracle(grades, 3);
-        for (int grade = 0; grade < 3; grade++) {
-            it.wants(0, grade);
-            it.wants(1, grade);
+        var requestClasses = lemondrift.lab.Experiment.settings(1, 1, 0, 1).requestClasses();
+        ServableOracle it = new ServableOracle(requestClasses, 3);
+        for (int requestClass = 0; requestClass < 3; requestClass++) {
+            it.wants(0, requestClass);
+            it.wants(1, requestClass);
         }
         it.bears(0, 1.5);
         it.bears(1, 9);
--- a/src/test/java/lemondrift/lab/simulation/Scenarios.java
+++ b/src/test/java/lemondrift/lab/simulation/Scenarios.java
@@ -10,9 +10,9 @@
 /** Small days to play. */
 final class Scenarios {
     private static final List<RequestClass> GRADES = List.of(
-            new RequestClass(1, 0, 0.5, 1.2, Idempotency.PURE, DeduplicationScope.ALL, 0),
-            new RequestClass(3, 0, 0.5, 1.2, Idempotency.RECEIPTED, DeduplicationScope.LOCATION, 0.6),
-            new RequestClass(9, 0, 0.5, 1.2, Idempotency.EFFECTFUL, DeduplicationScope.ALL, 0));
+            new RequestClass(1, 0, 0.5, 1.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
+            new RequestClass(3, 0, 0.5, 1.2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.LOCATION, 0.6),
+            new RequestClass(9, 0, 0.5, 1.2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0));
 
     private Scenarios() {}
 
--- a/src/test/java/lemondrift/lab/simulation/SimulationTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -105,38 +105,38 @@
             module = new ModuleUnderTest(settings, 1);
         }
 
-        Decision spoils(Decision turn) {
-            return turn;
+        Decision spoils(Decision decision) {
+            return decision;
         }
 
-        List<EndpointUpdate> hears(List<EndpointUpdate> lines) {
-            return lines;
+        List<EndpointUpdate> hears(List<EndpointUpdate> updates) {
+            return updates;
         }
 
         @Override
-        public Decision arrived(double now, Request x) {
-            return spoils(module.arrived(now, x));
+        public Decision arrived(double now, Request request) {
+            return spoils(module.arrived(now, request));
         }
 
         @Override
-        public Decision ended(double now, Attempt f, AttemptOutcome outcome, double took, boolean over,
-                double[] report) {
-            return spoils(module.ended(now, f, outcome, took, over, report));
+        public Decision ended(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over,
+                double[] loadReport) {
+            return spoils(module.ended(now, attempt, outcome, durationSeconds, over, loadReport));
         }
 
         @Override
-        public Decision probed(double now, int backend, AttemptOutcome outcome, double[] report) {
-            return spoils(module.probed(now, backend, outcome, report));
+        public Decision probed(double now, int backend, AttemptOutcome outcome, double[] loadReport) {
+            return spoils(module.probed(now, backend, outcome, loadReport));
         }
 
         @Override
-        public Decision left(double now, Request x) {
-            return spoils(module.left(now, x));
+        public Decision left(double now, Request request) {
+            return spoils(module.left(now, request));
         }
 
         @Override
-        public Decision listed(double now, boolean whole, List<EndpointUpdate> lines) {
-            return spoils(module.listed(now, whole, hears(lines)));
+        public Decision listed(double now, boolean whole, List<EndpointUpdate> updates) {
+            return spoils(module.listed(now, whole, hears(updates)));
         }
 
         @Override
@@ -156,9 +156,9 @@
         Scenario day = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 10, 1, 1));
         breaks(1, day, new Spoilt(day.settings()) {
             @Override
-            Decision spoils(Decision turn) {
-                turn.answers.clear();
-                return turn;
+            Decision spoils(Decision decision) {
+                decision.localReplies.clear();
+                return decision;
             }
         });
     }
@@ -169,15 +169,15 @@
         Map<Request, Attempt> again = new HashMap<>();
         breaks(2, day, new Spoilt(day.settings()) {
             @Override
-            public Decision ended(double now, Attempt f, AttemptOutcome outcome, double took, boolean over,
-                double[] report) {
-                Decision turn = super.ended(now, f, outcome, took, over, report);
-                if (outcome == AttemptOutcome.ERROR && day.settings().grades().get(f.exchange.grade).effect()
-                        == Idempotency.EFFECTFUL && again.put(f.exchange, f) == null) {
-                    turn.answers.clear();
-                    turn.sends.add(new Attempt(f.exchange, (f.backend + 1) % 4, now, 0.1, 0));
+            public Decision ended(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over,
+                double[] loadReport) {
+                Decision decision = super.ended(now, attempt, outcome, durationSeconds, over, loadReport);
+                if (outcome == AttemptOutcome.ERROR && day.settings().requestClasses().get(attempt.request.requestClass).idempotency()
+                        == Idempotency.NOT_IDEMPOTENT && again.put(attempt.request, attempt) == null) {
+                    decision.localReplies.clear();
+                    decision.attempts.add(new Attempt(attempt.request, (attempt.backend + 1) % 4, now, 0.1, 0));
                 }
-                return turn;
+                return decision;
             }
         });
     }
@@ -190,9 +190,9 @@
                 1, quick.troubles());
         breaks(3, day, new Spoilt(day.settings()) {
             @Override
-            List<EndpointUpdate> hears(List<EndpointUpdate> lines) {
-                return lines.stream().map(line -> new EndpointUpdate(line.backend(), line.fresh(), line.location(),
-                        line.cell(), EndpointUpdate.State.READY, line.started())).toList();
+            List<EndpointUpdate> hears(List<EndpointUpdate> updates) {
+                return updates.stream().map(update -> new EndpointUpdate(update.backend(), update.newBackend(), update.location(),
+                        update.cell(), EndpointUpdate.State.READY, update.startedAt())).toList();
             }
         });
         Scenarios.play(day);
@@ -202,25 +202,25 @@
     void aModuleThatTakesTheColdForWarmIsCaught() {
         Scenario usual = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 4, 0.75, 1));
         Settings told = usual.settings();
-        Settings frail = new Settings(1, 2, 0, false, told.grades(), new double[0], 1, false, told.reports(),
-                told.limits(), new Settings.Rules(0.3, 6, 1.5, 2, 10), told.charges());
+        Settings frail = new Settings(1, 2, 0, false, told.requestClasses(), new double[0], 1, false, told.loadReports(),
+                told.limits(), new Settings.Rules(0.3, 6, 1.5, 2, 10), told.costs());
         Scenario few = new Scenario(frail, 1, 4, 2, 2 * usual.rate(), 0.05, 0.5, 3, 0.0005, 0.4, 2, 20, 1,
                 usual.troubles());
         breaks(4, few, new Spoilt(few.settings()) {
             private int cold = -1;
 
             @Override
-            List<EndpointUpdate> hears(List<EndpointUpdate> lines) {
-                lines.stream().filter(line -> line.started() > 0).forEach(line -> cold = line.backend());
-                return lines;
+            List<EndpointUpdate> hears(List<EndpointUpdate> updates) {
+                updates.stream().filter(update -> update.startedAt() > 0).forEach(update -> cold = update.backend());
+                return updates;
             }
 
             @Override
-            Decision spoils(Decision turn) {
+            Decision spoils(Decision decision) {
                 // It looks idle, so it gets all.
-                turn.sends.replaceAll(f -> cold < 0 ? f
-                        : new Attempt(f.exchange, cold, f.sent, f.timeOut, f.ahead));
-                return turn;
+                decision.attempts.replaceAll(attempt -> cold < 0 ? attempt
+                        : new Attempt(attempt.request, cold, attempt.sentAt, attempt.timeoutSeconds, attempt.queueAhead));
+                return decision;
             }
         });
         Scenarios.play(few);
--- a/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
@@ -8,20 +8,20 @@
 
 /** What is told of how the decisions keep up. */
 class EventLoopMetricsTest {
-    private final EventLoopMetrics figures = new EventLoopMetrics();
+    private final EventLoopMetrics loopMetrics = new EventLoopMetrics();
 
     @Test
     void aLongWaitIsALineOfTheLogOnceAndStaysAmongTheFigures() {
-        figures.handles(EventLoopMetrics.Kind.ARRIVAL, 0.001);
-        assertNull(figures.turned(0.001, 0, 10), "nothing of note");
-        figures.handles(EventLoopMetrics.Kind.TIMER, 0.3);
-        figures.handles(EventLoopMetrics.Kind.LIST, -1);
-        assertTrue(figures.turned(0.06, 7, 10.5).startsWith("lately_waited_ms=300 lately_lasted_ms=60"));
-        figures.handles(EventLoopMetrics.Kind.ARRIVAL, 0.2);
-        assertNull(figures.turned(0.01, 0, 11), "a line a second at the most");
-        assertTrue(figures.turned(0.01, 0, 11.6).startsWith("lately_waited_ms=200"));
-        assertNull(figures.turned(0.01, 0, 13), "no longer of late");
-        JsonObject told = JsonParser.parseString(figures.json()).getAsJsonObject();
+        loopMetrics.eventHandled(EventLoopMetrics.Kind.ARRIVAL, 0.001);
+        assertNull(loopMetrics.iterationEnded(0.001, 0, 10), "nothing of note");
+        loopMetrics.eventHandled(EventLoopMetrics.Kind.TIMER, 0.3);
+        loopMetrics.eventHandled(EventLoopMetrics.Kind.LIST, -1);
+        assertTrue(loopMetrics.iterationEnded(0.06, 7, 10.5).startsWith("lately_waited_ms=300 lately_lasted_ms=60"));
+        loopMetrics.eventHandled(EventLoopMetrics.Kind.ARRIVAL, 0.2);
+        assertNull(loopMetrics.iterationEnded(0.01, 0, 11), "a line a second at the most");
+        assertTrue(loopMetrics.iterationEnded(0.01, 0, 11.6).startsWith("lately_waited_ms=200"));
+        assertNull(loopMetrics.iterationEnded(0.01, 0, 13), "no longer of late");
+        JsonObject told = JsonParser.parseString(loopMetrics.json()).getAsJsonObject();
         assertEquals(0.3, told.get("longest_wait").getAsDouble());
         assertEquals("TIMER", told.get("longest_wait_of").getAsString());
         assertEquals(0.06, told.get("longest_turn").getAsDouble());
--- a/src/test/java/lemondrift/proxy/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/AdminServerTest.java
@@ -24,17 +24,17 @@
 /** The operators' address on loopback, and what its calls do to the proxy. */
 class AdminServerTest extends LoopbackFixture {
     private XnioWorker worker;
-    private AdminServer admin;
+    private AdminServer adminServer;
 
     private void operate(StandIn... backends) throws Exception {
         start(backends);
         listen();
-        admin.operates(proxy.operated());
+        adminServer.operates(proxy.adminOperations());
     }
 
     private void listen() throws IOException {
         worker = ProxyServer.worker();
-        admin = new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
+        adminServer = new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
     }
 
     @AfterEach
@@ -45,7 +45,7 @@
     }
 
     private Socket caller() throws IOException {
-        return new Socket(InetAddress.getLoopbackAddress(), admin.address().getPort());
+        return new Socket(InetAddress.getLoopbackAddress(), adminServer.address().getPort());
     }
 
     private static void write(Socket to, String text) throws IOException {
--- a/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
@@ -126,7 +126,7 @@
     @Test
     void whatIsPromisedStandsInTheAnswer() throws Exception {
         changed = config -> {
-            ConnectionLimits usual = config.door();
+            ConnectionLimits usual = config.connectionLimits();
             return config.with(new ConnectionLimits(usual.places(), usual.last(), 5, 4, usual.sharing(), true,
                     usual.leastRate(), usual.benefit()));
         };
@@ -257,7 +257,7 @@
     @Test
     void theDoorsFileIsReadOrRefusedInOneLine(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("door.json");
-        ConnectionLimits usual = ProxyConfig.read(config(1, false)).door();
+        ConnectionLimits usual = ProxyConfig.read(config(1, false)).connectionLimits();
         Files.writeString(file, "{\"quiet\": 60, \"sharing\": \"tenant\", \"announces\": true}");
         ConnectionLimits read = ConnectionSettingsFile.read(file, usual);
         assertEquals(60, read.quiet());
--- a/src/test/java/lemondrift/proxy/ConfigReloadTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigReloadTest.java
@@ -24,8 +24,8 @@
         return JsonParser.parseString(config(discovery.port(), false)).getAsJsonObject();
     }
 
-    private static void name(JsonObject config, int grade, String name, String effect) {
-        JsonObject it = config.getAsJsonObject("settings").getAsJsonArray("serviceGrades").get(grade)
+    private static void name(JsonObject config, int requestClass, String name, String effect) {
+        JsonObject it = config.getAsJsonObject("settings").getAsJsonArray("serviceGrades").get(requestClass)
                 .getAsJsonObject();
         it.addProperty("name", name);
         it.addProperty("effect", effect);
@@ -180,7 +180,7 @@
         JsonObject next = running();
         next.addProperty("listen", "127.0.0.1:9");
         next.getAsJsonObject("settings").getAsJsonObject("charges").addProperty("probe", 0.5);
-        assertEquals(List.of("listen"), ProxyConfig.read(next.toString()).changesAtAStart(
+        assertEquals(List.of("listen"), ProxyConfig.read(next.toString()).keysAppliedAtStart(
                 ProxyConfig.read(running().toString())));
     }
 
