--- a/src/test/java/lemondrift/proxy/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/LongBodiesTest.java
@@ -101,7 +101,7 @@
         long[] counts = {};
         for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end;) {
             var read = new CompletableFuture<long[]>();
-            proxy.onIo(() -> read.complete(proxy.operated().figures().replies().get(grade)));
+            proxy.runOnIoThread(() -> read.complete(proxy.adminOperations().figures().replies().get(grade)));
             counts = read.get();
             if (counts[ordinal] == count) {
                 break;
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -58,10 +58,10 @@
 
     /** Waits for a state that is to be reached at last. */
     private ProxyServer.InHand await(Predicate<ProxyServer.InHand> state) throws Exception {
-        ProxyServer.InHand now = proxy.inHand().get(5, TimeUnit.SECONDS);
+        ProxyServer.InHand now = proxy.inFlight().get(5, TimeUnit.SECONDS);
         for (long until = System.nanoTime() + 10_000_000_000L; !state.test(now); Thread.sleep(2)) {
             assertTrue(System.nanoTime() < until, "not reached, but " + now);
-            now = proxy.inHand().get(5, TimeUnit.SECONDS);
+            now = proxy.inFlight().get(5, TimeUnit.SECONDS);
         }
         return now;
     }
@@ -76,7 +76,7 @@
 
     private void letUp(LateDial.Up connection) {
         assertNotNull(connection, "none waits");
-        proxy.onIo(connection.run());
+        proxy.runOnIoThread(connection.run());
     }
 
     /** Nothing was sent on the one connection that came up, and it is closed. */
@@ -98,7 +98,7 @@
             write(client, get("a"));
             up = dial.next();
         }
-        await(now -> now.visitors() == 0);
+        await(now -> now.connections() == 0);
         letUp(up);
         sawNothing(backend);
         nothingIsInHand();
@@ -112,7 +112,7 @@
         assertEquals(200, look().statusCode(), "a connection to be used again");
         backend.requests.clear();
         CountDownLatch decides = new CountDownLatch(1);
-        proxy.onOwner(() -> awaits(decides));
+        proxy.runOnLoop(() -> awaits(decides));
         try (Socket client = client()) {
             write(client, get("b"));
             awaitOnIo(1);
@@ -135,7 +135,7 @@
 
     private long concurrent() throws Exception {
         CompletableFuture<Long> told = new CompletableFuture<>();
-        proxy.onIo(() -> told.complete(proxy.operated().figures().concurrent()));
+        proxy.runOnIoThread(() -> told.complete(proxy.adminOperations().figures().concurrent()));
         return told.get(5, TimeUnit.SECONDS);
     }
 
@@ -276,7 +276,7 @@
         var answer = http.sendAsync(request("order").build(),
                 java.net.http.HttpResponse.BodyHandlers.ofString());
         LateDial.Up up = dial.next();
-        proxy.onIo(() -> {
+        proxy.runOnIoThread(() -> {
             // The I/O thread stands still until the time is over; no timer runs before the connection is up.
             try {
                 Thread.sleep(400);
@@ -299,16 +299,16 @@
         assertEquals(200, look().statusCode(), "a connection to be used again");
         backend.requests.clear();
         CountDownLatch decides = new CountDownLatch(1), left = new CountDownLatch(1);
-        proxy.onOwner(() -> awaits(decides));
+        proxy.runOnLoop(() -> awaits(decides));
         try (Socket client = client()) {
             write(client, get("b"));
             awaitOnIo(1);
-            proxy.onIo(() -> {
+            proxy.runOnIoThread(() -> {
                 awaits(left);
                 decides.countDown();
                 // Nothing is read until the attempt has been decided and is to be made.
                 CountDownLatch decided = new CountDownLatch(1);
-                proxy.onOwner(decided::countDown);
+                proxy.runOnLoop(decided::countDown);
                 awaits(decided);
             });
         }
@@ -341,7 +341,7 @@
         StandIn backend = backend(OK);
         start(backend);
         CountDownLatch decides = new CountDownLatch(1);
-        proxy.onOwner(() -> awaits(decides));
+        proxy.runOnLoop(() -> awaits(decides));
         try (Socket client = client()) {
             write(client, get("a").replace("60000", "300"));
             assertTrue(read(client).startsWith("HTTP/1.1 502"), "no promise, as it may have been sent");
@@ -394,7 +394,7 @@
         };
         start(backend(OK));
         assertEquals(503, look().statusCode());
-        assertEquals(0, proxy.inHand().get(5, TimeUnit.SECONDS).calls(), "none ends again with its timers");
+        assertEquals(0, proxy.inFlight().get(5, TimeUnit.SECONDS).calls(), "none ends again with its timers");
         nothingIsInHand();
     }
 
@@ -406,7 +406,7 @@
         start(backend(OK));
         assertEquals(200, look().statusCode());
         CountDownLatch still = new CountDownLatch(1);
-        proxy.onIo(() -> awaits(still));
+        proxy.runOnIoThread(() -> awaits(still));
         try (Socket client = client()) {
             write(client, get("a"));
             Thread drain = drains();
@@ -530,7 +530,7 @@
         other.getAsJsonObject("settings").getAsJsonArray("serviceGrades").get(0).getAsJsonObject()
                 .addProperty("name", "new");
         CountDownLatch decides = new CountDownLatch(1);
-        proxy.onOwner(() -> awaits(decides));
+        proxy.runOnLoop(() -> awaits(decides));
         proxy.reload(ProxyConfig.read(none.toString()));
         proxy.reload(ProxyConfig.read(other.toString()));
         try (Socket client = client()) {
--- a/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
+++ b/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
@@ -37,23 +37,23 @@
     void whatIsWatchedIsCountedAndNotDone() throws Exception {
         StandIn full = backend(NEVER_RAN);
         ProxyConfig watched = ProxyConfig.read(files("{\"limits\":{\"mostForwards\":1}}"));
-        changed = config -> config.watching(watched.shadow());
+        changed = config -> config.withShadow(watched.shadow());
         start(full, backend(OK));
         for (int i = 0; i < 6; i++) {
             assertEquals(200, order("x").statusCode(), "sent again as before");
         }
         proxy.drain();
-        ShadowEvaluator shadow = proxy.watched();
+        ShadowEvaluator shadow = proxy.shadow();
         assertTrue(full.requests.size() > 0);
-        assertEquals(full.requests.size(), shadow.count(ShadowEvaluator.Kind.NOT_SEND_AGAIN), shadow.told());
-        assertEquals(6 + full.requests.size(), shadow.decisions(), shadow.told());
+        assertEquals(full.requests.size(), shadow.count(ShadowEvaluator.Kind.NOT_SEND_AGAIN), shadow.summary());
+        assertEquals(6 + full.requests.size(), shadow.decisions(), shadow.summary());
     }
 
     @Test
     void nobodyWatchesWhereNoFileIsNamed() throws Exception {
         start(backend(OK));
         assertEquals(200, order("x").statusCode());
-        assertNull(proxy.watched());
+        assertNull(proxy.shadow());
     }
 
     @Test
--- a/src/test/java/lemondrift/proxy/TakeoverLockTest.java
+++ b/src/test/java/lemondrift/proxy/TakeoverLockTest.java
@@ -18,9 +18,9 @@
         private Other() {}
 
         public static void main(String[] args) throws IOException {
-            TakeoverLock meeting = new TakeoverLock(Path.of(args[0]), "n/0");
-            meeting.look();
-            System.out.println(meeting.processes());
+            TakeoverLock takeoverLock = new TakeoverLock(Path.of(args[0]), "n/0");
+            takeoverLock.look();
+            System.out.println(takeoverLock.processes());
             System.in.read();
         }
     }
@@ -94,9 +94,9 @@
         for (int sockets : new int[] {256, 384, 1024}) {
             ProxyConfig config = ProxyConfig.read(new LoopbackFixture() { }.config(1, false)
                     .replace("\"sockets\":64", "\"sockets\":" + sockets));
-            double each = 40 + config.share(2) * (config.door().last() + 0.33 * config.connections());
+            double each = 40 + config.connectionShare(2) * (config.connectionLimits().last() + 0.33 * config.maxConnections());
             assertTrue(2 * each <= sockets, "two hold " + 2 * each);
-            assertEquals(1, config.share(1));
+            assertEquals(1, config.connectionShare(1));
         }
     }
 }
--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -27,21 +27,21 @@
 
         @Override
         public ProxyMetrics.Figures figures() {
-            ProxyMetrics tally = new ProxyMetrics();
-            tally.grades(List.of("read", "write"));
-            tally.taken();
-            tally.taken();
-            tally.taken();
-            tally.ended();
-            tally.replied("read", ProxyMetrics.Reply.SUCCESS);
-            tally.replied("write", ProxyMetrics.Reply.OVERLOAD);
-            tally.replied("write", ProxyMetrics.Reply.ERROR);
-            tally.dispatched();
-            tally.targets(5, 2);
-            tally.reloaded(true);
-            tally.reloaded(false);
-            tally.reloaded(false);
-            return tally.figures();
+            ProxyMetrics metrics = new ProxyMetrics();
+            metrics.registerClasses(List.of("read", "write"));
+            metrics.requestAccepted();
+            metrics.requestAccepted();
+            metrics.requestAccepted();
+            metrics.requestCompleted();
+            metrics.replySent("read", ProxyMetrics.Reply.SUCCESS);
+            metrics.replySent("write", ProxyMetrics.Reply.OVERLOAD);
+            metrics.replySent("write", ProxyMetrics.Reply.ERROR);
+            metrics.attemptSent();
+            metrics.backendsCounted(5, 2);
+            metrics.configurationReloaded(true);
+            metrics.configurationReloaded(false);
+            metrics.configurationReloaded(false);
+            return metrics.snapshot();
         }
 
         @Override
@@ -51,13 +51,13 @@
 
         @Override
         public String loop() {
-            EventLoopMetrics figures = new EventLoopMetrics();
+            EventLoopMetrics loopMetrics = new EventLoopMetrics();
             for (EventLoopMetrics.Kind kind : EventLoopMetrics.Kind.values()) {
-                figures.handles(kind, 0.25);
+                loopMetrics.eventHandled(kind, 0.25);
             }
-            figures.handles(EventLoopMetrics.Kind.LIST, 0.5);
-            figures.turned(0.125, 3, 1);
-            return figures.json();
+            loopMetrics.eventHandled(EventLoopMetrics.Kind.LIST, 0.5);
+            loopMetrics.iterationEnded(0.125, 3, 1);
+            return loopMetrics.json();
         }
 
         @Override
@@ -75,29 +75,29 @@
     void answersAreTheSame() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         try {
-            AdminServer admin = new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
+            AdminServer adminServer = new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
             StringBuilder all = new StringBuilder();
-            askAll(admin, all.append("before there is a proxy\n"));
-            admin.operates(new Known());
-            askAll(admin, all.append("with one\n"));
+            askAll(adminServer, all.append("before there is a proxy\n"));
+            adminServer.operates(new Known());
+            askAll(adminServer, all.append("with one\n"));
             LandedBytes.assertText("admin.txt", all.toString().replace("\r\n", "\n"));
         } finally {
             worker.shutdown();
         }
     }
 
-    private static void askAll(AdminServer admin, StringBuilder all) throws IOException {
+    private static void askAll(AdminServer adminServer, StringBuilder all) throws IOException {
         for (String path : List.of("health", "stats", "recovery", "loop", "quiesce", "resume", "nothing")) {
             for (String method : List.of("GET", "PUT")) {
                 String request = method + " /admin/" + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
                 all.append("> ").append(method).append(' ').append(path).append('\n')
-                        .append(ask(admin, request)).append('\n');
+                        .append(ask(adminServer, request)).append('\n');
             }
         }
     }
 
-    private static String ask(AdminServer admin, String request) throws IOException {
-        try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), admin.address().getPort())) {
+    private static String ask(AdminServer adminServer, String request) throws IOException {
+        try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), adminServer.address().getPort())) {
             caller.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             ByteArrayOutputStream answer = new ByteArrayOutputStream();
             caller.getInputStream().transferTo(answer);
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
@@ -29,7 +29,7 @@
     }
 
     private static long start(RecoveryCoordinator its) {
-        return Long.parseLong(its.told(0).replaceAll(".*\"start\":(\\d+).*", "$1"));
+        return Long.parseLong(its.statusJson(0).replaceAll(".*\"start\":(\\d+).*", "$1"));
     }
 
     private void writesBoth() throws IOException {
--- a/src/test/java/lemondrift/settings/RequestClassIndexTest.java
+++ b/src/test/java/lemondrift/settings/RequestClassIndexTest.java
@@ -20,58 +20,58 @@
         return new RequestClass(benefit, 0, 1, 2, effect, DeduplicationScope.ALL, 0);
     }
 
-    private static final RequestClass PURE = grade(Idempotency.PURE, 1), ONCE = grade(Idempotency.EFFECTFUL, 2);
+    private static final RequestClass PURE = grade(Idempotency.IDEMPOTENT, 1), ONCE = grade(Idempotency.NOT_IDEMPOTENT, 2);
 
     private static RequestClassIndex retuned(RequestClassIndex old, boolean open, String... names) {
-        return old.retuned(List.of(names), Collections.nCopies(names.length, PURE), i -> open);
+        return old.reloaded(List.of(names), Collections.nCopies(names.length, PURE), i -> open);
     }
 
     @Test
     void aClassKeepsItsIndexWhereverItStands() {
         RequestClassIndex first = new RequestClassIndex(List.of("a", "b"), List.of(PURE, PURE));
-        RequestClassIndex next = first.retuned(List.of("c", "b"), List.of(PURE, grade(Idempotency.PURE, 7)), i -> false);
-        assertEquals(1, next.index("b"));
-        assertEquals(7, next.indexed().get(1).benefit(), "what comes has what is stated now");
-        assertEquals(2, next.index("c"), "an index dropped just now may still be on its way");
-        assertEquals(-1, next.index("a"));
-        assertNull(next.indexed().get(0));
-        assertEquals(List.of(2), next.fresh());
+        RequestClassIndex next = first.reloaded(List.of("c", "b"), List.of(PURE, grade(Idempotency.IDEMPOTENT, 7)), i -> false);
+        assertEquals(1, next.indexOf("b"));
+        assertEquals(7, next.byIndex().get(1).priorityWeight(), "what comes has what is stated now");
+        assertEquals(2, next.indexOf("c"), "an index dropped just now may still be on its way");
+        assertEquals(-1, next.indexOf("a"));
+        assertNull(next.byIndex().get(0));
+        assertEquals(List.of(2), next.reassigned());
         assertEquals(List.of("b", "c"), next.names());
-        assertEquals(0, retuned(next, false, "b", "c", "d").index("d"), "given out again later");
-        assertEquals(3, retuned(next, true, "b", "c", "d").index("d"), "not while it is open");
+        assertEquals(0, retuned(next, false, "b", "c", "d").indexOf("d"), "given out again later");
+        assertEquals(3, retuned(next, true, "b", "c", "d").indexOf("d"), "not while it is open");
     }
 
     @Test
     void anotherEffectIsAnotherClass() {
-        RequestClassIndex next = new RequestClassIndex(List.of("a"), List.of(PURE)).retuned(List.of("a"), List.of(ONCE),
+        RequestClassIndex next = new RequestClassIndex(List.of("a"), List.of(PURE)).reloaded(List.of("a"), List.of(ONCE),
                 i -> false);
-        assertEquals(1, next.index("a"));
-        assertNull(next.indexed().get(0));
+        assertEquals(1, next.indexOf("a"));
+        assertNull(next.byIndex().get(0));
     }
 
     @Test
     void othersOfTheSameNamesStandUnderTheSameIndexes() {
-        RequestClassIndex next = new RequestClassIndex(List.of("a", "b"), List.of(PURE, PURE)).retuned(List.of("b"), List.of(PURE),
+        RequestClassIndex next = new RequestClassIndex(List.of("a", "b"), List.of(PURE, PURE)).reloaded(List.of("b"), List.of(PURE),
                 i -> false);
-        assertEquals(Stream.of(null, ONCE).toList(), next.indexed(List.of(ONCE)));
+        assertEquals(Stream.of(null, ONCE).toList(), next.byIndex(List.of(ONCE)));
     }
 
     /** Any retunes in a row: each name has one index, its own, and there are no more than are needed. */
     @Property(tries = 200, seed = "48")
     void indexesAreBoundedAndTellNamesApart(@ForAll @Size(min = 1, max = 40) List<@Size(min = 1, max = 5)
             @UniqueElements List<@IntRange(max = 7) Integer>> retunes) {
-        RequestClassIndex grades = new RequestClassIndex(List.of("0"), List.of(PURE));
+        RequestClassIndex requestClasses = new RequestClassIndex(List.of("0"), List.of(PURE));
         for (List<Integer> each : retunes) {
-            RequestClassIndex old = grades;
-            grades = retuned(old, false, each.stream().map(String::valueOf).toArray(String[]::new));
+            RequestClassIndex old = requestClasses;
+            requestClasses = retuned(old, false, each.stream().map(String::valueOf).toArray(String[]::new));
             for (int name : each) {
-                int at = grades.index("" + name);
-                assertNotNull(grades.indexed().get(at));
-                assertTrue(old.index("" + name) < 0 ? grades.fresh().contains(at)
-                        : at == old.index("" + name) && !grades.fresh().contains(at));
+                int at = requestClasses.indexOf("" + name);
+                assertNotNull(requestClasses.byIndex().get(at));
+                assertTrue(old.indexOf("" + name) < 0 ? requestClasses.reassigned().contains(at)
+                        : at == old.indexOf("" + name) && !requestClasses.reassigned().contains(at));
             }
-            assertEquals(each.size(), grades.indexed().stream().filter(g -> g != null).count());
+            assertEquals(each.size(), requestClasses.byIndex().stream().filter(g -> g != null).count());
         }
-        assertTrue(grades.indexed().size() <= 10, "two files' classes at the most");
+        assertTrue(requestClasses.byIndex().size() <= 10, "two files' classes at the most");
     }
 }
--- a/src/test/java/lemondrift/settings/SettingsReaderTest.java
+++ b/src/test/java/lemondrift/settings/SettingsReaderTest.java
@@ -13,10 +13,10 @@
 
     @Test
     void sizesHoldOnlyWhereTheSettingsSaySo() {
-        assertFalse(SettingsReader.read(TEXT).sizes());
+        assertFalse(SettingsReader.read(TEXT).usesEndpointWeights());
         for (String weights : "off none live nominal rough".split(" ")) {
             String text = TEXT + "weights=" + weights + "\n";
-            assertEquals(weights.length() > 4, SettingsReader.read(text).sizes(), weights);
+            assertEquals(weights.length() > 4, SettingsReader.read(text).usesEndpointWeights(), weights);
         }
     }
 
