--- a/src/main/java/lemondrift/balancer/EndpointListPolling.java
+++ b/src/main/java/lemondrift/balancer/EndpointListPolling.java
@@ -29,7 +29,7 @@
 
     void wake(double now, Decision decision) {
         if (askAt <= now) {
-            decision.endpointListCalls.add(Decision.ListCall.WATCH);
+            decision.endpointListCalls.add(Decision.EndpointListCall.WATCH);
             askAt = now + 2 * patience;
         }
     }
--- a/src/main/java/lemondrift/balancer/RequestDeadlines.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -71,7 +71,7 @@
             request.completed = true;
             boolean shed = RetryPolicy.mayShed(request);
             double retryAfter = Math.min(comeBack, backends.stated.limits().maxRetryAfterSeconds());
-            decision.localReplies.add(new Decision.Answer(request, shed, shed ? retryAfter : 0));
+            decision.localReplies.add(new Decision.LocalReply(request, shed, shed ? retryAfter : 0));
             cancelAll(request, decision);
         }
     }
--- a/src/main/java/lemondrift/balancer/UtilizationEstimator.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -65,11 +65,11 @@
 
     /** A report overwrites the estimate and clears the sends; exchanges held add their work to it. */
     void reported(int i, double[] figures, boolean delivered, boolean answer, double now) {
-        Settings.Reports places = backends.stated.loadReports();
-        double u = Settings.Reports.field(figures, places.utilizationField());
+        Settings.LoadReports places = backends.stated.loadReports();
+        double u = Settings.LoadReports.field(figures, places.utilizationField());
         // Danger: one that comes with an answer counts the exchange answered, so the idle would look busy.
         double itself = places.countsAnsweredRequest() && answer && delivered ? 1 : 0;
-        double h = Math.max(0, Settings.Reports.field(figures, places.inFlightField()) - itself);
+        double h = Math.max(0, Settings.LoadReports.field(figures, places.inFlightField()) - itself);
         if (figures == null || !(u + h >= 0)) {
             return;
         }
@@ -81,7 +81,7 @@
         period -= reportedAt[i] > 0 && delivered ? Math.max(0, period - now + reportedAt[i]) / 4 : 0;
         use[i] = delivered ? u : 1;
         held[i] = h;
-        double s = u / Settings.Reports.field(figures, places.requestRateField());
+        double s = u / Settings.LoadReports.field(figures, places.requestRateField());
         if (s > 0 && s < window) {
             told += u * (s - told) / (FEW * FEW);
             rated[i] += (s - rated[i]) * (rated[i] == 0 ? 1 : 2.0 / FEW);
--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -14,7 +14,7 @@
  */
 public final class ConnectionPolicy {
     /** What the door has done to the sockets. */
-    public interface Hands {
+    public interface Actions {
         /** Whether nothing unread waits on a connection; looks at the socket. */
         boolean isSilent(int i);
 
@@ -41,7 +41,7 @@
     private static final double UNSERVED = 0.25;
 
     private final ConnectionLimits limits;
-    private final Hands hands;
+    private final Actions hands;
     private final SplittableRandom random;
     private final ClientSourceTable sources;
     private final FairEviction fairEviction;
@@ -71,7 +71,7 @@
     private double drainBegan = Double.POSITIVE_INFINITY, drainUntil;
 
     /** The seed decides which connections are kept to learn from. */
-    public ConnectionPolicy(ConnectionLimits limits, Hands hands, long seed) {
+    public ConnectionPolicy(ConnectionLimits limits, Actions hands, long seed) {
         this.limits = limits;
         this.hands = hands;
         random = new SplittableRandom(seed);
--- a/src/main/java/lemondrift/gossip/LoadGossip.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -36,7 +36,7 @@
     private record Lingering(int tag, double until) {}
 
     /** What goes to one other proxy. */
-    public record Telling(int to, byte[] datagram) {}
+    public record Message(int to, byte[] datagram) {}
 
     /** One other proxy as last told, and what it was told last. */
     private static final class Peer {
@@ -219,9 +219,9 @@
     }
 
     /** The tellings that are due, which count as told. What does not fit is left out. */
-    public List<Telling> dueMessages(double now) {
+    public List<Message> dueMessages(double now) {
         lapse(now);
-        List<Telling> due = new ArrayList<>();
+        List<Message> due = new ArrayList<>();
         for (int to = 0; to < peers.length; to++) {
             if (nextSendAt(peers[to]) <= now) {
                 due.add(message(to, now));
@@ -230,7 +230,7 @@
         return due;
     }
 
-    private Telling message(int to, double now) {
+    private Message message(int to, double now) {
         int[] tags = own.entrySet().stream().filter(each -> uses(to, each.getKey()))
                 .flatMapToInt(each -> IntStream.generate(each::getKey).limit(each.getValue()))
                 .limit(MOST).toArray();
@@ -242,7 +242,7 @@
         peers[to].dirty = false;
         peers[to].knows = tags.length > 0;
         peers[to].toldAt = now;
-        return new Telling(to, out.array());
+        return new Message(to, out.array());
     }
 
     private boolean uses(int proxy, int tag) {
--- a/src/main/java/lemondrift/lab/Baseline.java
+++ b/src/main/java/lemondrift/lab/Baseline.java
@@ -71,7 +71,7 @@
             boolean shed = request.possiblyExecuted == null
                     || settings.requestClasses().get(request.requestClass).idempotency() == Idempotency.IDEMPOTENT;
             request.completed = true;
-            decision.localReplies.add(new Decision.Answer(request, shed, 0));
+            decision.localReplies.add(new Decision.LocalReply(request, shed, 0));
             return;
         }
         request.latestAttempt = new Attempt(request, to, now, request.attemptDeadline - now, 0);
@@ -131,7 +131,7 @@
             sends(now, request);
         } else if (!request.completed) {
             request.completed = true;
-            decision.localReplies.add(new Decision.Answer(request, false, 0));
+            decision.localReplies.add(new Decision.LocalReply(request, false, 0));
         }
         return decision;
     }
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -104,8 +104,8 @@
      */
     public static Settings settings(int proxies, int locations, double probe, double contract) {
         return new Settings(proxies, locations, 0, false, grades(contract), new double[0], 1, false,
-                new Settings.Reports(true, 0, 1, false, -1), new Settings.Limits(true, true, 4, 0.5),
-                new Settings.Rules(0.3, 6, 3, 2, 10), new Settings.Charges(0.01, probe));
+                new Settings.LoadReports(true, 0, 1, false, -1), new Settings.Limits(true, true, 4, 0.5),
+                new Settings.Rules(0.3, 6, 3, 2, 10), new Settings.Costs(0.01, probe));
     }
 
     /** Plays each policy's day for each seed, one after the other. */
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -24,7 +24,7 @@
     private SubsetAssignment subsets;
     /** Its way back after its start; null where it asks nobody. */
     private RecoveryState recovery;
-    private final List<LoadGossip.Telling> said = new ArrayList<>();
+    private final List<LoadGossip.Message> said = new ArrayList<>();
 
     public ModuleUnderTest(Settings settings, long seed) {
         this(settings, seed, 0, false);
@@ -50,7 +50,7 @@
 
     private void says(RecoveryState.Step step, double now) {
         recovery = step.next();
-        step.sent().forEach(each -> said.add(new LoadGossip.Telling(each.to(), each.hello().encoded())));
+        step.sent().forEach(each -> said.add(new LoadGossip.Message(each.to(), each.hello().encoded())));
         RecoveryState.Lesson lesson = recovery.isSettled() ? null : recovery.lesson(now);
         if (lesson != null) {
             balancer.seedServiceTime(lesson.work(), lesson.answers());
@@ -117,14 +117,14 @@
     }
 
     @Override
-    public List<LoadGossip.Telling> tellings(double now) {
+    public List<LoadGossip.Message> tellings(double now) {
         if (gossip == null) {
             return List.of();
         }
         if (recovery != null) {
             says(recovery.wake(now), now);
         }
-        List<LoadGossip.Telling> all = new ArrayList<>(said);
+        List<LoadGossip.Message> all = new ArrayList<>(said);
         said.clear();
         all.addAll(gossip.dueMessages(now));
         return all;
--- a/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
+++ b/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
@@ -19,7 +19,7 @@
     Decision woken(double now);
 
     /** What it has to tell other proxies now. */
-    default List<LoadGossip.Telling> tellings(double now) {
+    default List<LoadGossip.Message> tellings(double now) {
         return List.of();
     }
 
--- a/src/main/java/lemondrift/lab/simulation/Simulation.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -205,7 +205,7 @@
     private void carryOut(int proxy, Decision decision) {
         // The next call reuses the turn: what it asks for is taken out of it first.
         List<Attempt> cancels = List.copyOf(decision.cancellations), sends = List.copyOf(decision.attempts);
-        List<Decision.Answer> answers = List.copyOf(decision.localReplies);
+        List<Decision.LocalReply> answers = List.copyOf(decision.localReplies);
         List<Integer> probes = List.copyOf(decision.probes);
         double wakeAt = Math.min(decision.wakeAt, tell(proxy));
         if (wakes[proxy] != null) {
@@ -221,7 +221,7 @@
 
     /** Messages between proxies take their time and some are lost; says when there is more to tell. */
     private double tell(int proxy) {
-        for (LoadGossip.Telling each : proxies[proxy].tellings(agenda.now())) {
+        for (LoadGossip.Message each : proxies[proxy].tellings(agenda.now())) {
             figures.told += each.datagram().length;
             figures.messages++;
             if (chance.nextDouble() >= LOST) {
--- a/src/main/java/lemondrift/model/Settings.java
+++ b/src/main/java/lemondrift/model/Settings.java
@@ -11,7 +11,7 @@
  */
 public record Settings(int proxyCount, int locationCount, int location, boolean pollsEndpointList,
         List<RequestClass> requestClasses, double[] tenantQuotaPerSecond, double overQuotaWeight, boolean clientsMarkRetries,
-        Reports loadReports, Limits limits, Rules rules, Charges costs, boolean usesEndpointWeights) {
+        LoadReports loadReports, Limits limits, Rules rules, Costs costs, boolean usesEndpointWeights) {
 
     /** The grades that are stated now. */
     public Stream<RequestClass> activeClasses() {
@@ -63,7 +63,7 @@
     /** The same where lists tell no sizes that hold. */
     public Settings(int balancers, int locations, int location, boolean listOnRequest,
             List<RequestClass> grades, double[] tenantQuota, double excessBenefit, boolean marksRetries,
-            Reports reports, Limits limits, Rules rules, Charges charges) {
+            LoadReports reports, Limits limits, Rules rules, Costs charges) {
         this(balancers, locations, location, listOnRequest, grades, tenantQuota, excessBenefit, marksRetries,
                 reports, limits, rules, charges, false);
     }
@@ -72,7 +72,7 @@
      * Load reports: where they come from, and at which place each figure stands (-1: not given). Where the
      * exchanges held are all those in work, an answer's report still counts the one that it answers.
      */
-    public record Reports(boolean inResponses, int utilizationField, int inFlightField, boolean countsAnsweredRequest, int requestRateField) {
+    public record LoadReports(boolean inResponses, int utilizationField, int inFlightField, boolean countsAnsweredRequest, int requestRateField) {
         /** The figure of a report at a place; 0 where there is none. */
         public static double field(double[] loadReport, int place) {
             return place >= 0 && loadReport != null && place < loadReport.length ? loadReport[place] : 0;
@@ -85,5 +85,5 @@
     public record Rules(double slowStartMinShare, double slowStartSeconds, double overloadFactor, double overloadWindowSeconds,
             double pollWithinSeconds) {}
 
-    public record Charges(double crossZone, double probe) {}
+    public record Costs(double crossZone, double probe) {}
 }
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -1,19 +1,19 @@
 package lemondrift.proxy;
 
+import lemondrift.proxy.discovery.EndpointListBuilder;
 import lemondrift.proxy.backend.BackendClient;
 import lemondrift.proxy.backend.BackendConnector;
-import lemondrift.proxy.backend.BackendResponse;
+import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.client.ClientListener;
-import lemondrift.proxy.client.PendingRequest;
+import lemondrift.proxy.events.PendingRequest;
 import lemondrift.proxy.config.ProxyConfig;
 import lemondrift.proxy.discovery.BackendDirectory;
-import lemondrift.proxy.discovery.EndpointList;
 import lemondrift.proxy.discovery.EndpointListWatch;
 import lemondrift.proxy.gossip.GossipTransport;
-import lemondrift.proxy.lifecycle.MonotonicClock;
+import lemondrift.proxy.time.MonotonicClock;
 import lemondrift.proxy.lifecycle.TakeoverLock;
 import lemondrift.proxy.loop.DecisionLoop;
-import lemondrift.proxy.loop.ProxyActions;
+import lemondrift.proxy.events.ProxyActions;
 
 import com.google.gson.JsonObject;
 import io.undertow.connector.ByteBufferPool;
@@ -145,7 +145,7 @@
             gossipTransport.start(worker);
             clientListener.beforeEachRequest(gossipTransport::receive);
         }
-        decisionLoop.endpointListReceived(EndpointList.of(known), true, () -> { });
+        decisionLoop.endpointListReceived(EndpointListBuilder.of(known), true, () -> { });
         known = null;
         decisionLoop.start();
         worker.getIoThread().execute(watch::start);
@@ -236,7 +236,7 @@
     /** Decides and forwards without a listener or discovery, on the list and the connections it is given. */
     public void startWithoutListener(JsonObject list) {
         decisionLoop.start();
-        decisionLoop.endpointListReceived(EndpointList.of(list), false, () -> { });
+        decisionLoop.endpointListReceived(EndpointListBuilder.of(list), false, () -> { });
     }
 
     public void accept(StreamConnection connection) {
@@ -325,14 +325,14 @@
     }
 
     /** How much is in hand. */
-    record InHand(int connections, int requests, int calls, int backendReferences) {}
+    record InFlight(int connections, int requests, int calls, int backendReferences) {}
 
     /** What the I/O thread has in hand and then what the owner has. */
-    CompletableFuture<InHand> inFlight() {
-        CompletableFuture<InHand> told = new CompletableFuture<>();
+    CompletableFuture<InFlight> inFlight() {
+        CompletableFuture<InFlight> told = new CompletableFuture<>();
         runOnIoThread(() -> {
             int visitors = clientListener.openConnectionCount(), calls = backendClient.callsInFlight();
-            runOnLoop(() -> told.complete(new InHand(visitors, decisionLoop.openRequestCount(), calls, decisionLoop.backendReferenceCount())));
+            runOnLoop(() -> told.complete(new InFlight(visitors, decisionLoop.openRequestCount(), calls, decisionLoop.backendReferenceCount())));
         });
         return told;
     }
@@ -380,7 +380,7 @@
         }
 
         @Override
-        public void requestEndpointList(Decision.ListCall call) {
+        public void requestEndpointList(Decision.EndpointListCall call) {
             wishes.add(() -> watch.listRequested(call));
         }
 
@@ -423,7 +423,7 @@
         }
 
         @Override
-        public void sendGossip(LoadGossip.Telling telling) {
+        public void sendGossip(LoadGossip.Message telling) {
             wishes.add(() -> gossipTransport.send(telling));
         }
 
--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -1,7 +1,8 @@
 package lemondrift.proxy.backend;
 
-import lemondrift.proxy.client.RequestBody;
-import lemondrift.proxy.http.BodyChunks;
+import lemondrift.proxy.events.ResponseRemainder;
+import lemondrift.proxy.events.StreamedRequestBody;
+import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.http.BodyRelay;
 
 import io.undertow.connector.PooledByteBuffer;
@@ -22,9 +23,9 @@
  * One request on one connection and its answer, whole, or where it is long its beginning and then piece by
  * piece as it is asked for. It never tries again by itself. I/O thread only.
  */
-public final class BackendCall implements BodyChunks {
+public final class BackendCall implements ResponseRemainder {
     /** What is to be sent; the upload, if any, follows in place of a body. */
-    record Request(Head head, byte[] body, RequestBody upload) {
+    record Request(Head head, byte[] body, StreamedRequestBody upload) {
         Request(byte[] head) {
             this(left -> head, new byte[0], null);
         }
@@ -43,7 +44,7 @@
     private final Head head;
     /** The head, once it can be written, and the body. */
     private final ByteBuffer[] request;
-    private final RequestBody streamedBody;
+    private final StreamedRequestBody streamedBody;
     private BodyRelay uploading;
     private boolean uploaded;
     private final ResponseReader reader;
@@ -210,7 +211,7 @@
         });
         // Danger: a backend that takes nothing would keep its client for ever. The giver is the door's.
         uploading = new BodyRelay(streamedBody, link.connection.getSinkChannel(), pool.io,
-                new BodyRelay.Patience(0, streamedBody.stall), () -> { }, whole -> {
+                new BodyRelay.Patience(0, streamedBody.stallTimeoutSeconds()), () -> { }, whole -> {
                     if (!whole) {
                         broken(false);
                         return;
@@ -286,6 +287,7 @@
     }
 
     /** The length of a long answer's body; -1 where nobody tells. */
+    @Override
     public int declared() {
         return reader.declared();
     }
@@ -325,6 +327,7 @@
     }
 
     /** What was passed on is whole. */
+    @Override
     public void passed() {
         boolean spent = passing.getBuffer().hasRemaining() || reader.closes() || !isSent();
         release();
@@ -336,6 +339,7 @@
     }
 
     /** Nobody wants what is passed on any more. */
+    @Override
     public void abandonResponse() {
         release();
         link.close();
--- a/src/main/java/lemondrift/proxy/backend/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -1,17 +1,16 @@
 package lemondrift.proxy.backend;
 
-import lemondrift.proxy.client.PendingRequest;
-import lemondrift.proxy.client.RequestBody;
+import lemondrift.proxy.http.ProxyHeaders;
+import lemondrift.proxy.events.DecisionEvents;
+import lemondrift.proxy.events.StreamedRequestBody;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.PendingRequest;
 import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.lifecycle.MonotonicClock;
-import lemondrift.proxy.loop.DecisionLoop;
+import lemondrift.proxy.time.MonotonicClock;
 
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.HttpServerExchange;
-import io.undertow.util.HeaderMap;
 import io.undertow.util.HeaderValues;
-import io.undertow.util.Headers;
-import io.undertow.util.HttpString;
 import io.undertow.util.Methods;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +18,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import lemondrift.model.Attempt;
@@ -33,12 +31,6 @@
 /** Forwards, probes and load reports over bounded pools of connections. I/O thread only. */
 public final class BackendClient {
     private static final Logger LOG = LoggerFactory.getLogger(BackendClient.class);
-    public static final HttpString TIMEOUT_HEADER = new HttpString("X-Expires-In-Ms");
-    private static final HttpString LOAD = new HttpString("Endpoint-Load-Metrics");
-    private static final HttpString NEVER_RAN = new HttpString("X-Never-Ran");
-    private static final Set<HttpString> OWN = Set.of(Headers.CONNECTION, Headers.KEEP_ALIVE, Headers.TE,
-            Headers.TRAILER, Headers.TRANSFER_ENCODING, Headers.UPGRADE, Headers.EXPECT,
-            Headers.CONTENT_LENGTH, TIMEOUT_HEADER, LOAD);
     /** Of a body either way. */
     static final int MOST_BODY = 64 * 1024;
     /** The share of the proxy's connections that go to backends, and of those the share for one. */
@@ -57,7 +49,7 @@
     private final XnioIoThread io;
     private final BackendConnector connector;
     private final ByteBufferPool buffers;
-    private final DecisionLoop decisionLoop;
+    private final DecisionEvents decisionEvents;
     private final ProxyMetrics metrics;
     private final Predicate<PendingRequest> awaited;
     private final ConnectionPool.Budget budget;
@@ -66,7 +58,7 @@
     private final Map<Attempt, BackendCall> calls = new HashMap<>();
 
     /** Awaited says whether the client of an exchange is there and has no answer yet. */
-    public BackendClient(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector connector, ByteBufferPool buffers, DecisionLoop decisionLoop,
+    public BackendClient(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector connector, ByteBufferPool buffers, DecisionEvents decisionEvents,
             ProxyMetrics metrics, Predicate<PendingRequest> awaited) {
         this.awaited = awaited;
         this.config = config;
@@ -74,7 +66,7 @@
         this.io = io;
         this.connector = connector;
         this.buffers = buffers;
-        this.decisionLoop = decisionLoop;
+        this.decisionEvents = decisionEvents;
         this.metrics = metrics;
         budget = new ConnectionPool.Budget((int) (SHARE * config.maxConnections()));
         double limit = IDLE_SHARE * config.backendIdleSeconds();
@@ -88,16 +80,16 @@
         } catch (RuntimeException e) {
             // Danger: a forward that never ends would keep its exchange until the expiry.
             LOG.error("forward not begun", e);
-            decisionLoop.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
+            decisionEvents.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
         }
     }
 
     private void begin(Attempt attempt, PendingRequest pending, InetSocketAddress to) {
         // The time that passed in the queues is the exchange's own.
-        RequestBody streamedBody = pending.streamedBody();
-        double within = streamedBody == null ? attempt.sentAt + attempt.timeoutSeconds - clock.now() : streamedBody.within;
+        StreamedRequestBody streamedBody = pending.streamedBody();
+        double within = streamedBody == null ? attempt.sentAt + attempt.timeoutSeconds - clock.now() : streamedBody.responseTimeoutSeconds();
         if (streamedBody != null && !streamedBody.restart()) {
-            decisionLoop.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
+            decisionEvents.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
             return;
         }
         BackendCall[] made = new BackendCall[1];
@@ -107,11 +99,11 @@
                     calls.remove(attempt);
                     // The time that an upload took is its client's, not the backend's.
                     double began = streamedBody == null ? attempt.sentAt : made[0].began();
-                    decisionLoop.attemptEnded(attempt, outcome(response), clock.now() - began, report(response), response);
+                    decisionEvents.attemptEnded(attempt, outcome(response), clock.now() - began, report(response), response);
                 });
         made[0] = call;
         if (call == null) {
-            decisionLoop.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
+            decisionEvents.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
         } else {
             calls.put(attempt, call);
             call.start();
@@ -120,8 +112,8 @@
 
     /** The request as it came, but for what belongs to one connection and the time there is for it. */
     private static BackendCall.Request request(PendingRequest pending) {
-        RequestBody streamedBody = pending.streamedBody();
-        BackendCall.Head head = streamedBody == null ? left -> head(pending, left) : left -> head(pending, streamedBody.within);
+        StreamedRequestBody streamedBody = pending.streamedBody();
+        BackendCall.Head head = streamedBody == null ? left -> head(pending, left) : left -> head(pending, streamedBody.responseTimeoutSeconds());
         return new BackendCall.Request(head, pending.body(), streamedBody);
     }
 
@@ -132,11 +124,11 @@
                 .append(client.getRequestURI()).append(query.isEmpty() ? "" : "?").append(query)
                 .append(" HTTP/1.1\r\n");
         for (HeaderValues values : client.getRequestHeaders()) {
-            for (int i = 0; i < values.size() && !OWN.contains(values.getHeaderName()); i++) {
+            for (int i = 0; i < values.size() && ProxyHeaders.isEndToEnd(values.getHeaderName()); i++) {
                 head.append(values.getHeaderName()).append(": ").append(values.get(i)).append("\r\n");
             }
         }
-        head.append(TIMEOUT_HEADER).append(": ").append(Math.max(1, Math.round(left * 1000))).append("\r\n");
+        head.append(ProxyHeaders.TIMEOUT).append(": ").append(Math.max(1, Math.round(left * 1000))).append("\r\n");
         if (pending.streamedBody() != null && pending.streamedBody().isChunked()) {
             head.append("Transfer-Encoding: chunked\r\n");
         } else if (pending.streamedBody() != null) {
@@ -151,7 +143,7 @@
         BackendCall call = calls.remove(attempt);
         if (call != null) {
             call.abandon();
-            decisionLoop.attemptEnded(attempt, AttemptOutcome.CANCELLED, clock.now() - attempt.sentAt, null, null);
+            decisionEvents.attemptEnded(attempt, AttemptOutcome.CANCELLED, clock.now() - attempt.sentAt, null, null);
         }
     }
 
@@ -159,11 +151,11 @@
     public void probe(int backend, InetSocketAddress to) {
         String path = config.loadReportFields().isEmpty() ? "/healthz" : "/load";
         BackendCall call = BackendCall.make(links(backend, to), BackendCall.get(path, "backend"), MOST_BODY,
-                config.connectTimeoutSeconds(), config.connectTimeoutSeconds(), response -> decisionLoop.probeEnded(backend,
+                config.connectTimeoutSeconds(), config.connectTimeoutSeconds(), response -> decisionEvents.probeEnded(backend,
                         outcome(response), report(new String(response.body(), StandardCharsets.ISO_8859_1),
                                 config.loadReportFields())));
         if (call == null) {
-            decisionLoop.probeEnded(backend, AttemptOutcome.NOT_SENT, null);
+            decisionEvents.probeEnded(backend, AttemptOutcome.NOT_SENT, null);
         } else {
             call.start();
         }
@@ -202,17 +194,8 @@
         return known;
     }
 
-    /** Everything but what belongs to one connection. */
-    public static void copyEndToEndHeaders(HeaderMap from, HeaderMap to) {
-        for (HeaderValues values : from) {
-            if (!OWN.contains(values.getHeaderName())) {
-                to.putAll(values.getHeaderName(), values);
-            }
-        }
-    }
-
     static AttemptOutcome outcome(BackendResponse response) {
-        boolean neverRan = "1".equals(response.headers().getFirst(NEVER_RAN));
+        boolean neverRan = "1".equals(response.headers().getFirst(ProxyHeaders.NEVER_EXECUTED));
         return switch (response.status()) {
             case BackendResponse.UNSENT -> AttemptOutcome.NOT_SENT;
             case 0 -> !response.requestSent() ? AttemptOutcome.CONNECT_FAILED
@@ -225,8 +208,8 @@
 
     /** Danger: of two reports it is not known which is meant. */
     private double[] report(BackendResponse response) {
-        return response.headers().count(LOAD) != 1 ? null
-                : report(response.headers().getFirst(LOAD), config.loadReportFields());
+        return response.headers().count(ProxyHeaders.LOAD_REPORT) != 1 ? null
+                : report(response.headers().getFirst(ProxyHeaders.LOAD_REPORT), config.loadReportFields());
     }
 
     /** Reads TEXT name=value, name=value into the figures of these names; null if one lacks or is none. */
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -1,6 +1,6 @@
 package lemondrift.proxy.backend;
 
-import lemondrift.proxy.lifecycle.MonotonicClock;
+import lemondrift.proxy.time.MonotonicClock;
 
 import io.undertow.connector.ByteBufferPool;
 import java.io.IOException;
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -1,5 +1,7 @@
 package lemondrift.proxy.backend;
 
+import lemondrift.proxy.events.ResponseRemainder;
+import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.http.HttpFieldRules;
 
 import io.undertow.util.HeaderMap;
@@ -135,7 +137,7 @@
     }
 
     /** What of it was held, and whoever has the rest. */
-    public BackendResponse begun(BackendCall rest) {
+    public BackendResponse begun(ResponseRemainder rest) {
         return new BackendResponse(status, headers, body.toByteArray(), true, false, rest);
     }
 
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -1,6 +1,6 @@
 package lemondrift.proxy.client;
 
-import lemondrift.proxy.lifecycle.MonotonicClock;
+import lemondrift.proxy.time.MonotonicClock;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -35,7 +35,7 @@
  * Clients' connections as sockets: tells the door what happens on them and does what it says. I/O thread
  * only.
  */
-final class ClientConnections implements ConnectionPolicy.Hands {
+final class ClientConnections implements ConnectionPolicy.Actions {
     private static final Logger LOG = LoggerFactory.getLogger(ClientConnections.class);
     /** How often the door is looked after while it drains, for each time that it asks for. */
     private static final int DRAINING_SWEEPS = 4;
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -1,14 +1,15 @@
 package lemondrift.proxy.client;
 
-import lemondrift.proxy.backend.BackendClient;
-import lemondrift.proxy.backend.BackendResponse;
+import lemondrift.proxy.events.DecisionEvents;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.http.ProxyHeaders;
+import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.config.ProxyConfig;
 import lemondrift.proxy.http.BodyChunks;
 import lemondrift.proxy.http.BodyRelay;
 import lemondrift.proxy.http.HttpFieldRules;
-import lemondrift.proxy.lifecycle.MonotonicClock;
+import lemondrift.proxy.time.MonotonicClock;
 import lemondrift.proxy.logging.FailureLog;
-import lemondrift.proxy.loop.DecisionLoop;
 
 import io.undertow.Handlers;
 import io.undertow.UndertowOptions;
@@ -71,7 +72,7 @@
     private final ProxyConfig config;
     private Runnable beforeEachRequest = () -> { };
     private final MonotonicClock clock;
-    private final DecisionLoop decisionLoop;
+    private final DecisionEvents decisionEvents;
     private final ProxyMetrics metrics;
     private final FailureLog endings;
     private final XnioWorker worker;
@@ -91,11 +92,11 @@
     /** When the last answers are to be out. */
     private volatile double lastAnswers = Double.POSITIVE_INFINITY;
 
-    public ClientListener(ProxyConfig config, RequestClassIndex requestClasses, MonotonicClock clock, XnioWorker worker, ByteBufferPool buffers, DecisionLoop decisionLoop,
+    public ClientListener(ProxyConfig config, RequestClassIndex requestClasses, MonotonicClock clock, XnioWorker worker, ByteBufferPool buffers, DecisionEvents decisionEvents,
             ProxyMetrics metrics) {
         this.config = config;
         this.clock = clock;
-        this.decisionLoop = decisionLoop;
+        this.decisionEvents = decisionEvents;
         this.worker = worker;
         this.buffers = buffers;
         bufferBudget = new BodyBufferBudget(HELD, (long) (HELD_SHARE * config.memoryBytes()));
@@ -285,7 +286,7 @@
 
             @Override
             public void letGo() {
-                decisionLoop.bodyNotReplayable(visitor.exchange);
+                decisionEvents.bodyNotReplayable(visitor.exchange);
             }
 
             @Override
@@ -306,7 +307,7 @@
             reject(client, 400);
             return;
         }
-        streamedBody.within = Math.min(usual.deadline - usual.arrivedAt, usual.terms.requestClass().latencyObjectiveSeconds());
+        streamedBody.setResponseTimeoutSeconds(Math.min(usual.deadline - usual.arrivedAt, usual.terms.requestClass().latencyObjectiveSeconds()));
         double most = LONGEST / 1e3;
         Request request = new Request(usual.id, usual.requestClass, usual.tenant, usual.arrivedAt, most, usual.markedRetry);
         request.terms = usual.terms.withTimeout(most);
@@ -432,7 +433,7 @@
         request.failureReason = FailureReason.OVERDUE;
         metrics.overdueRequestFailed();
         failRequest(pending.exchange(), false, 0);
-        decisionLoop.clientLeft(request);
+        decisionEvents.clientLeft(request);
     }
 
     /** What is to be done before an exchange is decided; set before listening. */
@@ -446,10 +447,10 @@
         Request request = pending.request();
         double end = request.arrivedAt + Math.min(request.deadline - request.arrivedAt, request.terms.requestClass().latencyObjectiveSeconds());
         if (intake.takes()) {
-            decisionLoop.requestArrived(pending);
+            decisionEvents.requestArrived(pending);
             return;
         }
-        ShedThreshold shed = intake.isLong() ? decisionLoop.shedThreshold(request.requestClass, end - clock.now()) : null;
+        ShedThreshold shed = intake.isLong() ? decisionEvents.shedThreshold(request.requestClass, end - clock.now()) : null;
         if (shed == null) {
             intake.waits(pending, end);
         } else {
@@ -462,7 +463,7 @@
     public void requestsDecided(int exchanges, double seconds) {
         intake.decided(exchanges, seconds);
         for (PendingRequest next = intake.next(); next != null; next = intake.next()) {
-            decisionLoop.requestArrived(next);
+            decisionEvents.requestArrived(next);
         }
     }
 
@@ -471,7 +472,7 @@
         int requestClass = requestClasses.indexOf(only(headers, GRADE));
         int tenant = config.tenantNames().isEmpty() ? 0
                 : config.tenantNames().indexOf(only(headers, TENANT));
-        int milliseconds = HttpFieldRules.number(only(headers, BackendClient.TIMEOUT_HEADER), 9);
+        int milliseconds = HttpFieldRules.number(only(headers, ProxyHeaders.TIMEOUT), 9);
         if (only(headers, TRACE).isEmpty() || requestClass < 0 || tenant < 0 || milliseconds < 0) {
             return null;
         }
@@ -488,7 +489,7 @@
 
     /** A client has gone whose exchange is open. */
     private void left(Request request) {
-        decisionLoop.clientLeft(request);
+        decisionEvents.clientLeft(request);
     }
 
     /** Danger: Undertow reads nothing while an answer is awaited, so a client that goes is not seen. */
@@ -550,7 +551,7 @@
     public void deliver(PendingRequest pending, BackendResponse response) {
         HttpServerExchange client = pending.exchange();
         client.getAttachment(VISITOR).brings(pending.request().terms.requestClass().priorityWeight());
-        BackendClient.copyEndToEndHeaders(response.headers(), client.getResponseHeaders());
+        ProxyHeaders.copyEndToEnd(response.headers(), client.getResponseHeaders());
         if (response.remainder() == null) {
             answer(client, BackendResponse.OK, response.body(), IoCallback.END_EXCHANGE);
         } else {
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -1,6 +1,6 @@
 package lemondrift.proxy.client;
 
-import lemondrift.proxy.http.BodyChunks;
+import lemondrift.proxy.events.StreamedRequestBody;
 
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.connector.PooledByteBuffer;
@@ -18,7 +18,7 @@
  * A request's body as it comes: held as long as it may be, then given on piece by piece, in chunks where
  * nobody tells its length. I/O thread only.
  */
-public final class RequestBody implements BodyChunks {
+public final class RequestBody implements StreamedRequestBody {
     /** Who hears what becomes of it. */
     interface Hearer {
         /** All of it has come and is held. */
@@ -45,11 +45,11 @@
     private final long longest;
     private final Hearer hearer;
     /** How long a backend may take nothing of it. */
-    public final double stall;
+    private final double stallTimeoutSeconds;
     private final boolean chunked;
     private final Deque<ByteBuffer> next = new ArrayDeque<>();
     /** How many seconds there are for the answer from the last byte on; set when it is passed on. */
-    public double within;
+    private double responseTimeoutSeconds;
     private byte[] held = {};
     private int count;
     private long came;
@@ -60,7 +60,7 @@
 
     RequestBody(HttpServerExchange client, BodyBufferBudget bufferBudget, ByteBufferPool buffers, long longest, double stall,
             Hearer hearer) {
-        this.stall = stall;
+        this.stallTimeoutSeconds = stall;
         channel = client.getRequestChannel();
         chunked = client.getRequestContentLength() < 0;
         this.bufferBudget = bufferBudget;
@@ -99,11 +99,26 @@
         }
     }
 
+    @Override
+    public double stallTimeoutSeconds() {
+        return stallTimeoutSeconds;
+    }
+
+    @Override
+    public double responseTimeoutSeconds() {
+        return responseTimeoutSeconds;
+    }
+
+    void setResponseTimeoutSeconds(double seconds) {
+        responseTimeoutSeconds = seconds;
+    }
+
+    @Override
     public boolean isChunked() {
         return chunked;
     }
 
-    /** From its first byte; false where that is no longer held. */
+    @Override
     public boolean restart() {
         if (beyond) {
             return false;
@@ -189,7 +204,7 @@
         channel.resumeReads();
     }
 
-    /** What is to be done when its request is over, by whoever passes it on. */
+    @Override
     public void whenReleased(Runnable then) {
         released = then;
     }
--- a/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
@@ -1,6 +1,5 @@
 package lemondrift.proxy.config;
 
-import lemondrift.proxy.gossip.GossipTransport;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -22,7 +21,7 @@
     private GossipSettingsFile() {}
 
     /** Null where the configuration forbids messages between proxies or names no addresses for them. */
-    public static GossipTransport.Place read(Path file, Settings settings, JsonObject config) throws IOException {
+    public static GossipSettings read(Path file, Settings settings, JsonObject config) throws IOException {
         double pace = PACE, forget = FORGET;
         int part = PART;
         for (Map.Entry<String, JsonElement> each : ConnectionSettingsFile.object(file).entrySet()) {
@@ -41,7 +40,7 @@
         return place(config, pace * window, forget * window, part);
     }
 
-    private static GossipTransport.Place place(JsonObject config, double pace, double forget, int part) {
+    private static GossipSettings place(JsonObject config, double pace, double forget, int part) {
         JsonObject settings = config.has("settings") ? config.getAsJsonObject("settings") : new JsonObject();
         boolean allowed = settings.has("limits") && settings.getAsJsonObject("limits").has("mayTell")
                 && settings.getAsJsonObject("limits").get("mayTell").getAsBoolean();
@@ -53,7 +52,7 @@
             proxies.add(ProxyConfig.address("peers", each.getAsString()));
         }
         int self = settings.get("slotNo").getAsInt();
-        return self < 0 || self >= proxies.size() ? null : new GossipTransport.Place(ProxyConfig.address("peer_listen",
+        return self < 0 || self >= proxies.size() ? null : new GossipSettings(ProxyConfig.address("peer_listen",
                 config.get("peer_listen").getAsString()), proxies, self, pace, forget, part);
     }
 }
--- a/src/main/java/lemondrift/proxy/config/ProxyConfig.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfig.java
@@ -1,6 +1,5 @@
 package lemondrift.proxy.config;
 
-import lemondrift.proxy.gossip.GossipTransport;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -18,7 +17,6 @@
 import lemondrift.connection.ConnectionLimits;
 import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
-import lemondrift.proxy.recovery.RecoveryCoordinator;
 import lemondrift.settings.InvalidSettingsException;
 import lemondrift.settings.SettingsReader;
 import org.slf4j.Logger;
@@ -32,7 +30,7 @@
         long seed, int sockets, long memoryBytes, Settings settings, List<String> requestClassNames,
         List<String> tenantNames, List<String> locations, List<String> loadReportFields, double backendIdleSeconds,
         double connectTimeoutSeconds,
-        JsonObject initialEndpoints, Map<String, String> statedKeys, ConnectionLimits connectionLimits, GossipTransport.Place gossip, RecoveryCoordinator.Plan recovery,
+        JsonObject initialEndpoints, Map<String, String> statedKeys, ConnectionLimits connectionLimits, GossipSettings gossip, RecoverySettings recovery,
         Settings shadow) {
     private static final Logger LOG = LoggerFactory.getLogger(ProxyConfig.class);
     /** What is read once only, as a regular expression over the keys. */
@@ -57,7 +55,7 @@
         return Math.max(OTHERS, sockets - OTHERS);
     }
 
-    private ProxyConfig with(InetSocketAddress admin, ConnectionLimits connectionLimits, GossipTransport.Place peers, RecoveryCoordinator.Plan recovery,
+    private ProxyConfig with(InetSocketAddress admin, ConnectionLimits connectionLimits, GossipSettings peers, RecoverySettings recovery,
             Settings shadow) {
         return new ProxyConfig(name, listen, admin, discovery, seed, sockets, memoryBytes, settings, requestClassNames,
                 tenantNames, locations, loadReportFields, backendIdleSeconds, connectTimeoutSeconds, initialEndpoints, statedKeys, connectionLimits, peers,
@@ -76,7 +74,7 @@
         return with(other, gossip, recovery);
     }
 
-    private ProxyConfig with(ConnectionLimits connectionLimits, GossipTransport.Place peers, RecoveryCoordinator.Plan recovery) {
+    private ProxyConfig with(ConnectionLimits connectionLimits, GossipSettings peers, RecoverySettings recovery) {
         return with(admin, connectionLimits, peers, recovery, shadow);
     }
 
@@ -123,14 +121,14 @@
         return file == null ? config.connectionLimits : ConnectionSettingsFile.read(Path.of(file), config.connectionLimits);
     }
 
-    private static GossipTransport.Place gossip(Map<String, String> environment, ProxyConfig config, JsonObject json)
+    private static GossipSettings gossip(Map<String, String> environment, ProxyConfig config, JsonObject json)
             throws IOException {
         String file = environment.get("PROXY_PEERS");
         return file == null ? null : GossipSettingsFile.read(Path.of(file), config.settings, json);
     }
 
     /** Null where it is not named, or named by nothing. */
-    private static RecoveryCoordinator.Plan recovery(Map<String, String> environment, ProxyConfig config) throws IOException {
+    private static RecoverySettings recovery(Map<String, String> environment, ProxyConfig config) throws IOException {
         String file = environment.get("PROXY_RECOVERY");
         return file == null || file.isEmpty() ? null
                 : RecoverySettingsFile.read(Path.of(file), config.settings.windowSeconds());
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettings.java
@@ -0,0 +1,14 @@
+package lemondrift.proxy.config;
+
+import java.nio.file.Path;
+import lemondrift.recovery.PeerPollBackoff;
+
+/**
+ * How a proxy that has started learns from its peers, and where it keeps snapshots.
+ *
+ * @param polling how it polls its peers
+ * @param snapshotFolder where snapshots are written; null where no disk outlasts the process
+ * @param snapshotIntervalSeconds the mean time between two snapshots
+ */
+public record RecoverySettings(
+        PeerPollBackoff polling, Path snapshotFolder, double snapshotIntervalSeconds) {}
--- a/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -5,7 +5,6 @@
 import java.nio.file.Path;
 import java.util.Map;
 import lemondrift.recovery.PeerPollBackoff;
-import lemondrift.proxy.recovery.RecoveryCoordinator;
 import lemondrift.settings.InvalidSettingsException;
 
 /** Reads what a deployment may say of a proxy's way back after its start; docs/recovery.md has the keys. */
@@ -16,7 +15,7 @@
     private RecoverySettingsFile() {}
 
     /** Spans are given as shares of the shortest contract time, which is so many seconds. */
-    public static RecoveryCoordinator.Plan read(Path file, double window) throws IOException {
+    public static RecoverySettings read(Path file, double window) throws IOException {
         PeerPollBackoff usual = PeerPollBackoff.of(1);
         double ask = usual.ask(), bound = usual.bound(), forget = usual.forget(), period = PERIOD;
         int fanout = usual.fanout(), enough = usual.enough();
@@ -42,7 +41,7 @@
         if (forget < bound) {
             throw new InvalidSettingsException(file + ": forget: " + forget + " is under bound, " + bound);
         }
-        return new RecoveryCoordinator.Plan(new PeerPollBackoff(ask * window, bound * window, forget * window, fanout, enough),
+        return new RecoverySettings(new PeerPollBackoff(ask * window, bound * window, forget * window, fanout, enough),
                 folder, period);
     }
 }
--- a/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy.discovery;
 
+import lemondrift.proxy.events.EndpointList;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy.discovery;
 
+import lemondrift.proxy.events.EndpointList;
 import com.google.gson.JsonParser;
 import com.google.gson.stream.JsonReader;
 import com.google.gson.stream.JsonToken;
@@ -11,7 +12,7 @@
 /** Reads a list of discovery from its bytes in steps, so that one of thousands of lines holds nobody up. */
 public final class EndpointListParser {
     private final JsonReader reader;
-    private final EndpointList.Builder lines = new EndpointList.Builder();
+    private final EndpointListBuilder lines = new EndpointListBuilder();
     private Long revision;
     private Boolean complete;
     private boolean begun, inMembers, hadMembers, done;
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy.discovery;
 
+import lemondrift.proxy.events.EndpointList;
 import java.util.ArrayList;
 import java.util.List;
 import lemondrift.model.EndpointUpdate;
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -1,12 +1,13 @@
 package lemondrift.proxy.discovery;
 
+import lemondrift.proxy.events.DecisionEvents;
+import lemondrift.proxy.events.EndpointList;
 import lemondrift.proxy.backend.BackendCall;
 import lemondrift.proxy.backend.BackendConnector;
-import lemondrift.proxy.backend.BackendResponse;
+import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.backend.ConnectionPool;
 import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.lifecycle.MonotonicClock;
-import lemondrift.proxy.loop.DecisionLoop;
+import lemondrift.proxy.time.MonotonicClock;
 
 import io.undertow.connector.ByteBufferPool;
 import java.io.IOException;
@@ -44,7 +45,7 @@
     private final XnioWorker worker;
     private final BackendConnector connector;
     private final ByteBufferPool buffers;
-    private final DecisionLoop decisionLoop;
+    private final DecisionEvents decisionEvents;
     private final boolean onRequest;
     /** The first call has ended, with a list or without. */
     private final CountDownLatch first = new CountDownLatch(1);
@@ -56,13 +57,13 @@
     private BackendCall call;
 
     public EndpointListWatch(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector connector, ByteBufferPool buffers,
-            DecisionLoop decisionLoop) {
+            DecisionEvents decisionEvents) {
         this.clock = clock;
         this.io = io;
         worker = io.getWorker();
         this.connector = connector;
         this.buffers = buffers;
-        this.decisionLoop = decisionLoop;
+        this.decisionEvents = decisionEvents;
         onRequest = config.settings().pollsEndpointList();
         pool = links(config.discovery());
     }
@@ -108,8 +109,8 @@
         call();
     }
 
-    public void listRequested(Decision.ListCall call) {
-        if (call == Decision.ListCall.FULL) {
+    public void listRequested(Decision.EndpointListCall call) {
+        if (call == Decision.EndpointListCall.FULL) {
             revision = -1;
         }
         call();
@@ -190,7 +191,7 @@
             LOG.info("list of revision {}, lines: {}", revision, list.members().size());
         }
         failing = false;
-        decisionLoop.endpointListReceived(list, false, first::countDown);
+        decisionEvents.endpointListReceived(list, false, first::countDown);
         // Danger: a later call than 200 ms begins a new watch, and what changed before it counts as told.
         call();
     }
@@ -210,7 +211,7 @@
         failing = true;
         first.countDown();
         if (onRequest) {
-            decisionLoop.endpointListFailed();
+            decisionEvents.endpointListFailed();
         } else {
             io.executeAfter(this::call, Math.round(PAUSE * 1e9), TimeUnit.NANOSECONDS);
         }
--- a/src/main/java/lemondrift/proxy/loop/ProxyActions.java
+++ b/src/main/java/lemondrift/proxy/events/ProxyActions.java
@@ -1,7 +1,7 @@
-package lemondrift.proxy.loop;
+package lemondrift.proxy.events;
 
-import lemondrift.proxy.backend.BackendResponse;
-import lemondrift.proxy.client.PendingRequest;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.PendingRequest;
 
 import java.net.InetSocketAddress;
 import lemondrift.model.Attempt;
@@ -18,7 +18,7 @@
 
     void probe(int backend, InetSocketAddress to);
 
-    void requestEndpointList(Decision.ListCall call);
+    void requestEndpointList(Decision.EndpointListCall call);
 
     void deliver(PendingRequest pending, BackendResponse response);
 
@@ -41,7 +41,7 @@
     void settingsChanged(RequestClassIndex requestClasses, Settings settings);
 
     /** Tells another proxy. */
-    public void sendGossip(LoadGossip.Telling telling);
+    public void sendGossip(LoadGossip.Message telling);
 
     /** All that was asked for since the last time is to be done now. */
     void flush();
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
@@ -0,0 +1,15 @@
+package lemondrift.proxy.events;
+
+import lemondrift.proxy.http.BodyChunks;
+
+/** What follows of a response whose beginning has been delivered. I/O thread only. */
+public interface ResponseRemainder extends BodyChunks {
+    /** The Content-Length of the whole body; below 0 where the backend states none. */
+    int declared();
+
+    /** All of it has been passed on to the client. */
+    void passed();
+
+    /** Nobody wants the rest of it. */
+    void abandonResponse();
+}
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy.gossip;
 
+import lemondrift.proxy.config.GossipSettings;
 import lemondrift.proxy.discovery.BackendDirectory;
 
 import java.util.Arrays;
@@ -29,12 +30,12 @@
     /** By index. */
     private int[] tags = {};
 
-    public GossipSession(GossipTransport.Place place, long start, LoadBalancer balancer, BackendDirectory directory) {
+    public GossipSession(GossipSettings settings, long start, LoadBalancer balancer, BackendDirectory directory) {
         this.balancer = balancer;
         this.directory = directory;
-        self = place.self();
-        subsets = new SubsetAssignment(place.proxies().size(), place.part());
-        gossip = new LoadGossip(place.proxies().size(), self, start, place.pace(), place.forget(), subsets,
+        self = settings.self();
+        subsets = new SubsetAssignment(settings.proxies().size(), settings.subsetSize());
+        gossip = new LoadGossip(settings.proxies().size(), self, start, settings.minIntervalSeconds(), settings.expirySeconds(), subsets,
                 this::changed);
     }
 
@@ -100,7 +101,7 @@
         return gossip.nextSendAt();
     }
 
-    public List<LoadGossip.Telling> dueMessages(double now) {
+    public List<LoadGossip.Message> dueMessages(double now) {
         return gossip.dueMessages(now);
     }
 }
--- a/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
@@ -1,6 +1,7 @@
 package lemondrift.proxy.gossip;
 
-import lemondrift.proxy.loop.DecisionLoop;
+import lemondrift.proxy.events.DecisionEvents;
+import lemondrift.proxy.config.GossipSettings;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -24,15 +25,8 @@
 public final class GossipTransport {
     private static final Logger LOG = LoggerFactory.getLogger(GossipTransport.class);
 
-    /**
-     * Where this proxy hears the others, the address of each by its number and its own number, the file's two
-     * spans, and how many backends each uses.
-     */
-    public record Place(InetSocketAddress listen, List<InetSocketAddress> proxies, int self, double pace,
-            double forget, int part) {}
-
-    private final Place place;
-    private final DecisionLoop decisionLoop;
+    private final GossipSettings settings;
+    private final DecisionEvents decisionEvents;
     private final Map<SocketAddress, Integer> numbers = new HashMap<>();
     private final ByteBuffer buffer = ByteBuffer.allocate(LoadGossip.MAX_DATAGRAM_BYTES + 1);
     private final SocketAddressBuffer sender = new SocketAddressBuffer();
@@ -40,24 +34,24 @@
     private XnioExecutor.Key timer;
     private boolean failed;
 
-    public GossipTransport(Place place, DecisionLoop decisionLoop) {
-        this.place = place;
-        this.decisionLoop = decisionLoop;
-        for (int i = 0; i < place.proxies.size(); i++) {
-            numbers.put(place.proxies.get(i), i);
+    public GossipTransport(GossipSettings settings, DecisionEvents decisionEvents) {
+        this.settings = settings;
+        this.decisionEvents = decisionEvents;
+        for (int i = 0; i < settings.proxies().size(); i++) {
+            numbers.put(settings.proxies().get(i), i);
         }
     }
 
     /** Danger: a proxy that can't hear the others can still serve. */
     public void start(XnioWorker worker) {
         try {
-            channel = worker.createUdpServer(place.listen, OptionMap.EMPTY);
+            channel = worker.createUdpServer(settings.listen(), OptionMap.EMPTY);
         } catch (IOException e) {
             warn(e);
             return;
         }
         // Danger: to be woken for each datagram takes more of a part of a core than all exchanges do.
-        timer = worker.getIoThread().executeAtInterval(this::receive, (long) (place.pace * 1e9),
+        timer = worker.getIoThread().executeAtInterval(this::receive, (long) (settings.minIntervalSeconds() * 1e9),
                 TimeUnit.NANOSECONDS);
     }
 
@@ -76,7 +70,7 @@
                 if (from != null && got <= LoadGossip.MAX_DATAGRAM_BYTES) {
                     byte[] datagram = new byte[got];
                     buffer.flip().get(datagram);
-                    decisionLoop.datagramReceived(from, datagram);
+                    decisionEvents.datagramReceived(from, datagram);
                 }
             }
         } catch (IOException | RuntimeException e) {
@@ -84,12 +78,12 @@
         }
     }
 
-    public void send(LoadGossip.Telling telling) {
+    public void send(LoadGossip.Message telling) {
         if (channel == null) {
             return;
         }
         try {
-            channel.sendTo(place.proxies.get(telling.to()), ByteBuffer.wrap(telling.datagram()));
+            channel.sendTo(settings.proxies().get(telling.to()), ByteBuffer.wrap(telling.datagram()));
         } catch (IOException | RuntimeException e) {
             warn(e);
         }
--- a/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -1,13 +1,15 @@
 package lemondrift.proxy.loop;
 
-import lemondrift.proxy.backend.BackendResponse;
-import lemondrift.proxy.client.PendingRequest;
+import lemondrift.proxy.events.DecisionEvents;
+import lemondrift.proxy.config.GossipSettings;
+import lemondrift.proxy.events.ProxyActions;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.PendingRequest;
 import lemondrift.proxy.discovery.BackendDirectory;
-import lemondrift.proxy.discovery.EndpointList;
+import lemondrift.proxy.events.EndpointList;
 import lemondrift.proxy.discovery.EndpointListUpdate;
 import lemondrift.proxy.gossip.GossipSession;
-import lemondrift.proxy.gossip.GossipTransport;
-import lemondrift.proxy.lifecycle.MonotonicClock;
+import lemondrift.proxy.time.MonotonicClock;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -31,7 +33,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The one thread that calls the decisions. Everybody else reaches it through its queue. */
-public final class DecisionLoop {
+public final class DecisionLoop implements DecisionEvents {
     private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
     private static final int QUEUED = 4096;
     /** How many events are handled before the sockets are told what came of them. */
@@ -92,14 +94,14 @@
     }
 
     /** Tells the other proxies what is out here and hears it of them; before the start. */
-    public void enableGossip(GossipTransport.Place place) {
-        gossipSession = new GossipSession(place, System.currentTimeMillis(), balancer, directory);
+    public void enableGossip(GossipSettings gossip) {
+        gossipSession = new GossipSession(gossip, System.currentTimeMillis(), balancer, directory);
     }
 
     /** The same, and asks others after the start. */
-    public void enableGossip(GossipTransport.Place place, RecoveryCoordinator its) {
+    public void enableGossip(GossipSettings gossip, RecoveryCoordinator its) {
         recoveryCoordinator = its;
-        gossipSession = new GossipSession(place, its.startNumber(), balancer, directory);
+        gossipSession = new GossipSession(gossip, its.startNumber(), balancer, directory);
     }
 
     public RecoveryCoordinator recoveryCoordinator() {
@@ -134,6 +136,7 @@
     }
 
     /** Another proxy's datagram has come. */
+    @Override
     public void datagramReceived(int from, byte[] datagram) {
         if (recoveryCoordinator != null && RecoveryCoordinator.isRecoveryDatagram(datagram)) {
             recoveryCoordinator.received(from, datagram);
@@ -160,6 +163,7 @@
         }
     }
 
+    @Override
     public void requestArrived(PendingRequest pending) {
         put(EventLoopMetrics.Kind.ARRIVAL, pending.request(), () -> {
             arrived++;
@@ -174,12 +178,14 @@
     /**
      * Whether the decisions would shed an exchange now; null if not, else with what retry-after. Any thread.
      */
+    @Override
     public ShedThreshold shedThreshold(int requestClass, double left) {
         ShedThreshold word = requestClass < shedThresholds.size() ? shedThresholds.get(requestClass) : null;
         return word != null && left < word.minSecondsLeft() ? word : null;
     }
 
     /** The answer is the one to pass on if this forward delivers. */
+    @Override
     public void attemptEnded(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double[] loadReport, BackendResponse response) {
         put(EventLoopMetrics.Kind.OUTCOME, attempt.request, () -> {
             boolean wins = outcome == AttemptOutcome.SUCCESS && !attempt.request.completed;
@@ -200,6 +206,7 @@
         });
     }
 
+    @Override
     public void probeEnded(int backend, AttemptOutcome outcome, double[] loadReport) {
         put(null, () -> {
             directory.release(backend);
@@ -210,6 +217,7 @@
         });
     }
 
+    @Override
     public void clientLeft(Request request) {
         put(EventLoopMetrics.Kind.CLIENT_LEFT, request, () -> {
             if (shadow != null) {
@@ -229,6 +237,7 @@
     }
 
     /** Its request can't be sent whole any more. */
+    @Override
     public void bodyNotReplayable(Request request) {
         put(request, () -> {
             request.terms = request.terms.withMaxAttempts(request.attemptCount);
@@ -237,6 +246,7 @@
     }
 
     /** A list has come; stale is one of before the start. Applied hears when the decisions have all of it. */
+    @Override
     public void endpointListReceived(EndpointList list, boolean stale, Runnable applied) {
         put(EventLoopMetrics.Kind.LIST, null, () -> {
             updates.add(new EndpointListUpdate(directory, list, stale, applied));
@@ -348,6 +358,7 @@
         return open.size();
     }
 
+    @Override
     public void endpointListFailed() {
         put(null, () -> balancer.endpointListFailed(clock.now()));
     }
@@ -478,7 +489,7 @@
             }
             actions.send(attempt, open.get(attempt.request), directory.address(attempt.backend));
         }
-        for (Decision.Answer a : decision.localReplies) {
+        for (Decision.LocalReply a : decision.localReplies) {
             answer(a.request(), a.rejected(), a.retryAfterSeconds());
             release(a.request());
         }
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy.recovery;
 
+import lemondrift.proxy.config.RecoverySettings;
 import com.google.gson.JsonObject;
 import java.nio.file.Path;
 import java.util.Locale;
@@ -19,11 +20,8 @@
 public final class RecoveryCoordinator implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RecoveryCoordinator.class);
 
-    /** How it asks, where it keeps snapshots or null, and every how many seconds it writes one. */
-    public record Plan(PeerPollBackoff pace, Path folder, double period) {}
-
     /** Who is to know that another proxy has started anew. */
-    public interface Anew {
+    public interface PeerRestartListener {
         void peerRestarted(int proxy, long start);
     }
 
@@ -45,13 +43,13 @@
      * Of a proxy by its name and number. Before it returns, the start number is kept where a disk lasts.
      * Danger: one that others have heard and that is not kept could be taken a second time.
      */
-    public RecoveryCoordinator(Plan plan, String name, int self, int proxies, double now) {
-        period = plan.period();
-        keeper = plan.folder() == null ? null : new SnapshotStore(plan.folder(), name);
+    public RecoveryCoordinator(RecoverySettings settings, String name, int self, int proxies, double now) {
+        period = settings.snapshotIntervalSeconds();
+        keeper = settings.snapshotFolder() == null ? null : new SnapshotStore(settings.snapshotFolder(), name);
         trusted = keeper == null ? Snapshot.Trusted.NOTHING : keeper.trusted();
         // Danger: a wall clock that went back would give a number that was had before.
         long start = Math.max(trusted.above() + 1, System.currentTimeMillis());
-        recovery = RecoveryState.begins(plan.pace(), self, proxies, start, now);
+        recovery = RecoveryState.begins(settings.polling(), self, proxies, start, now);
         judgedAt = now;
         keepAt = now + period;
         if (keeper != null) {
@@ -83,7 +81,7 @@
     }
 
     /** Follows what has come, learns for the decisions, and says what is due to others. */
-    public void advance(double now, LoadBalancer balancer, Anew anew, Consumer<LoadGossip.Telling> tell) {
+    public void advance(double now, LoadBalancer balancer, PeerRestartListener anew, Consumer<LoadGossip.Message> tell) {
         boolean settled = recovery.isSettled();
         if (!settled) {
             double[] work = balancer.measuredServiceTime();
@@ -122,14 +120,14 @@
         lesson = its;
     }
 
-    private void follows(RecoveryState.Step step, double now, Consumer<LoadGossip.Telling> tell) {
+    private void follows(RecoveryState.Step step, double now, Consumer<LoadGossip.Message> tell) {
         if (step.next().standing() != recovery.standing()) {
             judgedAt = now;
             LOG.info("recovery standing={} was={} after={} heard={}", step.next().standing(),
                     recovery.standing(), seconds(now - recovery.began()), step.next().heard().size());
         }
         recovery = step.next();
-        step.sent().forEach(each -> tell.accept(new LoadGossip.Telling(each.to(), each.hello().encoded())));
+        step.sent().forEach(each -> tell.accept(new LoadGossip.Message(each.to(), each.hello().encoded())));
     }
 
     private static String seconds(double span) {
--- a/src/main/java/lemondrift/proxy/lifecycle/MonotonicClock.java
+++ b/src/main/java/lemondrift/proxy/time/MonotonicClock.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy.lifecycle;
+package lemondrift.proxy.time;
 
 /** The time in seconds, which never runs back. */
 public interface MonotonicClock {
--- a/src/main/java/lemondrift/settings/SettingsReader.java
+++ b/src/main/java/lemondrift/settings/SettingsReader.java
@@ -56,7 +56,7 @@
                         between("invariants.fallMultiple", LEAST, MOST),
                         between("invariants.overloadFor", LEAST, MOST) / 1000,
                         number("invariants.askWithin", 10_000) / 1000),
-                new Settings.Charges(number("charges.crossZone", 0), number("charges.probe", 0)),
+                new Settings.Costs(number("charges.crossZone", 0), number("charges.probe", 0)),
                 sizes(choice("weights", "off", "none", "nominal", "rough", "live")));
     }
 
@@ -74,11 +74,11 @@
         return value;
     }
 
-    private Settings.Reports reports() {
+    private Settings.LoadReports reports() {
         List<String> names = list("report.names");
         boolean all = names.contains("inflight");
         boolean inline = choice("report.how", "off", "inline", "on_probe").equals("inline");
-        return new Settings.Reports(inline, names.indexOf("util"),
+        return new Settings.LoadReports(inline, names.indexOf("util"),
                 names.indexOf(all ? "inflight" : "queue"), all, names.indexOf("qps"));
     }
 
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -76,7 +76,7 @@
                 follow(now, copy, own, attempt);
             }
         }
-        for (Decision.Answer a : decision.localReplies) {
+        for (Decision.LocalReply a : decision.localReplies) {
             Copy copy = copies.get(a.request());
             if (copy != null && copy.followed == null) {
                 Attempt own = own(copy);
--- a/src/main/java/lemondrift/simulator/SimulatedProxy.java
+++ b/src/main/java/lemondrift/simulator/SimulatedProxy.java
@@ -88,7 +88,7 @@
         for (Attempt attempt : decision.attempts) {
             reply.send(number, attempt.request.id, addresses.get(attempt.backend), attempt.timeoutSeconds);
         }
-        for (Decision.Answer a : decision.localReplies) {
+        for (Decision.LocalReply a : decision.localReplies) {
             if (a.rejected()) {
                 reply.shed(number, a.request().id, a.retryAfterSeconds());
             } else {
@@ -99,8 +99,8 @@
         for (int backend : decision.probes) {
             reply.probe(number, addresses.get(backend));
         }
-        for (Decision.ListCall call : decision.endpointListCalls) {
-            if (call == Decision.ListCall.WATCH) {
+        for (Decision.EndpointListCall call : decision.endpointListCalls) {
+            if (call == Decision.EndpointListCall.WATCH) {
                 reply.watch(number);
             } else {
                 reply.askWhole(number);
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -40,7 +40,7 @@
         sender.attemptSent(LoadGossip.tag("backend-1"));
         sender.attemptSent(LoadGossip.tag("backend-1"));
         sender.attemptSent(LoadGossip.tag("backend-2"));
-        List<LoadGossip.Telling> due = sender.dueMessages(1);
+        List<LoadGossip.Message> due = sender.dueMessages(1);
         assertEquals(1, due.size());
         LandedBytes.assertHex("gossip-datagram.hex", due.get(0).datagram());
         receiver.receive(0, LandedBytes.ofHex("gossip-datagram.hex"), 1);
--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -133,7 +133,7 @@
             open.add(attempt);
             assertTrue(work(attempt.backend) <= budget(attempt.backend) + WORK, "rule 4: " + work(attempt.backend));
         }
-        for (Decision.Answer a : decision.localReplies) {
+        for (Decision.LocalReply a : decision.localReplies) {
             assertTrue(w.now <= a.request().deadline, "rule 1: answered late");
             assertEquals(1, answered.merge(a.request(), 1, Integer::sum), "rule 1: answered twice");
             boolean harmless = made.get(a.request()).stream()
--- a/src/test/java/lemondrift/LayersTest.java
+++ b/src/test/java/lemondrift/LayersTest.java
@@ -6,15 +6,29 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import java.util.Map;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /** Arrows between packages point down: adapters use cores, cores use the model alone and do no I/O. */
 class LayersTest {
     private static final String[] CORES = {"lemondrift.model..", "lemondrift.balancer..", "lemondrift.connection..",
-        "lemondrift.gossip..", "lemondrift.shadow..", "lemondrift.metrics..", "lemondrift.buffer..",
-        "lemondrift.hotrestart..",
+        "lemondrift.gossip..", "lemondrift.recovery..", "lemondrift.shadow..", "lemondrift.metrics..",
+        "lemondrift.buffer..", "lemondrift.hotrestart..",
         "lemondrift.lab.simulation.."};
 
+    /** What each room of the proxy may use of the other rooms; the rest, lifecycle and the server, know all. */
+    private static final Map<String, String> ROOMS = Map.ofEntries(
+            Map.entry("time", ""), Map.entry("http", ""), Map.entry("logging", ""), Map.entry("admin", ""),
+            Map.entry("config", "http"), Map.entry("recovery", "config"),
+            Map.entry("events", "http"),
+            Map.entry("client", "config events http logging time"),
+            Map.entry("backend", "config events http time"),
+            // Calls to discovery are made over the same connection pools as calls to backends.
+            Map.entry("discovery", "backend config events time"),
+            Map.entry("gossip", "config discovery events"),
+            Map.entry("loop", "config discovery events gossip recovery time"));
+
     private final JavaClasses all = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("lemondrift");
 
@@ -39,6 +53,18 @@
                 .resideInAnyPackage("lemondrift.connection..").check(all);
     }
 
+    @Test
+    void roomsOfTheProxyUseOnlyWhatIsListed() {
+        ROOMS.forEach((room, allowed) -> {
+            String[] others = Stream.concat(ROOMS.keySet().stream(), Stream.of("lifecycle"))
+                    .filter(each -> !each.equals(room) && !Stream.of(allowed.split(" ")).toList().contains(each))
+                    .map(each -> "lemondrift.proxy." + each + "..").toArray(String[]::new);
+            noClasses().that().resideInAPackage("lemondrift.proxy." + room + "..").should().dependOnClassesThat()
+                    .resideInAnyPackage(others).orShould().dependOnClassesThat()
+                    .resideInAPackage("lemondrift.proxy").check(all);
+        });
+    }
+
     @Test
     void thereIsNoCircle() {
         slices().matching("lemondrift.(*)..").should().beFreeOfCycles().check(all);
--- a/src/test/java/lemondrift/LoadBalancerTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -54,7 +54,7 @@
 
     @Test
     void anAnswersReportDoesNotCountTheExchangeItAnswers() {
-        TestDeployment w = new TestDeployment(TestDeployment.settings(14, false, new Settings.Reports(true, 0, 1, true, -1), false), 7);
+        TestDeployment w = new TestDeployment(TestDeployment.settings(14, false, new Settings.LoadReports(true, 0, 1, true, -1), false), 7);
         w.list(true, false, TestDeployment.lines(2));
         Attempt first = w.arrive(ONCE), second = w.arrive(ONCE);
         w.now += 0.1;
@@ -406,7 +406,7 @@
     void theListIsFollowedAndAskedForAgain() {
         TestDeployment w = new TestDeployment(TestDeployment.settings(3, true, TestDeployment.PROBES, true), 7);
         w.list(true, true, TestDeployment.lines(3));
-        assertEquals(List.of(Decision.ListCall.WATCH), w.listCalls);
+        assertEquals(List.of(Decision.EndpointListCall.WATCH), w.listCalls);
         w.did(w.balancer.endpointListFailed(w.now));
         w.wakeUntil(w.now + 3);
         assertEquals(2, w.listCalls.size());
--- a/src/test/java/lemondrift/ShadowEvaluatorTest.java
+++ b/src/test/java/lemondrift/ShadowEvaluatorTest.java
@@ -15,7 +15,7 @@
         Settings settings = TestDeployment.settings(3, false, TestDeployment.ANSWERS, probes);
         return new Settings(3, 2, 0, false, settings.requestClasses(), settings.tenantQuotaPerSecond(), 1, false, settings.loadReports(),
                 new Settings.Limits(true, probes, forwards, 0.5), settings.rules(),
-                new Settings.Charges(crossing, 0.001));
+                new Settings.Costs(crossing, 0.001));
     }
 
     /** Plays a day of chance; what was done, as text. */
--- a/src/test/java/lemondrift/TestDeployment.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -18,16 +18,16 @@
     static final RequestClass MARKED = new RequestClass(4, 0, 1, 2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.LOCATION, 0.5);
     static final RequestClass ONCE = new RequestClass(8, 0, 1, 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0);
     static final RequestClass CELLS = new RequestClass(2, 0, 1, 2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, 0.8);
-    static final Settings.Reports ANSWERS = new Settings.Reports(true, 0, 1, false, -1);
-    static final Settings.Reports PROBES = new Settings.Reports(false, 0, -1, false, -1);
+    static final Settings.LoadReports ANSWERS = new Settings.LoadReports(true, 0, 1, false, -1);
+    static final Settings.LoadReports PROBES = new Settings.LoadReports(false, 0, -1, false, -1);
     static final Settings.Rules RULES = new Settings.Rules(0.25, 8, 3, 2, 10);
 
     final LoadBalancer balancer;
-    final List<Decision.Answer> answers = new ArrayList<>();
+    final List<Decision.LocalReply> answers = new ArrayList<>();
     final List<Attempt> sends = new ArrayList<>();
     final List<Attempt> cancels = new ArrayList<>();
     final List<Integer> probes = new ArrayList<>();
-    final List<Decision.ListCall> listCalls = new ArrayList<>();
+    final List<Decision.EndpointListCall> listCalls = new ArrayList<>();
     /** What each backend answers to a probe: its utilisation and what it holds; null is no answer. */
     final Map<Integer, double[]> loads = new HashMap<>();
     double now = 100;
@@ -57,11 +57,11 @@
         return world;
     }
 
-    static Settings settings(int balancers, boolean onRequest, Settings.Reports reports,
+    static Settings settings(int balancers, boolean onRequest, Settings.LoadReports reports,
             boolean mayProbe) {
         return new Settings(balancers, 2, 0, onRequest, List.of(PURE, MARKED, ONCE, CELLS), new double[0], 1,
                 false, reports, new Settings.Limits(true, mayProbe, 4, 0.5), RULES,
-                new Settings.Charges(0.05, 0.002));
+                new Settings.Costs(0.05, 0.002));
     }
 
     /** The same where clients mark their retries. */
--- a/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -12,7 +12,7 @@
  * Clients before a door, without sockets, and a plain model of each: what it did in full, from which it is
  * reckoned anew at each look what the door must do and must not.
  */
-final class ConnectionPolicyModel implements ConnectionPolicy.Hands {
+final class ConnectionPolicyModel implements ConnectionPolicy.Actions {
     /** A client's connection: when it came, when each byte of the present request came, what it waits for. */
     static final class Client {
         final double came;
--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -16,7 +16,7 @@
     /** Seconds after which what one has told is forgotten. */
     private static final double FORGET = 0.1;
 
-    private record Flying(int from, LoadGossip.Telling telling) {}
+    private record Flying(int from, LoadGossip.Message telling) {}
 
     /** One of a few that all use all backends. */
     private static LoadGossip holdings(int proxies, int self, int backends) {
@@ -31,7 +31,7 @@
 
     /** The only telling that is due now. */
     private static byte[] telling(LoadGossip from, double now) {
-        List<LoadGossip.Telling> due = from.dueMessages(now);
+        List<LoadGossip.Message> due = from.dueMessages(now);
         assertEquals(1, due.size(), "due");
         return due.get(0).datagram();
     }
@@ -98,7 +98,7 @@
             for (int tag : tags) {
                 LoadGossip one = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> { });
                 one.attemptSent(tag);
-                int[] to = one.dueMessages(1).stream().mapToInt(LoadGossip.Telling::to).toArray();
+                int[] to = one.dueMessages(1).stream().mapToInt(LoadGossip.Message::to).toArray();
                 int[] use = IntStream.range(0, proxies).filter(p -> p != 3 && Arrays.stream(tags)
                         .filter(other -> SubsetAssignment.score(p, other)
                         < SubsetAssignment.score(p, tag)).count() < 16).toArray();
@@ -155,7 +155,7 @@
     /** All that is due is told and arrives, and what is too old is forgotten. */
     private static void arrive(LoadGossip[] all, double now) {
         for (int i = 0; i < all.length; i++) {
-            for (LoadGossip.Telling each : all[i].dueMessages(now)) {
+            for (LoadGossip.Message each : all[i].dueMessages(now)) {
                 all[each.to()].receive(i, each.datagram(), now);
             }
         }
@@ -225,7 +225,7 @@
         double now = 1;
         for (int i = 0; i < 200; i++, now += 0.0025) {
             a.attemptSent(i % 10);
-            for (LoadGossip.Telling each : a.dueMessages(now)) {
+            for (LoadGossip.Message each : a.dueMessages(now)) {
                 b.receive(0, each.datagram(), now);
             }
             assertEquals(1, b.livePeerCount(now), "a few gaps are none");
--- a/src/test/java/lemondrift/lab/simulation/Scenarios.java
+++ b/src/test/java/lemondrift/lab/simulation/Scenarios.java
@@ -18,8 +18,8 @@
 
     static Settings settings(int proxies) {
         return new Settings(proxies, 2, 0, false, GRADES, new double[0], 1, false,
-                new Settings.Reports(true, 0, 1, false, -1), new Settings.Limits(true, true, 4, 0.5),
-                new Settings.Rules(0.3, 6, 3, 2, 10), new Settings.Charges(0.01, 0.002));
+                new Settings.LoadReports(true, 0, 1, false, -1), new Settings.Limits(true, true, 4, 0.5),
+                new Settings.Rules(0.3, 6, 3, 2, 10), new Settings.Costs(0.01, 0.002));
     }
 
     /** Some 0.65 of what the backends can do, for twenty seconds. */
--- a/src/test/java/lemondrift/proxy/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/DecisionLoopTest.java
@@ -1,13 +1,14 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.backend.BackendResponse;
-import lemondrift.proxy.client.PendingRequest;
+import lemondrift.proxy.discovery.EndpointListBuilder;
+import lemondrift.proxy.config.GossipSettings;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.PendingRequest;
 import lemondrift.proxy.discovery.BackendDirectory;
-import lemondrift.proxy.discovery.EndpointList;
+import lemondrift.proxy.events.EndpointList;
 import lemondrift.proxy.discovery.EndpointListUpdate;
-import lemondrift.proxy.gossip.GossipTransport;
 import lemondrift.proxy.loop.DecisionLoop;
-import lemondrift.proxy.loop.ProxyActions;
+import lemondrift.proxy.events.ProxyActions;
 
 import static org.junit.jupiter.api.Assertions.*;
 
@@ -33,8 +34,8 @@
     private static final int MANY = 3200;
     private static final Settings SETTINGS = new Settings(1, 1, 0, false,
             List.of(new RequestClass(1, 0, 1, 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0)), new double[0], 1, false,
-            new Settings.Reports(false, -1, -1, false, -1), new Settings.Limits(true, false, 4, 0.5),
-            new Settings.Rules(0.25, 8, 3, 2, 10), new Settings.Charges(0, 0));
+            new Settings.LoadReports(false, -1, -1, false, -1), new Settings.Limits(true, false, 4, 0.5),
+            new Settings.Rules(0.25, 8, 3, 2, 10), new Settings.Costs(0, 0));
     private static final BackendResponse DELIVERED = new BackendResponse(BackendResponse.OK, null, new byte[0], true, false, null);
 
     private final LinkedBlockingQueue<byte[]> tellings = new LinkedBlockingQueue<>();
@@ -80,7 +81,7 @@
     @Test
     void theOthersAreToldWhatIsOut() throws Exception {
         InetSocketAddress any = InetSocketAddress.createUnresolved("p", 1);
-        decisionLoop.enableGossip(new GossipTransport.Place(null, List.of(any, any), 1, 0, 1, 12));
+        decisionLoop.enableGossip(new GossipSettings(null, List.of(any, any), 1, 0, 1, 12));
         decisionLoop.start();
         list("active");
         Attempt attempt = arrive(1);
@@ -127,7 +128,7 @@
         String members = Arrays.stream(idPhasePort).map(each -> each.replaceFirst("(.+) (.+) (.+)",
                 "{\"id\":\"$1\",\"phase\":\"$2\",\"host_port\":\"127.0.0.1:$3\",\"cell\":3}"))
                 .collect(Collectors.joining(","));
-        return EndpointList.of(JsonParser.parseString("{\"complete\":" + whole + ",\"members\":[" + members
+        return EndpointListBuilder.of(JsonParser.parseString("{\"complete\":" + whole + ",\"members\":[" + members
                 + "]}").getAsJsonObject());
     }
 
@@ -232,7 +233,7 @@
     }
 
     @Override
-    public void requestEndpointList(Decision.ListCall call) {
+    public void requestEndpointList(Decision.EndpointListCall call) {
         did.add("list");
     }
 
@@ -265,7 +266,7 @@
     }
 
     @Override
-    public void sendGossip(LoadGossip.Telling telling) {
+    public void sendGossip(LoadGossip.Message telling) {
         tellings.add(telling.datagram());
     }
 
--- a/src/test/java/lemondrift/proxy/EndpointListParserTest.java
+++ b/src/test/java/lemondrift/proxy/EndpointListParserTest.java
@@ -1,6 +1,7 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.discovery.EndpointList;
+import lemondrift.proxy.discovery.EndpointListBuilder;
+import lemondrift.proxy.events.EndpointList;
 import lemondrift.proxy.discovery.EndpointListParser;
 
 import static org.junit.jupiter.api.Assertions.*;
@@ -49,7 +50,7 @@
         }
         String members = "\"members\":[" + lines + "]", rest = "\"revision\":41,\"complete\":true";
         String text = "{" + (random.nextBoolean() ? members + "," + rest : rest + "," + members) + "}";
-        EndpointList whole = EndpointList.of(JsonParser.parseString(text).getAsJsonObject());
+        EndpointList whole = EndpointListBuilder.of(JsonParser.parseString(text).getAsJsonObject());
         assertEquals(whole, read(text, 1 + random.nextInt(30)), "seed " + seed + ": " + text);
     }
 
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -57,8 +57,8 @@
     }
 
     /** Waits for a state that is to be reached at last. */
-    private ProxyServer.InHand await(Predicate<ProxyServer.InHand> state) throws Exception {
-        ProxyServer.InHand now = proxy.inFlight().get(5, TimeUnit.SECONDS);
+    private ProxyServer.InFlight await(Predicate<ProxyServer.InFlight> state) throws Exception {
+        ProxyServer.InFlight now = proxy.inFlight().get(5, TimeUnit.SECONDS);
         for (long until = System.nanoTime() + 10_000_000_000L; !state.test(now); Thread.sleep(2)) {
             assertTrue(System.nanoTime() < until, "not reached, but " + now);
             now = proxy.inFlight().get(5, TimeUnit.SECONDS);
@@ -67,7 +67,7 @@
     }
 
     private void nothingIsInHand() throws Exception {
-        await(new ProxyServer.InHand(0, 0, 0, 0)::equals);
+        await(new ProxyServer.InFlight(0, 0, 0, 0)::equals);
     }
 
     private void lateConnections() throws IOException {
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy.recovery;
 
+import lemondrift.proxy.config.RecoverySettings;
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.IOException;
@@ -25,7 +26,7 @@
     }
 
     private static RecoveryCoordinator begins(Path folder, String name) {
-        return new RecoveryCoordinator(new RecoveryCoordinator.Plan(PeerPollBackoff.of(1), folder, 1), name, 0, 3, 0);
+        return new RecoveryCoordinator(new RecoverySettings(PeerPollBackoff.of(1), folder, 1), name, 0, 3, 0);
     }
 
     private static long start(RecoveryCoordinator its) {
