--- a/src/main/java/lemondrift/Main.java
+++ b/src/main/java/lemondrift/Main.java
@@ -1,10 +1,13 @@
 package lemondrift;
 
 import lemondrift.cli.RootCommand;
-import lemondrift.simulator.SimulatorAdapter;
 import lemondrift.proxy.lifecycle.ProxyLauncher;
+import lemondrift.simulator.SimulatorAdapter;
 
-/** Dispatches serve, check and drill at once: a proxy starts without the library of the other commands. */
+/**
+ * Dispatches serve, check and drill at once: a proxy starts without the library of the other
+ * commands.
+ */
 public final class Main {
     private Main() {}
 
--- a/src/main/java/lemondrift/balancer/BackendTable.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -3,25 +3,47 @@
 import java.util.*;
 import lemondrift.model.*;
 
-/** What this proxy's list has said of the backends, in parallel arrays under the door's dense index. */
+/**
+ * What this proxy's list has said of the backends, in parallel arrays under the door's dense index.
+ */
 final class BackendTable {
     /** What is stated now; an exchange keeps the terms that it came under. */
     Settings stated;
-    /** For sorting, a score stands above its place in one number, so that no object is made for each. */
+
+    /**
+     * For sorting, a score stands above its place in one number, so that no object is made for
+     * each.
+     */
     private static final int SCORE_BITS = 40, PLACE_BITS = 20;
+
     private final DeterministicRandom random;
     int size;
-    /** What was last told of each, whether it may be used, and what this proxy has out there; when a probe
-     * that is still out was sent, 0 if there is none, and the figure that each was last ranked by. */
+
+    /**
+     * What was last told of each, whether it may be used, and what this proxy has out there; when a
+     * probe that is still out was sent, 0 if there is none, and the figure that each was last
+     * ranked by.
+     */
     EndpointUpdate[] line = {};
+
     boolean[] ready = {};
     int[] out = {};
     double[] askedAt = {}, figure = {};
-    /** When it last started, as told; 0 is long ago; and what is above all starts that were acted on. */
+
+    /**
+     * When it last started, as told; 0 is long ago; and what is above all starts that were acted
+     * on.
+     */
     double[] started = {}, startSeen = {};
+
     double meanPower = 1;
-    /** Those that are ready, in this proxy's own random order, its subset first; of how many others tell. */
+
+    /**
+     * Those that are ready, in this proxy's own random order, its subset first; of how many others
+     * tell.
+     */
     int[] order = {};
+
     int told;
     private boolean[] ordered = {};
     private boolean arranged = true;
@@ -32,8 +54,9 @@
     }
 
     /**
-     * Rule 3: whoever is not told ready gets nothing new at once; the grace is slack, not a budget. The work
-     * is that of the lines told, and one plain pass over the order where somebody leaves it.
+     * Rule 3: whoever is not told ready gets nothing new at once; the grace is slack, not a budget.
+     * The work is that of the lines told, and one plain pass over the order where somebody leaves
+     * it.
      */
     void listed(boolean whole, List<EndpointUpdate> updates) {
         boolean leaves = whole;
@@ -87,8 +110,13 @@
 
     /** Puts each that has become ready at a random place. */
     private void append(List<EndpointUpdate> updates) {
-        int[] fresh = updates.stream().mapToInt(EndpointUpdate::backend).filter(i -> ready[i] && !ordered[i]).sorted()
-                .distinct().toArray();
+        int[] fresh =
+                updates.stream()
+                        .mapToInt(EndpointUpdate::backend)
+                        .filter(i -> ready[i] && !ordered[i])
+                        .sorted()
+                        .distinct()
+                        .toArray();
         int kept = order.length;
         order = Arrays.copyOf(order, kept + fresh.length);
         System.arraycopy(fresh, 0, order, kept, fresh.length);
@@ -106,7 +134,9 @@
         return order.length == 0 ? 1 : sum / order.length;
     }
 
-    /** Counts and puts first whom this proxy uses, once for all lists that came since the last pick. */
+    /**
+     * Counts and puts first whom this proxy uses, once for all lists that came since the last pick.
+     */
     void arrange() {
         if (arranged) {
             return;
@@ -119,7 +149,10 @@
         home();
     }
 
-    /** Puts first whom this proxy has the least scores for. Danger: others tell of those, and of no more. */
+    /**
+     * Puts first whom this proxy has the least scores for. Danger: others tell of those, and of no
+     * more.
+     */
     void home() {
         long[] places = new long[order.length];
         boolean scored = false;
@@ -147,7 +180,10 @@
 
     /** The share of its full capacity that a backend has at the least; 1 is warm. */
     double coldShare(int i, double now) {
-        double age = started[i] <= 0 ? 1 : Math.max(0, now - started[i]) / stated.rules().slowStartSeconds();
+        double age =
+                started[i] <= 0
+                        ? 1
+                        : Math.max(0, now - started[i]) / stated.rules().slowStartSeconds();
         double from = stated.rules().slowStartMinShare();
         return age >= 1 ? 1 : from + (1 - from) * age;
     }
--- a/src/main/java/lemondrift/balancer/DeterministicRandom.java
+++ b/src/main/java/lemondrift/balancer/DeterministicRandom.java
@@ -3,9 +3,15 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
 
-/** All chance: a checksum over the instance's seed and a counter; the same events give the same acts. */
+/**
+ * All chance: a checksum over the instance's seed and a counter; the same events give the same
+ * acts.
+ */
 final class DeterministicRandom {
-    /** Danger: checksums of successive numbers differ alike each time, so draws would repeat a pattern. */
+    /**
+     * Danger: checksums of successive numbers differ alike each time, so draws would repeat a
+     * pattern.
+     */
     private static final long SPREAD = 0x9E3779B97F4A7C15L;
 
     private final long seed;
@@ -17,7 +23,11 @@
 
     double next() {
         CRC32 crc = new CRC32();
-        crc.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(seed).putLong(++counter * SPREAD).flip());
+        crc.update(
+                ByteBuffer.allocate(2 * Long.BYTES)
+                        .putLong(seed)
+                        .putLong(++counter * SPREAD)
+                        .flip());
         return crc.getValue() / 0x1p32;
     }
 
--- a/src/main/java/lemondrift/balancer/Eligibility.java
+++ b/src/main/java/lemondrift/balancer/Eligibility.java
@@ -6,25 +6,39 @@
 
 /** Rules 3 and 4 and health: which backends may take an exchange now. */
 final class Eligibility extends DecisionStage {
-    /** The least share of bad outcomes that any sound one may have, the most of the ready to suspend, and
-     * when: a sick backend explains the outcomes so many times better. */
+    /**
+     * The least share of bad outcomes that any sound one may have, the most of the ready to
+     * suspend, and when: a sick backend explains the outcomes so many times better.
+     */
     private static final double SOUND = 0.05, MOST_SUSPENDED = 0.5, SUSPEND_AT = Math.log(1000);
-    /** Windows: of use that count against one as good as suspended, and to which a suspension doubles. */
+
+    /**
+     * Windows: of use that count against one as good as suspended, and to which a suspension
+     * doubles.
+     */
     private static final double SUSPICION = 2, LONGEST = 8;
-    /** A probe's work as a share of an exchange's, where a cold one's allowance counts it; of how many
-     * answers the mean is, and as how many those of others count at the most. */
+
+    /**
+     * A probe's work as a share of an exchange's, where a cold one's allowance counts it; of how
+     * many answers the mean is, and as how many those of others count at the most.
+     */
     static final double PROBE_WORK = 0.01, LATELY = 50, BORROWED = 8;
 
     private final BackendTable backends;
     private final UtilizationEstimator estimator;
     private final DeterministicRandom random;
     private double usualBad = SOUND;
-    /** The mean answer time holds some waiting, so that as an exchange's work it is never too little; the
-     * number of answers; and what is supposed before there are any, with the weight of so many. */
+
+    /**
+     * The mean answer time holds some waiting, so that as an exchange's work it is never too
+     * little; the number of answers; and what is supposed before there are any, with the weight of
+     * so many.
+     */
     double answerTime, answers, supposed, weight = 1;
 
     /** A test of all outcomes, then one for each grade's; 0 is not suspended. */
     private double[][] score = {}, suspendedUntil = {};
+
     /** Own exchanges that a cold one has not drained yet, and as of when. */
     private double[] owed = {}, owedAt = {}, judgedAt = {};
 
@@ -57,38 +71,68 @@
     /** A row for each test of all that are listed, the old ones as they were. */
     private double[][] rows(double[][] old, List<Integer> fresh) {
         double[][] rows = new double[1 + backends.stated.requestClasses().size()][];
-        Arrays.setAll(rows, test -> Arrays.copyOf(test >= old.length || fresh.contains(test - 1)
-                ? new double[0] : old[test], backends.size));
+        Arrays.setAll(
+                rows,
+                test ->
+                        Arrays.copyOf(
+                                test >= old.length || fresh.contains(test - 1)
+                                        ? new double[0]
+                                        : old[test],
+                                backends.size));
         return rows;
     }
 
     private void startAfresh(int i, double now) {
         backends.startSeen[i] = Math.nextUp(backends.started[i]);
-        // Danger: one exchange from each of hundreds of proxies at once spends a start's budget many times.
-        owed[i] = random.next() * Math.max(0, 1 - backends.stated.rules().overloadWindowSeconds() / drain(i, now));
+        // Danger: one exchange from each of hundreds of proxies at once spends a start's budget
+        // many times.
+        owed[i] =
+                random.next()
+                        * Math.max(
+                                0,
+                                1
+                                        - backends.stated.rules().overloadWindowSeconds()
+                                                / drain(i, now));
         owedAt[i] = now;
         Stream.of(score, suspendedUntil).flatMap(Arrays::stream).forEach(test -> test[i] = 0);
         estimator.forget(i);
     }
 
-    /** Rule 4: half of a window's budget may go out at once, the rest over it. Danger: a burst spends all. */
+    /**
+     * Rule 4: half of a window's budget may go out at once, the rest over it. Danger: a burst
+     * spends all.
+     */
     private boolean hasRoom(int i, double now) {
-        return backends.coldShare(i, now) == 1 || owed(i, now) == 0
+        return backends.coldShare(i, now) == 1
+                || owed(i, now) == 0
                 || (owed[i] + 1) * drain(i, now) <= backends.stated.rules().overloadWindowSeconds();
     }
 
-    /** What has not drained. Danger: a pace kept from when less was known would hold all back for long. */
+    /**
+     * What has not drained. Danger: a pace kept from when less was known would hold all back for
+     * long.
+     */
     private double owed(int i, double now) {
         owed[i] = Math.max(0, owed[i] - (now - owedAt[i]) / drain(i, owedAt[i]));
         owedAt[i] = now;
         return owed[i];
     }
 
-    /** How long an exchange's work takes to drain at half of this proxy's part of what a cold one bears. */
+    /**
+     * How long an exchange's work takes to drain at half of this proxy's part of what a cold one
+     * bears.
+     */
     private double drain(int i, double now) {
-        double users = backends.stated.proxyCount() * (estimator.known(i) ? backends.line[i].userShare() : 1);
-        double n = Math.min(answers, LATELY), work = (supposed * weight + answerTime * n) / (weight + n);
-        return work * users * 2 / backends.stated.rules().overloadFactor() / backends.coldShare(i, now);
+        double users =
+                backends.stated.proxyCount()
+                        * (estimator.known(i) ? backends.line[i].userShare() : 1);
+        double n = Math.min(answers, LATELY),
+                work = (supposed * weight + answerTime * n) / (weight + n);
+        return work
+                * users
+                * 2
+                / backends.stated.rules().overloadFactor()
+                / backends.coldShare(i, now);
     }
 
     void spend(int i, double exchanges, double now) {
@@ -98,8 +142,11 @@
     /** One whose suspension is over takes one exchange at a time, until that has ended well. */
     @Override
     boolean mayTake(Request request, int i, double now) {
-        return backends.ready[i] && hasRoom(i, now) && super.mayTake(request, i, now)
-                && isSound(i, 0, now) && isSound(i, 1 + request.requestClass, now);
+        return backends.ready[i]
+                && hasRoom(i, now)
+                && super.mayTake(request, i, now)
+                && isSound(i, 0, now)
+                && isSound(i, 1 + request.requestClass, now);
     }
 
     private boolean isSound(int i, int test, double now) {
@@ -108,27 +155,44 @@
     }
 
     @Override
-    void ended(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double now, Decision decision) {
+    void ended(
+            Attempt attempt,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            double now,
+            Decision decision) {
         estimator.ended(attempt, outcome, durationSeconds, now);
         boolean good = outcome == AttemptOutcome.SUCCESS;
-        // Danger: a proxy that has just started knows no answer, and would spare cold ones for a minute.
+        // Danger: a proxy that has just started knows no answer, and would spare cold ones for a
+        // minute.
         double work = durationSeconds * backends.coldShare(attempt.backend, now);
         answerTime += good ? (work - answerTime) / Math.min(LATELY, ++answers) : 0;
-        if (outcome != AttemptOutcome.OVERLOADED && outcome != AttemptOutcome.CANCELLED && outcome != AttemptOutcome.NOT_SENT) {
+        if (outcome != AttemptOutcome.OVERLOADED
+                && outcome != AttemptOutcome.CANCELLED
+                && outcome != AttemptOutcome.NOT_SENT) {
             usualBad = Math.max(SOUND, usualBad + ((good ? 0 : 1) - usualBad) / 100);
             judge(attempt.backend, 0, !good, now, decision);
-            // Danger: one that fails a grade would go on taking it, the others' good outcomes between.
+            // Danger: one that fails a grade would go on taking it, the others' good outcomes
+            // between.
             judge(attempt.backend, 1 + attempt.request.requestClass, !good, now, decision);
         }
         super.ended(attempt, outcome, durationSeconds, now, decision);
     }
 
-    /** In windows of use. Danger: who sends there seldom would take many errors until the test suspends. */
+    /**
+     * In windows of use. Danger: who sends there seldom would take many errors until the test
+     * suspends.
+     */
     double suspicion(int i, double now) {
-        return SUSPICION * score[0][i] / SUSPEND_AT * Math.exp((judgedAt[i] - now) / estimator.memory);
+        return SUSPICION
+                * score[0][i]
+                / SUSPEND_AT
+                * Math.exp((judgedAt[i] - now) / estimator.memory);
     }
 
-    /** One step of the sequential test: as bad as the fleet, or halfway from there to always bad. */
+    /**
+     * One step of the sequential test: as bad as the fleet, or halfway from there to always bad.
+     */
     private void judge(int i, int test, boolean bad, double now, Decision decision) {
         double[] score = this.score[test], until = suspendedUntil[test];
         judgedAt[i] = now;
@@ -141,12 +205,17 @@
         } else if (onTrial) {
             until[i] = 0;
             score[i] = SUSPEND_AT / 2;
-            decision.logMessages.add("backend " + i + " restored" + (test == 0 ? "" : ", grade " + (test - 1)));
-        } else if (until[i] == 0 && score[i] >= SUSPEND_AT
-                // Danger: suspending most of the fleet for a fault that all share pushes the rest over.
-                && backends.order.length + 1 - sound(test) <= MOST_SUSPENDED * backends.order.length) {
+            decision.logMessages.add(
+                    "backend " + i + " restored" + (test == 0 ? "" : ", grade " + (test - 1)));
+        } else if (until[i] == 0
+                && score[i] >= SUSPEND_AT
+                // Danger: suspending most of the fleet for a fault that all share pushes the rest
+                // over.
+                && backends.order.length + 1 - sound(test)
+                        <= MOST_SUSPENDED * backends.order.length) {
             until[i] = now + random.jitter(estimator.window);
-            decision.logMessages.add("backend " + i + " suspended" + (test == 0 ? "" : ", grade " + (test - 1)));
+            decision.logMessages.add(
+                    "backend " + i + " suspended" + (test == 0 ? "" : ", grade " + (test - 1)));
         }
     }
 
@@ -158,5 +227,4 @@
         }
         return sound;
     }
-
 }
--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -3,8 +3,11 @@
 import java.util.List;
 import lemondrift.model.*;
 
-/** The decisions of one proxy. Tell it each thing that happens, in order, with the time in seconds, and carry
- * out the Turn it returns before the next call reuses it; call wake at or after Turn.wakeAt. */
+/**
+ * The decisions of one proxy. Tell it each thing that happens, in order, with the time in seconds,
+ * and carry out the Turn it returns before the next call reuses it; call wake at or after
+ * Turn.wakeAt.
+ */
 public final class LoadBalancer {
     private final Decision decision = new Decision();
     private final BackendTable backends;
@@ -28,16 +31,25 @@
     }
 
     public Decision requestArrived(double now, Request request) {
-        request.terms = request.terms == null ? backends.stated.termsFor(request.requestClass) : request.terms;
+        request.terms =
+                request.terms == null
+                        ? backends.stated.termsFor(request.requestClass)
+                        : request.terms;
         return decide(now, () -> deadlines.take(request, now, decision));
     }
 
-    public Decision attemptEnded(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over,
+    public Decision attemptEnded(
+            double now,
+            Attempt attempt,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            boolean over,
             double[] loadReport) {
         attempt.ended = true;
         attempt.request.attemptsInFlight--;
         attempt.request.completed |= over;
-        estimator.reported(attempt.backend, loadReport, outcome == AttemptOutcome.SUCCESS, true, now);
+        estimator.reported(
+                attempt.backend, loadReport, outcome == AttemptOutcome.SUCCESS, true, now);
         return decide(now, () -> selector.ended(attempt, outcome, durationSeconds, now, decision));
     }
 
@@ -45,7 +57,8 @@
         return decide(now, () -> attempt.request.responseStarted = true);
     }
 
-    public Decision endpointsListed(double now, boolean whole, boolean stale, List<EndpointUpdate> updates) {
+    public Decision endpointsListed(
+            double now, boolean whole, boolean stale, List<EndpointUpdate> updates) {
         endpointsChanged(now, whole, updates);
         polling.listed(stale, now);
         return wake(now);
@@ -62,12 +75,23 @@
         return decide(now, () -> polling.failed(now, decision));
     }
 
-    public Decision probeEnded(double now, int backend, AttemptOutcome outcome, double[] loadReport) {
+    public Decision probeEnded(
+            double now, int backend, AttemptOutcome outcome, double[] loadReport) {
         backends.askedAt[backend] = 0;
-        return decide(now, () -> estimator.reported(backend, loadReport, outcome == AttemptOutcome.SUCCESS, false, now));
-    }
-
-    /** Other grades and limits are stated. At a fresh index stands one of which nothing is known. */
+        return decide(
+                now,
+                () ->
+                        estimator.reported(
+                                backend,
+                                loadReport,
+                                outcome == AttemptOutcome.SUCCESS,
+                                false,
+                                now));
+    }
+
+    /**
+     * Other grades and limits are stated. At a fresh index stands one of which nothing is known.
+     */
     public void settingsChanged(Settings settings, List<Integer> fresh) {
         backends.stated = settings;
         estimator.stated();
@@ -80,7 +104,10 @@
         estimator.others[backend] = exchanges;
     }
 
-    /** Whether others are to tell what they have out; not where reports can be asked for, which say more. */
+    /**
+     * Whether others are to tell what they have out; not where reports can be asked for, which say
+     * more.
+     */
     public boolean wantsGossip() {
         return estimator.rounds() == 0;
     }
@@ -89,7 +116,9 @@
         estimator.othersHeard = any;
     }
 
-    /** What others have found the work of an exchange to be, in seconds, from at least one answer. */
+    /**
+     * What others have found the work of an exchange to be, in seconds, from at least one answer.
+     */
     public void seedServiceTime(double work, double answers) {
         eligibility.supposed = work;
         eligibility.weight = Math.min(answers, Eligibility.BORROWED);
@@ -109,7 +138,9 @@
     public ShedThreshold shedThreshold(double now, int requestClass) {
         Request request = new Request(0, requestClass, 0, now, 0);
         request.terms = backends.stated.termsFor(requestClass);
-        return admission.word(request, now).withMaxRetryAfter(backends.stated.limits().maxRetryAfterSeconds());
+        return admission
+                .word(request, now)
+                .withMaxRetryAfter(backends.stated.limits().maxRetryAfterSeconds());
     }
 
     /** How many backends may be sent to, those left out for one grade only among them. */
@@ -122,16 +153,20 @@
     }
 
     public Decision wake(double now) {
-        return decide(now, () -> {
-            deadlines.wake(now, decision);
-            polling.wake(now, decision);
-        });
+        return decide(
+                now,
+                () -> {
+                    deadlines.wake(now, decision);
+                    polling.wake(now, decision);
+                });
     }
 
     private Decision decide(double now, Runnable event) {
         decision.clear();
         event.run();
-        for (Request request = selector.released(now); request != null; request = selector.released(now)) {
+        for (Request request = selector.released(now);
+                request != null;
+                request = selector.released(now)) {
             deadlines.again(request, now, decision);
         }
         decision.probes.forEach(i -> eligibility.spend(i, Eligibility.PROBE_WORK, now));
--- a/src/main/java/lemondrift/balancer/RequestDeadlines.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -10,8 +10,10 @@
 
     /** The time left of a usual first try, by grade, and how many in a row had less. */
     private double[] usual = {}, since = {};
+
     private final BackendTable backends;
-    private final PriorityQueue<Request> open = new PriorityQueue<>(Comparator.comparing(request -> request.deadline));
+    private final PriorityQueue<Request> open =
+            new PriorityQueue<>(Comparator.comparing(request -> request.deadline));
 
     RequestDeadlines(BackendTable backends) {
         this.backends = backends;
@@ -24,27 +26,44 @@
         fresh.forEach(grade -> usual[grade] = since[grade] = 0);
     }
 
-    /** Takes a new exchange; where a late answer brings nothing, its useful time is the contract time. */
+    /**
+     * Takes a new exchange; where a late answer brings nothing, its useful time is the contract
+     * time.
+     */
     void take(Request request, double now, Decision decision) {
         RequestClass requestClass = request.terms.requestClass();
-        double useful = requestClass.latePriorityWeight() > 0 ? requestClass.timeoutSeconds() : requestClass.latencyObjectiveSeconds();
-        // Danger: work done after the first try's time is lost, so a retry has less by what has passed.
+        double useful =
+                requestClass.latePriorityWeight() > 0
+                        ? requestClass.timeoutSeconds()
+                        : requestClass.latencyObjectiveSeconds();
+        // Danger: work done after the first try's time is lost, so a retry has less by what has
+        // passed.
         double left = request.deadline - now;
         boolean marked = backends.stated.clientsMarkRetries();
-        // Clients may give a first try up sooner than the next, which then has more time left, not less.
-        boolean retry = marked ? request.markedRetry && Math.abs(left - usual[request.requestClass]) > 0.01 * usual[request.requestClass]
-                : isRetry(request.requestClass, left);
+        // Clients may give a first try up sooner than the next, which then has more time left, not
+        // less.
+        boolean retry =
+                marked
+                        ? request.markedRetry
+                                && Math.abs(left - usual[request.requestClass])
+                                        > 0.01 * usual[request.requestClass]
+                        : isRetry(request.requestClass, left);
         double age = retry ? Math.max(0, requestClass.timeoutSeconds() - left) : 0;
-        usual[request.requestClass] = marked && !request.markedRetry ? left : usual[request.requestClass];
+        usual[request.requestClass] =
+                marked && !request.markedRetry ? left : usual[request.requestClass];
         request.attemptDeadline = Math.min(request.deadline, request.arrivedAt + useful - age);
         open.add(request);
         again(request, now, decision);
     }
 
-    /** Where clients do not mark their retries, a try with less time left than others is taken for one. */
+    /**
+     * Where clients do not mark their retries, a try with less time left than others is taken for
+     * one.
+     */
     private boolean isRetry(int requestClass, double left) {
         since[requestClass] = left < 0.99 * usual[requestClass] ? since[requestClass] + 1 : 0;
-        usual[requestClass] = since[requestClass] > ODD ? left : Math.max(usual[requestClass], left);
+        usual[requestClass] =
+                since[requestClass] > ODD ? left : Math.max(usual[requestClass], left);
         return left < 0.99 * usual[requestClass];
     }
 
@@ -58,20 +77,29 @@
     }
 
     @Override
-    void ended(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double now, Decision decision) {
+    void ended(
+            Attempt attempt,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            double now,
+            Decision decision) {
         if (attempt.request.attemptsInFlight == 0) {
             again(attempt.request, now, decision);
         }
     }
 
-    /** Danger: a shed reply invites a retry, which would be a second effect if an earlier forward ran. */
+    /**
+     * Danger: a shed reply invites a retry, which would be a second effect if an earlier forward
+     * ran.
+     */
     @Override
     void giveUp(Request request, double comeBack, double now, Decision decision) {
         if (!request.completed) {
             request.completed = true;
             boolean shed = RetryPolicy.mayShed(request);
             double retryAfter = Math.min(comeBack, backends.stated.limits().maxRetryAfterSeconds());
-            decision.localReplies.add(new Decision.LocalReply(request, shed, shed ? retryAfter : 0));
+            decision.localReplies.add(
+                    new Decision.LocalReply(request, shed, shed ? retryAfter : 0));
             cancelAll(request, decision);
         }
     }
@@ -82,7 +110,9 @@
     }
 
     private void cancelAll(Request request, Decision decision) {
-        for (Attempt attempt = request.latestAttempt; attempt != null && backends.stated.limits().canCancel() && !request.responseStarted; attempt = attempt.previous) {
+        for (Attempt attempt = request.latestAttempt;
+                attempt != null && backends.stated.limits().canCancel() && !request.responseStarted;
+                attempt = attempt.previous) {
             if (!attempt.ended) {
                 decision.cancellations.add(attempt);
             }
--- a/src/main/java/lemondrift/balancer/UtilizationEstimator.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -5,27 +5,49 @@
 
 /** The design's figure: a backend's last report plus own sends since times one exchange's worth. */
 final class UtilizationEstimator {
-    /** Windows of memory, of the wait met lately, and over which reports fade; what asking may cost. */
+    /**
+     * Windows of memory, of the wait met lately, and over which reports fade; what asking may cost.
+     */
     private static final double MEMORY = 8, MET = 2, FADE = 0.125, MOST_COST = 0.03;
-    /** How many are asked for reports at a time and how often, where probes are cheap; the least part. */
+
+    /**
+     * How many are asked for reports at a time and how often, where probes are cheap; the least
+     * part.
+     */
     static final int ASKED = 3, ROUNDS = 4, PART = ASKED * ROUNDS;
-    /** Floor and cap of a service time to the usual, a quick answer's least step, outcomes to be sure by. */
+
+    /**
+     * Floor and cap of a service time to the usual, a quick answer's least step, outcomes to be
+     * sure by.
+     */
     private static final double SPREAD = 2, STEP = 0.02, FEW = 8;
 
     /** The window of the design page, and the span over which own figures are remembered. */
     double window, memory;
+
     private final BackendTable backends;
-    /** Answer times' lower quartile (three steps down balance one up) and number; time per one ahead. */
+
+    /**
+     * Answer times' lower quartile (three steps down balance one up) and number; time per one
+     * ahead.
+     */
     private double quick, answers, pace;
-    /** How long a report is told again, the fleet's service time as told, when a wait was first asked for. */
+
+    /**
+     * How long a report is told again, the fleet's service time as told, when a wait was first
+     * asked for.
+     */
     private double period, told, born, allOut;
+
     /** Own exchanges a second, the mean wait met, and the reports heard lately and their number. */
     final DecayingSum ownRate = new DecayingSum(), metWait = new DecayingSum();
-    private final DecayingSum heard = new DecayingSum(), heards = new DecayingSum();
 
+    private final DecayingSum heard = new DecayingSum(), heards = new DecayingSum();
     private double[] loadReport = {}, reportedAt = {}, sends = {}, rated = {}, use = {}, held = {};
+
     /** Where other proxies tell what they have out: that. */
     boolean othersHeard;
+
     double[] others = {};
 
     UtilizationEstimator(BackendTable backends) {
@@ -63,22 +85,28 @@
         held = Arrays.copyOf(held, backends.size);
     }
 
-    /** A report overwrites the estimate and clears the sends; exchanges held add their work to it. */
+    /**
+     * A report overwrites the estimate and clears the sends; exchanges held add their work to it.
+     */
     void reported(int i, double[] figures, boolean delivered, boolean answer, double now) {
         Settings.LoadReports places = backends.stated.loadReports();
         double u = Settings.LoadReports.field(figures, places.utilizationField());
-        // Danger: one that comes with an answer counts the exchange answered, so the idle would look busy.
+        // Danger: one that comes with an answer counts the exchange answered, so the idle would
+        // look busy.
         double itself = places.countsAnsweredRequest() && answer && delivered ? 1 : 0;
-        double h = Math.max(0, Settings.LoadReports.field(figures, places.inFlightField()) - itself);
+        double h =
+                Math.max(0, Settings.LoadReports.field(figures, places.inFlightField()) - itself);
         if (figures == null || !(u + h >= 0)) {
             return;
         }
-        // Danger: one that is told again says nothing new, and clearing the sends would draw a herd to it.
+        // Danger: one that is told again says nothing new, and clearing the sends would draw a herd
+        // to it.
         if (reportedAt[i] > 0 && delivered && u > 0 && u == use[i] && h == held[i]) {
             period += Math.max(0, now - reportedAt[i] - period) / 8;
             return;
         }
-        period -= reportedAt[i] > 0 && delivered ? Math.max(0, period - now + reportedAt[i]) / 4 : 0;
+        period -=
+                reportedAt[i] > 0 && delivered ? Math.max(0, period - now + reportedAt[i]) / 4 : 0;
         use[i] = delivered ? u : 1;
         held[i] = h;
         double s = u / Settings.LoadReports.field(figures, places.requestRateField());
@@ -100,7 +128,10 @@
         return (0.5 + heard.at(now)) / (1 + heards.at(now));
     }
 
-    /** How long an exchange waits for its work to begin where the utilisation is estimated above one. */
+    /**
+     * How long an exchange waits for its work to begin where the utilisation is estimated above
+     * one.
+     */
     double wait(int i, double now) {
         return Math.max(0, of(i, now) - 1) / worth(i, now) * workTime(i, now);
     }
@@ -115,7 +146,8 @@
         born = born == 0 ? now : born;
         double rate = ownRate.at(now) / (1 - Math.exp((born - now) / memory) + 1e-9);
         double work = workTime(i, now);
-        // Danger: one that is out at a thin proxy would look like a jam, so a few met lately count with it.
+        // Danger: one that is out at a thin proxy would look like a jam, so a few met lately count
+        // with it.
         return Math.max(0, (allOut + FEW) / (rate + FEW / (work + metWait.at(now))) - work);
     }
 
@@ -123,12 +155,17 @@
         return i < 0 ? 0 : (told > 0 ? told : pace) / backends.coldShare(i, now);
     }
 
-    /** The utilisation that one exchange adds if the others send alike, no more than a whole window's. */
+    /**
+     * The utilisation that one exchange adds if the others send alike, no more than a whole
+     * window's.
+     */
     double worth(int i, double now) {
         double usual = told > 0 ? told : quick;
-        double share = rated[i] > 0 ? rated[i] / usual : backends.meanPower / backends.line[i].weight();
+        double share =
+                rated[i] > 0 ? rated[i] / usual : backends.meanPower / backends.line[i].weight();
         return Math.min(1, quick * backends.stated.proxyCount() / window)
-                * Math.max(1 / SPREAD, Math.min(SPREAD, share)) / backends.coldShare(i, now);
+                * Math.max(1 / SPREAD, Math.min(SPREAD, share))
+                / backends.coldShare(i, now);
     }
 
     double trust(int i, double now) {
@@ -137,10 +174,13 @@
 
     /** The estimate. What a report no longer tells, being old, the mean and own forwards out do. */
     double of(int i, double now) {
-        double trust = trust(i, now), mean = mean(now), base = mean + trust * (loadReport[i] - mean);
+        double trust = trust(i, now),
+                mean = mean(now),
+                base = mean + trust * (loadReport[i] - mean);
         double own = trust * sends[i] + (1 - trust) * backends.out[i];
         if (othersHeard) {
-            // What is out is known of all, so the report adds how busy it was, and what it held beyond that.
+            // What is out is known of all, so the report adds how busy it was, and what it held
+            // beyond that.
             own = Math.max(backends.out[i] + others[i], trust * (held[i] + sends[i]));
             mean = Math.min(1, mean);
             base = mean + trust * (use[i] - mean);
@@ -163,22 +203,37 @@
         allOut--;
         boolean good = outcome == AttemptOutcome.SUCCESS;
         if (good || outcome == AttemptOutcome.TIMED_OUT) {
-            // Danger: where all turn slow only the quickest are delivered, and the rest must count too.
+            // Danger: where all turn slow only the quickest are delivered, and the rest must count
+            // too.
             // What an old report says is ahead is no measure; what the answer's own report says is.
             double ahead = old() ? held[i] : attempt.queueAhead;
-            pace += (durationSeconds / (1 + ahead) - pace) / Math.min(++answers, old() ? FEW * FEW : FEW);
+            pace +=
+                    (durationSeconds / (1 + ahead) - pace)
+                            / Math.min(++answers, old() ? FEW * FEW : FEW);
         }
         if (good) {
             double step = Math.max(STEP, 1 / (3 + answers));
-            quick = answers == 1 ? Math.max(durationSeconds, window / 1000)
-                    : quick * (durationSeconds < quick ? 1 - 3 * step : 1 + step);
+            quick =
+                    answers == 1
+                            ? Math.max(durationSeconds, window / 1000)
+                            : quick * (durationSeconds < quick ? 1 - 3 * step : 1 + step);
         }
-        if (good || outcome == AttemptOutcome.TIMED_OUT || outcome.neverExecuted && outcome != AttemptOutcome.NOT_SENT) {
-            double wait = outcome == AttemptOutcome.OVERLOADED ? window : !good ? durationSeconds : backends.stated.loadReports().inResponses()
-                    && !old() ? wait(i, now) : Math.max(0, durationSeconds - workTime(i, now));
-            // Over four outcomes at least, so that none decides; it fades sooner where no report ends a jam.
+        if (good
+                || outcome == AttemptOutcome.TIMED_OUT
+                || outcome.neverExecuted && outcome != AttemptOutcome.NOT_SENT) {
+            double wait =
+                    outcome == AttemptOutcome.OVERLOADED
+                            ? window
+                            : !good
+                                    ? durationSeconds
+                                    : backends.stated.loadReports().inResponses() && !old()
+                                            ? wait(i, now)
+                                            : Math.max(0, durationSeconds - workTime(i, now));
+            // Over four outcomes at least, so that none decides; it fades sooner where no report
+            // ends a jam.
             metWait.span = old() ? MET * window : memory;
-            metWait.add((wait - metWait.at(now)) / Math.max(4, MET * window * ownRate.at(now)), now);
+            metWait.add(
+                    (wait - metWait.at(now)) / Math.max(4, MET * window * ownRate.at(now)), now);
         }
     }
 
--- a/src/main/java/lemondrift/buffer/BodyBufferBudget.java
+++ b/src/main/java/lemondrift/buffer/BodyBufferBudget.java
@@ -1,8 +1,8 @@
 package lemondrift.buffer;
 
 /**
- * How much of request bodies is held in memory. Held whole, a request can be sent again, and a slow client
- * keeps no backend waiting; what can't be held is passed on as it comes. No I/O.
+ * How much of request bodies is held in memory. Held whole, a request can be sent again, and a slow
+ * client keeps no backend waiting; what can't be held is passed on as it comes. No I/O.
  */
 public final class BodyBufferBudget {
     private final int each;
@@ -23,7 +23,9 @@
         all = most;
     }
 
-    /** Whether more of one that has so many held may be held; if so it counts until it is let go. */
+    /**
+     * Whether more of one that has so many held may be held; if so it counts until it is let go.
+     */
     public boolean takes(int has, int more) {
         if (more > each - has || more > all - held) {
             return false;
--- a/src/main/java/lemondrift/cli/FleetCommand.java
+++ b/src/main/java/lemondrift/cli/FleetCommand.java
@@ -17,16 +17,20 @@
 import picocli.CommandLine.ParentCommand;
 
 /** Experiments on real processes. */
-@Command(name = "fleet", description = "Plays experiments with real processes of the built archive.",
+@Command(
+        name = "fleet",
+        description = "Plays experiments with real processes of the built archive.",
         mixinStandardHelpOptions = true)
 final class FleetCommand implements Callable<Integer> {
-    @ParentCommand
-    LabCommand lab;
+    @ParentCommand LabCommand lab;
 
     @Parameters(arity = "1..*", paramLabel = "FILE", description = "experiments, in TOML")
     List<Path> files;
 
-    @Option(names = "--root", paramLabel = "FOLDER", defaultValue = ".",
+    @Option(
+            names = "--root",
+            paramLabel = "FOLDER",
+            defaultValue = ".",
             description = "where deploy/balancer.toml and the built archive are (${DEFAULT-VALUE})")
     Path root;
 
@@ -53,17 +57,35 @@
             int proxies = experiment.day().proxies();
             out.println(experiment.name() + ": " + experiment.about());
             out.println(FleetRun.row("policy", "seed", null, proxies, 1));
-            runs.forEach(run -> out.println(FleetRun.row(run.policy(), String.valueOf(run.seed()),
-                    run.figures(), proxies, experiment.day().lasts())));
+            runs.forEach(
+                    run ->
+                            out.println(
+                                    FleetRun.row(
+                                            run.policy(),
+                                            String.valueOf(run.seed()),
+                                            run.figures(),
+                                            proxies,
+                                            experiment.day().lasts())));
             for (Experiment.Run run : runs) {
-                out.print(seconds ? run.policy() + ", seed " + run.seed() + "\n"
-                        + FleetRun.seconds(run.figures()) : "");
+                out.print(
+                        seconds
+                                ? run.policy()
+                                        + ", seed "
+                                        + run.seed()
+                                        + "\n"
+                                        + FleetRun.seconds(run.figures())
+                                : "");
                 failed |= run.broken() != null || run.figures().crashed > 0;
                 out.print(run.broken() == null ? "" : run.broken() + "\n");
             }
             failed |= lab.missed(experiment, runs);
             out.flush();
-            reports.add(new Report(experiment.name(), experiment.about(), experiment.day().troubles(), runs));
+            reports.add(
+                    new Report(
+                            experiment.name(),
+                            experiment.about(),
+                            experiment.day().troubles(),
+                            runs));
         }
         if (json != null) {
             Report.write(reports, json);
--- a/src/main/java/lemondrift/cli/LoadCommand.java
+++ b/src/main/java/lemondrift/cli/LoadCommand.java
@@ -12,36 +12,58 @@
 import picocli.CommandLine.Spec;
 
 /** Load on a loopback address. */
-@Command(name = "load", description = "Sends requests at a rate to a loopback address.",
+@Command(
+        name = "load",
+        description = "Sends requests at a rate to a loopback address.",
         mixinStandardHelpOptions = true)
 final class LoadCommand implements Callable<Integer> {
-    @Spec
-    CommandSpec spec;
+    @Spec CommandSpec spec;
 
     @Parameters(paramLabel = "HOST:PORT")
     String to;
 
-    @Option(names = "--rate", defaultValue = "100", description = "requests a second (${DEFAULT-VALUE})")
+    @Option(
+            names = "--rate",
+            defaultValue = "100",
+            description = "requests a second (${DEFAULT-VALUE})")
     double rate;
 
-    @Option(names = "--seconds", defaultValue = "10", description = "for how long (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            defaultValue = "10",
+            description = "for how long (${DEFAULT-VALUE})")
     double seconds;
 
-    @Option(names = "--warm-up", defaultValue = "1",
+    @Option(
+            names = "--warm-up",
+            defaultValue = "1",
             description = "seconds before, left out (${DEFAULT-VALUE})")
     double warmUp;
 
-    @Option(names = "--connections", defaultValue = "64", description = "open at most (${DEFAULT-VALUE})")
+    @Option(
+            names = "--connections",
+            defaultValue = "64",
+            description = "open at most (${DEFAULT-VALUE})")
     int connections;
 
-    @Option(names = "--grade", required = true, description = "the service grade that each request names")
+    @Option(
+            names = "--grade",
+            required = true,
+            description = "the service grade that each request names")
     String grade;
 
-    @Option(names = "--timeout", defaultValue = "5", description = "seconds for an answer (${DEFAULT-VALUE})")
+    @Option(
+            names = "--timeout",
+            defaultValue = "5",
+            description = "seconds for an answer (${DEFAULT-VALUE})")
     double timeout;
 
-    @Option(names = "--highest", paramLabel = "SECONDS",
-            description = "search the highest rate whose 99th percentile stays within this, from --rate on")
+    @Option(
+            names = "--highest",
+            paramLabel = "SECONDS",
+            description =
+                    "search the highest rate whose 99th percentile stays within this, from --rate"
+                            + " on")
     Double highest;
 
     @Override
@@ -56,8 +78,12 @@
         }
         Load.Plan plan = new Load.Plan(address, rate, seconds, warmUp, connections, grade, timeout);
         if (highest != null) {
-            spec.commandLine().getOut().printf(Locale.ROOT, "highest rate %.0f a second%n",
-                    Load.highestRate(plan, 99, highest));
+            spec.commandLine()
+                    .getOut()
+                    .printf(
+                            Locale.ROOT,
+                            "highest rate %.0f a second%n",
+                            Load.highestRate(plan, 99, highest));
             return RootCommand.DONE;
         }
         Load.Result result = Load.play(plan);
--- a/src/main/java/lemondrift/cli/RecoveryCommand.java
+++ b/src/main/java/lemondrift/cli/RecoveryCommand.java
@@ -5,33 +5,45 @@
 import java.time.Instant;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import lemondrift.recovery.Snapshot;
 import lemondrift.proxy.recovery.SnapshotFile;
+import lemondrift.recovery.Snapshot;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
 /** What proxies keep over their end. */
-@Command(name = "recovery", description = "What a proxy keeps over its end.", mixinStandardHelpOptions = true,
+@Command(
+        name = "recovery",
+        description = "What a proxy keeps over its end.",
+        mixinStandardHelpOptions = true,
         subcommands = RecoveryCommand.Show.class)
 final class RecoveryCommand {
     /** Shows a snapshot. */
     @Command(name = "show", description = "Shows a snapshot.", mixinStandardHelpOptions = true)
     static final class Show implements Callable<Integer> {
-        @Spec
-        CommandSpec spec;
+        @Spec CommandSpec spec;
 
-        @Parameters(paramLabel = "FILE", description = "NAME.snap, or NAME.snap.1 for the one before")
+        @Parameters(
+                paramLabel = "FILE",
+                description = "NAME.snap, or NAME.snap.1 for the one before")
         Path file;
 
         @Override
         public Integer call() throws IOException {
             Snapshot its = SnapshotFile.read(file);
-            spec.commandLine().getOut().printf(Locale.ROOT, "name %s%nstart %d%nwritten %s%nboot %s%n"
-                    + "work %.4f s, of %d answers%n", its.name(), its.start(),
-                    Instant.ofEpochMilli((long) (its.at() * 1000)), its.boot().isEmpty() ? "not known"
-                    : its.boot(), its.work(), its.answers());
+            spec.commandLine()
+                    .getOut()
+                    .printf(
+                            Locale.ROOT,
+                            "name %s%nstart %d%nwritten %s%nboot %s%n"
+                                    + "work %.4f s, of %d answers%n",
+                            its.name(),
+                            its.start(),
+                            Instant.ofEpochMilli((long) (its.at() * 1000)),
+                            its.boot().isEmpty() ? "not known" : its.boot(),
+                            its.work(),
+                            its.answers());
             spec.commandLine().getOut().flush();
             return RootCommand.DONE;
         }
--- a/src/main/java/lemondrift/cli/SoakCommand.java
+++ b/src/main/java/lemondrift/cli/SoakCommand.java
@@ -18,26 +18,38 @@
 import picocli.CommandLine.ParentCommand;
 
 /** Days of real processes with faults drawn from seeds. */
-@Command(name = "soak",
+@Command(
+        name = "soak",
         description = "Plays days of real processes on which all that fails is drawn from a seed.",
         mixinStandardHelpOptions = true)
 final class SoakCommand implements Callable<Integer> {
-    @ParentCommand
-    LabCommand lab;
+    @ParentCommand LabCommand lab;
 
-    @Option(names = "--from", paramLabel = "SEED", defaultValue = "1",
+    @Option(
+            names = "--from",
+            paramLabel = "SEED",
+            defaultValue = "1",
             description = "the first seed (${DEFAULT-VALUE})")
     long from;
 
-    @Option(names = "--seeds", paramLabel = "N", defaultValue = "5",
+    @Option(
+            names = "--seeds",
+            paramLabel = "N",
+            defaultValue = "5",
             description = "how many (${DEFAULT-VALUE})")
     int seeds;
 
-    @Option(names = "--at-once", paramLabel = "N", defaultValue = "1",
+    @Option(
+            names = "--at-once",
+            paramLabel = "N",
+            defaultValue = "1",
             description = "days that are played side by side (${DEFAULT-VALUE})")
     int atOnce;
 
-    @Option(names = "--root", paramLabel = "FOLDER", defaultValue = ".",
+    @Option(
+            names = "--root",
+            paramLabel = "FOLDER",
+            defaultValue = ".",
             description = "where deploy/balancer.toml and the built archive are (${DEFAULT-VALUE})")
     Path root;
 
@@ -48,7 +60,7 @@
         List<Future<SoakRun.Verdict>> days = new ArrayList<>();
         for (long seed = from; seed < from + seeds; seed++) {
             SoakRun.Plan plan = SoakRun.plan(seed);
-            days.add(players.submit(() -> SoakRun.play(plan, launcher, line -> { })));
+            days.add(players.submit(() -> SoakRun.play(plan, launcher, line -> {})));
         }
         players.shutdown();
         int failed = 0;
@@ -64,9 +76,14 @@
         PrintWriter out = lab.out();
         try {
             SoakRun.Verdict verdict = day.get();
-            out.printf(Locale.ROOT, "seed %d: %s, in time %.3f, unanswered %d; %s%n", seed,
-                    verdict.wrong().isEmpty() ? "well" : "WRONG", verdict.figures().inTimeShare(),
-                    verdict.figures().unanswered, verdict.plan().about());
+            out.printf(
+                    Locale.ROOT,
+                    "seed %d: %s, in time %.3f, unanswered %d; %s%n",
+                    seed,
+                    verdict.wrong().isEmpty() ? "well" : "WRONG",
+                    verdict.figures().inTimeShare(),
+                    verdict.figures().unanswered,
+                    verdict.plan().about());
             verdict.wrong().forEach(out::println);
             return verdict.wrong().isEmpty();
         } catch (ExecutionException e) {
--- a/src/main/java/lemondrift/connection/ClientSource.java
+++ b/src/main/java/lemondrift/connection/ClientSource.java
@@ -2,11 +2,14 @@
 
 /** Who connections come from: what it holds, and what it brought and cost lately. */
 final class ClientSource {
-    /** What a source has brought raises its weight so far at the most: none may outweigh all others. */
+    /**
+     * What a source has brought raises its weight so far at the most: none may outweigh all others.
+     */
     private static final double MOST = 16;
 
     int held;
     private double brought, cost, fadedAt;
+
     /** Its connections that may give way, in that order; used while room is made. */
     int firstYielding = -1, lastYielding = -1;
 
@@ -29,7 +32,10 @@
         cost = Math.min(MOST, cost + 1);
     }
 
-    /** How many places it is due beside others: more for what it brought, less for what it only cost. */
+    /**
+     * How many places it is due beside others: more for what it brought, less for what it only
+     * cost.
+     */
     double weight(double now, double half) {
         fade(now, half);
         return (1 + brought) / (1 + cost);
--- a/src/main/java/lemondrift/connection/ClientSourceTable.java
+++ b/src/main/java/lemondrift/connection/ClientSourceTable.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * Sources by their key. Those that hold places are as many as places at the most; of the others as many are
- * remembered, and the one gone longest is forgotten first. Danger: a table of all addresses has no bound.
+ * Sources by their key. Those that hold places are as many as places at the most; of the others as
+ * many are remembered, and the one gone longest is forgotten first. Danger: a table of all
+ * addresses has no bound.
  */
 final class ClientSourceTable {
     private final Map<Long, ClientSource> present = new HashMap<>();
--- a/src/main/java/lemondrift/connection/ConnectionLimits.java
+++ b/src/main/java/lemondrift/connection/ConnectionLimits.java
@@ -1,21 +1,30 @@
 package lemondrift.connection;
 
 /**
- * What the door may use and how patient it is. All times are in seconds and follow from one, the time that a
- * connection may be quiet; they are ratios to it.
+ * What the door may use and how patient it is. All times are in seconds and follow from one, the
+ * time that a connection may be quiet; they are ratios to it.
  *
  * @param places how many connections there are to be at the most, 1 or more
  * @param last how many there may be for a moment, until some have given way; places or more
  * @param quiet how long an answered connection may say nothing, over 0
- * @param earliest how long one may say nothing before it is closed between requests except in a crowd;
- *         0 to quiet
+ * @param earliest how long one may say nothing before it is closed between requests except in a
+ *     crowd; 0 to quiet
  * @param sharing what the places are shared among
  * @param announces whether answers promise how long the connection stays, which is then held to
- * @param leastRate bytes a second that a request, or the fetching of an answer, must make progress by
- * @param benefit what a usual exchange brings, over 0; what one earns for its source is a ratio to it
+ * @param leastRate bytes a second that a request, or the fetching of an answer, must make progress
+ *     by
+ * @param benefit what a usual exchange brings, over 0; what one earns for its source is a ratio to
+ *     it
  */
-public record ConnectionLimits(int places, int last, double quiet, double earliest, Sharing sharing, boolean announces,
-        double leastRate, double benefit) {
+public record ConnectionLimits(
+        int places,
+        int last,
+        double quiet,
+        double earliest,
+        Sharing sharing,
+        boolean announces,
+        double leastRate,
+        double benefit) {
     /** What is one source of connections. */
     public enum Sharing {
         /** Each connection by itself: behind a front all clients have one address. */
@@ -30,8 +39,13 @@
     static final double UNUSED = 0.25;
 
     public ConnectionLimits {
-        if (places < 1 || last < places || !(quiet > 0) || !(earliest >= 0 && earliest <= quiet)
-                || !(leastRate > 0) || !(benefit > 0) || sharing == null) {
+        if (places < 1
+                || last < places
+                || !(quiet > 0)
+                || !(earliest >= 0 && earliest <= quiet)
+                || !(leastRate > 0)
+                || !(benefit > 0)
+                || sharing == null) {
             throw new IllegalArgumentException("bounds of the door that contradict each other");
         }
     }
@@ -44,14 +58,17 @@
     }
 
     /**
-     * How long a head may take, and how long a body may pause; progress brings the time by which more must
-     * come no farther ahead than this. Danger: much shorter, and slow clients are cut off in the middle.
+     * How long a head may take, and how long a body may pause; progress brings the time by which
+     * more must come no farther ahead than this. Danger: much shorter, and slow clients are cut off
+     * in the middle.
      */
     double pause() {
         return 1.1 * quiet;
     }
 
-    /** The same for the fetching of an answer: the system takes a lot, and then nothing for long. */
+    /**
+     * The same for the fetching of an answer: the system takes a lot, and then nothing for long.
+     */
     double fetch() {
         return 4 * quiet;
     }
@@ -66,7 +83,9 @@
         return 0.45 * quiet;
     }
 
-    /** How long a new one keeps its place in a crowd without a word, and half of that for a request. */
+    /**
+     * How long a new one keeps its place in a crowd without a word, and half of that for a request.
+     */
     double patience() {
         return quiet / 22;
     }
--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides about clients' connections: which are accepted, how long each may take for what it is doing, which
- * are kept when they are answered, and which give way in a crowd. The adapter tells it what happens on each,
- * with the time, and carries out what it says; it knows no sockets. A connection is an index until it is
- * gone.
+ * Decides about clients' connections: which are accepted, how long each may take for what it is
+ * doing, which are kept when they are answered, and which give way in a crowd. The adapter tells it
+ * what happens on each, with the time, and carries out what it says; it knows no sockets. A
+ * connection is an index until it is gone.
  */
 public final class ConnectionPolicy {
     /** What the door has done to the sockets. */
@@ -24,20 +24,38 @@
 
     /** Answers to a connection by which its reuse is learned apart: one, two or three, more. */
     private static final int KINDS = 3;
-    /** The share kept whatever is thought of them. Danger: who never sees one used again can't learn. */
+
+    /**
+     * The share kept whatever is thought of them. Danger: who never sees one used again can't
+     * learn.
+     */
     private static final double EXPLORED = 1.0 / 16;
-    /** How steeply a place's price rises with the places that stand unused; beyond this, none explores. */
+
+    /**
+     * How steeply a place's price rises with the places that stand unused; beyond this, none
+     * explores.
+     */
     private static final int STEEP = 4;
+
     private static final double MOST_EXPLORING = 2;
+
     /** Lateness of the sweep, in sweeps, from which the process is taken to have stood still. */
     private static final double PAUSE = 2;
+
     /** The part of a sweep in which what has waited through such a pause is read. */
     private static final double CATCHING_UP = 4;
-    /** How often a request in a row may be turned away before the connection closes with the answer. */
+
+    /**
+     * How often a request in a row may be turned away before the connection closes with the answer.
+     */
     private static final int TURNED_AWAY = 6;
+
     /** Indexes beyond the last place: so many, and one for each so many places. */
     private static final int SLACK = 16;
-    /** What an exchange shed or scrapped counts beside a delivered one: its client is not at fault. */
+
+    /**
+     * What an exchange shed or scrapped counts beside a delivered one: its client is not at fault.
+     */
     private static final double UNSERVED = 0.25;
 
     private final ConnectionLimits limits;
@@ -47,7 +65,8 @@
     private final FairEviction fairEviction;
     private final IdleReuseEstimator[] reuse = new IdleReuseEstimator[KINDS];
     private final double[] limit = new double[KINDS];
-    private final Map<ConnectionState, ConnectionOrder> orders = new EnumMap<>(ConnectionState.class);
+    private final Map<ConnectionState, ConnectionOrder> orders =
+            new EnumMap<>(ConnectionState.class);
 
     private final ConnectionState[] state;
     private final ClientSource[] source;
@@ -55,19 +74,29 @@
     private final CloseReason[] ending;
     private final boolean[] promised, ahead;
     private final int[] answers, turnedAway;
-    /** When it came, when it came into its state, and until when it may stay so without progress. */
+
+    /**
+     * When it came, when it came into its state, and until when it may stay so without progress.
+     */
     private final double[] came, since, due, drainAt;
-    private final long[][] closed = new long[ConnectionState.values().length][CloseReason.values().length];
+
+    private final long[][] closed =
+            new long[ConnectionState.values().length][CloseReason.values().length];
 
     private int used, places;
+
     /** How many were closed at once, as there was no place. */
     private long refused;
+
     /**
-     * When something was told last, and the time for which the process stood still, which counts for nobody.
+     * When something was told last, and the time for which the process stood still, which counts
+     * for nobody.
      */
     private double toldAt = Double.NEGATIVE_INFINITY, stoodStill;
+
     /** Since when what is read may have waited, up to a time. */
     private double wentStill, caughtUp = Double.NEGATIVE_INFINITY;
+
     private double drainBegan = Double.POSITIVE_INFINITY, drainUntil;
 
     /** The seed decides which connections are kept to learn from. */
@@ -75,13 +104,16 @@
         this.limits = limits;
         this.hands = hands;
         random = new SplittableRandom(seed);
-        // Danger: the system may count one as closed before it is told here, and its successor needs an
+        // Danger: the system may count one as closed before it is told here, and its successor
+        // needs an
         // index.
         places = limits.places();
         int last = limits.last() + SLACK + limits.last() / SLACK;
         sources = new ClientSourceTable(last);
         fairEviction = new FairEviction(last, limits.memory());
-        Arrays.setAll(reuse, kind -> new IdleReuseEstimator(limits.quiet(), limits.earliest(), limits.memory()));
+        Arrays.setAll(
+                reuse,
+                kind -> new IdleReuseEstimator(limits.quiet(), limits.earliest(), limits.memory()));
         Arrays.fill(limit, limits.quiet());
         state = new ConnectionState[last];
         source = new ClientSource[last];
@@ -105,7 +137,9 @@
         }
     }
 
-    /** Danger: after a pause of the process all would seem overdue while their requests wait unread. */
+    /**
+     * Danger: after a pause of the process all would seem overdue while their requests wait unread.
+     */
     private double time(double now) {
         if (now - toldAt > PAUSE * limits.sweep() && toldAt > Double.NEGATIVE_INFINITY) {
             stoodStill += now - toldAt - limits.sweep();
@@ -117,8 +151,8 @@
     }
 
     /**
-     * Since when a request that is read now may have waited unread, which is now unless the process has just
-     * stood still. Danger: its client's time has passed all the same.
+     * Since when a request that is read now may have waited unread, which is now unless the process
+     * has just stood still. Danger: its client's time has passed all the same.
      */
     public double unreadSince(double now) {
         time(now);
@@ -147,7 +181,10 @@
         }
         used++;
         key[i] = address;
-        source[i] = limits.sharing() == ConnectionLimits.Sharing.CONNECTION ? new ClientSource() : sources.enter(address);
+        source[i] =
+                limits.sharing() == ConnectionLimits.Sharing.CONNECTION
+                        ? new ClientSource()
+                        : sources.enter(address);
         if (limits.sharing() == ConnectionLimits.Sharing.CONNECTION) {
             source[i].held++;
         }
@@ -155,8 +192,10 @@
         promised[i] = false;
         ahead[i] = false;
         // Danger: one that comes while all are sent away would stay for as long as it says nothing.
-        drainAt[i] = t >= drainBegan ? Math.max(drainUntil, t + limits.firstWord() / 2)
-                : Double.POSITIVE_INFINITY;
+        drainAt[i] =
+                t >= drainBegan
+                        ? Math.max(drainUntil, t + limits.firstWord() / 2)
+                        : Double.POSITIVE_INFINITY;
         answers[i] = 0;
         turnedAway[i] = 0;
         came[i] = t;
@@ -200,7 +239,10 @@
         due[i] = Math.min(t + ahead, due[i] + bytes / limits.leastRate());
     }
 
-    /** The head of a request was read; it may have come with the answer to the one before, in one piece. */
+    /**
+     * The head of a request was read; it may have come with the answer to the one before, in one
+     * piece.
+     */
     public void headRead(int i, double now) {
         double t = time(now);
         if (state[i] == ConnectionState.FREE) {
@@ -227,8 +269,8 @@
     }
 
     /**
-     * An answer is ready for a connection: whether the connection stays open after it. Closing with the
-     * answer loses nothing, where a close between requests can cross one.
+     * An answer is ready for a connection: whether the connection stays open after it. Closing with
+     * the answer loses nothing, where a close between requests can cross one.
      */
     public boolean keeps(int i, double now) {
         double t = time(now);
@@ -236,7 +278,8 @@
         due[i] = t + limits.fetch();
         enter(i, ConnectionState.FETCHING, t);
         ending[i] = ending(i, t);
-        promised[i] = ending[i] == CloseReason.GONE && limits.announces() && price() < 1 / limits.quiet();
+        promised[i] =
+                ending[i] == CloseReason.GONE && limits.announces() && price() < 1 / limits.quiet();
         return ending[i] == CloseReason.GONE;
     }
 
@@ -252,7 +295,8 @@
     }
 
     /**
-     * How many whole seconds its client may be told that the connection stays, 0 where nothing is promised.
+     * How many whole seconds its client may be told that the connection stays, 0 where nothing is
+     * promised.
      */
     public int promise(int i) {
         return promised[i] ? (int) limits.quiet() : 0;
@@ -264,16 +308,24 @@
 
     /** Places that stand unused, as a ratio to how many may before they have their full price. */
     private double unusedShare() {
-        int busy = orders.get(ConnectionState.OPEN).size() + orders.get(ConnectionState.FETCHING).size();
+        int busy =
+                orders.get(ConnectionState.OPEN).size()
+                        + orders.get(ConnectionState.FETCHING).size();
         return (used - busy) / (ConnectionLimits.UNUSED * places);
     }
 
-    /** What a place costs for a second, in connections opened again: nothing while most of them are free. */
+    /**
+     * What a place costs for a second, in connections opened again: nothing while most of them are
+     * free.
+     */
     private double price() {
         return Math.pow(unusedShare(), STEEP) / limits.quiet();
     }
 
-    /** More of its answer is there. Danger: what its backend takes long to give is not its client's fault. */
+    /**
+     * More of its answer is there. Danger: what its backend takes long to give is not its client's
+     * fault.
+     */
     public void offered(int i, double now) {
         if (state[i] == ConnectionState.FETCHING) {
             due[i] = time(now) + limits.fetch();
@@ -291,7 +343,8 @@
     /**
      * The answer is out whole.
      *
-     * @param benefit what it brought, 0 where it was shed or scrapped, below 0 where there was no exchange
+     * @param benefit what it brought, 0 where it was shed or scrapped, below 0 where there was no
+     *     exchange
      */
     public void answered(int i, double benefit, double now) {
         double t = time(now);
@@ -299,7 +352,8 @@
             double brought = benefit > 0 ? benefit / limits.benefit() : UNSERVED;
             source[i].brought(brought, t, limits.memory());
         }
-        // What came ahead of the answer is the next request's beginning, unless its head is read right away.
+        // What came ahead of the answer is the next request's beginning, unless its head is read
+        // right away.
         due[i] = t + limits.pause();
         enter(i, ahead[i] ? ConnectionState.HEAD : ConnectionState.QUIET, t);
     }
@@ -314,8 +368,9 @@
     }
 
     /**
-     * The answer that turned a request away is out: for how many seconds the connection is not read. Danger:
-     * clients that send the same again as soon as it is turned away would take all of the processor.
+     * The answer that turned a request away is out: for how many seconds the connection is not
+     * read. Danger: clients that send the same again as soon as it is turned away would take all of
+     * the processor.
      */
     public double lingers(int i, double now) {
         double t = time(now);
@@ -331,7 +386,9 @@
         if (state[i] == ConnectionState.FREE) {
             return;
         }
-        if (state[i] == ConnectionState.QUIET && ending[i] != CloseReason.WITH_ANSWER && ending[i] != CloseReason.DRAIN) {
+        if (state[i] == ConnectionState.QUIET
+                && ending[i] != CloseReason.WITH_ANSWER
+                && ending[i] != CloseReason.DRAIN) {
             reuse[kind(i)].endedAfter(t - since[i], t);
         }
         if (answers[i] == 0 && state[i] != ConnectionState.OPEN) {
@@ -357,32 +414,43 @@
         if (!isCrowded()) {
             return;
         }
-        for (int i = orders.get(ConnectionState.NEW).first(); i >= 0; i = orders.get(ConnectionState.NEW).after(i)) {
+        for (int i = orders.get(ConnectionState.NEW).first();
+                i >= 0;
+                i = orders.get(ConnectionState.NEW).after(i)) {
             if (t - came[i] > limits.patience()) {
                 fairEviction.mayYield(i, source[i]);
             }
         }
-        // Danger: heads without end would keep all others out. None was answered here: nothing is lost.
-        for (ConnectionState each : new ConnectionState[] {ConnectionState.HEAD, ConnectionState.BODY}) {
+        // Danger: heads without end would keep all others out. None was answered here: nothing is
+        // lost.
+        for (ConnectionState each :
+                new ConnectionState[] {ConnectionState.HEAD, ConnectionState.BODY}) {
             for (int i = orders.get(each).first(); i >= 0; i = orders.get(each).after(i)) {
                 if (answers[i] == 0 && t - came[i] > 2 * limits.patience()) {
                     fairEviction.mayYield(i, source[i]);
                 }
             }
         }
-        for (int i = orders.get(ConnectionState.QUIET).first(); i >= 0; i = orders.get(ConnectionState.QUIET).after(i)) {
+        for (int i = orders.get(ConnectionState.QUIET).first();
+                i >= 0;
+                i = orders.get(ConnectionState.QUIET).after(i)) {
             if (!promised[i]) {
                 fairEviction.mayYield(i, source[i]);
             }
         }
-        fairEviction.yield(used - places, t, i -> {
-            // Danger: a request that has come and waits unread, after a pause of the process, would be lost.
-            boolean silent = answers[i] == 0 && state[i] != ConnectionState.NEW || hands.isSilent(i);
-            if (silent) {
-                close(i, CloseReason.CROWD);
-            }
-            return silent;
-        });
+        fairEviction.yield(
+                used - places,
+                t,
+                i -> {
+                    // Danger: a request that has come and waits unread, after a pause of the
+                    // process, would be lost.
+                    boolean silent =
+                            answers[i] == 0 && state[i] != ConnectionState.NEW || hands.isSilent(i);
+                    if (silent) {
+                        close(i, CloseReason.CROWD);
+                    }
+                    return silent;
+                });
     }
 
     /** Ends what has taken too long; to be called every Bounds.sweep() seconds at the least. */
@@ -394,14 +462,17 @@
         }
         for (int i = 0; i < state.length; i++) {
             CloseReason why = overdue(i, t);
-            if (why != null && (state[i] != ConnectionState.NEW && state[i] != ConnectionState.QUIET || hands.isSilent(i))) {
+            if (why != null
+                    && (state[i] != ConnectionState.NEW && state[i] != ConnectionState.QUIET
+                            || hands.isSilent(i))) {
                 close(i, why);
             }
         }
     }
 
     /**
-     * Why a connection is to be closed now, null if it may stay. Danger: one without end holds its buffers.
+     * Why a connection is to be closed now, null if it may stay. Danger: one without end holds its
+     * buffers.
      */
     private CloseReason overdue(int i, double t) {
         return switch (state[i]) {
@@ -410,8 +481,11 @@
             case FETCHING -> t > due[i] ? CloseReason.UNFETCHED : null;
             case QUIET -> {
                 double quiet = t - since[i];
-                yield quiet > limits.quiet() ? CloseReason.QUIET
-                        : quiet > limit[kind(i)] && !promised[i] ? CloseReason.UNUSED : drains(i, t);
+                yield quiet > limits.quiet()
+                        ? CloseReason.QUIET
+                        : quiet > limit[kind(i)] && !promised[i]
+                                ? CloseReason.UNUSED
+                                : drains(i, t);
             }
             case FREE, OPEN, TURNED_AWAY -> null;
         };
@@ -422,14 +496,15 @@
     }
 
     /**
-     * Every answer closes its connection from now on, and those without a word go one by one until a time.
-     * Danger: all closed in one instant would fall on the siblings as a herd.
+     * Every answer closes its connection from now on, and those without a word go one by one until
+     * a time. Danger: all closed in one instant would fall on the siblings as a herd.
      */
     public void drain(double now, double until) {
         drainBegan = time(now);
         drainUntil = drainBegan + until - now;
         int count = in(ConnectionState.NEW) + in(ConnectionState.QUIET), rank = 0;
-        for (ConnectionState each : new ConnectionState[] {ConnectionState.QUIET, ConnectionState.NEW}) {
+        for (ConnectionState each :
+                new ConnectionState[] {ConnectionState.QUIET, ConnectionState.NEW}) {
             for (int i = orders.get(each).first(); i >= 0; i = orders.get(each).after(i)) {
                 drainAt[i] = drainBegan + (until - now) * rank++ / count;
             }
@@ -443,15 +518,18 @@
     }
 
     /**
-     * Whether the drain has left nobody to whom an answer is owed. Who has had the one that closes has a
-     * moment to go. Danger: with bytes unread the end of the process would reset the connection, and an
-     * answer that is still on its way be destroyed.
+     * Whether the drain has left nobody to whom an answer is owed. Who has had the one that closes
+     * has a moment to go. Danger: with bytes unread the end of the process would reset the
+     * connection, and an answer that is still on its way be destroyed.
      */
     public boolean isDrained(double now) {
         double t = time(now);
         for (int i = 0; i < state.length; i++) {
-            boolean answered = ending[i] == CloseReason.DRAIN && t - since[i] >= limits.linger()
-                    && (state[i] == ConnectionState.QUIET || state[i] == ConnectionState.HEAD);
+            boolean answered =
+                    ending[i] == CloseReason.DRAIN
+                            && t - since[i] >= limits.linger()
+                            && (state[i] == ConnectionState.QUIET
+                                    || state[i] == ConnectionState.HEAD);
             if (state[i] != ConnectionState.FREE && !answered) {
                 return false;
             }
@@ -477,16 +555,24 @@
         return sources.remembered();
     }
 
-    /** What there is by state and what ended by reason, as key and value pairs for a line of the log. */
+    /**
+     * What there is by state and what ended by reason, as key and value pairs for a line of the
+     * log.
+     */
     public String told() {
         StringBuilder text = new StringBuilder();
         for (ConnectionState each : ConnectionState.values()) {
-            text.append(each.name().toLowerCase(Locale.ROOT)).append('=').append(in(each))
+            text.append(each.name().toLowerCase(Locale.ROOT))
+                    .append('=')
+                    .append(in(each))
                     .append(' ');
         }
         for (CloseReason why : CloseReason.values()) {
-            text.append("ended_").append(why.name().toLowerCase(Locale.ROOT)).append('=')
-                    .append(ended(why)).append(' ');
+            text.append("ended_")
+                    .append(why.name().toLowerCase(Locale.ROOT))
+                    .append('=')
+                    .append(ended(why))
+                    .append(' ');
         }
         return text.append("refused=").append(refused).toString();
     }
--- a/src/main/java/lemondrift/connection/FairEviction.java
+++ b/src/main/java/lemondrift/connection/FairEviction.java
@@ -7,9 +7,9 @@
 import java.util.function.IntPredicate;
 
 /**
- * Who gives way where there are too many: weighted max-min over sources. The source that holds the most
- * places for its weight gives one up, again and again; so nobody can gain a place by which one with fewer
- * would lose.
+ * Who gives way where there are too many: weighted max-min over sources. The source that holds the
+ * most places for its weight gives one up, again and again; so nobody can gain a place by which one
+ * with fewer would lose.
  */
 final class FairEviction {
     private final int[] next;
@@ -33,12 +33,15 @@
         source.lastYielding = i;
     }
 
-    /** Has connections close until there were so many, or none is left; close says whether one did. */
+    /**
+     * Has connections close until there were so many, or none is left; close says whether one did.
+     */
     void yield(int many, double now, IntPredicate close) {
         // Danger: a weight that changes while its source is queued would leave the order broken.
         record Share(ClientSource source, int order, double weight, double ratio) {}
-        var most = new PriorityQueue<Share>(Comparator.comparing(Share::ratio).reversed()
-                .thenComparing(Share::order));
+        var most =
+                new PriorityQueue<Share>(
+                        Comparator.comparing(Share::ratio).reversed().thenComparing(Share::order));
         for (ClientSource source : yielding) {
             double weight = source.weight(now, half);
             most.add(new Share(source, most.size(), weight, source.held / weight));
--- a/src/main/java/lemondrift/gossip/LoadGossip.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -13,23 +13,36 @@
 import java.util.zip.CRC32;
 
 /**
- * What the proxies of one bank have out, told in datagrams: each tells another the backends of its exchanges
- * that are out, as far as the other uses them (SubsetAssignment), whenever that has changed, at a pace. So
- * what a proxy tells does not grow with their number. A telling says how things stand, not what happened, so
- * that one which is lost or comes twice does no harm. Backends go by a tag of their id. Times are in seconds.
+ * What the proxies of one bank have out, told in datagrams: each tells another the backends of its
+ * exchanges that are out, as far as the other uses them (SubsetAssignment), whenever that has
+ * changed, at a pace. So what a proxy tells does not grow with their number. A telling says how
+ * things stand, not what happened, so that one which is lost or comes twice does no harm. Backends
+ * go by a tag of their id. Times are in seconds.
  */
 public final class LoadGossip {
     public static final int MAX_DATAGRAM_BYTES = 256;
     private static final byte KIND = 4;
+
     /** Of a number the low bits count, and the others are of the sender's start number. */
-    private static final int COUNT_BITS = 12, COUNTS = 1 << COUNT_BITS, STARTS = 16,
-            NONE = -1;
-    /** A former self, and how far one has counted, are remembered for so many times the span of a telling. */
+    private static final int COUNT_BITS = 12, COUNTS = 1 << COUNT_BITS, STARTS = 16, NONE = -1;
+
+    /**
+     * A former self, and how far one has counted, are remembered for so many times the span of a
+     * telling.
+     */
     private static final double REMEMBERED = 2;
-    private static final int HEAD = 3, TAG_BYTES = 3, TAG_BITS = 24, MOST = (MAX_DATAGRAM_BYTES - HEAD) / TAG_BYTES;
+
+    private static final int HEAD = 3,
+            TAG_BYTES = 3,
+            TAG_BITS = 24,
+            MOST = (MAX_DATAGRAM_BYTES - HEAD) / TAG_BYTES;
+
     /** One that was given up counts as out for this share of the same span. */
     private static final double LINGER = 0.125;
-    /** An unchanged telling is told again after this share of the span after which one is forgotten. */
+
+    /**
+     * An unchanged telling is told again after this share of the span after which one is forgotten.
+     */
     private static final double AGAIN = 0.4;
 
     /** An exchange that was given up, and until when it counts. */
@@ -46,7 +59,10 @@
         private boolean dirty, knows;
     }
 
-    /** Of how many gaps between two tellings the mean is; how many of them, and paces, are a silence. */
+    /**
+     * Of how many gaps between two tellings the mean is; how many of them, and paces, are a
+     * silence.
+     */
     private static final double LATELY = 32, SILENCE = 12, LEAST_SILENCE = 4;
 
     private final Peer[] peers;
@@ -55,18 +71,27 @@
     private final IntConsumer changed;
     private final SubsetAssignment subsets;
     private final Map<Integer, Integer> others = new HashMap<>(), own = new HashMap<>();
+
     /** When another was last heard, and the mean time between two tellings. */
     private double latestAt = Double.NEGATIVE_INFINITY, gap;
+
     private final Queue<Lingering> lingering = new ArrayDeque<>();
+
     /** How many linger, by tag. */
     private final Map<Integer, Integer> lingeringByTag = new HashMap<>();
 
     /**
-     * The number of proxies, which of them this one is and its start number, the least seconds between two
-     * tellings to one, the seconds after which what one has told is forgotten, who uses which backends, and
-     * who hears of each tag of which the number out at the others has changed.
+     * The number of proxies, which of them this one is and its start number, the least seconds
+     * between two tellings to one, the seconds after which what one has told is forgotten, who uses
+     * which backends, and who hears of each tag of which the number out at the others has changed.
      */
-    public LoadGossip(int proxies, int self, long start, double pace, double forget, SubsetAssignment subsets,
+    public LoadGossip(
+            int proxies,
+            int self,
+            long start,
+            double pace,
+            double forget,
+            SubsetAssignment subsets,
             IntConsumer changed) {
         peers = new Peer[proxies];
         Arrays.setAll(peers, i -> new Peer());
@@ -96,8 +121,9 @@
     }
 
     /**
-     * Nobody waits any more for an exchange that was sent to the backend of a tag; it counts as out for a
-     * while. Danger: the backend may be at work on it still, and where most are given up so, all look idle.
+     * Nobody waits any more for an exchange that was sent to the backend of a tag; it counts as out
+     * for a while. Danger: the backend may be at work on it still, and where most are given up so,
+     * all look idle.
      */
     public void attemptAbandoned(int tag, double now) {
         lingering.add(new Lingering(tag, now + LINGER * forget));
@@ -120,25 +146,31 @@
         }
     }
 
-    /** How many exchanges the others have out at a backend, and how many of its own it has given up there. */
+    /**
+     * How many exchanges the others have out at a backend, and how many of its own it has given up
+     * there.
+     */
     public int peerLoad(int tag) {
         return others.getOrDefault(tag, 0) + lingeringByTag.getOrDefault(tag, 0);
     }
 
     /**
-     * How many of the others are heard. Danger: where none is any more, what they have out counts as nothing,
-     * and who went on by that would take all backends for idle; and until that is forgotten, by what they had
-     * out when they fell silent. So a silence of many times what is usual between two tellings is deafness.
+     * How many of the others are heard. Danger: where none is any more, what they have out counts
+     * as nothing, and who went on by that would take all backends for idle; and until that is
+     * forgotten, by what they had out when they fell silent. So a silence of many times what is
+     * usual between two tellings is deafness.
      */
     public int livePeerCount(double now) {
         boolean deaf = now - latestAt > Math.max(LEAST_SILENCE * pace, SILENCE * gap);
-        return deaf ? 0 : (int) Arrays.stream(peers).filter(peer -> now - peer.heardAt <= forget).count();
+        return deaf
+                ? 0
+                : (int) Arrays.stream(peers).filter(peer -> now - peer.heardAt <= forget).count();
     }
 
     /**
-     * What another has told. Danger: datagrams come late, out of order, twice, cut, from a new start that
-     * counts from the beginning again, or from a former self after that; what can't be read or is older than
-     * what is held changes nothing.
+     * What another has told. Danger: datagrams come late, out of order, twice, cut, from a new
+     * start that counts from the beginning again, or from a former self after that; what can't be
+     * read or is older than what is held changes nothing.
      */
     public void receive(int from, byte[] datagram, double now) {
         Peer peer = from < 0 || from >= peers.length || from == self ? null : peers[from];
@@ -149,7 +181,9 @@
         ByteBuffer in = ByteBuffer.wrap(datagram, 1, datagram.length - 1);
         int numbered = in.getShort() & 0xffff, start = numbered >> COUNT_BITS;
         boolean known = now - peer.heardAt <= REMEMBERED * forget;
-        if (known && (start == peer.former || start == peer.start && !isAfter(numbered, peer.number))) {
+        if (known
+                && (start == peer.former
+                        || start == peer.start && !isAfter(numbered, peer.number))) {
             return;
         }
         peer.former = known && start != peer.start ? peer.start : peer.former;
@@ -160,15 +194,17 @@
         latestAt = now;
         int[] before = peer.tags;
         peer.tags = new int[length / TAG_BYTES];
-        Arrays.setAll(peer.tags, i -> (in.get() & 0xff) << 16 | (in.get() & 0xff) << 8 | in.get() & 0xff);
+        Arrays.setAll(
+                peer.tags, i -> (in.get() & 0xff) << 16 | (in.get() & 0xff) << 8 | in.get() & 0xff);
         peer.number = numbered;
         peer.heardAt = now;
         replace(before, peer.tags);
     }
 
     /**
-     * Another proxy has started anew, under a start number. Danger: what its former self had out would look
-     * busy until it is forgotten, and what that has told and still comes would be taken for the new one's.
+     * Another proxy has started anew, under a start number. Danger: what its former self had out
+     * would look busy until it is forgotten, and what that has told and still comes would be taken
+     * for the new one's.
      */
     public void peerRestarted(int proxy, long start) {
         Peer peer = peers[proxy];
@@ -182,7 +218,9 @@
         replace(before, peer.tags);
     }
 
-    /** Danger: what a proxy had out that was killed would keep its backends looking busy for good. */
+    /**
+     * Danger: what a proxy had out that was killed would keep its backends looking busy for good.
+     */
     public void expireSilentPeers(double now) {
         lapse(now);
         for (Peer peer : peers) {
@@ -201,7 +239,8 @@
     }
 
     private void replace(int[] before, int[] after) {
-        Arrays.stream(before).forEach(tag -> others.computeIfPresent(tag, (t, n) -> n > 1 ? n - 1 : null));
+        Arrays.stream(before)
+                .forEach(tag -> others.computeIfPresent(tag, (t, n) -> n > 1 ? n - 1 : null));
         Arrays.stream(after).forEach(tag -> others.merge(tag, 1, Integer::sum));
         Arrays.stream(before).forEach(changed);
         Arrays.stream(after).forEach(changed);
@@ -210,12 +249,14 @@
     /** When the next telling is due; infinite where nothing is to be told. */
     public double nextSendAt() {
         double lapses = lingering.isEmpty() ? Double.POSITIVE_INFINITY : lingering.peek().until;
-        return Math.min(lapses, Arrays.stream(peers).mapToDouble(this::nextSendAt).min().orElse(lapses));
+        return Math.min(
+                lapses, Arrays.stream(peers).mapToDouble(this::nextSendAt).min().orElse(lapses));
     }
 
     private double nextSendAt(Peer peer) {
-        return peer.dirty ? peer.toldAt + pace : peer.knows ? peer.toldAt + AGAIN * forget
-                : Double.POSITIVE_INFINITY;
+        return peer.dirty
+                ? peer.toldAt + pace
+                : peer.knows ? peer.toldAt + AGAIN * forget : Double.POSITIVE_INFINITY;
     }
 
     /** The tellings that are due, which count as told. What does not fit is left out. */
@@ -231,9 +272,13 @@
     }
 
     private Message message(int to, double now) {
-        int[] tags = own.entrySet().stream().filter(each -> uses(to, each.getKey()))
-                .flatMapToInt(each -> IntStream.generate(each::getKey).limit(each.getValue()))
-                .limit(MOST).toArray();
+        int[] tags =
+                own.entrySet().stream()
+                        .filter(each -> uses(to, each.getKey()))
+                        .flatMapToInt(
+                                each -> IntStream.generate(each::getKey).limit(each.getValue()))
+                        .limit(MOST)
+                        .toArray();
         ByteBuffer out = ByteBuffer.allocate(HEAD + tags.length * TAG_BYTES);
         out.put(KIND).putShort((short) (start << COUNT_BITS | ++peers[to].told & COUNTS - 1));
         for (int tag : tags) {
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -12,31 +12,40 @@
 
 /**
  * Which proxies of a fleet use which backends. Each uses the subset of those with its least scores
- * (rendezvous hashing), and all reckon the same scores, so that each knows the others' subsets and none need
- * tell its own.
+ * (rendezvous hashing), and all reckon the same scores, so that each knows the others' subsets and
+ * none need tell its own.
  *
- * <p>A change of one backend costs as many scores as there are proxies, whatever the number of backends: for
- * each proxy the best backends are kept in order, twice as many as its subset has, and all are scored anew
- * only when so many of those have gone that the subset itself would be short.
+ * <p>A change of one backend costs as many scores as there are proxies, whatever the number of
+ * backends: for each proxy the best backends are kept in order, twice as many as its subset has,
+ * and all are scored anew only when so many of those have gone that the subset itself would be
+ * short.
  */
 public final class SubsetAssignment {
     /** For each backend of a subset so many of the next best are kept in order. */
     private static final int KEPT_PER_PLACE = 2;
+
     /** A key is a score above the backend's id, so that sorting keys sorts by score. */
     private static final int ID_BITS = 24, SCORE_BITS = 39;
+
     private static final int[] NOBODY = {};
 
     private final int proxies, width;
     private final BestKeys[] best;
     private final ActiveIds active = new ActiveIds();
+
     /** By backend id, as long as no list changes. */
     private final Map<Integer, int[]> users = new HashMap<>();
+
     /** What is listed, by index. */
     private final Map<Integer, Known> known = new HashMap<>();
+
     /** The indexes that are ready, by backend id; two backends may have one id. */
     private final Map<Integer, Set<Integer>> byId = new HashMap<>();
 
-    /** A line as it was told last, and its backend's id then; an index may stand for another one later. */
+    /**
+     * A line as it was told last, and its backend's id then; an index may stand for another one
+     * later.
+     */
     private record Known(EndpointUpdate line, int id) {
         private boolean isReady() {
             return line.state() == EndpointUpdate.State.READY;
@@ -81,13 +90,14 @@
     }
 
     /**
-     * Lines of a list as a proxy's decisions are to have them, with that proxy's scores, and with them each
-     * line told before of which another share of the proxies uses the backend now.
+     * Lines of a list as a proxy's decisions are to have them, with that proxy's scores, and with
+     * them each line told before of which another share of the proxies uses the backend now.
      *
      * @param whole whether nothing is listed but these lines
      * @param id the backend id of an index
      */
-    public List<EndpointUpdate> assigned(int proxy, boolean whole, List<EndpointUpdate> updates, IntUnaryOperator id) {
+    public List<EndpointUpdate> assigned(
+            int proxy, boolean whole, List<EndpointUpdate> updates, IntUnaryOperator id) {
         Set<Integer> affected = backendsOfSubset(proxy);
         if (whole) {
             List.copyOf(known.keySet()).forEach(this::withdraw);
@@ -129,7 +139,8 @@
 
     private EndpointUpdate scored(int proxy, EndpointUpdate update, int id) {
         double score = score(proxy, id), used = used(proxy, id);
-        known.computeIfPresent(update.backend(),
+        known.computeIfPresent(
+                update.backend(),
                 (backend, its) -> new Known(its.line.withSubset(score, used), its.id));
         return update.withSubset(score, used);
     }
@@ -216,6 +227,7 @@
     private static final class BestKeys {
         private final long[] keys;
         private int size;
+
         /** Whether there are others beyond those that are kept. */
         private boolean leftOut;
 
@@ -233,7 +245,8 @@
         }
 
         private void add(long key) {
-            // Where some were left out, one that is behind all that are kept may be behind those as well.
+            // Where some were left out, one that is behind all that are kept may be behind those as
+            // well.
             boolean behind = size == 0 || key > keys[size - 1];
             if (behind && (leftOut || size == keys.length)) {
                 leftOut = true;
--- a/src/main/java/lemondrift/hotrestart/ResourceSplit.java
+++ b/src/main/java/lemondrift/hotrestart/ResourceSplit.java
@@ -1,8 +1,8 @@
 package lemondrift.hotrestart;
 
 /**
- * Which part of what the platform gives a proxy one of its processes may use. During an upgrade there are two
- * of them, and the platform counts them as one. No I/O.
+ * Which part of what the platform gives a proxy one of its processes may use. During an upgrade
+ * there are two of them, and the platform counts them as one. No I/O.
  */
 public final class ResourceSplit {
     /** What this process is beside others of the same proxy. */
@@ -18,9 +18,9 @@
     private State state = State.BESIDE;
 
     /**
-     * A look has shown whether this process is the one that serves, and whether one waits to follow it; says
-     * whether that changes anything. One whose predecessor has ended serves; one whose successor has ended is
-     * alone again.
+     * A look has shown whether this process is the one that serves, and whether one waits to follow
+     * it; says whether that changes anything. One whose predecessor has ended serves; one whose
+     * successor has ended is alone again.
      */
     public boolean looked(boolean serves, boolean waits) {
         State before = state;
@@ -32,7 +32,9 @@
         return state;
     }
 
-    /** Among how many processes all is shared. Danger: one that takes all at once would do so twice. */
+    /**
+     * Among how many processes all is shared. Danger: one that takes all at once would do so twice.
+     */
     public int processes() {
         return state == State.ALONE ? 1 : 2;
     }
--- a/src/main/java/lemondrift/lab/Baseline.java
+++ b/src/main/java/lemondrift/lab/Baseline.java
@@ -10,8 +10,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Policies to compare the module with, and nothing else: they pick, send again what is proved never to have
- * run, and keep rules one to three. They judge no health and spare no cold backend.
+ * Policies to compare the module with, and nothing else: they pick, send again what is proved never
+ * to have run, and keep rules one to three. They judge no health and spare no cold backend.
  */
 public final class Baseline implements RoutingPolicy {
     /** How a baseline picks among the backends that are listed as ready. */
@@ -24,14 +24,20 @@
         LEAST_OUTSTANDING,
         /** The one of two at random with the fewest out. */
         TWO_CHOICES,
-        /** The least peak of fading answer times, by one more than the forwards out (Finagle's Peak EWMA). */
+        /**
+         * The least peak of fading answer times, by one more than the forwards out (Finagle's Peak
+         * EWMA).
+         */
         PEAK_EWMA,
         /** The one with the least true load, which no proxy can see. */
         ORACLE
     }
 
-    /** Seconds over which a peak of answer times fades, and the forwards that an exchange may have. */
+    /**
+     * Seconds over which a peak of answer times fades, and the forwards that an exchange may have.
+     */
     private static final double FADES = 5;
+
     private static final int MOST = 3;
 
     private final Kind kind;
@@ -60,7 +66,13 @@
     @Override
     public Decision arrived(double now, Request request) {
         nothing();
-        request.attemptDeadline = Math.min(request.deadline, now + settings.requestClasses().get(request.requestClass).latencyObjectiveSeconds());
+        request.attemptDeadline =
+                Math.min(
+                        request.deadline,
+                        now
+                                + settings.requestClasses()
+                                        .get(request.requestClass)
+                                        .latencyObjectiveSeconds());
         sends(now, request);
         return decision;
     }
@@ -68,8 +80,10 @@
     private void sends(double now, Request request) {
         int to = now < request.attemptDeadline && request.attemptCount < MOST ? pick(now) : -1;
         if (to < 0) {
-            boolean shed = request.possiblyExecuted == null
-                    || settings.requestClasses().get(request.requestClass).idempotency() == Idempotency.IDEMPOTENT;
+            boolean shed =
+                    request.possiblyExecuted == null
+                            || settings.requestClasses().get(request.requestClass).idempotency()
+                                    == Idempotency.IDEMPOTENT;
             request.completed = true;
             decision.localReplies.add(new Decision.LocalReply(request, shed, 0));
             return;
@@ -95,8 +109,11 @@
                 int other = all[chance.nextInt(all.length)];
                 yield out[other] < out[any] ? other : any;
             }
-            case PEAK_EWMA -> least(all, any, i -> (out[i] + 1)
-                    * peak[i] * Math.exp((peakAt[i] - now) / FADES));
+            case PEAK_EWMA ->
+                    least(
+                            all,
+                            any,
+                            i -> (out[i] + 1) * peak[i] * Math.exp((peakAt[i] - now) / FADES));
             case ORACLE -> least(all, any, trueLoad);
         };
     }
@@ -116,7 +133,13 @@
     }
 
     @Override
-    public Decision ended(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over, double[] loadReport) {
+    public Decision ended(
+            double now,
+            Attempt attempt,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            boolean over,
+            double[] loadReport) {
         nothing();
         Request request = attempt.request;
         attempt.ended = true;
@@ -126,8 +149,14 @@
         double faded = peak[attempt.backend] * Math.exp((peakAt[attempt.backend] - now) / FADES);
         peak[attempt.backend] = Math.max(durationSeconds, faded + (durationSeconds - faded) / 8);
         peakAt[attempt.backend] = now;
-        request.possiblyExecuted = !outcome.neverExecuted && request.possiblyExecuted == null ? attempt : request.possiblyExecuted;
-        if (!request.completed && (outcome.neverExecuted || settings.requestClasses().get(request.requestClass).idempotency() == Idempotency.IDEMPOTENT)) {
+        request.possiblyExecuted =
+                !outcome.neverExecuted && request.possiblyExecuted == null
+                        ? attempt
+                        : request.possiblyExecuted;
+        if (!request.completed
+                && (outcome.neverExecuted
+                        || settings.requestClasses().get(request.requestClass).idempotency()
+                                == Idempotency.IDEMPOTENT)) {
             sends(now, request);
         } else if (!request.completed) {
             request.completed = true;
@@ -149,12 +178,16 @@
 
     @Override
     public Decision listed(double now, boolean whole, List<EndpointUpdate> updates) {
-        int size = Math.max(ready.length, updates.stream().mapToInt(EndpointUpdate::backend).max().orElse(-1) + 1);
+        int size =
+                Math.max(
+                        ready.length,
+                        updates.stream().mapToInt(EndpointUpdate::backend).max().orElse(-1) + 1);
         ready = Arrays.copyOf(ready, size);
         out = Arrays.copyOf(out, size);
         peak = Arrays.copyOf(peak, size);
         peakAt = Arrays.copyOf(peakAt, size);
-        updates.forEach(update -> ready[update.backend()] = update.state() == EndpointUpdate.State.READY);
+        updates.forEach(
+                update -> ready[update.backend()] = update.state() == EndpointUpdate.State.READY);
         return nothing();
     }
 
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -23,15 +23,29 @@
  * @param tells whether the module's proxies tell one another what they have out
  * @param recovers whether they ask one another after their start, where they tell
  * @param host what it is played on
- * @param uneven the deviation of the logarithm of a proxy's share of traffic, on processes; 0 is even
+ * @param uneven the deviation of the logarithm of a proxy's share of traffic, on processes; 0 is
+ *     even
  * @param connections that a backend holds at once, on processes; 0 is any number
  * @param faults what goes wrong with and between the processes
  */
-public record Experiment(String name, String about, Scenario day, List<String> policies, List<Long> seeds,
-        List<Expectation> expects, boolean tells, boolean recovers, Host host, double uneven,
-        int connections, List<Fault> faults) {
+public record Experiment(
+        String name,
+        String about,
+        Scenario day,
+        List<String> policies,
+        List<Long> seeds,
+        List<Expectation> expects,
+        boolean tells,
+        boolean recovers,
+        Host host,
+        double uneven,
+        int connections,
+        List<Fault> faults) {
     /** Virtual time, or real processes and sockets. */
-    public enum Host { VIRTUAL, PROCESSES }
+    public enum Host {
+        VIRTUAL,
+        PROCESSES
+    }
 
     /** The module's name among the policies. */
     public static final String MODULE = "module";
@@ -39,12 +53,31 @@
     /** The names of the lab's grades. */
     public static final List<String> GRADES = List.of("look", "order", "book");
 
-    /** Grades of the lab's own: a look, an order with a mark, and a booking that must never run twice. */
+    /**
+     * Grades of the lab's own: a look, an order with a mark, and a booking that must never run
+     * twice.
+     */
     private static List<RequestClass> grades(double contract) {
         double expiry = 2.4 * contract, memory = 1.2 * contract;
-        return List.of(new RequestClass(1, 0, contract, expiry, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
-                new RequestClass(3, 0, contract, expiry, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.LOCATION, memory),
-                new RequestClass(9, 0, contract, expiry, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0));
+        return List.of(
+                new RequestClass(
+                        1, 0, contract, expiry, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
+                new RequestClass(
+                        3,
+                        0,
+                        contract,
+                        expiry,
+                        Idempotency.IDEMPOTENT_WITH_KEY,
+                        DeduplicationScope.LOCATION,
+                        memory),
+                new RequestClass(
+                        9,
+                        0,
+                        contract,
+                        expiry,
+                        Idempotency.NOT_IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0));
     }
 
     /** One figure of a day held against a bound. */
@@ -99,13 +132,23 @@
     }
 
     /**
-     * The settings that the lab's proxies are told; probe is what one costs, as a share of an exchange, and
-     * the contract time is in seconds.
+     * The settings that the lab's proxies are told; probe is what one costs, as a share of an
+     * exchange, and the contract time is in seconds.
      */
     public static Settings settings(int proxies, int locations, double probe, double contract) {
-        return new Settings(proxies, locations, 0, false, grades(contract), new double[0], 1, false,
-                new Settings.LoadReports(true, 0, 1, false, -1), new Settings.Limits(true, true, 4, 0.5),
-                new Settings.Rules(0.3, 6, 3, 2, 10), new Settings.Costs(0.01, probe));
+        return new Settings(
+                proxies,
+                locations,
+                0,
+                false,
+                grades(contract),
+                new double[0],
+                1,
+                false,
+                new Settings.LoadReports(true, 0, 1, false, -1),
+                new Settings.Limits(true, true, 4, 0.5),
+                new Settings.Rules(0.3, 6, 3, 2, 10),
+                new Settings.Costs(0.01, probe));
     }
 
     /** Plays each policy's day for each seed, one after the other. */
@@ -121,8 +164,20 @@
 
     /** The same day but for the seed. */
     public Scenario day(long seed) {
-        return new Scenario(day.settings(), day.proxies(), day.backends(), day.cores(), day.rate(), day.work(),
-                day.spread(), day.tries(), day.way(), day.delay(), day.grace(), day.lasts(), seed,
+        return new Scenario(
+                day.settings(),
+                day.proxies(),
+                day.backends(),
+                day.cores(),
+                day.rate(),
+                day.work(),
+                day.spread(),
+                day.tries(),
+                day.way(),
+                day.delay(),
+                day.grace(),
+                day.lasts(),
+                seed,
                 day.troubles());
     }
 
@@ -135,12 +190,27 @@
         Scenario its = day(seed);
         Simulation[] world = {null};
         if (policy.equals(MODULE)) {
-            world[0] = new Simulation(its, p -> module(its.settings().inLocation(p % its.settings().locationCount()),
-                    seed * 1000 + p, p));
+            world[0] =
+                    new Simulation(
+                            its,
+                            p ->
+                                    module(
+                                            its.settings()
+                                                    .inLocation(p % its.settings().locationCount()),
+                                            seed * 1000 + p,
+                                            p));
         } else {
             Baseline.Kind kind = Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
-            world[0] = new Simulation(its, 3, p -> new Baseline(kind, its.settings(), seed * 1000 + p,
-                    i -> world[0].trueLoad(i)));
+            world[0] =
+                    new Simulation(
+                            its,
+                            3,
+                            p ->
+                                    new Baseline(
+                                            kind,
+                                            its.settings(),
+                                            seed * 1000 + p,
+                                            i -> world[0].trueLoad(i)));
         }
         try {
             return new Run(policy, seed, world[0].play(), null);
--- a/src/main/java/lemondrift/lab/ExperimentFile.java
+++ b/src/main/java/lemondrift/lab/ExperimentFile.java
@@ -18,16 +18,33 @@
 
 /** Reads an experiment. What can't be used is one line with file, line and key. */
 public final class ExperimentFile {
-    private static final List<String> KEYS = List.of("about", "host", "policies", "seeds", "expect", "world",
-            "trouble", "fault");
-    private static final List<String> WORLD = List.of("proxies", "backends", "cores", "load", "work",
-            "spread", "tries", "way", "delay", "grace", "lasts", "locations", "probe", "tells", "recovers",
-            "contract",
-            "uneven", "connections");
+    private static final List<String> KEYS =
+            List.of("about", "host", "policies", "seeds", "expect", "world", "trouble", "fault");
+    private static final List<String> WORLD =
+            List.of(
+                    "proxies",
+                    "backends",
+                    "cores",
+                    "load",
+                    "work",
+                    "spread",
+                    "tries",
+                    "way",
+                    "delay",
+                    "grace",
+                    "lasts",
+                    "locations",
+                    "probe",
+                    "tells",
+                    "recovers",
+                    "contract",
+                    "uneven",
+                    "connections");
     private static final List<String> TROUBLE = List.of("kind", "at", "lasts", "share", "strength");
-    private static final List<String> FAULT = List.of("kind", "channel", "from", "to", "both", "at", "lasts",
-            "share", "by");
-    private static final Pattern EXPECTATION = Pattern.compile("(\\w+) *(>=|<=|==) *(\\d+(?:\\.\\d+)?)");
+    private static final List<String> FAULT =
+            List.of("kind", "channel", "from", "to", "both", "at", "lasts", "share", "by");
+    private static final Pattern EXPECTATION =
+            Pattern.compile("(\\w+) *(>=|<=|==) *(\\d+(?:\\.\\d+)?)");
 
     private final Path file;
     private final TomlReader toml;
@@ -53,12 +70,13 @@
         toml.known(toml.all, KEYS);
         List<Long> seeds = new ArrayList<>();
         toml.all.path("seeds").forEach(seed -> seeds.add(seed.asLong()));
-        Experiment.Host host = toml.word(toml.all, "host", Experiment.Host.class, Experiment.Host.VIRTUAL,
-                "host");
+        Experiment.Host host =
+                toml.word(toml.all, "host", Experiment.Host.class, Experiment.Host.VIRTUAL, "host");
         List<String> policies = new ArrayList<>(List.of(Experiment.MODULE));
         for (JsonNode each : toml.all.path("policies")) {
-            if (Arrays.stream(Baseline.Kind.values()).noneMatch(kind -> TomlReader.lower(kind)
-                    .equals(each.asText())) && !each.asText().equals(Experiment.MODULE)) {
+            if (Arrays.stream(Baseline.Kind.values())
+                            .noneMatch(kind -> TomlReader.lower(kind).equals(each.asText()))
+                    && !each.asText().equals(Experiment.MODULE)) {
                 throw toml.bad("policies", "no such policy: " + each.asText());
             }
             if (!policies.contains(each.asText())) {
@@ -85,11 +103,20 @@
         JsonNode world = toml.all.path("world");
         toml.enters("[world]", 0);
         toml.known(world, WORLD);
-        return new Experiment(file.getFileName().toString().replaceFirst("\\.toml$", ""),
-                toml.all.path("about").asText(), day(world, troubles), policies,
-                seeds.isEmpty() ? List.of(1L) : seeds, expects, toml.whether(world, "tells"),
-                world.has("recovers") ? toml.whether(world, "recovers") : toml.whether(world, "tells"), host,
-                toml.number(world, "uneven", 0, 0, 3), toml.whole(world, "connections", 0, 0, 65_536),
+        return new Experiment(
+                file.getFileName().toString().replaceFirst("\\.toml$", ""),
+                toml.all.path("about").asText(),
+                day(world, troubles),
+                policies,
+                seeds.isEmpty() ? List.of(1L) : seeds,
+                expects,
+                toml.whether(world, "tells"),
+                world.has("recovers")
+                        ? toml.whether(world, "recovers")
+                        : toml.whether(world, "tells"),
+                host,
+                toml.number(world, "uneven", 0, 0, 3),
+                toml.whole(world, "connections", 0, 0, 65_536),
                 faults);
     }
 
@@ -97,34 +124,69 @@
         int proxies = toml.whole(world, "proxies", 3, 1, 500);
         int backends = toml.whole(world, "backends", 10, 0, 2000);
         int cores = toml.whole(world, "cores", 2, 1, 64);
-        Settings settings = Experiment.settings(proxies, toml.whole(world, "locations", 2, 1, 64),
-                toml.number(world, "probe", 0.002, 0, 1), toml.span(world, "contract", 0.5));
+        Settings settings =
+                Experiment.settings(
+                        proxies,
+                        toml.whole(world, "locations", 2, 1, 64),
+                        toml.number(world, "probe", 0.002, 0, 1),
+                        toml.span(world, "contract", 0.5));
         double work = toml.span(world, "work", 0.05);
         double load = toml.number(world, "load", 0.65, 0.01, 10);
         double rate = load * Math.max(1, backends) * cores / work;
-        return new Scenario(settings, proxies, backends, cores, rate, work,
-                toml.number(world, "spread", 0.5, 0, 3), toml.whole(world, "tries", 3, 1, 20),
-                toml.time(world, "way", 0.0005), toml.time(world, "delay", 0.4),
-                toml.time(world, "grace", 2), toml.time(world, "lasts", 20), 1, troubles);
+        return new Scenario(
+                settings,
+                proxies,
+                backends,
+                cores,
+                rate,
+                work,
+                toml.number(world, "spread", 0.5, 0, 3),
+                toml.whole(world, "tries", 3, 1, 20),
+                toml.time(world, "way", 0.0005),
+                toml.time(world, "delay", 0.4),
+                toml.time(world, "grace", 2),
+                toml.time(world, "lasts", 20),
+                1,
+                troubles);
     }
 
     private BackendFault trouble(JsonNode table) {
         BackendFault.Kind kind = toml.word(table, "kind", BackendFault.Kind.class, null, "trouble");
-        return new BackendFault(kind, toml.time(table, "at", 5), toml.span(table, "lasts", 6),
-                toml.share(table, "share", 0.3), toml.number(table, "strength",
-                        kind == BackendFault.Kind.ERRORS || kind == BackendFault.Kind.GRADE ? 0.8 : 3, 0, 1000));
+        return new BackendFault(
+                kind,
+                toml.time(table, "at", 5),
+                toml.span(table, "lasts", 6),
+                toml.share(table, "share", 0.3),
+                toml.number(
+                        table,
+                        "strength",
+                        kind == BackendFault.Kind.ERRORS || kind == BackendFault.Kind.GRADE
+                                ? 0.8
+                                : 3,
+                        0,
+                        1000));
     }
 
     private Fault fault(JsonNode table) {
         Fault.Kind kind = toml.word(table, "kind", Fault.Kind.class, null, "fault");
-        Fault.Channel channel = toml.word(table, "channel", Fault.Channel.class, Fault.Channel.DATAGRAMS,
-                "channel");
-        if (channel != Fault.Channel.DATAGRAMS && !kind.isOfProcesses() && kind != Fault.Kind.CUT
+        Fault.Channel channel =
+                toml.word(
+                        table, "channel", Fault.Channel.class, Fault.Channel.DATAGRAMS, "channel");
+        if (channel != Fault.Channel.DATAGRAMS
+                && !kind.isOfProcesses()
+                && kind != Fault.Kind.CUT
                 && kind != Fault.Kind.LATE) {
             throw toml.bad("kind", "connections can be cut or late, nothing else");
         }
-        return new Fault(kind, channel, who(table, "from"), who(table, "to"), toml.whether(table, "both"),
-                toml.time(table, "at", 5), toml.span(table, "lasts", 6), toml.share(table, "share", 1),
+        return new Fault(
+                kind,
+                channel,
+                who(table, "from"),
+                who(table, "to"),
+                toml.whether(table, "both"),
+                toml.time(table, "at", 5),
+                toml.span(table, "lasts", 6),
+                toml.share(table, "share", 1),
                 toml.time(table, "by", 0.2));
     }
 
@@ -139,9 +201,14 @@
     private Experiment.Expectation expectation(String text) {
         Matcher parts = EXPECTATION.matcher(text);
         if (!parts.matches() || !Experiment.FIGURES.contains(parts.group(1))) {
-            throw toml.bad("expect", "not such as \"service >= 0.9\": \"" + text + "\"; figures are "
-                    + String.join(", ", Experiment.FIGURES));
+            throw toml.bad(
+                    "expect",
+                    "not such as \"service >= 0.9\": \""
+                            + text
+                            + "\"; figures are "
+                            + String.join(", ", Experiment.FIGURES));
         }
-        return new Experiment.Expectation(parts.group(1), parts.group(2), Double.parseDouble(parts.group(3)));
+        return new Experiment.Expectation(
+                parts.group(1), parts.group(2), Double.parseDouble(parts.group(3)));
     }
 }
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import lemondrift.balancer.LoadBalancer;
-import lemondrift.lab.simulation.RoutingPolicy;
-import lemondrift.model.*;
 import lemondrift.gossip.LoadGossip;
 import lemondrift.gossip.SubsetAssignment;
+import lemondrift.lab.simulation.RoutingPolicy;
+import lemondrift.model.*;
 import lemondrift.recovery.PeerPollBackoff;
 import lemondrift.recovery.PeerStatus;
 import lemondrift.recovery.RecoveryState;
@@ -15,15 +15,22 @@
 public final class ModuleUnderTest implements RoutingPolicy {
     /** The least time between two tellings, and when what is told is forgotten, in windows. */
     private static final double PACE = 0.02, FORGET = 2;
+
     private static final int PART = 12;
 
     private final LoadBalancer balancer;
     private final int self;
-    /** What it tells the others and hears of them, its backends' tags being their indexes; or null. */
+
+    /**
+     * What it tells the others and hears of them, its backends' tags being their indexes; or null.
+     */
     private LoadGossip gossip;
+
     private SubsetAssignment subsets;
+
     /** Its way back after its start; null where it asks nobody. */
     private RecoveryState recovery;
+
     private final List<LoadGossip.Message> said = new ArrayList<>();
 
     public ModuleUnderTest(Settings settings, long seed) {
@@ -36,21 +43,37 @@
         this.self = self;
         if (tells && balancer.wantsGossip()) {
             subsets = new SubsetAssignment(settings.proxyCount(), PART);
-            gossip = new LoadGossip(settings.proxyCount(), self, 1 + self, PACE * settings.windowSeconds(),
-                    FORGET * settings.windowSeconds(), subsets,
-                    tag -> balancer.peerLoadReported(tag, gossip.peerLoad(tag)));
+            gossip =
+                    new LoadGossip(
+                            settings.proxyCount(),
+                            self,
+                            1 + self,
+                            PACE * settings.windowSeconds(),
+                            FORGET * settings.windowSeconds(),
+                            subsets,
+                            tag -> balancer.peerLoadReported(tag, gossip.peerLoad(tag)));
         }
     }
 
     /** One that asks the others at its start what they have found. */
     public ModuleUnderTest recovering(Settings settings) {
-        recovery = RecoveryState.begins(PeerPollBackoff.of(settings.windowSeconds()), self, settings.proxyCount(), 1 + self, 0);
+        recovery =
+                RecoveryState.begins(
+                        PeerPollBackoff.of(settings.windowSeconds()),
+                        self,
+                        settings.proxyCount(),
+                        1 + self,
+                        0);
         return this;
     }
 
     private void says(RecoveryState.Step step, double now) {
         recovery = step.next();
-        step.sent().forEach(each -> said.add(new LoadGossip.Message(each.to(), each.hello().encoded())));
+        step.sent()
+                .forEach(
+                        each ->
+                                said.add(
+                                        new LoadGossip.Message(each.to(), each.hello().encoded())));
         RecoveryState.Lesson lesson = recovery.isSettled() ? null : recovery.lesson(now);
         if (lesson != null) {
             balancer.seedServiceTime(lesson.work(), lesson.answers());
@@ -59,7 +82,10 @@
 
     private void hear(double now) {
         if (recovery != null) {
-            recovery = recovery.found(balancer.measuredServiceTime()[0], (int) balancer.measuredServiceTime()[1]);
+            recovery =
+                    recovery.found(
+                            balancer.measuredServiceTime()[0],
+                            (int) balancer.measuredServiceTime()[1]);
         }
         if (gossip != null) {
             gossip.expireSilentPeers(now);
@@ -81,7 +107,13 @@
     }
 
     @Override
-    public Decision ended(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over, double[] loadReport) {
+    public Decision ended(
+            double now,
+            Attempt attempt,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            boolean over,
+            double[] loadReport) {
         hear(now);
         if (gossip != null) {
             if (outcome.mayStillRun) {
@@ -90,7 +122,8 @@
                 gossip.attemptEnded(attempt.backend);
             }
         }
-        return sent(balancer.attemptEnded(now, attempt, outcome, durationSeconds, over, loadReport));
+        return sent(
+                balancer.attemptEnded(now, attempt, outcome, durationSeconds, over, loadReport));
     }
 
     @Override
@@ -108,7 +141,9 @@
         if (gossip == null) {
             return balancer.endpointsListed(now, whole, false, updates);
         }
-        return sent(balancer.endpointsListed(now, whole, false, subsets.assigned(self, whole, updates, i -> i)));
+        return sent(
+                balancer.endpointsListed(
+                        now, whole, false, subsets.assigned(self, whole, updates, i -> i)));
     }
 
     @Override
--- a/src/main/java/lemondrift/lab/PairedDifference.java
+++ b/src/main/java/lemondrift/lab/PairedDifference.java
@@ -5,8 +5,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The mean difference of pairs and an interval for it by the paired bootstrap (Efron 1979): pairs of one seed
- * are drawn anew with replacement, and of the means that come out the middle 95% are kept.
+ * The mean difference of pairs and an interval for it by the paired bootstrap (Efron 1979): pairs
+ * of one seed are drawn anew with replacement, and of the means that come out the middle 95% are
+ * kept.
  */
 public record PairedDifference(double mean, double low, double high) {
     private static final int DRAWS = 2000;
@@ -30,6 +31,7 @@
         for (int i = 0; i < a.length; i++) {
             mean += (a[i] - b[i]) / a.length;
         }
-        return new PairedDifference(mean, means[(int) (LEFT_OUT * DRAWS)], means[(int) ((1 - LEFT_OUT) * DRAWS) - 1]);
+        return new PairedDifference(
+                mean, means[(int) (LEFT_OUT * DRAWS)], means[(int) ((1 - LEFT_OUT) * DRAWS) - 1]);
     }
 }
--- a/src/main/java/lemondrift/lab/TomlReader.java
+++ b/src/main/java/lemondrift/lab/TomlReader.java
@@ -14,7 +14,9 @@
 import java.util.regex.Pattern;
 import lemondrift.settings.InvalidSettingsException;
 
-/** A TOML file, its values with their units. What can't be used is one line with file, line and key. */
+/**
+ * A TOML file, its values with their units. What can't be used is one line with file, line and key.
+ */
 final class TomlReader {
     private static final Pattern TIME = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s)");
     private static final Pattern SHARE = Pattern.compile("(\\d+(?:\\.\\d+)?)%");
@@ -37,7 +39,9 @@
         }
     }
 
-    /** From here on keys belong to the nth table with such a header; before any to the file itself. */
+    /**
+     * From here on keys belong to the nth table with such a header; before any to the file itself.
+     */
     void enters(String header, int nth) {
         for (int i = 0, seen = 0; i < lines.size(); i++) {
             if (lines.get(i).strip().startsWith(header) && seen++ == nth) {
@@ -48,7 +52,8 @@
 
     /** The line on which a key of the present table stands, counted from one. */
     private int line(String key) {
-        Pattern pattern = Pattern.compile("\\s*(\\[+\\s*)?\"?" + Pattern.quote(key) + "\"?\\s*(=|\\]).*");
+        Pattern pattern =
+                Pattern.compile("\\s*(\\[+\\s*)?\"?" + Pattern.quote(key) + "\"?\\s*(=|\\]).*");
         for (int i = from; i < lines.size(); i++) {
             if (pattern.matcher(lines.get(i)).matches()) {
                 return i + 1;
@@ -69,16 +74,32 @@
         }
     }
 
-    /** One of an enum's words in small letters; bad where there is none and nothing else is usual. */
+    /**
+     * One of an enum's words in small letters; bad where there is none and nothing else is usual.
+     */
     <E extends Enum<E>> E word(JsonNode table, String key, Class<E> words, E usual, String what) {
         String text = table.path(key).asText("");
         if (table.path(key).isMissingNode() && usual != null) {
             return usual;
         }
-        return Arrays.stream(words.getEnumConstants()).filter(each -> text.equals(lower(each)))
-                .findFirst().orElseThrow(() -> bad(key, "no such " + what + ": \"" + text + "\"; "
-                        + "there are " + String.join(", ", Arrays.stream(words.getEnumConstants())
-                                .map(TomlReader::lower).toList())));
+        return Arrays.stream(words.getEnumConstants())
+                .filter(each -> text.equals(lower(each)))
+                .findFirst()
+                .orElseThrow(
+                        () ->
+                                bad(
+                                        key,
+                                        "no such "
+                                                + what
+                                                + ": \""
+                                                + text
+                                                + "\"; "
+                                                + "there are "
+                                                + String.join(
+                                                        ", ",
+                                                        Arrays.stream(words.getEnumConstants())
+                                                                .map(TomlReader::lower)
+                                                                .toList())));
     }
 
     static String lower(Enum<?> word) {
--- a/src/main/java/lemondrift/lab/fleet/BackendFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -29,8 +29,8 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The backends, all on one I/O thread. Each has one address for each segment of proxies, so that the way
- * there can fail for some of them alone.
+ * The backends, all on one I/O thread. Each has one address for each segment of proxies, so that
+ * the way there can fail for some of them alone.
  */
 final class BackendFleet implements HttpConnection.Hearer, AutoCloseable {
     /** What is known of one connection to a backend. */
@@ -47,6 +47,7 @@
 
     /** What is asked under such an id is beside the day: answered at once and not judged. */
     static final String ASIDE = "aside-";
+
     private static final byte[] BODY = "done".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] NONE = {};
 
@@ -61,11 +62,20 @@
     private final InetSocketAddress[][] addresses;
     private final Map<HttpConnection, Line> lines = new HashMap<>();
     final Backend[] backends;
+
     /** What pushes a cold backend over; set by whoever plays the troubles. */
-    IntConsumer fallen = i -> { };
+    IntConsumer fallen = i -> {};
 
-    BackendFleet(Scenario day, int segments, int mostConnections, Scheduler agenda, XnioWorker worker,
-            Supplier<FaultPlan> faults, OutcomeRecorder judge, UniformRandomProvider chance) throws IOException {
+    BackendFleet(
+            Scenario day,
+            int segments,
+            int mostConnections,
+            Scheduler agenda,
+            XnioWorker worker,
+            Supplier<FaultPlan> faults,
+            OutcomeRecorder judge,
+            UniformRandomProvider chance)
+            throws IOException {
         this.day = day;
         this.agenda = agenda;
         this.worker = worker;
@@ -78,8 +88,11 @@
         for (int i = 0; i < backends.length; i++) {
             backends[i] = new Backend(agenda, day.cores(), day.settings().rules());
             for (int s = 0; s < segments; s++) {
-                addresses[s][i] = new InetSocketAddress(LoopbackAddresses.address(LoopbackAddresses.BACKENDS,
-                        s * backends.length + i), 0);
+                addresses[s][i] =
+                        new InetSocketAddress(
+                                LoopbackAddresses.address(
+                                        LoopbackAddresses.BACKENDS, s * backends.length + i),
+                                0);
                 servers.add(null);
             }
             listens(i);
@@ -88,8 +101,10 @@
 
     /** How many seconds of work of one warm core all that are fit do in a second now. */
     double capacity() {
-        return Arrays.stream(backends).filter(Backend::isFit).mapToDouble(each -> day.cores()
-                / each.slowness()).sum();
+        return Arrays.stream(backends)
+                .filter(Backend::isFit)
+                .mapToDouble(each -> day.cores() / each.slowness())
+                .sum();
     }
 
     /** Where the proxies of a segment find a backend. */
@@ -101,17 +116,28 @@
     private void listens(int i) throws IOException {
         for (int s = 0; s < addresses.length; s++) {
             int segment = s;
-            AcceptingChannel<StreamConnection> server = worker.createStreamConnectionServer(addresses[s][i],
-                    ChannelListeners.openListenerAdapter(connection -> lines.put(new HttpConnection(connection, this),
-                            new Line(segment, i))), OptionMap.builder().set(Options.TCP_NODELAY, true)
-                                    .set(Options.REUSE_ADDRESSES, true).set(Options.BACKLOG, 1024).getMap());
+            AcceptingChannel<StreamConnection> server =
+                    worker.createStreamConnectionServer(
+                            addresses[s][i],
+                            ChannelListeners.openListenerAdapter(
+                                    connection ->
+                                            lines.put(
+                                                    new HttpConnection(connection, this),
+                                                    new Line(segment, i))),
+                            OptionMap.builder()
+                                    .set(Options.TCP_NODELAY, true)
+                                    .set(Options.REUSE_ADDRESSES, true)
+                                    .set(Options.BACKLOG, 1024)
+                                    .getMap());
             addresses[s][i] = server.getLocalAddress(InetSocketAddress.class);
             servers.set(i * addresses.length + s, server);
             server.resumeAccepts();
         }
     }
 
-    /** A backend's process is gone, and with it its connections; or its machine, which says nothing. */
+    /**
+     * A backend's process is gone, and with it its connections; or its machine, which says nothing.
+     */
     void died(int i, boolean tells) {
         if (tells) {
             for (int s = 0; s < addresses.length; s++) {
@@ -124,15 +150,17 @@
 
     private void hangsUp(int i) {
         Set<HttpConnection> its = new HashSet<>();
-        lines.forEach((talk, line) -> {
-            if (line.backend == i) {
-                its.add(talk);
-            }
-        });
-        its.forEach(talk -> {
-            talk.close();
-            lines.remove(talk);
-        });
+        lines.forEach(
+                (talk, line) -> {
+                    if (line.backend == i) {
+                        its.add(talk);
+                    }
+                });
+        its.forEach(
+                talk -> {
+                    talk.close();
+                    lines.remove(talk);
+                });
     }
 
     /** It has started again. */
@@ -159,7 +187,8 @@
         if (line == null) {
             return;
         }
-        double now = agenda.now(), cut = faults.get().cutFromBackend(line.segment, line.backend, now);
+        double now = agenda.now(),
+                cut = faults.get().cutFromBackend(line.segment, line.backend, now);
         double late = faults.get().lateToBackend(line.segment, line.backend, now);
         if (cut > now || late > 0) {
             agenda.at(cut + late, () -> comes(talk, line, head));
@@ -170,13 +199,18 @@
 
     private void comes(HttpConnection talk, Line line, String head) {
         Backend backend = backends[line.backend];
-        String path = head.substring(head.indexOf(' ') + 1), trace = HttpConnection.field(head, "x-trace-id");
+        String path = head.substring(head.indexOf(' ') + 1),
+                trace = HttpConnection.field(head, "x-trace-id");
         if (!talk.isOpen() || backend.silent > 0) {
             return;
         } else if (trace == null) {
             boolean load = path.startsWith("/load"), asked = load || path.startsWith("/healthz");
-            answers(talk, line, asked ? "200 OK" : "404 Not Found", load ? report(line.backend)
-                    .getBytes(StandardCharsets.US_ASCII) : NONE, "");
+            answers(
+                    talk,
+                    line,
+                    asked ? "200 OK" : "404 Not Found",
+                    load ? report(line.backend).getBytes(StandardCharsets.US_ASCII) : NONE,
+                    "");
             return;
         }
         OutcomeRecorder.Asked its = judge.asked(trace);
@@ -188,8 +222,13 @@
             return;
         }
         line.forward = judge.reached(its, line.backend);
-        boolean errs = chance.nextDouble() < Math.max(backend.errors,
-                its.x.requestClass == day.settings().requestClasses().size() - 1 ? backend.gradeErrors : 0);
+        boolean errs =
+                chance.nextDouble()
+                        < Math.max(
+                                backend.errors,
+                                its.x.requestClass == day.settings().requestClasses().size() - 1
+                                        ? backend.gradeErrors
+                                        : 0);
         if (backend.fallsOver(its.work)) {
             judge.figures().fallen++;
             judge.ended(line.forward, AttemptOutcome.RESET);
@@ -199,34 +238,46 @@
         } else if (errs) {
             ends(talk, line, AttemptOutcome.ERROR, "500 Error", "");
         } else {
-            line.job = backend.take(its.work, ran -> {
-                line.job = null;
-                changed(line.backend);
-                if (ran) {
-                    ends(talk, line, AttemptOutcome.SUCCESS, "200 OK", "");
-                } else {
-                    judge.ended(line.forward, AttemptOutcome.RESET);
-                }
-            });
+            line.job =
+                    backend.take(
+                            its.work,
+                            ran -> {
+                                line.job = null;
+                                changed(line.backend);
+                                if (ran) {
+                                    ends(talk, line, AttemptOutcome.SUCCESS, "200 OK", "");
+                                } else {
+                                    judge.ended(line.forward, AttemptOutcome.RESET);
+                                }
+                            });
             changed(line.backend);
         }
     }
 
     private boolean isCrowded(int i) {
-        return mostConnections > 0 && lines.values().stream().filter(line -> line.backend == i).count()
-                > mostConnections;
+        return mostConnections > 0
+                && lines.values().stream().filter(line -> line.backend == i).count()
+                        > mostConnections;
     }
 
-    private void ends(HttpConnection talk, Line line, AttemptOutcome outcome, String status, String field) {
+    private void ends(
+            HttpConnection talk, Line line, AttemptOutcome outcome, String status, String field) {
         judge.ended(line.forward, outcome);
         line.forward = null;
         answers(talk, line, status, outcome == AttemptOutcome.SUCCESS ? BODY : NONE, field);
     }
 
     private void answers(HttpConnection talk, Line line, String status, byte[] body, String field) {
-        byte[] message = HttpConnection.message("HTTP/1.1 " + status + "\r\nEndpoint-Load-Metrics: TEXT "
-                + report(line.backend) + field, body);
-        double now = agenda.now(), cut = faults.get().cutFromBackend(line.segment, line.backend, now);
+        byte[] message =
+                HttpConnection.message(
+                        "HTTP/1.1 "
+                                + status
+                                + "\r\nEndpoint-Load-Metrics: TEXT "
+                                + report(line.backend)
+                                + field,
+                        body);
+        double now = agenda.now(),
+                cut = faults.get().cutFromBackend(line.segment, line.backend, now);
         if (cut > now) {
             agenda.at(cut, () -> talk.write(message));
         } else {
@@ -235,7 +286,10 @@
     }
 
     private String report(int i) {
-        return String.format(Locale.ROOT, "util=%.3f, queue=%d", backends[i].utilisation(),
+        return String.format(
+                Locale.ROOT,
+                "util=%.3f, queue=%d",
+                backends[i].utilisation(),
                 backends[i].queued());
     }
 
@@ -243,7 +297,8 @@
     public void ended(HttpConnection talk) {
         Line line = lines.remove(talk);
         if (line != null && line.job != null) {
-            // Who asked has given up: what waits is taken out, what runs goes on to its end for nobody.
+            // Who asked has given up: what waits is taken out, what runs goes on to its end for
+            // nobody.
             backends[line.backend].drop(line.job);
             judge.ended(line.forward, AttemptOutcome.CANCELLED);
             changed(line.backend);
--- a/src/main/java/lemondrift/lab/fleet/ClientDistributor.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientDistributor.java
@@ -11,8 +11,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The front before the proxies: whom it has taken in, and to whom it sends the next client, each with its
- * share of the traffic. I/O thread only.
+ * The front before the proxies: whom it has taken in, and to whom it sends the next client, each
+ * with its share of the traffic. I/O thread only.
  */
 final class ClientDistributor {
     /** Seconds between two looks at a proxy that is not taken in. */
@@ -26,8 +26,13 @@
     private final double[] weights;
 
     /** The deviation is that of the logarithm of a proxy's share; 0 is even. */
-    ClientDistributor(int proxies, double deviation, IntFunction<InetSocketAddress> address, Scheduler agenda,
-            XnioIoThread io, UniformRandomProvider chance) {
+    ClientDistributor(
+            int proxies,
+            double deviation,
+            IntFunction<InetSocketAddress> address,
+            Scheduler agenda,
+            XnioIoThread io,
+            UniformRandomProvider chance) {
         this.address = address;
         this.agenda = agenda;
         this.io = io;
@@ -78,37 +83,44 @@
 
     /** The front takes a proxy in once it says that it is ready, and then does something. */
     void looksAt(int proxy, Runnable then) {
-        HttpConnection.Hearer hearer = new HttpConnection.Hearer() {
-            @Override
-            public void heard(HttpConnection talk, String head, byte[] body) {
-                talk.close();
-                if (head.startsWith("HTTP/1.1 200 ")) {
-                    open[proxy] = true;
-                    then.run();
-                } else {
-                    ended(talk);
-                }
-            }
+        HttpConnection.Hearer hearer =
+                new HttpConnection.Hearer() {
+                    @Override
+                    public void heard(HttpConnection talk, String head, byte[] body) {
+                        talk.close();
+                        if (head.startsWith("HTTP/1.1 200 ")) {
+                            open[proxy] = true;
+                            then.run();
+                        } else {
+                            ended(talk);
+                        }
+                    }
 
-            @Override
-            public void ended(HttpConnection talk) {
-                agenda.in(LOOKS, () -> looksAt(proxy, then));
-            }
-        };
-        HttpConnection.open(io, address.apply(proxy), hearer, talk -> {
-            if (talk == null) {
-                hearer.ended(null);
-            } else {
-                talk.write(HttpConnection.message("GET /healthz HTTP/1.1\r\nHost: origin.svc", new byte[0]));
-            }
-        });
+                    @Override
+                    public void ended(HttpConnection talk) {
+                        agenda.in(LOOKS, () -> looksAt(proxy, then));
+                    }
+                };
+        HttpConnection.open(
+                io,
+                address.apply(proxy),
+                hearer,
+                talk -> {
+                    if (talk == null) {
+                        hearer.ended(null);
+                    } else {
+                        talk.write(
+                                HttpConnection.message(
+                                        "GET /healthz HTTP/1.1\r\nHost: origin.svc", new byte[0]));
+                    }
+                });
     }
 
     /** The front has noticed that a proxy can't be had; it looks until it can again. */
     void closes(int door) {
         if (open[door]) {
             open[door] = false;
-            agenda.in(LOOKS, () -> looksAt(door, () -> { }));
+            agenda.in(LOOKS, () -> looksAt(door, () -> {}));
         }
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/ClientFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientFleet.java
@@ -20,15 +20,17 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The clients, an open loop: what they want comes at the day's rate whatever becomes of what came before, and
- * its latency counts from when it was due. A front deals them out among the doors: the proxies, or without
- * these the backends. I/O thread only.
+ * The clients, an open loop: what they want comes at the day's rate whatever becomes of what came
+ * before, and its latency counts from when it was due. A front deals them out among the doors: the
+ * proxies, or without these the backends. I/O thread only.
  */
 final class ClientFleet implements AutoCloseable {
     /** Doors that one request is tried at, where each refuses. */
     private static final int MOST_DOORS = 5;
+
     /** A client asks again after this share of the contract time where it is told nothing else. */
     private static final double WAIT = 0.5;
+
     /** Seconds between two requests of those who stay with a door that is to close. */
     private static final double STAYS = 0.01;
 
@@ -37,8 +39,10 @@
         final int grade;
         final double due, work;
         final int second;
+
         /** Of the day in which it was due. */
         final RunResult figures;
+
         int tries;
 
         Want(int requestClass, double due, int second, double work, RunResult figures) {
@@ -92,22 +96,27 @@
         }
 
         private void opens() {
-            HttpConnection.open(io, address.apply(door), router, opened -> {
-                if (over) {
-                    if (opened != null) {
-                        opened.close();
-                    }
-                } else if (opened != null) {
-                    holders.put(opened, this);
-                    sends(opened);
-                } else if (its == null) {
-                    closes(door);
-                    begins();
-                } else {
-                    // The request crossed the close of its connection, and there is no other.
-                    ended(null);
-                }
-            });
+            HttpConnection.open(
+                    io,
+                    address.apply(door),
+                    router,
+                    opened -> {
+                        if (over) {
+                            if (opened != null) {
+                                opened.close();
+                            }
+                        } else if (opened != null) {
+                            holders.put(opened, this);
+                            sends(opened);
+                        } else if (its == null) {
+                            closes(door);
+                            begins();
+                        } else {
+                            // The request crossed the close of its connection, and there is no
+                            // other.
+                            ended(null);
+                        }
+                    });
         }
 
         private void sends(HttpConnection on) {
@@ -119,10 +128,17 @@
                 end = agenda.at(its.x.deadline + OutcomeRecorder.SLACK, this::expires);
             }
             long left = Math.round(1000 * (its.x.deadline - agenda.now()));
-            on.write(HttpConnection.message((requestClass.idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST") + " /api HTTP/1.1\r\n"
-                    + "Host: origin.svc\r\nX-Trace-Id: " + trace + "\r\nX-Qos: "
-                    + Experiment.GRADES.get(want.grade) + "\r\nX-Expires-In-Ms: " + left,
-                    requestClass.idempotency() == Idempotency.IDEMPOTENT ? NONE : BODY));
+            on.write(
+                    HttpConnection.message(
+                            (requestClass.idempotency() == Idempotency.IDEMPOTENT ? "GET" : "POST")
+                                    + " /api HTTP/1.1\r\n"
+                                    + "Host: origin.svc\r\nX-Trace-Id: "
+                                    + trace
+                                    + "\r\nX-Qos: "
+                                    + Experiment.GRADES.get(want.grade)
+                                    + "\r\nX-Expires-In-Ms: "
+                                    + left,
+                            requestClass.idempotency() == Idempotency.IDEMPOTENT ? NONE : BODY));
         }
 
         private void isOut(boolean now) {
@@ -136,8 +152,8 @@
         public void heard(HttpConnection on, String head, byte[] body) {
             holders.remove(on);
             isOut(false);
-            String status = head.length() < 12 ? "" : head.substring(9, 12), close = HttpConnection.field(head,
-                    "connection");
+            String status = head.length() < 12 ? "" : head.substring(9, 12),
+                    close = HttpConnection.field(head, "connection");
             if ("close".equalsIgnoreCase(close)) {
                 on.close();
             } else {
@@ -171,7 +187,8 @@
             boolean inTime = durationSeconds <= requestClass.latencyObjectiveSeconds();
             want.figures.inTime += inTime ? 1 : 0;
             want.figures.late += inTime ? 0 : 1;
-            double brought = inTime ? requestClass.priorityWeight() : requestClass.latePriorityWeight();
+            double brought =
+                    inTime ? requestClass.priorityWeight() : requestClass.latePriorityWeight();
             want.figures.served += brought;
             want.figures.servedIn[want.second] += brought;
             wanting--;
@@ -180,8 +197,11 @@
         /** It was not answered; trying again is harmless. */
         private void refused(double after) {
             RequestClass requestClass = day.settings().requestClasses().get(want.grade);
-            if (want.tries < day.tries() && agenda.now() - want.due < requestClass.timeoutSeconds()) {
-                agenda.in(after > 0 ? after : WAIT * requestClass.latencyObjectiveSeconds(), () -> asks(want));
+            if (want.tries < day.tries()
+                    && agenda.now() - want.due < requestClass.timeoutSeconds()) {
+                agenda.in(
+                        after > 0 ? after : WAIT * requestClass.latencyObjectiveSeconds(),
+                        () -> asks(want));
             } else {
                 wanting--;
             }
@@ -209,7 +229,9 @@
             done();
             want.figures.unanswered++;
             closes(door);
-            if (day.settings().requestClasses().get(want.grade).idempotency() == Idempotency.IDEMPOTENT && judge.isExcused(its)) {
+            if (day.settings().requestClasses().get(want.grade).idempotency()
+                            == Idempotency.IDEMPOTENT
+                    && judge.isExcused(its)) {
                 refused(0);
             } else {
                 wanting--;
@@ -235,7 +257,9 @@
             isOut(false);
             end.strike();
             // A forward may still be out for it.
-            agenda.in(2 * day.settings().requestClasses().get(want.grade).timeoutSeconds() + OutcomeRecorder.SLACK,
+            agenda.in(
+                    2 * day.settings().requestClasses().get(want.grade).timeoutSeconds()
+                            + OutcomeRecorder.SLACK,
                     () -> judge.forgets(trace));
         }
     }
@@ -267,8 +291,10 @@
     private final Scheduler agenda;
     private final XnioIoThread io;
     private final OutcomeRecorder judge;
+
     /** Null where clients go to the backends. */
     private final ClientDistributor doors;
+
     private final boolean direct;
     private final String run;
     private final UniformRandomProvider chance;
@@ -286,11 +312,20 @@
     private long asks;
 
     /**
-     * Each asks at the door that is picked: a proxy's, or a backend's where there are no proxies' doors.
-     * Traffic and heavy say by how much there is more than usual.
+     * Each asks at the door that is picked: a proxy's, or a backend's where there are no proxies'
+     * doors. Traffic and heavy say by how much there is more than usual.
      */
-    ClientFleet(Scenario day, String run, IntFunction<InetSocketAddress> address, IntSupplier pick, ClientDistributor doors,
-            Scheduler agenda, XnioIoThread io, OutcomeRecorder judge, UniformRandomProvider chance, DoubleSupplier traffic,
+    ClientFleet(
+            Scenario day,
+            String run,
+            IntFunction<InetSocketAddress> address,
+            IntSupplier pick,
+            ClientDistributor doors,
+            Scheduler agenda,
+            XnioIoThread io,
+            OutcomeRecorder judge,
+            UniformRandomProvider chance,
+            DoubleSupplier traffic,
             DoubleSupplier heavy) {
         this.day = day;
         this.run = run;
@@ -318,7 +353,9 @@
         asking = false;
     }
 
-    /** Whoever has a connection to a door goes on asking there until a time, or until there is none. */
+    /**
+     * Whoever has a connection to a door goes on asking there until a time, or until there is none.
+     */
     void stays(int door, double until) {
         if (!asking || agenda.now() >= until) {
             return;
@@ -344,9 +381,18 @@
         double spread = day.spread();
         int requestClass = chance.nextInt(day.settings().requestClasses().size());
         wanting++;
-        int second = judge.wants(requestClass, day.settings().requestClasses().get(requestClass).priorityWeight());
-        return new Want(requestClass, agenda.now(), second, day.work() * heavy.getAsDouble()
-                * Math.exp(spread * bell.sample() - spread * spread / 2), judge.figures());
+        int second =
+                judge.wants(
+                        requestClass,
+                        day.settings().requestClasses().get(requestClass).priorityWeight());
+        return new Want(
+                requestClass,
+                agenda.now(),
+                second,
+                day.work()
+                        * heavy.getAsDouble()
+                        * Math.exp(spread * bell.sample() - spread * spread / 2),
+                judge.figures());
     }
 
     private void comes() {
--- a/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
+++ b/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
@@ -21,9 +21,9 @@
 import org.xnio.IoUtils;
 
 /**
- * The way of datagrams from proxy to proxy, with the faults that fall on it. To all proxies each of them has
- * one address, a socket of the stand's: what comes there is for that proxy, and what a proxy hears of another
- * comes from the other's. It has a thread of its own.
+ * The way of datagrams from proxy to proxy, with the faults that fall on it. To all proxies each of
+ * them has one address, a socket of the stand's: what comes there is for that proxy, and what a
+ * proxy hears of another comes from the other's. It has a thread of its own.
  */
 final class DatagramRelay implements AutoCloseable {
     /** Milliseconds between two datagrams of junk to each, and the longest that is sent. */
@@ -48,16 +48,19 @@
     private final PriorityQueue<Late> late = new PriorityQueue<>();
     private final UniformRandomProvider chance;
     private final ByteBuffer buffer = ByteBuffer.allocate(2048);
+
     /** Datagrams and bytes that each proxy has sent. */
     private final AtomicLongArray sent, bytes;
+
     private final Thread thread = new Thread(this::run, "mail");
     private long order;
     private double junkAt;
     private volatile boolean over;
 
     /** Each proxy hears at a home of its own; the clock is the day's. */
-    DatagramRelay(InetSocketAddress[] homes, Supplier<FaultPlan> faults, long seed,
-            DoubleSupplier clock) throws IOException {
+    DatagramRelay(
+            InetSocketAddress[] homes, Supplier<FaultPlan> faults, long seed, DoubleSupplier clock)
+            throws IOException {
         this.homes = homes;
         this.faults = faults;
         this.clock = clock;
@@ -93,8 +96,15 @@
     private void run() {
         while (!over) {
             try {
-                selector.select(key -> comes((Integer) key.attachment()), late.isEmpty() ? JUNK_PACE
-                        : Math.max(1, Math.min(JUNK_PACE, (long) (1000 * (late.peek().at - now())))));
+                selector.select(
+                        key -> comes((Integer) key.attachment()),
+                        late.isEmpty()
+                                ? JUNK_PACE
+                                : Math.max(
+                                        1,
+                                        Math.min(
+                                                JUNK_PACE,
+                                                (long) (1000 * (late.peek().at - now())))));
                 while (!late.isEmpty() && late.peek().at <= now()) {
                     Late next = late.poll();
                     deliver(next.from, next.to, next.datagram);
@@ -115,7 +125,8 @@
 
     private void comes(int to) {
         try {
-            for (SocketAddress from = boxes[to].receive(buffer.clear()); from != null;
+            for (SocketAddress from = boxes[to].receive(buffer.clear());
+                    from != null;
                     from = boxes[to].receive(buffer.clear())) {
                 Integer proxy = numbers.get(from);
                 if (proxy != null) {
@@ -149,7 +160,7 @@
                 case LATE -> at += falls ? each.by() : 0;
                 case DISORDER -> at += falls ? each.by() * chance.nextDouble() : 0;
                 case TWICE -> twice |= falls;
-                default -> { }
+                default -> {}
             }
         }
         for (int i = 0; i < (twice ? 2 : 1); i++) {
--- a/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
+++ b/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
@@ -29,12 +29,12 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * Discovery's agents, one beside each proxy. Each is told of a change after a delay of its own, in order, and
- * tells its proxy what it has been told. I/O thread only.
+ * Discovery's agents, one beside each proxy. Each is told of a change after a delay of its own, in
+ * order, and tells its proxy what it has been told. I/O thread only.
  */
 final class DiscoveryAgents implements AutoCloseable {
-    private static final Pattern WATCH = Pattern.compile("GET /v1/servers\\?from=(\\d+)&hold_ms=(\\d+) .*",
-            Pattern.DOTALL);
+    private static final Pattern WATCH =
+            Pattern.compile("GET /v1/servers\\?from=(\\d+)&hold_ms=(\\d+) .*", Pattern.DOTALL);
 
     /** Seconds that keep two changes to one agent apart. */
     private static final double IN_ORDER = 1e-4;
@@ -81,7 +81,8 @@
             HttpConnection talk = waits;
             waits = null;
             end.strike();
-            // Danger: a proxy that has started anew names a revision of the agent's that may be any.
+            // Danger: a proxy that has started anew names a revision of the agent's that may be
+            // any.
             int since = Math.min(from, told.size());
             later(talk, () -> answers(talk, false, told.subList(since, told.size())));
         }
@@ -107,16 +108,24 @@
         /** The list as this proxy's agent has it. */
         List<Change> whole() {
             Map<Integer, Change> latest = new HashMap<>();
-            IntStream.range(0, day.backends()).forEach(i -> latest.put(i, new Change(i, EndpointUpdate.State.READY,
-                    0)));
+            IntStream.range(0, day.backends())
+                    .forEach(i -> latest.put(i, new Change(i, EndpointUpdate.State.READY, 0)));
             told.forEach(each -> latest.put(each.backend, each));
-            return latest.values().stream().filter(each -> each.state != EndpointUpdate.State.GONE).toList();
+            return latest.values().stream()
+                    .filter(each -> each.state != EndpointUpdate.State.GONE)
+                    .toList();
         }
 
         private void answers(HttpConnection talk, boolean whole, List<Change> changes) {
-            changes.forEach(each -> judge.told(proxy, each.backend, each.state == EndpointUpdate.State.READY));
-            talk.write(HttpConnection.message("HTTP/1.1 200 OK\r\nContent-Type: application/json",
-                    list(proxy, told.size(), whole, changes).getBytes(StandardCharsets.UTF_8)));
+            changes.forEach(
+                    each ->
+                            judge.told(
+                                    proxy, each.backend, each.state == EndpointUpdate.State.READY));
+            talk.write(
+                    HttpConnection.message(
+                            "HTTP/1.1 200 OK\r\nContent-Type: application/json",
+                            list(proxy, told.size(), whole, changes)
+                                    .getBytes(StandardCharsets.UTF_8)));
         }
 
         @Override
@@ -140,8 +149,16 @@
     private final List<AcceptingChannel<StreamConnection>> servers = new ArrayList<>();
     private double silentUntil;
 
-    DiscoveryAgents(Scenario day, BackendFleet bank, int[] segments, Scheduler agenda, XnioWorker worker, Supplier<FaultPlan> faults,
-            OutcomeRecorder judge, UniformRandomProvider chance) throws IOException {
+    DiscoveryAgents(
+            Scenario day,
+            BackendFleet bank,
+            int[] segments,
+            Scheduler agenda,
+            XnioWorker worker,
+            Supplier<FaultPlan> faults,
+            OutcomeRecorder judge,
+            UniformRandomProvider chance)
+            throws IOException {
         this.day = day;
         this.bank = bank;
         this.segments = segments;
@@ -152,11 +169,16 @@
         agents = new Agent[day.proxies()];
         Arrays.setAll(agents, Agent::new);
         for (Agent each : agents) {
-            AcceptingChannel<StreamConnection> server = worker.createStreamConnectionServer(
-                    new InetSocketAddress(LoopbackAddresses.address(LoopbackAddresses.DISCOVERY, each.proxy), 0),
-                    ChannelListeners.openListenerAdapter(connection -> each.talks.add(
-                            new HttpConnection(connection, each))),
-                    OptionMap.builder().set(Options.TCP_NODELAY, true).getMap());
+            AcceptingChannel<StreamConnection> server =
+                    worker.createStreamConnectionServer(
+                            new InetSocketAddress(
+                                    LoopbackAddresses.address(
+                                            LoopbackAddresses.DISCOVERY, each.proxy),
+                                    0),
+                            ChannelListeners.openListenerAdapter(
+                                    connection ->
+                                            each.talks.add(new HttpConnection(connection, each))),
+                            OptionMap.builder().set(Options.TCP_NODELAY, true).getMap());
             server.resumeAccepts();
             servers.add(server);
         }
@@ -172,27 +194,40 @@
     }
 
     private String list(int proxy, int revision, boolean whole, List<Change> changes) {
-        return "{\"revision\":" + revision + ",\"complete\":" + whole + ",\"members\":["
-                + changes.stream().map(each -> member(proxy, each)).collect(Collectors.joining(",")) + "]}";
+        return "{\"revision\":"
+                + revision
+                + ",\"complete\":"
+                + whole
+                + ",\"members\":["
+                + changes.stream().map(each -> member(proxy, each)).collect(Collectors.joining(","))
+                + "]}";
     }
 
     private String member(int proxy, Change its) {
-        String phase = switch (its.state) {
-            case READY -> "active";
-            case DRAINING -> "leaving";
-            case GONE -> "left";
-        };
-        return String.format(Locale.ROOT, "{\"id\":\"s-%d\",\"host_port\":\"%s\",\"locality\":\"l%d\","
-                + "\"flavor\":\"m\",\"cell\":%d,\"phase\":\"%s\",\"size\":1.0,\"up_since_ms\":%d}",
-                its.backend, LoopbackAddresses.text(bank.address(segments[proxy], its.backend)),
-                its.backend % day.settings().locationCount(), its.backend, phase, its.upSince);
+        String phase =
+                switch (its.state) {
+                    case READY -> "active";
+                    case DRAINING -> "leaving";
+                    case GONE -> "left";
+                };
+        return String.format(
+                Locale.ROOT,
+                "{\"id\":\"s-%d\",\"host_port\":\"%s\",\"locality\":\"l%d\","
+                    + "\"flavor\":\"m\",\"cell\":%d,\"phase\":\"%s\",\"size\":1.0,\"up_since_ms\":%d}",
+                its.backend,
+                LoopbackAddresses.text(bank.address(segments[proxy], its.backend)),
+                its.backend % day.settings().locationCount(),
+                its.backend,
+                phase,
+                its.upSince);
     }
 
     /** All agents hear of it, each at a time of its own but in order. */
     void tells(int backend, EndpointUpdate.State state, long upSince) {
         Change change = new Change(backend, state, upSince);
         for (Agent each : agents) {
-            double at = Math.max(agenda.now(), silentUntil) + day.delay() * (0.5 + chance.nextDouble());
+            double at =
+                    Math.max(agenda.now(), silentUntil) + day.delay() * (0.5 + chance.nextDouble());
             each.latest = Math.max(each.latest + IN_ORDER, at);
             agenda.at(each.latest, () -> each.isTold(change));
         }
--- a/src/main/java/lemondrift/lab/fleet/FleetRun.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetRun.java
@@ -15,10 +15,12 @@
     private FleetRun() {}
 
     /** One day of each policy for each seed. */
-    public static List<Experiment.Run> play(Experiment experiment, ProcessLauncher launcher,
-            Consumer<String> progress) throws IOException, InterruptedException {
+    public static List<Experiment.Run> play(
+            Experiment experiment, ProcessLauncher launcher, Consumer<String> progress)
+            throws IOException, InterruptedException {
         if (experiment.host() != Experiment.Host.PROCESSES) {
-            throw new InvalidSettingsException(experiment.name() + ": host is not \"processes\"; lab run plays it");
+            throw new InvalidSettingsException(
+                    experiment.name() + ": host is not \"processes\"; lab run plays it");
         }
         List<Experiment.Run> runs = new ArrayList<>();
         for (String policy : experiment.policies()) {
@@ -29,12 +31,23 @@
         return runs;
     }
 
-    private static Experiment.Run play(Experiment experiment, String policy, long seed, ProcessLauncher launcher,
-            Consumer<String> progress) throws IOException, InterruptedException {
+    private static Experiment.Run play(
+            Experiment experiment,
+            String policy,
+            long seed,
+            ProcessLauncher launcher,
+            Consumer<String> progress)
+            throws IOException, InterruptedException {
         boolean proxies = policy.equals(Experiment.MODULE);
-        Baseline.Kind kind = proxies ? null : Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
-        try (FleetTestbed stand = new FleetTestbed(experiment, seed, proxies ? launcher : null, kind,
-                line -> progress.accept(policy + ", seed " + seed + ": " + line))) {
+        Baseline.Kind kind =
+                proxies ? null : Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
+        try (FleetTestbed stand =
+                new FleetTestbed(
+                        experiment,
+                        seed,
+                        proxies ? launcher : null,
+                        kind,
+                        line -> progress.accept(policy + ", seed " + seed + ": " + line))) {
             stand.start();
             FleetTestbed.Played played = stand.play();
             List<String> wrong = stand.stop();
@@ -44,13 +57,22 @@
         }
     }
 
-    /** Second by second: benefit served and borne, as shares, backends idle, and how many were shed. */
+    /**
+     * Second by second: benefit served and borne, as shares, backends idle, and how many were shed.
+     */
     public static String seconds(RunResult f) {
         StringBuilder text = new StringBuilder();
         for (int s = 0; s < f.wantedIn.length - 1; s++) {
             double wanted = Math.max(Double.MIN_NORMAL, f.wantedIn[s]);
-            text.append(String.format(Locale.ROOT, "  %4d s  served %.2f of %.2f  idle %.2f  shed %.0f%n", s,
-                    f.servedIn[s] / wanted, f.borneIn[s] / wanted, f.idleIn[s], f.shedIn[s]));
+            text.append(
+                    String.format(
+                            Locale.ROOT,
+                            "  %4d s  served %.2f of %.2f  idle %.2f  shed %.0f%n",
+                            s,
+                            f.servedIn[s] / wanted,
+                            f.borneIn[s] / wanted,
+                            f.idleIn[s],
+                            f.shedIn[s]));
         }
         return text.toString();
     }
@@ -58,16 +80,37 @@
     /** One line of the table; its head where there are no figures. */
     public static String row(String policy, String seed, RunResult f, int proxies, double lasts) {
         if (f == null) {
-            return String.format("  %-12s %5s %8s %8s %7s %7s %7s %7s %5s %6s %6s %6s %6s %6s %6s %6s %6s %7s"
-                    + " %8s %6s %5s", policy, seed, "in_time", "service", "p50_s", "p99_s", "waste",
-                    "fullest", "herd", "idle_s", "least", "most", "shed", "failed", "lost", "best", "back_s",
+            return String.format(
+                    "  %-12s %5s %8s %8s %7s %7s %7s %7s %5s %6s %6s %6s %6s %6s %6s %6s %6s %7s"
+                            + " %8s %6s %5s",
+                    policy, seed, "in_time", "service", "p50_s", "p99_s", "waste", "fullest",
+                    "herd", "idle_s", "least", "most", "shed", "failed", "lost", "best", "back_s",
                     "tells_s", "bytes_s", "core", "MB");
         }
-        return String.format(Locale.ROOT, "  %-12s %5s %8.4f %8.4f %7.3f %7.3f %7.4f %7.2f %5d %6.2f"
-                + " %6.2f %6.2f %6d %6d %6d %6.3f %6d %7.1f %8.0f %6.3f %5.0f", policy, seed, f.inTimeShare(),
-                f.service(), f.p50, f.p99, f.evenness.waste(), f.evenness.fullest(), f.evenness.herd(),
-                f.evenness.longestIdle(), f.evenness.least(), f.evenness.most(), f.shed, f.scrapped,
-                f.unanswered, f.ofBearable(), f.backAfter(), f.messages / lasts / proxies,
-                f.told / lasts / proxies, f.cpu, f.memory);
+        return String.format(
+                Locale.ROOT,
+                "  %-12s %5s %8.4f %8.4f %7.3f %7.3f %7.4f %7.2f %5d %6.2f"
+                        + " %6.2f %6.2f %6d %6d %6d %6.3f %6d %7.1f %8.0f %6.3f %5.0f",
+                policy,
+                seed,
+                f.inTimeShare(),
+                f.service(),
+                f.p50,
+                f.p99,
+                f.evenness.waste(),
+                f.evenness.fullest(),
+                f.evenness.herd(),
+                f.evenness.longestIdle(),
+                f.evenness.least(),
+                f.evenness.most(),
+                f.shed,
+                f.scrapped,
+                f.unanswered,
+                f.ofBearable(),
+                f.backAfter(),
+                f.messages / lasts / proxies,
+                f.told / lasts / proxies,
+                f.cpu,
+                f.memory);
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
@@ -34,15 +34,17 @@
 import org.xnio.XnioWorker;
 
 /**
- * Real proxies, and all else that there is around them: clients, backends, discovery and the ways between. It
- * plays one day after the other on the same processes; or without proxies, clients that pick a backend
- * themselves. What is seen is judged; docs/lab.md says how.
+ * Real proxies, and all else that there is around them: clients, backends, discovery and the ways
+ * between. It plays one day after the other on the same processes; or without proxies, clients that
+ * pick a backend themselves. What is seen is judged; docs/lab.md says how.
  */
 public final class FleetTestbed implements AutoCloseable {
     /** Seconds of traffic before the first day counts and before another; the longest waits. */
     private static final double WARM = 5, WARM_AGAIN = 0.5, START = 180, END = 60, LOOKS = 0.1;
+
     /** What sets backends apart that hold as many. */
     private static final double TIE = 1e-3;
+
     /** Up to so many ways from proxy to backend each proxy has its own. */
     private static final int APART = 128;
 
@@ -60,8 +62,10 @@
     private final BackendFleet bank;
     private final BackendFaultInjector troubles;
     private final ClientFleet crowd;
+
     /** Null where clients pick the backends themselves. */
     private final DiscoveryAgents agents;
+
     private final DatagramRelay mail;
     private final ProxyProcesses processes;
     private final ClientDistributor doors;
@@ -72,9 +76,17 @@
     private volatile FaultPlan faults;
     private boolean played;
 
-    /** Proxies are started by the launcher; where that is null, clients pick a backend as the policy does. */
-    public FleetTestbed(Experiment experiment, long seed, ProcessLauncher launcher, Baseline.Kind policy,
-            Consumer<String> progress) throws IOException {
+    /**
+     * Proxies are started by the launcher; where that is null, clients pick a backend as the policy
+     * does.
+     */
+    public FleetTestbed(
+            Experiment experiment,
+            long seed,
+            ProcessLauncher launcher,
+            Baseline.Kind policy,
+            Consumer<String> progress)
+            throws IOException {
         System.setProperty("org.jboss.logging.provider", "slf4j");
         this.experiment = experiment;
         this.seed = seed;
@@ -82,9 +94,16 @@
         day = experiment.day(seed);
         chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         folder = Files.createTempDirectory("lemondrift-fleet");
-        worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.WORKER_NAME, "stand").set(Options.THREAD_DAEMON, true).getMap());
+        worker =
+                Xnio.getInstance()
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .set(Options.WORKER_NAME, "stand")
+                                        .set(Options.THREAD_DAEMON, true)
+                                        .getMap());
         io = worker.getIoThread();
         agenda = new RealTimeScheduler(io, failed::completeExceptionally);
         // Before the day nothing goes wrong.
@@ -93,8 +112,16 @@
         judge = new OutcomeRecorder(day, launcher == null ? 0 : 4, agenda::now);
         listens = new InetSocketAddress[day.proxies()];
         hears = new InetSocketAddress[day.proxies()];
-        bank = new BackendFleet(day, faults.heads.length, experiment.connections(), agenda, worker, () -> faults,
-                judge, chance);
+        bank =
+                new BackendFleet(
+                        day,
+                        faults.heads.length,
+                        experiment.connections(),
+                        agenda,
+                        worker,
+                        () -> faults,
+                        judge,
+                        chance);
         troubles = new BackendFaultInjector(agenda, chance, bank.backends, day.delay(), new Ends());
         bank.fallen = i -> troubles.dies(i, true);
         if (launcher == null) {
@@ -108,32 +135,73 @@
         }
         List<String> peers = new ArrayList<>();
         for (int p = 0; p < day.proxies(); p++) {
-            listens[p] = LoopbackAddresses.free(LoopbackAddresses.address(LoopbackAddresses.PROXIES, p));
-            hears[p] = LoopbackAddresses.freeForDatagrams(LoopbackAddresses.address(LoopbackAddresses.PROXIES, p));
+            listens[p] =
+                    LoopbackAddresses.free(LoopbackAddresses.address(LoopbackAddresses.PROXIES, p));
+            hears[p] =
+                    LoopbackAddresses.freeForDatagrams(
+                            LoopbackAddresses.address(LoopbackAddresses.PROXIES, p));
         }
         mail = new DatagramRelay(hears, () -> faults, seed, agenda::now);
         for (int p = 0; p < day.proxies(); p++) {
             peers.add(LoopbackAddresses.text(mail.address(p)));
         }
-        agents = new DiscoveryAgents(day, bank, segments, agenda, worker, () -> faults, judge, chance);
-        processes = new ProxyProcesses(launcher, folder, day, experiment.tells(),
-                experiment.recovers(), peers);
-        doors = new ClientDistributor(day.proxies(), experiment.uneven(), p -> listens[p], agenda, io,
-                RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 2));
+        agents =
+                new DiscoveryAgents(
+                        day, bank, segments, agenda, worker, () -> faults, judge, chance);
+        processes =
+                new ProxyProcesses(
+                        launcher, folder, day, experiment.tells(), experiment.recovers(), peers);
+        doors =
+                new ClientDistributor(
+                        day.proxies(),
+                        experiment.uneven(),
+                        p -> listens[p],
+                        agenda,
+                        io,
+                        RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 2));
         crowd = crowd(p -> listens[p], doors::pick);
-        outages = new ProcessFaultInjector(processes, agents, doors, judge, agenda, listens, hears, failed,
-                day.settings().activeClasses().mapToDouble(RequestClass::timeoutSeconds).max().orElse(1), crowd::stays);
+        outages =
+                new ProcessFaultInjector(
+                        processes,
+                        agents,
+                        doors,
+                        judge,
+                        agenda,
+                        listens,
+                        hears,
+                        failed,
+                        day.settings()
+                                .activeClasses()
+                                .mapToDouble(RequestClass::timeoutSeconds)
+                                .max()
+                                .orElse(1),
+                        crowd::stays);
     }
 
     private ClientFleet crowd(IntFunction<InetSocketAddress> address, IntSupplier pick) {
-        return new ClientFleet(day, Long.toHexString(System.nanoTime()), address, pick, doors, agenda, io, judge,
-                RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 1), () -> troubles.traffic,
+        return new ClientFleet(
+                day,
+                Long.toHexString(System.nanoTime()),
+                address,
+                pick,
+                doors,
+                agenda,
+                io,
+                judge,
+                RandomSource.XO_RO_SHI_RO_128_PP.create(seed + 1),
+                () -> troubles.traffic,
                 () -> troubles.heavy);
     }
 
     private FaultPlan faults(List<Fault> all, double start) {
-        return new FaultPlan(all, day.proxies(), day.backends(), day.settings().locationCount(), seed,
-                day.proxies() * day.backends() <= APART, start);
+        return new FaultPlan(
+                all,
+                day.proxies(),
+                day.backends(),
+                day.settings().locationCount(),
+                seed,
+                day.proxies() * day.backends() <= APART,
+                start);
     }
 
     /** What troubles do here beside what they do to the backends. */
@@ -166,9 +234,15 @@
         }
     }
 
-    /** A backend as a policy picks it without a proxy; among those that are up, which no proxy can see. */
+    /**
+     * A backend as a policy picks it without a proxy; among those that are up, which no proxy can
+     * see.
+     */
     private int picks(Baseline.Kind policy) {
-        int[] up = IntStream.range(0, bank.backends.length).filter(i -> bank.backends[i].isFit()).toArray();
+        int[] up =
+                IntStream.range(0, bank.backends.length)
+                        .filter(i -> bank.backends[i].isFit())
+                        .toArray();
         if (up.length == 0) {
             return -1;
         }
@@ -177,14 +251,26 @@
             case RANDOM -> one;
             case TWO_CHOICES -> crowd.out(other) < crowd.out(one) ? other : one;
             // What is on its way there counts as held: who did not see that would draw a herd.
-            case ORACLE -> Arrays.stream(up).boxed().min(Comparator.comparingDouble(i -> crowd.out(i)
-                    * bank.backends[i].slowness() + (i == one ? 0 : TIE * chance.nextDouble()))).get();
-            default -> throw new InvalidSettingsException("on processes there are random, two_choices and oracle, not "
-                    + policy);
+            case ORACLE ->
+                    Arrays.stream(up)
+                            .boxed()
+                            .min(
+                                    Comparator.comparingDouble(
+                                            i ->
+                                                    crowd.out(i) * bank.backends[i].slowness()
+                                                            + (i == one
+                                                                    ? 0
+                                                                    : TIE * chance.nextDouble())))
+                            .get();
+            default ->
+                    throw new InvalidSettingsException(
+                            "on processes there are random, two_choices and oracle, not " + policy);
         };
     }
 
-    /** Starts all proxies, as many at once as there are processors, and returns when all are ready. */
+    /**
+     * Starts all proxies, as many at once as there are processors, and returns when all are ready.
+     */
     public void start() throws InterruptedException {
         if (processes == null) {
             return;
@@ -196,8 +282,11 @@
                 progress.accept("all " + day.proxies() + " ready");
                 return;
             }
-            progress.accept("starting, " + (day.proxies() - closed.size()) + " of " + day.proxies());
-            for (; begun < day.proxies() && closed.size() - (day.proxies() - begun) < atOnce; begun++) {
+            progress.accept(
+                    "starting, " + (day.proxies() - closed.size()) + " of " + day.proxies());
+            for (;
+                    begun < day.proxies() && closed.size() - (day.proxies() - begun) < atOnce;
+                    begun++) {
                 int p = begun;
                 agenda.soon(() -> outages.starts(p));
             }
@@ -207,7 +296,8 @@
                 }
             }
         }
-        throw new IllegalStateException("not ready within " + START + " s: proxies " + ask(doors::closed));
+        throw new IllegalStateException(
+                "not ready within " + START + " s: proxies " + ask(doors::closed));
     }
 
     /** The last line that a proxy has logged. */
@@ -227,7 +317,9 @@
             CompletableFuture.anyOf(answer, failed).get((long) END, TimeUnit.SECONDS);
             return answer.get();
         } catch (ExecutionException e) {
-            throw e.getCause() instanceof InvalidSettingsException bad ? bad : new IllegalStateException(e.getCause());
+            throw e.getCause() instanceof InvalidSettingsException bad
+                    ? bad
+                    : new IllegalStateException(e.getCause());
         } catch (TimeoutException e) {
             throw new IllegalStateException("the stand stands still", e);
         }
@@ -241,43 +333,63 @@
         return play(day.troubles(), experiment.faults(), day.lasts());
     }
 
-    /** Plays a day of so many seconds with these troubles and faults, and waits until nothing is open. */
-    public Played play(List<BackendFault> wrong, List<Fault> between, double lasts) throws InterruptedException {
+    /**
+     * Plays a day of so many seconds with these troubles and faults, and waits until nothing is
+     * open.
+     */
+    public Played play(List<BackendFault> wrong, List<Fault> between, double lasts)
+            throws InterruptedException {
         double start = agenda.now() + (played ? WARM_AGAIN : WARM);
         played = true;
         faults = faults(between, start);
         progress.accept(faults.toString().isEmpty() ? "no faults" : faults.toString().strip());
         double[] cpu = new double[day.proxies()];
         long[] sent = new long[day.proxies()], bytes = new long[day.proxies()];
-        ask(() -> {
-            crowd.begins();
-            agenda.at(start, () -> {
-                judge.begins();
-                bears(start + lasts);
-                counts(() -> used(cpu, sent, bytes));
-                wrong.forEach(each -> agenda.in(each.at(), () -> troubles.begins(each)));
-                if (outages != null) {
-                    faults.ofProcesses().forEach(each -> agenda.in(each.fault().at(),
-                            () -> outages.begins(each)));
-                }
-            });
-            return null;
-        });
+        ask(
+                () -> {
+                    crowd.begins();
+                    agenda.at(
+                            start,
+                            () -> {
+                                judge.begins();
+                                bears(start + lasts);
+                                counts(() -> used(cpu, sent, bytes));
+                                wrong.forEach(
+                                        each -> agenda.in(each.at(), () -> troubles.begins(each)));
+                                if (outages != null) {
+                                    faults.ofProcesses()
+                                            .forEach(
+                                                    each ->
+                                                            agenda.in(
+                                                                    each.fault().at(),
+                                                                    () -> outages.begins(each)));
+                                }
+                            });
+                    return null;
+                });
         for (int at = -1; agenda.now() < start + lasts; Thread.sleep(50)) {
             if ((int) (agenda.now() - start) > at) {
                 at = (int) (agenda.now() - start);
-                progress.accept("playing, " + at + " of " + (int) lasts + " s, open " + ask(crowd::wanting));
+                progress.accept(
+                        "playing, "
+                                + at
+                                + " of "
+                                + (int) lasts
+                                + " s, open "
+                                + ask(crowd::wanting));
             }
         }
         RunResult figures = ask(judge::ends);
         counts(() -> used(figures, lasts, cpu, sent, bytes));
-        ask(() -> {
-            crowd.stops();
-            return null;
-        });
+        ask(
+                () -> {
+                    crowd.stops();
+                    return null;
+                });
         for (double until = agenda.now() + END; ask(crowd::wanting) > 0; Thread.sleep(50)) {
             if (agenda.now() > until) {
-                throw new IllegalStateException(ask(crowd::wanting) + " wants are open after the day");
+                throw new IllegalStateException(
+                        ask(crowd::wanting) + " wants are open after the day");
             }
         }
         awaitAll();
@@ -294,12 +406,16 @@
 
     /** Waits until the front has taken all proxies in again. */
     private void awaitAll() throws InterruptedException {
-        for (double until = agenda.now() + END; processes != null && !ask(doors::closed).isEmpty();
+        for (double until = agenda.now() + END;
+                processes != null && !ask(doors::closed).isEmpty();
                 Thread.sleep(50)) {
             if (agenda.now() > until) {
                 List<Integer> closed = ask(doors::closed);
-                throw new IllegalStateException("not back after the day: proxies " + closed + ", the first: "
-                        + log(closed.get(0)));
+                throw new IllegalStateException(
+                        "not back after the day: proxies "
+                                + closed
+                                + ", the first: "
+                                + log(closed.get(0)));
             }
         }
     }
@@ -331,18 +447,19 @@
     }
 
     /**
-     * So many clients connect to each proxy and say nothing, or half a request, until their time is up; then
-     * others come in their place.
+     * So many clients connect to each proxy and say nothing, or half a request, until their time is
+     * up; then others come in their place.
      */
     public void loiters(int many) throws InterruptedException {
-        ask(() -> {
-            for (int p = 0; p < day.proxies(); p++) {
-                for (int i = 0; i < many; i++) {
-                    loiterers.add(new IdleClient(listens[p], agenda, io, chance));
-                }
-            }
-            return null;
-        });
+        ask(
+                () -> {
+                    for (int p = 0; p < day.proxies(); p++) {
+                        for (int i = 0; i < many; i++) {
+                            loiterers.add(new IdleClient(listens[p], agenda, io, chance));
+                        }
+                    }
+                    return null;
+                });
     }
 
     /** Where clients find a proxy. */
@@ -376,14 +493,15 @@
             processes.close();
             mail.close();
         }
-        agenda.soon(() -> {
-            loiterers.forEach(IdleClient::close);
-            crowd.close();
-            bank.close();
-            if (agents != null) {
-                agents.close();
-            }
-        });
+        agenda.soon(
+                () -> {
+                    loiterers.forEach(IdleClient::close);
+                    crowd.close();
+                    bank.close();
+                    if (agents != null) {
+                        agents.close();
+                    }
+                });
         worker.shutdown();
         try {
             worker.awaitTermination(1, TimeUnit.SECONDS);
--- a/src/main/java/lemondrift/lab/fleet/HttpConnection.java
+++ b/src/main/java/lemondrift/lab/fleet/HttpConnection.java
@@ -18,8 +18,9 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * One connection on which HTTP/1.1 messages with a stated length come and go, of either side. The stand's own
- * ends alone speak so; what the proxies make of odd messages is for their own tests. I/O thread only.
+ * One connection on which HTTP/1.1 messages with a stated length come and go, of either side. The
+ * stand's own ends alone speak so; what the proxies make of odd messages is for their own tests.
+ * I/O thread only.
  */
 final class HttpConnection {
     /** Who hears what comes. */
@@ -27,7 +28,9 @@
         /** A whole message: its first line and fields as they came, and its body. */
         void heard(HttpConnection talk, String head, byte[] body);
 
-        /** The connection has ended, by the other side or by a failure; told once, not after close. */
+        /**
+         * The connection has ended, by the other side or by a failure; told once, not after close.
+         */
         void ended(HttpConnection talk);
     }
 
@@ -41,6 +44,7 @@
     private final ByteArrayOutputStream come = new ByteArrayOutputStream();
     private ByteBuffer out;
     private boolean over;
+
     /** Whether a message has come on it, and so whether its end may have crossed a request. */
     boolean used;
 
@@ -55,14 +59,20 @@
     }
 
     /** Opens one; who asked is told of it, or gets null where it can't be had. */
-    static void open(XnioIoThread io, InetSocketAddress to, Hearer hearer, Consumer<HttpConnection> then) {
-        IoFuture<StreamConnection> future = io.openStreamConnection(to,
-                connection -> then.accept(new HttpConnection(connection, hearer)), NO_DELAY);
-        future.addNotifier((its, nothing) -> {
-            if (its.getStatus() != IoFuture.Status.DONE) {
-                tellsNone(io, then);
-            }
-        }, null);
+    static void open(
+            XnioIoThread io, InetSocketAddress to, Hearer hearer, Consumer<HttpConnection> then) {
+        IoFuture<StreamConnection> future =
+                io.openStreamConnection(
+                        to,
+                        connection -> then.accept(new HttpConnection(connection, hearer)),
+                        NO_DELAY);
+        future.addNotifier(
+                (its, nothing) -> {
+                    if (its.getStatus() != IoFuture.Status.DONE) {
+                        tellsNone(io, then);
+                    }
+                },
+                null);
     }
 
     private static void tellsNone(XnioIoThread io, Consumer<HttpConnection> then) {
@@ -143,8 +153,9 @@
 
     /** A message with these first lines, without the empty one, and a body. */
     static byte[] message(String head, byte[] body) {
-        byte[] first = (head + "\r\nContent-Length: " + body.length + "\r\n\r\n")
-                .getBytes(StandardCharsets.ISO_8859_1);
+        byte[] first =
+                (head + "\r\nContent-Length: " + body.length + "\r\n\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1);
         byte[] all = new byte[first.length + body.length];
         System.arraycopy(first, 0, all, 0, first.length);
         System.arraycopy(body, 0, all, first.length, body.length);
--- a/src/main/java/lemondrift/lab/fleet/IdleClient.java
+++ b/src/main/java/lemondrift/lab/fleet/IdleClient.java
@@ -7,14 +7,15 @@
 import org.xnio.XnioIoThread;
 
 /**
- * A client that takes up a place at a proxy: it connects, says nothing or a part of a request, waits, leaves,
- * and comes again. I/O thread only.
+ * A client that takes up a place at a proxy: it connects, says nothing or a part of a request,
+ * waits, leaves, and comes again. I/O thread only.
  */
 final class IdleClient implements HttpConnection.Hearer {
     /** The most seconds that it stays, and that it is away. */
     private static final double STAYS = 4, AWAY = 1;
-    private static final byte[] PART = "GET /api HTTP/1.1\r\nHost: origin"
-            .getBytes(StandardCharsets.US_ASCII);
+
+    private static final byte[] PART =
+            "GET /api HTTP/1.1\r\nHost: origin".getBytes(StandardCharsets.US_ASCII);
 
     private final InetSocketAddress proxy;
     private final Scheduler agenda;
@@ -23,7 +24,11 @@
     private HttpConnection talk;
     private volatile boolean over;
 
-    IdleClient(InetSocketAddress proxy, Scheduler agenda, XnioIoThread io, UniformRandomProvider chance) {
+    IdleClient(
+            InetSocketAddress proxy,
+            Scheduler agenda,
+            XnioIoThread io,
+            UniformRandomProvider chance) {
         this.proxy = proxy;
         this.agenda = agenda;
         this.io = io;
@@ -55,12 +60,14 @@
         if (chance.nextBoolean()) {
             opened.write(PART);
         }
-        agenda.in(STAYS * chance.nextDouble(), () -> {
-            if (opened.isOpen()) {
-                opened.close();
-                comesLater();
-            }
-        });
+        agenda.in(
+                STAYS * chance.nextDouble(),
+                () -> {
+                    if (opened.isOpen()) {
+                        opened.close();
+                        comesLater();
+                    }
+                });
     }
 
     @Override
