--- a/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
+++ b/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
@@ -7,10 +7,14 @@
 import java.net.ServerSocket;
 import java.net.UnknownHostException;
 
-/** Addresses of the loopback net, one for each end, so that no other connection takes a port between. */
+/**
+ * Addresses of the loopback net, one for each end, so that no other connection takes a port
+ * between.
+ */
 final class LoopbackAddresses {
     /** The second bytes of those addresses. */
     static final int PROXIES = 8, DISCOVERY = 9, BACKENDS = 16;
+
     private static final int IN_A_NET = 250;
 
     private LoopbackAddresses() {}
@@ -18,8 +22,13 @@
     static InetAddress address(int net, int number) {
         int byte2 = net + number / (IN_A_NET * IN_A_NET), rest = number % (IN_A_NET * IN_A_NET);
         try {
-            return InetAddress.getByAddress(new byte[] {127, (byte) byte2, (byte) (1 + rest / IN_A_NET),
-                (byte) (1 + rest % IN_A_NET)});
+            return InetAddress.getByAddress(
+                    new byte[] {
+                        127,
+                        (byte) byte2,
+                        (byte) (1 + rest / IN_A_NET),
+                        (byte) (1 + rest % IN_A_NET)
+                    });
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
+++ b/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
@@ -11,20 +11,27 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Hears what clients, backends and discovery of the stand have seen, and nothing that a proxy says of itself.
- * I/O thread only.
+ * Hears what clients, backends and discovery of the stand have seen, and nothing that a proxy says
+ * of itself. I/O thread only.
  */
 final class OutcomeRecorder {
-    /** How many seconds later than at the proxy a thing may be seen, as the machine has other work. */
+    /**
+     * How many seconds later than at the proxy a thing may be seen, as the machine has other work.
+     */
     static final double SLACK = 1;
+
     /** Latencies in microseconds up to ten minutes, to three digits. */
     private static final long LONGEST = 600_000_000;
 
-    /** One exchange that a client has handed to a proxy, or to a backend where there is none between. */
+    /**
+     * One exchange that a client has handed to a proxy, or to a backend where there is none
+     * between.
+     */
     static final class Asked {
         final Request x;
         final int proxy;
         final double work;
+
         /** Its client has stopped waiting while the proxy could not answer. */
         private boolean left;
 
@@ -39,8 +46,10 @@
     private final DoubleSupplier clock;
     private final Referee referee;
     private final Map<String, Asked> asked = new HashMap<>();
+
     /** Until when each proxy was last known not to be able to answer. */
     private final double[] excused;
+
     private LoadEvenness evenness;
     private RunResult figures;
     private double began;
@@ -53,10 +62,19 @@
     OutcomeRecorder(Scenario day, int rules, DoubleSupplier clock) {
         this.day = day;
         this.clock = clock;
-        int[] location = IntStream.range(0, day.backends()).map(i -> i % day.settings().locationCount())
-                .toArray();
-        referee = new Referee(day.settings(), rules, day.grace(), SLACK, day.proxies(), location,
-                day.cores());
+        int[] location =
+                IntStream.range(0, day.backends())
+                        .map(i -> i % day.settings().locationCount())
+                        .toArray();
+        referee =
+                new Referee(
+                        day.settings(),
+                        rules,
+                        day.grace(),
+                        SLACK,
+                        day.proxies(),
+                        location,
+                        day.cores());
         excused = new double[day.proxies()];
         evenness = new LoadEvenness(day.backends(), day.cores(), day.settings().windowSeconds());
         begins();
@@ -108,7 +126,11 @@
     RunResult ends() {
         System.arraycopy(bearable.benefit(), 0, figures.borneIn, 0, figures.borneIn.length);
         figures.evenness = evenness.measure(now());
-        System.arraycopy(evenness.idleBySecond(), 0, figures.idleIn, 0,
+        System.arraycopy(
+                evenness.idleBySecond(),
+                0,
+                figures.idleIn,
+                0,
                 Math.min(figures.idleIn.length, evenness.idleBySecond().length));
         return figures;
     }
@@ -130,7 +152,13 @@
     }
 
     Asked taken(String trace, int proxy, int requestClass, double work) {
-        Request request = new Request(++ids, requestClass, 0, now(), day.settings().requestClasses().get(requestClass).timeoutSeconds());
+        Request request =
+                new Request(
+                        ++ids,
+                        requestClass,
+                        0,
+                        now(),
+                        day.settings().requestClasses().get(requestClass).timeoutSeconds());
         Asked its = new Asked(request, proxy, work);
         asked.put(trace, its);
         figures.taken++;
@@ -148,7 +176,8 @@
         Attempt attempt = new Attempt(its.x, backend, now(), 0, 0);
         figures.forwards++;
         evenness.sends(backend, now());
-        // What has waited for a process that stood still comes late for nobody; it is judged for nothing.
+        // What has waited for a process that stood still comes late for nobody; it is judged for
+        // nothing.
         if (!its.left) {
             judged(() -> referee.sent(its.proxy, attempt, its.work, now()));
         }
@@ -168,7 +197,10 @@
         judged(() -> referee.answered(its.proxy, its.x, shed, now()));
     }
 
-    /** A client has stopped waiting; whoever has been killed or paused since it asked could not answer. */
+    /**
+     * A client has stopped waiting; whoever has been killed or paused since it asked could not
+     * answer.
+     */
     void closed(Asked its) {
         its.left = isExcused(its);
         judged(() -> referee.closed(its.proxy, its.x, its.left, now()));
@@ -203,7 +235,10 @@
         evenness.holds(backend, many, isFit, now());
     }
 
-    /** A client has what it wants, so many seconds after it was due; what was due before does not count. */
+    /**
+     * A client has what it wants, so many seconds after it was due; what was due before does not
+     * count.
+     */
     void served(RunResult day, double seconds) {
         if (day != figures) {
             return;
--- a/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
@@ -11,14 +11,20 @@
 import lemondrift.lab.simulation.Fault;
 
 /**
- * Starts the proxies' processes and has the day's faults fall on them. What is decided here happens on the
- * I/O thread; what is done to a process may take its time, so it has a thread of its own.
+ * Starts the proxies' processes and has the day's faults fall on them. What is decided here happens
+ * on the I/O thread; what is done to a process may take its time, so it has a thread of its own.
  */
 final class ProcessFaultInjector {
     private static final double LOOKS = 0.1, STILL_COME = 0.3;
-    /** How long after the longest expiry a process that was told to end may be killed; the protocol page. */
+
+    /**
+     * How long after the longest expiry a process that was told to end may be killed; the protocol
+     * page.
+     */
     private static final double KILLED_AFTER = 0.7;
+
     private static final int HANG_UPS = 4;
+
     /** Steps in which a fleet is rolled. */
     private static final int STEPS = 10;
 
@@ -29,20 +35,33 @@
     private final RealTimeScheduler agenda;
     private final InetSocketAddress[] listens, hears;
     private final CompletableFuture<Void> failed;
+
     /** In seconds. */
     private final double longestExpiry;
+
     /** Who has a connection to a proxy goes on using it until a time. */
     private final ObjDoubleConsumer<Integer> stays;
+
     private final ExecutorService hands = Executors.newSingleThreadExecutor();
+
     /** Those that are to be down. */
     private final boolean[] down;
+
     /** How often each was started. */
     private final int[] starts;
 
     /** Where each proxy listens and hears the others; what fails is told as the day's failure. */
-    ProcessFaultInjector(ProxyProcesses processes, DiscoveryAgents agents, ClientDistributor doors, OutcomeRecorder judge, RealTimeScheduler agenda,
-            InetSocketAddress[] listens, InetSocketAddress[] hears, CompletableFuture<Void> failed,
-            double longestExpiry, ObjDoubleConsumer<Integer> stays) {
+    ProcessFaultInjector(
+            ProxyProcesses processes,
+            DiscoveryAgents agents,
+            ClientDistributor doors,
+            OutcomeRecorder judge,
+            RealTimeScheduler agenda,
+            InetSocketAddress[] listens,
+            InetSocketAddress[] hears,
+            CompletableFuture<Void> failed,
+            double longestExpiry,
+            ObjDoubleConsumer<Integer> stays) {
         this.longestExpiry = longestExpiry;
         this.stays = stays;
         this.processes = processes;
@@ -60,24 +79,27 @@
 
     /** Does something with processes, which may take its time; what fails there ends the day. */
     void acts(Runnable what) {
-        hands.execute(() -> {
-            try {
-                what.run();
-            } catch (RuntimeException e) {
-                failed.completeExceptionally(e);
-            }
-        });
+        hands.execute(
+                () -> {
+                    try {
+                        what.run();
+                    } catch (RuntimeException e) {
+                        failed.completeExceptionally(e);
+                    }
+                });
     }
 
     void starts(int p) {
-        ProxyProcesses.Place place = new ProxyProcesses.Place(listens[p], hears[p], agents.address(p), agents.known(p));
+        ProxyProcesses.Place place =
+                new ProxyProcesses.Place(listens[p], hears[p], agents.address(p), agents.known(p));
         judge.excuses(p, true);
         down[p] = false;
         starts[p]++;
-        acts(() -> {
-            processes.start(p, place);
-            agenda.soon(() -> doors.looksAt(p, () -> judge.excuses(p, false)));
-        });
+        acts(
+                () -> {
+                    processes.start(p, place);
+                    agenda.soon(() -> doors.looksAt(p, () -> judge.excuses(p, false)));
+                });
     }
 
     private void ends(int p, boolean outright) {
@@ -95,8 +117,8 @@
     }
 
     /**
-     * One is told to end. Its front sends nobody more after a while, but who has a connection uses it for as
-     * long as it is there; what the kill finds unanswered is not excused.
+     * One is told to end. Its front sends nobody more after a while, but who has a connection uses
+     * it for as long as it is there; what the kill finds unanswered is not excused.
      */
     private void terminates(int p) {
         if (down[p]) {
@@ -105,33 +127,39 @@
         down[p] = true;
         acts(() -> processes.stop(p));
         double kill = agenda.now() + longestExpiry + KILLED_AFTER;
-        agenda.in(STILL_COME, () -> {
-            doors.leaves(p);
-            stays.accept(p, kill);
-        });
+        agenda.in(
+                STILL_COME,
+                () -> {
+                    doors.leaves(p);
+                    stays.accept(p, kill);
+                });
         int start = starts[p];
-        agenda.at(kill, () -> {
-            // Danger: by then another process may have its number.
-            if (starts[p] == start) {
-                acts(() -> processes.kill(p));
-            }
-        });
+        agenda.at(
+                kill,
+                () -> {
+                    // Danger: by then another process may have its number.
+                    if (starts[p] == start) {
+                        acts(() -> processes.kill(p));
+                    }
+                });
     }
 
     /** Starts one again as soon as its former process has ended. */
     private void startsAgain(int p) {
         if (down[p]) {
-            acts(() -> {
-                boolean alive = processes.isAlive(p);
-                agenda.soon(() -> {
-                    if (alive) {
-                        agenda.in(LOOKS, () -> startsAgain(p));
-                    } else if (down[p]) {
-                        doors.leaves(p);
-                        starts(p);
-                    }
-                });
-            });
+            acts(
+                    () -> {
+                        boolean alive = processes.isAlive(p);
+                        agenda.soon(
+                                () -> {
+                                    if (alive) {
+                                        agenda.in(LOOKS, () -> startsAgain(p));
+                                    } else if (down[p]) {
+                                        doors.leaves(p);
+                                        starts(p);
+                                    }
+                                });
+                    });
         }
     }
 
@@ -150,19 +178,25 @@
                 for (int p : numbers) {
                     judge.excuses(p, true);
                     acts(() -> processes.pause(p));
-                    agenda.in(fault.lasts(), () -> acts(() -> {
-                        processes.wake(p);
-                        agenda.soon(() -> judge.excuses(p, false));
-                    }));
+                    agenda.in(
+                            fault.lasts(),
+                            () ->
+                                    acts(
+                                            () -> {
+                                                processes.wake(p);
+                                                agenda.soon(() -> judge.excuses(p, false));
+                                            }));
                 }
             }
             case ROLL -> {
                 for (int k = 0; k < numbers.length; k++) {
                     int p = numbers[k];
-                    agenda.in(fault.lasts() / STEPS * (k * STEPS / numbers.length), () -> {
-                        ends(p, false);
-                        startsAgain(p);
-                    });
+                    agenda.in(
+                            fault.lasts() / STEPS * (k * STEPS / numbers.length),
+                            () -> {
+                                ends(p, false);
+                                startsAgain(p);
+                            });
                 }
             }
             case TERMINATE -> {
@@ -173,11 +207,13 @@
             }
             case HANG_UP -> {
                 for (int k = 0; k < HANG_UPS; k++) {
-                    agenda.in(fault.lasts() * k / HANG_UPS, () -> {
-                        for (int p : numbers) {
-                            acts(() -> processes.hangUp(p));
-                        }
-                    });
+                    agenda.in(
+                            fault.lasts() * k / HANG_UPS,
+                            () -> {
+                                for (int p : numbers) {
+                                    acts(() -> processes.hangUp(p));
+                                }
+                            });
                 }
             }
             default -> throw new IllegalStateException(fault.kind() + " falls on no process");
--- a/src/main/java/lemondrift/lab/fleet/ProcessLauncher.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessLauncher.java
@@ -20,11 +20,13 @@
     public static ProcessLauncher deployed(Path root) throws IOException {
         Path file = root.resolve("deploy/balancer.toml");
         if (!Files.exists(root.resolve("target/lemondrift.jar"))) {
-            throw new InvalidSettingsException(root.resolve("target/lemondrift.jar") + ": not there; make build makes it");
+            throw new InvalidSettingsException(
+                    root.resolve("target/lemondrift.jar") + ": not there; make build makes it");
         }
         String run = new TomlMapper().readTree(Files.readString(file)).path("run").asText("");
         if (!run.contains("exec ")) {
-            throw new InvalidSettingsException(file + ": run: does not end by exec, so that its process can't be told");
+            throw new InvalidSettingsException(
+                    file + ": run: does not end by exec, so that its process can't be told");
         }
         return new ProcessLauncher(List.of("/bin/sh", "-c", run), root, Map.of());
     }
--- a/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
@@ -20,18 +20,23 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * The proxies' processes, each known by its number. They are started, killed, stopped, paused and woken by
- * id, and none outlives this program.
+ * The proxies' processes, each known by its number. They are started, killed, stopped, paused and
+ * woken by id, and none outlives this program.
  */
 public final class ProxyProcesses implements AutoCloseable {
     /** Megabytes that one takes while it serves, and that the stand and the machine keep. */
     private static final int EACH = 58, KEPT = 1024;
+
     /** Seconds after SIGTERM within which one has to have ended. */
     private static final int DRAIN = 15;
+
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** What one process is told of where it stands. */
-    record Place(InetSocketAddress listen, InetSocketAddress hears, InetSocketAddress discovery,
+    record Place(
+            InetSocketAddress listen,
+            InetSocketAddress hears,
+            InetSocketAddress discovery,
             String known) {}
 
     private final ProcessLauncher launcher;
@@ -44,8 +49,17 @@
     private final Thread end = new Thread(this::killAll, "end");
     private int starts;
 
-    /** Their files go into a folder; peers are all proxies' addresses for datagrams, as they see them. */
-    ProxyProcesses(ProcessLauncher launcher, Path folder, Scenario day, boolean tells, boolean recovers, List<String> peers)
+    /**
+     * Their files go into a folder; peers are all proxies' addresses for datagrams, as they see
+     * them.
+     */
+    ProxyProcesses(
+            ProcessLauncher launcher,
+            Path folder,
+            Scenario day,
+            boolean tells,
+            boolean recovers,
+            List<String> peers)
             throws IOException {
         this.launcher = launcher;
         this.folder = folder;
@@ -57,8 +71,13 @@
         paused = new boolean[day.proxies()];
         long free = free(), wanted = (long) EACH * day.proxies() + KEPT;
         if (free < wanted) {
-            throw new InvalidSettingsException(day.proxies() + " processes take some " + wanted + " MB, and " + free
-                    + " MB are free");
+            throw new InvalidSettingsException(
+                    day.proxies()
+                            + " processes take some "
+                            + wanted
+                            + " MB, and "
+                            + free
+                            + " MB are free");
         }
         // Danger: a run that is interrupted would leave hundreds of processes behind.
         Runtime.getRuntime().addShutdownHook(end);
@@ -68,7 +87,8 @@
     private static long free() throws IOException {
         try (Stream<String> lines = Files.lines(Path.of("/proc/meminfo"))) {
             return lines.filter(line -> line.startsWith("MemAvailable:"))
-                    .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")) / 1024).findFirst()
+                    .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")) / 1024)
+                    .findFirst()
                     .orElse(Long.MAX_VALUE);
         }
     }
@@ -77,10 +97,13 @@
     void start(int p, Place place) {
         try {
             Path file = Files.writeString(folder.resolve("n" + p + ".json"), config(p, place));
-            ProcessBuilder builder = new ProcessBuilder(launcher.command())
-                    .directory(launcher.folder().toFile())
-                    .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(
-                            folder.resolve("n" + p + ".log").toFile()));
+            ProcessBuilder builder =
+                    new ProcessBuilder(launcher.command())
+                            .directory(launcher.folder().toFile())
+                            .redirectErrorStream(true)
+                            .redirectOutput(
+                                    ProcessBuilder.Redirect.appendTo(
+                                            folder.resolve("n" + p + ".log").toFile()));
             builder.environment().putAll(launcher.environment());
             if (!recovers) {
                 builder.environment().put("PROXY_RECOVERY", "");
@@ -91,14 +114,17 @@
             all[p] = builder.start();
             paused[p] = false;
         } catch (IOException e) {
-            throw new InvalidSettingsException("proxy " + p + " can't be started: " + e.getMessage());
+            throw new InvalidSettingsException(
+                    "proxy " + p + " can't be started: " + e.getMessage());
         }
     }
 
     private String config(int p, Place place) throws IOException {
         ObjectNode root = JSON.createObjectNode();
-        root.put("name", "n" + p).put("listen", LoopbackAddresses.text(place.listen)).put("discovery",
-                LoopbackAddresses.text(place.discovery)).put("seed", Long.toHexString(1000L * p + ++starts));
+        root.put("name", "n" + p)
+                .put("listen", LoopbackAddresses.text(place.listen))
+                .put("discovery", LoopbackAddresses.text(place.discovery))
+                .put("seed", Long.toHexString(1000L * p + ++starts));
         root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1024);
         root.put("peer_listen", LoopbackAddresses.text(place.hears));
         ArrayNode others = root.putArray("peers");
@@ -116,26 +142,44 @@
             names.add("l" + i);
         }
         to.put("membershipMode", "pushed");
-        to.putObject("limits").put("mayCancel", day.settings().limits().canCancel())
+        to.putObject("limits")
+                .put("mayCancel", day.settings().limits().canCancel())
                 .put("probes", day.settings().limits().canProbe())
-                .put("mostForwards", day.settings().limits().maxAttempts()).put("retryAfter", true)
-                .put("maxRetryAfter", 1000 * day.settings().limits().maxRetryAfterSeconds()).put("connIdle", 10_000)
-                .put("connectTimeout", 250).put("mayTell", tells);
-        to.putObject("invariants").put("coldFrom", day.settings().rules().slowStartMinShare())
+                .put("mostForwards", day.settings().limits().maxAttempts())
+                .put("retryAfter", true)
+                .put("maxRetryAfter", 1000 * day.settings().limits().maxRetryAfterSeconds())
+                .put("connIdle", 10_000)
+                .put("connectTimeout", 250)
+                .put("mayTell", tells);
+        to.putObject("invariants")
+                .put("coldFrom", day.settings().rules().slowStartMinShare())
                 .put("cold", 1000 * day.settings().rules().slowStartSeconds())
                 .put("fallMultiple", day.settings().rules().overloadFactor())
                 .put("overloadFor", 1000 * day.settings().rules().overloadWindowSeconds());
         to.putObject("report").put("how", "inline").putArray("names").add("util").add("queue");
-        to.putObject("charges").put("crossZone", day.settings().costs().crossZone())
+        to.putObject("charges")
+                .put("crossZone", day.settings().costs().crossZone())
                 .put("probe", day.settings().costs().probe());
         ArrayNode grades = to.putArray("serviceGrades");
         for (int i = 0; i < day.settings().requestClasses().size(); i++) {
             RequestClass requestClass = day.settings().requestClasses().get(i);
-            grades.addObject().put("name", Experiment.GRADES.get(i)).put("benefit", requestClass.priorityWeight())
-                    .put("contractTime", 1000 * requestClass.latencyObjectiveSeconds()).put("expiry", 1000 * requestClass.timeoutSeconds())
-                    .put("effect", requestClass.idempotency() == Idempotency.IDEMPOTENT ? "retryable"
-                            : requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY ? "dedup" : "fragile")
-                    .put("group", requestClass.deduplicationScope() == DeduplicationScope.ALL ? "all" : "zone")
+            grades.addObject()
+                    .put("name", Experiment.GRADES.get(i))
+                    .put("benefit", requestClass.priorityWeight())
+                    .put("contractTime", 1000 * requestClass.latencyObjectiveSeconds())
+                    .put("expiry", 1000 * requestClass.timeoutSeconds())
+                    .put(
+                            "effect",
+                            requestClass.idempotency() == Idempotency.IDEMPOTENT
+                                    ? "retryable"
+                                    : requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                            ? "dedup"
+                                            : "fragile")
+                    .put(
+                            "group",
+                            requestClass.deduplicationScope() == DeduplicationScope.ALL
+                                    ? "all"
+                                    : "zone")
                     .put("keyTtl", 1000 * requestClass.idempotencyKeyTtlSeconds());
         }
     }
@@ -180,9 +224,12 @@
     private void signal(int p, String name) {
         if (isAlive(p)) {
             try {
-                new ProcessBuilder("kill", "-" + name, String.valueOf(all[p].pid())).start().waitFor();
+                new ProcessBuilder("kill", "-" + name, String.valueOf(all[p].pid()))
+                        .start()
+                        .waitFor();
             } catch (IOException e) {
-                throw new InvalidSettingsException("proxy " + p + " can't be sent " + name + ": " + e.getMessage());
+                throw new InvalidSettingsException(
+                        "proxy " + p + " can't be sent " + name + ": " + e.getMessage());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -191,14 +238,19 @@
 
     /** Seconds of a processor that one has used since its start. */
     double cpu(int p) {
-        return all[p] == null ? 0 : all[p].info().totalCpuDuration().map(Duration::toNanos).orElse(0L) / 1e9;
+        return all[p] == null
+                ? 0
+                : all[p].info().totalCpuDuration().map(Duration::toNanos).orElse(0L) / 1e9;
     }
 
     /** Megabytes that one holds. */
     double memory(int p) {
-        try (Stream<String> lines = Files.lines(Path.of("/proc", String.valueOf(all[p].pid()), "status"))) {
+        try (Stream<String> lines =
+                Files.lines(Path.of("/proc", String.valueOf(all[p].pid()), "status"))) {
             return lines.filter(line -> line.startsWith("VmRSS:"))
-                    .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", ""))).findFirst().orElse(0)
+                            .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+                            .findFirst()
+                            .orElse(0)
                     / 1024.0;
         } catch (IOException e) {
             return 0;
@@ -223,8 +275,12 @@
                 wrong.add("proxy " + p + " had not ended " + DRAIN + " s after SIGTERM");
                 kill(p);
             } else if (all[p] != null && (crashed[p] || all[p].exitValue() != 0)) {
-                wrong.add("proxy " + p + " ended with " + all[p].exitValue()
-                        + (crashed[p] ? ", by itself" : ""));
+                wrong.add(
+                        "proxy "
+                                + p
+                                + " ended with "
+                                + all[p].exitValue()
+                                + (crashed[p] ? ", by itself" : ""));
             }
         }
         return wrong;
--- a/src/main/java/lemondrift/lab/load/Load.java
+++ b/src/main/java/lemondrift/lab/load/Load.java
@@ -13,13 +13,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Sends requests at a stated rate, whatever becomes of those before (an open loop), and counts each one's
- * latency from when it should have been sent: waiting for a free connection is the client's time too.
- * Loopback alone.
+ * Sends requests at a stated rate, whatever becomes of those before (an open loop), and counts each
+ * one's latency from when it should have been sent: waiting for a free connection is the client's
+ * time too. Loopback alone.
  */
 public final class Load {
-    /** A request that goes out this many seconds late shows that the load is too weak for the rate. */
+    /**
+     * A request that goes out this many seconds late shows that the load is too weak for the rate.
+     */
     private static final double BEHIND = 0.01;
+
     /** Latencies in microseconds up to a minute, to two digits. */
     private static final long LONGEST = 60_000_000;
 
@@ -36,35 +39,63 @@
      * @param grade the service grade that each names
      * @param timeout seconds after which a request has failed
      */
-    public record Plan(InetSocketAddress to, double rate, double seconds, double warmUp, int connections,
-            String grade, double timeout) {
+    public record Plan(
+            InetSocketAddress to,
+            double rate,
+            double seconds,
+            double warmUp,
+            int connections,
+            String grade,
+            double timeout) {
         public Plan {
             if (to.isUnresolved() || !to.getAddress().isLoopbackAddress()) {
                 throw new InvalidSettingsException("not a loopback address: " + to.getHostString());
             }
-            if (!(rate > 0 && rate <= 1e6) || !(seconds > 0 && seconds <= 3600) || !(warmUp >= 0)
-                    || connections < 1 || connections > 4096 || !(timeout > 0)) {
-                throw new InvalidSettingsException("a load that cannot be: rate " + rate + ", seconds " + seconds
-                        + ", connections " + connections);
+            if (!(rate > 0 && rate <= 1e6)
+                    || !(seconds > 0 && seconds <= 3600)
+                    || !(warmUp >= 0)
+                    || connections < 1
+                    || connections > 4096
+                    || !(timeout > 0)) {
+                throw new InvalidSettingsException(
+                        "a load that cannot be: rate "
+                                + rate
+                                + ", seconds "
+                                + seconds
+                                + ", connections "
+                                + connections);
             }
         }
     }
 
     /** What came of it; latencies are those of 200 answers, in microseconds. */
-    public record Result(Histogram latency, long sent, long delivered, long shed, long failed, long behind) {
-        /** Whether the load was what was asked for: at most one request in a hundred went out late. */
+    public record Result(
+            Histogram latency, long sent, long delivered, long shed, long failed, long behind) {
+        /**
+         * Whether the load was what was asked for: at most one request in a hundred went out late.
+         */
         public boolean keptUp() {
             return behind <= sent / 100;
         }
 
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "sent %d, delivered %d, shed %d, failed %d, us: 50%% %d, "
-                    + "90%% %d, 99%% %d, 99.9%% %d, most %d%s", sent, delivered, shed, failed,
-                    latency.getValueAtPercentile(50), latency.getValueAtPercentile(90),
+            return String.format(
+                    Locale.ROOT,
+                    "sent %d, delivered %d, shed %d, failed %d, us: 50%% %d, "
+                            + "90%% %d, 99%% %d, 99.9%% %d, most %d%s",
+                    sent,
+                    delivered,
+                    shed,
+                    failed,
+                    latency.getValueAtPercentile(50),
+                    latency.getValueAtPercentile(90),
                     latency.getValueAtPercentile(99),
-                    latency.getValueAtPercentile(99.9), latency.getMaxValue(),
-                    keptUp() ? "" : "; BEHIND: " + behind + " went out late, the rate was not reached");
+                    latency.getValueAtPercentile(99.9),
+                    latency.getMaxValue(),
+                    keptUp()
+                            ? ""
+                            : "; BEHIND: " + behind + " went out late, the rate was not reached");
         }
     }
 
@@ -93,23 +124,36 @@
         for (Thread each : threads) {
             each.join();
         }
-        return new Result(load.latency, load.sent, load.delivered, load.shed, load.failed, load.behind);
+        return new Result(
+                load.latency, load.sent, load.delivered, load.shed, load.failed, load.behind);
     }
 
     /**
-     * The highest rate, by doubling and then halving the gap, at which a quantile of latency stays within a
-     * bound and nothing fails.
+     * The highest rate, by doubling and then halving the gap, at which a quantile of latency stays
+     * within a bound and nothing fails.
      *
      * @param quantile in percent, as 99
      * @param bound in seconds
      */
-    public static double highestRate(Plan first, double quantile, double bound) throws InterruptedException {
+    public static double highestRate(Plan first, double quantile, double bound)
+            throws InterruptedException {
         double good = 0, bad = Double.POSITIVE_INFINITY, rate = first.rate;
         while (bad - good > 0.1 * good && rate <= 1e6) {
-            Result result = play(new Plan(first.to, rate, first.seconds, first.warmUp, first.connections,
-                    first.grade, first.timeout));
-            boolean holds = result.keptUp() && result.failed == 0 && result.shed == 0
-                    && result.latency.getValueAtPercentile(quantile) <= bound * 1e6;
+            Result result =
+                    play(
+                            new Plan(
+                                    first.to,
+                                    rate,
+                                    first.seconds,
+                                    first.warmUp,
+                                    first.connections,
+                                    first.grade,
+                                    first.timeout));
+            boolean holds =
+                    result.keptUp()
+                            && result.failed == 0
+                            && result.shed == 0
+                            && result.latency.getValueAtPercentile(quantile) <= bound * 1e6;
             good = holds ? rate : good;
             bad = holds ? bad : rate;
             rate = bad == Double.POSITIVE_INFINITY ? 2 * rate : (good + bad) / 2;
@@ -168,8 +212,15 @@
     }
 
     private byte[] request(long i) {
-        return ("GET /load HTTP/1.1\r\nHost: load\r\nX-Trace-Id: load-" + origin + "-" + i + "\r\nX-Qos: "
-                + plan.grade + "\r\nX-Expires-In-Ms: " + (long) (plan.timeout * 1000) + "\r\n\r\n")
+        return ("GET /load HTTP/1.1\r\nHost: load\r\nX-Trace-Id: load-"
+                        + origin
+                        + "-"
+                        + i
+                        + "\r\nX-Qos: "
+                        + plan.grade
+                        + "\r\nX-Expires-In-Ms: "
+                        + (long) (plan.timeout * 1000)
+                        + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
@@ -186,11 +237,16 @@
         }
         String text = head.toString().toLowerCase(Locale.ROOT);
         int at = text.indexOf("content-length: ");
-        int length = at < 0 ? 0 : Integer.parseInt(text.substring(at + 16, text.indexOf("\r\n", at)).strip());
+        int length =
+                at < 0
+                        ? 0
+                        : Integer.parseInt(
+                                text.substring(at + 16, text.indexOf("\r\n", at)).strip());
         if (in.readNBytes(length).length < length) {
             throw new IOException("no whole answer");
         }
-        return Integer.parseInt(text.substring(9, 12)) | (text.contains("connection: close") ? CLOSES : 0);
+        return Integer.parseInt(text.substring(9, 12))
+                | (text.contains("connection: close") ? CLOSES : 0);
     }
 
     private synchronized void count(long i, long due, double late, int status) {
--- a/src/main/java/lemondrift/lab/simulation/Backend.java
+++ b/src/main/java/lemondrift/lab/simulation/Backend.java
@@ -28,18 +28,25 @@
 
     /** Seconds over which utilisation is a mean, and exchanges that may wait for each core. */
     private static final double MEAN = 0.1;
+
     private static final int MOST_WAITING = 20;
 
     private final Scheduler agenda;
     private final int cores;
     private final Settings.Rules rules;
-    /** Work that came while it was cold, with the time, within the window in which it may fall over. */
+
+    /**
+     * Work that came while it was cold, with the time, within the window in which it may fall over.
+     */
     private final Deque<double[]> coldWork = new ArrayDeque<>();
+
     private final Deque<Job> waiting = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
     private double startedAt = Double.NEGATIVE_INFINITY, stalledUntil, busy, busyAt;
+
     /** How many troubles of a kind are on it, and the slowest of those that slow it. */
     public int dead, silent;
+
     public double slow = 1, errors, gradeErrors;
 
     public Backend(Scheduler agenda, int cores, Settings.Rules rules) {
@@ -55,10 +62,14 @@
     /** The share of its capacity that it has now. */
     private double warmth() {
         double age = (agenda.now() - startedAt) / rules.slowStartSeconds();
-        return age >= 1 ? 1 : rules.slowStartMinShare() + (1 - rules.slowStartMinShare()) * Math.max(0, age);
+        return age >= 1
+                ? 1
+                : rules.slowStartMinShare() + (1 - rules.slowStartMinShare()) * Math.max(0, age);
     }
 
-    /** Whether this much more work pushes it over: cold, it got more in a window than it can bear. */
+    /**
+     * Whether this much more work pushes it over: cold, it got more in a window than it can bear.
+     */
     public boolean fallsOver(double work) {
         double warmth = warmth(), now = agenda.now();
         if (warmth == 1) {
@@ -69,8 +80,9 @@
         while (coldWork.peek()[0] < now - rules.overloadWindowSeconds()) {
             coldWork.remove();
         }
-        return coldWork.size() > 1 && coldWork.stream().mapToDouble(each -> each[1]).sum()
-                > rules.overloadFactor() * warmth * cores * rules.overloadWindowSeconds();
+        return coldWork.size() > 1
+                && coldWork.stream().mapToDouble(each -> each[1]).sum()
+                        > rules.overloadFactor() * warmth * cores * rules.overloadWindowSeconds();
     }
 
     public boolean isFull() {
--- a/src/main/java/lemondrift/lab/simulation/BackendFault.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFault.java
@@ -14,7 +14,10 @@
     public enum Kind {
         /** Processes die, what they held is reset; they come back cold when it is over. */
         CRASH,
-        /** Machines say nothing more: connections neither come up nor break; back cold when it is over. */
+        /**
+         * Machines say nothing more: connections neither come up nor break; back cold when it is
+         * over.
+         */
         VANISH,
         /** They stand still. */
         STALL,
@@ -24,7 +27,9 @@
         ERRORS,
         /** The same for the last grade alone. */
         GRADE,
-        /** They are replaced one after another within the time, each drained first, successors cold. */
+        /**
+         * They are replaced one after another within the time, each drained first, successors cold.
+         */
         DEPLOY,
         /** Traffic is so many times the usual. */
         BURST,
@@ -35,8 +40,13 @@
     }
 
     public BackendFault {
-        if (kind == null || !(at >= 0) || !(lasts > 0) || !(share >= 0 && share <= 1) || !(strength >= 0)) {
-            throw new IllegalArgumentException("a trouble that cannot be: " + kind + " at " + at + " s");
+        if (kind == null
+                || !(at >= 0)
+                || !(lasts > 0)
+                || !(share >= 0 && share <= 1)
+                || !(strength >= 0)) {
+            throw new IllegalArgumentException(
+                    "a trouble that cannot be: " + kind + " at " + at + " s");
         }
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
@@ -11,7 +11,10 @@
         /** Discovery has something to tell of a backend. */
         void tells(int backend, EndpointUpdate.State state);
 
-        /** A backend's process or machine is gone; what it held is reset, or nothing is ever told of it. */
+        /**
+         * A backend's process or machine is gone; what it held is reset, or nothing is ever told of
+         * it.
+         */
         default void died(int backend, boolean tells) {}
 
         /** A backend's process has started again, empty and cold. */
@@ -26,11 +29,18 @@
     private final Backend[] backends;
     private final double delay;
     private final Host host;
+
     /** By how much traffic and the work of an exchange are more than usual now. */
     public double traffic = 1, heavy = 1;
 
-    /** The delay is that of discovery, in seconds; one that is replaced is drained for longer first. */
-    public BackendFaultInjector(Scheduler agenda, UniformRandomProvider chance, Backend[] backends, double delay,
+    /**
+     * The delay is that of discovery, in seconds; one that is replaced is drained for longer first.
+     */
+    public BackendFaultInjector(
+            Scheduler agenda,
+            UniformRandomProvider chance,
+            Backend[] backends,
+            double delay,
             Host host) {
         this.agenda = agenda;
         this.chance = chance;
@@ -88,10 +98,12 @@
             case VANISH -> {
                 backend.silent++;
                 dies(i, false);
-                agenda.in(trouble.lasts(), () -> {
-                    backend.silent--;
-                    comesBack(i);
-                });
+                agenda.in(
+                        trouble.lasts(),
+                        () -> {
+                            backend.silent--;
+                            comesBack(i);
+                        });
             }
             case STALL -> backend.stall(agenda.now() + trouble.lasts());
             case SLOW -> {
@@ -119,7 +131,10 @@
         }
     }
 
-    /** Two troubles that hold it down may end at the same instant: it comes back with the last of them. */
+    /**
+     * Two troubles that hold it down may end at the same instant: it comes back with the last of
+     * them.
+     */
     private void comesBack(int i) {
         if (--backends[i].dead == 0) {
             backends[i].restarts();
@@ -130,9 +145,11 @@
 
     private void replace(int i, double within) {
         host.tells(i, EndpointUpdate.State.DRAINING);
-        agenda.in(Math.min(within, 2 * delay + 1), () -> {
-            dies(i, true);
-            agenda.in(0.1, () -> comesBack(i));
-        });
+        agenda.in(
+                Math.min(within, 2 * delay + 1),
+                () -> {
+                    dies(i, true);
+                    agenda.in(0.1, () -> comesBack(i));
+                });
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/Fault.java
+++ b/src/main/java/lemondrift/lab/simulation/Fault.java
@@ -1,8 +1,8 @@
 package lemondrift.lab.simulation;
 
 /**
- * Something that goes wrong with the proxies' processes or on the way from one to another, to the backends or
- * to discovery; any may overlap with any.
+ * Something that goes wrong with the proxies' processes or on the way from one to another, to the
+ * backends or to discovery; any may overlap with any.
  *
  * @param kind what goes wrong
  * @param channel on which way, for what is between processes
@@ -14,8 +14,16 @@
  * @param share of the messages that it falls on, 0 to 1
  * @param by seconds by which a message is late, at the most
  */
-public record Fault(Kind kind, Channel channel, FaultTarget from, FaultTarget to, boolean both, double at, double lasts,
-        double share, double by) {
+public record Fault(
+        Kind kind,
+        Channel channel,
+        FaultTarget from,
+        FaultTarget to,
+        boolean both,
+        double at,
+        double lasts,
+        double share,
+        double by) {
     /** Kinds of fault. */
     public enum Kind {
         /** Nothing gets through; on connections neither end is told. */
@@ -39,11 +47,13 @@
         /** Processes are stopped and started again, a tenth of them at a time, over its span. */
         ROLL,
         /**
-         * Processes get SIGTERM while clients go on using the connections that they have, and are killed as
-         * early as the platform may do so.
+         * Processes get SIGTERM while clients go on using the connections that they have, and are
+         * killed as early as the platform may do so.
          */
         TERMINATE,
-        /** Processes are told to read their configuration again, some times in a row over its span. */
+        /**
+         * Processes are told to read their configuration again, some times in a row over its span.
+         */
         HANG_UP;
 
         /** Whether it falls on processes. */
@@ -53,12 +63,23 @@
     }
 
     /** Ways between processes. */
-    public enum Channel { DATAGRAMS, BACKENDS, DISCOVERY }
+    public enum Channel {
+        DATAGRAMS,
+        BACKENDS,
+        DISCOVERY
+    }
 
     public Fault {
-        if (kind == null || channel == null || from == null || to == null || !(at >= 0) || !(lasts > 0)
-                || !(share >= 0 && share <= 1) || !(by >= 0)) {
-            throw new IllegalArgumentException("a fault that cannot be: " + kind + " at " + at + " s");
+        if (kind == null
+                || channel == null
+                || from == null
+                || to == null
+                || !(at >= 0)
+                || !(lasts > 0)
+                || !(share >= 0 && share <= 1)
+                || !(by >= 0)) {
+            throw new IllegalArgumentException(
+                    "a fault that cannot be: " + kind + " at " + at + " s");
         }
     }
 
--- a/src/main/java/lemondrift/lab/simulation/FaultTarget.java
+++ b/src/main/java/lemondrift/lab/simulation/FaultTarget.java
@@ -7,20 +7,27 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Some of the proxies or backends of a day: all of them, those of a location, one by its number, or a share
- * that is drawn.
+ * Some of the proxies or backends of a day: all of them, those of a location, one by its number, or
+ * a share that is drawn.
  *
  * @param kind which of these
  * @param value the location, the number, or the share from 0 to 1
  */
 public record FaultTarget(Kind kind, double value) {
     /** Which of them. */
-    public enum Kind { ALL, LOCATION, NUMBER, SHARE }
+    public enum Kind {
+        ALL,
+        LOCATION,
+        NUMBER,
+        SHARE
+    }
 
     /** How it is written in a file. */
     public static final String FORMS = "\"all\", \"location 1\", \"number 3\", \"30%\"";
+
     public static final FaultTarget ALL = new FaultTarget(Kind.ALL, 1);
-    private static final Pattern FORM = Pattern.compile("(location|number) (\\d{1,4})|(\\d+(?:\\.\\d+)?)%");
+    private static final Pattern FORM =
+            Pattern.compile("(location|number) (\\d{1,4})|(\\d+(?:\\.\\d+)?)%");
 
     /** As written in a file; null where it is none of the forms. */
     public static FaultTarget of(String text) {
@@ -33,7 +40,8 @@
             double share = Double.parseDouble(parts.group(3)) / 100;
             return share <= 1 ? new FaultTarget(Kind.SHARE, share) : null;
         }
-        return new FaultTarget(parts.group(1).equals("location") ? Kind.LOCATION : Kind.NUMBER,
+        return new FaultTarget(
+                parts.group(1).equals("location") ? Kind.LOCATION : Kind.NUMBER,
                 Integer.parseInt(parts.group(2)));
     }
 
@@ -51,7 +59,9 @@
             return are;
         }
         for (int i = 0; i < many; i++) {
-            are[i] = kind == Kind.ALL || (kind == Kind.NUMBER ? i : location.applyAsInt(i)) == (int) value;
+            are[i] =
+                    kind == Kind.ALL
+                            || (kind == Kind.NUMBER ? i : location.applyAsInt(i)) == (int) value;
         }
         return are;
     }
--- a/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
+++ b/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
@@ -6,12 +6,13 @@
 import java.util.stream.IntStream;
 
 /**
- * How evenly backends are used, by what they hold alone; docs/lab.md defines the figures. Times are in
- * seconds and rise. A backend is fit while it is up, speaks and takes what comes.
+ * How evenly backends are used, by what they hold alone; docs/lab.md defines the figures. Times are
+ * in seconds and rise. A backend is fit while it is up, speaks and takes what comes.
  */
 public final class LoadEvenness {
     /** Who holds so many beyond its cores makes another's idleness a fault. */
     private static final int CROWDED = 3;
+
     /** Sends are counted over this share of a contract time. */
     private static final double TOGETHER = 0.1;
 
@@ -96,7 +97,8 @@
         }
         held[backend] = many;
         fit[backend] = isFit;
-        boolean crowded = IntStream.range(0, held.length).anyMatch(i -> fit[i] && held[i] - cores >= CROWDED);
+        boolean crowded =
+                IntStream.range(0, held.length).anyMatch(i -> fit[i] && held[i] - cores >= CROWDED);
         if (crowded && Double.isNaN(crowdedSince)) {
             crowdedSince = now;
         } else if (!crowded && !Double.isNaN(crowdedSince)) {
@@ -140,8 +142,12 @@
             endOfCrowd();
         }
         double span = Math.max(1e-9, now - from), mean = Arrays.stream(served).average().orElse(0);
-        return new Measure(wasted / span / Math.max(1, held.length), idle / span / Math.max(1, held.length),
-                fullest / span, mostTogether, longestIdle,
+        return new Measure(
+                wasted / span / Math.max(1, held.length),
+                idle / span / Math.max(1, held.length),
+                fullest / span,
+                mostTogether,
+                longestIdle,
                 mean == 0 ? 0 : Arrays.stream(served).min().orElse(0) / mean,
                 mean == 0 ? 0 : Arrays.stream(served).max().orElse(0) / mean);
     }
@@ -149,15 +155,22 @@
     /**
      * The figures of a day.
      *
-     * @param waste share of backends that stand idle while as many exchanges wait elsewhere, over time
+     * @param waste share of backends that stand idle while as many exchanges wait elsewhere, over
+     *     time
      * @param idle share of backends that are fit and idle, over time
      * @param fullest what the fullest backend holds, over time
      * @param herd most exchanges sent to one backend within a tenth of a contract time
-     * @param longestIdle longest time, in seconds, that one stood idle while another held three or more
-     *     beyond its cores
+     * @param longestIdle longest time, in seconds, that one stood idle while another held three or
+     *     more beyond its cores
      * @param least served by the backend with the least, over the mean
      * @param most served by the backend with the most, over the mean
      */
-    public record Measure(double waste, double idle, double fullest, int herd, double longestIdle,
-            double least, double most) {}
+    public record Measure(
+            double waste,
+            double idle,
+            double fullest,
+            int herd,
+            double longestIdle,
+            double least,
+            double most) {}
 }
--- a/src/main/java/lemondrift/lab/simulation/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -10,9 +10,9 @@
 import lemondrift.model.*;
 
 /**
- * Judges a day by the four rules alone. It shares no code with the decisions and sees only what passes: what
- * is taken, sent, ended, told and answered. The first rule that is broken fails the run, with
- * what went before it.
+ * Judges a day by the four rules alone. It shares no code with the decisions and sees only what
+ * passes: what is taken, sent, ended, told and answered. The first rule that is broken fails the
+ * run, with what went before it.
  */
 public final class Referee {
     /** How many events before a broken rule are told. */
@@ -51,18 +51,27 @@
     private final double grace, slack;
     private final Map<Request, Seen> open = new HashMap<>();
     private final Deque<Event> events = new ArrayDeque<>();
+
     /** When a proxy was told that a backend wants nothing new. */
     private final double[][] told;
+
     private final double[] started, capacity;
     private final List<Deque<Sent>> cold = new ArrayList<>();
     private final int[] location;
 
     /**
-     * The rules judged, the first so many; the grace after a drain and how much later than at the proxy a
-     * thing may be seen, in seconds; the location of each backend and what each can do in a second.
+     * The rules judged, the first so many; the grace after a drain and how much later than at the
+     * proxy a thing may be seen, in seconds; the location of each backend and what each can do in a
+     * second.
      */
-    public Referee(Settings settings, int rules, double grace, double slack, int proxies,
-            int[] location, double capacityOfEach) {
+    public Referee(
+            Settings settings,
+            int rules,
+            double grace,
+            double slack,
+            int proxies,
+            int[] location,
+            double capacityOfEach) {
         this.settings = settings;
         this.rules = rules;
         this.grace = grace;
@@ -92,11 +101,28 @@
         if (rule > rules) {
             return;
         }
-        StringBuilder text = new StringBuilder("rule " + rule + " broken at " + at + " s by proxy " + proxy
-                + ", exchange " + exchange + ": " + why);
+        StringBuilder text =
+                new StringBuilder(
+                        "rule "
+                                + rule
+                                + " broken at "
+                                + at
+                                + " s by proxy "
+                                + proxy
+                                + ", exchange "
+                                + exchange
+                                + ": "
+                                + why);
         for (Event each : events) {
-            text.append("\n  ").append(each.at).append(" s ").append(each.what).append(", proxy ")
-                    .append(each.proxy).append(", exchange ").append(each.exchange).append(", backend ")
+            text.append("\n  ")
+                    .append(each.at)
+                    .append(" s ")
+                    .append(each.what)
+                    .append(", proxy ")
+                    .append(each.proxy)
+                    .append(", exchange ")
+                    .append(each.exchange)
+                    .append(", backend ")
                     .append(each.backend);
         }
         throw new Broken(rule, text.toString());
@@ -111,19 +137,32 @@
         saw(now, "sent", proxy, attempt.request.id, attempt.backend);
         Seen seen = open.get(attempt.request);
         if (seen == null || seen.isOver(now, slack) || now >= attempt.request.deadline + slack) {
-            broken(1, "sent after its answer or expiry to backend " + attempt.backend, now, proxy, attempt.request.id);
+            broken(
+                    1,
+                    "sent after its answer or expiry to backend " + attempt.backend,
+                    now,
+                    proxy,
+                    attempt.request.id);
             return;
         }
         for (Attempt before : seen.forwards) {
             AttemptOutcome outcome = seen.outcomes.get(before);
             if ((outcome == null || !outcome.neverExecuted) && !mayRepeat(attempt, before, now)) {
-                broken(2, "sent again though it may have run at backend " + before.backend, now, proxy,
+                broken(
+                        2,
+                        "sent again though it may have run at backend " + before.backend,
+                        now,
+                        proxy,
                         attempt.request.id);
             }
         }
         seen.forwards.add(attempt);
         if (now > told[proxy][attempt.backend] + grace + slack) {
-            broken(3, "sent to a backend told as leaving at " + told[proxy][attempt.backend], now, proxy,
+            broken(
+                    3,
+                    "sent to a backend told as leaving at " + told[proxy][attempt.backend],
+                    now,
+                    proxy,
                     attempt.request.id);
         }
         countCold(proxy, attempt, work, now);
@@ -131,15 +170,19 @@
 
     private boolean mayRepeat(Attempt attempt, Attempt before, double now) {
         RequestClass requestClass = settings.requestClasses().get(attempt.request.requestClass);
-        return requestClass.idempotency() == Idempotency.IDEMPOTENT || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                && now - before.sentAt < requestClass.idempotencyKeyTtlSeconds() + slack && (requestClass.deduplicationScope() == DeduplicationScope.ALL
-                || requestClass.deduplicationScope() == DeduplicationScope.LOCATION && location[before.backend] == location[attempt.backend]
-                || before.backend == attempt.backend);
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && now - before.sentAt < requestClass.idempotencyKeyTtlSeconds() + slack
+                        && (requestClass.deduplicationScope() == DeduplicationScope.ALL
+                                || requestClass.deduplicationScope() == DeduplicationScope.LOCATION
+                                        && location[before.backend] == location[attempt.backend]
+                                || before.backend == attempt.backend);
     }
 
     /** Rule 4: all proxies' work for a cold backend in any window, against what it can do then. */
     private void countCold(int proxy, Attempt attempt, double work, double now) {
-        double age = now - started[attempt.backend], window = settings.rules().overloadWindowSeconds();
+        double age = now - started[attempt.backend],
+                window = settings.rules().overloadWindowSeconds();
         if (age >= settings.rules().slowStartSeconds()) {
             return;
         }
@@ -148,13 +191,23 @@
         while (sent.peek().at < now - window) {
             sent.remove();
         }
-        double share = settings.rules().slowStartMinShare()
-                + (1 - settings.rules().slowStartMinShare()) * Math.max(0, age) / settings.rules().slowStartSeconds();
-        double bearable = settings.rules().overloadFactor() * share * capacity[attempt.backend] * window;
+        double share =
+                settings.rules().slowStartMinShare()
+                        + (1 - settings.rules().slowStartMinShare())
+                                * Math.max(0, age)
+                                / settings.rules().slowStartSeconds();
+        double bearable =
+                settings.rules().overloadFactor() * share * capacity[attempt.backend] * window;
         // One exchange that is heavier than the window's budget by itself pushes nobody over.
         if (sent.size() > 1 && sent.stream().mapToDouble(Sent::work).sum() > bearable) {
-            broken(4, "a cold backend got more than it can bear, " + sent.size() + " exchanges in a window",
-                    now, proxy, attempt.request.id);
+            broken(
+                    4,
+                    "a cold backend got more than it can bear, "
+                            + sent.size()
+                            + " exchanges in a window",
+                    now,
+                    proxy,
+                    attempt.request.id);
         }
     }
 
@@ -177,9 +230,16 @@
         seen.answered = true;
         seen.answeredAt = now;
         RequestClass requestClass = settings.requestClasses().get(request.requestClass);
-        boolean harmless = requestClass.idempotency() == Idempotency.IDEMPOTENT || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                && requestClass.deduplicationScope() == DeduplicationScope.ALL || seen.forwards.stream()
-                        .allMatch(attempt -> seen.outcomes.get(attempt) != null && seen.outcomes.get(attempt).neverExecuted);
+        boolean harmless =
+                requestClass.idempotency() == Idempotency.IDEMPOTENT
+                        || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                && requestClass.deduplicationScope() == DeduplicationScope.ALL
+                        || seen.forwards.stream()
+                                .allMatch(
+                                        attempt ->
+                                                seen.outcomes.get(attempt) != null
+                                                        && seen.outcomes.get(attempt)
+                                                                .neverExecuted);
         if (shed && !harmless) {
             broken(2, "shed though it may have run", now, proxy, request.id);
         }
@@ -205,7 +265,8 @@
     /** A proxy was told that a backend wants nothing new, or that it is ready. */
     public void told(int proxy, int backend, boolean ready, double now) {
         saw(now, ready ? "told ready" : "told leaving", proxy, -1, backend);
-        told[proxy][backend] = ready ? Double.POSITIVE_INFINITY : Math.min(now, told[proxy][backend]);
+        told[proxy][backend] =
+                ready ? Double.POSITIVE_INFINITY : Math.min(now, told[proxy][backend]);
     }
 
     public void started(int backend, double now) {
--- a/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
+++ b/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
@@ -1,14 +1,22 @@
 package lemondrift.lab.simulation;
 
 import java.util.List;
-import lemondrift.model.*;
 import lemondrift.gossip.LoadGossip;
+import lemondrift.model.*;
 
-/** One instance's decisions, as the decision module's entry has them; baselines stand in its place. */
+/**
+ * One instance's decisions, as the decision module's entry has them; baselines stand in its place.
+ */
 public interface RoutingPolicy {
     Decision arrived(double now, Request request);
 
-    Decision ended(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over, double[] loadReport);
+    Decision ended(
+            double now,
+            Attempt attempt,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            boolean over,
+            double[] loadReport);
 
     Decision probed(double now, int backend, AttemptOutcome outcome, double[] loadReport);
 
--- a/src/main/java/lemondrift/lab/simulation/RunResult.java
+++ b/src/main/java/lemondrift/lab/simulation/RunResult.java
@@ -9,30 +9,55 @@
 public final class RunResult {
     /** The share of benefit that counts as served as usual, and over how many seconds. */
     private static final double USUAL = 0.95;
+
     private static final int BACK_OVER = 3;
 
     /** Benefit that clients wanted, and that was answered within the contract time. */
     public double wanted, served;
+
     /** Exchanges that proxies took, and how they ended; forwards made, probes sent. */
     public long taken, delivered, late, shed, scrapped, unanswered, forwards, probes;
-    /** What clients want, how often they had it within the contract time, and whom a closed door met. */
+
+    /**
+     * What clients want, how often they had it within the contract time, and whom a closed door
+     * met.
+     */
     public long wants, inTime, unreached;
+
     /** Bytes that proxies told one another, and in how many messages. */
     public long told, messages;
+
     /** Processes that ended by themselves or did not drain. */
     public long crashed;
-    /** The share of a core and the megabytes that a process takes, the mean and the most, on processes. */
+
+    /**
+     * The share of a core and the megabytes that a process takes, the mean and the most, on
+     * processes.
+     */
     public double cpu, memory;
-    /** Seconds until a client has what it wants, counted from when it was due: median, 99th percentile. */
+
+    /**
+     * Seconds until a client has what it wants, counted from when it was due: median, 99th
+     * percentile.
+     */
     public double p50, p99;
+
     /** Cold backends that were pushed over and stayed down. */
     public long fallen;
 
-    /** Benefit wanted and served by the second in which it was wanted; forwards that failed, by backend. */
+    /**
+     * Benefit wanted and served by the second in which it was wanted; forwards that failed, by
+     * backend.
+     */
     public final double[] wantedIn, servedIn;
-    /** By second, on processes: exchanges shed, the share of backends fit and idle, benefit borne. */
+
+    /**
+     * By second, on processes: exchanges shed, the share of backends fit and idle, benefit borne.
+     */
     public final double[] shedIn, idleIn, borneIn;
+
     public final long[] failedAt;
+
     /** How evenly the backends were used; null while the day is played. */
     public LoadEvenness.Measure evenness;
 
@@ -63,8 +88,8 @@
     }
 
     /**
-     * Seconds from the start of the day after which benefit is served as usual to its end: the end of the
-     * last few seconds of which under 95% was served; 0 where there are none.
+     * Seconds from the start of the day after which benefit is served as usual to its end: the end
+     * of the last few seconds of which under 95% was served; 0 where there are none.
      */
     public int backAfter() {
         int back = 0;
@@ -81,8 +106,12 @@
 
     /** The backends at which most forwards failed, so many at the most, the worst first. */
     public List<Integer> worstBackends(int most) {
-        return IntStream.range(0, failedAt.length).boxed().filter(i -> failedAt[i] > 0)
-                .sorted(Comparator.comparing((Integer i) -> -failedAt[i])).limit(most).toList();
+        return IntStream.range(0, failedAt.length)
+                .boxed()
+                .filter(i -> failedAt[i] > 0)
+                .sorted(Comparator.comparing((Integer i) -> -failedAt[i]))
+                .limit(most)
+                .toList();
     }
 
     /** The share of benefit answered in time, 0 to 1. */
@@ -90,7 +119,9 @@
         return wanted == 0 ? 1 : served / wanted;
     }
 
-    /** Benefit answered in time, of what the backends could have borne; 1 where that is not known. */
+    /**
+     * Benefit answered in time, of what the backends could have borne; 1 where that is not known.
+     */
     public double ofBearable() {
         double all = Arrays.stream(borneIn).sum();
         return all == 0 ? 1 : served / all;
@@ -103,10 +134,21 @@
 
     @Override
     public String toString() {
-        return String.format("service %.4f, taken %d, delivered %d, late %d, shed %d, scrapped %d, "
-                + "unanswered %d, forwards %d, probes %d, fallen %d, told %d, waste %.4f, herd %d",
-                service(), taken, delivered,
-                late, shed, scrapped, unanswered, forwards, probes, fallen, told,
-                evenness == null ? 0 : evenness.waste(), evenness == null ? 0 : evenness.herd());
+        return String.format(
+                "service %.4f, taken %d, delivered %d, late %d, shed %d, scrapped %d, unanswered"
+                        + " %d, forwards %d, probes %d, fallen %d, told %d, waste %.4f, herd %d",
+                service(),
+                taken,
+                delivered,
+                late,
+                shed,
+                scrapped,
+                unanswered,
+                forwards,
+                probes,
+                fallen,
+                told,
+                evenness == null ? 0 : evenness.waste(),
+                evenness == null ? 0 : evenness.herd());
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/Scenario.java
+++ b/src/main/java/lemondrift/lab/simulation/Scenario.java
@@ -21,12 +21,33 @@
  * @param seed all chance comes from it
  * @param troubles what goes wrong
  */
-public record Scenario(Settings settings, int proxies, int backends, int cores, double rate, double work,
-        double spread, int tries, double way, double delay, double grace, double lasts, long seed,
+public record Scenario(
+        Settings settings,
+        int proxies,
+        int backends,
+        int cores,
+        double rate,
+        double work,
+        double spread,
+        int tries,
+        double way,
+        double delay,
+        double grace,
+        double lasts,
+        long seed,
         List<BackendFault> troubles) {
     public Scenario {
-        if (proxies < 1 || backends < 0 || cores < 1 || !(rate > 0) || !(work > 0) || !(spread >= 0)
-                || tries < 1 || !(way >= 0) || !(delay >= 0) || !(grace >= 0) || !(lasts > 0)) {
+        if (proxies < 1
+                || backends < 0
+                || cores < 1
+                || !(rate > 0)
+                || !(work > 0)
+                || !(spread >= 0)
+                || tries < 1
+                || !(way >= 0)
+                || !(delay >= 0)
+                || !(grace >= 0)
+                || !(lasts > 0)) {
             throw new IllegalArgumentException("a day that cannot be");
         }
         troubles = List.copyOf(troubles);
--- a/src/main/java/lemondrift/lab/simulation/ServableOracle.java
+++ b/src/main/java/lemondrift/lab/simulation/ServableOracle.java
@@ -7,22 +7,30 @@
 import lemondrift.model.RequestClass;
 
 /**
- * What backends could have served, second by second, by one who knows what they bear and gives what they do
- * to the exchanges of most benefit. Nothing waits for it and nothing is carried over, so that a day may come
- * to a little more: by what was asked again later.
+ * What backends could have served, second by second, by one who knows what they bear and gives what
+ * they do to the exchanges of most benefit. Nothing waits for it and nothing is carried over, so
+ * that a day may come to a little more: by what was asked again later.
  */
 public final class ServableOracle {
     private final List<RequestClass> requestClasses;
     private final int[] byBenefit;
+
     /** Exchanges wanted, by second and grade, and borne, by second. */
     private final double[][] wanted;
+
     private final double[] borne;
 
     /** For so many seconds. */
     public ServableOracle(List<RequestClass> requestClasses, int seconds) {
         this.requestClasses = requestClasses;
-        byBenefit = IntStream.range(0, requestClasses.size()).boxed().sorted(Comparator
-                .comparing((Integer g) -> -requestClasses.get(g).priorityWeight())).mapToInt(g -> g).toArray();
+        byBenefit =
+                IntStream.range(0, requestClasses.size())
+                        .boxed()
+                        .sorted(
+                                Comparator.comparing(
+                                        (Integer g) -> -requestClasses.get(g).priorityWeight()))
+                        .mapToInt(g -> g)
+                        .toArray();
         wanted = new double[seconds][requestClasses.size()];
         borne = new double[seconds];
     }
--- a/src/main/java/lemondrift/lab/simulation/Simulation.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -5,17 +5,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntFunction;
-import lemondrift.model.*;
 import lemondrift.gossip.LoadGossip;
+import lemondrift.model.*;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Plays one day in virtual time: clients, proxies, backends and discovery, with a referee over all of it. */
+/**
+ * Plays one day in virtual time: clients, proxies, backends and discovery, with a referee over all
+ * of it.
+ */
 public final class Simulation implements BackendFaultInjector.Host {
     /** A client asks again after this share of the contract time where it is told nothing else. */
     private static final double WAIT = 0.5;
-    /** How long a message from one proxy to another takes on average, and how many of them are lost. */
+
+    /**
+     * How long a message from one proxy to another takes on average, and how many of them are lost.
+     */
     private static final double MESSAGE = 0.01, LOST = 0.01;
 
     /** What a client wants: it asks until it has it, or has asked often enough. */
@@ -70,7 +76,10 @@
         this(day, 4, deciders);
     }
 
-    /** The same judged by the first rules alone: a baseline spares no cold backend, which is the fourth. */
+    /**
+     * The same judged by the first rules alone: a baseline spares no cold backend, which is the
+     * fourth.
+     */
     public Simulation(Scenario day, int rules, IntFunction<RoutingPolicy> deciders) {
         this.day = day;
         settings = day.settings();
@@ -85,7 +94,8 @@
             backends[i] = new Backend(agenda, day.cores(), settings.rules());
             location[i] = i % settings.locationCount();
         }
-        referee = new Referee(settings, rules, day.grace(), 0, day.proxies(), location, day.cores());
+        referee =
+                new Referee(settings, rules, day.grace(), 0, day.proxies(), location, day.cores());
         evenness = new LoadEvenness(day.backends(), day.cores(), settings.windowSeconds());
         troubles = new BackendFaultInjector(agenda, chance, backends, day.delay(), this);
         proxies = new RoutingPolicy[day.proxies()];
@@ -110,7 +120,11 @@
         }
         agenda.in(gaps.sample() / day.rate(), this::comes);
         agenda.at(day.lasts(), () -> figures.evenness = evenness.measure(agenda.now()));
-        double longest = settings.requestClasses().stream().mapToDouble(RequestClass::timeoutSeconds).max().orElse(1);
+        double longest =
+                settings.requestClasses().stream()
+                        .mapToDouble(RequestClass::timeoutSeconds)
+                        .max()
+                        .orElse(1);
         agenda.runUntil(day.lasts() + (day.tries() + 1) * 2 * longest);
         if (!wants.isEmpty()) {
             throw new IllegalStateException(wants.size() + " exchanges are open after the day");
@@ -122,10 +136,14 @@
         evenness.holds(i, backends[i].held(), backends[i].isFit(), agenda.now());
     }
 
-    /** What a backend truly has to do, in exchanges for each core that works; infinite where it is gone. */
+    /**
+     * What a backend truly has to do, in exchanges for each core that works; infinite where it is
+     * gone.
+     */
     public double trueLoad(int i) {
         Backend backend = backends[i];
-        return !backend.isUp() || backend.silent > 0 ? Double.POSITIVE_INFINITY
+        return !backend.isUp() || backend.silent > 0
+                ? Double.POSITIVE_INFINITY
                 : backend.load() + (backend.errors + backend.gradeErrors) * day.cores();
     }
 
@@ -145,7 +163,11 @@
         figures.wanted += requestClass.priorityWeight();
         figures.wants++;
         figures.wantedIn[(int) agenda.now()] += requestClass.priorityWeight();
-        asks(new Want(classIndex, (int) agenda.now(), agenda.now() + requestClass.latencyObjectiveSeconds()));
+        asks(
+                new Want(
+                        classIndex,
+                        (int) agenda.now(),
+                        agenda.now() + requestClass.latencyObjectiveSeconds()));
         agenda.in(gaps.sample() / (day.rate() * troubles.traffic), this::comes);
     }
 
@@ -153,7 +175,9 @@
         want.tries++;
         RequestClass requestClass = settings.requestClasses().get(want.grade);
         int proxy = chance.nextInt(proxies.length);
-        Request request = new Request(++exchanges, want.grade, 0, agenda.now(), requestClass.timeoutSeconds());
+        Request request =
+                new Request(
+                        ++exchanges, want.grade, 0, agenda.now(), requestClass.timeoutSeconds());
         wants.put(request, want);
         figures.taken++;
         referee.taken(proxy, request, agenda.now());
@@ -167,7 +191,8 @@
         referee.closed(proxy, request, false, agenda.now());
     }
 
-    private void answered(int proxy, Request request, boolean delivered, boolean shed, double retryAfter) {
+    private void answered(
+            int proxy, Request request, boolean delivered, boolean shed, double retryAfter) {
         referee.answered(proxy, request, shed, agenda.now());
         Want want = wants.remove(request);
         if (want == null) {
@@ -178,7 +203,8 @@
         if (delivered) {
             figures.delivered++;
             boolean inTime = agenda.now() <= want.until;
-            double brought = inTime ? requestClass.priorityWeight() : requestClass.latePriorityWeight();
+            double brought =
+                    inTime ? requestClass.priorityWeight() : requestClass.latePriorityWeight();
             figures.served += brought;
             figures.servedIn[want.second] += brought;
             figures.late += inTime ? 0 : 1;
@@ -188,7 +214,9 @@
             figures.scrapped += shed ? 0 : 1;
             // What was scrapped may have run: a careful client does not ask for it again.
             if (shed && want.tries < day.tries()) {
-                agenda.in(retryAfter > 0 ? retryAfter : WAIT * requestClass.latencyObjectiveSeconds(), () -> asks(want));
+                agenda.in(
+                        retryAfter > 0 ? retryAfter : WAIT * requestClass.latencyObjectiveSeconds(),
+                        () -> asks(want));
             }
         }
         forgetIfDone(request);
@@ -204,28 +232,36 @@
 
     private void carryOut(int proxy, Decision decision) {
         // The next call reuses the turn: what it asks for is taken out of it first.
-        List<Attempt> cancels = List.copyOf(decision.cancellations), sends = List.copyOf(decision.attempts);
+        List<Attempt> cancels = List.copyOf(decision.cancellations),
+                sends = List.copyOf(decision.attempts);
         List<Decision.LocalReply> answers = List.copyOf(decision.localReplies);
         List<Integer> probes = List.copyOf(decision.probes);
         double wakeAt = Math.min(decision.wakeAt, tell(proxy));
         if (wakes[proxy] != null) {
             wakes[proxy].strike();
         }
-        wakes[proxy] = wakeAt == Double.POSITIVE_INFINITY ? null
-                : agenda.at(wakeAt, () -> carryOut(proxy, proxies[proxy].woken(agenda.now())));
+        wakes[proxy] =
+                wakeAt == Double.POSITIVE_INFINITY
+                        ? null
+                        : agenda.at(
+                                wakeAt, () -> carryOut(proxy, proxies[proxy].woken(agenda.now())));
         cancels.forEach(attempt -> cancel(proxy, attempt));
         sends.forEach(attempt -> send(proxy, attempt));
-        answers.forEach(a -> answered(proxy, a.request(), false, a.rejected(), a.retryAfterSeconds()));
+        answers.forEach(
+                a -> answered(proxy, a.request(), false, a.rejected(), a.retryAfterSeconds()));
         probes.forEach(i -> probe(proxy, i));
     }
 
-    /** Messages between proxies take their time and some are lost; says when there is more to tell. */
+    /**
+     * Messages between proxies take their time and some are lost; says when there is more to tell.
+     */
     private double tell(int proxy) {
         for (LoadGossip.Message each : proxies[proxy].tellings(agenda.now())) {
             figures.told += each.datagram().length;
             figures.messages++;
             if (chance.nextDouble() >= LOST) {
-                agenda.in(MESSAGE * (0.5 + chance.nextDouble()),
+                agenda.in(
+                        MESSAGE * (0.5 + chance.nextDouble()),
                         () -> hears(each.to(), proxy, each.datagram()));
             }
         }
@@ -241,15 +277,21 @@
 
     private void send(int proxy, Attempt attempt) {
         double spread = day.spread();
-        double work = day.work() * troubles.heavy * Math.exp(spread * bell.sample() - spread * spread / 2);
+        double work =
+                day.work()
+                        * troubles.heavy
+                        * Math.exp(spread * bell.sample() - spread * spread / 2);
         figures.forwards++;
         referee.sent(proxy, attempt, work, agenda.now());
         Out its = new Out(proxy, work);
         out.put(attempt, its);
-        its.timeOut = agenda.in(Math.max(0, attempt.timeoutSeconds), () -> {
-            drops(attempt, its);
-            ended(attempt, AttemptOutcome.TIMED_OUT);
-        });
+        its.timeOut =
+                agenda.in(
+                        Math.max(0, attempt.timeoutSeconds),
+                        () -> {
+                            drops(attempt, its);
+                            ended(attempt, AttemptOutcome.TIMED_OUT);
+                        });
         agenda.in(day.way(), () -> reaches(attempt, its));
     }
 
@@ -259,8 +301,13 @@
             return;
         }
         evenness.sends(attempt.backend, agenda.now());
-        boolean errs = chance.nextDouble() < Math.max(backend.errors,
-                attempt.request.requestClass == settings.requestClasses().size() - 1 ? backend.gradeErrors : 0);
+        boolean errs =
+                chance.nextDouble()
+                        < Math.max(
+                                backend.errors,
+                                attempt.request.requestClass == settings.requestClasses().size() - 1
+                                        ? backend.gradeErrors
+                                        : 0);
         if (!backend.isUp()) {
             back(attempt, AttemptOutcome.CONNECT_FAILED);
         } else if (backend.fallsOver(its.work)) {
@@ -273,10 +320,13 @@
         } else if (errs) {
             back(attempt, AttemptOutcome.ERROR);
         } else {
-            its.job = backend.take(its.work, ran -> {
-                holds(attempt.backend);
-                back(attempt, ran ? AttemptOutcome.SUCCESS : AttemptOutcome.RESET);
-            });
+            its.job =
+                    backend.take(
+                            its.work,
+                            ran -> {
+                                holds(attempt.backend);
+                                back(attempt, ran ? AttemptOutcome.SUCCESS : AttemptOutcome.RESET);
+                            });
         }
         holds(attempt.backend);
     }
@@ -293,16 +343,27 @@
         its.timeOut.strike();
         referee.ended(attempt, outcome, agenda.now());
         boolean wins = outcome == AttemptOutcome.SUCCESS && !attempt.request.completed;
-        figures.failedAt[attempt.backend] += outcome == AttemptOutcome.SUCCESS || outcome == AttemptOutcome.CANCELLED ? 0 : 1;
+        figures.failedAt[attempt.backend] +=
+                outcome == AttemptOutcome.SUCCESS || outcome == AttemptOutcome.CANCELLED ? 0 : 1;
         if (outcome == AttemptOutcome.SUCCESS) {
             evenness.served(attempt.backend);
         }
         if (wins) {
             answered(its.proxy, attempt.request, true, false, 0);
         }
-        double[] loadReport = outcome == AttemptOutcome.SUCCESS || outcome == AttemptOutcome.ERROR ? report(attempt.backend) : null;
-        carryOut(its.proxy, proxies[its.proxy].ended(agenda.now(), attempt, outcome, agenda.now() - attempt.sentAt,
-                wins || attempt.request.completed, loadReport));
+        double[] loadReport =
+                outcome == AttemptOutcome.SUCCESS || outcome == AttemptOutcome.ERROR
+                        ? report(attempt.backend)
+                        : null;
+        carryOut(
+                its.proxy,
+                proxies[its.proxy].ended(
+                        agenda.now(),
+                        attempt,
+                        outcome,
+                        agenda.now() - attempt.sentAt,
+                        wins || attempt.request.completed,
+                        loadReport));
         forgetIfDone(attempt.request);
     }
 
@@ -335,11 +396,20 @@
 
     private void probe(int proxy, int i) {
         figures.probes++;
-        agenda.in(2 * day.way(), () -> {
-            boolean answers = backends[i].isUp() && backends[i].silent == 0;
-            carryOut(proxy, proxies[proxy].probed(agenda.now(), i,
-                    answers ? AttemptOutcome.SUCCESS : AttemptOutcome.CONNECT_FAILED, answers ? report(i) : null));
-        });
+        agenda.in(
+                2 * day.way(),
+                () -> {
+                    boolean answers = backends[i].isUp() && backends[i].silent == 0;
+                    carryOut(
+                            proxy,
+                            proxies[proxy].probed(
+                                    agenda.now(),
+                                    i,
+                                    answers
+                                            ? AttemptOutcome.SUCCESS
+                                            : AttemptOutcome.CONNECT_FAILED,
+                                    answers ? report(i) : null));
+                });
     }
 
     // Discovery.
@@ -354,12 +424,26 @@
         double started = startTold[i];
         for (int p = 0; p < proxies.length; p++) {
             int proxy = p;
-            double at = Math.max(agenda.now(), silentUntil) + day.delay() * (0.5 + chance.nextDouble());
-            agenda.at(at, () -> {
-                referee.told(proxy, i, state == EndpointUpdate.State.READY, agenda.now());
-                carryOut(proxy, proxies[proxy].listed(agenda.now(), false,
-                        List.of(new EndpointUpdate(i, false, location[i], i, state, started))));
-            });
+            double at =
+                    Math.max(agenda.now(), silentUntil) + day.delay() * (0.5 + chance.nextDouble());
+            agenda.at(
+                    at,
+                    () -> {
+                        referee.told(proxy, i, state == EndpointUpdate.State.READY, agenda.now());
+                        carryOut(
+                                proxy,
+                                proxies[proxy].listed(
+                                        agenda.now(),
+                                        false,
+                                        List.of(
+                                                new EndpointUpdate(
+                                                        i,
+                                                        false,
+                                                        location[i],
+                                                        i,
+                                                        state,
+                                                        started))));
+                    });
         }
     }
 
--- a/src/main/java/lemondrift/metrics/EventLoopMetrics.java
+++ b/src/main/java/lemondrift/metrics/EventLoopMetrics.java
@@ -1,24 +1,42 @@
 package lemondrift.metrics;
 
 /**
- * How the one thread that decides keeps up: how long events waited for it, and how long it was busy before it
- * came to the next ones. Times are in seconds. One thread counts; any thread may read, perhaps a little late.
+ * How the one thread that decides keeps up: how long events waited for it, and how long it was busy
+ * before it came to the next ones. Times are in seconds. One thread counts; any thread may read,
+ * perhaps a little late.
  */
 public final class EventLoopMetrics {
     /** What an event is about. */
-    public enum Kind { ARRIVAL, OUTCOME, CLIENT_LEFT, LIST, TIMER, OTHER }
+    public enum Kind {
+        ARRIVAL,
+        OUTCOME,
+        CLIENT_LEFT,
+        LIST,
+        TIMER,
+        OTHER
+    }
 
-    /** A wait or a turn as long is worth a line in the log, and so many seconds lie between two lines. */
+    /**
+     * A wait or a turn as long is worth a line in the log, and so many seconds lie between two
+     * lines.
+     */
     private static final double NOTABLE = 0.05, BETWEEN_LINES = 1;
+
     private static final Kind[] KINDS = Kind.values();
 
     private final long[] handled = new long[KINDS.length];
     private volatile double longestWait, longestTurn;
     private volatile Kind waited = Kind.OTHER, lasted = Kind.OTHER;
     private volatile int longestQueue;
-    /** Of the present turn: the longest wait and what had waited, and the last event that was handled. */
+
+    /**
+     * Of the present turn: the longest wait and what had waited, and the last event that was
+     * handled.
+     */
     private double waitsNow;
+
     private Kind waiting = Kind.OTHER, last = Kind.OTHER;
+
     /** The same since the last line in the log. */
     private double latelyWaited, latelyLasted, loggedAt = Double.NEGATIVE_INFINITY;
 
@@ -46,15 +64,27 @@
         latelyWaited = Math.max(latelyWaited, waitsNow);
         latelyLasted = Math.max(latelyLasted, seconds);
         waitsNow = 0;
-        boolean notable = Math.max(latelyWaited, latelyLasted) > NOTABLE && now >= loggedAt + BETWEEN_LINES;
+        boolean notable =
+                Math.max(latelyWaited, latelyLasted) > NOTABLE && now >= loggedAt + BETWEEN_LINES;
         return notable ? line(now) : null;
     }
 
     private String line(double now) {
-        String line = "lately_waited_ms=" + milliseconds(latelyWaited) + " lately_lasted_ms="
-                + milliseconds(latelyLasted) + " longest_wait_ms=" + milliseconds(longestWait) + " of="
-                + waited + " longest_turn_ms=" + milliseconds(longestTurn) + " of=" + lasted
-                + " longest_queue=" + longestQueue;
+        String line =
+                "lately_waited_ms="
+                        + milliseconds(latelyWaited)
+                        + " lately_lasted_ms="
+                        + milliseconds(latelyLasted)
+                        + " longest_wait_ms="
+                        + milliseconds(longestWait)
+                        + " of="
+                        + waited
+                        + " longest_turn_ms="
+                        + milliseconds(longestTurn)
+                        + " of="
+                        + lasted
+                        + " longest_queue="
+                        + longestQueue;
         latelyWaited = latelyLasted = 0;
         loggedAt = now;
         return line;
@@ -66,12 +96,22 @@
 
     /** As JSON, times in seconds. Any thread. */
     public String json() {
-        StringBuilder all = new StringBuilder("{\"longest_wait\":").append(longestWait)
-                .append(",\"longest_wait_of\":\"").append(waited).append("\",\"longest_turn\":")
-                .append(longestTurn).append(",\"longest_turn_of\":\"").append(lasted)
-                .append("\",\"longest_queue\":").append(longestQueue).append(",\"handled\":{");
+        StringBuilder all =
+                new StringBuilder("{\"longest_wait\":")
+                        .append(longestWait)
+                        .append(",\"longest_wait_of\":\"")
+                        .append(waited)
+                        .append("\",\"longest_turn\":")
+                        .append(longestTurn)
+                        .append(",\"longest_turn_of\":\"")
+                        .append(lasted)
+                        .append("\",\"longest_queue\":")
+                        .append(longestQueue)
+                        .append(",\"handled\":{");
         for (Kind kind : KINDS) {
-            all.append(kind.ordinal() == 0 ? "\"" : ",\"").append(kind).append("\":")
+            all.append(kind.ordinal() == 0 ? "\"" : ",\"")
+                    .append(kind)
+                    .append("\":")
                     .append(handled[kind.ordinal()]);
         }
         return all.append("}}").toString();
--- a/src/main/java/lemondrift/metrics/ProxyMetrics.java
+++ b/src/main/java/lemondrift/metrics/ProxyMetrics.java
@@ -5,23 +5,41 @@
 import java.util.Map;
 
 /**
- * Counts of one process since its start. One thread counts and reads. What is in hand is what was taken less
- * what has ended, so that the two can't drift apart.
+ * Counts of one process since its start. One thread counts and reads. What is in hand is what was
+ * taken less what has ended, so that the two can't drift apart.
  */
 public final class ProxyMetrics {
     /** How an exchange ended for its client. */
-    public enum Reply { SUCCESS, OVERLOAD, ERROR }
+    public enum Reply {
+        SUCCESS,
+        OVERLOAD,
+        ERROR
+    }
 
     /** What is told at one moment; replies are by service grade and then as in Reply. */
-    public record Figures(Map<String, long[]> replies, long concurrent, long dispatches, long targets,
-            long targetsDisabled, long reloadSuccess, long reloadFailure) {}
+    public record Figures(
+            Map<String, long[]> replies,
+            long concurrent,
+            long dispatches,
+            long targets,
+            long targetsDisabled,
+            long reloadSuccess,
+            long reloadFailure) {}
 
     private final Map<String, long[]> replies = new LinkedHashMap<>();
-    private long taken, ended, overdue, dispatches, targets, targetsDisabled, reloadSuccess, reloadFailure;
+    private long taken,
+            ended,
+            overdue,
+            dispatches,
+            targets,
+            targetsDisabled,
+            reloadSuccess,
+            reloadFailure;
 
     /** Names what is counted from now on; what is not named any more keeps its counts. */
     public void registerClasses(List<String> names) {
-        names.forEach(name -> replies.computeIfAbsent(name, none -> new long[Reply.values().length]));
+        names.forEach(
+                name -> replies.computeIfAbsent(name, none -> new long[Reply.values().length]));
     }
 
     public void requestAccepted() {
@@ -74,7 +92,13 @@
     public Figures snapshot() {
         Map<String, long[]> copy = new LinkedHashMap<>();
         replies.forEach((grade, counts) -> copy.put(grade, counts.clone()));
-        return new Figures(copy, taken - ended, dispatches, targets, targetsDisabled, reloadSuccess,
+        return new Figures(
+                copy,
+                taken - ended,
+                dispatches,
+                targets,
+                targetsDisabled,
+                reloadSuccess,
                 reloadFailure);
     }
 }
--- a/src/main/java/lemondrift/model/Attempt.java
+++ b/src/main/java/lemondrift/model/Attempt.java
@@ -7,10 +7,13 @@
     public final int index;
     public final double sentAt;
     public final double timeoutSeconds;
+
     /** How many exchanges were thought to be ahead of it there. */
     public final double queueAhead;
+
     /** The forward made before this one for the same exchange. */
     public final Attempt previous;
+
     public boolean ended;
 
     public Attempt(Request exchange, int backend, double sent, double timeOut, double ahead) {
--- a/src/main/java/lemondrift/model/Decision.java
+++ b/src/main/java/lemondrift/model/Decision.java
@@ -5,10 +5,15 @@
 
 /** What one call to the decisions asks for. The wake time replaces the one asked for before. */
 public final class Decision {
-    /** A final answer; shed tells the client that a retry is harmless, scrapped promises nothing. */
+    /**
+     * A final answer; shed tells the client that a retry is harmless, scrapped promises nothing.
+     */
     public record LocalReply(Request request, boolean rejected, double retryAfterSeconds) {}
 
-    public enum EndpointListCall { FULL, WATCH }
+    public enum EndpointListCall {
+        FULL,
+        WATCH
+    }
 
     public final List<LocalReply> localReplies = new ArrayList<>();
     public final List<Attempt> attempts = new ArrayList<>();
--- a/src/main/java/lemondrift/model/FailureReason.java
+++ b/src/main/java/lemondrift/model/FailureReason.java
@@ -1,6 +1,9 @@
 package lemondrift.model;
 
-/** Why a request was rejected or failed instead of being answered by a backend; for logs and metrics. */
+/**
+ * Why a request was rejected or failed instead of being answered by a backend; for logs and
+ * metrics.
+ */
 public enum FailureReason {
     /** Its useful time had passed before another attempt could be made. */
     NO_TIME_LEFT,
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -1,20 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.discovery.EndpointListBuilder;
-import lemondrift.proxy.backend.BackendClient;
-import lemondrift.proxy.backend.BackendConnector;
-import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.client.ClientListener;
-import lemondrift.proxy.events.PendingRequest;
-import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.discovery.BackendDirectory;
-import lemondrift.proxy.discovery.EndpointListWatch;
-import lemondrift.proxy.gossip.GossipTransport;
-import lemondrift.proxy.time.MonotonicClock;
-import lemondrift.proxy.lifecycle.TakeoverLock;
-import lemondrift.proxy.loop.DecisionLoop;
-import lemondrift.proxy.events.ProxyActions;
-
 import com.google.gson.JsonObject;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
@@ -27,15 +12,29 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import lemondrift.balancer.LoadBalancer;
+import lemondrift.gossip.LoadGossip;
+import lemondrift.metrics.ProxyMetrics;
 import lemondrift.model.Attempt;
 import lemondrift.model.Decision;
 import lemondrift.model.Settings;
-import lemondrift.gossip.LoadGossip;
 import lemondrift.proxy.admin.AdminOperations;
+import lemondrift.proxy.backend.BackendClient;
+import lemondrift.proxy.backend.BackendConnector;
+import lemondrift.proxy.client.ClientListener;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.discovery.BackendDirectory;
+import lemondrift.proxy.discovery.EndpointListBuilder;
+import lemondrift.proxy.discovery.EndpointListWatch;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.events.ProxyActions;
+import lemondrift.proxy.gossip.GossipTransport;
+import lemondrift.proxy.lifecycle.TakeoverLock;
+import lemondrift.proxy.loop.DecisionLoop;
 import lemondrift.proxy.recovery.RecoveryCoordinator;
+import lemondrift.proxy.time.MonotonicClock;
 import lemondrift.settings.RequestClassIndex;
 import lemondrift.shadow.ShadowEvaluator;
-import lemondrift.metrics.ProxyMetrics;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.OptionMap;
@@ -49,20 +48,27 @@
 /** The program: one real proxy, from its start to its exit. */
 public final class ProxyServer {
     /** What the program is doing; it only goes forward. */
-    enum Phase { STARTING, SERVING, DRAINING, STOPPED }
+    enum Phase {
+        STARTING,
+        SERVING,
+        DRAINING,
+        STOPPED
+    }
 
     private static final Logger LOG = LoggerFactory.getLogger(ProxyServer.class);
     private static final int BUFFER = 8 * 1024, MOST_BUFFERS = 512;
+
     /**
-     * Seconds in which new clients may still come after a drain has begun; by how much later than the longest
-     * expiry its last answers are out, and until when they may be fetched; and between two looks at whether
-     * all is answered. A platform that grants an expiry and 0.7 s has its end before it kills.
+     * Seconds in which new clients may still come after a drain has begun; by how much later than
+     * the longest expiry its last answers are out, and until when they may be fetched; and between
+     * two looks at whether all is answered. A platform that grants an expiry and 0.7 s has its end
+     * before it kills.
      */
     private static final double STRAGGLERS = 0.55, ANSWERS = 0.5, FETCHED = 0.6, DRAIN_LOOKS = 0.01;
 
     /**
-     * Seconds in which clients are sent away. Danger: whoever is still here later may bring one more request,
-     * at a time when operators take the proxy to be empty.
+     * Seconds in which clients are sent away. Danger: whoever is still here later may bring one
+     * more request, at a time when operators take the proxy to be empty.
      */
     private static final double SENT_AWAY = 1.6;
 
@@ -79,12 +85,16 @@
     private final EndpointListWatch watch;
     private final BackendClient backendClient;
     private volatile ProxyConfig config;
+
     /** Until when what came under an earlier configuration may be open. */
     private volatile double formerExpiry;
+
     /** The list from before; null once the decisions have been told of it. */
     private JsonObject known;
+
     /** Null where the other proxies are told nothing. */
     private final GossipTransport gossipTransport;
+
     private volatile Phase phase = Phase.STARTING;
 
     public ProxyServer(ProxyConfig config) throws IOException {
@@ -105,47 +115,80 @@
         BackendConnector sockets = (to, opened) -> io.openStreamConnection(to, opened, NO_DELAY);
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER, MOST_BUFFERS, 8);
         this.config = config;
-        RequestClassIndex requestClasses = new RequestClassIndex(config.requestClassNames(), config.settings().requestClasses());
+        RequestClassIndex requestClasses =
+                new RequestClassIndex(
+                        config.requestClassNames(), config.settings().requestClasses());
         LoadBalancer balancer = new LoadBalancer(config.settings(), config.seed());
-        decisionLoop = new DecisionLoop(balancer, new BackendDirectory(config.locations()), clock, new Sockets(io), requestClasses,
-                config.settings());
+        decisionLoop =
+                new DecisionLoop(
+                        balancer,
+                        new BackendDirectory(config.locations()),
+                        clock,
+                        new Sockets(io),
+                        requestClasses,
+                        config.settings());
         if (config.shadow() != null && connector == null) {
             decisionLoop.enableShadow(config.shadow(), config.seed());
         }
-        clientListener = new ClientListener(config, requestClasses, clock, worker, buffers, decisionLoop, metrics);
+        clientListener =
+                new ClientListener(
+                        config, requestClasses, clock, worker, buffers, decisionLoop, metrics);
         watch = new EndpointListWatch(config, clock, io, sockets, buffers, decisionLoop);
-        backendClient = new BackendClient(config, clock, io, connector == null ? sockets : connector, buffers, decisionLoop,
-                metrics, clientListener::isClientWaiting);
-        gossipTransport = config.gossip() == null || connector != null || !balancer.wantsGossip() ? null
-                : new GossipTransport(config.gossip(), decisionLoop);
+        backendClient =
+                new BackendClient(
+                        config,
+                        clock,
+                        io,
+                        connector == null ? sockets : connector,
+                        buffers,
+                        decisionLoop,
+                        metrics,
+                        clientListener::isClientWaiting);
+        gossipTransport =
+                config.gossip() == null || connector != null || !balancer.wantsGossip()
+                        ? null
+                        : new GossipTransport(config.gossip(), decisionLoop);
         if (gossipTransport != null) {
             if (config.recovery() == null) {
                 decisionLoop.enableGossip(config.gossip());
             } else {
-                decisionLoop.enableGossip(config.gossip(), new RecoveryCoordinator(config.recovery(), config.name(),
-                        config.gossip().self(), config.gossip().proxies().size(), clock.now()));
+                decisionLoop.enableGossip(
+                        config.gossip(),
+                        new RecoveryCoordinator(
+                                config.recovery(),
+                                config.name(),
+                                config.gossip().self(),
+                                config.gossip().proxies().size(),
+                                clock.now()));
             }
         }
     }
 
     public static XnioWorker worker() throws IOException {
-        return Xnio.getInstance().createWorker(OptionMap.builder()
-                .set(Options.WORKER_IO_THREADS, 1).set(Options.WORKER_TASK_CORE_THREADS, 1)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1).set(Options.WORKER_NAME, "io")
-                .set(Options.THREAD_DAEMON, false).getMap());
+        return Xnio.getInstance()
+                .createWorker(
+                        OptionMap.builder()
+                                .set(Options.WORKER_IO_THREADS, 1)
+                                .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                                .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                .set(Options.WORKER_NAME, "io")
+                                .set(Options.THREAD_DAEMON, false)
+                                .getMap());
     }
 
     public void serve() throws IOException {
         serve(null);
     }
 
-    /** On a listening socket that the process was given, or where that is null on one of its own. */
+    /**
+     * On a listening socket that the process was given, or where that is null on one of its own.
+     */
     public void serve(ServerSocketChannel given) throws IOException {
         if (gossipTransport != null) {
             gossipTransport.start(worker);
             clientListener.beforeEachRequest(gossipTransport::receive);
         }
-        decisionLoop.endpointListReceived(EndpointListBuilder.of(known), true, () -> { });
+        decisionLoop.endpointListReceived(EndpointListBuilder.of(known), true, () -> {});
         known = null;
         decisionLoop.start();
         worker.getIoThread().execute(watch::start);
@@ -160,12 +203,14 @@
     }
 
     /**
-     * Follows a new configuration, from now on or, what can't change while clients are served, not before the
-     * next start. One that is short of something is not followed at all.
+     * Follows a new configuration, from now on or, what can't change while clients are served, not
+     * before the next start. One that is short of something is not followed at all.
      */
     public void reload(ProxyConfig next) {
         next.requireAllOf(config);
-        LOG.info("configuration read again, discovery at {}, classes {}", next.discovery(),
+        LOG.info(
+                "configuration read again, discovery at {}, classes {}",
+                next.discovery(),
                 next.requestClassNames());
         List<String> later = next.keysAppliedAtStart(config);
         if (!later.isEmpty()) {
@@ -174,10 +219,12 @@
         formerExpiry = Math.max(formerExpiry, clock.now() + config.longestTimeoutSeconds());
         config = next.withoutInitialEndpoints();
         decisionLoop.reload(next.settings(), next.requestClassNames(), next.shadow());
-        worker.getIoThread().execute(() -> {
-            metrics.configurationReloaded(true);
-            watch.moveTo(next.discovery());
-        });
+        worker.getIoThread()
+                .execute(
+                        () -> {
+                            metrics.configurationReloaded(true);
+                            watch.moveTo(next.discovery());
+                        });
     }
 
     /** What it goes by now. */
@@ -205,7 +252,9 @@
 
             @Override
             public String recovery() {
-                return decisionLoop.recoveryCoordinator() == null ? null : decisionLoop.recoveryCoordinator().statusJson(clock.now());
+                return decisionLoop.recoveryCoordinator() == null
+                        ? null
+                        : decisionLoop.recoveryCoordinator().statusJson(clock.now());
             }
 
             @Override
@@ -233,10 +282,13 @@
         };
     }
 
-    /** Decides and forwards without a listener or discovery, on the list and the connections it is given. */
+    /**
+     * Decides and forwards without a listener or discovery, on the list and the connections it is
+     * given.
+     */
     public void startWithoutListener(JsonObject list) {
         decisionLoop.start();
-        decisionLoop.endpointListReceived(EndpointListBuilder.of(list), false, () -> { });
+        decisionLoop.endpointListReceived(EndpointListBuilder.of(list), false, () -> {});
     }
 
     public void accept(StreamConnection connection) {
@@ -246,10 +298,12 @@
     /** So many processes share what the platform gives this proxy. */
     void setProcessCount(int processes) {
         double share = config.connectionShare(processes);
-        worker.getIoThread().execute(() -> {
-            clientListener.setResourceShare(share, processes);
-            backendClient.setResourceShare(share);
-        });
+        worker.getIoThread()
+                .execute(
+                        () -> {
+                            clientListener.setResourceShare(share, processes);
+                            backendClient.setResourceShare(share);
+                        });
         decisionLoop.setProcessCount(processes);
     }
 
@@ -257,28 +311,42 @@
     public void watchOtherProcesses(TakeoverLock takeoverLock) {
         takeoverLock.look();
         setProcessCount(takeoverLock.processes());
-        worker.getIoThread().executeAtInterval(() -> worker.execute(() -> {
-            if (takeoverLock.look()) {
-                setProcessCount(takeoverLock.processes());
-            }
-        }), (long) (LOOKS * 1e9), TimeUnit.NANOSECONDS);
+        worker.getIoThread()
+                .executeAtInterval(
+                        () ->
+                                worker.execute(
+                                        () -> {
+                                            if (takeoverLock.look()) {
+                                                setProcessCount(takeoverLock.processes());
+                                            }
+                                        }),
+                        (long) (LOOKS * 1e9),
+                        TimeUnit.NANOSECONDS);
     }
 
     /** Takes clients as long as they come, answers all that was taken, and returns. */
     public void drain() throws InterruptedException {
-        double began = clock.now(), last = Math.max(began + config.longestTimeoutSeconds(), formerExpiry);
+        double began = clock.now(),
+                last = Math.max(began + config.longestTimeoutSeconds(), formerExpiry);
         clientListener.closeInheritedSocket();
         clientListener.drain(began + STRAGGLERS, last + ANSWERS);
         enter(Phase.DRAINING);
         LOG.info("draining");
         CountDownLatch drained = new CountDownLatch(1);
-        XnioExecutor.Key looks = worker.getIoThread().executeAtInterval(() -> {
-            // Danger: between a look and an end elsewhere one more request could be read and lost.
-            if (clock.now() >= began + STRAGGLERS && clientListener.isDrained()) {
-                clientListener.close();
-                drained.countDown();
-            }
-        }, (long) (DRAIN_LOOKS * 1e9), TimeUnit.NANOSECONDS);
+        XnioExecutor.Key looks =
+                worker.getIoThread()
+                        .executeAtInterval(
+                                () -> {
+                                    // Danger: between a look and an end elsewhere one more request
+                                    // could be read and lost.
+                                    if (clock.now() >= began + STRAGGLERS
+                                            && clientListener.isDrained()) {
+                                        clientListener.close();
+                                        drained.countDown();
+                                    }
+                                },
+                                (long) (DRAIN_LOOKS * 1e9),
+                                TimeUnit.NANOSECONDS);
         if (!await(drained, last + ANSWERS)) {
             decisionLoop.failOpenRequests();
             await(drained, last + FETCHED);
@@ -293,20 +361,24 @@
         return latch.await((long) (Math.max(0, until - clock.now()) * 1e9), TimeUnit.NANOSECONDS);
     }
 
-    /** Danger: a signal may come while the start is still at work, and a phase must not come back. */
+    /**
+     * Danger: a signal may come while the start is still at work, and a phase must not come back.
+     */
     private synchronized void enter(Phase next) {
         phase = next.compareTo(phase) > 0 ? next : phase;
     }
 
     public void close() {
         clientListener.close();
-        worker.getIoThread().execute(() -> {
-            watch.stop();
-            backendClient.stop();
-            if (gossipTransport != null) {
-                gossipTransport.stop();
-            }
-        });
+        worker.getIoThread()
+                .execute(
+                        () -> {
+                            watch.stop();
+                            backendClient.stop();
+                            if (gossipTransport != null) {
+                                gossipTransport.stop();
+                            }
+                        });
         decisionLoop.stop();
         if (decisionLoop.recoveryCoordinator() != null) {
             decisionLoop.recoveryCoordinator().close();
@@ -330,10 +402,19 @@
     /** What the I/O thread has in hand and then what the owner has. */
     CompletableFuture<InFlight> inFlight() {
         CompletableFuture<InFlight> told = new CompletableFuture<>();
-        runOnIoThread(() -> {
-            int visitors = clientListener.openConnectionCount(), calls = backendClient.callsInFlight();
-            runOnLoop(() -> told.complete(new InFlight(visitors, decisionLoop.openRequestCount(), calls, decisionLoop.backendReferenceCount())));
-        });
+        runOnIoThread(
+                () -> {
+                    int visitors = clientListener.openConnectionCount(),
+                            calls = backendClient.callsInFlight();
+                    runOnLoop(
+                            () ->
+                                    told.complete(
+                                            new InFlight(
+                                                    visitors,
+                                                    decisionLoop.openRequestCount(),
+                                                    calls,
+                                                    decisionLoop.backendReferenceCount())));
+                });
         return told;
     }
 
@@ -355,7 +436,10 @@
         return phase;
     }
 
-    /** Carries the wishes of the owner to the I/O thread, many at once: each wake of it costs a switch. */
+    /**
+     * Carries the wishes of the owner to the I/O thread, many at once: each wake of it costs a
+     * switch.
+     */
     private final class Sockets implements ProxyActions {
         private final XnioIoThread io;
         private List<Runnable> wishes = new ArrayList<>();
@@ -416,10 +500,11 @@
 
         @Override
         public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
-            wishes.add(() -> {
-                clientListener.settingsChanged(requestClasses, settings);
-                decisionLoop.settingsApplied(clientListener.classesInUse());
-            });
+            wishes.add(
+                    () -> {
+                        clientListener.settingsChanged(requestClasses, settings);
+                        decisionLoop.settingsApplied(clientListener.classesInUse());
+                    });
         }
 
         @Override
--- a/src/main/java/lemondrift/proxy/admin/AdminServer.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminServer.java
@@ -30,36 +30,51 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The operators' address: fixed calls, one to a connection. It never waits for another thread. Its places
- * and buffers are its own. Danger: with the clients' own, a crowd of theirs would keep operators out.
+ * The operators' address: fixed calls, one to a connection. It never waits for another thread. Its
+ * places and buffers are its own. Danger: with the clients' own, a crowd of theirs would keep
+ * operators out.
  */
 public final class AdminServer {
     private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
+
     /** How many calls may be open, and how many seconds one may take. */
     private static final int PLACES = 16;
+
     private static final double LONGEST = 2;
+
     /** Bytes of a head, and of a buffer. */
     private static final int HEAD = 4 * 1024;
 
     private final XnioWorker worker;
     private final HttpOpenListener http;
     private final AcceptingChannel<StreamConnection> server;
+
     /** Whoever connected first is first. */
     private final Set<StreamConnection> open = new LinkedHashSet<>();
+
     /** Null until there is something to operate. */
     private AdminOperations operated;
 
     public AdminServer(InetSocketAddress address, XnioWorker worker) throws IOException {
         this.worker = worker;
         ByteBufferPool buffers = new DefaultByteBufferPool(true, HEAD, PLACES, 0);
-        http = new HttpOpenListener(buffers, OptionMap.builder()
-                .set(UndertowOptions.MAX_HEADER_SIZE, HEAD).set(UndertowOptions.ALWAYS_SET_DATE, false)
-                .getMap());
+        http =
+                new HttpOpenListener(
+                        buffers,
+                        OptionMap.builder()
+                                .set(UndertowOptions.MAX_HEADER_SIZE, HEAD)
+                                .set(UndertowOptions.ALWAYS_SET_DATE, false)
+                                .getMap());
         http.setRootHandler(this::handle);
-        server = worker.createStreamConnectionServer(address,
-                ChannelListeners.openListenerAdapter(this::came), OptionMap.builder()
-                        .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
-                        .set(Options.BACKLOG, 4 * PLACES).getMap());
+        server =
+                worker.createStreamConnectionServer(
+                        address,
+                        ChannelListeners.openListenerAdapter(this::came),
+                        OptionMap.builder()
+                                .set(Options.TCP_NODELAY, true)
+                                .set(Options.REUSE_ADDRESSES, true)
+                                .set(Options.BACKLOG, 4 * PLACES)
+                                .getMap());
         server.resumeAccepts();
         LOG.info("operators call at {}", address());
     }
@@ -82,13 +97,18 @@
         open.add(connection);
         http.handleEvent(connection);
         ChannelListener<? super StreamConnection> its = connection.getCloseListener();
-        var timer = worker.getIoThread().executeAfter(() -> IoUtils.safeClose(connection),
-                (long) (LONGEST * 1e9), TimeUnit.NANOSECONDS);
-        connection.setCloseListener(closed -> {
-            open.remove(connection);
-            timer.remove();
-            ChannelListeners.invokeChannelListener(closed, its);
-        });
+        var timer =
+                worker.getIoThread()
+                        .executeAfter(
+                                () -> IoUtils.safeClose(connection),
+                                (long) (LONGEST * 1e9),
+                                TimeUnit.NANOSECONDS);
+        connection.setCloseListener(
+                closed -> {
+                    open.remove(connection);
+                    timer.remove();
+                    ChannelListeners.invokeChannelListener(closed, its);
+                });
         if (!connection.isOpen()) {
             open.remove(connection);
             timer.remove();
@@ -98,8 +118,11 @@
     private void handle(HttpServerExchange call) {
         call.setPersistent(false);
         String path = call.getRequestPath();
-        boolean reads = path.equals("/admin/health") || path.equals("/admin/stats")
-                || path.equals("/admin/recovery") || path.equals("/admin/loop");
+        boolean reads =
+                path.equals("/admin/health")
+                        || path.equals("/admin/stats")
+                        || path.equals("/admin/recovery")
+                        || path.equals("/admin/loop");
         if (!reads && !path.equals("/admin/quiesce") && !path.equals("/admin/resume")) {
             answer(call, StatusCodes.NOT_FOUND);
             return;
@@ -111,14 +134,17 @@
             return;
         }
         if (path.equals("/admin/stats")) {
-            ProxyMetrics.Figures figures = operated == null ? new ProxyMetrics().snapshot() : operated.figures();
+            ProxyMetrics.Figures figures =
+                    operated == null ? new ProxyMetrics().snapshot() : operated.figures();
             call.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
             call.getResponseSender().send(json(figures));
             return;
         }
         if (path.equals("/admin/recovery") || path.equals("/admin/loop")) {
-            String told = operated == null ? null
-                    : path.equals("/admin/loop") ? operated.loop() : operated.recovery();
+            String told =
+                    operated == null
+                            ? null
+                            : path.equals("/admin/loop") ? operated.loop() : operated.recovery();
             if (told == null) {
                 answer(call, StatusCodes.NOT_FOUND);
                 return;
@@ -127,8 +153,13 @@
             call.getResponseSender().send(told);
             return;
         }
-        boolean yes = operated != null && (reads ? operated.isReady()
-                : path.equals("/admin/quiesce") ? operated.quiesce() : operated.resume());
+        boolean yes =
+                operated != null
+                        && (reads
+                                ? operated.isReady()
+                                : path.equals("/admin/quiesce")
+                                        ? operated.quiesce()
+                                        : operated.resume());
         answer(call, yes ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
     }
 
@@ -139,13 +170,17 @@
 
     static String json(ProxyMetrics.Figures figures) {
         JsonObject replies = new JsonObject();
-        figures.replies().forEach((grade, counts) -> {
-            JsonObject own = new JsonObject();
-            for (ProxyMetrics.Reply reply : ProxyMetrics.Reply.values()) {
-                own.addProperty(reply.name().toLowerCase(Locale.ROOT), counts[reply.ordinal()]);
-            }
-            replies.add(grade, own);
-        });
+        figures.replies()
+                .forEach(
+                        (grade, counts) -> {
+                            JsonObject own = new JsonObject();
+                            for (ProxyMetrics.Reply reply : ProxyMetrics.Reply.values()) {
+                                own.addProperty(
+                                        reply.name().toLowerCase(Locale.ROOT),
+                                        counts[reply.ordinal()]);
+                            }
+                            replies.add(grade, own);
+                        });
         JsonObject all = new JsonObject();
         all.add("replies", replies);
         all.addProperty("concurrent", figures.concurrent());
--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -1,10 +1,5 @@
 package lemondrift.proxy.backend;
 
-import lemondrift.proxy.events.ResponseRemainder;
-import lemondrift.proxy.events.StreamedRequestBody;
-import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.http.BodyRelay;
-
 import io.undertow.connector.PooledByteBuffer;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -12,6 +7,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.ResponseRemainder;
+import lemondrift.proxy.events.StreamedRequestBody;
+import lemondrift.proxy.http.BodyRelay;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.IoFuture;
@@ -20,8 +19,8 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One request on one connection and its answer, whole, or where it is long its beginning and then piece by
- * piece as it is asked for. It never tries again by itself. I/O thread only.
+ * One request on one connection and its answer, whole, or where it is long its beginning and then
+ * piece by piece as it is asked for. It never tries again by itself. I/O thread only.
  */
 public final class BackendCall implements ResponseRemainder {
     /** What is to be sent; the upload, if any, follows in place of a body. */
@@ -37,31 +36,43 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(BackendCall.class);
+
     /** Stands for a head that is not made yet; it is never written. */
     private static final ByteBuffer UNWRITTEN = ByteBuffer.allocate(1).asReadOnlyBuffer();
 
     private final ConnectionPool pool;
     private final Head head;
+
     /** The head, once it can be written, and the body. */
     private final ByteBuffer[] request;
+
     private final StreamedRequestBody streamedBody;
     private BodyRelay uploading;
     private boolean uploaded;
     private final ResponseReader reader;
     private final Consumer<BackendResponse> end;
     private final Runnable written;
+
     /** Whether anybody waits for its answer. */
     private BooleanSupplier wanted = () -> true;
+
     private ConnectionPool.Link link;
     private IoFuture<StreamConnection> connect;
     private XnioExecutor.Key connectTimer, timer, passTimer;
     private boolean done;
+
     /** What has come of an answer that is passed on, and who is to hear of more. */
     private PooledByteBuffer passing;
+
     private Runnable more;
     private double within = Double.POSITIVE_INFINITY, endless, began;
 
-    private BackendCall(ConnectionPool pool, Request request, int most, boolean mayPass, Runnable written,
+    private BackendCall(
+            ConnectionPool pool,
+            Request request,
+            int most,
+            boolean mayPass,
+            Runnable written,
             Consumer<BackendResponse> end) {
         this.pool = pool;
         head = request.head;
@@ -73,22 +84,36 @@
     }
 
     /**
-     * A call to be started; end hears of its answer once, not after abandon. Null if there is no room.
+     * A call to be started; end hears of its answer once, not after abandon. Null if there is no
+     * room.
      */
-    public static BackendCall make(ConnectionPool pool, byte[] request, int most, double connectTimeout, double within,
+    public static BackendCall make(
+            ConnectionPool pool,
+            byte[] request,
+            int most,
+            double connectTimeout,
+            double within,
             Consumer<BackendResponse> end) {
-        BackendCall call = new BackendCall(pool, new Request(request), most, false, () -> { }, end);
+        BackendCall call = new BackendCall(pool, new Request(request), most, false, () -> {}, end);
         return make(pool, call, connectTimeout, within);
     }
 
     /**
-     * One whose answer may be passed on: when it is too long to be held, or nobody can say how long it will
-     * be and it has lasted so many seconds. Written hears that its last byte is with the system; where the
-     * request is an upload that takes its time, both spans count from then on. Nothing more of the request is
-     * sent once it is not wanted or its time is over.
+     * One whose answer may be passed on: when it is too long to be held, or nobody can say how long
+     * it will be and it has lasted so many seconds. Written hears that its last byte is with the
+     * system; where the request is an upload that takes its time, both spans count from then on.
+     * Nothing more of the request is sent once it is not wanted or its time is over.
      */
-    static BackendCall passing(ConnectionPool pool, Request request, int most, double connectTimeout, double within,
-            double endless, BooleanSupplier wanted, Runnable written, Consumer<BackendResponse> end) {
+    static BackendCall passing(
+            ConnectionPool pool,
+            Request request,
+            int most,
+            double connectTimeout,
+            double within,
+            double endless,
+            BooleanSupplier wanted,
+            Runnable written,
+            Consumer<BackendResponse> end) {
         BackendCall call = new BackendCall(pool, request, most, true, written, end);
         call.within = within;
         call.wanted = wanted;
@@ -96,7 +121,8 @@
         return make(pool, call, connectTimeout, within);
     }
 
-    private static BackendCall make(ConnectionPool pool, BackendCall call, double connectTimeout, double within) {
+    private static BackendCall make(
+            ConnectionPool pool, BackendCall call, double connectTimeout, double within) {
         call.link = pool.rested();
         if (call.link == null && !pool.reserve()) {
             call.link = pool.idle();
@@ -132,11 +158,13 @@
     private void connect() {
         try {
             connect = pool.dial.open(pool.address, this::connected);
-            connect.addNotifier((future, nothing) -> {
-                if (future.getStatus() == IoFuture.Status.FAILED) {
-                    broken(false);
-                }
-            }, null);
+            connect.addNotifier(
+                    (future, nothing) -> {
+                        if (future.getStatus() == IoFuture.Status.FAILED) {
+                            broken(false);
+                        }
+                    },
+                    null);
         } catch (RuntimeException e) {
             LOG.error("no connection begun", e);
             unsent();
@@ -159,7 +187,8 @@
             unsent();
             return;
         }
-        // Danger: the time that was left before the connection came up is more than its client has now.
+        // Danger: the time that was left before the connection came up is more than its client has
+        // now.
         request[0] = ByteBuffer.wrap(head.within(began + within - pool.clock.now()));
         link.connection.getSourceChannel().setReadListener(source -> read());
         link.connection.getSourceChannel().resumeReads();
@@ -168,7 +197,8 @@
     }
 
     private void write() {
-        // Danger: its client may have left, or its time have passed, while it waited for a connection or for
+        // Danger: its client may have left, or its time have passed, while it waited for a
+        // connection or for
         // a backend that takes nothing. What has not come whole has not begun there.
         if (!done && !isHanded() && (!wanted.getAsBoolean() || isLate())) {
             unsent();
@@ -203,24 +233,33 @@
     }
 
     private void upload() {
-        // Danger: where no forward may be called off, one whose client left in the middle would stay out.
-        streamedBody.whenReleased(() -> {
-            if (!isSent()) {
-                unsent();
-            }
-        });
-        // Danger: a backend that takes nothing would keep its client for ever. The giver is the door's.
-        uploading = new BodyRelay(streamedBody, link.connection.getSinkChannel(), pool.io,
-                new BodyRelay.Patience(0, streamedBody.stallTimeoutSeconds()), () -> { }, whole -> {
-                    if (!whole) {
-                        broken(false);
-                        return;
+        // Danger: where no forward may be called off, one whose client left in the middle would
+        // stay out.
+        streamedBody.whenReleased(
+                () -> {
+                    if (!isSent()) {
+                        unsent();
                     }
-                    uploaded = true;
-                    began = pool.clock.now();
-                    timer = after(within);
-                    written.run();
                 });
+        // Danger: a backend that takes nothing would keep its client for ever. The giver is the
+        // door's.
+        uploading =
+                new BodyRelay(
+                        streamedBody,
+                        link.connection.getSinkChannel(),
+                        pool.io,
+                        new BodyRelay.Patience(0, streamedBody.stallTimeoutSeconds()),
+                        () -> {},
+                        whole -> {
+                            if (!whole) {
+                                broken(false);
+                                return;
+                            }
+                            uploaded = true;
+                            began = pool.clock.now();
+                            timer = after(within);
+                            written.run();
+                        });
         uploading.run();
     }
 
@@ -257,7 +296,8 @@
             }
             if (!done && reader.isEndless() && endless > 0 && passTimer == null && isSent()) {
                 double left = Math.max(0, began + endless - pool.clock.now());
-                passTimer = pool.io.executeAfter(this::pass, (long) (left * 1e9), TimeUnit.NANOSECONDS);
+                passTimer =
+                        pool.io.executeAfter(this::pass, (long) (left * 1e9), TimeUnit.NANOSECONDS);
             }
         } catch (IOException | RuntimeException e) {
             // Danger: an answer that makes a library fail would leave its forward without an end.
@@ -269,7 +309,10 @@
         }
     }
 
-    /** Danger: who waited for the end of an answer that comes slowly would hear nothing until too late. */
+    /**
+     * Danger: who waited for the end of an answer that comes slowly would hear nothing until too
+     * late.
+     */
     private void pass() {
         if (!done) {
             reader.pass();
@@ -319,10 +362,13 @@
     @Override
     public void awaitMore(Runnable then) {
         more = then;
-        link.connection.getSourceChannel().setReadListener(source -> {
-            source.suspendReads();
-            more.run();
-        });
+        link.connection
+                .getSourceChannel()
+                .setReadListener(
+                        source -> {
+                            source.suspendReads();
+                            more.run();
+                        });
         link.connection.getSourceChannel().resumeReads();
     }
 
@@ -352,7 +398,10 @@
         }
     }
 
-    /** Danger: what lies beyond an answer, or is still to be sent, would be taken for the next exchange's. */
+    /**
+     * Danger: what lies beyond an answer, or is still to be sent, would be taken for the next
+     * exchange's.
+     */
     private void whole(boolean spent) {
         finish();
         if (spent || !isSent() || reader.closes()) {
@@ -366,7 +415,8 @@
     private void broken(boolean timedOut) {
         if (!done) {
             abandon();
-            // Danger: once the last byte is handed to the kernel it may have run, whatever is seen after.
+            // Danger: once the last byte is handed to the kernel it may have run, whatever is seen
+            // after.
             end.accept(BackendResponse.broken(isSent(), timedOut));
         }
     }
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -1,7 +1,5 @@
 package lemondrift.proxy.backend;
 
-import lemondrift.proxy.time.MonotonicClock;
-
 import io.undertow.connector.ByteBufferPool;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,6 +8,7 @@
 import java.util.Deque;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import lemondrift.proxy.time.MonotonicClock;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
@@ -32,18 +31,25 @@
         /** How many bytes that nobody asked for have come, of one; below 0 where it has ended. */
         private int looks() {
             try {
-                return connection.isOpen() ? connection.getSourceChannel().read(ByteBuffer.allocate(1)) : -1;
+                return connection.isOpen()
+                        ? connection.getSourceChannel().read(ByteBuffer.allocate(1))
+                        : -1;
             } catch (IOException e) {
                 return -1;
             }
         }
     }
 
-    /** How many connections may be open over all pools that share it, and the idle ones, oldest first. */
+    /**
+     * How many connections may be open over all pools that share it, and the idle ones, oldest
+     * first.
+     */
     public static final class Budget {
         private int most;
+
         /** Until when connections rest. */
         private double waryUntil = Double.NEGATIVE_INFINITY;
+
         private final Set<Link> idle = new LinkedHashSet<>();
         private int open;
 
@@ -59,7 +65,10 @@
             }
         }
 
-        /** Danger: pools that stand idle would keep an exchange from the backend that was picked for it. */
+        /**
+         * Danger: pools that stand idle would keep an exchange from the backend that was picked for
+         * it.
+         */
         private boolean hasRoom() {
             if (open >= most && !idle.isEmpty()) {
                 idle.iterator().next().close();
@@ -69,8 +78,8 @@
     }
 
     /**
-     * For so many seconds a connection is not used again after an answer, while somebody has said more than
-     * his answer less than so many seconds ago.
+     * For so many seconds a connection is not used again after an answer, while somebody has said
+     * more than his answer less than so many seconds ago.
      */
     public record Rest(double seconds, double memory) {
         public static final Rest NONE = new Rest(0, 0);
@@ -88,8 +97,15 @@
     private int open;
     private boolean retired;
 
-    public ConnectionPool(InetSocketAddress address, XnioIoThread io, BackendConnector connector, ByteBufferPool buffers, MonotonicClock clock,
-            Budget budget, int most, Rest rest) {
+    public ConnectionPool(
+            InetSocketAddress address,
+            XnioIoThread io,
+            BackendConnector connector,
+            ByteBufferPool buffers,
+            MonotonicClock clock,
+            Budget budget,
+            int most,
+            Rest rest) {
         this.address = address;
         this.io = io;
         this.dial = connector;
@@ -101,9 +117,9 @@
     }
 
     /**
-     * The connection that has been idle longest, if it has rested; null if there is none. Danger: that a
-     * backend closes one right after its answer, or says something more there, is not heard of in time on the
-     * one used last, and another client would be given what it says.
+     * The connection that has been idle longest, if it has rested; null if there is none. Danger:
+     * that a backend closes one right after its answer, or says something more there, is not heard
+     * of in time on the one used last, and another client would be given what it says.
      */
     Link rested() {
         double now = clock.now();
@@ -115,7 +131,10 @@
         budget.waryUntil = clock.now() + rest.memory;
     }
 
-    /** The one that has been idle longest, where there is no place for another; null if there is none. */
+    /**
+     * The one that has been idle longest, where there is no place for another; null if there is
+     * none.
+     */
     Link idle() {
         return idleSince(Double.POSITIVE_INFINITY);
     }
@@ -151,11 +170,12 @@
 
     public Link opened(StreamConnection connection) {
         Link link = new Link(connection);
-        connection.setCloseListener(closed -> {
-            released();
-            idle.remove(link);
-            budget.idle.remove(link);
-        });
+        connection.setCloseListener(
+                closed -> {
+                    released();
+                    idle.remove(link);
+                    budget.idle.remove(link);
+                });
         return link;
     }
 
@@ -179,7 +199,10 @@
         link.close();
     }
 
-    /** No more is sent here: idle connections are closed now, busy ones when their request has ended. */
+    /**
+     * No more is sent here: idle connections are closed now, busy ones when their request has
+     * ended.
+     */
     public void retire() {
         retired = true;
         closeIdleSince(Double.POSITIVE_INFINITY);
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -1,9 +1,5 @@
 package lemondrift.proxy.backend;
 
-import lemondrift.proxy.events.ResponseRemainder;
-import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.http.HttpFieldRules;
-
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HeaderValues;
 import io.undertow.util.Headers;
@@ -13,16 +9,29 @@
 import java.nio.ByteBuffer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.ResponseRemainder;
+import lemondrift.proxy.http.HttpFieldRules;
 
 /**
- * Reads one answer as it comes; what can't be read in one way only is an IOException. UndertowClient does not
- * do here: it takes any 1xx but 100 for the answer, the first of two lengths for the length, and keeps what
- * lies beyond an answer for the next one.
+ * Reads one answer as it comes; what can't be read in one way only is an IOException.
+ * UndertowClient does not do here: it takes any 1xx but 100 for the answer, the first of two
+ * lengths for the length, and keeps what lies beyond an answer for the next one.
  */
 public final class ResponseReader {
     private static final Pattern CHUNK = Pattern.compile("([0-9A-Fa-f]{1,7})[ \\t]*(;.*)?");
 
-    private enum Part { STATUS, FIELDS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, TO_THE_END, WHOLE }
+    private enum Part {
+        STATUS,
+        FIELDS,
+        BODY,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        TO_THE_END,
+        WHOLE
+    }
 
     /** Bytes of the longest body that is passed on; what is said to be longer is spoilt. */
     private static final int LONGEST = 64 << 20;
@@ -39,8 +48,8 @@
     private boolean passed;
 
     /**
-     * The most is that of a body that is held; heads, 1xx too, and lines between chunks have bounds of their
-     * own. A longer one, if it may be, is passed on in pieces.
+     * The most is that of a body that is held; heads, 1xx too, and lines between chunks have bounds
+     * of their own. A longer one, if it may be, is passed on in pieces.
      */
     public ResponseReader(int most, boolean mayPass) {
         this.most = most;
@@ -48,8 +57,8 @@
     }
 
     /**
-     * Takes what has come; whether the answer is whole. What is left in the buffer then is not its own. It
-     * leaves the rest of one that is too long to be held.
+     * Takes what has come; whether the answer is whole. What is left in the buffer then is not its
+     * own. It leaves the rest of one that is too long to be held.
      */
     public boolean read(ByteBuffer from) throws IOException {
         while (!isLong()) {
@@ -66,14 +75,22 @@
         byte[] bytes = new byte[piece.remaining()];
         piece.get(bytes);
         body.writeBytes(bytes);
-        require(body.size() <= most || mayPass && status == BackendResponse.OK, "over " + most + " bytes");
+        require(
+                body.size() <= most || mayPass && status == BackendResponse.OK,
+                "over " + most + " bytes");
     }
 
-    /** The next piece of the body out of what has come; null where more must come first, or it is whole. */
+    /**
+     * The next piece of the body out of what has come; null where more must come first, or it is
+     * whole.
+     */
     public ByteBuffer piece(ByteBuffer from) throws IOException {
         while (part != Part.WHOLE && from.hasRemaining()) {
             if (part == Part.BODY || part == Part.CHUNK || part == Part.TO_THE_END) {
-                int count = part == Part.TO_THE_END ? from.remaining() : Math.min(left, from.remaining());
+                int count =
+                        part == Part.TO_THE_END
+                                ? from.remaining()
+                                : Math.min(left, from.remaining());
                 came += count;
                 require(came <= LONGEST, "over " + LONGEST + " bytes");
                 ByteBuffer piece = from.slice(from.position(), count);
@@ -99,7 +116,10 @@
 
     /** Whether nobody can say how long it will be; its head is in. */
     boolean isEndless() {
-        return status == BackendResponse.OK && declared < 0 && part.compareTo(Part.FIELDS) > 0 && part != Part.WHOLE;
+        return status == BackendResponse.OK
+                && declared < 0
+                && part.compareTo(Part.FIELDS) > 0
+                && part != Part.WHOLE;
     }
 
     /** It is passed on whatever its length. */
@@ -145,7 +165,8 @@
     private String line(ByteBuffer from) throws IOException {
         while (from.hasRemaining()) {
             char c = (char) (from.get() & 0xFF);
-            // Danger: lines without end between chunks would hold a connection as a head without end does.
+            // Danger: lines without end between chunks would hold a connection as a head without
+            // end does.
             boolean inHead = part == Part.STATUS || part == Part.FIELDS;
             if ((inHead ? ++inHeads : ++inChunks) > HttpFieldRules.MOST) {
                 throw new IOException("a head of over " + HttpFieldRules.MOST + " bytes");
@@ -166,8 +187,12 @@
         switch (part) {
             case STATUS -> {
                 old = text.startsWith("HTTP/1.0 ");
-                require((old || text.startsWith("HTTP/1.1 ")) && text.length() >= 12 && HttpFieldRules.isValue(text)
-                        && (text.length() == 12 || text.charAt(12) == ' '), text);
+                require(
+                        (old || text.startsWith("HTTP/1.1 "))
+                                && text.length() >= 12
+                                && HttpFieldRules.isValue(text)
+                                && (text.length() == 12 || text.charAt(12) == ' '),
+                        text);
                 status = HttpFieldRules.number(text.substring(9, 12), 3);
                 require(status >= 100 && status < 600, text);
                 part = Part.FIELDS;
@@ -198,7 +223,10 @@
         }
     }
 
-    /** Danger: framing that can be read in two ways would pass a part for the whole, or the next answer's. */
+    /**
+     * Danger: framing that can be read in two ways would pass a part for the whole, or the next
+     * answer's.
+     */
     private void framing() throws IOException {
         HeaderValues codings = headers.get(Headers.TRANSFER_ENCODING);
         HeaderValues lengths = headers.get(Headers.CONTENT_LENGTH);
@@ -207,11 +235,16 @@
             headers = new HeaderMap();
             part = Part.STATUS;
         } else if (codings != null) {
-            require(lengths == null && codings.size() == 1 && codings.getFirst().equalsIgnoreCase("chunked")
-                    && !old, codings);
+            require(
+                    lengths == null
+                            && codings.size() == 1
+                            && codings.getFirst().equalsIgnoreCase("chunked")
+                            && !old,
+                    codings);
             part = Part.CHUNK_SIZE;
         } else if (lengths != null) {
-            // Danger: one of 3 GB is known to be too long here, and would come for as long as it is read.
+            // Danger: one of 3 GB is known to be too long here, and would come for as long as it is
+            // read.
             declared = left = HttpFieldRules.number(lengths.getFirst(), 9);
             boolean passes = mayPass && status == BackendResponse.OK;
             require(lengths.size() == 1 && left >= 0 && left <= (passes ? LONGEST : most), lengths);
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -1,7 +1,5 @@
 package lemondrift.proxy.client;
 
-import lemondrift.proxy.time.MonotonicClock;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -16,8 +14,9 @@
 import lemondrift.connection.CloseReason;
 import lemondrift.connection.ConnectionLimits;
 import lemondrift.connection.ConnectionPolicy;
-import lemondrift.model.Request;
 import lemondrift.metrics.ProxyMetrics;
+import lemondrift.model.Request;
+import lemondrift.proxy.time.MonotonicClock;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.ChannelListener;
@@ -32,15 +31,21 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Clients' connections as sockets: tells the door what happens on them and does what it says. I/O thread
- * only.
+ * Clients' connections as sockets: tells the door what happens on them and does what it says. I/O
+ * thread only.
  */
 final class ClientConnections implements ConnectionPolicy.Actions {
     private static final Logger LOG = LoggerFactory.getLogger(ClientConnections.class);
+
     /** How often the door is looked after while it drains, for each time that it asks for. */
     private static final int DRAINING_SWEEPS = 4;
-    /** Seconds after its expiry after which a request is answered here if the decisions have not done so. */
+
+    /**
+     * Seconds after its expiry after which a request is answered here if the decisions have not
+     * done so.
+     */
     private static final double OVERDUE = 0.1;
+
     /** Seconds between two lines of the log about a crowd. */
     private static final double TELLS = 1;
 
@@ -48,21 +53,30 @@
     final class Visitor {
         /** The answer that is passed on to it, and how that is ended; null where none is. */
         Runnable passing;
+
         /** The request's body that is read of it; null where none is. */
         RequestBody upload;
+
         private boolean whole;
+
         /** What is open on it, if anything, and under which id. */
         Request exchange;
+
         /** Answers it when it is overdue; null where nothing is open that has come whole. */
         Runnable answersOverdue;
+
         private String trace;
+
         /** What the open exchange brought; below 0 where there was none. */
         private double benefit = -1;
+
         private final StreamConnection connection;
         private final int index;
         private final StreamSourceConduit below;
+
         /** What was read to see whether there is anything, until it is read in earnest. */
         private final ByteBuffer ahead = ByteBuffer.allocate(1);
+
         private boolean gone;
 
         private Visitor(StreamConnection connection, int index) {
@@ -108,7 +122,8 @@
                 }
 
                 @Override
-                public long writeFinal(ByteBuffer[] from, int offset, int length) throws IOException {
+                public long writeFinal(ByteBuffer[] from, int offset, int length)
+                        throws IOException {
                     return fetched((int) next.writeFinal(from, offset, length));
                 }
             };
@@ -129,13 +144,16 @@
 
         void headRead() {
             benefit = -1;
-            // Danger: a head read before its connection was closed would bring the index back to life.
+            // Danger: a head read before its connection was closed would bring the index back to
+            // life.
             if (!gone) {
                 door.headRead(index, clock.now());
             }
         }
 
-        /** False where another exchange of this id is open. Its request need not have come whole. */
+        /**
+         * False where another exchange of this id is open. Its request need not have come whole.
+         */
         boolean began(String id, Request request) {
             // Danger: two under one id could not be told apart by the backends.
             if (!traces.add(id)) {
@@ -238,13 +256,21 @@
     private final Visitor[] byIndex;
     private final Map<StreamConnection, Visitor> all = new HashMap<>();
     private final Set<String> traces = new HashSet<>();
+
     /** Told of an exchange whose client has gone. */
     private final Consumer<Request> left;
+
     private XnioExecutor.Key sweeping;
     private boolean makingRoom, stopped;
     private double toldAt = Double.NEGATIVE_INFINITY;
 
-    ClientConnections(MonotonicClock clock, XnioIoThread io, ConnectionLimits limits, long seed, ProxyMetrics metrics, Consumer<Request> left) {
+    ClientConnections(
+            MonotonicClock clock,
+            XnioIoThread io,
+            ConnectionLimits limits,
+            long seed,
+            ProxyMetrics metrics,
+            Consumer<Request> left) {
         this.metrics = metrics;
         this.clock = clock;
         this.io = io;
@@ -253,7 +279,8 @@
         sweep = limits.sweep();
         places = limits.places();
         byIndex = new Visitor[door.indexes()];
-        // Danger: a class that is first needed when descriptors have run out may not be loaded any more.
+        // Danger: a class that is first needed when descriptors have run out may not be loaded any
+        // more.
         door.sweep(clock.now());
         sweepEvery(sweep);
     }
@@ -274,11 +301,16 @@
 
     /** The indexes of classes that open exchanges name. */
     Set<Integer> grades() {
-        return all.values().stream().filter(each -> each.exchange != null).map(each -> each.exchange.requestClass)
+        return all.values().stream()
+                .filter(each -> each.exchange != null)
+                .map(each -> each.exchange.requestClass)
                 .collect(Collectors.toSet());
     }
 
-    /** When a request that is read now has come at the latest: before now if the process stood still. */
+    /**
+     * When a request that is read now has come at the latest: before now if the process stood
+     * still.
+     */
     double arrival() {
         return door.unreadSince(clock.now());
     }
@@ -300,7 +332,8 @@
 
     /** Takes a connection in and has it read by then. */
     void came(StreamConnection connection, ChannelListener<StreamConnection> then) {
-        int index = door.came(address(connection.getPeerAddress(InetSocketAddress.class)), clock.now());
+        int index =
+                door.came(address(connection.getPeerAddress(InetSocketAddress.class)), clock.now());
         if (index < 0) {
             IoUtils.safeClose(connection);
             return;
@@ -313,10 +346,11 @@
         then.handleEvent(connection);
         // Undertow has its own listener on the end, which is to hear of it first.
         ChannelListener<? super StreamConnection> its = connection.getCloseListener();
-        connection.setCloseListener(closed -> {
-            ChannelListeners.invokeChannelListener(closed, its);
-            gone(visitor);
-        });
+        connection.setCloseListener(
+                closed -> {
+                    ChannelListeners.invokeChannelListener(closed, its);
+                    gone(visitor);
+                });
         if (!connection.isOpen()) {
             gone(visitor);
         } else if (door.isCrowded() && !makingRoom) {
@@ -328,9 +362,11 @@
     /** What tells one address from another; of IPv6 the network, as one client has all of it. */
     private static long address(InetSocketAddress peer) {
         InetAddress address = peer == null ? null : peer.getAddress();
-        return address == null ? 0 : ByteBuffer.wrap(address.getAddress()).remaining() == 4
-                ? ByteBuffer.wrap(address.getAddress()).getInt() & 0xffff_ffffL
-                : ByteBuffer.wrap(address.getAddress()).getLong() & Long.MAX_VALUE;
+        return address == null
+                ? 0
+                : ByteBuffer.wrap(address.getAddress()).remaining() == 4
+                        ? ByteBuffer.wrap(address.getAddress()).getInt() & 0xffff_ffffL
+                        : ByteBuffer.wrap(address.getAddress()).getLong() & Long.MAX_VALUE;
     }
 
     private void makeRoom() {
@@ -353,7 +389,9 @@
             return;
         }
         for (Visitor each : byIndex) {
-            if (each != null && each.answersOverdue != null && now > each.exchange.deadline + OVERDUE) {
+            if (each != null
+                    && each.answersOverdue != null
+                    && now > each.exchange.deadline + OVERDUE) {
                 each.answersOverdue.run();
             }
         }
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -1,7 +1,5 @@
 package lemondrift.proxy.client;
 
-import lemondrift.proxy.events.StreamedRequestBody;
-
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.server.HttpServerExchange;
@@ -12,11 +10,12 @@
 import java.util.Arrays;
 import java.util.Deque;
 import lemondrift.buffer.BodyBufferBudget;
+import lemondrift.proxy.events.StreamedRequestBody;
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * A request's body as it comes: held as long as it may be, then given on piece by piece, in chunks where
- * nobody tells its length. I/O thread only.
+ * A request's body as it comes: held as long as it may be, then given on piece by piece, in chunks
+ * where nobody tells its length. I/O thread only.
  */
 public final class RequestBody implements StreamedRequestBody {
     /** Who hears what becomes of it. */
@@ -44,21 +43,37 @@
     private final ByteBufferPool buffers;
     private final long longest;
     private final Hearer hearer;
+
     /** How long a backend may take nothing of it. */
     private final double stallTimeoutSeconds;
+
     private final boolean chunked;
     private final Deque<ByteBuffer> next = new ArrayDeque<>();
-    /** How many seconds there are for the answer from the last byte on; set when it is passed on. */
+
+    /**
+     * How many seconds there are for the answer from the last byte on; set when it is passed on.
+     */
     private double responseTimeoutSeconds;
+
     private byte[] held = {};
     private int count;
     private long came;
-    /** What has come and is not held. Danger: one of a pool might be given away while it is still written. */
+
+    /**
+     * What has come and is not held. Danger: one of a pool might be given away while it is still
+     * written.
+     */
     private ByteBuffer loose;
-    private boolean beyond, ended, given, failed;
-    private Runnable released = () -> { };
 
-    RequestBody(HttpServerExchange client, BodyBufferBudget bufferBudget, ByteBufferPool buffers, long longest, double stall,
+    private boolean beyond, ended, given, failed;
+    private Runnable released = () -> {};
+
+    RequestBody(
+            HttpServerExchange client,
+            BodyBufferBudget bufferBudget,
+            ByteBufferPool buffers,
+            long longest,
+            double stall,
             Hearer hearer) {
         this.stallTimeoutSeconds = stall;
         channel = client.getRequestChannel();
@@ -73,7 +88,9 @@
     void hold() {
         try (PooledByteBuffer pooled = buffers.allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
-            for (int got = channel.read(buffer.clear()); got != 0; got = channel.read(buffer.clear())) {
+            for (int got = channel.read(buffer.clear());
+                    got != 0;
+                    got = channel.read(buffer.clear())) {
                 if (got < 0) {
                     ended = true;
                     hearer.held(count == held.length ? held : Arrays.copyOf(held, count));
@@ -87,8 +104,10 @@
                     hearer.passes(this);
                     return;
                 }
-                held = count + got <= held.length ? held
-                        : Arrays.copyOf(held, Math.max(count + got, 2 * held.length));
+                held =
+                        count + got <= held.length
+                                ? held
+                                : Arrays.copyOf(held, Math.max(count + got, 2 * held.length));
                 buffer.get(held, count, got);
                 count += got;
             }
@@ -133,8 +152,10 @@
 
     private void give(ByteBuffer piece) {
         if (chunked) {
-            next.add(ByteBuffer.wrap((Integer.toHexString(piece.remaining()) + "\r\n")
-                    .getBytes(StandardCharsets.US_ASCII)));
+            next.add(
+                    ByteBuffer.wrap(
+                            (Integer.toHexString(piece.remaining()) + "\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII)));
         }
         next.add(piece);
         if (chunked) {
@@ -197,10 +218,12 @@
         if (failed) {
             return;
         }
-        channel.getReadSetter().set(source -> {
-            source.suspendReads();
-            then.run();
-        });
+        channel.getReadSetter()
+                .set(
+                        source -> {
+                            source.suspendReads();
+                            then.run();
+                        });
         channel.resumeReads();
     }
 
--- a/src/main/java/lemondrift/proxy/config/ConfigFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConfigFile.java
@@ -16,8 +16,12 @@
 
 /** The configuration's file as JSON, read once for all that needs it. */
 public final class ConfigFile {
-    /** The list of before is passed over so many lines at a time, with so many nanoseconds in between. */
+    /**
+     * The list of before is passed over so many lines at a time, with so many nanoseconds in
+     * between.
+     */
     private static final int LINES_AT_A_TIME = 64;
+
     private static final long BETWEEN_PARTS = 500_000;
 
     private ConfigFile() {}
@@ -48,12 +52,14 @@
     }
 
     static InvalidSettingsException unusable(Exception why) {
-        return new InvalidSettingsException("not the JSON object that is wanted: " + why.getMessage());
+        return new InvalidSettingsException(
+                "not the JSON object that is wanted: " + why.getMessage());
     }
 
     /**
-     * The same without the list of before, which holds at a start only. Danger: on a large fleet it is nearly
-     * all of the file, and who reads it while clients are served shares a core with those who owe answers.
+     * The same without the list of before, which holds at a start only. Danger: on a large fleet it
+     * is nearly all of the file, and who reads it while clients are served shares a core with those
+     * who owe answers.
      */
     public static JsonObject readWithoutKnown(Map<String, String> environment) throws IOException {
         try (Reader file = Files.newBufferedReader(path(environment));
--- a/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
@@ -1,7 +1,5 @@
 package lemondrift.proxy.config;
 
-import lemondrift.proxy.http.HttpFieldRules;
-
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
@@ -15,14 +13,22 @@
 import lemondrift.connection.ConnectionLimits;
 import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
+import lemondrift.proxy.http.HttpFieldRules;
 import lemondrift.settings.InvalidSettingsException;
 
 /** Reads what a deployment may say of the door, in a file of its own; docs/door.md has the keys. */
 public final class ConnectionSettingsFile {
-    /** The share of the proxy's connections that clients may have, and where no more are accepted. */
+    /**
+     * The share of the proxy's connections that clients may have, and where no more are accepted.
+     */
     private static final double SHARE = 0.6, LAST = 0.66;
-    /** Seconds that an answered connection may be quiet, and before which none is closed between requests. */
+
+    /**
+     * Seconds that an answered connection may be quiet, and before which none is closed between
+     * requests.
+     */
     private static final double QUIET = 2.2, EARLIEST = 2;
+
     /** Bytes a second: the largest head takes eight seconds at the most. */
     private static final double LEAST_RATE = HttpFieldRules.MOST / 8.0;
 
@@ -30,10 +36,21 @@
 
     /** The door's bounds for so many connections, where no file says otherwise. */
     static ConnectionLimits usual(int connections, Settings settings) {
-        double benefit = settings.requestClasses().stream().mapToDouble(RequestClass::priorityWeight)
-                .filter(each -> each > 0).average().orElse(1);
-        return new ConnectionLimits((int) (SHARE * connections), (int) (LAST * connections), QUIET, EARLIEST,
-                ConnectionLimits.Sharing.CONNECTION, false, LEAST_RATE, benefit);
+        double benefit =
+                settings.requestClasses().stream()
+                        .mapToDouble(RequestClass::priorityWeight)
+                        .filter(each -> each > 0)
+                        .average()
+                        .orElse(1);
+        return new ConnectionLimits(
+                (int) (SHARE * connections),
+                (int) (LAST * connections),
+                QUIET,
+                EARLIEST,
+                ConnectionLimits.Sharing.CONNECTION,
+                false,
+                LEAST_RATE,
+                benefit);
     }
 
     /** The same with what a file says; what can't be used is one line that names file and key. */
@@ -50,18 +67,31 @@
                     case "leastRate" -> leastRate = seconds(value, 1, 1e9);
                     case "sharing" -> sharing = sharing(value);
                     case "announces" -> announces = bool(value);
-                    default -> throw new InvalidSettingsException("not a key; there are quiet, earliest, leastRate, sharing, "
-                            + "announces");
+                    default ->
+                            throw new InvalidSettingsException(
+                                    "not a key; there are quiet, earliest, leastRate, sharing, "
+                                            + "announces");
                 }
-            } catch (InvalidSettingsException | IllegalStateException | UnsupportedOperationException e) {
-                throw new InvalidSettingsException(file + ": " + each.getKey() + ": " + e.getMessage());
+            } catch (InvalidSettingsException
+                    | IllegalStateException
+                    | UnsupportedOperationException e) {
+                throw new InvalidSettingsException(
+                        file + ": " + each.getKey() + ": " + e.getMessage());
             }
         }
         if (earliest > quiet) {
-            throw new InvalidSettingsException(file + ": earliest: " + earliest + " is over quiet, " + quiet);
+            throw new InvalidSettingsException(
+                    file + ": earliest: " + earliest + " is over quiet, " + quiet);
         }
         double first = earliest >= 0 ? earliest : usual.earliest() / usual.quiet() * quiet;
-        return new ConnectionLimits(usual.places(), usual.last(), quiet, first, sharing, announces, leastRate,
+        return new ConnectionLimits(
+                usual.places(),
+                usual.last(),
+                quiet,
+                first,
+                sharing,
+                announces,
+                leastRate,
                 usual.benefit());
     }
 
@@ -69,7 +99,8 @@
         try {
             return JsonParser.parseString(Files.readString(file)).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new InvalidSettingsException(file + ": not the JSON object that is wanted: " + e.getMessage());
+            throw new InvalidSettingsException(
+                    file + ": not the JSON object that is wanted: " + e.getMessage());
         }
     }
 
@@ -95,7 +126,11 @@
 
     private static ConnectionLimits.Sharing sharing(JsonElement value) {
         return Arrays.stream(ConnectionLimits.Sharing.values())
-                .filter(each -> each.name().toLowerCase(Locale.ROOT).equals(value.getAsString())).findFirst()
-                .orElseThrow(() -> new InvalidSettingsException("none of connection, address, tenant: " + value));
+                .filter(each -> each.name().toLowerCase(Locale.ROOT).equals(value.getAsString()))
+                .findFirst()
+                .orElseThrow(
+                        () ->
+                                new InvalidSettingsException(
+                                        "none of connection, address, tenant: " + value));
     }
 }
--- a/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -7,7 +7,10 @@
 import lemondrift.recovery.PeerPollBackoff;
 import lemondrift.settings.InvalidSettingsException;
 
-/** Reads what a deployment may say of a proxy's way back after its start; docs/recovery.md has the keys. */
+/**
+ * Reads what a deployment may say of a proxy's way back after its start; docs/recovery.md has the
+ * keys.
+ */
 final class RecoverySettingsFile {
     private static final double PERIOD = 5;
     private static final int MOST = 255;
@@ -31,17 +34,25 @@
                     case "enough" -> enough = (int) ConnectionSettingsFile.seconds(value, 1, MOST);
                     case "period" -> period = ConnectionSettingsFile.seconds(value, 0.1, 3600);
                     case "folder" -> folder = Path.of(value.getAsString());
-                    default -> throw new InvalidSettingsException("not a key; there are ask, bound, forget, fanout, enough, "
-                            + "folder, period");
+                    default ->
+                            throw new InvalidSettingsException(
+                                    "not a key; there are ask, bound, forget, fanout, enough, "
+                                            + "folder, period");
                 }
-            } catch (InvalidSettingsException | IllegalStateException | UnsupportedOperationException e) {
-                throw new InvalidSettingsException(file + ": " + each.getKey() + ": " + e.getMessage());
+            } catch (InvalidSettingsException
+                    | IllegalStateException
+                    | UnsupportedOperationException e) {
+                throw new InvalidSettingsException(
+                        file + ": " + each.getKey() + ": " + e.getMessage());
             }
         }
         if (forget < bound) {
-            throw new InvalidSettingsException(file + ": forget: " + forget + " is under bound, " + bound);
+            throw new InvalidSettingsException(
+                    file + ": forget: " + forget + " is under bound, " + bound);
         }
-        return new RecoverySettings(new PeerPollBackoff(ask * window, bound * window, forget * window, fanout, enough),
-                folder, period);
+        return new RecoverySettings(
+                new PeerPollBackoff(ask * window, bound * window, forget * window, fanout, enough),
+                folder,
+                period);
     }
 }
--- a/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -1,6 +1,5 @@
 package lemondrift.proxy.discovery;
 
-import lemondrift.proxy.events.EndpointList;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,12 +9,13 @@
 import java.util.Set;
 import java.util.TreeSet;
 import lemondrift.model.EndpointUpdate;
+import lemondrift.proxy.events.EndpointList;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Backends' ids, which end here, their dense indexes, and where this proxy reaches each. What one line of a
- * list costs does not go with the number of backends.
+ * Backends' ids, which end here, their dense indexes, and where this proxy reaches each. What one
+ * line of a list costs does not go with the number of backends.
  */
 public final class BackendDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(BackendDirectory.class);
@@ -26,9 +26,12 @@
         private final String id;
         private InetSocketAddress address;
         private boolean gone, moved, logged;
+
         /** The last that was read of it. */
         private EndpointUpdate update;
+
         private int held, location, cell;
+
         /** The number of the list that has named it last. */
         private int namedBy;
 
@@ -42,8 +45,10 @@
     private final Map<String, Entry> byId = new HashMap<>();
     private final List<Entry> entries = new ArrayList<>();
     private final Map<InetSocketAddress, Set<Entry>> byAddress = new HashMap<>();
+
     /** Indexes of those that have gone and that nothing speaks of any more. */
     private final TreeSet<Integer> free = new TreeSet<>();
+
     private int listedCount, referenceCount, lists;
 
     public BackendDirectory(List<String> locations) {
@@ -84,7 +89,8 @@
     public void retain(int backend) {
         Entry entry = entries.get(backend);
         if (!entry.logged) {
-            // Once it is used, not when it is listed: a line for each of thousands would fill the log.
+            // Once it is used, not when it is listed: a line for each of thousands would fill the
+            // log.
             entry.logged = true;
             LOG.info("backend {} is {} at {}", backend, entry.id, entry.address);
         }
@@ -126,14 +132,18 @@
 
     /** Whether all that a line says is known. */
     private boolean says(Entry entry, EndpointList.Member member) {
-        return entry.update != null && entry.update.state() == member.state()
+        return entry.update != null
+                && entry.update.state() == member.state()
                 && (member.address() == null || member.address().equals(entry.address))
-                && location(entry, member) == entry.location && cell(entry, member) == entry.cell
-                && entry.update.startedAt() == member.started() && entry.update.weight() == member.size();
+                && location(entry, member) == entry.location
+                && cell(entry, member) == entry.cell
+                && entry.update.startedAt() == member.started()
+                && entry.update.weight() == member.size();
     }
 
     private int location(Entry entry, EndpointList.Member member) {
-        return member.locality() == null ? entry.location
+        return member.locality() == null
+                ? entry.location
                 : Math.max(0, locations.indexOf(member.locality()));
     }
 
@@ -141,7 +151,10 @@
         return member.cell() == null ? entry.cell : member.cell();
     }
 
-    /** Whether an index stands for a backend that a whole list of a number has not named, and so has gone. */
+    /**
+     * Whether an index stands for a backend that a whole list of a number has not named, and so has
+     * gone.
+     */
     boolean isAbsent(int list, int backend) {
         Entry entry = entries.get(backend);
         return !entry.gone && entry.namedBy != list;
@@ -158,37 +171,58 @@
         boolean fresh = entry == null;
         if (fresh) {
             if (member.state() == EndpointUpdate.State.READY) {
-                // Danger: what is sent to one that was here before would reach this one under its name.
-                for (Entry former : List.copyOf(byAddress.getOrDefault(member.address(), Set.of()))) {
+                // Danger: what is sent to one that was here before would reach this one under its
+                // name.
+                for (Entry former :
+                        List.copyOf(byAddress.getOrDefault(member.address(), Set.of()))) {
                     updates.add(gone(former));
                 }
             }
             entry = entry(member.id());
         }
         entry.namedBy = lists;
-        entry.moved |= !fresh && member.address() != null && !member.address().equals(entry.address);
-        settle(entry, member.state() == EndpointUpdate.State.GONE,
+        entry.moved |=
+                !fresh && member.address() != null && !member.address().equals(entry.address);
+        settle(
+                entry,
+                member.state() == EndpointUpdate.State.GONE,
                 member.address() != null ? member.address() : entry.address);
         entry.location = location(entry, member);
         entry.cell = cell(entry, member);
-        entry.update = new EndpointUpdate(entry.index, fresh, entry.location, entry.cell, member.state(),
-                member.started(), member.size());
+        entry.update =
+                new EndpointUpdate(
+                        entry.index,
+                        fresh,
+                        entry.location,
+                        entry.cell,
+                        member.state(),
+                        member.started(),
+                        member.size());
         updates.add(entry.update);
     }
 
     private EndpointUpdate gone(Entry entry) {
         settle(entry, true, entry.address);
-        entry.update = new EndpointUpdate(entry.index, false, entry.location, entry.cell, EndpointUpdate.State.GONE, 0);
+        entry.update =
+                new EndpointUpdate(
+                        entry.index,
+                        false,
+                        entry.location,
+                        entry.cell,
+                        EndpointUpdate.State.GONE,
+                        0);
         return entry.update;
     }
 
     /** Whether it is there, and where; all that goes by either is kept in step. */
     private void settle(Entry entry, boolean gone, InetSocketAddress address) {
         if (!entry.gone && entry.address != null) {
-            byAddress.computeIfPresent(entry.address, (its, same) -> {
-                same.remove(entry);
-                return same.isEmpty() ? null : same;
-            });
+            byAddress.computeIfPresent(
+                    entry.address,
+                    (its, same) -> {
+                        same.remove(entry);
+                        return same.isEmpty() ? null : same;
+                    });
         }
         listedCount += (gone ? 0 : 1) - (entry.gone ? 0 : 1);
         entry.gone = gone;
@@ -200,8 +234,9 @@
     }
 
     /**
-     * A new backend's entry, in the place of one that has gone and that nothing speaks of any more. Danger:
-     * where backends are replaced all day, the figures of all that ever were would fill the memory.
+     * A new backend's entry, in the place of one that has gone and that nothing speaks of any more.
+     * Danger: where backends are replaced all day, the figures of all that ever were would fill the
+     * memory.
      */
     private Entry entry(String id) {
         Integer place = free.pollFirst();
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
@@ -35,34 +35,46 @@
     }
 
     EndpointList build(long revision, boolean complete) {
-        return new EndpointList(revision, complete, List.copyOf(members.values()), List.copyOf(unreadable));
+        return new EndpointList(
+                revision, complete, List.copyOf(members.values()), List.copyOf(unreadable));
     }
+
     /** From discovery's form, whatever its revision; it has to have members. */
     public static EndpointList of(JsonObject list) {
         EndpointListBuilder lines = new EndpointListBuilder();
         list.getAsJsonArray("members").forEach(lines::add);
-        return lines.build(list.has("revision") ? list.get("revision").getAsLong() : -1,
+        return lines.build(
+                list.has("revision") ? list.get("revision").getAsLong() : -1,
                 list.get("complete").getAsBoolean());
     }
 
     private static EndpointList.Member member(JsonObject line) {
-        EndpointUpdate.State state = switch (line.get("phase").getAsString()) {
-            case "active" -> EndpointUpdate.State.READY;
-            case "leaving" -> EndpointUpdate.State.DRAINING;
-            default -> EndpointUpdate.State.GONE;
-        };
+        EndpointUpdate.State state =
+                switch (line.get("phase").getAsString()) {
+                    case "active" -> EndpointUpdate.State.READY;
+                    case "leaving" -> EndpointUpdate.State.DRAINING;
+                    default -> EndpointUpdate.State.GONE;
+                };
         // A backend that has left needs no address.
-        InetSocketAddress address = state == EndpointUpdate.State.GONE && !line.has("host_port") ? null
-                : ProxyConfig.address("host_port", line.get("host_port").getAsString());
-        return new EndpointList.Member(line.get("id").getAsString(), state, address,
+        InetSocketAddress address =
+                state == EndpointUpdate.State.GONE && !line.has("host_port")
+                        ? null
+                        : ProxyConfig.address("host_port", line.get("host_port").getAsString());
+        return new EndpointList.Member(
+                line.get("id").getAsString(),
+                state,
+                address,
                 line.has("locality") ? line.get("locality").getAsString() : null,
-                line.has("cell") ? (Integer) number(line, "cell").intValue() : null, size(line),
+                line.has("cell") ? (Integer) number(line, "cell").intValue() : null,
+                size(line),
                 number(line, "up_since_ms").doubleValue() / 1000);
     }
 
     /** Danger: a size that can't be read must not cost the backend, so it counts as not told. */
     private static double size(JsonObject line) {
-        return line.get("size") instanceof JsonPrimitive size && size.isNumber() ? size.getAsDouble() : 1;
+        return line.get("size") instanceof JsonPrimitive size && size.isNumber()
+                ? size.getAsDouble()
+                : 1;
     }
 
     private static Number number(JsonObject line, String key) {
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
@@ -1,6 +1,5 @@
 package lemondrift.proxy.discovery;
 
-import lemondrift.proxy.events.EndpointList;
 import com.google.gson.JsonParser;
 import com.google.gson.stream.JsonReader;
 import com.google.gson.stream.JsonToken;
@@ -8,8 +7,12 @@
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.nio.charset.StandardCharsets;
+import lemondrift.proxy.events.EndpointList;
 
-/** Reads a list of discovery from its bytes in steps, so that one of thousands of lines holds nobody up. */
+/**
+ * Reads a list of discovery from its bytes in steps, so that one of thousands of lines holds nobody
+ * up.
+ */
 public final class EndpointListParser {
     private final JsonReader reader;
     private final EndpointListBuilder lines = new EndpointListBuilder();
@@ -18,8 +21,10 @@
     private boolean begun, inMembers, hadMembers, done;
 
     public EndpointListParser(byte[] bytes) {
-        reader = new JsonReader(new InputStreamReader(new ByteArrayInputStream(bytes),
-                StandardCharsets.UTF_8));
+        reader =
+                new JsonReader(
+                        new InputStreamReader(
+                                new ByteArrayInputStream(bytes), StandardCharsets.UTF_8));
     }
 
     /**
@@ -74,7 +79,9 @@
     /** What was read, once it has come to the end. */
     public EndpointList list() throws IOException {
         // Danger: a revision taken from half a list would never be asked for again.
-        require(done && hadMembers && revision != null && complete != null, "a list without its fields");
+        require(
+                done && hadMembers && revision != null && complete != null,
+                "a list without its fields");
         return lines.build(revision, complete);
     }
 
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -1,34 +1,46 @@
 package lemondrift.proxy.discovery;
 
-import lemondrift.proxy.events.EndpointList;
 import java.util.ArrayList;
 import java.util.List;
 import lemondrift.model.EndpointUpdate;
+import lemondrift.proxy.events.EndpointList;
 
 /**
- * One list on its way to the decisions, in slices, so that answers never wait for the whole of it. Whoever
- * drains or has gone comes first, then who is new or has changed; what says nothing new costs a look. Owner's
- * thread only.
+ * One list on its way to the decisions, in slices, so that answers never wait for the whole of it.
+ * Whoever drains or has gone comes first, then who is new or has changed; what says nothing new
+ * costs a look. Owner's thread only.
  */
 public final class EndpointListUpdate {
-    /** What one slice may cost; a look at a line costs 1, and a line that says something new LINE. */
+    /**
+     * What one slice may cost; a look at a line costs 1, and a line that says something new LINE.
+     */
     private static final int SLICE = 512, LINE = 8;
 
-    private enum Step { LOOK_AT_LINES, LOOK_FOR_ABSENT, WITHDRAW, ADD, DONE }
+    private enum Step {
+        LOOK_AT_LINES,
+        LOOK_FOR_ABSENT,
+        WITHDRAW,
+        ADD,
+        DONE
+    }
 
     private final BackendDirectory directory;
     private final EndpointList list;
     private final boolean stale;
     private final Runnable notifyApplied;
-    private final List<EndpointList.Member> withdrawn = new ArrayList<>(), added = new ArrayList<>();
+    private final List<EndpointList.Member> withdrawn = new ArrayList<>(),
+            added = new ArrayList<>();
     private final List<Integer> absent = new ArrayList<>();
     private Step step = Step.LOOK_AT_LINES;
+
     /** Its number, once its turn has come. */
     private int number;
+
     private int at, slices, lines;
 
     /** Stale is a list of before the start; applied is told when the decisions have all of it. */
-    public EndpointListUpdate(BackendDirectory directory, EndpointList list, boolean stale, Runnable applied) {
+    public EndpointListUpdate(
+            BackendDirectory directory, EndpointList list, boolean stale, Runnable applied) {
         this.directory = directory;
         this.list = list;
         this.stale = stale;
@@ -110,10 +122,24 @@
 
     /** For the log. */
     public String summary() {
-        return "revision=" + list.revision() + " whole=" + list.complete() + " lines="
-                + list.members().size() + " unreadable=" + list.unreadable().size() + " absent="
-                + absent.size() + " withdrawn=" + withdrawn.size() + " new_or_changed=" + added.size()
-                + " told=" + lines + " slices=" + slices;
+        return "revision="
+                + list.revision()
+                + " whole="
+                + list.complete()
+                + " lines="
+                + list.members().size()
+                + " unreadable="
+                + list.unreadable().size()
+                + " absent="
+                + absent.size()
+                + " withdrawn="
+                + withdrawn.size()
+                + " new_or_changed="
+                + added.size()
+                + " told="
+                + lines
+                + " slices="
+                + slices;
     }
 
     public List<String> unreadable() {
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -1,14 +1,5 @@
 package lemondrift.proxy.discovery;
 
-import lemondrift.proxy.events.DecisionEvents;
-import lemondrift.proxy.events.EndpointList;
-import lemondrift.proxy.backend.BackendCall;
-import lemondrift.proxy.backend.BackendConnector;
-import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.backend.ConnectionPool;
-import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.time.MonotonicClock;
-
 import io.undertow.connector.ByteBufferPool;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,6 +9,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import lemondrift.model.Decision;
+import lemondrift.proxy.backend.BackendCall;
+import lemondrift.proxy.backend.BackendConnector;
+import lemondrift.proxy.backend.ConnectionPool;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.DecisionEvents;
+import lemondrift.proxy.events.EndpointList;
+import lemondrift.proxy.time.MonotonicClock;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
@@ -27,17 +26,22 @@
 public final class EndpointListWatch {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListWatch.class);
     private static final int MOST_LIST = 4 << 20;
+
     /**
-     * How many seconds discovery may hold a watch, and where each call costs it something; how much later
-     * silence is no answer, and the pause then. What a silent watch misses counts as told 6 s after it fell
-     * silent: two in a row take 2 x (1.8 + 0.7 + 0.1) s. Where the decisions ask, their own pause of 1.9 s at
-     * the most comes in place of the short one, and one silent watch takes 5.6 s.
+     * How many seconds discovery may hold a watch, and where each call costs it something; how much
+     * later silence is no answer, and the pause then. What a silent watch misses counts as told 6 s
+     * after it fell silent: two in a row take 2 x (1.8 + 0.7 + 0.1) s. Where the decisions ask,
+     * their own pause of 1.9 s at the most comes in place of the short one, and one silent watch
+     * takes 5.6 s.
      */
     private static final double HOLD = 1.8, COSTLY_HOLD = 3, SLACK = 0.7, PAUSE = 0.1;
+
     /** Within how many seconds a whole list, or a new connection, is to be there. */
     private static final double AT_ONCE = 0.5;
+
     /** A list is read so many lines at a time, with so many nanoseconds for others in between. */
     private static final int LINES_AT_A_TIME = 64;
+
     private static final long BETWEEN_PARTS = 500_000;
 
     private final MonotonicClock clock;
@@ -47,16 +51,25 @@
     private final ByteBufferPool buffers;
     private final DecisionEvents decisionEvents;
     private final boolean onRequest;
+
     /** The first call has ended, with a list or without. */
     private final CountDownLatch first = new CountDownLatch(1);
+
     private long revision = -1;
     private boolean stopped, failing;
+
     /** An answer is read by the worker. */
     private boolean reading;
+
     private ConnectionPool pool;
     private BackendCall call;
 
-    public EndpointListWatch(ProxyConfig config, MonotonicClock clock, XnioIoThread io, BackendConnector connector, ByteBufferPool buffers,
+    public EndpointListWatch(
+            ProxyConfig config,
+            MonotonicClock clock,
+            XnioIoThread io,
+            BackendConnector connector,
+            ByteBufferPool buffers,
             DecisionEvents decisionEvents) {
         this.clock = clock;
         this.io = io;
@@ -69,10 +82,20 @@
     }
 
     private ConnectionPool links(InetSocketAddress discovery) {
-        return new ConnectionPool(discovery, io, connector, buffers, clock, new ConnectionPool.Budget(4), 4, ConnectionPool.Rest.NONE);
+        return new ConnectionPool(
+                discovery,
+                io,
+                connector,
+                buffers,
+                clock,
+                new ConnectionPool.Budget(4),
+                4,
+                ConnectionPool.Rest.NONE);
     }
 
-    /** Where lists are told unasked the watch runs from the start; elsewhere the decisions begin it. */
+    /**
+     * Where lists are told unasked the watch runs from the start; elsewhere the decisions begin it.
+     */
     public void start() {
         if (!onRequest) {
             call();
@@ -80,9 +103,10 @@
     }
 
     /**
-     * Waits until the decisions have the list as it stands, or discovery does not tell it. Danger: what the
-     * agent has counts as told from the first moment of the process, and the list known from before may name
-     * backends that have drained for longer than the grace. Any thread but the I/O thread.
+     * Waits until the decisions have the list as it stands, or discovery does not tell it. Danger:
+     * what the agent has counts as told from the first moment of the process, and the list known
+     * from before may name backends that have drained for longer than the grace. Any thread but the
+     * I/O thread.
      */
     public void awaitFirst() {
         try {
@@ -92,7 +116,10 @@
         }
     }
 
-    /** Leaves discovery for another address. Danger: the old one's late answer would undo the new one's. */
+    /**
+     * Leaves discovery for another address. Danger: the old one's late answer would undo the new
+     * one's.
+     */
     public void moveTo(InetSocketAddress discovery) {
         if (stopped) {
             return;
@@ -104,7 +131,8 @@
         reading = false;
         pool.retire();
         pool = links(discovery);
-        // Danger: the new one may count its revisions otherwise and never tell what the old one had not.
+        // Danger: the new one may count its revisions otherwise and never tell what the old one had
+        // not.
         revision = -1;
         call();
     }
@@ -121,10 +149,19 @@
             return;
         }
         double hold = onRequest ? COSTLY_HOLD : HOLD;
-        String path = "/v1/servers" + (revision < 0 ? "" : "?from=" + revision + "&hold_ms="
-                + Math.round(hold * 1000));
-        call = BackendCall.make(pool, BackendCall.get(path, pool.address.getHostString()), MOST_LIST, AT_ONCE,
-                revision < 0 ? AT_ONCE : hold + SLACK, this::answered);
+        String path =
+                "/v1/servers"
+                        + (revision < 0
+                                ? ""
+                                : "?from=" + revision + "&hold_ms=" + Math.round(hold * 1000));
+        call =
+                BackendCall.make(
+                        pool,
+                        BackendCall.get(path, pool.address.getHostString()),
+                        MOST_LIST,
+                        AT_ONCE,
+                        revision < 0 ? AT_ONCE : hold + SLACK,
+                        this::answered);
         if (call == null) {
             failed("no connection free");
         } else {
@@ -160,7 +197,10 @@
         }
     }
 
-    /** Reads a part of a list. Danger: thousands of lines at once would hold up whoever shares the core. */
+    /**
+     * Reads a part of a list. Danger: thousands of lines at once would hold up whoever shares the
+     * core.
+     */
     private void read(EndpointListParser parser, ConnectionPool from) {
         try {
             while (!parser.advance(LINES_AT_A_TIME)) {
@@ -192,7 +232,8 @@
         }
         failing = false;
         decisionEvents.endpointListReceived(list, false, first::countDown);
-        // Danger: a later call than 200 ms begins a new watch, and what changed before it counts as told.
+        // Danger: a later call than 200 ms begins a new watch, and what changed before it counts as
+        // told.
         call();
     }
 
