--- a/src/main/java/lemondrift/proxy/events/ProxyActions.java
+++ b/src/main/java/lemondrift/proxy/events/ProxyActions.java
@@ -1,13 +1,10 @@
 package lemondrift.proxy.events;
 
-import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.events.PendingRequest;
-
 import java.net.InetSocketAddress;
+import lemondrift.gossip.LoadGossip;
 import lemondrift.model.Attempt;
 import lemondrift.model.Decision;
 import lemondrift.model.Settings;
-import lemondrift.gossip.LoadGossip;
 import lemondrift.settings.RequestClassIndex;
 
 /** What the owner of the decisions has the sockets do; each returns at once. */
@@ -25,13 +22,17 @@
     /** Nobody wants the rest of an answer that is passed on. */
     void discard(BackendResponse response);
 
-    /** Ends an exchange as the decisions say; the retry-after is in seconds, 0 where there is none. */
+    /**
+     * Ends an exchange as the decisions say; the retry-after is in seconds, 0 where there is none.
+     */
     void fail(PendingRequest pending, boolean shed, double retryAfter);
 
     /** A backend is no longer ready or has another address: what stands idle there is closed. */
     void retirePool(int backend);
 
-    /** So many exchanges that had arrived were decided, in so many seconds for all that was done. */
+    /**
+     * So many exchanges that had arrived were decided, in so many seconds for all that was done.
+     */
     void requestsDecided(int exchanges, double seconds);
 
     /** So many backends are listed, and to so many of them nothing is sent now. */
--- a/src/main/java/lemondrift/proxy/events/StreamedRequestBody.java
+++ b/src/main/java/lemondrift/proxy/events/StreamedRequestBody.java
@@ -2,7 +2,10 @@
 
 import lemondrift.proxy.http.BodyChunks;
 
-/** A request body that is too long to be buffered whole and is passed on as it comes. I/O thread only. */
+/**
+ * A request body that is too long to be buffered whole and is passed on as it comes. I/O thread
+ * only.
+ */
 public interface StreamedRequestBody extends BodyChunks {
     /** Starts again at the first byte; false where that is no longer buffered. */
     boolean restart();
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -1,8 +1,5 @@
 package lemondrift.proxy.gossip;
 
-import lemondrift.proxy.config.GossipSettings;
-import lemondrift.proxy.discovery.BackendDirectory;
-
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
@@ -10,10 +7,12 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import lemondrift.balancer.LoadBalancer;
-import lemondrift.model.AttemptOutcome;
-import lemondrift.model.EndpointUpdate;
 import lemondrift.gossip.LoadGossip;
 import lemondrift.gossip.SubsetAssignment;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.proxy.config.GossipSettings;
+import lemondrift.proxy.discovery.BackendDirectory;
 
 /** What this proxy tells the others and hears of them. Owner's thread only, but for told. */
 public final class GossipSession {
@@ -24,19 +23,33 @@
     private final int self;
     private final SubsetAssignment subsets;
     private final LoadGossip gossip;
+
     /** What has come and is not handled yet. */
     private final Queue<Told> told = new ConcurrentLinkedQueue<>();
+
     private final Map<Integer, Integer> byTag = new HashMap<>();
+
     /** By index. */
     private int[] tags = {};
 
-    public GossipSession(GossipSettings settings, long start, LoadBalancer balancer, BackendDirectory directory) {
+    public GossipSession(
+            GossipSettings settings,
+            long start,
+            LoadBalancer balancer,
+            BackendDirectory directory) {
         this.balancer = balancer;
         this.directory = directory;
         self = settings.self();
         subsets = new SubsetAssignment(settings.proxies().size(), settings.subsetSize());
-        gossip = new LoadGossip(settings.proxies().size(), self, start, settings.minIntervalSeconds(), settings.expirySeconds(), subsets,
-                this::changed);
+        gossip =
+                new LoadGossip(
+                        settings.proxies().size(),
+                        self,
+                        start,
+                        settings.minIntervalSeconds(),
+                        settings.expirySeconds(),
+                        subsets,
+                        this::changed);
     }
 
     private void changed(int tag) {
@@ -46,7 +59,10 @@
         }
     }
 
-    /** Danger: the owner is not woken, as what others have out matters only when it decides. Any thread. */
+    /**
+     * Danger: the owner is not woken, as what others have out matters only when it decides. Any
+     * thread.
+     */
     public void received(int from, byte[] datagram) {
         told.add(new Told(from, datagram));
     }
@@ -59,7 +75,10 @@
         balancer.peersHeard(gossip.livePeerCount(now) > 0);
     }
 
-    /** Tags changed lines of the list and adds this proxy's scores and whose subset changes with them. */
+    /**
+     * Tags changed lines of the list and adds this proxy's scores and whose subset changes with
+     * them.
+     */
     public List<EndpointUpdate> withSubsets(List<EndpointUpdate> updates) {
         for (EndpointUpdate update : updates) {
             int backend = update.backend();
@@ -77,7 +96,10 @@
 
     /** The decisions have been told of a list. */
     public void endpointsApplied(List<EndpointUpdate> updates) {
-        updates.forEach(update -> balancer.peerLoadReported(update.backend(), gossip.peerLoad(tags[update.backend()])));
+        updates.forEach(
+                update ->
+                        balancer.peerLoadReported(
+                                update.backend(), gossip.peerLoad(tags[update.backend()])));
     }
 
     public void attemptSent(int backend) {
--- a/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
@@ -1,17 +1,14 @@
 package lemondrift.proxy.gossip;
 
-import lemondrift.proxy.events.DecisionEvents;
-import lemondrift.proxy.config.GossipSettings;
-
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import lemondrift.gossip.LoadGossip;
+import lemondrift.proxy.config.GossipSettings;
+import lemondrift.proxy.events.DecisionEvents;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.IoUtils;
@@ -50,21 +47,27 @@
             warn(e);
             return;
         }
-        // Danger: to be woken for each datagram takes more of a part of a core than all exchanges do.
-        timer = worker.getIoThread().executeAtInterval(this::receive, (long) (settings.minIntervalSeconds() * 1e9),
-                TimeUnit.NANOSECONDS);
+        // Danger: to be woken for each datagram takes more of a part of a core than all exchanges
+        // do.
+        timer =
+                worker.getIoThread()
+                        .executeAtInterval(
+                                this::receive,
+                                (long) (settings.minIntervalSeconds() * 1e9),
+                                TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Reads all that has come; each exchange that arrives has this done first. Danger: a datagram from an
-     * unknown sender, or a longer one than any may be, is not from a proxy.
+     * Reads all that has come; each exchange that arrives has this done first. Danger: a datagram
+     * from an unknown sender, or a longer one than any may be, is not from a proxy.
      */
     public void receive() {
         if (channel == null) {
             return;
         }
         try {
-            for (int got = channel.receiveFrom(sender, buffer.clear()); got > 0;
+            for (int got = channel.receiveFrom(sender, buffer.clear());
+                    got > 0;
                     got = channel.receiveFrom(sender, buffer.clear())) {
                 Integer from = numbers.get(sender.getSourceAddress());
                 if (from != null && got <= LoadGossip.MAX_DATAGRAM_BYTES) {
@@ -83,7 +86,8 @@
             return;
         }
         try {
-            channel.sendTo(settings.proxies().get(telling.to()), ByteBuffer.wrap(telling.datagram()));
+            channel.sendTo(
+                    settings.proxies().get(telling.to()), ByteBuffer.wrap(telling.datagram()));
         } catch (IOException | RuntimeException e) {
             warn(e);
         }
--- a/src/main/java/lemondrift/proxy/http/BodyRelay.java
+++ b/src/main/java/lemondrift/proxy/http/BodyRelay.java
@@ -9,8 +9,8 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Passes a body on as it comes: nothing is read of one side while the other does not take, so that no more
- * than one buffer is held. I/O thread only.
+ * Passes a body on as it comes: nothing is read of one side while the other does not take, so that
+ * no more than one buffer is held. I/O thread only.
  */
 public final class BodyRelay {
     /** How many seconds either side may stand still; 0 where somebody else looks after it. */
@@ -30,7 +30,12 @@
     private boolean over;
 
     /** Offered hears of each piece, end once whether all was passed on; neither does after stop. */
-    public BodyRelay(BodyChunks from, StreamSinkChannel to, XnioIoThread io, Patience patience, Runnable offered,
+    public BodyRelay(
+            BodyChunks from,
+            StreamSinkChannel to,
+            XnioIoThread io,
+            Patience patience,
+            Runnable offered,
             Consumer<Boolean> end) {
         this.from = from;
         this.to = to;
@@ -93,7 +98,9 @@
 
     private void startTimer(double seconds) {
         if (seconds > 0) {
-            timer = io.executeAfter(() -> finish(false), (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+            timer =
+                    io.executeAfter(
+                            () -> finish(false), (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
         }
     }
 
--- a/src/main/java/lemondrift/proxy/http/HttpFieldRules.java
+++ b/src/main/java/lemondrift/proxy/http/HttpFieldRules.java
@@ -2,10 +2,14 @@
 
 import java.util.BitSet;
 
-/** What may stand in a message's head. Danger: what one reader skips another may take for a line's end. */
+/**
+ * What may stand in a message's head. Danger: what one reader skips another may take for a line's
+ * end.
+ */
 public final class HttpFieldRules {
     /** Bytes that a head may have, a client's or a backend's. */
     public static final int MOST = 16 * 1024;
+
     private static final BitSet TOKEN = new BitSet();
 
     static {
--- a/src/main/java/lemondrift/proxy/http/ProxyHeaders.java
+++ b/src/main/java/lemondrift/proxy/http/ProxyHeaders.java
@@ -6,19 +6,33 @@
 import io.undertow.util.HttpString;
 import java.util.Set;
 
-/** The header fields of the protocol that the proxy itself reads or writes, and which fields it passes on. */
+/**
+ * The header fields of the protocol that the proxy itself reads or writes, and which fields it
+ * passes on.
+ */
 public final class ProxyHeaders {
     /** How many milliseconds the sender waits for the response. */
     public static final HttpString TIMEOUT = new HttpString("X-Expires-In-Ms");
+
     /** A backend's load report. */
     public static final HttpString LOAD_REPORT = new HttpString("Endpoint-Load-Metrics");
+
     /** Set to 1 by a backend that has not begun to execute the request. */
     public static final HttpString NEVER_EXECUTED = new HttpString("X-Never-Ran");
 
     /** Fields that belong to one connection, or that the proxy writes itself. */
-    private static final Set<HttpString> NOT_PASSED_ON = Set.of(Headers.CONNECTION, Headers.KEEP_ALIVE, Headers.TE,
-            Headers.TRAILER, Headers.TRANSFER_ENCODING, Headers.UPGRADE, Headers.EXPECT, Headers.CONTENT_LENGTH,
-            TIMEOUT, LOAD_REPORT);
+    private static final Set<HttpString> NOT_PASSED_ON =
+            Set.of(
+                    Headers.CONNECTION,
+                    Headers.KEEP_ALIVE,
+                    Headers.TE,
+                    Headers.TRAILER,
+                    Headers.TRANSFER_ENCODING,
+                    Headers.UPGRADE,
+                    Headers.EXPECT,
+                    Headers.CONTENT_LENGTH,
+                    TIMEOUT,
+                    LOAD_REPORT);
 
     private ProxyHeaders() {}
 
--- a/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
@@ -1,9 +1,5 @@
 package lemondrift.proxy.lifecycle;
 
-import lemondrift.proxy.ProxyServer;
-import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.logging.AsyncLog;
-
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.channels.ServerSocketChannel;
@@ -11,7 +7,10 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
+import lemondrift.proxy.ProxyServer;
 import lemondrift.proxy.admin.AdminServer;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.logging.AsyncLog;
 import lemondrift.settings.InvalidSettingsException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -38,27 +37,36 @@
 
     private static int start(Map<String, String> environment, PrintStream err, boolean serving) {
         System.setProperty("org.jboss.logging.provider", "slf4j");
-        // XNIO offers its figures as management beans where it can; to set that up is a third of the start.
+        // XNIO offers its figures as management beans where it can; to set that up is a third of
+        // the start.
         System.setProperty("javax.management.builder.initial", "none");
         try {
             ProxyConfig config = ProxyConfig.read(environment);
             AtomicReference<ProxyServer> proxy = new AtomicReference<>();
             AtomicBoolean hungUp = new AtomicBoolean();
             if (serving) {
-                // Danger: a reader of the log that stops would stop whoever logs, and with them all answers.
+                // Danger: a reader of the log that stops would stop whoever logs, and with them all
+                // answers.
                 AsyncLog log = AsyncLog.ofStandardError();
-                // Danger: a signal that comes before there is a proxy would end the program, as a crash does.
-                Runtime.getRuntime().addShutdownHook(new Thread(() -> end(proxy.get(), log), "drain"));
-                onHangUp(() -> {
-                    hungUp.set(true);
-                    reload(proxy.get(), environment);
-                });
+                // Danger: a signal that comes before there is a proxy would end the program, as a
+                // crash does.
+                Runtime.getRuntime()
+                        .addShutdownHook(new Thread(() -> end(proxy.get(), log), "drain"));
+                onHangUp(
+                        () -> {
+                            hungUp.set(true);
+                            reload(proxy.get(), environment);
+                        });
             }
             ServerSocketChannel given = given(environment.get("PROXY_INHERITED_FD"));
             XnioWorker worker = serving ? ProxyServer.worker() : null;
-            TakeoverLock takeoverLock = given == null ? null : meeting(environment.get("TMPDIR"), config.name());
+            TakeoverLock takeoverLock =
+                    given == null ? null : meeting(environment.get("TMPDIR"), config.name());
             // Before the rehearsal, so that who asks meanwhile hears that it is not ready.
-            AdminServer adminServer = serving && config.admin() != null ? new AdminServer(config.admin(), worker) : null;
+            AdminServer adminServer =
+                    serving && config.admin() != null
+                            ? new AdminServer(config.admin(), worker)
+                            : null;
             rehearse(config);
             if (serving) {
                 proxy.set(new ProxyServer(config, worker));
@@ -84,7 +92,8 @@
 
     /** Others are to know of this process as soon as it starts, so that they make room. */
     private static TakeoverLock meeting(String folder, String name) {
-        TakeoverLock takeoverLock = new TakeoverLock(Path.of(folder == null ? "/tmp" : folder), name);
+        TakeoverLock takeoverLock =
+                new TakeoverLock(Path.of(folder == null ? "/tmp" : folder), name);
         takeoverLock.look();
         return takeoverLock;
     }
@@ -95,17 +104,21 @@
             return null;
         }
         // The JDK knows the way for this descriptor only.
-        if (!descriptor.equals("0") || !(System.inheritedChannel() instanceof ServerSocketChannel socket)) {
-            throw new InvalidSettingsException("PROXY_INHERITED_FD: descriptor " + descriptor + " is no listening socket");
+        if (!descriptor.equals("0")
+                || !(System.inheritedChannel() instanceof ServerSocketChannel socket)) {
+            throw new InvalidSettingsException(
+                    "PROXY_INHERITED_FD: descriptor " + descriptor + " is no listening socket");
         }
         return socket;
     }
 
     /**
-     * Danger: two hang-ups in a row have a thread each, and the older file must not be followed last. An
-     * archive that was replaced under a running program may lack a class; that is a failed reload too.
+     * Danger: two hang-ups in a row have a thread each, and the older file must not be followed
+     * last. An archive that was replaced under a running program may lack a class; that is a failed
+     * reload too.
      */
-    private static synchronized void reload(ProxyServer proxyServer, Map<String, String> environment) {
+    private static synchronized void reload(
+            ProxyServer proxyServer, Map<String, String> environment) {
         if (proxyServer == null) {
             return;
         }
@@ -113,7 +126,9 @@
             proxyServer.reload(ProxyConfig.readAgain(environment, proxyServer.config()));
         } catch (IOException | RuntimeException | LinkageError e) {
             proxyServer.reloadFailed();
-            LOG.warn("new configuration not used, the old one stays: {}", e.toString().replace('\n', ' '));
+            LOG.warn(
+                    "new configuration not used, the old one stays: {}",
+                    e.toString().replace('\n', ' '));
         }
     }
 
@@ -122,13 +137,16 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object take = java.lang.reflect.Proxy.newProxyInstance(ProxyLauncher.class.getClassLoader(),
-                    new Class<?>[] {handler}, (self, method, arguments) -> {
-                        then.run();
-                        return null;
-                    });
-            signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), take);
+            Object take =
+                    java.lang.reflect.Proxy.newProxyInstance(
+                            ProxyLauncher.class.getClassLoader(),
+                            new Class<?>[] {handler},
+                            (self, method, arguments) -> {
+                                then.run();
+                                return null;
+                            });
+            signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), take);
         } catch (ReflectiveOperationException | RuntimeException e) {
             LOG.warn("a hang-up will end this program: {}", e.toString());
         }
--- a/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
@@ -12,9 +12,9 @@
 import org.xnio.IoUtils;
 
 /**
- * Where two processes of one proxy find out about one another: two files that they lock. The system lets go
- * of a lock however its process ends, so that nothing here can be stale. Its looks are for a thread that may
- * wait.
+ * Where two processes of one proxy find out about one another: two files that they lock. The system
+ * lets go of a lock however its process ends, so that nothing here can be stale. Its looks are for
+ * a thread that may wait.
  */
 public final class TakeoverLock {
     private static final Logger LOG = LoggerFactory.getLogger(TakeoverLock.class);
@@ -37,7 +37,10 @@
         return succession.processes();
     }
 
-    /** Looks who is there; whether that has changed anything. Where it can't see, it does as with another. */
+    /**
+     * Looks who is there; whether that has changed anything. Where it can't see, it does as with
+     * another.
+     */
     public boolean look() {
         try {
             if (serves == null) {
@@ -58,7 +61,9 @@
             return changed;
         } catch (IOException e) {
             if (!failed) {
-                LOG.warn("not known whether another process serves, half of all is used: {}", e.toString());
+                LOG.warn(
+                        "not known whether another process serves, half of all is used: {}",
+                        e.toString());
             }
             failed = true;
             return succession.looked(false, false);
@@ -66,7 +71,8 @@
     }
 
     private boolean isFollowed() throws IOException {
-        // Danger: the system lets go of all a process has locked of a file when it closes that file once; of
+        // Danger: the system lets go of all a process has locked of a file when it closes that file
+        // once; of
         // this one it has nothing locked.
         waitingFile = waitingFile == null ? open(waiting) : waitingFile;
         FileLock free = lock(waitingFile);
--- a/src/main/java/lemondrift/proxy/logging/AsyncLog.java
+++ b/src/main/java/lemondrift/proxy/logging/AsyncLog.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes lines of the log on a thread of its own, so that whoever reads them slowly, or not at all, holds up
- * nobody who owes an answer. What there is no room for is left out and counted.
+ * Writes lines of the log on a thread of its own, so that whoever reads them slowly, or not at all,
+ * holds up nobody who owes an answer. What there is no room for is left out and counted.
  */
 public final class AsyncLog extends OutputStream {
     /** Lines that wait at the most. */
@@ -68,7 +68,9 @@
                 writing = true;
                 long missing = leftOut.getAndSet(0);
                 if (missing > 0) {
-                    to.write(("log lines left out: " + missing + "\n").getBytes(StandardCharsets.UTF_8));
+                    to.write(
+                            ("log lines left out: " + missing + "\n")
+                                    .getBytes(StandardCharsets.UTF_8));
                 }
                 to.write(next);
                 to.flush();
--- a/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -1,16 +1,5 @@
 package lemondrift.proxy.loop;
 
-import lemondrift.proxy.events.DecisionEvents;
-import lemondrift.proxy.config.GossipSettings;
-import lemondrift.proxy.events.ProxyActions;
-import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.events.PendingRequest;
-import lemondrift.proxy.discovery.BackendDirectory;
-import lemondrift.proxy.events.EndpointList;
-import lemondrift.proxy.discovery.EndpointListUpdate;
-import lemondrift.proxy.gossip.GossipSession;
-import lemondrift.proxy.time.MonotonicClock;
-
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
@@ -24,11 +13,21 @@
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
 import lemondrift.balancer.LoadBalancer;
+import lemondrift.metrics.EventLoopMetrics;
 import lemondrift.model.*;
+import lemondrift.proxy.config.GossipSettings;
+import lemondrift.proxy.discovery.BackendDirectory;
+import lemondrift.proxy.discovery.EndpointListUpdate;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.DecisionEvents;
+import lemondrift.proxy.events.EndpointList;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.events.ProxyActions;
+import lemondrift.proxy.gossip.GossipSession;
 import lemondrift.proxy.recovery.RecoveryCoordinator;
+import lemondrift.proxy.time.MonotonicClock;
 import lemondrift.settings.RequestClassIndex;
 import lemondrift.shadow.ShadowEvaluator;
-import lemondrift.metrics.EventLoopMetrics;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -36,21 +35,30 @@
 public final class DecisionLoop implements DecisionEvents {
     private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
     private static final int QUEUED = 4096;
+
     /** How many events are handled before the sockets are told what came of them. */
     private static final int AT_A_TIME = 32;
+
     private static final double LONGEST_WAIT = 10;
+
     /** When an event came, where nobody has looked. */
     private static final double UNKNOWN = Double.POSITIVE_INFINITY;
+
     /** Seconds in which others may run between two slices of a list. */
     private static final double BETWEEN_SLICES = 0.001;
+
     /** How often, in seconds, the log has what watching has counted. */
     private static final double SHOWN = 60;
 
-    /** Something that happened, when if that is known, and the exchange that it is about, if any. */
-    private record Event(EventLoopMetrics.Kind kind, double came, Request about, Supplier<Decision> call) {}
+    /**
+     * Something that happened, when if that is known, and the exchange that it is about, if any.
+     */
+    private record Event(
+            EventLoopMetrics.Kind kind, double came, Request about, Supplier<Decision> call) {}
 
     /** Lists that are not followed whole yet, the oldest first. */
     private final Queue<EndpointListUpdate> updates = new ArrayDeque<>();
+
     private final BlockingQueue<Event> queue = new ArrayBlockingQueue<>(QUEUED);
     private final LoadBalancer balancer;
     private final BackendDirectory directory;
@@ -60,29 +68,44 @@
     private final Thread thread = new Thread(this::run, "owner");
     private final EventLoopMetrics loopMetrics = new EventLoopMetrics();
     private double turnBegan;
+
     /** What others tell and are told; null where they tell nothing. */
     private GossipSession gossipSession;
+
     /** The way back after the start; null where nobody is asked. */
     private RecoveryCoordinator recoveryCoordinator;
+
     private double wakeAt = Double.POSITIVE_INFINITY;
+
     /** What other settings would have decided; null where nobody watches. */
     private ShadowEvaluator shadow;
+
     private double shownAt;
     private int arrived;
+
     /** What the decisions would shed of each grade, as of the last time that the queue was long. */
     private volatile List<ShedThreshold> shedThresholds = List.of();
+
     /** What is stated now, the grades under the indexes that exchanges name. */
     private RequestClassIndex requestClasses;
+
     private Settings settings;
     private int processes = 1;
+
     /**
-     * How many statements the front does not go by yet, and the indexes that it had exchanges under when it
-     * went by the last. Danger: what it still puts on one must not mean another class here.
+     * How many statements the front does not go by yet, and the indexes that it had exchanges under
+     * when it went by the last. Danger: what it still puts on one must not mean another class here.
      */
     private int unfollowed;
+
     private Set<Integer> held = Set.of();
 
-    public DecisionLoop(LoadBalancer balancer, BackendDirectory directory, MonotonicClock clock, ProxyActions actions, RequestClassIndex requestClasses,
+    public DecisionLoop(
+            LoadBalancer balancer,
+            BackendDirectory directory,
+            MonotonicClock clock,
+            ProxyActions actions,
+            RequestClassIndex requestClasses,
             Settings settings) {
         this.requestClasses = requestClasses;
         this.settings = settings;
@@ -114,7 +137,10 @@
         shownAt = clock.now();
     }
 
-    /** Danger: what goes wrong in watching must not touch an exchange, so it ends the watching alone. */
+    /**
+     * Danger: what goes wrong in watching must not touch an exchange, so it ends the watching
+     * alone.
+     */
     private void watch(Consumer<ShadowEvaluator> event) {
         try {
             event.accept(shadow);
@@ -165,101 +191,141 @@
 
     @Override
     public void requestArrived(PendingRequest pending) {
-        put(EventLoopMetrics.Kind.ARRIVAL, pending.request(), () -> {
-            arrived++;
-            open.put(pending.request(), pending);
-            if (shadow != null) {
-                watch(s -> s.requestArrived(clock.now(), pending.request()));
-            }
-            return balancer.requestArrived(clock.now(), pending.request());
-        });
+        put(
+                EventLoopMetrics.Kind.ARRIVAL,
+                pending.request(),
+                () -> {
+                    arrived++;
+                    open.put(pending.request(), pending);
+                    if (shadow != null) {
+                        watch(s -> s.requestArrived(clock.now(), pending.request()));
+                    }
+                    return balancer.requestArrived(clock.now(), pending.request());
+                });
     }
 
     /**
-     * Whether the decisions would shed an exchange now; null if not, else with what retry-after. Any thread.
+     * Whether the decisions would shed an exchange now; null if not, else with what retry-after.
+     * Any thread.
      */
     @Override
     public ShedThreshold shedThreshold(int requestClass, double left) {
-        ShedThreshold word = requestClass < shedThresholds.size() ? shedThresholds.get(requestClass) : null;
+        ShedThreshold word =
+                requestClass < shedThresholds.size() ? shedThresholds.get(requestClass) : null;
         return word != null && left < word.minSecondsLeft() ? word : null;
     }
 
     /** The answer is the one to pass on if this forward delivers. */
     @Override
-    public void attemptEnded(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double[] loadReport, BackendResponse response) {
-        put(EventLoopMetrics.Kind.OUTCOME, attempt.request, () -> {
-            boolean wins = outcome == AttemptOutcome.SUCCESS && !attempt.request.completed;
-            PendingRequest pending = open.get(attempt.request);
-            if (wins && pending != null) {
-                actions.deliver(pending, response);
-            } else if (response != null && response.remainder() != null) {
-                actions.discard(response);
-            }
-            if (gossipSession != null) {
-                gossipSession.attemptEnded(attempt.backend, outcome, clock.now());
-            }
-            boolean over = wins || attempt.request.completed;
-            if (shadow != null) {
-                watch(s -> s.attemptEnded(clock.now(), attempt, outcome, durationSeconds, over, loadReport));
-            }
-            return balancer.attemptEnded(clock.now(), attempt, outcome, durationSeconds, over, loadReport);
-        });
+    public void attemptEnded(
+            Attempt attempt,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            double[] loadReport,
+            BackendResponse response) {
+        put(
+                EventLoopMetrics.Kind.OUTCOME,
+                attempt.request,
+                () -> {
+                    boolean wins = outcome == AttemptOutcome.SUCCESS && !attempt.request.completed;
+                    PendingRequest pending = open.get(attempt.request);
+                    if (wins && pending != null) {
+                        actions.deliver(pending, response);
+                    } else if (response != null && response.remainder() != null) {
+                        actions.discard(response);
+                    }
+                    if (gossipSession != null) {
+                        gossipSession.attemptEnded(attempt.backend, outcome, clock.now());
+                    }
+                    boolean over = wins || attempt.request.completed;
+                    if (shadow != null) {
+                        watch(
+                                s ->
+                                        s.attemptEnded(
+                                                clock.now(),
+                                                attempt,
+                                                outcome,
+                                                durationSeconds,
+                                                over,
+                                                loadReport));
+                    }
+                    return balancer.attemptEnded(
+                            clock.now(), attempt, outcome, durationSeconds, over, loadReport);
+                });
     }
 
     @Override
     public void probeEnded(int backend, AttemptOutcome outcome, double[] loadReport) {
-        put(null, () -> {
-            directory.release(backend);
-            if (shadow != null) {
-                watch(s -> s.probeEnded(clock.now(), backend, outcome, loadReport));
-            }
-            return balancer.probeEnded(clock.now(), backend, outcome, loadReport);
-        });
+        put(
+                null,
+                () -> {
+                    directory.release(backend);
+                    if (shadow != null) {
+                        watch(s -> s.probeEnded(clock.now(), backend, outcome, loadReport));
+                    }
+                    return balancer.probeEnded(clock.now(), backend, outcome, loadReport);
+                });
     }
 
     @Override
     public void clientLeft(Request request) {
-        put(EventLoopMetrics.Kind.CLIENT_LEFT, request, () -> {
-            if (shadow != null) {
-                watch(s -> s.clientLeft(clock.now(), request));
-            }
-            return request.completed ? null : balancer.clientLeft(clock.now(), request);
-        });
+        put(
+                EventLoopMetrics.Kind.CLIENT_LEFT,
+                request,
+                () -> {
+                    if (shadow != null) {
+                        watch(s -> s.clientLeft(clock.now(), request));
+                    }
+                    return request.completed ? null : balancer.clientLeft(clock.now(), request);
+                });
     }
 
     /** So many processes share what is this proxy's, its part of a cold backend's budget too. */
     public void setProcessCount(int many) {
-        put(null, () -> {
-            processes = many;
-            balancer.settingsChanged(settings.dividedAmong(many), List.of());
-            return null;
-        });
+        put(
+                null,
+                () -> {
+                    processes = many;
+                    balancer.settingsChanged(settings.dividedAmong(many), List.of());
+                    return null;
+                });
     }
 
     /** Its request can't be sent whole any more. */
     @Override
     public void bodyNotReplayable(Request request) {
-        put(request, () -> {
-            request.terms = request.terms.withMaxAttempts(request.attemptCount);
-            return null;
-        });
+        put(
+                request,
+                () -> {
+                    request.terms = request.terms.withMaxAttempts(request.attemptCount);
+                    return null;
+                });
     }
 
-    /** A list has come; stale is one of before the start. Applied hears when the decisions have all of it. */
+    /**
+     * A list has come; stale is one of before the start. Applied hears when the decisions have all
+     * of it.
+     */
     @Override
     public void endpointListReceived(EndpointList list, boolean stale, Runnable applied) {
-        put(EventLoopMetrics.Kind.LIST, null, () -> {
-            updates.add(new EndpointListUpdate(directory, list, stale, applied));
-            // What is small is followed at once.
-            return updates.size() == 1 ? nextSlice() : null;
-        });
+        put(
+                EventLoopMetrics.Kind.LIST,
+                null,
+                () -> {
+                    updates.add(new EndpointListUpdate(directory, list, stale, applied));
+                    // What is small is followed at once.
+                    return updates.size() == 1 ? nextSlice() : null;
+                });
     }
 
     /** Follows a part of the list that has come first. */
     private Decision nextSlice() {
         EndpointListUpdate update = updates.peek();
         List<EndpointUpdate> listed = update.nextSlice();
-        List<EndpointUpdate> lines = gossipSession == null || listed.isEmpty() ? listed : gossipSession.withSubsets(listed);
+        List<EndpointUpdate> lines =
+                gossipSession == null || listed.isEmpty()
+                        ? listed
+                        : gossipSession.withSubsets(listed);
         if (shadow != null) {
             watch(s -> s.endpointsListed(clock.now(), false, update.isStale(), lines));
         }
@@ -279,10 +345,14 @@
     private Decision endOf(EndpointListUpdate update) {
         count();
         if (!update.unreadable().isEmpty()) {
-            LOG.warn("lines of the list are passed over, the first: {}", update.unreadable().get(0));
+            LOG.warn(
+                    "lines of the list are passed over, the first: {}", update.unreadable().get(0));
         }
         if (!update.isEmpty()) {
-            LOG.info("list followed {} backends={} usable={}", update.summary(), directory.listedCount(),
+            LOG.info(
+                    "list followed {} backends={} usable={}",
+                    update.summary(),
+                    directory.listedCount(),
                     balancer.usableBackendCount());
         }
         update.notifyApplied();
@@ -291,61 +361,90 @@
 
     /** Other settings hold from now on, for what comes; watched is null where nobody watches. */
     public void reload(Settings to, List<String> names, Settings watched) {
-        put(null, () -> {
-            requestClasses = requestClasses.reloaded(names, to.requestClasses(), i -> unfollowed > 0 || held.contains(i)
-                    || open.keySet().stream().anyMatch(request -> request.requestClass == i));
-            unfollowed++;
-            // Danger: under an index another class may stand from now on.
-            shedThresholds = List.of();
-            settings = settings.reloaded(to, requestClasses.byIndex());
-            balancer.settingsChanged(settings.dividedAmong(processes), requestClasses.reassigned());
-            if (shadow != null && watched != null) {
-                watch(s -> s.settingsChanged(watched.reloaded(watched, requestClasses.byIndex(watched.requestClasses())),
-                        requestClasses.reassigned()));
-            }
-            actions.settingsChanged(requestClasses, settings);
-            return null;
-        });
+        put(
+                null,
+                () -> {
+                    requestClasses =
+                            requestClasses.reloaded(
+                                    names,
+                                    to.requestClasses(),
+                                    i ->
+                                            unfollowed > 0
+                                                    || held.contains(i)
+                                                    || open.keySet().stream()
+                                                            .anyMatch(
+                                                                    request ->
+                                                                            request.requestClass
+                                                                                    == i));
+                    unfollowed++;
+                    // Danger: under an index another class may stand from now on.
+                    shedThresholds = List.of();
+                    settings = settings.reloaded(to, requestClasses.byIndex());
+                    balancer.settingsChanged(
+                            settings.dividedAmong(processes), requestClasses.reassigned());
+                    if (shadow != null && watched != null) {
+                        watch(
+                                s ->
+                                        s.settingsChanged(
+                                                watched.reloaded(
+                                                        watched,
+                                                        requestClasses.byIndex(
+                                                                watched.requestClasses())),
+                                                requestClasses.reassigned()));
+                    }
+                    actions.settingsChanged(requestClasses, settings);
+                    return null;
+                });
     }
 
     /** The front goes by what was stated last, and has exchanges under these indexes of classes. */
     public void settingsApplied(Set<Integer> under) {
-        put(null, () -> {
-            unfollowed--;
-            held = under;
-            return null;
-        });
+        put(
+                null,
+                () -> {
+                    unfollowed--;
+                    held = under;
+                    return null;
+                });
     }
 
     private void count() {
-        actions.backendsCounted(directory.listedCount(), directory.listedCount() - balancer.usableBackendCount());
+        actions.backendsCounted(
+                directory.listedCount(), directory.listedCount() - balancer.usableBackendCount());
     }
 
     /**
-     * Answers all that is open: refused where nothing was forwarded. Danger: at the end of the process what
-     * has no answer is lost.
+     * Answers all that is open: refused where nothing was forwarded. Danger: at the end of the
+     * process what has no answer is lost.
      */
     public void failOpenRequests() {
-        put(null, () -> {
-            for (Request request : List.copyOf(open.keySet())) {
-                if (!request.completed) {
-                    request.failureReason = FailureReason.SHUTDOWN;
-                    carryOut(balancer.clientLeft(clock.now(), request));
-                    answer(request, request.attemptCount == 0, 0);
-                    release(request);
-                }
-            }
-            return null;
-        });
+        put(
+                null,
+                () -> {
+                    for (Request request : List.copyOf(open.keySet())) {
+                        if (!request.completed) {
+                            request.failureReason = FailureReason.SHUTDOWN;
+                            carryOut(balancer.clientLeft(clock.now(), request));
+                            answer(request, request.attemptCount == 0, 0);
+                            release(request);
+                        }
+                    }
+                    return null;
+                });
     }
 
-    /** What is the owner's own is to be seen there only. What it has asked of the sockets is on its way. */
+    /**
+     * What is the owner's own is to be seen there only. What it has asked of the sockets is on its
+     * way.
+     */
     public void runOnLoop(Runnable task) {
-        put(null, () -> {
-            actions.flush();
-            task.run();
-            return null;
-        });
+        put(
+                null,
+                () -> {
+                    actions.flush();
+                    task.run();
+                    return null;
+                });
     }
 
     /** How often something speaks of a backend by its index. Owner's thread only. */
@@ -367,7 +466,10 @@
         put(EventLoopMetrics.Kind.OTHER, about, call);
     }
 
-    /** Danger: to read the clock for each event takes more of a small part of a core than most events do. */
+    /**
+     * Danger: to read the clock for each event takes more of a small part of a core than most
+     * events do.
+     */
     private void put(EventLoopMetrics.Kind kind, Request about, Supplier<Decision> call) {
         double came = kind == EventLoopMetrics.Kind.ARRIVAL ? about.arrivedAt : UNKNOWN;
         try {
@@ -380,10 +482,19 @@
     private void run() {
         while (!Thread.interrupted()) {
             try {
-                double next = gossipSession == null ? wakeAt : Math.min(wakeAt, gossipSession.nextSendAt());
-                next = recoveryCoordinator == null ? next : Math.min(next, recoveryCoordinator.wakeAt());
+                double next =
+                        gossipSession == null
+                                ? wakeAt
+                                : Math.min(wakeAt, gossipSession.nextSendAt());
+                next =
+                        recoveryCoordinator == null
+                                ? next
+                                : Math.min(next, recoveryCoordinator.wakeAt());
                 next = shadow == null ? next : Math.min(next, shadow.wakeAt());
-                double wait = Math.min(updates.isEmpty() ? LONGEST_WAIT : BETWEEN_SLICES, next - clock.now());
+                double wait =
+                        Math.min(
+                                updates.isEmpty() ? LONGEST_WAIT : BETWEEN_SLICES,
+                                next - clock.now());
                 long nanos = (long) (Math.max(0, wait) * 1e9);
                 Event event = queue.poll(nanos, TimeUnit.NANOSECONDS);
                 turnBegan = clock.now();
@@ -396,10 +507,18 @@
                     event = handled < AT_A_TIME ? queue.poll() : null;
                 }
                 if (handled > AT_A_TIME) {
-                    shedThresholds = IntStream.range(0, settings.requestClasses().size()).mapToObj(this::word).toList();
+                    shedThresholds =
+                            IntStream.range(0, settings.requestClasses().size())
+                                    .mapToObj(this::word)
+                                    .toList();
                 }
                 if (wakeAt <= clock.now()) {
-                    handle(new Event(EventLoopMetrics.Kind.TIMER, wakeAt, null, () -> balancer.wake(clock.now())));
+                    handle(
+                            new Event(
+                                    EventLoopMetrics.Kind.TIMER,
+                                    wakeAt,
+                                    null,
+                                    () -> balancer.wake(clock.now())));
                 }
                 // Danger: whatever owes its answer now goes before the list.
                 if (!updates.isEmpty()) {
@@ -414,7 +533,11 @@
                     arrived = 0;
                 }
                 if (recoveryCoordinator != null) {
-                    recoveryCoordinator.advance(clock.now(), balancer, gossipSession::peerRestarted, actions::sendGossip);
+                    recoveryCoordinator.advance(
+                            clock.now(),
+                            balancer,
+                            gossipSession::peerRestarted,
+                            actions::sendGossip);
                 }
                 if (gossipSession != null) {
                     gossipSession.dueMessages(clock.now()).forEach(actions::sendGossip);
@@ -438,7 +561,9 @@
     }
 
     private ShedThreshold word(int requestClass) {
-        return settings.requestClasses().get(requestClass) == null ? null : balancer.shedThreshold(clock.now(), requestClass);
+        return settings.requestClasses().get(requestClass) == null
+                ? null
+                : balancer.shedThreshold(clock.now(), requestClass);
     }
 
     private void handle(Event event) {
@@ -453,7 +578,10 @@
         }
     }
 
-    /** Danger: an exception in one exchange must not end the proxy, nor leave the exchange unanswered. */
+    /**
+     * Danger: an exception in one exchange must not end the proxy, nor leave the exchange
+     * unanswered.
+     */
     private void carryOut(Event event) {
         try {
             Decision decision = event.call.get();
@@ -471,7 +599,8 @@
             }
             wakeAt = Math.min(wakeAt, clock.now() + 1);
         }
-        // Danger: letting go of an exchange before the turn is carried out would leave it unanswered.
+        // Danger: letting go of an exchange before the turn is carried out would leave it
+        // unanswered.
         if (event.about != null) {
             release(event.about);
         }
@@ -517,7 +646,9 @@
     private void release(Request request) {
         if (request.completed && request.attemptsInFlight == 0 && open.remove(request) != null) {
             // Danger: whether a forward may be repeated goes by where the earlier ones went.
-            for (Attempt attempt = request.latestAttempt; attempt != null; attempt = attempt.previous) {
+            for (Attempt attempt = request.latestAttempt;
+                    attempt != null;
+                    attempt = attempt.previous) {
                 directory.release(attempt.backend);
             }
         }
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -1,15 +1,13 @@
 package lemondrift.proxy.recovery;
 
-import lemondrift.proxy.config.RecoverySettings;
 import com.google.gson.JsonObject;
-import java.nio.file.Path;
 import java.util.Locale;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
 import lemondrift.balancer.LoadBalancer;
 import lemondrift.gossip.LoadGossip;
-import lemondrift.recovery.PeerPollBackoff;
+import lemondrift.proxy.config.RecoverySettings;
 import lemondrift.recovery.PeerStatus;
 import lemondrift.recovery.RecoveryState;
 import lemondrift.recovery.Snapshot;
@@ -28,24 +26,32 @@
     private record Said(int from, PeerStatus hello) {}
 
     private final Queue<Said> said = new ConcurrentLinkedQueue<>();
+
     /** Null where no disk lasts. */
     private final SnapshotStore keeper;
+
     private final Snapshot.Trusted trusted;
     private final double period;
     private double keepAt;
+
     /** A value, so that any thread may look at it. */
     private volatile RecoveryState recovery;
+
     private volatile RecoveryState.Lesson lesson;
     private volatile double judgedAt;
     private boolean told;
 
     /**
-     * Of a proxy by its name and number. Before it returns, the start number is kept where a disk lasts.
-     * Danger: one that others have heard and that is not kept could be taken a second time.
+     * Of a proxy by its name and number. Before it returns, the start number is kept where a disk
+     * lasts. Danger: one that others have heard and that is not kept could be taken a second time.
      */
-    public RecoveryCoordinator(RecoverySettings settings, String name, int self, int proxies, double now) {
+    public RecoveryCoordinator(
+            RecoverySettings settings, String name, int self, int proxies, double now) {
         period = settings.snapshotIntervalSeconds();
-        keeper = settings.snapshotFolder() == null ? null : new SnapshotStore(settings.snapshotFolder(), name);
+        keeper =
+                settings.snapshotFolder() == null
+                        ? null
+                        : new SnapshotStore(settings.snapshotFolder(), name);
         trusted = keeper == null ? Snapshot.Trusted.NOTHING : keeper.trusted();
         // Danger: a wall clock that went back would give a number that was had before.
         long start = Math.max(trusted.above() + 1, System.currentTimeMillis());
@@ -55,8 +61,12 @@
         if (keeper != null) {
             keeper.keepNow(start, trusted.work(), trusted.work() > 0 ? trusted.answers() : 0);
         }
-        LOG.info("recovery begins start={} snapshot=\"{}\" work={} answers={}", start, trusted.why(),
-                trusted.work(), trusted.answers());
+        LOG.info(
+                "recovery begins start={} snapshot=\"{}\" work={} answers={}",
+                start,
+                trusted.why(),
+                trusted.work(),
+                trusted.answers());
     }
 
     /** Whether a datagram is for this, and no telling. Any thread. */
@@ -81,7 +91,11 @@
     }
 
     /** Follows what has come, learns for the decisions, and says what is due to others. */
-    public void advance(double now, LoadBalancer balancer, PeerRestartListener anew, Consumer<LoadGossip.Message> tell) {
+    public void advance(
+            double now,
+            LoadBalancer balancer,
+            PeerRestartListener anew,
+            Consumer<LoadGossip.Message> tell) {
         boolean settled = recovery.isSettled();
         if (!settled) {
             double[] work = balancer.measuredServiceTime();
@@ -98,12 +112,18 @@
         if (!recovery.isSettled()) {
             learns(balancer, now);
         } else if (!settled) {
-            LOG.info("recovery settled standing={} after={} work={} answers={} asked={}", recovery.standing(),
-                    seconds(now - recovery.began()), recovery.work(), recovery.answers(), recovery.asked());
+            LOG.info(
+                    "recovery settled standing={} after={} work={} answers={} asked={}",
+                    recovery.standing(),
+                    seconds(now - recovery.began()),
+                    recovery.work(),
+                    recovery.answers(),
+                    recovery.asked());
         }
         if (keeper != null && now >= keepAt) {
             double[] work = balancer.measuredServiceTime();
-            // Danger: all proxies writing in step would have one disk of a machine stand still for all.
+            // Danger: all proxies writing in step would have one disk of a machine stand still for
+            // all.
             keepAt = now + period * (0.5 + Math.random());
             keeper.keep(recovery.start(), work[0], (int) Math.min(work[1], Short.MAX_VALUE));
         }
@@ -123,11 +143,19 @@
     private void follows(RecoveryState.Step step, double now, Consumer<LoadGossip.Message> tell) {
         if (step.next().standing() != recovery.standing()) {
             judgedAt = now;
-            LOG.info("recovery standing={} was={} after={} heard={}", step.next().standing(),
-                    recovery.standing(), seconds(now - recovery.began()), step.next().heard().size());
+            LOG.info(
+                    "recovery standing={} was={} after={} heard={}",
+                    step.next().standing(),
+                    recovery.standing(),
+                    seconds(now - recovery.began()),
+                    step.next().heard().size());
         }
         recovery = step.next();
-        step.sent().forEach(each -> tell.accept(new LoadGossip.Message(each.to(), each.hello().encoded())));
+        step.sent()
+                .forEach(
+                        each ->
+                                tell.accept(
+                                        new LoadGossip.Message(each.to(), each.hello().encoded())));
     }
 
     private static String seconds(double span) {
@@ -161,8 +189,10 @@
     public void close() {
         if (keeper != null) {
             boolean any = recovery.answers() > 0;
-            keeper.keep(recovery.start(), any ? recovery.work() : trusted.work(), any ? recovery.answers()
-                    : trusted.work() > 0 ? trusted.answers() : 0);
+            keeper.keep(
+                    recovery.start(),
+                    any ? recovery.work() : trusted.work(),
+                    any ? recovery.answers() : trusted.work() > 0 ? trusted.answers() : 0);
             keeper.close();
         }
     }
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
@@ -13,19 +13,28 @@
 import java.util.zip.CRC32C;
 import lemondrift.recovery.Snapshot;
 
-/** A snapshot in a file, and the one before it in another: a head with version, length and sum, then CBOR. */
+/**
+ * A snapshot in a file, and the one before it in another: a head with version, length and sum, then
+ * CBOR.
+ */
 public final class SnapshotFile {
     public static final int VERSION = 1;
     private static final byte[] MAGIC = "LDSN".getBytes(StandardCharsets.US_ASCII);
-    private static final int HEAD = MAGIC.length + Short.BYTES + 2 * Integer.BYTES, MOST = 64 * 1024;
+    private static final int HEAD = MAGIC.length + Short.BYTES + 2 * Integer.BYTES,
+            MOST = 64 * 1024;
     private static final CBORMapper CBOR = new CBORMapper();
 
     private SnapshotFile() {}
 
     static byte[] encoded(Snapshot snapshot) throws IOException {
         byte[] body = CBOR.writeValueAsBytes(snapshot);
-        return ByteBuffer.allocate(HEAD + body.length).put(MAGIC).putShort((short) VERSION)
-                .putInt(body.length).putInt(sum(body)).put(body).array();
+        return ByteBuffer.allocate(HEAD + body.length)
+                .put(MAGIC)
+                .putShort((short) VERSION)
+                .putInt(body.length)
+                .putInt(sum(body))
+                .put(body)
+                .array();
     }
 
     private static int sum(byte[] body) {
@@ -47,12 +56,14 @@
         in.position(MAGIC.length);
         int version = in.getShort(), length = in.getInt(), sum = in.getInt();
         if (version != VERSION) {
-            throw new IOException(file + ": of version " + version + ", and this program reads " + VERSION);
+            throw new IOException(
+                    file + ": of version " + version + ", and this program reads " + VERSION);
         }
         byte[] body = new byte[in.remaining()];
         in.get(body);
         if (length != body.length || sum != sum(body)) {
-            throw new IOException(file + ": torn or changed: " + body.length + " bytes of " + length);
+            throw new IOException(
+                    file + ": torn or changed: " + body.length + " bytes of " + length);
         }
         return CBOR.readValue(body, Snapshot.class);
     }
@@ -63,13 +74,17 @@
     }
 
     /**
-     * Danger: power may fail between any two steps. Whatever is there under either name is whole: the new one
-     * is synced before it gets its name, and the older one keeps its own until then.
+     * Danger: power may fail between any two steps. Whatever is there under either name is whole:
+     * the new one is synced before it gets its name, and the older one keeps its own until then.
      */
     static void write(Path file, Snapshot snapshot) throws IOException {
         Path fresh = file.resolveSibling(file.getFileName() + ".new");
-        try (FileChannel out = FileChannel.open(fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out =
+                FileChannel.open(
+                        fresh,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer bytes = ByteBuffer.wrap(encoded(snapshot));
             while (bytes.hasRemaining()) {
                 out.write(bytes);
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
@@ -12,18 +12,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Keeps a proxy's snapshots in a folder, on a thread of its own. A disk that fails costs no exchange. */
+/**
+ * Keeps a proxy's snapshots in a folder, on a thread of its own. A disk that fails costs no
+ * exchange.
+ */
 final class SnapshotStore implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(SnapshotStore.class);
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
 
     private final Path file;
     private final String name, boot;
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(task -> {
-        Thread its = new Thread(task, "keeper");
-        its.setDaemon(true);
-        return its;
-    });
+    private final ExecutorService thread =
+            Executors.newSingleThreadExecutor(
+                    task -> {
+                        Thread its = new Thread(task, "keeper");
+                        its.setDaemon(true);
+                        return its;
+                    });
     private volatile boolean failed;
 
     SnapshotStore(Path folder, String name) {
@@ -45,7 +50,9 @@
         return System.currentTimeMillis() / 1e3;
     }
 
-    /** What is believed of the newest snapshot that can be read; any other is set aside with a line. */
+    /**
+     * What is believed of the newest snapshot that can be read; any other is set aside with a line.
+     */
     Snapshot.Trusted trusted() {
         for (Path each : List.of(file, SnapshotFile.before(file))) {
             if (!Files.exists(each)) {
@@ -63,7 +70,9 @@
 
     private static void setAside(Path file) {
         try {
-            Files.move(file, file.resolveSibling(file.getFileName() + ".bad"),
+            Files.move(
+                    file,
+                    file.resolveSibling(file.getFileName() + ".bad"),
                     StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             LOG.warn("recovery snapshot stays where it is: {}", e.toString());
--- a/src/main/java/lemondrift/recovery/PeerObservation.java
+++ b/src/main/java/lemondrift/recovery/PeerObservation.java
@@ -4,6 +4,7 @@
 public record PeerObservation(PeerStatus hello, double at) {
     /** Whether it was said by an earlier self of the same proxy, or before this by the same one. */
     boolean isAfter(PeerStatus other) {
-        return other.start() < hello.start() || other.start() == hello.start() && other.up() < hello.up();
+        return other.start() < hello.start()
+                || other.start() == hello.start() && other.up() < hello.up();
     }
 }
--- a/src/main/java/lemondrift/recovery/Snapshot.java
+++ b/src/main/java/lemondrift/recovery/Snapshot.java
@@ -15,8 +15,13 @@
     private static final double LONG = 24 * 3600;
 
     public Snapshot {
-        if (name == null || boot == null || start < 0 || !(work >= 0) || work == Double.POSITIVE_INFINITY
-                || answers < 0 || (work == 0) != (answers == 0)) {
+        if (name == null
+                || boot == null
+                || start < 0
+                || !(work >= 0)
+                || work == Double.POSITIVE_INFINITY
+                || answers < 0
+                || (work == 0) != (answers == 0)) {
             throw new IllegalArgumentException("figures that can't be");
         }
     }
@@ -25,7 +30,8 @@
      * What is believed of it at a start.
      *
      * @param above the start number has to be above this
-     * @param work mean work of an exchange to go by until others or own answers say more, 0 for none
+     * @param work mean work of an exchange to go by until others or own answers say more, 0 for
+     *     none
      * @param answers as how many answers that counts
      * @param why in words for the log
      */
@@ -33,7 +39,10 @@
         public static final Trusted NOTHING = new Trusted(0, 0, 0, "no snapshot");
     }
 
-    /** What is believed of it by a proxy of a name, at a time of a wall clock, in a run of the machine. */
+    /**
+     * What is believed of it by a proxy of a name, at a time of a wall clock, in a run of the
+     * machine.
+     */
     public Trusted trusted(String its, String thisBoot, double wall) {
         if (!name.equals(its)) {
             return new Trusted(0, 0, 0, "of another proxy, " + name);
@@ -42,8 +51,16 @@
         boolean rebooted = boot.isEmpty() || !boot.equals(thisBoot);
         // Danger: a clock that has gone back tells no age, and then the figure is one of any age.
         boolean old = !(age >= 0 && age <= LONG);
-        return new Trusted(start, work, old || rebooted ? Math.min(1, answers) : answers,
-                age < 0 ? "from later than now: the clock has gone back" : old ? "over a day old"
-                        : rebooted ? "of an earlier run of the machine" : "of this run of the machine");
+        return new Trusted(
+                start,
+                work,
+                old || rebooted ? Math.min(1, answers) : answers,
+                age < 0
+                        ? "from later than now: the clock has gone back"
+                        : old
+                                ? "over a day old"
+                                : rebooted
+                                        ? "of an earlier run of the machine"
+                                        : "of this run of the machine");
     }
 }
--- a/src/main/java/lemondrift/settings/InvalidSettingsException.java
+++ b/src/main/java/lemondrift/settings/InvalidSettingsException.java
@@ -1,8 +1,13 @@
 package lemondrift.settings;
 
-/** Settings, a configuration or an experiment that cannot be used; the message says which key and why. */
+/**
+ * Settings, a configuration or an experiment that cannot be used; the message says which key and
+ * why.
+ */
 public final class InvalidSettingsException extends RuntimeException {
-    /** Operators' tools match the lines of {@code check}, so the name that stands in them is kept. */
+    /**
+     * Operators' tools match the lines of {@code check}, so the name that stands in them is kept.
+     */
     private static final String REPORTED_NAME = "lemondrift.settings.BadInput";
 
     private static final long serialVersionUID = 1;
--- a/src/main/java/lemondrift/settings/SettingsReader.java
+++ b/src/main/java/lemondrift/settings/SettingsReader.java
@@ -46,13 +46,24 @@
         }
         boolean onRequest = choice("membershipMode", "pushed", "on_request").equals("on_request");
         int locations = list("localities").size();
-        return new Settings((int) between("siblings", 1, Integer.MAX_VALUE), locations,
-                (int) between("zone", 0, locations - 1), onRequest, List.copyOf(requestClasses), quota,
-                number("excessBenefit", 1), flag("clients.marksRetry"), reports(),
-                new Settings.Limits(flag("limits.mayCancel"), flag("limits.probes"),
+        return new Settings(
+                (int) between("siblings", 1, Integer.MAX_VALUE),
+                locations,
+                (int) between("zone", 0, locations - 1),
+                onRequest,
+                List.copyOf(requestClasses),
+                quota,
+                number("excessBenefit", 1),
+                flag("clients.marksRetry"),
+                reports(),
+                new Settings.Limits(
+                        flag("limits.mayCancel"),
+                        flag("limits.probes"),
                         (int) between("limits.mostForwards", 1, MOST),
                         flag("limits.retryAfter") ? number("limits.maxRetryAfter", 0) / 1000 : 0),
-                new Settings.Rules(between("invariants.coldFrom", LEAST, 1), number("invariants.cold") / 1000,
+                new Settings.Rules(
+                        between("invariants.coldFrom", LEAST, 1),
+                        number("invariants.cold") / 1000,
                         between("invariants.fallMultiple", LEAST, MOST),
                         between("invariants.overloadFor", LEAST, MOST) / 1000,
                         number("invariants.askWithin", 10_000) / 1000),
@@ -69,7 +80,8 @@
     private String choice(String key, String... words) {
         String value = text(key, words[0]);
         if (!Arrays.asList(words).contains(value)) {
-            throw new InvalidSettingsException("setting " + key + ": " + value + " is none of " + String.join(", ", words));
+            throw new InvalidSettingsException(
+                    "setting " + key + ": " + value + " is none of " + String.join(", ", words));
         }
         return value;
     }
@@ -78,8 +90,12 @@
         List<String> names = list("report.names");
         boolean all = names.contains("inflight");
         boolean inline = choice("report.how", "off", "inline", "on_probe").equals("inline");
-        return new Settings.LoadReports(inline, names.indexOf("util"),
-                names.indexOf(all ? "inflight" : "queue"), all, names.indexOf("qps"));
+        return new Settings.LoadReports(
+                inline,
+                names.indexOf("util"),
+                names.indexOf(all ? "inflight" : "queue"),
+                all,
+                names.indexOf("qps"));
     }
 
     /** The values of a list, which are joined by commas. */
@@ -88,13 +104,18 @@
     }
 
     private RequestClass grade(String at) {
-        return new RequestClass(number(at + "benefit"), number(at + "lateBenefit", 0),
-                between(at + "contractTime", LEAST, MOST) / 1000, between(at + "expiry", LEAST, MOST) / 1000,
+        return new RequestClass(
+                number(at + "benefit"),
+                number(at + "lateBenefit", 0),
+                between(at + "contractTime", LEAST, MOST) / 1000,
+                between(at + "expiry", LEAST, MOST) / 1000,
                 switch (text(at + "effect", null)) {
                     case "retryable" -> Idempotency.IDEMPOTENT;
                     case "dedup" -> Idempotency.IDEMPOTENT_WITH_KEY;
                     case "fragile" -> Idempotency.NOT_IDEMPOTENT;
-                    default -> throw new InvalidSettingsException("setting " + at + "effect: " + text(at + "effect", ""));
+                    default ->
+                            throw new InvalidSettingsException(
+                                    "setting " + at + "effect: " + text(at + "effect", ""));
                 },
                 switch (choice(at + "group", "cell", "zone", "all")) {
                     case "all" -> DeduplicationScope.ALL;
@@ -119,7 +140,8 @@
     private double between(String key, double least, double most) {
         double number = number(key);
         if (number < least || number > most) {
-            throw new InvalidSettingsException("setting " + key + ": out of range: " + text(key, null));
+            throw new InvalidSettingsException(
+                    "setting " + key + ": out of range: " + text(key, null));
         }
         return number;
     }
@@ -132,7 +154,8 @@
         String value = text(key, null);
         try {
             double number = Double.parseDouble(value);
-            // Danger: what is not finite or below zero makes estimates none, and the first backend the best.
+            // Danger: what is not finite or below zero makes estimates none, and the first backend
+            // the best.
             if (number >= 0 && number < Double.POSITIVE_INFINITY) {
                 return number;
             }
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -10,24 +10,42 @@
 import lemondrift.model.*;
 
 /**
- * The watching mode: a second module with other settings sees all that happens, is asked at each decision
- * what it would do, and follows what was done. It counts by kind where it would have decided otherwise.
- * Nothing of it is carried out; its chance, probes and budgets are its own, so that the deciding module never
- * notices it.
+ * The watching mode: a second module with other settings sees all that happens, is asked at each
+ * decision what it would do, and follows what was done. It counts by kind where it would have
+ * decided otherwise. Nothing of it is carried out; its chance, probes and budgets are its own, so
+ * that the deciding module never notices it.
  */
 public final class ShadowEvaluator {
     /** What it would have done in place of what was done. */
-    public enum Kind { ANOTHER_BACKEND, CROSS, NOT_CROSS, SHED, NOT_SHED, SEND_AGAIN, NOT_SEND_AGAIN }
+    public enum Kind {
+        ANOTHER_BACKEND,
+        CROSS,
+        NOT_CROSS,
+        SHED,
+        NOT_SHED,
+        SEND_AGAIN,
+        NOT_SEND_AGAIN
+    }
 
     private static final int NONE = -1;
 
-    /** An exchange as the second module knows it, and the forward that stands for the one that is out. */
+    /**
+     * An exchange as the second module knows it, and the forward that stands for the one that is
+     * out.
+     */
     private static final class Copy {
         final Request exchange;
         Attempt followed;
 
         Copy(Request request) {
-            exchange = new Request(request.id, request.requestClass, request.tenant, request.arrivedAt, request.deadline - request.arrivedAt, request.markedRetry);
+            exchange =
+                    new Request(
+                            request.id,
+                            request.requestClass,
+                            request.tenant,
+                            request.arrivedAt,
+                            request.deadline - request.arrivedAt,
+                            request.markedRetry);
         }
     }
 
@@ -52,7 +70,8 @@
         balancer.settingsChanged(settings, fresh);
     }
 
-    public void endpointsListed(double now, boolean whole, boolean stale, List<EndpointUpdate> updates) {
+    public void endpointsListed(
+            double now, boolean whole, boolean stale, List<EndpointUpdate> updates) {
         updates.forEach(update -> locations.put(update.backend(), update.location()));
         settle(now, balancer.endpointsListed(now, whole, stale, updates));
     }
@@ -86,14 +105,22 @@
         }
     }
 
-    public void attemptEnded(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over, double[] loadReport) {
+    public void attemptEnded(
+            double now,
+            Attempt attempt,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            boolean over,
+            double[] loadReport) {
         Copy copy = copies.get(attempt.request);
         if (copy == null || copy.followed == null) {
             return;
         }
         Attempt followed = copy.followed;
         copy.followed = null;
-        settle(now, balancer.attemptEnded(now, followed, outcome, durationSeconds, over, loadReport));
+        settle(
+                now,
+                balancer.attemptEnded(now, followed, outcome, durationSeconds, over, loadReport));
         if (over) {
             copies.remove(attempt.request);
         }
@@ -103,7 +130,9 @@
         settle(now, balancer.probeEnded(now, backend, outcome, loadReport));
     }
 
-    /** The exchange is over. Danger: a forward that is still out counts there until its end is told. */
+    /**
+     * The exchange is over. Danger: a forward that is still out counts there until its end is told.
+     */
     public void clientLeft(double now, Request request) {
         Copy copy = copies.get(request);
         if (copy == null) {
@@ -137,11 +166,15 @@
         return counts[kind.ordinal()];
     }
 
-    /** One line: how many decisions were compared, and those that would have been others, by kind. */
+    /**
+     * One line: how many decisions were compared, and those that would have been others, by kind.
+     */
     public String summary() {
         StringBuilder text = new StringBuilder("decisions " + decisions);
         for (Kind kind : Kind.values()) {
-            text.append(", would ").append(kind.name().toLowerCase(Locale.ROOT).replace('_', ' ')).append(' ')
+            text.append(", would ")
+                    .append(kind.name().toLowerCase(Locale.ROOT).replace('_', ' '))
+                    .append(' ')
                     .append(count(kind));
         }
         return text.toString();
@@ -168,7 +201,6 @@
         }
     }
 
-
     private void counted(Kind kind) {
         counts[kind.ordinal()]++;
     }
@@ -184,7 +216,9 @@
             takeBack(now, request, own);
         }
         request.completed = false;
-        copy.followed = new Attempt(request, done.backend, done.sentAt, done.timeoutSeconds, done.queueAhead);
+        copy.followed =
+                new Attempt(
+                        request, done.backend, done.sentAt, done.timeoutSeconds, done.queueAhead);
         request.latestAttempt = copy.followed;
         request.attemptCount++;
         request.attemptsInFlight++;
@@ -199,11 +233,15 @@
         balancer.adjustAttempts(now, own.backend, -1);
     }
 
-    /** Danger: probes are not sent for it, and one that nobody answers would make its backend look silent. */
+    /**
+     * Danger: probes are not sent for it, and one that nobody answers would make its backend look
+     * silent.
+     */
     private void settle(double now, Decision decision) {
         Deque<Integer> asked = new ArrayDeque<>(decision.probes);
         while (!asked.isEmpty()) {
-            asked.addAll(balancer.probeEnded(now, asked.poll(), AttemptOutcome.NOT_SENT, null).probes);
+            asked.addAll(
+                    balancer.probeEnded(now, asked.poll(), AttemptOutcome.NOT_SENT, null).probes);
         }
         wakeAt = decision.wakeAt;
     }
--- a/src/main/java/lemondrift/simulator/FrameReader.java
+++ b/src/main/java/lemondrift/simulator/FrameReader.java
@@ -26,18 +26,22 @@
             return null;
         }
         if (got < 4) {
-            throw new EOFException("the input ends after " + got + " of 4 bytes of a batch's length");
+            throw new EOFException(
+                    "the input ends after " + got + " of 4 bytes of a batch's length");
         }
         int length = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt();
         if (length < 12 || length > MOST_BYTES) {
             throw new IOException("a batch's length is " + Integer.toUnsignedString(length));
         }
         if (body.capacity() < length) {
-            body = ByteBuffer.allocate(Math.max(length, 2 * body.capacity())).order(ByteOrder.LITTLE_ENDIAN);
+            body =
+                    ByteBuffer.allocate(Math.max(length, 2 * body.capacity()))
+                            .order(ByteOrder.LITTLE_ENDIAN);
         }
         got = in.readNBytes(body.array(), 0, length);
         if (got < length) {
-            throw new EOFException("the input ends after " + got + " of " + length + " bytes of a batch");
+            throw new EOFException(
+                    "the input ends after " + got + " of " + length + " bytes of a batch");
         }
         body.clear().limit(length);
         return body;
--- a/src/main/java/lemondrift/simulator/ReplyWriter.java
+++ b/src/main/java/lemondrift/simulator/ReplyWriter.java
@@ -74,7 +74,9 @@
 
     void toAllPeers(int instance, String text) {
         byte[] bytes = bytes(text, MOST_PEER);
-        record(PEER, 8 + bytes.length, instance).putShort((short) -1).putShort((short) bytes.length)
+        record(PEER, 8 + bytes.length, instance)
+                .putShort((short) -1)
+                .putShort((short) bytes.length)
                 .put(bytes);
     }
 
--- a/src/main/java/lemondrift/simulator/SimulatedProxy.java
+++ b/src/main/java/lemondrift/simulator/SimulatedProxy.java
@@ -10,7 +10,12 @@
 /** One proxy's decisions with the ids by which the wire names its exchanges and backends. */
 final class SimulatedProxy {
     /** One line of a list as it came, before the instance gives its backend an index. */
-    record Line(long address, int location, int cell, EndpointUpdate.State state, double started,
+    record Line(
+            long address,
+            int location,
+            int cell,
+            EndpointUpdate.State state,
+            double started,
             double size) {}
 
     final LoadBalancer balancer;
@@ -40,8 +45,15 @@
         List<EndpointUpdate> result = new ArrayList<>(lines.size());
         for (Line line : lines) {
             boolean fresh = !indexes.containsKey(line.address);
-            result.add(new EndpointUpdate(index(line.address), fresh, line.location, line.cell, line.state,
-                    line.started, line.size));
+            result.add(
+                    new EndpointUpdate(
+                            index(line.address),
+                            fresh,
+                            line.location,
+                            line.cell,
+                            line.state,
+                            line.started,
+                            line.size));
         }
         return result;
     }
@@ -86,7 +98,11 @@
             reply.cancel(number, attempt.request.id, attempt.index);
         }
         for (Attempt attempt : decision.attempts) {
-            reply.send(number, attempt.request.id, addresses.get(attempt.backend), attempt.timeoutSeconds);
+            reply.send(
+                    number,
+                    attempt.request.id,
+                    addresses.get(attempt.backend),
+                    attempt.timeoutSeconds);
         }
         for (Decision.LocalReply a : decision.localReplies) {
             if (a.rejected()) {
--- a/src/main/java/lemondrift/simulator/SimulatorAdapter.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -67,21 +67,38 @@
         for (int i = 0; i < count; i++) {
             int at = body.position();
             if (limit - at < 5) {
-                throw new InvalidSettingsException("record " + i + " of " + count + " at byte " + at + " is cut short");
+                throw new InvalidSettingsException(
+                        "record " + i + " of " + count + " at byte " + at + " is cut short");
             }
             int code = Byte.toUnsignedInt(body.get());
             int length = body.getInt();
             if (length < 0 || length > limit - body.position()) {
-                throw new InvalidSettingsException("record " + i + " (code " + code + ") at byte " + at + " has length "
-                        + Integer.toUnsignedString(length) + ", more than the batch holds");
+                throw new InvalidSettingsException(
+                        "record "
+                                + i
+                                + " (code "
+                                + code
+                                + ") at byte "
+                                + at
+                                + " has length "
+                                + Integer.toUnsignedString(length)
+                                + ", more than the batch holds");
             }
             int end = body.position() + length;
             body.limit(end);
             try {
                 record(code, body);
             } catch (java.nio.BufferUnderflowException | IllegalArgumentException e) {
-                throw new InvalidSettingsException("record " + i + " (code " + code + ") at byte " + at + " of length "
-                        + length + " is too short for its fields");
+                throw new InvalidSettingsException(
+                        "record "
+                                + i
+                                + " (code "
+                                + code
+                                + ") at byte "
+                                + at
+                                + " of length "
+                                + length
+                                + " is too short for its fields");
             }
             body.limit(limit).position(end);
         }
@@ -134,65 +151,88 @@
     /** Null where the event needs no decision. */
     private Decision call(int code, SimulatedProxy instance, ByteBuffer b) {
         switch (code) {
-            case SYNC: {
-                int set = Byte.toUnsignedInt(b.get());
-                int kind = b.get();
-                if (kind == 3) {
-                    return instance.balancer.endpointListFailed(now);
+            case SYNC:
+                {
+                    int set = Byte.toUnsignedInt(b.get());
+                    int kind = b.get();
+                    if (kind == 3) {
+                        return instance.balancer.endpointListFailed(now);
+                    }
+                    List<SimulatedProxy.Line> lines = lists.get(set);
+                    if (lines == null) {
+                        throw new InvalidSettingsException("list " + set + " was never defined");
+                    }
+                    return instance.balancer.endpointsListed(
+                            now, kind != 0, kind == 2, instance.listed(lines));
                 }
-                List<SimulatedProxy.Line> lines = lists.get(set);
-                if (lines == null) {
-                    throw new InvalidSettingsException("list " + set + " was never defined");
+            case ARRIVAL:
+                {
+                    long id = b.getLong();
+                    int requestClass = Short.toUnsignedInt(b.getShort());
+                    int tenant = b.getInt();
+                    b.getLong();
+                    double left = b.getDouble() / 1000;
+                    b.getDouble();
+                    return instance.balancer.requestArrived(
+                            now,
+                            instance.taken(
+                                    new Request(
+                                            id,
+                                            requestClass,
+                                            tenant,
+                                            now,
+                                            left,
+                                            (b.get() & RETRY) != 0)));
                 }
-                return instance.balancer.endpointsListed(now, kind != 0, kind == 2, instance.listed(lines));
-            }
-            case ARRIVAL: {
-                long id = b.getLong();
-                int requestClass = Short.toUnsignedInt(b.getShort());
-                int tenant = b.getInt();
-                b.getLong();
-                double left = b.getDouble() / 1000;
-                b.getDouble();
-                return instance.balancer.requestArrived(now, instance.taken(
-                        new Request(id, requestClass, tenant, now, left, (b.get() & RETRY) != 0)));
-            }
-            case UNDER_WAY: {
-                Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
-                return forward == null ? null : instance.balancer.responseStarted(now, forward);
-            }
-            case FORWARD_END: {
-                Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
-                address(b);
-                int outcome = Short.toUnsignedInt(b.getShort());
-                double durationSeconds = b.getDouble() / 1000;
-                boolean over = b.get() != 0;
-                double[] loadReport = report(b);
-                if (forward == null || outcome >= OUTCOMES.length) {
-                    return null;
+            case UNDER_WAY:
+                {
+                    Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
+                    return forward == null ? null : instance.balancer.responseStarted(now, forward);
                 }
-                Decision decision = instance.balancer.attemptEnded(now, forward, OUTCOMES[outcome], durationSeconds, over,
-                        loadReport);
-                instance.release(forward.request);
-                return decision;
-            }
-            case VANISHED: {
-                Request exchange = instance.exchange(b.getLong());
-                if (exchange == null) {
-                    return null;
+            case FORWARD_END:
+                {
+                    Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
+                    address(b);
+                    int outcome = Short.toUnsignedInt(b.getShort());
+                    double durationSeconds = b.getDouble() / 1000;
+                    boolean over = b.get() != 0;
+                    double[] loadReport = report(b);
+                    if (forward == null || outcome >= OUTCOMES.length) {
+                        return null;
+                    }
+                    Decision decision =
+                            instance.balancer.attemptEnded(
+                                    now,
+                                    forward,
+                                    OUTCOMES[outcome],
+                                    durationSeconds,
+                                    over,
+                                    loadReport);
+                    instance.release(forward.request);
+                    return decision;
+                }
+            case VANISHED:
+                {
+                    Request exchange = instance.exchange(b.getLong());
+                    if (exchange == null) {
+                        return null;
+                    }
+                    Decision decision = instance.balancer.clientLeft(now, exchange);
+                    instance.release(exchange);
+                    return decision;
                 }
-                Decision decision = instance.balancer.clientLeft(now, exchange);
-                instance.release(exchange);
-                return decision;
-            }
             case BELL:
                 return instance.isCurrentAlarm(b.getLong()) ? instance.balancer.wake(now) : null;
-            case CHECKED: {
-                int backend = instance.index(address(b));
-                b.getDouble();
-                int outcome = Short.toUnsignedInt(b.getShort());
-                return outcome >= OUTCOMES.length ? null
-                        : instance.balancer.probeEnded(now, backend, OUTCOMES[outcome], report(b));
-            }
+            case CHECKED:
+                {
+                    int backend = instance.index(address(b));
+                    b.getDouble();
+                    int outcome = Short.toUnsignedInt(b.getShort());
+                    return outcome >= OUTCOMES.length
+                            ? null
+                            : instance.balancer.probeEnded(
+                                    now, backend, OUTCOMES[outcome], report(b));
+                }
             default:
                 return null;
         }
@@ -206,20 +246,24 @@
             int location = Short.toUnsignedInt(b.getShort());
             b.get();
             int cell = Short.toUnsignedInt(b.getShort());
-            EndpointUpdate.State state = switch (b.get()) {
-                case 1 -> EndpointUpdate.State.READY;
-                case 2 -> EndpointUpdate.State.DRAINING;
-                default -> EndpointUpdate.State.GONE;
-            };
+            EndpointUpdate.State state =
+                    switch (b.get()) {
+                        case 1 -> EndpointUpdate.State.READY;
+                        case 2 -> EndpointUpdate.State.DRAINING;
+                        default -> EndpointUpdate.State.GONE;
+                    };
             double size = b.getFloat();
-            lines.add(new SimulatedProxy.Line(address, location, cell, state, b.getDouble() / 1000, size));
+            lines.add(
+                    new SimulatedProxy.Line(
+                            address, location, cell, state, b.getDouble() / 1000, size));
         }
         return lines;
     }
 
     private static int checked(ByteBuffer b, int count, int bytesEach) {
         if (count < 0 || (long) count * bytesEach > b.remaining()) {
-            throw new InvalidSettingsException("a count of " + Integer.toUnsignedString(count) + " does not fit its record");
+            throw new InvalidSettingsException(
+                    "a count of " + Integer.toUnsignedString(count) + " does not fit its record");
         }
         return count;
     }
--- a/src/main/java/org/xnio/nio/InheritedServer.java
+++ b/src/main/java/org/xnio/nio/InheritedServer.java
@@ -14,12 +14,13 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Accepts on a listening socket that the process was given. It stands in XNIO's package because XNIO only
- * accepts on sockets that it has opened. I/O thread only.
+ * Accepts on a listening socket that the process was given. It stands in XNIO's package because
+ * XNIO only accepts on sockets that it has opened. I/O thread only.
  */
 public final class InheritedServer {
     /** How many are accepted at a time, so that one process of two does not take a whole burst. */
     private static final int AT_A_TIME = 4;
+
     /** Seconds without accepting where the system has no descriptor left. */
     private static final double PAUSE = 0.25;
 
@@ -58,8 +59,12 @@
     }
 
     /** Accepts, from the call of listen on, as long as there are fewer open than most. */
-    public InheritedServer(ServerSocketChannel socket, XnioIoThread io, int most,
-            ChannelListener<StreamConnection> accepted) throws IOException {
+    public InheritedServer(
+            ServerSocketChannel socket,
+            XnioIoThread io,
+            int most,
+            ChannelListener<StreamConnection> accepted)
+            throws IOException {
         this.socket = socket;
         this.io = (WorkerThread) io;
         this.most = most;
@@ -92,8 +97,8 @@
     }
 
     /**
-     * Accepts no more, and lets go of the socket. Danger: XNIO closes at its end what is still registered,
-     * and with this socket the JDK leads standard output and error to nowhere.
+     * Accepts no more, and lets go of the socket. Danger: XNIO closes at its end what is still
+     * registered, and with this socket the JDK leads standard output and error to nowhere.
      */
     public void stop() {
         stopped = true;
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -13,23 +13,26 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import lemondrift.simulator.SimulatorAdapter;
 import lemondrift.gossip.LoadGossip;
 import lemondrift.gossip.SubsetAssignment;
-import lemondrift.recovery.PeerStatus;
 import lemondrift.proxy.lifecycle.ProxyLauncher;
+import lemondrift.recovery.PeerStatus;
+import lemondrift.simulator.SimulatorAdapter;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Datagrams, the simulator's frames and the lines of check, byte for byte as the landed program had them. */
+/**
+ * Datagrams, the simulator's frames and the lines of check, byte for byte as the landed program had
+ * them.
+ */
 class CompatibilityTest {
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void aDatagramOfRecoveryIsReadAndWrittenAsBefore() throws IOException {
-        PeerStatus hello = new PeerStatus(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
+        PeerStatus hello =
+                new PeerStatus(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
         LandedBytes.assertHex("recovery-datagram.hex", hello.encoded());
         assertEquals(hello, PeerStatus.of(LandedBytes.ofHex("recovery-datagram.hex")));
     }
@@ -51,14 +54,17 @@
     private static LoadGossip holdings(int self) {
         SubsetAssignment subsets = new SubsetAssignment(2, 2);
         subsets.listed(new int[] {LoadGossip.tag("backend-1"), LoadGossip.tag("backend-2")});
-        return new LoadGossip(2, self, 1764756000123L, 0.01, 0.1, subsets, tag -> { });
+        return new LoadGossip(2, self, 1764756000123L, 0.01, 0.1, subsets, tag -> {});
     }
 
     @Test
     void theSimulatorsBatchGetsTheReplyOfBefore() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream(), err = new ByteArrayOutputStream();
-        int code = SimulatorAdapter.run(new ByteArrayInputStream(LandedBytes.ofHex("simulator-batch.hex")), out,
-                new PrintStream(err));
+        int code =
+                SimulatorAdapter.run(
+                        new ByteArrayInputStream(LandedBytes.ofHex("simulator-batch.hex")),
+                        out,
+                        new PrintStream(err));
         assertEquals("", err.toString());
         assertEquals(0, code);
         LandedBytes.assertHex("simulator-reply.hex", out.toByteArray());
@@ -93,7 +99,10 @@
         for (String file : List.of("PROXY_DOOR", "PROXY_PEERS", "PROXY_RECOVERY", "PROXY_SHADOW")) {
             for (String text : List.of("nonsense", "[]", "{\"nothing\":1}", "{}")) {
                 Path path = Files.writeString(folder.resolve(file), text);
-                lines.append(file).append(' ').append(text).append(" | ")
+                lines.append(file)
+                        .append(' ')
+                        .append(text)
+                        .append(" | ")
                         .append(check(usable, Map.of(file, path.toString())));
             }
         }
@@ -104,15 +113,18 @@
 
     private String check(String configuration, Map<String, String> others) throws IOException {
         Map<String, String> environment = new HashMap<>(others);
-        environment.put("PROXY_CONFIG", Files.writeString(folder.resolve("proxy.json"), configuration)
-                .toString());
+        environment.put(
+                "PROXY_CONFIG",
+                Files.writeString(folder.resolve("proxy.json"), configuration).toString());
         return checked(environment);
     }
 
     /** The exit code and what is printed, without the folder's name. */
     private String checked(Map<String, String> environment) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int code = ProxyLauncher.check(environment, new PrintStream(err, true, StandardCharsets.UTF_8));
+        int code =
+                ProxyLauncher.check(
+                        environment, new PrintStream(err, true, StandardCharsets.UTF_8));
         String printed = err.toString(StandardCharsets.UTF_8).replace(folder.toString(), "FOLDER");
         return code + " " + (printed.isEmpty() ? "\n" : printed);
     }
--- a/src/test/java/lemondrift/LandedBytes.java
+++ b/src/test/java/lemondrift/LandedBytes.java
@@ -9,7 +9,10 @@
 import java.nio.file.Path;
 import java.util.HexFormat;
 
-/** What the program printed, sent or stored when it landed as 5714488; later ones have to do the same. */
+/**
+ * What the program printed, sent or stored when it landed as 5714488; later ones have to do the
+ * same.
+ */
 public final class LandedBytes {
     private static final String FOLDER = "/compatibility/";
 
@@ -24,8 +27,9 @@
 
     /** Bytes that are stored as lines of hexadecimal digits. */
     public static byte[] ofHex(String name) throws IOException {
-        return HexFormat.of().parseHex(new String(stored(name), StandardCharsets.US_ASCII)
-                .replaceAll("\\s", ""));
+        return HexFormat.of()
+                .parseHex(
+                        new String(stored(name), StandardCharsets.US_ASCII).replaceAll("\\s", ""));
     }
 
     /** Compares text with what is stored; where it differs the actual one is left under target. */
@@ -36,7 +40,9 @@
 
     /** Compares bytes with what is stored in hexadecimal digits, 32 bytes a line. */
     public static void assertHex(String name, byte[] actual) throws IOException {
-        assertText(name, HexFormat.of().formatHex(actual).replaceAll("(.{64})", "$1\n").strip() + "\n");
+        assertText(
+                name,
+                HexFormat.of().formatHex(actual).replaceAll("(.{64})", "$1\n").strip() + "\n");
     }
 
     private static void keep(String name, byte[] actual) throws IOException {
--- a/src/test/java/lemondrift/LayersTest.java
+++ b/src/test/java/lemondrift/LayersTest.java
@@ -10,59 +10,128 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Arrows between packages point down: adapters use cores, cores use the model alone and do no I/O. */
+/**
+ * Arrows between packages point down: adapters use cores, cores use the model alone and do no I/O.
+ */
 class LayersTest {
-    private static final String[] CORES = {"lemondrift.model..", "lemondrift.balancer..", "lemondrift.connection..",
-        "lemondrift.gossip..", "lemondrift.recovery..", "lemondrift.shadow..", "lemondrift.metrics..",
-        "lemondrift.buffer..", "lemondrift.hotrestart..",
-        "lemondrift.lab.simulation.."};
+    private static final String[] CORES = {
+        "lemondrift.model..",
+        "lemondrift.balancer..",
+        "lemondrift.connection..",
+        "lemondrift.gossip..",
+        "lemondrift.recovery..",
+        "lemondrift.shadow..",
+        "lemondrift.metrics..",
+        "lemondrift.buffer..",
+        "lemondrift.hotrestart..",
+        "lemondrift.lab.simulation.."
+    };
 
-    /** What each room of the proxy may use of the other rooms; the rest, lifecycle and the server, know all. */
-    private static final Map<String, String> ROOMS = Map.ofEntries(
-            Map.entry("time", ""), Map.entry("http", ""), Map.entry("logging", ""), Map.entry("admin", ""),
-            Map.entry("config", "http"), Map.entry("recovery", "config"),
-            Map.entry("events", "http"),
-            Map.entry("client", "config events http logging time"),
-            Map.entry("backend", "config events http time"),
-            // Calls to discovery are made over the same connection pools as calls to backends.
-            Map.entry("discovery", "backend config events time"),
-            Map.entry("gossip", "config discovery events"),
-            Map.entry("loop", "config discovery events gossip recovery time"));
+    /**
+     * What each room of the proxy may use of the other rooms; the rest, lifecycle and the server,
+     * know all.
+     */
+    private static final Map<String, String> ROOMS =
+            Map.ofEntries(
+                    Map.entry("time", ""),
+                    Map.entry("http", ""),
+                    Map.entry("logging", ""),
+                    Map.entry("admin", ""),
+                    Map.entry("config", "http"),
+                    Map.entry("recovery", "config"),
+                    Map.entry("events", "http"),
+                    Map.entry("client", "config events http logging time"),
+                    Map.entry("backend", "config events http time"),
+                    // Calls to discovery are made over the same connection pools as calls to
+                    // backends.
+                    Map.entry("discovery", "backend config events time"),
+                    Map.entry("gossip", "config discovery events"),
+                    Map.entry("loop", "config discovery events gossip recovery time"));
 
-    private final JavaClasses all = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("lemondrift");
+    private final JavaClasses all =
+            new ClassFileImporter()
+                    .withImportOption(new ImportOption.DoNotIncludeTests())
+                    .importPackages("lemondrift");
 
     @Test
     void coresUseNoAdapterAndNothingThatWaitsOrTellsTheTime() {
-        noClasses().that().resideInAnyPackage(CORES).should().dependOnClassesThat()
-                .resideInAnyPackage("java.io..", "java.net..", "java.nio.channels..", "java.nio.file..",
+        noClasses()
+                .that()
+                .resideInAnyPackage(CORES)
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.io..",
+                        "java.net..",
+                        "java.nio.channels..",
+                        "java.nio.file..",
                         "java.util.concurrent..",
-                        "java.time..", "java.sql..", "org.slf4j..", "org.xnio..", "io.undertow..",
-                        "com.google..", "lemondrift.proxy..", "lemondrift.simulator..", "lemondrift.settings..")
+                        "java.time..",
+                        "java.sql..",
+                        "org.slf4j..",
+                        "org.xnio..",
+                        "io.undertow..",
+                        "com.google..",
+                        "lemondrift.proxy..",
+                        "lemondrift.simulator..",
+                        "lemondrift.settings..")
+                .check(all);
+        noClasses()
+                .that()
+                .resideInAnyPackage(CORES)
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .dependOnClassesThat()
+                .areAssignableTo(Thread.class)
                 .check(all);
-        noClasses().that().resideInAnyPackage(CORES).should().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis")
-                .orShould().dependOnClassesThat().areAssignableTo(Thread.class).check(all);
     }
 
     @Test
     void coresDoNotUseEachOther() {
-        noClasses().that().resideInAPackage("lemondrift.connection..").should().dependOnClassesThat()
-                .resideInAnyPackage("lemondrift.balancer..").check(all);
-        noClasses().that().resideInAPackage("lemondrift.balancer..").should().dependOnClassesThat()
-                .resideInAnyPackage("lemondrift.connection..").check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("lemondrift.connection..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("lemondrift.balancer..")
+                .check(all);
+        noClasses()
+                .that()
+                .resideInAPackage("lemondrift.balancer..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("lemondrift.connection..")
+                .check(all);
     }
 
     @Test
     void roomsOfTheProxyUseOnlyWhatIsListed() {
-        ROOMS.forEach((room, allowed) -> {
-            String[] others = Stream.concat(ROOMS.keySet().stream(), Stream.of("lifecycle"))
-                    .filter(each -> !each.equals(room) && !Stream.of(allowed.split(" ")).toList().contains(each))
-                    .map(each -> "lemondrift.proxy." + each + "..").toArray(String[]::new);
-            noClasses().that().resideInAPackage("lemondrift.proxy." + room + "..").should().dependOnClassesThat()
-                    .resideInAnyPackage(others).orShould().dependOnClassesThat()
-                    .resideInAPackage("lemondrift.proxy").check(all);
-        });
+        ROOMS.forEach(
+                (room, allowed) -> {
+                    String[] others =
+                            Stream.concat(ROOMS.keySet().stream(), Stream.of("lifecycle"))
+                                    .filter(
+                                            each ->
+                                                    !each.equals(room)
+                                                            && !Stream.of(allowed.split(" "))
+                                                                    .toList()
+                                                                    .contains(each))
+                                    .map(each -> "lemondrift.proxy." + each + "..")
+                                    .toArray(String[]::new);
+                    noClasses()
+                            .that()
+                            .resideInAPackage("lemondrift.proxy." + room + "..")
+                            .should()
+                            .dependOnClassesThat()
+                            .resideInAnyPackage(others)
+                            .orShould()
+                            .dependOnClassesThat()
+                            .resideInAPackage("lemondrift.proxy")
+                            .check(all);
+                });
     }
 
     @Test
--- a/src/test/java/lemondrift/LoadBalancerTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -23,7 +23,9 @@
         return (double) hits / of;
     }
 
-    /** The backends that so many exchanges go to, one every so many seconds, each delivered at once. */
+    /**
+     * The backends that so many exchanges go to, one every so many seconds, each delivered at once.
+     */
     private static Set<Integer> used(TestDeployment w, int exchanges, double apart) {
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < exchanges; i++) {
@@ -54,21 +56,35 @@
 
     @Test
     void anAnswersReportDoesNotCountTheExchangeItAnswers() {
-        TestDeployment w = new TestDeployment(TestDeployment.settings(14, false, new Settings.LoadReports(true, 0, 1, true, -1), false), 7);
+        TestDeployment w =
+                new TestDeployment(
+                        TestDeployment.settings(
+                                14, false, new Settings.LoadReports(true, 0, 1, true, -1), false),
+                        7);
         w.list(true, false, TestDeployment.lines(2));
         Attempt first = w.arrive(ONCE), second = w.arrive(ONCE);
         w.now += 0.1;
         w.end(first, AttemptOutcome.SUCCESS, 0.5, 1);
         w.end(second, AttemptOutcome.SUCCESS, 0.4, 2);
-        assertEquals(0, w.balancer.shedThreshold(w.now, ONCE).retryAfterSeconds(), "an idle fleet sheds nothing");
+        assertEquals(
+                0,
+                w.balancer.shedThreshold(w.now, ONCE).retryAfterSeconds(),
+                "an idle fleet sheds nothing");
         assertEquals(first.backend, w.arrive(ONCE).backend, "idle, though its report says one");
     }
 
     @Test
     void whatOthersHaveOutCountsLikeOwnAndNeverWarmsACold() {
-        TestDeployment w = new TestDeployment(TestDeployment.settings(14, false, TestDeployment.ANSWERS, false), 7);
-        w.list(true, false, List.of(TestDeployment.line(0, EndpointUpdate.State.READY, 0),
-                TestDeployment.line(1, EndpointUpdate.State.READY, 0), TestDeployment.line(2, EndpointUpdate.State.READY, w.now)));
+        TestDeployment w =
+                new TestDeployment(
+                        TestDeployment.settings(14, false, TestDeployment.ANSWERS, false), 7);
+        w.list(
+                true,
+                false,
+                List.of(
+                        TestDeployment.line(0, EndpointUpdate.State.READY, 0),
+                        TestDeployment.line(1, EndpointUpdate.State.READY, 0),
+                        TestDeployment.line(2, EndpointUpdate.State.READY, w.now)));
         w.balancer.peerLoadReported(0, 3);
         w.balancer.peerLoadReported(2, 0);
         w.balancer.peersHeard(true);
@@ -117,7 +133,8 @@
             w.arrive(ONCE);
             w.wakeUntil(w.now + 0.3);
         }
-        assertTrue(w.sends.size() >= 19 && w.sends.stream().allMatch(attempt -> attempt.backend == 0));
+        assertTrue(
+                w.sends.size() >= 19 && w.sends.stream().allMatch(attempt -> attempt.backend == 0));
     }
 
     @Test
@@ -127,7 +144,9 @@
         int many = used(w, 300, 1).size();
         assertTrue(many > 9, many + " by exchanging one at a time");
         Set<Integer> one = used(TestDeployment.of(60), 30, 0.01);
-        TestDeployment other = new TestDeployment(TestDeployment.settings(3, false, TestDeployment.ANSWERS, true), 8);
+        TestDeployment other =
+                new TestDeployment(
+                        TestDeployment.settings(3, false, TestDeployment.ANSWERS, true), 8);
         other.list(true, false, TestDeployment.lines(60));
         assertNotEquals(one, used(other, 30, 0.01), "each proxy draws its own");
     }
@@ -150,13 +169,20 @@
         assertTrue(taken > 8, taken + " taken by the one that is idle");
         TestDeployment gone = TestDeployment.of(60);
         Set<Integer> used = used(gone, 30, 0.01);
-        gone.list(false, false, used.stream().map(i -> TestDeployment.line(i, EndpointUpdate.State.DRAINING, 0)).toList());
+        gone.list(
+                false,
+                false,
+                used.stream()
+                        .map(i -> TestDeployment.line(i, EndpointUpdate.State.DRAINING, 0))
+                        .toList());
         assertTrue(used(gone, 30, 0.01).stream().noneMatch(used::contains), "replaced at once");
     }
 
     @Test
     void withoutProbesExchangesGoOutAtOnce() {
-        TestDeployment w = new TestDeployment(TestDeployment.settings(400, false, TestDeployment.ANSWERS, false), 7);
+        TestDeployment w =
+                new TestDeployment(
+                        TestDeployment.settings(400, false, TestDeployment.ANSWERS, false), 7);
         w.list(true, false, TestDeployment.lines(60));
         int many = used(w, 40, 0.5).size();
         assertTrue(many > 3, many + " used");
@@ -179,7 +205,11 @@
         for (int i = 0; i < 200; i++) {
             Attempt attempt = w.arrive(PURE);
             w.now += 0.001;
-            w.end(attempt, attempt.backend == 2 ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS, 0.3, 0);
+            w.end(
+                    attempt,
+                    attempt.backend == 2 ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS,
+                    0.3,
+                    0);
             bad += attempt.backend == 2 ? 1 : 0;
         }
         assertTrue(bad >= 3 && bad <= 8, bad + " went to the sick one");
@@ -194,10 +224,17 @@
         TestDeployment w = TestDeployment.of(2).load(0.9, 0);
         for (int i = 0; i < 20; i++) {
             Attempt attempt = w.arrive(PURE);
-            w.end(attempt, attempt.backend == 1 ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS, 0.9, 0);
+            w.end(
+                    attempt,
+                    attempt.backend == 1 ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS,
+                    0.9,
+                    0);
         }
         assertEquals(0, w.arrive(PURE).backend, "the other is suspended");
-        w.list(false, false, List.of(new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0)));
+        w.list(
+                false,
+                false,
+                List.of(new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0)));
         assertEquals(1, w.arrive(PURE).backend);
     }
 
@@ -248,17 +285,29 @@
 
     @Test
     void provenOutcomesAreForwardedAgainAndOthersByGrade() {
-        for (AttemptOutcome proof : List.of(AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)) {
+        for (AttemptOutcome proof :
+                List.of(
+                        AttemptOutcome.OVERLOADED,
+                        AttemptOutcome.CONNECT_FAILED,
+                        AttemptOutcome.NOT_SENT)) {
             TestDeployment w = TestDeployment.of(2);
             Attempt attempt = w.arrive(ONCE);
             assertEquals(1 - attempt.backend, w.end(attempt, proof).backend);
         }
-        for (AttemptOutcome doubt : List.of(AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED)) {
+        for (AttemptOutcome doubt :
+                List.of(
+                        AttemptOutcome.ERROR,
+                        AttemptOutcome.RESET,
+                        AttemptOutcome.TIMED_OUT,
+                        AttemptOutcome.CANCELLED)) {
             TestDeployment w = TestDeployment.of(60);
             assertNull(w.end(w.arrive(ONCE), doubt));
             assertFalse(w.answers.get(0).rejected(), "no promise where it may have run");
             Attempt attempt = w.arrive(MARKED);
-            assertEquals(attempt.backend % 2, w.end(attempt, doubt).backend % 2, "a repeat stays in its group");
+            assertEquals(
+                    attempt.backend % 2,
+                    w.end(attempt, doubt).backend % 2,
+                    "a repeat stays in its group");
             Attempt late = w.arrive(MARKED);
             w.now += 0.6;
             assertNull(w.end(late, doubt), "receipts are forgotten");
@@ -271,7 +320,9 @@
         TestDeployment w = TestDeployment.of(8);
         int sent = 0;
         for (int i = 0; i < 40; i++) {
-            for (Attempt attempt = w.arrive(PURE); attempt != null; attempt = w.end(attempt, AttemptOutcome.OVERLOADED)) {
+            for (Attempt attempt = w.arrive(PURE);
+                    attempt != null;
+                    attempt = w.end(attempt, AttemptOutcome.OVERLOADED)) {
                 sent++;
                 assertTrue(attempt.index < 4);
             }
@@ -296,17 +347,22 @@
     @Test
     void theWordIsWhatWouldBeShedAndAskingChangesNothing() {
         TestDeployment w = TestDeployment.of(2);
-        assertEquals(0, w.balancer.shedThreshold(w.now, PURE).minSecondsLeft(), "nothing is shed of an idle fleet");
+        assertEquals(
+                0,
+                w.balancer.shedThreshold(w.now, PURE).minSecondsLeft(),
+                "nothing is shed of an idle fleet");
         w.loads.put(0, new double[] {1, 9});
         w.loads.put(1, new double[] {1, 9});
         assertNull(w.arrive(PURE));
         ShedThreshold word = w.balancer.shedThreshold(w.now, PURE);
         assertTrue(word.minSecondsLeft() > 1, "not with a whole contract time");
         assertEquals(w.answers.get(0).retryAfterSeconds(), word.retryAfterSeconds(), 1e-9);
-        assertTrue(w.balancer.shedThreshold(w.now, ONCE).minSecondsLeft() < word.minSecondsLeft(),
+        assertTrue(
+                w.balancer.shedThreshold(w.now, ONCE).minSecondsLeft() < word.minSecondsLeft(),
                 "the least benefit goes first");
         w.list(true, false, List.of());
-        assertEquals(Double.POSITIVE_INFINITY, w.balancer.shedThreshold(w.now, ONCE).minSecondsLeft());
+        assertEquals(
+                Double.POSITIVE_INFINITY, w.balancer.shedThreshold(w.now, ONCE).minSecondsLeft());
         TestDeployment asked = TestDeployment.of(20), other = TestDeployment.of(20);
         for (int k = 0; k < 200; k++) {
             asked.balancer.shedThreshold(asked.now, k % 4);
@@ -314,7 +370,11 @@
             assertEquals(attempt == null ? -1 : attempt.backend, same == null ? -1 : same.backend);
             for (TestDeployment each : List.of(asked, other)) {
                 if (k % 3 == 0 && attempt != null) {
-                    each.end(each == asked ? attempt : same, AttemptOutcome.SUCCESS, k % 10 / 10.0, 0);
+                    each.end(
+                            each == asked ? attempt : same,
+                            AttemptOutcome.SUCCESS,
+                            k % 10 / 10.0,
+                            0);
                 }
                 each.wakeUntil(each.now + 0.013);
             }
@@ -379,11 +439,17 @@
 
     @Test
     void aMarkedRetryWithMoreTimeMakesNoRetriesOfFirstTries() {
-        TestDeployment w = new TestDeployment(TestDeployment.marked(TestDeployment.settings(3, false, TestDeployment.ANSWERS, true)), 7);
+        TestDeployment w =
+                new TestDeployment(
+                        TestDeployment.marked(
+                                TestDeployment.settings(3, false, TestDeployment.ANSWERS, true)),
+                        7);
         w.list(true, false, TestDeployment.lines(2));
         for (int i = 0; i < 20; i++) {
             w.did(w.balancer.requestArrived(w.now, new Request(2 * i, ONCE, 0, w.now, 0.9)));
-            w.did(w.balancer.requestArrived(w.now, new Request(2 * i + 1, ONCE, 0, w.now, 1.9, true)));
+            w.did(
+                    w.balancer.requestArrived(
+                            w.now, new Request(2 * i + 1, ONCE, 0, w.now, 1.9, true)));
             w.now += 0.1;
             List.copyOf(w.sends.subList(2 * i, w.sends.size()))
                     .forEach(attempt -> w.end(attempt, AttemptOutcome.SUCCESS, 0, 0));
@@ -404,7 +470,9 @@
 
     @Test
     void theListIsFollowedAndAskedForAgain() {
-        TestDeployment w = new TestDeployment(TestDeployment.settings(3, true, TestDeployment.PROBES, true), 7);
+        TestDeployment w =
+                new TestDeployment(
+                        TestDeployment.settings(3, true, TestDeployment.PROBES, true), 7);
         w.list(true, true, TestDeployment.lines(3));
         assertEquals(List.of(Decision.EndpointListCall.WATCH), w.listCalls);
         w.did(w.balancer.endpointListFailed(w.now));
--- a/src/test/java/lemondrift/ShadowEvaluatorTest.java
+++ b/src/test/java/lemondrift/ShadowEvaluatorTest.java
@@ -13,8 +13,18 @@
 class ShadowEvaluatorTest {
     private static Settings settings(double crossing, int forwards, boolean probes) {
         Settings settings = TestDeployment.settings(3, false, TestDeployment.ANSWERS, probes);
-        return new Settings(3, 2, 0, false, settings.requestClasses(), settings.tenantQuotaPerSecond(), 1, false, settings.loadReports(),
-                new Settings.Limits(true, probes, forwards, 0.5), settings.rules(),
+        return new Settings(
+                3,
+                2,
+                0,
+                false,
+                settings.requestClasses(),
+                settings.tenantQuotaPerSecond(),
+                1,
+                false,
+                settings.loadReports(),
+                new Settings.Limits(true, probes, forwards, 0.5),
+                settings.rules(),
                 new Settings.Costs(crossing, 0.001));
     }
 
@@ -30,14 +40,22 @@
             if (kind < 4 || open.isEmpty()) {
                 w.arrive(chance.nextBoolean() ? 0 : 2);
             } else {
-                AttemptOutcome outcome = sound || kind < 8 ? AttemptOutcome.SUCCESS : AttemptOutcome.values()[chance.nextInt(6)];
+                AttemptOutcome outcome =
+                        sound || kind < 8
+                                ? AttemptOutcome.SUCCESS
+                                : AttemptOutcome.values()[chance.nextInt(6)];
                 Attempt attempt = open.remove(chance.nextInt(open.size()));
                 w.end(attempt, outcome, chance.nextDouble(), chance.nextInt(3));
             }
             open.addAll(w.sends.subList(before, w.sends.size()));
         }
         StringBuilder did = new StringBuilder(w.probes + " ");
-        w.sends.forEach(attempt -> did.append(attempt.request.id).append('>').append(attempt.backend).append(' '));
+        w.sends.forEach(
+                attempt ->
+                        did.append(attempt.request.id)
+                                .append('>')
+                                .append(attempt.backend)
+                                .append(' '));
         w.answers.forEach(a -> did.append(a.request().id).append(a.rejected() ? "- " : "! "));
         return did.toString();
     }
@@ -72,10 +90,15 @@
 
     @Test
     void eachKindIsCounted() {
-        Settings free = settings(0, 4, false), dear = settings(9, 4, false), once = settings(0, 1, false);
+        Settings free = settings(0, 4, false),
+                dear = settings(9, 4, false),
+                once = settings(0, 1, false);
         ShadowEvaluator stays = watched(free, dear, true);
         counts(100, ShadowEvaluator.Kind.NOT_CROSS, stays);
-        counts(stays.count(ShadowEvaluator.Kind.NOT_CROSS), ShadowEvaluator.Kind.ANOTHER_BACKEND, stays);
+        counts(
+                stays.count(ShadowEvaluator.Kind.NOT_CROSS),
+                ShadowEvaluator.Kind.ANOTHER_BACKEND,
+                stays);
         counts(100, ShadowEvaluator.Kind.CROSS, watched(dear, free, true));
         counts(10, ShadowEvaluator.Kind.NOT_SEND_AGAIN, watched(free, once, false));
         counts(10, ShadowEvaluator.Kind.SEND_AGAIN, watched(once, free, false));
--- a/src/test/java/lemondrift/SimulatorAdapterTest.java
+++ b/src/test/java/lemondrift/SimulatorAdapterTest.java
@@ -15,11 +15,12 @@
 
 /** The adapter, byte for byte. */
 class SimulatorAdapterTest {
-    private static final String LIST = "0b 1d000000 00 01000000 0a124a07 931f 0000 00 0000 01 0000803f"
-            + " 0000000000000000";
+    private static final String LIST =
+            "0b 1d000000 00 01000000 0a124a07 931f 0000 00 0000 01 0000803f" + " 0000000000000000";
     private static final String CACHED = "02 0e000000 03000000 00 02 2900000000000000";
-    private static final String ARRIVAL = "03 2b000000 03000000 c4913a5d5a520000 0000 00000000"
-            + " 640ad2557c3bf091 0000000000006e40 0000000000002840 01";
+    private static final String ARRIVAL =
+            "03 2b000000 03000000 c4913a5d5a520000 0000 00000000"
+                    + " 640ad2557c3bf091 0000000000006e40 0000000000002840 01";
     private static final String SEND = "4a 1a000000 03000000 c4913a5d5a520000 0a124a07 931f";
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -29,7 +30,8 @@
         for (byte[] frame : frames) {
             all.writeBytes(frame);
         }
-        return SimulatorAdapter.run(new ByteArrayInputStream(all.toByteArray()), out, new PrintStream(err));
+        return SimulatorAdapter.run(
+                new ByteArrayInputStream(all.toByteArray()), out, new PrintStream(err));
     }
 
     private ByteBuffer replies() {
@@ -44,13 +46,20 @@
 
     @Test
     void anArrivalIsSentAndItsDeliveryEndsIt() {
-        String ok = "05 1f000000 03000000 c4913a5d5a520000 00 0a124a07 931f 0100 0000000000803240 01 00";
-        assertEquals(0, run(TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL), TestDeployment.batch(1, ok)));
+        String ok =
+                "05 1f000000 03000000 c4913a5d5a520000 00 0a124a07 931f 0100 0000000000803240 01"
+                        + " 00";
+        assertEquals(
+                0,
+                run(
+                        TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL),
+                        TestDeployment.batch(1, ok)));
         byte[] send = TestDeployment.hex(SEND);
         assertArrayEquals(send, Arrays.copyOfRange(out.toByteArray(), 8, 8 + send.length));
         assertEquals(240, replies().getDouble(8 + send.length), 1e-6, "the time-out in ms");
         assertEquals(2, replies().getInt(4), "the send and the safe alarm");
-        assertEquals(0, replies().getInt(4 + replies().getInt(0) + 4), "nothing more once delivered");
+        assertEquals(
+                0, replies().getInt(4 + replies().getInt(0) + 4), "nothing more once delivered");
     }
 
     @Test
@@ -58,14 +67,31 @@
         String bell = "07 0c000000 03000000 4d00000000000000";
         String vanished = "06 0c000000 05000000 192b6f0ecc230400";
         String unknown = "63 03000000 010203";
-        assertEquals(0, run(TestDeployment.batch(5, TestDeployment.born(3), TestDeployment.born(5), bell, vanished, unknown)));
+        assertEquals(
+                0,
+                run(
+                        TestDeployment.batch(
+                                5,
+                                TestDeployment.born(3),
+                                TestDeployment.born(5),
+                                bell,
+                                vanished,
+                                unknown)));
         assertEquals(0, replies().getInt(4));
     }
 
     @Test
     void aCrashForgetsAndASecondBirthInTheSameBatchStartsEmpty() {
-        assertEquals(0, run(TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL),
-                TestDeployment.batch(4, "0a 04000000 03000000", TestDeployment.born(3), CACHED, ARRIVAL)));
+        assertEquals(
+                0,
+                run(
+                        TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL),
+                        TestDeployment.batch(
+                                4,
+                                "0a 04000000 03000000",
+                                TestDeployment.born(3),
+                                CACHED,
+                                ARRIVAL)));
         int second = 4 + replies().getInt(0);
         assertEquals(2, replies().getInt(second + 4), "the same id is a new exchange, sent anew");
     }
@@ -75,7 +101,9 @@
         run(TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL));
         byte[] alone = out.toByteArray();
         out.reset();
-        run(TestDeployment.batch(5, TestDeployment.born(9), TestDeployment.born(3), LIST, CACHED, ARRIVAL));
+        run(
+                TestDeployment.batch(
+                        5, TestDeployment.born(9), TestDeployment.born(3), LIST, CACHED, ARRIVAL));
         assertArrayEquals(alone, out.toByteArray());
     }
 
@@ -95,6 +123,8 @@
     private void bad(String message, byte[] frames) {
         err.reset();
         assertEquals(1, run(frames));
-        assertTrue(err.toString().contains(message) && err.toString().lines().count() == 1, err.toString());
+        assertTrue(
+                err.toString().contains(message) && err.toString().lines().count() == 1,
+                err.toString());
     }
 }
--- a/src/test/java/lemondrift/TestDeployment.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -14,10 +14,16 @@
 
 /** One proxy's decisions in a small made-up deployment, and frames built by hand. */
 final class TestDeployment {
-    static final RequestClass PURE = new RequestClass(1, 0, 1, 2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0);
-    static final RequestClass MARKED = new RequestClass(4, 0, 1, 2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.LOCATION, 0.5);
-    static final RequestClass ONCE = new RequestClass(8, 0, 1, 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0);
-    static final RequestClass CELLS = new RequestClass(2, 0, 1, 2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, 0.8);
+    static final RequestClass PURE =
+            new RequestClass(1, 0, 1, 2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0);
+    static final RequestClass MARKED =
+            new RequestClass(
+                    4, 0, 1, 2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.LOCATION, 0.5);
+    static final RequestClass ONCE =
+            new RequestClass(8, 0, 1, 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0);
+    static final RequestClass CELLS =
+            new RequestClass(
+                    2, 0, 1, 2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, 0.8);
     static final Settings.LoadReports ANSWERS = new Settings.LoadReports(true, 0, 1, false, -1);
     static final Settings.LoadReports PROBES = new Settings.LoadReports(false, 0, -1, false, -1);
     static final Settings.Rules RULES = new Settings.Rules(0.25, 8, 3, 2, 10);
@@ -28,11 +34,15 @@
     final List<Attempt> cancels = new ArrayList<>();
     final List<Integer> probes = new ArrayList<>();
     final List<Decision.EndpointListCall> listCalls = new ArrayList<>();
-    /** What each backend answers to a probe: its utilisation and what it holds; null is no answer. */
+
+    /**
+     * What each backend answers to a probe: its utilisation and what it holds; null is no answer.
+     */
     final Map<Integer, double[]> loads = new HashMap<>();
+
     double now = 100;
     double wakeAt;
-    Consumer<Decision> watcher = decision -> { };
+    Consumer<Decision> watcher = decision -> {};
     private final ShadowEvaluator shadow;
 
     TestDeployment(Settings settings, long seed) {
@@ -57,17 +67,38 @@
         return world;
     }
 
-    static Settings settings(int balancers, boolean onRequest, Settings.LoadReports reports,
-            boolean mayProbe) {
-        return new Settings(balancers, 2, 0, onRequest, List.of(PURE, MARKED, ONCE, CELLS), new double[0], 1,
-                false, reports, new Settings.Limits(true, mayProbe, 4, 0.5), RULES,
+    static Settings settings(
+            int balancers, boolean onRequest, Settings.LoadReports reports, boolean mayProbe) {
+        return new Settings(
+                balancers,
+                2,
+                0,
+                onRequest,
+                List.of(PURE, MARKED, ONCE, CELLS),
+                new double[0],
+                1,
+                false,
+                reports,
+                new Settings.Limits(true, mayProbe, 4, 0.5),
+                RULES,
                 new Settings.Costs(0.05, 0.002));
     }
 
     /** The same where clients mark their retries. */
     static Settings marked(Settings settings) {
-        return new Settings(settings.proxyCount(), settings.locationCount(), settings.location(), settings.pollsEndpointList(), settings.requestClasses(),
-                settings.tenantQuotaPerSecond(), settings.overQuotaWeight(), true, settings.loadReports(), settings.limits(), settings.rules(), settings.costs());
+        return new Settings(
+                settings.proxyCount(),
+                settings.locationCount(),
+                settings.location(),
+                settings.pollsEndpointList(),
+                settings.requestClasses(),
+                settings.tenantQuotaPerSecond(),
+                settings.overQuotaWeight(),
+                true,
+                settings.loadReports(),
+                settings.limits(),
+                settings.rules(),
+                settings.costs());
     }
 
     static List<EndpointUpdate> lines(int backends) {
@@ -153,24 +184,49 @@
     /** A batch at 61,233.0 ms of records given in hex; each states its own code and length. */
     static byte[] batch(int count, String... records) {
         byte[] body = hex(String.join("", records));
-        return ByteBuffer.allocate(16 + body.length).order(ByteOrder.LITTLE_ENDIAN).putInt(12 + body.length)
-                .putDouble(61_233).putInt(count).put(body).array();
+        return ByteBuffer.allocate(16 + body.length)
+                .order(ByteOrder.LITTLE_ENDIAN)
+                .putInt(12 + body.length)
+                .putDouble(61_233)
+                .putInt(count)
+                .put(body)
+                .array();
     }
 
     static String born(int instance, String... dropped) {
-        String text = "siblings=3\nzone=0\nmembershipMode=pushed\nreport.how=inline\n"
-                + "report.names=util,queue\nlimits.mostForwards=5\nlimits.mayCancel=true\n"
-                + "limits.retryAfter=true\nlimits.maxRetryAfter=500\n"
-                + "invariants.coldFrom=0.3\ninvariants.cold=8000\n"
-                + "invariants.fallMultiple=3\ninvariants.overloadFor=2000\nserviceGrades.count=1\n"
-                + "serviceGrades.0.benefit=1\nserviceGrades.0.contractTime=350\nserviceGrades.0.expiry=880\n"
-                + "serviceGrades.0.effect=retryable\nsomething.new=1\n";
+        String text =
+                "siblings=3\n"
+                        + "zone=0\n"
+                        + "membershipMode=pushed\n"
+                        + "report.how=inline\n"
+                        + "report.names=util,queue\n"
+                        + "limits.mostForwards=5\n"
+                        + "limits.mayCancel=true\n"
+                        + "limits.retryAfter=true\n"
+                        + "limits.maxRetryAfter=500\n"
+                        + "invariants.coldFrom=0.3\n"
+                        + "invariants.cold=8000\n"
+                        + "invariants.fallMultiple=3\n"
+                        + "invariants.overloadFor=2000\n"
+                        + "serviceGrades.count=1\n"
+                        + "serviceGrades.0.benefit=1\n"
+                        + "serviceGrades.0.contractTime=350\n"
+                        + "serviceGrades.0.expiry=880\n"
+                        + "serviceGrades.0.effect=retryable\n"
+                        + "something.new=1\n";
         for (String key : dropped) {
             text = text.replaceAll(key + "=.*\n", "");
         }
         byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        ByteBuffer b = ByteBuffer.allocate(21 + bytes.length).order(ByteOrder.LITTLE_ENDIAN).put((byte) 1)
-                .putInt(16 + bytes.length).putInt(instance).putLong(42).putInt(bytes.length).put(bytes);
+        ByteBuffer b =
+                ByteBuffer.allocate(21 + bytes.length)
+                        .order(ByteOrder.LITTLE_ENDIAN)
+                        .put((byte) 1)
+                        .putInt(16 + bytes.length)
+                        .putInt(instance)
+                        .putLong(42)
+                        .putInt(bytes.length)
+                        .put(bytes);
         return HexFormat.of().formatHex(b.array());
     }
 }
--- a/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
+++ b/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
@@ -10,9 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 class BodyBufferBudgetTest {
-    /** Bodies that come in pieces and end in any order: the bounds hold, and in the end nothing is held. */
+    /**
+     * Bodies that come in pieces and end in any order: the bounds hold, and in the end nothing is
+     * held.
+     */
     @Property(tries = 300, seed = "48")
-    void neitherBoundIsPassedAndAllIsLetGo(@ForAll List<@IntRange(min = 0, max = 999) Integer> steps) {
+    void neitherBoundIsPassedAndAllIsLetGo(
+            @ForAll List<@IntRange(min = 0, max = 999) Integer> steps) {
         BodyBufferBudget bufferBudget = new BodyBufferBudget(100, 250);
         int[] has = new int[8];
         for (int step : steps) {
--- a/src/test/java/lemondrift/cli/RootCommandTest.java
+++ b/src/test/java/lemondrift/cli/RootCommandTest.java
@@ -14,10 +14,12 @@
     @Test
     void exitCodesTellWhatCameOfIt(@TempDir Path folder) throws Exception {
         String world = "[world]\nproxies = 1\nbackends = 2\nlasts = \"1s\"\n";
-        Path good = Files.writeString(folder.resolve("good.toml"),
-                "expect = [\"unanswered == 0\"]\n" + world);
-        Path missed = Files.writeString(folder.resolve("missed.toml"),
-                "expect = [\"service >= 2\"]\n" + world);
+        Path good =
+                Files.writeString(
+                        folder.resolve("good.toml"), "expect = [\"unanswered == 0\"]\n" + world);
+        Path missed =
+                Files.writeString(
+                        folder.resolve("missed.toml"), "expect = [\"service >= 2\"]\n" + world);
         assertEquals(0, RootCommand.run("lab", "run", good.toString()));
         assertEquals(1, RootCommand.run("lab", "run", good.toString(), missed.toString()));
         Path json = folder.resolve("report.json");
--- a/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -9,11 +9,14 @@
 import java.util.Set;
 
 /**
- * Clients before a door, without sockets, and a plain model of each: what it did in full, from which it is
- * reckoned anew at each look what the door must do and must not.
+ * Clients before a door, without sockets, and a plain model of each: what it did in full, from
+ * which it is reckoned anew at each look what the door must do and must not.
  */
 final class ConnectionPolicyModel implements ConnectionPolicy.Actions {
-    /** A client's connection: when it came, when each byte of the present request came, what it waits for. */
+    /**
+     * A client's connection: when it came, when each byte of the present request came, what it
+     * waits for.
+     */
     static final class Client {
         final double came;
         final long address;
@@ -43,7 +46,8 @@
     }
 
     static ConnectionLimits bounds(int places, ConnectionLimits.Sharing sharing) {
-        return new ConnectionLimits(places, places + places / 10 + 1, 2.2, 2, sharing, false, 2048, 1);
+        return new ConnectionLimits(
+                places, places + places / 10 + 1, 2.2, 2, sharing, false, 2048, 1);
     }
 
     @Override
@@ -61,7 +65,10 @@
     public void close(int i, CloseReason why) {
         Client client = clients.get(i);
         assertNotEquals(ConnectionState.OPEN, client.state, "an exchange is open on it");
-        assertFalse(client.unread && (client.state == ConnectionState.NEW || client.state == ConnectionState.QUIET),
+        assertFalse(
+                client.unread
+                        && (client.state == ConnectionState.NEW
+                                || client.state == ConnectionState.QUIET),
                 "what it said was not looked at");
         leaves(i);
         client.ended = why;
@@ -134,7 +141,9 @@
         door.sweep(now);
     }
 
-    /** Until when a request may take, reckoned from all that came of it: plainly, as the page says. */
+    /**
+     * Until when a request may take, reckoned from all that came of it: plainly, as the page says.
+     */
     double due(Client client) {
         double due = client.since + bounds.pause(), at = client.since;
         for (int b = 0; b < client.heard.size(); b++) {
@@ -151,10 +160,13 @@
             assertEquals(client.state, door.state(each.getKey()));
             double late = now - bounds.sweep() - 1e-9;
             switch (client.state) {
-                case NEW -> assertTrue(client.came + bounds.firstWord() >= late, "no word for too long");
-                case QUIET -> assertTrue(client.since + bounds.quiet() >= late, "quiet for too long");
+                case NEW ->
+                        assertTrue(
+                                client.came + bounds.firstWord() >= late, "no word for too long");
+                case QUIET ->
+                        assertTrue(client.since + bounds.quiet() >= late, "quiet for too long");
                 case HEAD -> assertTrue(due(client) >= late, "no progress for too long");
-                default -> { }
+                default -> {}
             }
         }
         assertEquals(clients.size(), door.indexes() - door.in(ConnectionState.FREE));
@@ -162,7 +174,8 @@
 
     /** Ends of any kind that are among these. */
     long ended(CloseReason... why) {
-        return gone.stream().filter(client -> client.ended != null
-                && Set.of(why).contains(client.ended)).count();
+        return gone.stream()
+                .filter(client -> client.ended != null && Set.of(why).contains(client.ended))
+                .count();
     }
 }
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -19,10 +19,12 @@
     private static final ConnectionLimits.Sharing EACH = ConnectionLimits.Sharing.CONNECTION;
 
     @Property(tries = 400, seed = "48")
-    void whateverComesTheRulesHold(@ForAll @IntRange(min = 1, max = 40) int places,
+    void whateverComesTheRulesHold(
+            @ForAll @IntRange(min = 1, max = 40) int places,
             @ForAll ConnectionLimits.Sharing sharing,
             @ForAll @Size(min = 50, max = 400) List<@IntRange(max = 9999) Integer> steps) {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(places, sharing));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(places, sharing));
         for (int step : steps) {
             List<Integer> all = List.copyOf(street.clients.keySet());
             int i = all.isEmpty() ? -1 : all.get(step / 10 % all.size());
@@ -34,12 +36,16 @@
                     }
                 }
                 case 3 -> {
-                    if (state == ConnectionState.NEW || state == ConnectionState.QUIET || state == ConnectionState.HEAD) {
+                    if (state == ConnectionState.NEW
+                            || state == ConnectionState.QUIET
+                            || state == ConnectionState.HEAD) {
                         street.says(i, 1 + step / 10 % 50);
                     }
                 }
                 case 4, 5 -> {
-                    if (state == ConnectionState.NEW || state == ConnectionState.QUIET || state == ConnectionState.HEAD) {
+                    if (state == ConnectionState.NEW
+                            || state == ConnectionState.QUIET
+                            || state == ConnectionState.HEAD) {
                         street.opens(i, step / 10 % 3);
                     } else if (state == ConnectionState.OPEN) {
                         street.answered(i, step / 10 % 3);
@@ -63,17 +69,25 @@
         // All that say nothing give way in a crowd, so that it ends.
         street.clients.values().forEach(client -> client.unread = false);
         street.passes(2 * street.bounds.patience() + street.bounds.sweep());
-        long open = street.clients.values().stream().filter(client -> client.state == ConnectionState.OPEN
-                || client.state == ConnectionState.HEAD).count();
+        long open =
+                street.clients.values().stream()
+                        .filter(
+                                client ->
+                                        client.state == ConnectionState.OPEN
+                                                || client.state == ConnectionState.HEAD)
+                        .count();
         assertTrue(street.clients.size() <= Math.max(street.bounds.places(), open));
     }
 
     /**
-     * The plain model of giving way: each time the source that holds the most for its weight, by a search.
+     * The plain model of giving way: each time the source that holds the most for its weight, by a
+     * search.
      */
     @Property(tries = 300, seed = "48")
-    void givingWayIsMaxMin(@ForAll @Size(min = 1, max = 30) List<@IntRange(max = 5) Integer> holders,
-            @ForAll @IntRange(max = 40) int many, @ForAll long seed) {
+    void givingWayIsMaxMin(
+            @ForAll @Size(min = 1, max = 30) List<@IntRange(max = 5) Integer> holders,
+            @ForAll @IntRange(max = 40) int many,
+            @ForAll long seed) {
         Random random = new Random(seed);
         ClientSource[] sources = new ClientSource[6];
         double[] weight = new double[6];
@@ -90,13 +104,17 @@
             fairEviction.mayYield(i, sources[holders.get(i)]);
         }
         List<Integer> gave = new ArrayList<>();
-        fairEviction.yield(many, 0, i -> {
-            gave.add(holders.get(i));
-            return --sources[holders.get(i)].held >= 0;
-        });
+        fairEviction.yield(
+                many,
+                0,
+                i -> {
+                    gave.add(holders.get(i));
+                    return --sources[holders.get(i)].held >= 0;
+                });
         assertEquals(Math.min(many, holders.size()), gave.size());
         for (int source : gave) {
-            double most = IntStream.range(0, 6).mapToDouble(s -> held[s] / weight[s]).max().orElse(0);
+            double most =
+                    IntStream.range(0, 6).mapToDouble(s -> held[s] / weight[s]).max().orElse(0);
             assertEquals(most, held[source] / weight[source], 1e-9);
             held[source]--;
         }
@@ -104,11 +122,13 @@
 
     @Test
     void clientsThatAskOnceAndStayLeavePlacesToThoseThatComeAgain() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(200, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(200, EACH));
         int[] usual = IntStream.range(0, 20).map(i -> street.comes()).toArray();
         int reused = 0, asked = 0, most = 0;
         for (int turn = 0; turn < 200; turn++) {
-            // Six come every 0.1 s, ask once and stay; two of the usual ask every 0.1 s, again and again.
+            // Six come every 0.1 s, ask once and stay; two of the usual ask every 0.1 s, again and
+            // again.
             for (int k = 0; k < 6; k++) {
                 street.asks(street.comes());
             }
@@ -125,13 +145,17 @@
             street.passes(0.1);
             most = Math.max(most, street.clients.size());
         }
-        assertTrue(most <= 80, "at the most " + most + " of 200 places, where 152 would stand for 2.2 s");
-        assertTrue(reused > 0.5 * asked, "most that come again are kept: " + reused + " of " + asked);
+        assertTrue(
+                most <= 80,
+                "at the most " + most + " of 200 places, where 152 would stand for 2.2 s");
+        assertTrue(
+                reused > 0.5 * asked, "most that come again are kept: " + reused + " of " + asked);
     }
 
     @Test
     void twoInThreeThatAreSilentFromTheStartMakeRoom() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(60, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(60, EACH));
         int served = 0, tried = 0;
         for (int turn = 0; turn < 100; turn++) {
             for (int k = 0; k < 9; k++) {
@@ -153,7 +177,8 @@
 
     @Test
     void oneThatPausesForALittleLessThanIsAllowedKeepsItsPlace() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(100, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(100, EACH));
         int i = street.comes();
         for (int k = 0; k < 4; k++) {
             assertTrue(street.asks(i));
@@ -164,7 +189,9 @@
 
     @Test
     void manySourcesWithOneEachStandBesideFewWithMany() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(1000, ConnectionLimits.Sharing.ADDRESS));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(
+                        ConnectionPolicyModel.bounds(1000, ConnectionLimits.Sharing.ADDRESS));
         for (int i = 0; i < 1000; i++) {
             street.asks(street.comes(i));
         }
@@ -178,18 +205,24 @@
             }
             street.passes(0.02);
         }
-        long few = street.clients.values().stream().filter(client -> client.address >= 100_000).count();
+        long few =
+                street.clients.values().stream()
+                        .filter(client -> client.address >= 100_000)
+                        .count();
         assertTrue(street.clients.size() <= 1000);
         assertTrue(few <= 10 * 17, "no more than what they brought gives weight to: " + few);
         for (int i = 0; i < 3000; i++) {
             street.leaves(street.comes(1_000_000 + i));
         }
-        assertTrue(street.door.remembered() <= 2 * street.bounds.last(), "memory for sources is bounded");
+        assertTrue(
+                street.door.remembered() <= 2 * street.bounds.last(),
+                "memory for sources is bounded");
     }
 
     @Test
     void aPauseOfTheProcessMakesNobodyOverdue() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int fresh = street.comes(), half = street.comes(), kept = street.comes();
         street.asks(kept);
         street.passes(0.5);
@@ -205,7 +238,8 @@
 
     @Test
     void unreadBytesAreLookedForBeforeAnyClose() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int fresh = street.comes(), kept = street.comes();
         street.asks(kept);
         street.passes(1.7);
@@ -219,14 +253,17 @@
 
     @Test
     void aByteEach90MillisecondsIsNoProgress() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int i = street.comes();
         double began = street.now;
         for (int k = 0; k < 50 && street.clients.containsKey(i); k++) {
             street.says(i, 1);
             street.passes(0.09);
         }
-        assertTrue(street.now - began < street.bounds.pause() + 0.5, "ended after " + (street.now - began));
+        assertTrue(
+                street.now - began < street.bounds.pause() + 0.5,
+                "ended after " + (street.now - began));
         assertEquals(1, street.ended(CloseReason.SLOW));
         int quick = street.comes();
         for (int k = 0; k < 100; k++) {
@@ -238,7 +275,8 @@
 
     @Test
     void withFewerPlacesTheQuietGiveWayAndComeBackWhenThereAreMore() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         for (int i = 0; i < 4; i++) {
             assertTrue(street.asks(street.comes()));
         }
@@ -259,7 +297,8 @@
 
     @Test
     void aHeadMayTakeTwoSecondsAndABodyPauseAsLong() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int slow = street.comes(), half = street.comes();
         street.says(half, 100);
         for (int k = 0; k < 10; k++) {
@@ -283,7 +322,8 @@
 
     @Test
     void anAnswerThatIsNotFetchedEndsByTheSameRule() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int slow = street.comes(), quick = street.comes();
         for (int i : new int[] {slow, quick}) {
             street.opens(i, 0);
@@ -305,7 +345,8 @@
 
     @Test
     void whoIsTurnedAwayAgainAndAgainIsReadLessAndThenClosed() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
         int i = street.comes();
         double last = 0;
         boolean keeps = true;
@@ -328,7 +369,8 @@
 
     @Test
     void aDrainSpreadsThoseWithoutAWordOverItsTime() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(300, EACH));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(300, EACH));
         List<Integer> quiet = new ArrayList<>();
         for (int k = 0; k < 40; k++) {
             quiet.add(street.comes());
@@ -346,7 +388,9 @@
             }
         }
         for (int k = 1; k < 5; k++) {
-            assertTrue(left[k - 1] - left[k] >= 6 && left[k - 1] - left[k] <= 10, Arrays.toString(left));
+            assertTrue(
+                    left[k - 1] - left[k] >= 6 && left[k - 1] - left[k] <= 10,
+                    Arrays.toString(left));
         }
         street.passes(0.2);
         assertEquals(List.of(busy), List.copyOf(street.clients.keySet()), "an open exchange stays");
@@ -356,7 +400,8 @@
     @Test
     void eachBoundHolds() {
         for (int places : new int[] {14, 129, 9806}) {
-            ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(places, EACH));
+            ConnectionPolicyModel street =
+                    new ConnectionPolicyModel(ConnectionPolicyModel.bounds(places, EACH));
             for (int k = 0; k < 2 * places; k++) {
                 if (street.clients.size() >= street.bounds.last()) {
                     street.passes(0.2);
@@ -365,7 +410,9 @@
             }
             street.passes(0.2);
             assertTrue(street.clients.size() <= places, places + ": " + street.clients.size());
-            assertTrue(street.door.told().contains("new=" + street.clients.size()), street.door.told());
+            assertTrue(
+                    street.door.told().contains("new=" + street.clients.size()),
+                    street.door.told());
         }
     }
 
@@ -380,7 +427,9 @@
             street.opens(street.comes(), 0);
         }
         street.passes(1.9);
-        assertTrue(street.clients.containsKey(i), "the crowd passes it by, though no other can give way");
+        assertTrue(
+                street.clients.containsKey(i),
+                "the crowd passes it by, though no other can give way");
     }
 
     @Test
@@ -393,7 +442,8 @@
             reuse.endedAfter(2.2, k / 100.0);
         }
         double limit = reuse.limit(0.5, 4);
-        assertTrue(limit >= 0.1 && limit <= 0.3, "worth its place as long as there is hope: " + limit);
+        assertTrue(
+                limit >= 0.1 && limit <= 0.3, "worth its place as long as there is hope: " + limit);
         assertEquals(0, reuse.limit(1e4, 4), "never at such a price");
         for (int k = 0; k < 400; k++) {
             reuse.usedAfter(2, 40 + k / 100.0);
@@ -433,12 +483,15 @@
 
     @Test
     void whatIsReadOfAConnectionThatHasGoneBringsNothingBack() {
-        ConnectionPolicyModel street = new ConnectionPolicyModel(ConnectionPolicyModel.bounds(8, ConnectionLimits.Sharing.CONNECTION));
+        ConnectionPolicyModel street =
+                new ConnectionPolicyModel(
+                        ConnectionPolicyModel.bounds(8, ConnectionLimits.Sharing.CONNECTION));
         int i = street.door.came(7, street.now);
         street.door.gone(i, street.now);
         street.door.headRead(i, street.now);
         street.door.turnedAway(i, street.now);
-        // The street knows no client there, so that to close it would fail, and end all further sweeps.
+        // The street knows no client there, so that to close it would fail, and end all further
+        // sweeps.
         assertDoesNotThrow(() -> street.door.sweep(street.now + 100));
     }
 }
--- a/src/test/java/lemondrift/connection/KeepAliveMixes.java
+++ b/src/test/java/lemondrift/connection/KeepAliveMixes.java
@@ -5,10 +5,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The learned keep-alive against fixed ones over mixes of clients, in virtual time; run by hand, no part of
- * CI. Clients hold 0.62 of the places at the most, as behind a front with descriptors of its own; who finds
- * no room is kept out. Prints for each policy the share kept out, the share that opened a connection, and
- * mean places.
+ * The learned keep-alive against fixed ones over mixes of clients, in virtual time; run by hand, no
+ * part of CI. Clients hold 0.62 of the places at the most, as behind a front with descriptors of
+ * its own; who finds no room is kept out. Prints for each policy the share kept out, the share that
+ * opened a connection, and mean places.
  */
 final class KeepAliveMixes {
     private static final int PLACES = 206, CLIENTS = 128;
@@ -37,9 +37,16 @@
 
     public static void main(String[] args) {
         Habit half = random -> -0.5 * Math.log(1 - random.nextDouble());
-        List<Mix> mixes = List.of(new Mix("usual alone, 0.5 s between", 40, half, 0, 1),
-                new Mix("usual, and 60 a second that ask once and stay", 40, half, 60, 1),
-                new Mix("usual, and 15 a second that ask five times within 0.2 s and stay", 40, half, 15, 5));
+        List<Mix> mixes =
+                List.of(
+                        new Mix("usual alone, 0.5 s between", 40, half, 0, 1),
+                        new Mix("usual, and 60 a second that ask once and stay", 40, half, 60, 1),
+                        new Mix(
+                                "usual, and 15 a second that ask five times within 0.2 s and stay",
+                                40,
+                                half,
+                                15,
+                                5));
         for (Mix mix : mixes) {
             System.out.println(mix.name);
             for (double fixed : new double[] {Double.NaN, 0, 1, 2.2, 10}) {
@@ -51,10 +58,16 @@
     private static void play(Mix mix, double fixed) {
         boolean learns = Double.isNaN(fixed);
         // Fixed ones: no price, so that each stays for the whole time that it may be quiet.
-        ConnectionLimits limits = new ConnectionLimits(learns ? PLACES : 1_000_000, learns ? 227 : 1_000_000,
-                learns ? 2.2 : Math.max(0.2, fixed), learns ? 2 : Math.max(0.2, fixed),
+        ConnectionLimits limits =
+                new ConnectionLimits(
+                        learns ? PLACES : 1_000_000,
+                        learns ? 227 : 1_000_000,
+                        learns ? 2.2 : Math.max(0.2, fixed),
+                        learns ? 2 : Math.max(0.2, fixed),
                         ConnectionLimits.Sharing.CONNECTION,
-                false, 2048, 1);
+                        false,
+                        2048,
+                        1);
         ConnectionPolicyModel street = new ConnectionPolicyModel(limits);
         SplittableRandom chance = new SplittableRandom(11);
         PriorityQueue<Client> next = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
@@ -79,8 +92,11 @@
             }
             street.now = client.at;
             asked++;
-            boolean open = client.connection >= 0 && street.clients.containsKey(client.connection)
-                    && street.clients.get(client.connection).address == System.identityHashCode(client);
+            boolean open =
+                    client.connection >= 0
+                            && street.clients.containsKey(client.connection)
+                            && street.clients.get(client.connection).address
+                                    == System.identityHashCode(client);
             if (!open && street.clients.size() >= CLIENTS) {
                 out++;
             } else {
@@ -98,8 +114,11 @@
                 next.add(client);
             }
         }
-        System.out.printf("  %-8s kept out %.3f  opened %.3f  places %.0f%n",
+        System.out.printf(
+                "  %-8s kept out %.3f  opened %.3f  places %.0f%n",
                 learns ? "learned" : fixed + " s",
-                (double) out / asked, (double) opened / asked, places / sweeps);
+                (double) out / asked,
+                (double) opened / asked,
+                places / sweeps);
     }
 }
--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -11,7 +11,9 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What proxies tell one another, beside a plain model, under loss, repeats, disorder and nonsense. */
+/**
+ * What proxies tell one another, beside a plain model, under loss, repeats, disorder and nonsense.
+ */
 class LoadGossipTest {
     /** Seconds after which what one has told is forgotten. */
     private static final double FORGET = 0.1;
@@ -20,7 +22,7 @@
 
     /** One of a few that all use all backends. */
     private static LoadGossip holdings(int proxies, int self, int backends) {
-        return new LoadGossip(proxies, self, 1, 0.01, FORGET, all(proxies, backends), tag -> { });
+        return new LoadGossip(proxies, self, 1, 0.01, FORGET, all(proxies, backends), tag -> {});
     }
 
     private static SubsetAssignment all(int proxies, int backends) {
@@ -88,6 +90,14 @@
         assertEquals(List.of(), a.dueMessages(1.02), "unchanged is told seldom");
     }
 
+    /** How many backends have a lesser score at a proxy than the one of a tag. */
+    private static long better(int proxy, int tag, int[] tags) {
+        double score = SubsetAssignment.score(proxy, tag);
+        return Arrays.stream(tags)
+                .filter(other -> SubsetAssignment.score(proxy, other) < score)
+                .count();
+    }
+
     @Test
     void onlyThoseAreToldWhoUseTheBackendHoweverManyThereAre() {
         for (int proxies : new int[] {20, 100, 300}) {
@@ -96,12 +106,13 @@
             SubsetAssignment subsets = new SubsetAssignment(proxies, 16);
             subsets.listed(tags);
             for (int tag : tags) {
-                LoadGossip one = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> { });
+                LoadGossip one = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> {});
                 one.attemptSent(tag);
                 int[] to = one.dueMessages(1).stream().mapToInt(LoadGossip.Message::to).toArray();
-                int[] use = IntStream.range(0, proxies).filter(p -> p != 3 && Arrays.stream(tags)
-                        .filter(other -> SubsetAssignment.score(p, other)
-                        < SubsetAssignment.score(p, tag)).count() < 16).toArray();
+                int[] use =
+                        IntStream.range(0, proxies)
+                                .filter(p -> p != 3 && better(p, tag, tags) < 16)
+                                .toArray();
                 assertArrayEquals(use, to);
                 told += to.length;
             }
@@ -110,8 +121,8 @@
     }
 
     /**
-     * Whatever was lost, late or doubled before: once all tellings arrive, each knows what the others have
-     * out as soon as what was told last can have been forgotten.
+     * Whatever was lost, late or doubled before: once all tellings arrive, each knows what the
+     * others have out as soon as what was told last can have been forgotten.
      */
     @Property(tries = 2000, seed = "48")
     void onceTellingsArriveAllKnowWhatTheOthersHaveOut(@ForAll long seed) {
@@ -147,7 +158,10 @@
                 for (int i = 0; i < proxies; i++) {
                     want += i == j ? 0 : model[i][b];
                 }
-                assertEquals(want, all[j].peerLoad(b), "seed " + seed + ", proxy " + j + ", backend " + b);
+                assertEquals(
+                        want,
+                        all[j].peerLoad(b),
+                        "seed " + seed + ", proxy " + j + ", backend " + b);
             }
         }
     }
@@ -164,7 +178,9 @@
         }
     }
 
-    /** Danger: the last word of one that has nothing out any more may be lost, and it says no more. */
+    /**
+     * Danger: the last word of one that has nothing out any more may be lost, and it says no more.
+     */
     @Test
     void aLostLastWordIsMadeGoodByForgettingAndNoLater() {
         LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
@@ -194,7 +210,10 @@
         assertEquals(0, b.peerLoad(7));
     }
 
-    /** Danger: what a killed one had out would look busy, and its new self not be heard, for a while. */
+    /**
+     * Danger: what a killed one had out would look busy, and its new self not be heard, for a
+     * while.
+     */
     @Test
     void whoHasStartedAnewHasNothingOutAndIsHeardAtOnce() {
         LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
@@ -207,7 +226,7 @@
         byte[] late = telling(a, 1.19);
         b.peerRestarted(0, 2);
         assertEquals(0, b.peerLoad(7));
-        LoadGossip next = new LoadGossip(2, 0, 2, 0.01, 0.1, all(2, 10), tag -> { });
+        LoadGossip next = new LoadGossip(2, 0, 2, 0.01, 0.1, all(2, 10), tag -> {});
         next.attemptSent(3);
         b.receive(0, late, 1.2);
         assertEquals(0, b.peerLoad(7), "its former self's word comes late");
@@ -217,7 +236,9 @@
         assertEquals(0, b.peerLoad(7));
     }
 
-    /** Danger: until it is forgotten, all would go by what the others had out when they fell silent. */
+    /**
+     * Danger: until it is forgotten, all would go by what the others had out when they fell silent.
+     */
     @Test
     void manyUsualGapsWithoutAWordAreDeafnessLongBeforeAllIsForgotten() {
         LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
--- a/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -27,23 +27,33 @@
     }
 
     private static List<EndpointUpdate> lines(int from, int to) {
-        return IntStream.range(from, to).mapToObj(i -> line(i, EndpointUpdate.State.READY)).toList();
+        return IntStream.range(from, to)
+                .mapToObj(i -> line(i, EndpointUpdate.State.READY))
+                .toList();
     }
 
     private static EndpointUpdate of(List<EndpointUpdate> told, int backend) {
-        return told.stream().filter(update -> update.backend() == backend).findFirst().orElseThrow();
+        return told.stream()
+                .filter(update -> update.backend() == backend)
+                .findFirst()
+                .orElseThrow();
     }
 
-    /** Danger: the sum over all proxies of what each may send to a cold one must not pass the whole. */
+    /**
+     * Danger: the sum over all proxies of what each may send to a cold one must not pass the whole.
+     */
     @Property(tries = 50, seed = "48")
-    void theUsersPartsOfABackendAreOneTogether(@ForAll @IntRange(min = 2, max = 60) int proxies,
+    void theUsersPartsOfABackendAreOneTogether(
+            @ForAll @IntRange(min = 2, max = 60) int proxies,
             @ForAll @IntRange(min = 1, max = 40) int backends) {
         double[] sum = new double[backends];
         for (int p = 0; p < proxies; p++) {
-            for (EndpointUpdate update : new SubsetAssignment(proxies, WIDTH).assigned(p, true, lines(0, backends),
-                    i -> i)) {
+            for (EndpointUpdate update :
+                    new SubsetAssignment(proxies, WIDTH)
+                            .assigned(p, true, lines(0, backends), i -> i)) {
                 // One that does not use it has the part that it had before parts were known.
-                sum[update.backend()] += update.userShare() > 0 ? 1 / (proxies * update.userShare()) : 0;
+                sum[update.backend()] +=
+                        update.userShare() > 0 ? 1 / (proxies * update.userShare()) : 0;
                 assertTrue(update.userShare() >= 0 && update.userShare() <= 1, update.toString());
             }
         }
@@ -54,16 +64,26 @@
 
     /** Whom a proxy uses of those that are ready, by sorting all of them. */
     private static List<Integer> subset(int proxy, TreeSet<Integer> ready) {
-        return ready.stream().sorted(Comparator.comparing(id -> SubsetAssignment.score(proxy, id)))
-                .limit(WIDTH).toList();
+        return ready.stream()
+                .sorted(Comparator.comparing(id -> SubsetAssignment.score(proxy, id)))
+                .limit(WIDTH)
+                .toList();
     }
 
     private static double used(int proxy, int proxies, int id, TreeSet<Integer> ready) {
-        return !subset(proxy, ready).contains(id) ? 0 : (double) IntStream.range(0, proxies)
-                .filter(p -> subset(p, ready).contains(id)).count() / proxies;
+        return !subset(proxy, ready).contains(id)
+                ? 0
+                : (double)
+                                IntStream.range(0, proxies)
+                                        .filter(p -> subset(p, ready).contains(id))
+                                        .count()
+                        / proxies;
     }
 
-    /** Whatever changes, what was told last of each backend is what sorting all of them says, and no more. */
+    /**
+     * Whatever changes, what was told last of each backend is what sorting all of them says, and no
+     * more.
+     */
     @Property(tries = 40, seed = "48")
     void whatIsToldOverManyChangesIsWhatSortingAllSays(@ForAll long seed) {
         Random random = new Random(seed);
@@ -76,71 +96,106 @@
             Map<Integer, EndpointUpdate> changes = new HashMap<>();
             for (int i = random.nextInt(whole ? 40 : 10); i > 0; i--) {
                 int backend = random.nextInt(backends);
-                changes.put(backend, line(backend, EndpointUpdate.State.values()[random.nextInt(3)]));
+                changes.put(
+                        backend, line(backend, EndpointUpdate.State.values()[random.nextInt(3)]));
             }
             if (whole) {
                 ready.clear();
             }
-            changes.values().forEach(update -> {
-                ready.remove(update.backend());
-                if (update.state() == EndpointUpdate.State.READY) {
-                    ready.add(update.backend());
-                }
-            });
+            changes.values()
+                    .forEach(
+                            update -> {
+                                ready.remove(update.backend());
+                                if (update.state() == EndpointUpdate.State.READY) {
+                                    ready.add(update.backend());
+                                }
+                            });
             Map<Integer, EndpointUpdate> before = Map.copyOf(told);
-            List<EndpointUpdate> news = subsets.assigned(own, whole, List.copyOf(changes.values()), i -> i);
+            List<EndpointUpdate> news =
+                    subsets.assigned(own, whole, List.copyOf(changes.values()), i -> i);
             news.forEach(update -> told.put(update.backend(), update));
             for (int id : ready) {
-                assertEquals(used(own, proxies, id, ready), told.get(id).userShare(), "seed " + seed);
-                assertEquals(subset(own, ready).contains(id), subsets.uses(own, id), "seed " + seed);
+                assertEquals(
+                        used(own, proxies, id, ready), told.get(id).userShare(), "seed " + seed);
+                assertEquals(
+                        subset(own, ready).contains(id), subsets.uses(own, id), "seed " + seed);
             }
             for (EndpointUpdate update : news) {
-                assertTrue(changes.containsKey(update.backend())
-                        || before.get(update.backend()).userShare() != update.userShare(), seed + " says " + update);
+                assertTrue(
+                        changes.containsKey(update.backend())
+                                || before.get(update.backend()).userShare() != update.userShare(),
+                        seed + " says " + update);
             }
             int some = random.nextInt(backends);
-            assertArrayEquals(IntStream.range(0, proxies).filter(p -> subset(p, ready).contains(some))
-                    .toArray(), subsets.users(some), "seed " + seed);
+            assertArrayEquals(
+                    IntStream.range(0, proxies)
+                            .filter(p -> subset(p, ready).contains(some))
+                            .toArray(),
+                    subsets.users(some),
+                    "seed " + seed);
         }
     }
 
     /** Danger: proxies of two versions live side by side, and have to reckon the same scores. */
     @Test
     void scoresAreThoseOfSplitMix64() {
-        new Random(1).ints(1000, 0, 1 << 24).forEach(id -> {
-            int proxy = id % 300;
-            double score = (new SplitMix64((long) proxy << 32 | id).nextLong() >>> 11) * 0x1p-53;
-            assertEquals(score, SubsetAssignment.score(proxy, id));
-        });
+        new Random(1)
+                .ints(1000, 0, 1 << 24)
+                .forEach(
+                        id -> {
+                            int proxy = id % 300;
+                            double score =
+                                    (new SplitMix64((long) proxy << 32 | id).nextLong() >>> 11)
+                                            * 0x1p-53;
+                            assertEquals(score, SubsetAssignment.score(proxy, id));
+                        });
     }
 
-    /** Danger: what follows a list costs as much as it has lines, so that one change of thousands is one. */
+    /**
+     * Danger: what follows a list costs as much as it has lines, so that one change of thousands is
+     * one.
+     */
     @Test
     void aListTellsWhatItChangesAndNoMore() {
         SubsetAssignment subsets = new SubsetAssignment(50, WIDTH);
         List<EndpointUpdate> first = subsets.assigned(3, true, lines(0, 60), i -> i);
-        List<EndpointUpdate> gone = new ArrayList<>(IntStream.range(0, 40)
-                .mapToObj(i -> line(i, EndpointUpdate.State.GONE)).toList());
+        List<EndpointUpdate> gone =
+                new ArrayList<>(
+                        IntStream.range(0, 40)
+                                .mapToObj(i -> line(i, EndpointUpdate.State.GONE))
+                                .toList());
         List<EndpointUpdate> then = subsets.assigned(3, false, gone, i -> i);
-        List<Integer> stay = then.stream().map(EndpointUpdate::backend).filter(i -> i >= 40).toList();
+        List<Integer> stay =
+                then.stream().map(EndpointUpdate::backend).filter(i -> i >= 40).toList();
         assertEquals(stay.size(), stay.stream().distinct().count());
         TreeSet<Integer> ready = new TreeSet<>(IntStream.range(40, 60).boxed().toList());
         assertTrue(stay.containsAll(subset(3, ready)), "each that is used by more now");
-        assertTrue(then.stream().filter(update -> update.backend() >= 40)
-                .mapToDouble(EndpointUpdate::userShare).sum() > first.stream().filter(update -> update.backend() >= 40)
-                .mapToDouble(EndpointUpdate::userShare).sum(), "twenty are used by more");
-        assertEquals(List.of(), subsets.assigned(3, false, List.of(), i -> i), "nothing has changed");
-        assertEquals(1, subsets.assigned(3, true, lines(47, 48), i -> i).size(), "a whole list is all");
+        assertTrue(
+                then.stream()
+                                .filter(update -> update.backend() >= 40)
+                                .mapToDouble(EndpointUpdate::userShare)
+                                .sum()
+                        > first.stream()
+                                .filter(update -> update.backend() >= 40)
+                                .mapToDouble(EndpointUpdate::userShare)
+                                .sum(),
+                "twenty are used by more");
+        assertEquals(
+                List.of(), subsets.assigned(3, false, List.of(), i -> i), "nothing has changed");
+        assertEquals(
+                1, subsets.assigned(3, true, lines(47, 48), i -> i).size(), "a whole list is all");
         SubsetAssignment large = new SubsetAssignment(100, WIDTH);
         large.assigned(3, true, lines(0, 3200), i -> i);
         List<EndpointUpdate> one = List.of(line(7, EndpointUpdate.State.GONE));
-        assertTrue(large.assigned(3, false, one, i -> i).size() <= 1 + WIDTH, "one line of thousands");
+        assertTrue(
+                large.assigned(3, false, one, i -> i).size() <= 1 + WIDTH, "one line of thousands");
     }
 
     @Test
     void whoComesAndGoesWithinOneListIsGone() {
         SubsetAssignment subsets = new SubsetAssignment(10, WIDTH);
-        EndpointUpdate comes = line(4, EndpointUpdate.State.READY), goes = line(4, EndpointUpdate.State.GONE);
+        EndpointUpdate comes = line(4, EndpointUpdate.State.READY),
+                goes = line(4, EndpointUpdate.State.GONE);
         subsets.assigned(0, false, List.of(comes, goes), i -> i);
         assertFalse(subsets.uses(0, 4));
         List<EndpointUpdate> told = subsets.assigned(0, false, List.of(goes, comes), i -> i);
@@ -148,7 +203,9 @@
         assertEquals(EndpointUpdate.State.READY, told.get(told.size() - 1).state());
     }
 
-    /** Danger: an index that passes on within one list would leave its former backend in the draw. */
+    /**
+     * Danger: an index that passes on within one list would leave its former backend in the draw.
+     */
     @Test
     void anIndexThatPassesOnLeavesItsFormerBackendOut() {
         int[] ids = {500, 501, 502};
@@ -157,7 +214,8 @@
         ids[1] = 777;
         EndpointUpdate fresh = new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0);
         subsets.assigned(0, false, List.of(line(1, EndpointUpdate.State.GONE), fresh), i -> ids[i]);
-        int users = Arrays.stream(new int[] {500, 502, 777}).map(id -> subsets.users(id).length).sum();
+        int users =
+                Arrays.stream(new int[] {500, 502, 777}).map(id -> subsets.users(id).length).sum();
         assertEquals(10, users, "each proxy uses one of those that are there");
         assertEquals(0, subsets.users(501).length);
     }
@@ -167,8 +225,11 @@
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
         EndpointUpdate fresh = new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
         assertTrue(of(subsets.assigned(0, false, List.of(fresh), i -> i), 4).newBackend());
-        int lower = IntStream.range(5, 1000).filter(i -> SubsetAssignment.score(0, i)
-                < SubsetAssignment.score(0, 4)).findFirst().orElseThrow();
+        int lower =
+                IntStream.range(5, 1000)
+                        .filter(i -> SubsetAssignment.score(0, i) < SubsetAssignment.score(0, 4))
+                        .findFirst()
+                        .orElseThrow();
         EndpointUpdate again = of(subsets.assigned(0, false, lines(lower, lower + 1), i -> i), 4);
         assertFalse(again.newBackend(), "its index stands for it already");
         assertEquals(12, again.startedAt());
--- a/src/test/java/lemondrift/lab/ExperimentTest.java
+++ b/src/test/java/lemondrift/lab/ExperimentTest.java
@@ -12,7 +12,8 @@
 
 /** Experiments as files, and what is made of their runs. */
 class ExperimentTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             about = "a small one"
             policies = ["random"]
             seeds = [1, 2]
@@ -30,8 +31,7 @@
             share = "50%"
             """;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private Experiment read(String text) throws Exception {
         return ExperimentFile.read(Files.writeString(folder.resolve("one.toml"), text));
@@ -52,20 +52,37 @@
 
     @Test
     void whatCannotBeUsedNamesFileLineAndKey() {
-        Map<String, String> bad = Map.of(GOOD.replace("proxies = 2", "proxis = 2"), ":7: proxis",
-                GOOD.replace("\"3s\"", "3"), ":9: lasts", GOOD.replace("\"3s\"", "\"3 hours\""), ":9: lasts",
-                GOOD.replace("\"slow\"", "\"slwo\""), ":12: kind",
-                GOOD.replace("\"50%\"", "\"150%\""), ":15: share",
-                GOOD.replace("backends = 4", "backends = -4"), ":8: backends",
-                GOOD.replace("service >= 0.5", "servise >= 0.5"), ":4: expect",
-                GOOD.replace("\"random\"", "\"rnadom\""), ":2: policies",
-                GOOD.replace("seeds = [1, 2]", "seeds = [1, 2"), ":4: ", GOOD.replace("\"500ms\"", "\"0s\""),
-                ":14: lasts");
-        bad.forEach((text, where) -> {
-            InvalidSettingsException refused = assertThrows(InvalidSettingsException.class, () -> read(text), text);
-            assertTrue(refused.getMessage().contains("one.toml" + where), refused.getMessage());
-            assertEquals(1, refused.getMessage().lines().count());
-        });
+        Map<String, String> bad =
+                Map.of(
+                        GOOD.replace("proxies = 2", "proxis = 2"),
+                        ":7: proxis",
+                        GOOD.replace("\"3s\"", "3"),
+                        ":9: lasts",
+                        GOOD.replace("\"3s\"", "\"3 hours\""),
+                        ":9: lasts",
+                        GOOD.replace("\"slow\"", "\"slwo\""),
+                        ":12: kind",
+                        GOOD.replace("\"50%\"", "\"150%\""),
+                        ":15: share",
+                        GOOD.replace("backends = 4", "backends = -4"),
+                        ":8: backends",
+                        GOOD.replace("service >= 0.5", "servise >= 0.5"),
+                        ":4: expect",
+                        GOOD.replace("\"random\"", "\"rnadom\""),
+                        ":2: policies",
+                        GOOD.replace("seeds = [1, 2]", "seeds = [1, 2"),
+                        ":4: ",
+                        GOOD.replace("\"500ms\"", "\"0s\""),
+                        ":14: lasts");
+        bad.forEach(
+                (text, where) -> {
+                    InvalidSettingsException refused =
+                            assertThrows(InvalidSettingsException.class, () -> read(text), text);
+                    assertTrue(
+                            refused.getMessage().contains("one.toml" + where),
+                            refused.getMessage());
+                    assertEquals(1, refused.getMessage().lines().count());
+                });
     }
 
     @Test
@@ -73,21 +90,37 @@
         String fault = "\n[[fault]]\nkind = \"cut\"\nfrom = \"location 1\"\nboth = true\n";
         String good = "host = \"processes\"\n" + GOOD + fault;
         assertTrue(read(good).faults().get(0).both());
-        Map<String, String> bad = Map.of(GOOD + fault, ":18: kind", good.replace("location 1", "place 1"),
-                ":20: from", good.replace("\"cut\"", "\"cat\""), ":19: kind",
-                good.replace("\"cut\"", "\"lose\"\nchannel = \"backends\""), ":19: kind",
-                good.replace("\"processes\"", "\"threads\""), ":1: host", good + "by = 3\n", ":22: by");
-        bad.forEach((text, where) -> {
-            InvalidSettingsException refused = assertThrows(InvalidSettingsException.class, () -> read(text), text);
-            assertTrue(refused.getMessage().contains("one.toml" + where), refused.getMessage());
-        });
+        Map<String, String> bad =
+                Map.of(
+                        GOOD + fault,
+                        ":18: kind",
+                        good.replace("location 1", "place 1"),
+                        ":20: from",
+                        good.replace("\"cut\"", "\"cat\""),
+                        ":19: kind",
+                        good.replace("\"cut\"", "\"lose\"\nchannel = \"backends\""),
+                        ":19: kind",
+                        good.replace("\"processes\"", "\"threads\""),
+                        ":1: host",
+                        good + "by = 3\n",
+                        ":22: by");
+        bad.forEach(
+                (text, where) -> {
+                    InvalidSettingsException refused =
+                            assertThrows(InvalidSettingsException.class, () -> read(text), text);
+                    assertTrue(
+                            refused.getMessage().contains("one.toml" + where),
+                            refused.getMessage());
+                });
     }
 
     @Test
     void pairsTellADifferenceFromChance() {
-        PairedDifference same = PairedDifference.of(new double[] {1, 2, 3, 4}, new double[] {1.1, 1.9, 3.1, 3.9});
+        PairedDifference same =
+                PairedDifference.of(new double[] {1, 2, 3, 4}, new double[] {1.1, 1.9, 3.1, 3.9});
         assertTrue(same.low() < 0 && same.high() > 0, same.toString());
-        PairedDifference better = PairedDifference.of(new double[] {1, 2, 3, 4}, new double[] {0.8, 1.7, 2.9, 3.6});
+        PairedDifference better =
+                PairedDifference.of(new double[] {1, 2, 3, 4}, new double[] {0.8, 1.7, 2.9, 3.6});
         assertEquals(0.25, better.mean(), 1e-9);
         assertTrue(better.low() > 0, better.toString());
     }
--- a/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
@@ -15,16 +15,34 @@
 
     @Test
     void aCutBetweenGroupsFallsOnTheirPairsAndBothWaysOnlyWhereItSaysSo() {
-        Fault one = new Fault(Fault.Kind.CUT, Fault.Channel.DATAGRAMS, FaultTarget.of("location 0"),
-                FaultTarget.of("location 1"), false, 2, 3, 1, 0);
+        Fault one =
+                new Fault(
+                        Fault.Kind.CUT,
+                        Fault.Channel.DATAGRAMS,
+                        FaultTarget.of("location 0"),
+                        FaultTarget.of("location 1"),
+                        false,
+                        2,
+                        3,
+                        1,
+                        0);
         FaultPlan faults = of(false, one);
         assertEquals(List.of(one), faults.onDatagram(4, 1, 102));
         assertEquals(List.of(), faults.onDatagram(1, 4, 102), "the way back");
         assertEquals(List.of(), faults.onDatagram(4, 2, 102), "another location");
         assertEquals(List.of(), faults.onDatagram(4, 1, 101.9), "before it");
         assertEquals(List.of(), faults.onDatagram(4, 1, 105), "after it");
-        Fault both = new Fault(Fault.Kind.CUT, Fault.Channel.DATAGRAMS, FaultTarget.of("location 0"), FaultTarget.ALL, true,
-                2, 3, 1, 0);
+        Fault both =
+                new Fault(
+                        Fault.Kind.CUT,
+                        Fault.Channel.DATAGRAMS,
+                        FaultTarget.of("location 0"),
+                        FaultTarget.ALL,
+                        true,
+                        2,
+                        3,
+                        1,
+                        0);
         assertEquals(List.of(both), of(false, both).onDatagram(1, 4, 102));
     }
 
@@ -47,14 +65,22 @@
         int[] some = of(false, kill).ofProcesses().get(0).numbers();
         assertEquals(6, some.length);
         assertArrayEquals(some, of(false, kill).ofProcesses().get(0).numbers());
-        assertEquals(1, of(false, Fleets.fault(Fault.Kind.KILL, "1%", "all", 0, 1, 1)).ofProcesses().get(0)
-                .numbers().length);
-        assertTrue(IntStream.range(0, 8).allMatch(p -> of(false).segments[p] == 0), "no faults, one segment");
+        assertEquals(
+                1,
+                of(false, Fleets.fault(Fault.Kind.KILL, "1%", "all", 0, 1, 1))
+                        .ofProcesses()
+                        .get(0)
+                        .numbers()
+                        .length);
+        assertTrue(
+                IntStream.range(0, 8).allMatch(p -> of(false).segments[p] == 0),
+                "no faults, one segment");
     }
 
     @Test
     void wordsThatNameNobodyAreNone() {
-        for (String each : List.of("", "alle", "location", "location -1", "number x", "101%", "30", "%")) {
+        for (String each :
+                List.of("", "alle", "location", "location -1", "number x", "101%", "30", "%")) {
             assertNull(FaultTarget.of(each), each);
         }
     }
--- a/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
@@ -34,7 +34,10 @@
         return Fleets.play(stand, troubles, faults);
     }
 
-    /** Reached at last: a day on which all that is asked for is had. Each day before that keeps the rules. */
+    /**
+     * Reached at last: a day on which all that is asked for is had. Each day before that keeps the
+     * rules.
+     */
     private static void comesBack() throws Exception {
         RunResult last = null;
         for (int i = 0; i < TRIES; i++) {
@@ -54,10 +57,15 @@
 
     @Test
     void datagramsThatAreCutLostDoubledLateOrHostileCostNoAnswer() throws Exception {
-        allAreAnswered(play(List.of(), fault(Kind.CUT, "location 0", "location 1", 0, 3, 1),
-                fault(Kind.LOSE, "all", "all", 1, 4, 0.3), fault(Kind.TWICE, "all", "all", 1, 4, 1),
-                fault(Kind.DISORDER, "all", "all", 2, 3, 1), fault(Kind.LATE, "number 3", "all", 0, 5, 1),
-                fault(Kind.JUNK, "all", "all", 0, 5, 1)));
+        allAreAnswered(
+                play(
+                        List.of(),
+                        fault(Kind.CUT, "location 0", "location 1", 0, 3, 1),
+                        fault(Kind.LOSE, "all", "all", 1, 4, 0.3),
+                        fault(Kind.TWICE, "all", "all", 1, 4, 1),
+                        fault(Kind.DISORDER, "all", "all", 2, 3, 1),
+                        fault(Kind.LATE, "number 3", "all", 0, 5, 1),
+                        fault(Kind.JUNK, "all", "all", 0, 5, 1)));
         comesBack();
     }
 
@@ -70,9 +78,13 @@
     }
 
     @Test
-    void oneKilledWithMuchOutAndStartedAgainUnderItsNumberWithOldDatagramsOnTheWay() throws Exception {
-        RunResult day = play(List.of(), fault(Kind.LATE, "all", "all", 0, 5, 1),
-                fault(Kind.KILL, "number 1", "all", 1, 0.5, 1));
+    void oneKilledWithMuchOutAndStartedAgainUnderItsNumberWithOldDatagramsOnTheWay()
+            throws Exception {
+        RunResult day =
+                play(
+                        List.of(),
+                        fault(Kind.LATE, "all", "all", 0, 5, 1),
+                        fault(Kind.KILL, "number 1", "all", 1, 0.5, 1));
         assertEquals(0, day.fallen);
         comesBack();
     }
@@ -85,25 +97,34 @@
 
     @Test
     void allRestartedInTurnWhileBackendsAreReplacedAndDiscoveryIsSilent() throws Exception {
-        RunResult day = play(List.of(new BackendFault(BackendFault.Kind.DEPLOY, 0.5, 3, 0.5, 1)),
-                fault(Kind.ROLL, "all", "all", 0.5, 4, 1), cut(Fault.Channel.DISCOVERY, "30%", "all", 1, 2));
+        RunResult day =
+                play(
+                        List.of(new BackendFault(BackendFault.Kind.DEPLOY, 0.5, 3, 0.5, 1)),
+                        fault(Kind.ROLL, "all", "all", 0.5, 4, 1),
+                        cut(Fault.Channel.DISCOVERY, "30%", "all", 1, 2));
         assertEquals(0, day.fallen, "no cold backend is pushed over by all of them together");
         comesBack();
     }
 
     @Test
     void wayToABackendThatIsCutForOneProxyAlone() throws Exception {
-        allAreAnswered(play(List.of(), cut(Fault.Channel.BACKENDS, "number 0", "number 3", 0.5, 3),
-                cut(Fault.Channel.BACKENDS, "location 1", "number 2", 1, 3)));
+        allAreAnswered(
+                play(
+                        List.of(),
+                        cut(Fault.Channel.BACKENDS, "number 0", "number 3", 0.5, 3),
+                        cut(Fault.Channel.BACKENDS, "location 1", "number 2", 1, 3)));
         comesBack();
     }
 
     /** The baselines play the same file, and there is no process that its faults could fall on. */
     @Test
     void aPolicyWithoutProxiesPlaysTheSameDay() throws Exception {
-        try (FleetTestbed direct = new FleetTestbed(Fleets.experiment(0.4), 1, null, Baseline.Kind.ORACLE, line -> { })) {
+        try (FleetTestbed direct =
+                new FleetTestbed(
+                        Fleets.experiment(0.4), 1, null, Baseline.Kind.ORACLE, line -> {})) {
             direct.start();
-            FleetTestbed.Played day = direct.play(List.of(), List.of(fault(Kind.KILL, "all", "all", 0, 1, 1)), 1);
+            FleetTestbed.Played day =
+                    direct.play(List.of(), List.of(fault(Kind.KILL, "all", "all", 0, 1, 1)), 1);
             assertNull(day.broken());
             assertEquals(day.figures().wants, day.figures().delivered, day.figures().toString());
             assertEquals(List.of(), direct.stop());
@@ -112,10 +133,13 @@
 
     @Test
     void backendsThatCrashAreSilentOrErrAllAtOnce() throws Exception {
-        RunResult day = play(List.of(new BackendFault(BackendFault.Kind.CRASH, 0.5, 2, 0.2, 1),
-                new BackendFault(BackendFault.Kind.VANISH, 1, 2, 0.2, 1),
-                new BackendFault(BackendFault.Kind.ERRORS, 1, 3, 0.2, 0.8),
-                new BackendFault(BackendFault.Kind.BURST, 1, 2, 1, 1.5)));
+        RunResult day =
+                play(
+                        List.of(
+                                new BackendFault(BackendFault.Kind.CRASH, 0.5, 2, 0.2, 1),
+                                new BackendFault(BackendFault.Kind.VANISH, 1, 2, 0.2, 1),
+                                new BackendFault(BackendFault.Kind.ERRORS, 1, 3, 0.2, 0.8),
+                                new BackendFault(BackendFault.Kind.BURST, 1, 2, 1, 1.5)));
         allAreAnswered(day);
         comesBack();
     }
