--- a/src/test/java/lemondrift/lab/fleet/Fleets.java
+++ b/src/test/java/lemondrift/lab/fleet/Fleets.java
@@ -16,16 +16,50 @@
 
     /** Little traffic for what there is, so that no answer hangs on how fast the machine is. */
     static Experiment experiment(double load) {
-        Scenario day = new Scenario(Experiment.settings(PROXIES, 2, 0.08, 1.5), PROXIES, BACKENDS, 1,
-                load * BACKENDS / 0.05, 0.05, 0.5, 3, 0, 0.1, 2, 3, 1, List.of());
-        return new Experiment("small", "", day, List.of(), List.of(1L), List.of(), true, true,
-                Experiment.Host.PROCESSES, 0, 0, List.of());
+        Scenario day =
+                new Scenario(
+                        Experiment.settings(PROXIES, 2, 0.08, 1.5),
+                        PROXIES,
+                        BACKENDS,
+                        1,
+                        load * BACKENDS / 0.05,
+                        0.05,
+                        0.5,
+                        3,
+                        0,
+                        0.1,
+                        2,
+                        3,
+                        1,
+                        List.of());
+        return new Experiment(
+                "small",
+                "",
+                day,
+                List.of(),
+                List.of(1L),
+                List.of(),
+                true,
+                true,
+                Experiment.Host.PROCESSES,
+                0,
+                0,
+                List.of());
     }
 
     static ProcessLauncher launcher(Path peers, Path recovery) {
-        return new ProcessLauncher(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx88m", "-Xss256k", "-cp",
-                System.getProperty("java.class.path"), "lemondrift.Main", "serve"), Path.of("."),
+        return new ProcessLauncher(
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx88m",
+                        "-Xss256k",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "lemondrift.Main",
+                        "serve"),
+                Path.of("."),
                 Map.of("PROXY_PEERS", peers.toString(), "PROXY_RECOVERY", recovery.toString()));
     }
 
@@ -34,23 +68,44 @@
     }
 
     static FleetTestbed start(double load, Path peers, Path recovery) throws Exception {
-        FleetTestbed stand = new FleetTestbed(experiment(load), 1, launcher(peers, recovery), null, line -> { });
+        FleetTestbed stand =
+                new FleetTestbed(experiment(load), 1, launcher(peers, recovery), null, line -> {});
         stand.start();
         return stand;
     }
 
-    static Fault fault(Fault.Kind kind, String from, String to, double at, double lasts, double share) {
-        return new Fault(kind, Fault.Channel.DATAGRAMS, FaultTarget.of(from), FaultTarget.of(to), true, at, lasts, share,
+    static Fault fault(
+            Fault.Kind kind, String from, String to, double at, double lasts, double share) {
+        return new Fault(
+                kind,
+                Fault.Channel.DATAGRAMS,
+                FaultTarget.of(from),
+                FaultTarget.of(to),
+                true,
+                at,
+                lasts,
+                share,
                 0.3);
     }
 
     static Fault cut(Fault.Channel channel, String from, String to, double at, double lasts) {
-        return new Fault(Fault.Kind.CUT, channel, FaultTarget.of(from), FaultTarget.of(to), false, at, lasts, 1, 0);
+        return new Fault(
+                Fault.Kind.CUT,
+                channel,
+                FaultTarget.of(from),
+                FaultTarget.of(to),
+                false,
+                at,
+                lasts,
+                1,
+                0);
     }
 
     /** A day with these troubles and faults, on which all rules are kept. */
-    static RunResult play(FleetTestbed stand, List<BackendFault> troubles, Fault... faults) throws Exception {
-        FleetTestbed.Played played = stand.play(troubles, List.of(faults), faults.length > 0 ? 5 : 2);
+    static RunResult play(FleetTestbed stand, List<BackendFault> troubles, Fault... faults)
+            throws Exception {
+        FleetTestbed.Played played =
+                stand.play(troubles, List.of(faults), faults.length > 0 ? 5 : 2);
         assertNull(played.broken(), played.broken());
         return played.figures();
     }
--- a/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
@@ -33,9 +33,17 @@
     private int fresh() {
         InetSocketAddress to = stand.address(0);
         try {
-            return http.send(HttpRequest.newBuilder(URI.create("http://" + LoopbackAddresses.text(to) + "/api"))
-                    .header("X-Trace-Id", BackendFleet.ASIDE + ++asked).header("X-Qos", "fresh")
-                    .header("X-Expires-In-Ms", "4000").build(), HttpResponse.BodyHandlers.ofString())
+            return http.send(
+                            HttpRequest.newBuilder(
+                                            URI.create(
+                                                    "http://"
+                                                            + LoopbackAddresses.text(to)
+                                                            + "/api"))
+                                    .header("X-Trace-Id", BackendFleet.ASIDE + ++asked)
+                                    .header("X-Qos", "fresh")
+                                    .header("X-Expires-In-Ms", "4000")
+                                    .build(),
+                            HttpResponse.BodyHandlers.ofString())
                     .statusCode();
         } catch (Exception e) {
             throw new AssertionError(e);
@@ -50,14 +58,19 @@
 
     private long refused() {
         try {
-            return Files.readString(stand.folder().resolve("n0.log")).lines()
-                    .filter(line -> line.contains("new configuration not used")).count();
+            return Files.readString(stand.folder().resolve("n0.log"))
+                    .lines()
+                    .filter(line -> line.contains("new configuration not used"))
+                    .count();
         } catch (java.io.IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** Danger: a file that is gone or broken though it holds from a start on kept the settings unfollowed. */
+    /**
+     * Danger: a file that is gone or broken though it holds from a start on kept the settings
+     * unfollowed.
+     */
     @Test
     void settingsAreFollowedWhateverBecomesOfThePeersFile(@TempDir Path folder) throws Exception {
         Path peers = folder.resolve("peers.json");
@@ -65,13 +78,15 @@
         Files.writeString(peers, good);
         stand = Fleets.start(0.3, peers);
         try (FleetTestbed its = stand) {
-            CompletableFuture<FleetTestbed.Played> traffic = CompletableFuture.supplyAsync(() -> {
-                try {
-                    return stand.play(List.of(), List.of(), 8);
-                } catch (InterruptedException e) {
-                    throw new IllegalStateException(e);
-                }
-            });
+            CompletableFuture<FleetTestbed.Played> traffic =
+                    CompletableFuture.supplyAsync(
+                            () -> {
+                                try {
+                                    return stand.play(List.of(), List.of(), 8);
+                                } catch (InterruptedException e) {
+                                    throw new IllegalStateException(e);
+                                }
+                            });
             Path config = stand.folder().resolve("n0.json");
             String usual = Files.readString(config), changed = withAFreshClass(usual);
             for (int i = 0; i < TIMES; i++) {
@@ -99,7 +114,10 @@
             }
             FleetTestbed.Played played = traffic.get();
             assertNull(played.broken());
-            assertEquals(played.figures().wants, played.figures().delivered, played.figures().toString());
+            assertEquals(
+                    played.figures().wants,
+                    played.figures().delivered,
+                    played.figures().toString());
             assertEquals(List.of(), its.stop());
         }
     }
--- a/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
+++ b/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
@@ -14,8 +14,9 @@
     @ValueSource(longs = {1, 2, 3})
     void allRulesAreKeptAndAllProcessesEndWell(long seed) throws Exception {
         SoakRun.Plan plan = SoakRun.plan(seed);
-        ProcessLauncher launcher = Fleets.launcher(Path.of("deploy/peers.json"), Path.of("deploy/recovery.json"));
-        SoakRun.Verdict verdict = SoakRun.play(plan, launcher, line -> { });
+        ProcessLauncher launcher =
+                Fleets.launcher(Path.of("deploy/peers.json"), Path.of("deploy/recovery.json"));
+        SoakRun.Verdict verdict = SoakRun.play(plan, launcher, line -> {});
         assertEquals(List.of(), verdict.wrong(), plan.about());
         assertTrue(verdict.figures().delivered > 0, plan.about());
     }
@@ -26,7 +27,11 @@
             assertEquals(SoakRun.plan(seed).about(), SoakRun.plan(seed).about());
         }
         assertNotEquals(SoakRun.plan(1).about(), SoakRun.plan(2).about());
-        assertTrue(SoakRun.plan(1).experiment().faults().stream()
-                .anyMatch(each -> each.kind() == lemondrift.lab.simulation.Fault.Kind.TERMINATE));
+        assertTrue(
+                SoakRun.plan(1).experiment().faults().stream()
+                        .anyMatch(
+                                each ->
+                                        each.kind()
+                                                == lemondrift.lab.simulation.Fault.Kind.TERMINATE));
     }
 }
--- a/src/test/java/lemondrift/lab/load/LoadTest.java
+++ b/src/test/java/lemondrift/lab/load/LoadTest.java
@@ -15,19 +15,25 @@
 class LoadTest {
     private static InetSocketAddress answering(String status, int delay) throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-        daemon(() -> {
-            while (true) {
-                Socket socket = server.accept();
-                daemon(() -> {
-                    byte[] buffer = new byte[4096];
-                    while (socket.getInputStream().read(buffer) > 0) {
-                        Thread.sleep(delay);
-                        String answer = "HTTP/1.1 " + status + "\r\nContent-Length: 2\r\n\r\nok";
-                        socket.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+        daemon(
+                () -> {
+                    while (true) {
+                        Socket socket = server.accept();
+                        daemon(
+                                () -> {
+                                    byte[] buffer = new byte[4096];
+                                    while (socket.getInputStream().read(buffer) > 0) {
+                                        Thread.sleep(delay);
+                                        String answer =
+                                                "HTTP/1.1 "
+                                                        + status
+                                                        + "\r\nContent-Length: 2\r\n\r\nok";
+                                        socket.getOutputStream()
+                                                .write(answer.getBytes(StandardCharsets.US_ASCII));
+                                    }
+                                });
                     }
                 });
-            }
-        });
         return new InetSocketAddress("127.0.0.1", server.getLocalPort());
     }
 
@@ -36,18 +42,21 @@
     }
 
     private static void daemon(Task task) {
-        Thread thread = new Thread(() -> {
-            try {
-                task.run();
-            } catch (Exception e) {
-                // The other side is closed.
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (Exception e) {
+                                // The other side is closed.
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static Load.Result play(InetSocketAddress to, double rate, int connections) throws Exception {
+    private static Load.Result play(InetSocketAddress to, double rate, int connections)
+            throws Exception {
         return Load.play(new Load.Plan(to, rate, 1, 0.2, connections, "look", 5));
     }
 
@@ -65,7 +74,8 @@
         Load.Result result = play(answering("200 OK", 50), 200, 2);
         assertFalse(result.keptUp());
         assertTrue(result.toString().contains("BEHIND"), result.toString());
-        assertTrue(result.latency().getMaxValue() > 1_000_000, "from when it should have been sent");
+        assertTrue(
+                result.latency().getMaxValue() > 1_000_000, "from when it should have been sent");
     }
 
     @Test
@@ -80,7 +90,8 @@
     }
 
     private static void refused(InetSocketAddress to, double rate) {
-        assertThrows(InvalidSettingsException.class, () -> new Load.Plan(to, rate, 1, 0, 1, "look", 1));
+        assertThrows(
+                InvalidSettingsException.class, () -> new Load.Plan(to, rate, 1, 0, 1, "look", 1));
     }
 
     @Test
--- a/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
+++ b/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
@@ -14,7 +14,8 @@
         LoadEvenness its = new LoadEvenness(4, 1, 1);
         its.holds(0, 3, true, 0);
         its.holds(1, 1, true, 0);
-        // Two stand idle and two wait; from 1 s on one of the idle is down, from 2 s on nobody waits.
+        // Two stand idle and two wait; from 1 s on one of the idle is down, from 2 s on nobody
+        // waits.
         its.holds(2, 0, false, 1);
         its.holds(0, 1, true, 2);
         LoadEvenness.Measure day = its.measure(4);
@@ -54,8 +55,8 @@
 
     /** Beside a plain sum over moments of one second each. */
     @Property(tries = 200, seed = "48")
-    void wasteAndFullestAreThoseOfAPlainSum(@ForAll @Size(30) int[] moves,
-            @ForAll @IntRange(min = 1, max = 3) int cores) {
+    void wasteAndFullestAreThoseOfAPlainSum(
+            @ForAll @Size(30) int[] moves, @ForAll @IntRange(min = 1, max = 3) int cores) {
         LoadEvenness its = new LoadEvenness(3, cores, 1);
         int[] held = new int[3];
         double waste = 0, fullest = 0;
--- a/src/test/java/lemondrift/lab/simulation/Scenarios.java
+++ b/src/test/java/lemondrift/lab/simulation/Scenarios.java
@@ -9,27 +9,61 @@
 
 /** Small days to play. */
 final class Scenarios {
-    private static final List<RequestClass> GRADES = List.of(
-            new RequestClass(1, 0, 0.5, 1.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
-            new RequestClass(3, 0, 0.5, 1.2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.LOCATION, 0.6),
-            new RequestClass(9, 0, 0.5, 1.2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0));
+    private static final List<RequestClass> GRADES =
+            List.of(
+                    new RequestClass(
+                            1, 0, 0.5, 1.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
+                    new RequestClass(
+                            3,
+                            0,
+                            0.5,
+                            1.2,
+                            Idempotency.IDEMPOTENT_WITH_KEY,
+                            DeduplicationScope.LOCATION,
+                            0.6),
+                    new RequestClass(
+                            9, 0, 0.5, 1.2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0));
 
     private Scenarios() {}
 
     static Settings settings(int proxies) {
-        return new Settings(proxies, 2, 0, false, GRADES, new double[0], 1, false,
-                new Settings.LoadReports(true, 0, 1, false, -1), new Settings.Limits(true, true, 4, 0.5),
-                new Settings.Rules(0.3, 6, 3, 2, 10), new Settings.Costs(0.01, 0.002));
+        return new Settings(
+                proxies,
+                2,
+                0,
+                false,
+                GRADES,
+                new double[0],
+                1,
+                false,
+                new Settings.LoadReports(true, 0, 1, false, -1),
+                new Settings.Limits(true, true, 4, 0.5),
+                new Settings.Rules(0.3, 6, 3, 2, 10),
+                new Settings.Costs(0.01, 0.002));
     }
 
     /** Some 0.65 of what the backends can do, for twenty seconds. */
     static Scenario of(int proxies, int backends, long seed, BackendFault... troubles) {
         double rate = 0.65 * Math.max(1, backends) * 2 / 0.05;
-        return new Scenario(settings(proxies), proxies, backends, 2, rate, 0.05, 0.5, 3, 0.0005, 0.4, 2, 20, seed,
+        return new Scenario(
+                settings(proxies),
+                proxies,
+                backends,
+                2,
+                rate,
+                0.05,
+                0.5,
+                3,
+                0.0005,
+                0.4,
+                2,
+                20,
+                seed,
                 List.of(troubles));
     }
 
     static RunResult play(Scenario day) {
-        return new Simulation(day, p -> new ModuleUnderTest(day.settings(), day.seed() * 1000 + p)).play();
+        return new Simulation(day, p -> new ModuleUnderTest(day.settings(), day.seed() * 1000 + p))
+                .play();
     }
 }
--- a/src/test/java/lemondrift/lab/simulation/SimulationTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -28,19 +28,24 @@
     }
 
     private static BackendFault usual(Kind kind) {
-        return trouble(kind, 0.3, switch (kind) {
-            case ERRORS, GRADE -> 0.8;
-            case BURST -> 1.8;
-            default -> 3;
-        });
+        return trouble(
+                kind,
+                0.3,
+                switch (kind) {
+                    case ERRORS, GRADE -> 0.8;
+                    case BURST -> 1.8;
+                    default -> 3;
+                });
     }
 
     @Test
     void theSameSeedIsTheSameDay() {
         Scenario day = Scenarios.of(3, 8, 1, usual(Kind.CRASH), usual(Kind.SLOW));
         assertEquals(Scenarios.play(day).toString(), Scenarios.play(day).toString());
-        assertNotEquals(Scenarios.play(day).toString(), Scenarios.play(Scenarios.of(3, 8, 2, usual(Kind.CRASH),
-                usual(Kind.SLOW))).toString());
+        assertNotEquals(
+                Scenarios.play(day).toString(),
+                Scenarios.play(Scenarios.of(3, 8, 2, usual(Kind.CRASH), usual(Kind.SLOW)))
+                        .toString());
     }
 
     @Test
@@ -60,15 +65,18 @@
     }
 
     @Property(tries = 12, seed = "20261201")
-    void andInAnyTogether(@ForAll @Size(min = 2, max = 4) List<Kind> kinds,
+    void andInAnyTogether(
+            @ForAll @Size(min = 2, max = 4) List<Kind> kinds,
             @ForAll @IntRange(max = 99) int seed) {
-        BackendFault[] troubles = kinds.stream().map(SimulationTest::usual).toArray(BackendFault[]::new);
+        BackendFault[] troubles =
+                kinds.stream().map(SimulationTest::usual).toArray(BackendFault[]::new);
         assertEquals(0, Scenarios.play(Scenarios.of(3, 6, seed, troubles)).unanswered);
     }
 
     @Test
     void theFiguresTellWhenAndWhereMostIsLost() {
-        RunResult figures = Scenarios.play(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 8, 3, 1, 1)));
+        RunResult figures =
+                Scenarios.play(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 8, 3, 1, 1)));
         int worst = figures.worstWindow(3);
         assertTrue(worst >= 7 && worst <= 9, "from " + worst);
         double lost = 0;
@@ -83,15 +91,23 @@
     void whereEveryBackendIsGoneAllIsAnsweredAtOnce() {
         RunResult none = Scenarios.play(Scenarios.of(2, 0, 1));
         assertEquals(none.taken, none.shed);
-        RunResult gone = Scenarios.play(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 4, 30, 1, 1)));
+        RunResult gone =
+                Scenarios.play(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 4, 30, 1, 1)));
         assertEquals(0, gone.unanswered);
         assertTrue(gone.shed > 0.5 * gone.taken, gone.toString());
     }
 
     @Test
     void twoTroublesThatEndAtTheSameInstantEndOnce() {
-        Scenario day = Scenarios.of(3, 4, 1, new BackendFault(Kind.CRASH, 4, 4, 1, 1), new BackendFault(Kind.VANISH, 3, 5, 1, 1),
-                new BackendFault(Kind.SLOW, 2, 6, 1, 4), new BackendFault(Kind.STALL, 2, 6, 1, 1));
+        Scenario day =
+                Scenarios.of(
+                        3,
+                        4,
+                        1,
+                        new BackendFault(Kind.CRASH, 4, 4, 1, 1),
+                        new BackendFault(Kind.VANISH, 3, 5, 1, 1),
+                        new BackendFault(Kind.SLOW, 2, 6, 1, 4),
+                        new BackendFault(Kind.STALL, 2, 6, 1, 1));
         RunResult figures = Scenarios.play(day);
         assertEquals(0, figures.unanswered);
         assertTrue(figures.service() > 0.2, "it goes on after them: " + figures);
@@ -119,13 +135,19 @@
         }
 
         @Override
-        public Decision ended(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over,
+        public Decision ended(
+                double now,
+                Attempt attempt,
+                AttemptOutcome outcome,
+                double durationSeconds,
+                boolean over,
                 double[] loadReport) {
             return spoils(module.ended(now, attempt, outcome, durationSeconds, over, loadReport));
         }
 
         @Override
-        public Decision probed(double now, int backend, AttemptOutcome outcome, double[] loadReport) {
+        public Decision probed(
+                double now, int backend, AttemptOutcome outcome, double[] loadReport) {
             return spoils(module.probed(now, backend, outcome, loadReport));
         }
 
@@ -146,7 +168,8 @@
     }
 
     private static void breaks(int rule, Scenario day, RoutingPolicy spoilt) {
-        Referee.Broken broken = assertThrows(Referee.Broken.class, () -> new Simulation(day, p -> spoilt).play());
+        Referee.Broken broken =
+                assertThrows(Referee.Broken.class, () -> new Simulation(day, p -> spoilt).play());
         assertEquals(rule, broken.rule, broken.getMessage());
         assertTrue(broken.getMessage().lines().count() > 5, "it tells what went before");
     }
@@ -154,47 +177,97 @@
     @Test
     void aModuleThatDoesNotAnswerIsCaught() {
         Scenario day = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 10, 1, 1));
-        breaks(1, day, new Spoilt(day.settings()) {
-            @Override
-            Decision spoils(Decision decision) {
-                decision.localReplies.clear();
-                return decision;
-            }
-        });
+        breaks(
+                1,
+                day,
+                new Spoilt(day.settings()) {
+                    @Override
+                    Decision spoils(Decision decision) {
+                        decision.localReplies.clear();
+                        return decision;
+                    }
+                });
     }
 
     @Test
     void aModuleThatRepeatsWhatMayHaveRunIsCaught() {
         Scenario day = Scenarios.of(1, 4, 1, new BackendFault(Kind.ERRORS, 2, 10, 1, 1));
         Map<Request, Attempt> again = new HashMap<>();
-        breaks(2, day, new Spoilt(day.settings()) {
-            @Override
-            public Decision ended(double now, Attempt attempt, AttemptOutcome outcome, double durationSeconds, boolean over,
-                double[] loadReport) {
-                Decision decision = super.ended(now, attempt, outcome, durationSeconds, over, loadReport);
-                if (outcome == AttemptOutcome.ERROR && day.settings().requestClasses().get(attempt.request.requestClass).idempotency()
-                        == Idempotency.NOT_IDEMPOTENT && again.put(attempt.request, attempt) == null) {
-                    decision.localReplies.clear();
-                    decision.attempts.add(new Attempt(attempt.request, (attempt.backend + 1) % 4, now, 0.1, 0));
-                }
-                return decision;
-            }
-        });
+        breaks(
+                2,
+                day,
+                new Spoilt(day.settings()) {
+                    @Override
+                    public Decision ended(
+                            double now,
+                            Attempt attempt,
+                            AttemptOutcome outcome,
+                            double durationSeconds,
+                            boolean over,
+                            double[] loadReport) {
+                        Decision decision =
+                                super.ended(
+                                        now, attempt, outcome, durationSeconds, over, loadReport);
+                        if (outcome == AttemptOutcome.ERROR
+                                && day.settings()
+                                                .requestClasses()
+                                                .get(attempt.request.requestClass)
+                                                .idempotency()
+                                        == Idempotency.NOT_IDEMPOTENT
+                                && again.put(attempt.request, attempt) == null) {
+                            decision.localReplies.clear();
+                            decision.attempts.add(
+                                    new Attempt(
+                                            attempt.request,
+                                            (attempt.backend + 1) % 4,
+                                            now,
+                                            0.1,
+                                            0));
+                        }
+                        return decision;
+                    }
+                });
     }
 
     @Test
     void aModuleThatSendsToTheDrainingIsCaught() {
         // The drain is told; its process lives on for longer than the grace.
         Scenario quick = Scenarios.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
-        Scenario day = new Scenario(quick.settings(), 1, 3, 2, quick.rate(), quick.work(), 0.5, 3, 0.0005, 0.4, 0.2, 20,
-                1, quick.troubles());
-        breaks(3, day, new Spoilt(day.settings()) {
-            @Override
-            List<EndpointUpdate> hears(List<EndpointUpdate> updates) {
-                return updates.stream().map(update -> new EndpointUpdate(update.backend(), update.newBackend(), update.location(),
-                        update.cell(), EndpointUpdate.State.READY, update.startedAt())).toList();
-            }
-        });
+        Scenario day =
+                new Scenario(
+                        quick.settings(),
+                        1,
+                        3,
+                        2,
+                        quick.rate(),
+                        quick.work(),
+                        0.5,
+                        3,
+                        0.0005,
+                        0.4,
+                        0.2,
+                        20,
+                        1,
+                        quick.troubles());
+        breaks(
+                3,
+                day,
+                new Spoilt(day.settings()) {
+                    @Override
+                    List<EndpointUpdate> hears(List<EndpointUpdate> updates) {
+                        return updates.stream()
+                                .map(
+                                        update ->
+                                                new EndpointUpdate(
+                                                        update.backend(),
+                                                        update.newBackend(),
+                                                        update.location(),
+                                                        update.cell(),
+                                                        EndpointUpdate.State.READY,
+                                                        update.startedAt()))
+                                .toList();
+                    }
+                });
         Scenarios.play(day);
     }
 
@@ -202,64 +275,144 @@
     void aModuleThatTakesTheColdForWarmIsCaught() {
         Scenario usual = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 4, 0.75, 1));
         Settings told = usual.settings();
-        Settings frail = new Settings(1, 2, 0, false, told.requestClasses(), new double[0], 1, false, told.loadReports(),
-                told.limits(), new Settings.Rules(0.3, 6, 1.5, 2, 10), told.costs());
-        Scenario few = new Scenario(frail, 1, 4, 2, 2 * usual.rate(), 0.05, 0.5, 3, 0.0005, 0.4, 2, 20, 1,
-                usual.troubles());
-        breaks(4, few, new Spoilt(few.settings()) {
-            private int cold = -1;
+        Settings frail =
+                new Settings(
+                        1,
+                        2,
+                        0,
+                        false,
+                        told.requestClasses(),
+                        new double[0],
+                        1,
+                        false,
+                        told.loadReports(),
+                        told.limits(),
+                        new Settings.Rules(0.3, 6, 1.5, 2, 10),
+                        told.costs());
+        Scenario few =
+                new Scenario(
+                        frail,
+                        1,
+                        4,
+                        2,
+                        2 * usual.rate(),
+                        0.05,
+                        0.5,
+                        3,
+                        0.0005,
+                        0.4,
+                        2,
+                        20,
+                        1,
+                        usual.troubles());
+        breaks(
+                4,
+                few,
+                new Spoilt(few.settings()) {
+                    private int cold = -1;
 
-            @Override
-            List<EndpointUpdate> hears(List<EndpointUpdate> updates) {
-                updates.stream().filter(update -> update.startedAt() > 0).forEach(update -> cold = update.backend());
-                return updates;
-            }
+                    @Override
+                    List<EndpointUpdate> hears(List<EndpointUpdate> updates) {
+                        updates.stream()
+                                .filter(update -> update.startedAt() > 0)
+                                .forEach(update -> cold = update.backend());
+                        return updates;
+                    }
 
-            @Override
-            Decision spoils(Decision decision) {
-                // It looks idle, so it gets all.
-                decision.attempts.replaceAll(attempt -> cold < 0 ? attempt
-                        : new Attempt(attempt.request, cold, attempt.sentAt, attempt.timeoutSeconds, attempt.queueAhead));
-                return decision;
-            }
-        });
+                    @Override
+                    Decision spoils(Decision decision) {
+                        // It looks idle, so it gets all.
+                        decision.attempts.replaceAll(
+                                attempt ->
+                                        cold < 0
+                                                ? attempt
+                                                : new Attempt(
+                                                        attempt.request,
+                                                        cold,
+                                                        attempt.sentAt,
+                                                        attempt.timeoutSeconds,
+                                                        attempt.queueAhead));
+                        return decision;
+                    }
+                });
         Scenarios.play(few);
     }
 
     @Test
     void baselinesKeepTheFirstThreeRulesAndPushTheColdOver() {
-        Scenario day = Scenarios.of(3, 8, 1, new BackendFault(Kind.CRASH, 4, 3, 0.6, 1), trouble(Kind.BURST, 1, 2));
+        Scenario day =
+                Scenarios.of(
+                        3,
+                        8,
+                        1,
+                        new BackendFault(Kind.CRASH, 4, 3, 0.6, 1),
+                        trouble(Kind.BURST, 1, 2));
         double module = Scenarios.play(day).service();
         for (Baseline.Kind kind : Baseline.Kind.values()) {
             Simulation[] world = {null};
-            world[0] = new Simulation(day, 3, p -> new Baseline(kind, day.settings(), p,
-                    i -> world[0].trueLoad(i)));
+            world[0] =
+                    new Simulation(
+                            day,
+                            3,
+                            p -> new Baseline(kind, day.settings(), p, i -> world[0].trueLoad(i)));
             RunResult figures = world[0].play();
             assertEquals(0, figures.unanswered, kind + ": " + figures);
-            assertTrue(kind == Baseline.Kind.ORACLE || figures.service() < module, kind + ": " + figures);
+            assertTrue(
+                    kind == Baseline.Kind.ORACLE || figures.service() < module,
+                    kind + ": " + figures);
         }
     }
 
-    /** A client that asks again and again keeps a world tipped after its trouble, where nothing is shed. */
+    /**
+     * A client that asks again and again keeps a world tipped after its trouble, where nothing is
+     * shed.
+     */
     @Test
     void aRetryStormOutlivesItsTroubleWithANaivePolicyAndNotWithTheModule() {
         Scenario calm = Scenarios.of(2, 6, 1);
-        Scenario storm = new Scenario(calm.settings(), 2, 6, 2, 1.25 * calm.rate(), 0.05, 0.5, 6, 0.0005, 0.4, 2, 40, 1,
-                List.of(new BackendFault(Kind.HEAVY, 5, 5, 1, 4)));
+        Scenario storm =
+                new Scenario(
+                        calm.settings(),
+                        2,
+                        6,
+                        2,
+                        1.25 * calm.rate(),
+                        0.05,
+                        0.5,
+                        6,
+                        0.0005,
+                        0.4,
+                        2,
+                        40,
+                        1,
+                        List.of(new BackendFault(Kind.HEAVY, 5, 5, 1, 4)));
         Simulation[] world = {null};
-        world[0] = new Simulation(storm, 3, p -> new Baseline(Baseline.Kind.LEAST_OUTSTANDING, storm.settings(), p,
-                i -> world[0].trueLoad(i)));
+        world[0] =
+                new Simulation(
+                        storm,
+                        3,
+                        p ->
+                                new Baseline(
+                                        Baseline.Kind.LEAST_OUTSTANDING,
+                                        storm.settings(),
+                                        p,
+                                        i -> world[0].trueLoad(i)));
         double naive = world[0].play().service(), module = Scenarios.play(storm).service();
         assertTrue(module > naive + 0.1, "module " + module + ", naive " + naive);
     }
 
     @Test
     void whatCannotBeIsRefused() {
-        assertThrows(IllegalArgumentException.class, () -> new BackendFault(Kind.SLOW, -1, 1, 0.5, 1));
-        assertThrows(IllegalArgumentException.class, () -> new BackendFault(Kind.SLOW, 1, 0, 0.5, 1));
-        assertThrows(IllegalArgumentException.class, () -> new BackendFault(Kind.SLOW, 1, 1, Double.NaN, 1));
+        assertThrows(
+                IllegalArgumentException.class, () -> new BackendFault(Kind.SLOW, -1, 1, 0.5, 1));
+        assertThrows(
+                IllegalArgumentException.class, () -> new BackendFault(Kind.SLOW, 1, 0, 0.5, 1));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new BackendFault(Kind.SLOW, 1, 1, Double.NaN, 1));
         Scenario day = Scenarios.of(1, 1, 1);
-        assertThrows(IllegalArgumentException.class, () -> new Scenario(day.settings(), 0, 1, 1, 1, 1, 0, 1, 0, 0,
-                0, 1, 1, List.of()));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Scenario(day.settings(), 0, 1, 1, 1, 1, 0, 1, 0, 0, 0, 1, 1, List.of()));
     }
 }
--- a/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
@@ -16,7 +16,10 @@
         assertNull(loopMetrics.iterationEnded(0.001, 0, 10), "nothing of note");
         loopMetrics.eventHandled(EventLoopMetrics.Kind.TIMER, 0.3);
         loopMetrics.eventHandled(EventLoopMetrics.Kind.LIST, -1);
-        assertTrue(loopMetrics.iterationEnded(0.06, 7, 10.5).startsWith("lately_waited_ms=300 lately_lasted_ms=60"));
+        assertTrue(
+                loopMetrics
+                        .iterationEnded(0.06, 7, 10.5)
+                        .startsWith("lately_waited_ms=300 lately_lasted_ms=60"));
         loopMetrics.eventHandled(EventLoopMetrics.Kind.ARRIVAL, 0.2);
         assertNull(loopMetrics.iterationEnded(0.01, 0, 11), "a line a second at the most");
         assertTrue(loopMetrics.iterationEnded(0.01, 0, 11.6).startsWith("lately_waited_ms=200"));
--- a/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
@@ -11,7 +11,8 @@
 class ProxyMetricsTest {
     /** 0 takes one, 1 answers and ends one, 2 ends one whose client has gone. */
     @Property(seed = "48")
-    void inHandIsWhatWasTakenLessWhatHasEnded(@ForAll List<@IntRange(min = 0, max = 2) Integer> events) {
+    void inHandIsWhatWasTakenLessWhatHasEnded(
+            @ForAll List<@IntRange(min = 0, max = 2) Integer> events) {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look"));
         int open = 0, answered = 0, gone = 0, taken = 0;
--- a/src/test/java/lemondrift/proxy/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/AdminServerTest.java
@@ -1,7 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.config.ProxyConfig;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import com.google.gson.JsonObject;
@@ -17,6 +15,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import lemondrift.proxy.admin.AdminServer;
+import lemondrift.proxy.config.ProxyConfig;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.xnio.XnioWorker;
@@ -34,7 +33,8 @@
 
     private void listen() throws IOException {
         worker = ProxyServer.worker();
-        adminServer = new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
+        adminServer =
+                new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
     }
 
     @AfterEach
@@ -65,7 +65,8 @@
     private JsonObject stats() throws IOException {
         String answer = call("GET", "/admin/stats");
         assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
-        return JsonParser.parseString(answer.substring(answer.indexOf("\r\n\r\n"))).getAsJsonObject();
+        return JsonParser.parseString(answer.substring(answer.indexOf("\r\n\r\n")))
+                .getAsJsonObject();
     }
 
     private int reply(String grade, String kind) throws IOException {
@@ -133,8 +134,12 @@
     @Test
     void figuresAreOfWhatWasDone() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        operate(backend(request -> request.contains("slow") ? await(go)
-                : request.contains("bad") ? CLOSE : OK));
+        operate(
+                backend(
+                        request ->
+                                request.contains("slow")
+                                        ? await(go)
+                                        : request.contains("bad") ? CLOSE : OK));
         assertEquals(200, look().statusCode());
         assertEquals(200, order("x").statusCode());
         assertEquals(502, order("bad").statusCode());
@@ -147,8 +152,12 @@
         assertEquals(0, stats.get("concurrent").getAsInt());
         assertEquals(1, stats.get("targets").getAsInt());
         assertEquals(0, stats.get("targets_disabled").getAsInt());
-        var slow = http.sendAsync(request("order").POST(java.net.http.HttpRequest.BodyPublishers
-                .ofString("slow")).build(), HttpResponse.BodyHandlers.ofString());
+        var slow =
+                http.sendAsync(
+                        request("order")
+                                .POST(java.net.http.HttpRequest.BodyPublishers.ofString("slow"))
+                                .build(),
+                        HttpResponse.BodyHandlers.ofString());
         while (stats().get("dispatches").getAsInt() < 4) {
             Thread.onSpinWait();
         }
@@ -206,8 +215,11 @@
         assertFalse(askAndStay(1, stay).contains("Connection: close"));
         assertTrue(call("PUT", "/admin/quiesce").startsWith("HTTP/1.1 200 "));
         assertEquals(503, healthz());
-        assertTrue(call("PUT", "/admin/quiesce").startsWith("HTTP/1.1 200 "), "said twice is as said once");
-        assertTrue(askAndStay(2, stay).contains("Connection: close"), "who comes is served, and goes");
+        assertTrue(
+                call("PUT", "/admin/quiesce").startsWith("HTTP/1.1 200 "),
+                "said twice is as said once");
+        assertTrue(
+                askAndStay(2, stay).contains("Connection: close"), "who comes is served, and goes");
         Socket late = new Socket("127.0.0.1", proxy.address().getPort());
         assertEquals(-1, stay.get(0).getInputStream().read(), "one without a word is closed");
         assertEquals(-1, late.getInputStream().read(), "one that comes and says nothing too");
@@ -226,6 +238,8 @@
         call("PUT", "/admin/quiesce");
         drains().join();
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503 "));
-        assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 503 "), "who has stopped stays so");
+        assertTrue(
+                call("PUT", "/admin/resume").startsWith("HTTP/1.1 503 "),
+                "who has stopped stays so");
     }
 }
--- a/src/test/java/lemondrift/proxy/AsyncLogTest.java
+++ b/src/test/java/lemondrift/proxy/AsyncLogTest.java
@@ -1,7 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.logging.AsyncLog;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.ByteArrayOutputStream;
@@ -9,6 +7,7 @@
 import java.io.PrintStream;
 import java.util.concurrent.CountDownLatch;
 import java.util.stream.IntStream;
+import lemondrift.proxy.logging.AsyncLog;
 import org.junit.jupiter.api.Test;
 
 /** The log beside a reader that takes nothing for a while. */
@@ -20,17 +19,19 @@
     void whoLogsWaitsForNoReaderAndWhatIsLeftOutIsCounted() throws Exception {
         CountDownLatch reads = new CountDownLatch(1);
         ByteArrayOutputStream read = new ByteArrayOutputStream();
-        AsyncLog log = new AsyncLog(new OutputStream() {
-            @Override
-            public void write(int b) {
-                try {
-                    reads.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                read.write(b);
-            }
-        });
+        AsyncLog log =
+                new AsyncLog(
+                        new OutputStream() {
+                            @Override
+                            public void write(int b) {
+                                try {
+                                    reads.await();
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                                read.write(b);
+                            }
+                        });
         PrintStream out = new PrintStream(log, true);
         // Returns, or the test never ends.
         IntStream.range(0, MANY).forEach(i -> out.println("line " + i));
@@ -41,9 +42,16 @@
         String[] lines = read.toString().split("\n");
         assertEquals("line 0", lines[0]);
         assertEquals("last", lines[lines.length - 1]);
-        int whole = (int) java.util.Arrays.stream(lines).filter(each -> each.startsWith("line ")).count();
-        int leftOut = java.util.Arrays.stream(lines).filter(each -> each.startsWith("log lines left out: "))
-                .mapToInt(each -> Integer.parseInt(each.replaceAll("\\D", ""))).sum();
+        int whole =
+                (int)
+                        java.util.Arrays.stream(lines)
+                                .filter(each -> each.startsWith("line "))
+                                .count();
+        int leftOut =
+                java.util.Arrays.stream(lines)
+                        .filter(each -> each.startsWith("log lines left out: "))
+                        .mapToInt(each -> Integer.parseInt(each.replaceAll("\\D", "")))
+                        .sum();
         assertEquals(MANY, whole + leftOut);
         assertTrue(leftOut > 0);
     }
--- a/src/test/java/lemondrift/proxy/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionLoad.java
@@ -15,9 +15,9 @@
 import lemondrift.lab.load.Load;
 
 /**
- * What an exchange and each kind of flood cost a proxy, for builds given as jars, in turns; run by hand, no
- * part of CI. LoopbackFixture alone; everything is bounded in number. Delay counts from when a request should have
- * been sent.
+ * What an exchange and each kind of flood cost a proxy, for builds given as jars, in turns; run by
+ * hand, no part of CI. LoopbackFixture alone; everything is bounded in number. Delay counts from
+ * when a request should have been sent.
  */
 final class ClientConnectionLoad {
     private static final int CONNECTIONS = 24, TURNS = 4;
@@ -32,27 +32,49 @@
             try (ServerSocket free = new ServerSocket(0)) {
                 port = free.getLocalPort();
             }
-            String list = "{\"revision\":1,\"complete\":true,\"members\":[{\"id\":\"s\",\"host_port\":"
-                    + "\"127.0.0.1:" + backend + "\",\"locality\":\"a\",\"flavor\":\"m\",\"cell\":0,"
-                    + "\"phase\":\"active\",\"size\":1.0,\"up_since_ms\":0}]}";
+            String list =
+                    "{\"revision\":1,\"complete\":true,\"members\":[{\"id\":\"s\",\"host_port\":"
+                            + "\"127.0.0.1:"
+                            + backend
+                            + "\",\"locality\":\"a\",\"flavor\":\"m\",\"cell\":0,"
+                            + "\"phase\":\"active\",\"size\":1.0,\"up_since_ms\":0}]}";
             int discovery = answering(head -> head.contains("?") ? null : list);
             String grade = "\"contractTime\":1500,\"expiry\":4000,\"benefit\":1,";
             Path config = Files.createTempFile("door", ".json");
-            Files.writeString(config, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":"
-                    + "\"127.0.0.1:" + discovery + "\",\"seed\":\"8c1f30d27a5be964\","
-                    + "\"limits\":{\"sockets\":1024},"
-                    + "\"settings\":{\"siblings\":1,\"zone\":0,\"localities\":[\"a\"],"
-                    + "\"membershipMode\":\"pushed\","
-                    + "\"limits\":{\"mayCancel\":true,\"probes\":false,\"mostForwards\":4,"
-                    + "\"retryAfter\":true,"
-                    + "\"maxRetryAfter\":500,\"connIdle\":10000,\"connectTimeout\":250},\"invariants\":{"
-                    + "\"coldFrom\":0.3,\"cold\":8000,\"fallMultiple\":3,\"overloadFor\":2000},\"report\":{"
-                    + "\"how\":\"inline\",\"names\":[\"queue\",\"util\"]},\"charges\":{\"probe\":0.001},"
-                    + "\"serviceGrades\":[{\"name\":\"look\"," + grade + "\"effect\":\"retryable\"}]}}");
-            ProcessBuilder start = new ProcessBuilder("java", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-                    "-Xms48m", "-Xmx88m", "-jar", jar.toString(), "serve");
+            Files.writeString(
+                    config,
+                    "{\"name\":\"n0\",\"listen\":\"127.0.0.1:"
+                            + port
+                            + "\",\"discovery\":"
+                            + "\"127.0.0.1:"
+                            + discovery
+                            + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},"
+                            + "\"settings\":{\"siblings\":1,\"zone\":0,\"localities\":[\"a\"],"
+                            + "\"membershipMode\":\"pushed\","
+                            + "\"limits\":{\"mayCancel\":true,\"probes\":false,\"mostForwards\":4,"
+                            + "\"retryAfter\":true,"
+                            + "\"maxRetryAfter\":500,\"connIdle\":10000,\"connectTimeout\":250},"
+                            + "\"invariants\":{"
+                            + "\"coldFrom\":0.3,\"cold\":8000,\"fallMultiple\":3,\"overloadFor\":2000},"
+                            + "\"report\":{\"how\":\"inline\",\"names\":[\"queue\",\"util\"]},"
+                            + "\"charges\":{\"probe\":0.001},\"serviceGrades\":[{\"name\":\"look\","
+                            + grade
+                            + "\"effect\":\"retryable\"}]}}");
+            ProcessBuilder start =
+                    new ProcessBuilder(
+                            "java",
+                            "-XX:+UseSerialGC",
+                            "-XX:TieredStopAtLevel=1",
+                            "-Xms48m",
+                            "-Xmx88m",
+                            "-jar",
+                            jar.toString(),
+                            "serve");
             start.environment().put("PROXY_CONFIG", config.toString());
-            process = start.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+            process =
+                    start.redirectErrorStream(true)
+                            .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                            .start();
             for (int tries = 0; tries < 200; tries++) {
                 try {
                     new Socket("127.0.0.1", port).close();
@@ -83,24 +105,38 @@
 
     private ClientConnectionLoad() {}
 
-    /** The port of a server on loopback that answers 200 with what the script says, or holds on null. */
+    /**
+     * The port of a server on loopback that answers 200 with what the script says, or holds on
+     * null.
+     */
     private static int answering(Script script) throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-        daemon(() -> {
-            while (true) {
-                Socket socket = server.accept();
-                socket.setTcpNoDelay(true);
-                daemon(() -> {
-                    for (String head = read(socket); head != null; head = read(socket)) {
-                        String body = script.body(head);
-                        if (body != null) {
-                            write(socket, "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT queue=0, "
-                                    + "util=0.2\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-                        }
+        daemon(
+                () -> {
+                    while (true) {
+                        Socket socket = server.accept();
+                        socket.setTcpNoDelay(true);
+                        daemon(
+                                () -> {
+                                    for (String head = read(socket);
+                                            head != null;
+                                            head = read(socket)) {
+                                        String body = script.body(head);
+                                        if (body != null) {
+                                            write(
+                                                    socket,
+                                                    "HTTP/1.1 200 OK\r\n"
+                                                            + "Endpoint-Load-Metrics: TEXT queue=0,"
+                                                            + " util=0.2\r\n"
+                                                            + "Content-Length: "
+                                                            + body.length()
+                                                            + "\r\n\r\n"
+                                                            + body);
+                                        }
+                                    }
+                                });
                     }
                 });
-            }
-        });
         return server.getLocalPort();
     }
 
@@ -109,13 +145,15 @@
     }
 
     private static void daemon(Task task) {
-        Thread thread = new Thread(() -> {
-            try {
-                task.run();
-            } catch (Exception e) {
-                // The other side is closed.
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (Exception e) {
+                                // The other side is closed.
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
@@ -143,17 +181,33 @@
     }
 
     private static String look(String id) {
-        return "GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + id + "\r\nX-Qos: look\r\nX-Expires-In-Ms: 4000"
+        return "GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
+                + id
+                + "\r\nX-Qos: look\r\nX-Expires-In-Ms: 4000"
                 + "\r\n\r\n";
     }
 
-    /** Processor in microseconds an exchange, and delay in microseconds at the median and 99th percentile. */
+    /**
+     * Processor in microseconds an exchange, and delay in microseconds at the median and 99th
+     * percentile.
+     */
     private static double[] load(Build build, double rate) throws Exception {
         double before = build.processor();
-        Load.Result result = Load.play(new Load.Plan(new InetSocketAddress("127.0.0.1", build.port), rate,
-                SECONDS, 0, CONNECTIONS, "look", 4));
-        return new double[] {(build.processor() - before) / result.sent() * 1e6,
-            result.latency().getValueAtPercentile(50), result.latency().getValueAtPercentile(99)};
+        Load.Result result =
+                Load.play(
+                        new Load.Plan(
+                                new InetSocketAddress("127.0.0.1", build.port),
+                                rate,
+                                SECONDS,
+                                0,
+                                CONNECTIONS,
+                                "look",
+                                4));
+        return new double[] {
+            (build.processor() - before) / result.sent() * 1e6,
+            result.latency().getValueAtPercentile(50),
+            result.latency().getValueAtPercentile(99)
+        };
     }
 
     /** Processor in milliseconds for a thousand events of a kind. */
@@ -206,23 +260,32 @@
             for (int turn = 0; turn < TURNS; turn++) {
                 for (int b = 0; b < builds.size(); b++) {
                     double[] got = load(builds.get(b), rate);
-                    System.out.printf("%s at %.0f/s: processor %.0f us, delay %.0f us, 99%% %.0f us%n",
+                    System.out.printf(
+                            "%s at %.0f/s: processor %.0f us, delay %.0f us, 99%% %.0f us%n",
                             jars[b], rate, got[0], got[1], got[2]);
                 }
             }
         }
-        List<String> names = List.of("connects without a word", "malformed", "no id", "asks once",
-                "at once, 250 a time");
-        List<Event> events = List.of((port, i) -> new Socket("127.0.0.1", port).close(),
-                (port, i) -> once(port, "\u0001noise\r\n\r\n", true),
-                (port, i) -> once(port, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", true),
-                (port, i) -> once(port, look("f" + port + "-" + System.nanoTime()), true),
-                (port, i) -> burst(port, i % 250 == 0 ? 250 : 0));
+        List<String> names =
+                List.of(
+                        "connects without a word",
+                        "malformed",
+                        "no id",
+                        "asks once",
+                        "at once, 250 a time");
+        List<Event> events =
+                List.of(
+                        (port, i) -> new Socket("127.0.0.1", port).close(),
+                        (port, i) -> once(port, "\u0001noise\r\n\r\n", true),
+                        (port, i) -> once(port, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", true),
+                        (port, i) -> once(port, look("f" + port + "-" + System.nanoTime()), true),
+                        (port, i) -> burst(port, i % 250 == 0 ? 250 : 0));
         for (int kind = 0; kind < events.size(); kind++) {
             for (int turn = 0; turn < 2; turn++) {
                 for (int b = 0; b < builds.size(); b++) {
-                    System.out.printf("%s, a thousand of '%s': processor %.0f ms%n", jars[b], names.get(kind),
-                            flood(builds.get(b), events.get(kind)));
+                    System.out.printf(
+                            "%s, a thousand of '%s': processor %.0f ms%n",
+                            jars[b], names.get(kind), flood(builds.get(b), events.get(kind)));
                 }
             }
         }
--- a/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
@@ -1,9 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.config.ConnectionSettingsFile;
-import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.lifecycle.ProxyLauncher;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.ByteArrayOutputStream;
@@ -24,6 +20,9 @@
 import java.util.zip.ZipEntry;
 import java.util.zip.ZipOutputStream;
 import lemondrift.connection.ConnectionLimits;
+import lemondrift.proxy.config.ConnectionSettingsFile;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.lifecycle.ProxyLauncher;
 import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -52,8 +51,11 @@
     }
 
     private static byte[] look(int id) {
-        return ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: door-" + id + "\r\nX-Qos: look\r\n"
-                + "X-Expires-In-Ms: 4000\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+        return ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: door-"
+                        + id
+                        + "\r\nX-Qos: look\r\n"
+                        + "X-Expires-In-Ms: 4000\r\n\r\n")
+                .getBytes(StandardCharsets.US_ASCII);
     }
 
     private static void say(Socket client, byte[] text) throws IOException {
@@ -77,12 +79,18 @@
         for (Socket each : crossing) {
             String answer = read(each);
             assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("body"), answer);
-            assertEquals(-1, each.getInputStream().read(), "closed, with nothing begun for the second");
+            assertEquals(
+                    -1, each.getInputStream().read(), "closed, with nothing begun for the second");
         }
         drain.join();
         assertEquals(ProxyServer.Phase.STOPPED, proxy.phase());
-        assertTrue(backend.requests.stream().noneMatch(request -> request.matches(
-                "(?s).*X-Trace-Id: door-\\d*[13579]\r\n.*")), "what crossed was not forwarded");
+        assertTrue(
+                backend.requests.stream()
+                        .noneMatch(
+                                request ->
+                                        request.matches(
+                                                "(?s).*X-Trace-Id: door-\\d*[13579]\r\n.*")),
+                "what crossed was not forwarded");
     }
 
     @Test
@@ -101,18 +109,21 @@
     void oneThatSendsManyAheadHoldsNobodyUp() throws Exception {
         start(backend(OK));
         Socket client = connect(0);
-        byte[] health = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+        byte[] health =
+                "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
         ByteArrayOutputStream ahead = new ByteArrayOutputStream();
         for (int i = 0; i < 2000; i++) {
             ahead.writeBytes(health);
         }
-        Thread writer = new Thread(() -> {
-            try {
-                say(client, ahead.toByteArray());
-            } catch (IOException e) {
-                // It was closed, which fails the count below.
-            }
-        });
+        Thread writer =
+                new Thread(
+                        () -> {
+                            try {
+                                say(client, ahead.toByteArray());
+                            } catch (IOException e) {
+                                // It was closed, which fails the count below.
+                            }
+                        });
         writer.start();
         for (int i = 0; i < 10; i++) {
             assertEquals(200, order("x").statusCode());
@@ -125,11 +136,20 @@
 
     @Test
     void whatIsPromisedStandsInTheAnswer() throws Exception {
-        changed = config -> {
-            ConnectionLimits usual = config.connectionLimits();
-            return config.with(new ConnectionLimits(usual.places(), usual.last(), 5, 4, usual.sharing(), true,
-                    usual.leastRate(), usual.benefit()));
-        };
+        changed =
+                config -> {
+                    ConnectionLimits usual = config.connectionLimits();
+                    return config.with(
+                            new ConnectionLimits(
+                                    usual.places(),
+                                    usual.last(),
+                                    5,
+                                    4,
+                                    usual.sharing(),
+                                    true,
+                                    usual.leastRate(),
+                                    usual.benefit()));
+                };
         start(backend(OK));
         Socket client = connect(0);
         for (int i = 0; i < 2; i++) {
@@ -145,7 +165,10 @@
         for (int i = 0; i < 8; i++) {
             Socket slow = connect(1024);
             say(slow, look(i));
-            assertEquals('H', slow.getInputStream().read(), "the answer has come, and is fetched no further");
+            assertEquals(
+                    'H',
+                    slow.getInputStream().read(),
+                    "the answer has come, and is fetched no further");
         }
         for (int i = 0; i < 20; i++) {
             assertEquals(200, order("x").statusCode());
@@ -189,11 +212,21 @@
         assertEquals(ProxyServer.Phase.STOPPED, proxy.phase());
     }
 
-    /** The program as one file, as it is run: a class in a folder can't be loaded without a descriptor. */
+    /**
+     * The program as one file, as it is run: a class in a folder can't be loaded without a
+     * descriptor.
+     */
     private static Path jar(Path folder) throws Exception {
-        Path classes = Path.of(ProxyLauncher.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path classes =
+                Path.of(
+                        ProxyLauncher.class
+                                .getProtectionDomain()
+                                .getCodeSource()
+                                .getLocation()
+                                .toURI());
         Path jar = folder.resolve("lemondrift.jar");
-        try (var out = new ZipOutputStream(Files.newOutputStream(jar)); var files = Files.walk(classes)) {
+        try (var out = new ZipOutputStream(Files.newOutputStream(jar));
+                var files = Files.walk(classes)) {
             for (Path each : files.filter(Files::isRegularFile).toList()) {
                 out.putNextEntry(new ZipEntry(classes.relativize(each).toString()));
                 out.write(Files.readAllBytes(each));
@@ -211,16 +244,30 @@
         try (var free = new ServerSocket(0)) {
             port = free.getLocalPort();
         }
-        Path file = Files.writeString(folder.resolve("config.json"), config(list.port(), false)
-                .replace("127.0.0.1:0", "127.0.0.1:" + port).replace("\"sockets\":64", "\"sockets\":1024"));
-        ProcessBuilder start = new ProcessBuilder("/bin/sh", "-c", "ulimit -n 100; exec \"$0\" \"$@\"",
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx64m",
+        Path file =
+                Files.writeString(
+                        folder.resolve("config.json"),
+                        config(list.port(), false)
+                                .replace("127.0.0.1:0", "127.0.0.1:" + port)
+                                .replace("\"sockets\":64", "\"sockets\":1024"));
+        ProcessBuilder start =
+                new ProcessBuilder(
+                        "/bin/sh",
+                        "-c",
+                        "ulimit -n 100; exec \"$0\" \"$@\"",
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx64m",
                         "-XX:-MaxFDLimit",
-                "-XX:TieredStopAtLevel=1", "-cp", jar(folder) + File.pathSeparator
-                + System.getProperty("java.class.path"), "lemondrift.Main", "serve");
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        jar(folder) + File.pathSeparator + System.getProperty("java.class.path"),
+                        "lemondrift.Main",
+                        "serve");
         start.environment().put("PROXY_CONFIG", file.toString());
-        Process process
-                = start.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        Process process =
+                start.redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         try {
             Socket client = null;
             for (int tries = 0; client == null && tries < 400; tries++) {
@@ -247,7 +294,8 @@
             last.setSoTimeout(20_000);
             say(last, look(1));
             String answer = read(last);
-            assertTrue(answer.startsWith("HTTP/1.1 200") || answer.startsWith("HTTP/1.1 503"), answer);
+            assertTrue(
+                    answer.startsWith("HTTP/1.1 200") || answer.startsWith("HTTP/1.1 503"), answer);
             assertTrue(process.isAlive());
         } finally {
             process.destroyForcibly().waitFor();
@@ -264,15 +312,33 @@
         assertEquals(ConnectionLimits.Sharing.TENANT, read.sharing());
         assertEquals(usual.earliest() / usual.quiet(), read.earliest() / read.quiet(), 1e-9);
         Path config = Files.writeString(folder.resolve("config.json"), config(1, false));
-        for (String bad : List.of("", "[]", "{\"quiet\": \"soon\"}", "{\"quiet\": 0}", "{\"quite\": 2}",
-                "{\"quiet\": 2, \"earliest\": 3}", "{\"sharing\": \"all\"}", "{\"announces\": 1}",
-                "{\"leastRate\": []}", "{\"quiet\": null}")) {
+        for (String bad :
+                List.of(
+                        "",
+                        "[]",
+                        "{\"quiet\": \"soon\"}",
+                        "{\"quiet\": 0}",
+                        "{\"quite\": 2}",
+                        "{\"quiet\": 2, \"earliest\": 3}",
+                        "{\"sharing\": \"all\"}",
+                        "{\"announces\": 1}",
+                        "{\"leastRate\": []}",
+                        "{\"quiet\": null}")) {
             Files.writeString(file, bad);
-            assertThrows(InvalidSettingsException.class, () -> ConnectionSettingsFile.read(file, usual), bad);
+            assertThrows(
+                    InvalidSettingsException.class,
+                    () -> ConnectionSettingsFile.read(file, usual),
+                    bad);
             ByteArrayOutputStream err = new ByteArrayOutputStream();
-            assertEquals(1, ProxyLauncher.check(Map.of("PROXY_CONFIG", config.toString(), "PROXY_DOOR",
-                    file.toString()),
-                    new PrintStream(err)));
+            assertEquals(
+                    1,
+                    ProxyLauncher.check(
+                            Map.of(
+                                    "PROXY_CONFIG",
+                                    config.toString(),
+                                    "PROXY_DOOR",
+                                    file.toString()),
+                            new PrintStream(err)));
             assertEquals(1, err.toString().lines().count(), err.toString());
             assertTrue(err.toString().contains("door.json"), err.toString());
         }
--- a/src/test/java/lemondrift/proxy/ConfigFileTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigFileTest.java
@@ -1,7 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.config.ConfigFile;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import com.google.gson.JsonObject;
@@ -9,6 +7,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.stream.IntStream;
+import lemondrift.proxy.config.ConfigFile;
 import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -17,16 +16,21 @@
 
 /** The configuration's file, with and without the list of before. */
 class ConfigFileTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private Map<String, String> file(String text) throws Exception {
         return Map.of("PROXY_CONFIG", Files.writeString(folder.resolve("c.json"), text).toString());
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"{}", "{\"a\":{\"known\":1}}", "{\"known\":null,\"a\":1}", "{\"known\":[1,{}]}",
-        "{\"a\":[1],\"known\":{\"revision\":4,\"members\":7,\"complete\":true},\"b\":\"x\"}"})
+    @ValueSource(
+            strings = {
+                "{}",
+                "{\"a\":{\"known\":1}}",
+                "{\"known\":null,\"a\":1}",
+                "{\"known\":[1,{}]}",
+                "{\"a\":[1],\"known\":{\"revision\":4,\"members\":7,\"complete\":true},\"b\":\"x\"}"
+            })
     void allButTheListOfBeforeIsTheSame(String text) throws Exception {
         JsonObject all = ConfigFile.read(file(text));
         all.remove("known");
@@ -35,16 +39,30 @@
 
     @Test
     void thousandsOfLinesArePassedOver() throws Exception {
-        String known = LoopbackFixture.list(1, true, IntStream.range(0, 3200)
-                .mapToObj(i -> LoopbackFixture.member(i, 1 + i, "active")).toArray(String[]::new));
-        JsonObject read = ConfigFile.readWithoutKnown(file("{\"known\":" + known + ",\"name\":\"n\"}"));
+        String known =
+                LoopbackFixture.list(
+                        1,
+                        true,
+                        IntStream.range(0, 3200)
+                                .mapToObj(i -> LoopbackFixture.member(i, 1 + i, "active"))
+                                .toArray(String[]::new));
+        JsonObject read =
+                ConfigFile.readWithoutKnown(file("{\"known\":" + known + ",\"name\":\"n\"}"));
         assertEquals("{\"name\":\"n\"}", read.toString());
     }
 
     /** Danger: a file that is cut off in the list of before may lack anything that follows. */
     @ParameterizedTest
-    @ValueSource(strings = {"", "7", "[]", "{\"known\":{\"members\":[1,2", "{\"a\":1", "{\"a\":1} {}",
-        "{\"known\":{\"members\":[1,2]},"})
+    @ValueSource(
+            strings = {
+                "",
+                "7",
+                "[]",
+                "{\"known\":{\"members\":[1,2",
+                "{\"a\":1",
+                "{\"a\":1} {}",
+                "{\"known\":{\"members\":[1,2]},"
+            })
     void whatIsCutOffIsRefused(String text) throws Exception {
         Map<String, String> environment = file(text);
         assertThrows(Exception.class, () -> ConfigFile.readWithoutKnown(environment));
--- a/src/test/java/lemondrift/proxy/ConfigReloadTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigReloadTest.java
@@ -1,7 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.config.ProxyConfig;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import com.google.gson.JsonElement;
@@ -15,6 +13,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
+import lemondrift.proxy.config.ProxyConfig;
 import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 
@@ -25,8 +24,11 @@
     }
 
     private static void name(JsonObject config, int requestClass, String name, String effect) {
-        JsonObject it = config.getAsJsonObject("settings").getAsJsonArray("serviceGrades").get(requestClass)
-                .getAsJsonObject();
+        JsonObject it =
+                config.getAsJsonObject("settings")
+                        .getAsJsonArray("serviceGrades")
+                        .get(requestClass)
+                        .getAsJsonObject();
         it.addProperty("name", name);
         it.addProperty("effect", effect);
     }
@@ -55,16 +57,19 @@
         assertEquals(400, ask("book", "t3"));
     }
 
-    /** A class that was harmless to repeat and is not any more, with one of it open over the retune. */
+    /**
+     * A class that was harmless to repeat and is not any more, with one of it open over the retune.
+     */
     @Test
     void whatIsOpenKeepsTheRulesItCameUnder() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Semaphore asked = new Semaphore(0);
-        Function<String, String> script = request -> {
-            boolean first = request.contains("X-Qos: look") && go.getCount() > 0;
-            asked.release(first ? 1 : 0);
-            return first && await(go) ? CLOSE : OK;
-        };
+        Function<String, String> script =
+                request -> {
+                    boolean first = request.contains("X-Qos: look") && go.getCount() > 0;
+                    asked.release(first ? 1 : 0);
+                    return first && await(go) ? CLOSE : OK;
+                };
         start(backend(script), backend(script));
         var open = http.sendAsync(request("look").build(), HttpResponse.BodyHandlers.ofString());
         assertTrue(asked.tryAcquire(5, TimeUnit.SECONDS));
@@ -77,7 +82,10 @@
             Thread.onSpinWait();
         }
         go.countDown();
-        assertEquals(200, open.get(20, TimeUnit.SECONDS).statusCode(), "sent again: harmless, two attempts");
+        assertEquals(
+                200,
+                open.get(20, TimeUnit.SECONDS).statusCode(),
+                "sent again: harmless, two attempts");
     }
 
     private static boolean await(CountDownLatch go) {
@@ -121,13 +129,21 @@
             JsonElement value = at.remove(key);
             String text = path.isEmpty() ? at.toString() : replaced(path, at);
             keys.add(path + key);
-            assertThrows(InvalidSettingsException.class, () -> proxy.reload(ProxyConfig.read(text)), path + key);
+            assertThrows(
+                    InvalidSettingsException.class,
+                    () -> proxy.reload(ProxyConfig.read(text)),
+                    path + key);
             at.add(key, value);
             cut++;
             if (value.isJsonObject()) {
                 cut += cut(whole, value.getAsJsonObject(), path + key + ".", keys);
             } else if (value.isJsonArray() && value.getAsJsonArray().get(0).isJsonObject()) {
-                cut += cut(whole, value.getAsJsonArray().get(1).getAsJsonObject(), path + key + ".1.", keys);
+                cut +=
+                        cut(
+                                whole,
+                                value.getAsJsonArray().get(1).getAsJsonObject(),
+                                path + key + ".1.",
+                                keys);
             }
         }
         return cut;
@@ -138,8 +154,10 @@
         JsonElement at = all;
         String[] steps = path.split("\\.");
         for (int i = 0; i < steps.length - 1; i++) {
-            at = at.isJsonArray() ? at.getAsJsonArray().get(Integer.parseInt(steps[i]))
-                    : at.getAsJsonObject().get(steps[i]);
+            at =
+                    at.isJsonArray()
+                            ? at.getAsJsonArray().get(Integer.parseInt(steps[i]))
+                            : at.getAsJsonObject().get(steps[i]);
         }
         String last = steps[steps.length - 1];
         if (at.isJsonArray()) {
@@ -154,22 +172,33 @@
     void aBrokenFileNamesItsKey() throws Exception {
         start(backend(OK));
         String good = running().toString();
-        String[][] bad = {{"\"expiry\":4000", "\"expiry\":0", "expiry"},
+        String[][] bad = {
+            {"\"expiry\":4000", "\"expiry\":0", "expiry"},
             {"\"contractTime\":1500", "\"contractTime\":-5", "contractTime"},
             {"\"contractTime\":1500", "\"contractTime\":\"NaN\"", "contractTime"},
             {"\"mostForwards\":4", "\"mostForwards\":0", "mostForwards"},
-            {"\"name\":\"order\"", "\"name\":\"look\"", "serviceGrades.1.name: look is there twice"},
+            {
+                "\"name\":\"order\"",
+                "\"name\":\"look\"",
+                "serviceGrades.1.name: look is there twice"
+            },
             {"\"name\":\"order\"", "\"name\":\"\"", "serviceGrades.1.name"},
-            {"\"effect\":\"fragile\"", "\"effect\":\"odd\"", "effect"}};
+            {"\"effect\":\"fragile\"", "\"effect\":\"odd\"", "effect"}
+        };
         for (String[] each : bad) {
             assertTrue(good.contains(each[0]), each[0]);
             String text = good.replace(each[0], each[1]);
-            String said = assertThrows(InvalidSettingsException.class, () -> proxy.reload(ProxyConfig.read(text))).getMessage();
+            String said =
+                    assertThrows(
+                                    InvalidSettingsException.class,
+                                    () -> proxy.reload(ProxyConfig.read(text)))
+                            .getMessage();
             assertTrue(said.contains(each[2]), said);
         }
         for (int cut = 0; cut < good.length(); cut += 7) {
             String text = good.substring(0, cut);
-            assertThrows(InvalidSettingsException.class, () -> proxy.reload(ProxyConfig.read(text)));
+            assertThrows(
+                    InvalidSettingsException.class, () -> proxy.reload(ProxyConfig.read(text)));
         }
         assertEquals(200, ask("look", "still"));
     }
@@ -180,8 +209,10 @@
         JsonObject next = running();
         next.addProperty("listen", "127.0.0.1:9");
         next.getAsJsonObject("settings").getAsJsonObject("charges").addProperty("probe", 0.5);
-        assertEquals(List.of("listen"), ProxyConfig.read(next.toString()).keysAppliedAtStart(
-                ProxyConfig.read(running().toString())));
+        assertEquals(
+                List.of("listen"),
+                ProxyConfig.read(next.toString())
+                        .keysAppliedAtStart(ProxyConfig.read(running().toString())));
     }
 
     @Test
--- a/src/test/java/lemondrift/proxy/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/DecisionLoopTest.java
@@ -1,15 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.discovery.EndpointListBuilder;
-import lemondrift.proxy.config.GossipSettings;
-import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.events.PendingRequest;
-import lemondrift.proxy.discovery.BackendDirectory;
-import lemondrift.proxy.events.EndpointList;
-import lemondrift.proxy.discovery.EndpointListUpdate;
-import lemondrift.proxy.loop.DecisionLoop;
-import lemondrift.proxy.events.ProxyActions;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import com.google.gson.JsonParser;
@@ -24,37 +14,74 @@
 import lemondrift.balancer.LoadBalancer;
 import lemondrift.gossip.LoadGossip;
 import lemondrift.gossip.SubsetAssignment;
-import lemondrift.settings.RequestClassIndex;
 import lemondrift.model.*;
+import lemondrift.proxy.config.GossipSettings;
+import lemondrift.proxy.discovery.BackendDirectory;
+import lemondrift.proxy.discovery.EndpointListBuilder;
+import lemondrift.proxy.discovery.EndpointListUpdate;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.EndpointList;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.events.ProxyActions;
+import lemondrift.proxy.loop.DecisionLoop;
+import lemondrift.settings.RequestClassIndex;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** The owner without sockets, its clock in the test's hand. */
 class DecisionLoopTest implements ProxyActions {
     private static final int MANY = 3200;
-    private static final Settings SETTINGS = new Settings(1, 1, 0, false,
-            List.of(new RequestClass(1, 0, 1, 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0)), new double[0], 1, false,
-            new Settings.LoadReports(false, -1, -1, false, -1), new Settings.Limits(true, false, 4, 0.5),
-            new Settings.Rules(0.25, 8, 3, 2, 10), new Settings.Costs(0, 0));
-    private static final BackendResponse DELIVERED = new BackendResponse(BackendResponse.OK, null, new byte[0], true, false, null);
+    private static final Settings SETTINGS =
+            new Settings(
+                    1,
+                    1,
+                    0,
+                    false,
+                    List.of(
+                            new RequestClass(
+                                    1,
+                                    0,
+                                    1,
+                                    2,
+                                    Idempotency.NOT_IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0)),
+                    new double[0],
+                    1,
+                    false,
+                    new Settings.LoadReports(false, -1, -1, false, -1),
+                    new Settings.Limits(true, false, 4, 0.5),
+                    new Settings.Rules(0.25, 8, 3, 2, 10),
+                    new Settings.Costs(0, 0));
+    private static final BackendResponse DELIVERED =
+            new BackendResponse(BackendResponse.OK, null, new byte[0], true, false, null);
 
     private final LinkedBlockingQueue<byte[]> tellings = new LinkedBlockingQueue<>();
     private final LinkedBlockingQueue<String> did = new LinkedBlockingQueue<>();
     private final LinkedBlockingQueue<Attempt> sends = new LinkedBlockingQueue<>();
     private volatile double now = 1000;
     private volatile boolean failing;
+
     /** How many seconds pass while the sockets are told to let go of a backend. */
     private volatile double passes;
-    private final DecisionLoop decisionLoop = new DecisionLoop(new LoadBalancer(SETTINGS, 7), new BackendDirectory(List.of("a")), () -> now,
-            this, new RequestClassIndex(List.of("order"), SETTINGS.requestClasses()), SETTINGS);
+
+    private final DecisionLoop decisionLoop =
+            new DecisionLoop(
+                    new LoadBalancer(SETTINGS, 7),
+                    new BackendDirectory(List.of("a")),
+                    () -> now,
+                    this,
+                    new RequestClassIndex(List.of("order"), SETTINGS.requestClasses()),
+                    SETTINGS);
 
     private Attempt arrive(long id) throws InterruptedException {
-        decisionLoop.requestArrived(new PendingRequest(new Request(id, 0, 0, now, 2), null, new byte[0], null));
+        decisionLoop.requestArrived(
+                new PendingRequest(new Request(id, 0, 0, now, 2), null, new byte[0], null));
         return sends.poll(5, TimeUnit.SECONDS);
     }
 
     private void list(String phase) {
-        decisionLoop.endpointListReceived(list(true, "s-1 " + phase + " 1"), false, () -> { });
+        decisionLoop.endpointListReceived(list(true, "s-1 " + phase + " 1"), false, () -> {});
     }
 
     private String next() throws InterruptedException {
@@ -71,7 +98,8 @@
         decisionLoop.start();
         list("active");
         failing = true;
-        decisionLoop.requestArrived(new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
+        decisionLoop.requestArrived(
+                new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
         assertEquals("scrapped 1", next());
         failing = false;
         decisionLoop.attemptEnded(arrive(2), AttemptOutcome.SUCCESS, 0.1, null, DELIVERED);
@@ -86,7 +114,7 @@
         list("active");
         Attempt attempt = arrive(1);
         SubsetAssignment subsets = new SubsetAssignment(2, 12);
-        LoadGossip other = new LoadGossip(2, 0, 1, 0, 1, subsets, tag -> { });
+        LoadGossip other = new LoadGossip(2, 0, 1, 0, 1, subsets, tag -> {});
         other.receive(1, tellings.poll(5, TimeUnit.SECONDS), now);
         while (other.peerLoad(LoadGossip.tag("s-1")) == 0) {
             other.receive(1, tellings.poll(5, TimeUnit.SECONDS), now);
@@ -120,26 +148,36 @@
         decisionLoop.start();
         list("leaving");
         assertEquals("let go", next());
-        decisionLoop.requestArrived(new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
+        decisionLoop.requestArrived(
+                new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
         assertEquals("shed 1", next());
     }
 
     private static EndpointList list(boolean whole, String... idPhasePort) {
-        String members = Arrays.stream(idPhasePort).map(each -> each.replaceFirst("(.+) (.+) (.+)",
-                "{\"id\":\"$1\",\"phase\":\"$2\",\"host_port\":\"127.0.0.1:$3\",\"cell\":3}"))
-                .collect(Collectors.joining(","));
-        return EndpointListBuilder.of(JsonParser.parseString("{\"complete\":" + whole + ",\"members\":[" + members
-                + "]}").getAsJsonObject());
+        String member =
+                "{\"id\":\"$1\",\"phase\":\"$2\"," + "\"host_port\":\"127.0.0.1:$3\",\"cell\":3}";
+        String members =
+                Arrays.stream(idPhasePort)
+                        .map(each -> each.replaceFirst("(.+) (.+) (.+)", member))
+                        .collect(Collectors.joining(","));
+        return EndpointListBuilder.of(
+                JsonParser.parseString("{\"complete\":" + whole + ",\"members\":[" + members + "]}")
+                        .getAsJsonObject());
     }
 
     /** Thousands of backends, all in one phase. */
     private static EndpointList longList(String phase) {
-        return list(false, IntStream.range(0, MANY).mapToObj(i -> "many-" + i + " " + phase + " "
-                + (1000 + i)).toArray(String[]::new));
+        return list(
+                false,
+                IntStream.range(0, MANY)
+                        .mapToObj(i -> "many-" + i + " " + phase + " " + (1000 + i))
+                        .toArray(String[]::new));
     }
 
-    private static List<EndpointUpdate> listed(BackendDirectory directory, boolean whole, String... idPhasePort) {
-        EndpointListUpdate update = new EndpointListUpdate(directory, list(whole, idPhasePort), false, () -> { });
+    private static List<EndpointUpdate> listed(
+            BackendDirectory directory, boolean whole, String... idPhasePort) {
+        EndpointListUpdate update =
+                new EndpointListUpdate(directory, list(whole, idPhasePort), false, () -> {});
         List<EndpointUpdate> updates = new ArrayList<>();
         while (!update.isDone()) {
             updates.addAll(update.nextSlice());
@@ -147,12 +185,16 @@
         return updates;
     }
 
-    /** Danger: thousands of lines would hold up whoever comes meanwhile, and all that have to be answered. */
+    /**
+     * Danger: thousands of lines would hold up whoever comes meanwhile, and all that have to be
+     * answered.
+     */
     @Test
     void whileALongListIsFollowedRequestsAreDecidedAndExpiriesKept() throws Exception {
         list("active");
         decisionLoop.endpointListReceived(longList("active"), false, () -> did.add("followed"));
-        decisionLoop.requestArrived(new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
+        decisionLoop.requestArrived(
+                new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
         decisionLoop.start();
         Attempt first = sends.poll(5, TimeUnit.SECONDS);
         assertEquals(List.of(), List.copyOf(did), "sent before the list was followed");
@@ -163,15 +205,21 @@
         for (String each = next(); !"followed".equals(each); each = next()) {
             then.add(each);
         }
-        assertTrue(then.contains("scrapped 1") && then.indexOf("scrapped 1") < MANY / 2, then.toString());
+        assertTrue(
+                then.contains("scrapped 1") && then.indexOf("scrapped 1") < MANY / 2,
+                then.toString());
         decisionLoop.attemptEnded(first, AttemptOutcome.CANCELLED, 3, null, null);
     }
 
-    /** Danger: what came while another list is followed must not be told of backends by the older one. */
+    /**
+     * Danger: what came while another list is followed must not be told of backends by the older
+     * one.
+     */
     @Test
     void listsThatComeWhileOneIsFollowedAreFollowedInTheirOrder() throws Exception {
         decisionLoop.endpointListReceived(longList("active"), false, () -> did.add("followed 1"));
-        decisionLoop.endpointListReceived(list(true, "s-1 active 1"), false, () -> did.add("followed 2"));
+        decisionLoop.endpointListReceived(
+                list(true, "s-1 active 1"), false, () -> did.add("followed 2"));
         decisionLoop.start();
         for (String each = next(); !"followed 2".equals(each); each = next()) {
             assertTrue(List.of("followed 1", "let go").contains(each), each);
@@ -183,11 +231,17 @@
     void whatALongListSaysOfDrainsComesBeforeAllElse() {
         BackendDirectory directory = new BackendDirectory(List.of("a"));
         listed(directory, true, "one active 1", "two active 2");
-        String[] lines = IntStream.range(0, MANY).mapToObj(i -> "many-" + i + " active " + (1000 + i))
-                .toArray(String[]::new);
+        String[] lines =
+                IntStream.range(0, MANY)
+                        .mapToObj(i -> "many-" + i + " active " + (1000 + i))
+                        .toArray(String[]::new);
         lines[MANY - 1] = "two leaving 2";
         List<EndpointUpdate> told = listed(directory, true, lines);
-        assertEquals(List.of(EndpointUpdate.State.GONE, EndpointUpdate.State.DRAINING, EndpointUpdate.State.READY),
+        assertEquals(
+                List.of(
+                        EndpointUpdate.State.GONE,
+                        EndpointUpdate.State.DRAINING,
+                        EndpointUpdate.State.READY),
                 told.stream().limit(3).map(EndpointUpdate::state).toList());
         assertEquals(List.of(), listed(directory, true, lines), "the same again says nothing");
     }
@@ -197,11 +251,15 @@
         BackendDirectory directory = new BackendDirectory(List.of("a"));
         listed(directory, true, "one active 1", "two active 2");
         directory.retain(0);
-        assertTrue(listed(directory, true, "two active 2").contains(
-                new EndpointUpdate(0, false, 0, 3, EndpointUpdate.State.GONE, 0)), "gone without a word");
-        assertEquals(2, listed(directory, false, "three active 3").get(0).backend(), "still spoken of");
+        assertTrue(
+                listed(directory, true, "two active 2")
+                        .contains(new EndpointUpdate(0, false, 0, 3, EndpointUpdate.State.GONE, 0)),
+                "gone without a word");
+        assertEquals(
+                2, listed(directory, false, "three active 3").get(0).backend(), "still spoken of");
         directory.release(0);
-        assertEquals(new EndpointUpdate(0, true, 0, 3, EndpointUpdate.State.READY, 0),
+        assertEquals(
+                new EndpointUpdate(0, true, 0, 3, EndpointUpdate.State.READY, 0),
                 listed(directory, false, "four active 4").get(0));
         assertEquals(3, listed(directory, false, "one active 1").get(0).backend(), "another place");
     }
@@ -210,8 +268,11 @@
     void anAddressThatPassesOnTakesItsOldBackendAway() {
         BackendDirectory directory = new BackendDirectory(List.of("a"));
         listed(directory, true, "one active 1");
-        assertEquals(List.of(new EndpointUpdate(0, false, 0, 3, EndpointUpdate.State.GONE, 0),
-                new EndpointUpdate(0, true, 0, 3, EndpointUpdate.State.READY, 0)), listed(directory, false, "two active 1"));
+        assertEquals(
+                List.of(
+                        new EndpointUpdate(0, false, 0, 3, EndpointUpdate.State.GONE, 0),
+                        new EndpointUpdate(0, true, 0, 3, EndpointUpdate.State.READY, 0)),
+                listed(directory, false, "two active 1"));
     }
 
     @Override
@@ -253,12 +314,10 @@
     }
 
     @Override
-    public void requestsDecided(int exchanges, double seconds) {
-    }
+    public void requestsDecided(int exchanges, double seconds) {}
 
     @Override
-    public void backendsCounted(int listed, int disabled) {
-    }
+    public void backendsCounted(int listed, int disabled) {}
 
     @Override
     public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
@@ -271,8 +330,7 @@
     }
 
     @Override
-    public void flush() {
-    }
+    public void flush() {}
 
     @Override
     public void retirePool(int backend) {
--- a/src/test/java/lemondrift/proxy/EndpointListParserTest.java
+++ b/src/test/java/lemondrift/proxy/EndpointListParserTest.java
@@ -1,9 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.discovery.EndpointListBuilder;
-import lemondrift.proxy.events.EndpointList;
-import lemondrift.proxy.discovery.EndpointListParser;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import com.google.gson.JsonParser;
@@ -12,6 +8,9 @@
 import java.util.List;
 import java.util.Random;
 import lemondrift.model.EndpointUpdate;
+import lemondrift.proxy.discovery.EndpointListBuilder;
+import lemondrift.proxy.discovery.EndpointListParser;
+import lemondrift.proxy.events.EndpointList;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -34,10 +33,20 @@
         return switch (random.nextInt(5)) {
             case 0 -> "{" + id + ",\"phase\":\"left\"}";
             case 1 -> "{" + id + ",\"phase\":\"active\"}";
-            case 2 -> random.nextBoolean() ? "7" : "{\"phase\":\"active\",\"host_port\":\"127.0.0.1:9\"}";
-            default -> "{ " + id + ",\n \"host_port\":\"127.0.0.1:" + (1 + random.nextInt(99))
-                    + "\",\"phase\":\"" + (random.nextBoolean() ? "active" : "leaving")
-                    + "\",\"size\":" + random.nextInt(3) + ",\"other\":[1,{}],\"up_since_ms\":1500}";
+            case 2 ->
+                    random.nextBoolean()
+                            ? "7"
+                            : "{\"phase\":\"active\",\"host_port\":\"127.0.0.1:9\"}";
+            default ->
+                    "{ "
+                            + id
+                            + ",\n \"host_port\":\"127.0.0.1:"
+                            + (1 + random.nextInt(99))
+                            + "\",\"phase\":\""
+                            + (random.nextBoolean() ? "active" : "leaving")
+                            + "\",\"size\":"
+                            + random.nextInt(3)
+                            + ",\"other\":[1,{}],\"up_since_ms\":1500}";
         };
     }
 
@@ -49,18 +58,23 @@
             lines.append(lines.length() == 0 ? "" : ", ").append(line(random));
         }
         String members = "\"members\":[" + lines + "]", rest = "\"revision\":41,\"complete\":true";
-        String text = "{" + (random.nextBoolean() ? members + "," + rest : rest + "," + members) + "}";
+        String text =
+                "{" + (random.nextBoolean() ? members + "," + rest : rest + "," + members) + "}";
         EndpointList whole = EndpointListBuilder.of(JsonParser.parseString(text).getAsJsonObject());
         assertEquals(whole, read(text, 1 + random.nextInt(30)), "seed " + seed + ": " + text);
     }
 
     @Test
     void theLastLineOfABackendCountsAndAnUnreadableOneKeepsIt() throws IOException {
-        EndpointList list = read("{\"revision\":3,\"complete\":false,\"members\":["
-                + "{\"id\":\"a\",\"phase\":\"active\",\"host_port\":\"127.0.0.1:1\"},"
-                + "{\"id\":\"b\",\"phase\":\"active\",\"host_port\":\"nowhere\"},"
-                + "{\"id\":\"a\",\"phase\":\"left\"}]}", 1);
-        assertEquals(List.of("b", "a"), list.members().stream().map(EndpointList.Member::id).toList());
+        EndpointList list =
+                read(
+                        "{\"revision\":3,\"complete\":false,\"members\":["
+                            + "{\"id\":\"a\",\"phase\":\"active\",\"host_port\":\"127.0.0.1:1\"},"
+                            + "{\"id\":\"b\",\"phase\":\"active\",\"host_port\":\"nowhere\"},"
+                            + "{\"id\":\"a\",\"phase\":\"left\"}]}",
+                        1);
+        assertEquals(
+                List.of("b", "a"), list.members().stream().map(EndpointList.Member::id).toList());
         assertFalse(list.members().get(0).isReadable());
         assertEquals(EndpointUpdate.State.GONE, list.members().get(1).state());
         assertEquals(1, list.unreadable().size());
@@ -68,13 +82,21 @@
 
     /** Danger: a revision taken from half a list would never be asked for again. */
     @ParameterizedTest
-    @ValueSource(strings = {"", "[]", "7", "{", "{\"revision\":1,\"complete\":true}",
-        "{\"revision\":1,\"members\":[]}", "{\"complete\":true,\"members\":[]}",
-        "{\"revision\":1,\"complete\":true,\"members\":[",
-        "{\"revision\":1,\"complete\":true,\"members\":[{]}",
-        "{\"revision\":1,\"complete\":true,\"members\":7}",
-        "{\"revision\":null,\"complete\":true,\"members\":[]}",
-        "{\"revision\":1,\"complete\":true,\"members\":[]} and more"})
+    @ValueSource(
+            strings = {
+                "",
+                "[]",
+                "7",
+                "{",
+                "{\"revision\":1,\"complete\":true}",
+                "{\"revision\":1,\"members\":[]}",
+                "{\"complete\":true,\"members\":[]}",
+                "{\"revision\":1,\"complete\":true,\"members\":[",
+                "{\"revision\":1,\"complete\":true,\"members\":[{]}",
+                "{\"revision\":1,\"complete\":true,\"members\":7}",
+                "{\"revision\":null,\"complete\":true,\"members\":[]}",
+                "{\"revision\":1,\"complete\":true,\"members\":[]} and more"
+            })
     void whatIsNoListIsRefused(String text) {
         assertThrows(Exception.class, () -> read(text, 5));
     }
--- a/src/test/java/lemondrift/proxy/LargeFleetTest.java
+++ b/src/test/java/lemondrift/proxy/LargeFleetTest.java
@@ -22,19 +22,26 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A real process with a small part of a core, a hundred peers and thousands of backends, most of which are
- * replaced while discovery is away and right after its return. Every request is owed its answer in time.
+ * A real process with a small part of a core, a hundred peers and thousands of backends, most of
+ * which are replaced while discovery is away and right after its return. Every request is owed its
+ * answer in time.
  */
 class LargeFleetTest extends LoopbackFixture {
     private static final int BACKENDS = 3200, PROXIES = 100, STEP = 160;
+
     /** The machine's last core; the first has work of the system's. */
-    private static final String CORE = String.valueOf(Runtime.getRuntime().availableProcessors() - 1);
+    private static final String CORE =
+            String.valueOf(Runtime.getRuntime().availableProcessors() - 1);
+
     /** Processes that keep the proxy's core busy beside it. */
     private static final int RIVALS = 4;
+
     /** Milliseconds that a client waits, and after which its request counts as lost. */
     private static final int WAITS = 190, LOST = WAITS + 500;
+
     /** Milliseconds between two requests and between two versions of the list. */
     private static final int EACH = 20, VERSION = 350;
+
     private static final int VERSIONS = 10, HANG_UPS = 6;
 
     private final List<Process> rivals = new ArrayList<>();
@@ -50,28 +57,56 @@
 
     private Path config(Path folder, String known) throws IOException {
         port = freePort();
-        String peers = IntStream.range(0, PROXIES).mapToObj(i -> "\"127.0.1." + (i + 1) + ":7946\"")
-                .collect(Collectors.joining(","));
-        String config = config(discovery.port(), false)
-                .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                .replace("\"contractTime\":1500,\"expiry\":4000", "\"contractTime\":150,\"expiry\":" + WAITS)
-                .replace("\"sockets\":64", "\"sockets\":1024")
-                .replace("\"siblings\":1,", "\"siblings\":" + PROXIES + ",\"slotNo\":0,")
-                .replace("\"limits\":{\"mayCancel\"", "\"limits\":{\"mayTell\":true,\"mayCancel\"")
-                .replaceFirst("\\{", "{\"peer_listen\":\"127.0.1.1:" + freePort() + "\",\"peers\":[" + peers
-                        + "],\"known\":" + known + ",");
+        String peers =
+                IntStream.range(0, PROXIES)
+                        .mapToObj(i -> "\"127.0.1." + (i + 1) + ":7946\"")
+                        .collect(Collectors.joining(","));
+        String config =
+                config(discovery.port(), false)
+                        .replace("127.0.0.1:0", "127.0.0.1:" + port)
+                        .replace(
+                                "\"contractTime\":1500,\"expiry\":4000",
+                                "\"contractTime\":150,\"expiry\":" + WAITS)
+                        .replace("\"sockets\":64", "\"sockets\":1024")
+                        .replace("\"siblings\":1,", "\"siblings\":" + PROXIES + ",\"slotNo\":0,")
+                        .replace(
+                                "\"limits\":{\"mayCancel\"",
+                                "\"limits\":{\"mayTell\":true,\"mayCancel\"")
+                        .replaceFirst(
+                                "\\{",
+                                "{\"peer_listen\":\"127.0.1.1:"
+                                        + freePort()
+                                        + "\",\"peers\":["
+                                        + peers
+                                        + "],\"known\":"
+                                        + known
+                                        + ",");
         return Files.writeString(folder.resolve("config.json"), config);
     }
 
     /** A process on one core of the machine that it shares with others. */
     private Process proxyOnAPartOfACore(Path config) throws IOException {
         for (int i = 0; i < RIVALS; i++) {
-            rivals.add(new ProcessBuilder("taskset", "-c", CORE, "sh", "-c", "while :; do :; done").start());
+            rivals.add(
+                    new ProcessBuilder("taskset", "-c", CORE, "sh", "-c", "while :; do :; done")
+                            .start());
         }
-        ProcessBuilder command = new ProcessBuilder("taskset", "-c", CORE,
-                Path.of(System.getProperty("java.home"), "bin/java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-XX:CompileThresholdScaling=0.5", "-Xms48m", "-Xmx88m",
-                "-Xss256k", "-cp", System.getProperty("java.class.path"), "lemondrift.Main", "serve");
+        ProcessBuilder command =
+                new ProcessBuilder(
+                        "taskset",
+                        "-c",
+                        CORE,
+                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-XX:CompileThresholdScaling=0.5",
+                        "-Xms48m",
+                        "-Xmx88m",
+                        "-Xss256k",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "lemondrift.Main",
+                        "serve");
         command.environment().put("PROXY_CONFIG", config.toString());
         command.environment().put("PROXY_PEERS", "deploy/peers.json");
         command.environment().put("PROXY_RECOVERY", "deploy/recovery.json");
@@ -80,25 +115,35 @@
 
     /** One request on a connection of its own, on a thread of its own. */
     private void ask(int number) {
-        Thread client = new Thread(() -> {
-            long began = System.nanoTime();
-            try (Socket socket = new Socket("127.0.0.1", port)) {
-                socket.setSoTimeout(LOST);
-                began = System.nanoTime();
-                socket.getOutputStream().write(("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: r" + number
-                        + "\r\nX-Qos: look\r\nX-Expires-In-Ms: " + WAITS + "\r\n\r\n")
-                        .getBytes(StandardCharsets.US_ASCII));
-                String answer = read(socket);
-                long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
-                if (answer == null || took > LOST) {
-                    lost.add("r" + number + " after " + took + " ms: " + answer);
-                }
-            } catch (SocketTimeoutException e) {
-                lost.add("r" + number + " has no answer after " + LOST + " ms");
-            } catch (IOException e) {
-                lost.add("r" + number + ": " + e);
-            }
-        });
+        Thread client =
+                new Thread(
+                        () -> {
+                            long began = System.nanoTime();
+                            try (Socket socket = new Socket("127.0.0.1", port)) {
+                                socket.setSoTimeout(LOST);
+                                began = System.nanoTime();
+                                socket.getOutputStream()
+                                        .write(
+                                                ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: r"
+                                                                + number
+                                                                + "\r\n"
+                                                                + "X-Qos: look\r\n"
+                                                                + "X-Expires-In-Ms: "
+                                                                + WAITS
+                                                                + "\r\n\r\n")
+                                                        .getBytes(StandardCharsets.US_ASCII));
+                                String answer = read(socket);
+                                long took =
+                                        TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
+                                if (answer == null || took > LOST) {
+                                    lost.add("r" + number + " after " + took + " ms: " + answer);
+                                }
+                            } catch (SocketTimeoutException e) {
+                                lost.add("r" + number + " has no answer after " + LOST + " ms");
+                            } catch (IOException e) {
+                                lost.add("r" + number + ": " + e);
+                            }
+                        });
         client.setDaemon(true);
         clients.add(client);
         client.start();
@@ -111,7 +156,10 @@
         }
     }
 
-    /** Discovery is silent until it is back, and then tells a whole list and one change after another. */
+    /**
+     * Discovery is silent until it is back, and then tells a whole list and one change after
+     * another.
+     */
     private String answer(String request, String whole) {
         try {
             if (request.contains("from=")) {
@@ -125,10 +173,14 @@
 
     private static String[] both(String[] some, String[] others) {
         return IntStream.range(0, some.length + others.length)
-                .mapToObj(i -> i < some.length ? some[i] : others[i - some.length]).toArray(String[]::new);
+                .mapToObj(i -> i < some.length ? some[i] : others[i - some.length])
+                .toArray(String[]::new);
     }
 
-    /** Danger: the file has the list of before, and who reads it shares the core with who owes answers. */
+    /**
+     * Danger: the file has the list of before, and who reads it shares the core with who owes
+     * answers.
+     */
     @Test
     void whileConfigurationsAreReadAgainInARowEveryRequestIsAnsweredInTime(@TempDir Path folder)
             throws Exception {
@@ -140,7 +192,7 @@
             try {
                 BufferedReader log = child.inputReader();
                 awaitLine(log, "serving");
-                daemon(() -> log.lines().forEach(line -> { }));
+                daemon(() -> log.lines().forEach(line -> {}));
                 askFor(1000);
                 for (int i = 0; i < HANG_UPS; i++) {
                     signal(child, "HUP");
@@ -162,21 +214,34 @@
             throws Exception {
         try (ManyBackends backends = new ManyBackends(2 * BACKENDS)) {
             String known = list(1, true, backends.members(0, BACKENDS, "active"));
-            String whole = list(10, true, backends.members(BACKENDS / 4, BACKENDS + BACKENDS / 4, "active"));
+            String whole =
+                    list(
+                            10,
+                            true,
+                            backends.members(BACKENDS / 4, BACKENDS + BACKENDS / 4, "active"));
             discovery = new StandIn(request -> answer(request, whole));
             Process child = proxyOnAPartOfACore(config(folder, known));
             try {
                 BufferedReader log = child.inputReader();
                 awaitLine(log, "serving");
-                daemon(() -> log.lines().forEach(line -> { }));
+                daemon(() -> log.lines().forEach(line -> {}));
                 askFor(1000);
                 back.countDown();
                 for (int version = 0; version < VERSIONS; version++) {
                     askFor(VERSION);
                     int from = BACKENDS / 4 + version * STEP, fresh = BACKENDS + from;
-                    news.add(http(list(11 + version, false, both(
-                            backends.members(from, from + STEP, version % 2 == 0 ? "leaving" : "left"),
-                            backends.members(fresh, fresh + STEP, "active")))));
+                    news.add(
+                            http(
+                                    list(
+                                            11 + version,
+                                            false,
+                                            both(
+                                                    backends.members(
+                                                            from,
+                                                            from + STEP,
+                                                            version % 2 == 0 ? "leaving" : "left"),
+                                                    backends.members(
+                                                            fresh, fresh + STEP, "active")))));
                 }
                 askFor(1000);
                 for (Thread client : clients) {
--- a/src/test/java/lemondrift/proxy/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/LongBodiesTest.java
@@ -1,8 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.backend.ResponseReader;
-import lemondrift.proxy.config.ProxyConfig;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.ByteArrayOutputStream;
@@ -22,6 +19,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import lemondrift.metrics.ProxyMetrics;
+import lemondrift.proxy.backend.ResponseReader;
+import lemondrift.proxy.config.ProxyConfig;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -44,10 +43,14 @@
     }
 
     private static String chunked(byte[] body, int chunk) {
-        StringBuilder all = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        StringBuilder all =
+                new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int at = 0; at < body.length; at += chunk) {
             byte[] part = Arrays.copyOfRange(body, at, Math.min(body.length, at + chunk));
-            all.append(Integer.toHexString(part.length)).append(";x=y\r\n").append(text(part)).append("\r\n");
+            all.append(Integer.toHexString(part.length))
+                    .append(";x=y\r\n")
+                    .append(text(part))
+                    .append("\r\n");
         }
         return all.append("0\r\nTrailer: x\r\n\r\n").toString();
     }
@@ -55,14 +58,20 @@
     private Socket ask(String id) throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort());
         client.setSoTimeout(20_000);
-        client.getOutputStream().write(("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + id
-                + "\r\nX-Qos: look\r\nX-Expires-In-Ms: 4000\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+        client.getOutputStream()
+                .write(
+                        ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
+                                        + id
+                                        + "\r\nX-Qos: look\r\nX-Expires-In-Ms: 4000\r\n\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
         return client;
     }
 
     private byte[] body(String id) throws Exception {
-        var answer = http.send(request("look").setHeader("X-Trace-Id", id).build(),
-                java.net.http.HttpResponse.BodyHandlers.ofByteArray());
+        var answer =
+                http.send(
+                        request("look").setHeader("X-Trace-Id", id).build(),
+                        java.net.http.HttpResponse.BodyHandlers.ofByteArray());
         assertEquals(200, answer.statusCode());
         return answer.body();
     }
@@ -71,26 +80,35 @@
     void longAnswersArePassedOnWholeHoweverTheyEnd() throws Exception {
         byte[] long3 = bytes(3_000_000);
         AtomicInteger asked = new AtomicInteger();
-        String[] answers = {length(long3), chunked(long3, 50_000), chunked(long3, 7000), OK,
-            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text(long3)};
+        String[] answers = {
+            length(long3),
+            chunked(long3, 50_000),
+            chunked(long3, 7000),
+            OK,
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text(long3)
+        };
         StandIn backend = backend(request -> answers[asked.getAndIncrement() % answers.length]);
         start(backend);
         for (int i = 0; i < answers.length; i++) {
             byte[] got = body("long-" + i);
-            assertArrayEquals(i == 3 ? "body".getBytes(StandardCharsets.US_ASCII) : long3, got, "" + i);
+            assertArrayEquals(
+                    i == 3 ? "body".getBytes(StandardCharsets.US_ASCII) : long3, got, "" + i);
         }
         assertEquals(answers.length, backend.requests.size());
     }
 
     @Test
     void oneThatBreaksInTheMiddleIsABreakAndNotSentAgain() throws Exception {
-        String half = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 300000\r\n\r\n"
-                + "x".repeat(100_000);
+        String half =
+                "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 300000\r\n\r\n"
+                        + "x".repeat(100_000);
         StandIn one = backend(half), other = backend(half);
         start(one, other);
         try (Socket client = ask("half")) {
             byte[] all = client.getInputStream().readAllBytes();
-            assertTrue(text(all).startsWith("HTTP/1.1 200 OK\r\n") && all.length < 300_000, "" + all.length);
+            assertTrue(
+                    text(all).startsWith("HTTP/1.1 200 OK\r\n") && all.length < 300_000,
+                    "" + all.length);
         }
         assertEquals(1, one.requests.size() + other.requests.size());
         awaitReplies("look", "error", 1);
@@ -99,9 +117,10 @@
     private void awaitReplies(String grade, String kind, int count) throws Exception {
         int ordinal = ProxyMetrics.Reply.valueOf(kind.toUpperCase(Locale.ROOT)).ordinal();
         long[] counts = {};
-        for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end;) {
+        for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end; ) {
             var read = new CompletableFuture<long[]>();
-            proxy.runOnIoThread(() -> read.complete(proxy.adminOperations().figures().replies().get(grade)));
+            proxy.runOnIoThread(
+                    () -> read.complete(proxy.adminOperations().figures().replies().get(grade)));
             counts = read.get();
             if (counts[ordinal] == count) {
                 break;
@@ -118,21 +137,24 @@
         final CountDownLatch left = new CountDownLatch(1);
 
         Flood(int total) throws IOException {
-            daemon(() -> {
-                try (Socket socket = server.accept()) {
-                    read(socket);
-                    String head = "HTTP/1.1 200 OK\r\nContent-Length: " + total + "\r\n\r\n";
-                    socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
-                    byte[] piece = new byte[65_536];
-                    while (taken.get() < total) {
-                        socket.getOutputStream().write(piece);
-                        taken.addAndGet(piece.length);
-                    }
-                    socket.getInputStream().read();
-                } finally {
-                    left.countDown();
-                }
-            });
+            daemon(
+                    () -> {
+                        try (Socket socket = server.accept()) {
+                            read(socket);
+                            String head =
+                                    "HTTP/1.1 200 OK\r\nContent-Length: " + total + "\r\n\r\n";
+                            socket.getOutputStream()
+                                    .write(head.getBytes(StandardCharsets.US_ASCII));
+                            byte[] piece = new byte[65_536];
+                            while (taken.get() < total) {
+                                socket.getOutputStream().write(piece);
+                                taken.addAndGet(piece.length);
+                            }
+                            socket.getInputStream().read();
+                        } finally {
+                            left.countDown();
+                        }
+                    });
         }
 
         @Override
@@ -178,16 +200,19 @@
     void oneThatComesSlowlyAndNobodyKnowsHowLongIsPassedOnAsItComes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            daemon(() -> {
-                try (Socket socket = server.accept()) {
-                    read(socket);
-                    socket.getOutputStream().write(CHUNKS.getBytes(StandardCharsets.US_ASCII));
-                    go.await(20, TimeUnit.SECONDS);
-                    String rest = "2\r\ndy\r\n0\r\n\r\n";
-                    socket.getOutputStream().write(rest.getBytes(StandardCharsets.US_ASCII));
-                    socket.getInputStream().read();
-                }
-            });
+            daemon(
+                    () -> {
+                        try (Socket socket = server.accept()) {
+                            read(socket);
+                            socket.getOutputStream()
+                                    .write(CHUNKS.getBytes(StandardCharsets.US_ASCII));
+                            go.await(20, TimeUnit.SECONDS);
+                            String rest = "2\r\ndy\r\n0\r\n\r\n";
+                            socket.getOutputStream()
+                                    .write(rest.getBytes(StandardCharsets.US_ASCII));
+                            socket.getInputStream().read();
+                        }
+                    });
             start(false, server.getLocalPort());
             try (Socket client = ask("drip")) {
                 InputStream in = client.getInputStream();
@@ -206,7 +231,10 @@
 
     @Test
     void whatIsSaidToBeEndlessIsSpoilt() throws Exception {
-        start(backend("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + "x".repeat(100_000)));
+        start(
+                backend(
+                        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
+                                + "x".repeat(100_000)));
         assertEquals(502, order("x").statusCode());
     }
 
@@ -220,12 +248,13 @@
 
         /** Breaks off after so many bytes. */
         Sink(int breaks) throws IOException {
-            daemon(() -> {
-                while (true) {
-                    Socket socket = server.accept();
-                    daemon(() -> serve(socket, breaks));
-                }
-            });
+            daemon(
+                    () -> {
+                        while (true) {
+                            Socket socket = server.accept();
+                            daemon(() -> serve(socket, breaks));
+                        }
+                    });
         }
 
         private void serve(Socket socket, int breaks) throws IOException {
@@ -264,7 +293,7 @@
         }
 
         private void take(InputStream in, int count, int breaks) throws IOException {
-            for (int got = 0; got < count;) {
+            for (int got = 0; got < count; ) {
                 byte[] piece = in.readNBytes(Math.min(4096, count - got));
                 if (piece.length == 0 || came.addAndGet(piece.length) > breaks) {
                     throw new IOException("broken off");
@@ -297,9 +326,15 @@
     private Socket post(String id, String framing) throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort());
         client.setSoTimeout(20_000);
-        client.getOutputStream().write(("POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + id + "\r\nX-Qos: order"
-                + "\r\nX-Expires-In-Ms: 4000\r\n" + framing + "\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+        client.getOutputStream()
+                .write(
+                        ("POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
+                                        + id
+                                        + "\r\nX-Qos: order"
+                                        + "\r\nX-Expires-In-Ms: 4000\r\n"
+                                        + framing
+                                        + "\r\n\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
         return client;
     }
 
@@ -309,8 +344,10 @@
         for (boolean chunks : new boolean[] {false, true}) {
             try (Sink sink = new Sink(NEVER)) {
                 start(false, sink.server.getLocalPort());
-                var publisher = chunks ? BodyPublishers.fromPublisher(BodyPublishers.ofByteArray(body))
-                        : BodyPublishers.ofByteArray(body);
+                var publisher =
+                        chunks
+                                ? BodyPublishers.fromPublisher(BodyPublishers.ofByteArray(body))
+                                : BodyPublishers.ofByteArray(body);
                 assertEquals(200, send(request("order").POST(publisher)).statusCode());
                 assertArrayEquals(body, sink.body.toByteArray());
                 assertEquals(chunks, sink.head.contains("Transfer-Encoding: chunked\r\n"));
@@ -339,14 +376,20 @@
             byte[] body = bytes(700_000);
             for (int i = 0; i < 3; i++) {
                 sink.body.reset();
-                assertEquals(200, send(request("order").setHeader("X-Trace-Id", "u" + i)
-                        .POST(BodyPublishers.ofByteArray(body))).statusCode());
+                assertEquals(
+                        200,
+                        send(request("order")
+                                        .setHeader("X-Trace-Id", "u" + i)
+                                        .POST(BodyPublishers.ofByteArray(body)))
+                                .statusCode());
                 assertArrayEquals(body, sink.body.toByteArray());
             }
         }
     }
 
-    /** Longer than its contract time of 1.5 s: the time for the answer counts from the last byte. */
+    /**
+     * Longer than its contract time of 1.5 s: the time for the answer counts from the last byte.
+     */
     @Test
     void anUploadMayTakeItsTime() throws Exception {
         try (Sink sink = new Sink(NEVER)) {
@@ -365,7 +408,8 @@
 
     @Test
     void aBackendThatBreaksOffIsAnsweredForAtOnceAndNoneHasARest() throws Exception {
-        try (Sink one = new Sink(400_000); Sink other = new Sink(400_000)) {
+        try (Sink one = new Sink(400_000);
+                Sink other = new Sink(400_000)) {
             start(false, one.server.getLocalPort(), other.server.getLocalPort());
             try (Socket client = post("broken", "Content-Length: 30000000")) {
                 try {
@@ -375,7 +419,10 @@
                 } catch (IOException e) {
                     // The answer is out, and what is still sent is read by nobody.
                 }
-                assertEquals(0, Math.min(one.came.get(), other.came.get()), "only one has had any of it");
+                assertEquals(
+                        0,
+                        Math.min(one.came.get(), other.came.get()),
+                        "only one has had any of it");
             }
             awaitReplies("order", "overload", 1);
             assertEquals(0, one.requests.get() + other.requests.get());
@@ -387,8 +434,10 @@
         try (Sink sink = new Sink(NEVER)) {
             start(false, sink.server.getLocalPort());
             try (Socket client = post("left", "Transfer-Encoding: chunked")) {
-                client.getOutputStream().write(("f4240\r\n" + "x".repeat(500_000))
-                        .getBytes(StandardCharsets.US_ASCII));
+                client.getOutputStream()
+                        .write(
+                                ("f4240\r\n" + "x".repeat(500_000))
+                                        .getBytes(StandardCharsets.US_ASCII));
                 while (sink.came.get() < 400_000) {
                     Thread.onSpinWait();
                 }
@@ -409,13 +458,16 @@
                 assertTrue(answer == null || answer.startsWith("HTTP/1.1 400 "), answer);
             }
             try (Socket client = post("endless", "Transfer-Encoding: chunked")) {
-                byte[] chunk = ("40000\r\n" + "x".repeat(0x40000) + "\r\n")
-                        .getBytes(StandardCharsets.US_ASCII);
-                assertThrows(IOException.class, () -> {
-                    for (int i = 0; i < 400; i++) {
-                        client.getOutputStream().write(chunk);
-                    }
-                });
+                byte[] chunk =
+                        ("40000\r\n" + "x".repeat(0x40000) + "\r\n")
+                                .getBytes(StandardCharsets.US_ASCII);
+                assertThrows(
+                        IOException.class,
+                        () -> {
+                            for (int i = 0; i < 400; i++) {
+                                client.getOutputStream().write(chunk);
+                            }
+                        });
             }
             assertEquals(0, sink.requests.get());
             awaitReplies("order", "error", 1);
@@ -424,8 +476,13 @@
 
     @Test
     void withLittleMemoryMoreIsPassedOn() throws Exception {
-        changed = config -> ProxyConfig.read(config(discovery.port(), false).replace("\"sockets\":64",
-                "\"sockets\":64,\"memory_mb\":0.1"));
+        changed =
+                config ->
+                        ProxyConfig.read(
+                                config(discovery.port(), false)
+                                        .replace(
+                                                "\"sockets\":64",
+                                                "\"sockets\":64,\"memory_mb\":0.1"));
         try (Sink sink = new Sink(NEVER)) {
             start(false, sink.server.getLocalPort());
             byte[] body = bytes(60_000);
@@ -443,17 +500,23 @@
 
     /** The same bytes in any pieces are the same answer. */
     @Property(tries = 300, seed = "48")
-    void howItIsCutDoesNotMatter(@ForAll @IntRange(min = 0, max = 3000) int length,
-            @ForAll @IntRange(min = 1, max = 700) int chunk, @ForAll boolean chunks, @ForAll boolean atOnce,
-            @ForAll @IntRange(min = 1, max = 400) int cut, @ForAll long seed) throws IOException {
+    void howItIsCutDoesNotMatter(
+            @ForAll @IntRange(min = 0, max = 3000) int length,
+            @ForAll @IntRange(min = 1, max = 700) int chunk,
+            @ForAll boolean chunks,
+            @ForAll boolean atOnce,
+            @ForAll @IntRange(min = 1, max = 400) int cut,
+            @ForAll long seed)
+            throws IOException {
         byte[] body = bytes(length);
-        byte[] all = ("HTTP/1.1 100 Continue\r\n\r\n" + (chunks ? chunked(body, chunk) : length(body)))
-                .getBytes(StandardCharsets.ISO_8859_1);
+        byte[] all =
+                ("HTTP/1.1 100 Continue\r\n\r\n" + (chunks ? chunked(body, chunk) : length(body)))
+                        .getBytes(StandardCharsets.ISO_8859_1);
         Random random = new Random(seed);
         ResponseReader reader = new ResponseReader(1000, true);
         ByteArrayOutputStream got = new ByteArrayOutputStream();
         boolean isLong = false;
-        for (int at = 0; at < all.length;) {
+        for (int at = 0; at < all.length; ) {
             int next = Math.min(all.length, at + (atOnce ? all.length : 1 + random.nextInt(cut)));
             ByteBuffer piece = ByteBuffer.wrap(all, at, next - at).slice();
             at = next;
@@ -465,7 +528,9 @@
                 }
             }
             if (isLong) {
-                for (ByteBuffer part = reader.piece(piece); part != null; part = reader.piece(piece)) {
+                for (ByteBuffer part = reader.piece(piece);
+                        part != null;
+                        part = reader.piece(piece)) {
                     byte[] bytes = new byte[part.remaining()];
                     part.get(bytes);
                     got.writeBytes(bytes);
--- a/src/test/java/lemondrift/proxy/ManyBackends.java
+++ b/src/test/java/lemondrift/proxy/ManyBackends.java
@@ -10,11 +10,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.stream.IntStream;
 
-/** Thousands of backends on loopback ports of their own, served by one thread; each answers at once. */
+/**
+ * Thousands of backends on loopback ports of their own, served by one thread; each answers at once.
+ */
 final class ManyBackends implements AutoCloseable {
-    private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n"
-            + "Endpoint-Load-Metrics: TEXT queue=0, util=0.1\r\n\r\nbody")
-            .getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] ANSWER =
+            ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n"
+                            + "Endpoint-Load-Metrics: TEXT queue=0, util=0.1\r\n\r\nbody")
+                    .getBytes(StandardCharsets.US_ASCII);
 
     private final Selector selector = Selector.open();
     private final int[] ports;
@@ -37,19 +40,21 @@
 
     /** Lines of a list about backends of consecutive numbers, in one phase. */
     String[] members(int from, int to, String phase) {
-        return IntStream.range(from, to).mapToObj(i -> LoopbackFixture.member(i, ports[i], phase))
+        return IntStream.range(from, to)
+                .mapToObj(i -> LoopbackFixture.member(i, ports[i], phase))
                 .toArray(String[]::new);
     }
 
     private void serve() throws IOException {
         while (selector.isOpen()) {
-            selector.select(key -> {
-                try {
-                    handle(key);
-                } catch (IOException e) {
-                    close(key);
-                }
-            });
+            selector.select(
+                    key -> {
+                        try {
+                            handle(key);
+                        } catch (IOException e) {
+                            close(key);
+                        }
+                    });
         }
     }
 
--- a/src/test/java/lemondrift/proxy/ProcessPauseTest.java
+++ b/src/test/java/lemondrift/proxy/ProcessPauseTest.java
@@ -19,10 +19,14 @@
     /** Time enough to be noticed as a pause, and for the short request's to pass. */
     private static final long STILL = 900;
 
-    /** Danger: one thread takes the signal and stops the others, which may read a request until then. */
+    /**
+     * Danger: one thread takes the signal and stops the others, which may read a request until
+     * then.
+     */
     private static void awaitStill(Process child) throws Exception {
         for (boolean still = false; !still; ) {
-            try (Stream<Path> threads = Files.list(Path.of("/proc", String.valueOf(child.pid()), "task"))) {
+            try (Stream<Path> threads =
+                    Files.list(Path.of("/proc", String.valueOf(child.pid()), "task"))) {
                 still = threads.allMatch(ProcessPauseTest::isStill);
             }
         }
@@ -30,7 +34,9 @@
 
     private static boolean isStill(Path thread) {
         try {
-            return Files.readString(thread.resolve("stat")).replaceFirst("(?s).*\\) ", "").startsWith("T");
+            return Files.readString(thread.resolve("stat"))
+                    .replaceFirst("(?s).*\\) ", "")
+                    .startsWith("T");
         } catch (IOException e) {
             // It has ended.
             return true;
@@ -40,9 +46,14 @@
     private static Socket ask(int port, String trace, int milliseconds) throws Exception {
         Socket client = new Socket("127.0.0.1", port);
         client.setSoTimeout(10_000);
-        client.getOutputStream().write(("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + trace
-                + "\r\nX-Qos: look\r\nX-Expires-In-Ms: " + milliseconds + "\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+        client.getOutputStream()
+                .write(
+                        ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
+                                        + trace
+                                        + "\r\nX-Qos: look\r\nX-Expires-In-Ms: "
+                                        + milliseconds
+                                        + "\r\n\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
         return client;
     }
 
@@ -50,13 +61,22 @@
     void whatWaitedInItsSocketsIsSentOnOnlyWhileSomebodyWaitsAndHasTime(@TempDir Path folder)
             throws Exception {
         StandIn backend = backend(OK);
-        StandIn agent = new StandIn(request -> request.contains("?") ? SILENCE
-                : http(list(1, true, member(0, backend.port(), "active"))));
+        StandIn agent =
+                new StandIn(
+                        request ->
+                                request.contains("?")
+                                        ? SILENCE
+                                        : http(list(1, true, member(0, backend.port(), "active"))));
         int port = freePort();
-        Path file = Files.writeString(folder.resolve("config.json"), config(agent.port(), false)
-                .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                // Else one with less time than the others is taken for a retry.
-                .replace("\"siblings\":1,", "\"siblings\":1,\"clients\":{\"marksRetry\":true},"));
+        Path file =
+                Files.writeString(
+                        folder.resolve("config.json"),
+                        config(agent.port(), false)
+                                .replace("127.0.0.1:0", "127.0.0.1:" + port)
+                                // Else one with less time than the others is taken for a retry.
+                                .replace(
+                                        "\"siblings\":1,",
+                                        "\"siblings\":1,\"clients\":{\"marksRetry\":true},"));
         Process child = process(file);
         try {
             BufferedReader log = child.inputReader();
@@ -83,8 +103,10 @@
             try (Socket after = ask(port, "after", 4000)) {
                 assertTrue(read(after).startsWith("HTTP/1.1 200"));
             }
-            List<String> sent = backend.requests.stream()
-                    .map(each -> each.replaceFirst("(?s).*X-Trace-Id: (\\S+).*", "$1")).toList();
+            List<String> sent =
+                    backend.requests.stream()
+                            .map(each -> each.replaceFirst("(?s).*X-Trace-Id: (\\S+).*", "$1"))
+                            .toList();
             assertEquals(List.of("before", "stays", "after"), sent);
             child.destroy();
             assertEquals(0, child.waitFor());
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -1,9 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.backend.BackendClient;
-import lemondrift.proxy.backend.ConnectionPool;
-import lemondrift.proxy.lifecycle.ProxyLauncher;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.BufferedReader;
@@ -23,6 +19,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
+import lemondrift.proxy.backend.BackendClient;
+import lemondrift.proxy.backend.ConnectionPool;
+import lemondrift.proxy.lifecycle.ProxyLauncher;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.xnio.XnioWorker;
@@ -39,9 +38,14 @@
         String got = backend.requests.take();
         assertTrue(got.startsWith("POST /api/x%20y?q=1 HTTP/1.1\r\n"), got.substring(0, 200));
         assertTrue(got.contains("X-Trace-Id: abc\r\n"));
-        assertTrue(got.matches("(?s).*X-Expires-In-Ms: 1?\\d?\\d?\\d\r\n.*"), "the contract time at most");
-        assertTrue(got.endsWith(new String("b\u00e4ll".getBytes(StandardCharsets.UTF_8),
-                StandardCharsets.ISO_8859_1)));
+        assertTrue(
+                got.matches("(?s).*X-Expires-In-Ms: 1?\\d?\\d?\\d\r\n.*"),
+                "the contract time at most");
+        assertTrue(
+                got.endsWith(
+                        new String(
+                                "b\u00e4ll".getBytes(StandardCharsets.UTF_8),
+                                StandardCharsets.ISO_8859_1)));
         assertEquals(200, look().statusCode());
         assertTrue(backend.requests.take().startsWith("GET /api/x%20y?q=1 "));
     }
@@ -67,13 +71,17 @@
 
     @Test
     void eachWayToEndAnAnswerIsUnderstood() throws Exception {
-        StandIn backend = backend(request -> switch (request.replaceAll("(?s).*\r\n", "")) {
-            case "chunked" -> CHUNKS + "2\r\ndy\r\n0\r\n\r\n";
-            case "chunked, cut" -> CHUNKS;
-            case "closed" -> "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody";
-            case "empty" -> OK.replace("4\r\n\r\nbody", "0\r\n\r\n");
-            default -> "HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n";
-        });
+        StandIn backend =
+                backend(
+                        request ->
+                                switch (request.replaceAll("(?s).*\r\n", "")) {
+                                    case "chunked" -> CHUNKS + "2\r\ndy\r\n0\r\n\r\n";
+                                    case "chunked, cut" -> CHUNKS;
+                                    case "closed" ->
+                                            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody";
+                                    case "empty" -> OK.replace("4\r\n\r\nbody", "0\r\n\r\n");
+                                    default -> "HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n";
+                                });
         start(backend);
         assertEquals("body", order("chunked").body());
         assertEquals("body", order("closed").body());
@@ -111,7 +119,9 @@
         start(silent);
         assertEquals(503, look().statusCode(), "a retry is harmless");
         assertEquals(502, order("x").statusCode(), "a retry may be a second effect");
-        assertTrue(silent.left.await(5, TimeUnit.SECONDS), "an attempt given up has its connection closed");
+        assertTrue(
+                silent.left.await(5, TimeUnit.SECONDS),
+                "an attempt given up has its connection closed");
     }
 
     @Test
@@ -125,8 +135,11 @@
         StandIn silent = backend(SILENCE);
         start(silent);
         try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
-            client.getOutputStream().write(("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: look\r\n"
-                    + "X-Expires-In-Ms: 600000\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream()
+                    .write(
+                            ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: look\r\n"
+                                            + "X-Expires-In-Ms: 600000\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             assertNotNull(silent.requests.poll(5, TimeUnit.SECONDS));
         }
         assertTrue(silent.left.await(5, TimeUnit.SECONDS));
@@ -175,7 +188,8 @@
             for (int i = 0; i < 40; i++) {
                 silent.add(new Socket("127.0.0.1", proxy.address().getPort()));
             }
-            assertEquals(-1, silent.get(0).getInputStream().read(), "one that says nothing makes room");
+            assertEquals(
+                    -1, silent.get(0).getInputStream().read(), "one that says nothing makes room");
             client.getOutputStream().write("X-Expires-In-Ms: 900\r\n\r\n".getBytes());
             assertTrue(read(client).startsWith("HTTP/1.1 200"));
         }
@@ -184,8 +198,17 @@
     @Test
     void whatNeverBecomesARequestIsClosed() throws Exception {
         start(backend(OK));
-        for (String raw : List.of("", "POST / HTTP/1.1\r\nHost: a\r\nX-", "POST / HTTP/1.1\r\nHost: a\r\n"
-                + "X-Trace-Id: a\r\nX-Qos: order\r\nX-Expires-In-Ms: 900\r\nContent-Length: 9\r\n\r\nx")) {
+        for (String raw :
+                List.of(
+                        "",
+                        "POST / HTTP/1.1\r\nHost: a\r\nX-",
+                        "POST / HTTP/1.1\r\n"
+                                + "Host: a\r\n"
+                                + "X-Trace-Id: a\r\n"
+                                + "X-Qos: order\r\n"
+                                + "X-Expires-In-Ms: 900\r\n"
+                                + "Content-Length: 9\r\n\r\n"
+                                + "x")) {
             try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
                 client.setSoTimeout(20_000);
                 client.getOutputStream().write(raw.getBytes(StandardCharsets.US_ASCII));
@@ -208,10 +231,16 @@
     @Test
     void aHangUpMovesTheWatchAndABadFileDoesNot(@TempDir Path folder) throws Exception {
         StandIn old = new StandIn(request -> request.contains("?") ? SILENCE : http(list(7, true)));
-        StandIn next = new StandIn(request -> request.contains("?") ? SILENCE : http(list(3, true)));
+        StandIn next =
+                new StandIn(request -> request.contains("?") ? SILENCE : http(list(3, true)));
         Path file = Files.writeString(folder.resolve("config.json"), config(old.port(), false));
-        ProcessBuilder command = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin/java")
-                .toString(), "-cp", System.getProperty("java.class.path"), "lemondrift.Main", "serve");
+        ProcessBuilder command =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "lemondrift.Main",
+                        "serve");
         command.environment().put("PROXY_CONFIG", file.toString());
         Process child = command.redirectErrorStream(true).start();
         try {
@@ -237,14 +266,17 @@
     }
 
     private static void hangUp(Process child) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", String.valueOf(child.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", String.valueOf(child.pid())).start().waitFor());
     }
 
     @Test
     void requestsSentAheadAreAnsweredInTurn() throws Exception {
         start(backend(OK));
-        String one = "GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: look\r\n"
-                + "X-Expires-In-Ms: 900\r\n\r\n";
+        String one =
+                "GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: look\r\n"
+                        + "X-Expires-In-Ms: 900\r\n\r\n";
         try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
             client.getOutputStream().write((one + one + one).getBytes(StandardCharsets.US_ASCII));
             for (int i = 0; i < 3; i++) {
@@ -261,28 +293,43 @@
         assertEquals(400, send(bare).statusCode());
         assertEquals(400, send(request("unheard-of")).statusCode());
         for (String left : List.of("", "-5", "1e3", "99999999999999999999")) {
-            assertEquals(400, send(request("look").setHeader("X-Expires-In-Ms", left)).statusCode(), left);
+            assertEquals(
+                    400,
+                    send(request("look").setHeader("X-Expires-In-Ms", left)).statusCode(),
+                    left);
         }
         assertEquals(400, send(request("look").header("X-Qos", "order")).statusCode(), "twice");
         assertEquals(400, send(request("look").setHeader("X-Trace-Id", "")).statusCode());
-        String head = "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
-                + "X-Expires-In-Ms: 900\r\n";
-        for (String raw : List.of("GARBAGE\r\n\r\n", head + "Transfer-Encoding: gzip\r\n\r\n",
-                head + "Content-Length : 1\r\nContent-Length: 1\r\n\r\nx",
-                head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")) {
+        String head =
+                "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
+                        + "X-Expires-In-Ms: 900\r\n";
+        for (String raw :
+                List.of(
+                        "GARBAGE\r\n\r\n",
+                        head + "Transfer-Encoding: gzip\r\n\r\n",
+                        head + "Content-Length : 1\r\nContent-Length: 1\r\n\r\nx",
+                        head
+                                + "Content-Length: 4\r\n"
+                                + "Transfer-Encoding: chunked\r\n\r\n"
+                                + "0\r\n\r\n")) {
             try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
                 client.getOutputStream().write(raw.getBytes(StandardCharsets.US_ASCII));
                 assertTrue(read(client).startsWith("HTTP/1.1 400"), raw);
             }
         }
         try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
-            client.getOutputStream().write("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"
-                    .getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream()
+                    .write(
+                            "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"
+                                    .getBytes(StandardCharsets.US_ASCII));
             assertTrue(read(client).startsWith("HTTP/1.1 413"));
         }
         assertTrue(backend.requests.isEmpty());
-        HttpRequest.BodyPublisher chunked = HttpRequest.BodyPublishers.ofByteArrays(
-                IntStream.range(0, 40).mapToObj(i -> new byte[4096]).collect(Collectors.toList()));
+        HttpRequest.BodyPublisher chunked =
+                HttpRequest.BodyPublishers.ofByteArrays(
+                        IntStream.range(0, 40)
+                                .mapToObj(i -> new byte[4096])
+                                .collect(Collectors.toList()));
         assertEquals(200, send(request("order").POST(chunked)).statusCode());
         assertEquals(200, order("x".repeat(64 * 1024)).statusCode());
     }
@@ -311,20 +358,33 @@
 
     @Test
     void interimAnswersArePassedOver() throws Exception {
-        start(backend("HTTP/1.1 103 Early Hints\r\nLink: a\r\nContent-Length: 9\r\n\r\n"
-                + "HTTP/1.1 100 Continue\r\n\r\n" + OK));
+        start(
+                backend(
+                        "HTTP/1.1 103 Early Hints\r\nLink: a\r\nContent-Length: 9\r\n\r\n"
+                                + "HTTP/1.1 100 Continue\r\n\r\n"
+                                + OK));
         assertEquals("body", order("x").body());
     }
 
     @Test
     void anAnswerThatCanBeReadInTwoWaysIsABrokenOne() throws Exception {
         String head = "HTTP/1.1 200 OK\r\n";
-        List<String> spoilt = List.of(head + "Content-Length: 4\r\nContent-Length: 2\r\n\r\nbody",
-                head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-                head + "Content-Length: -4\r\n\r\nbody", head + "Content-Length: 3000000000\r\n\r\nbody",
-                head + "Content-Length : 4\r\n\r\nbody", head + "\r\nbody", "HTTP/1.1 200 OK\n\nbody",
-                "\u0001\u0002noise\r\n\r\n", head + "X: " + "x".repeat(20_000));
-        start(backend(request -> spoilt.get(Integer.parseInt(request.replaceAll("(?s).*\r\n", "")))));
+        List<String> spoilt =
+                List.of(
+                        head + "Content-Length: 4\r\nContent-Length: 2\r\n\r\nbody",
+                        head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                        head + "Content-Length: -4\r\n\r\nbody",
+                        head + "Content-Length: 3000000000\r\n\r\nbody",
+                        head + "Content-Length : 4\r\n\r\nbody",
+                        head + "\r\nbody",
+                        "HTTP/1.1 200 OK\n\nbody",
+                        "\u0001\u0002noise\r\n\r\n",
+                        head + "X: " + "x".repeat(20_000));
+        start(
+                backend(
+                        request ->
+                                spoilt.get(
+                                        Integer.parseInt(request.replaceAll("(?s).*\r\n", "")))));
         for (int i = 0; i < spoilt.size(); i++) {
             assertEquals(502, order(String.valueOf(i)).statusCode(), spoilt.get(i));
         }
@@ -334,10 +394,29 @@
     void aFullBudgetClosesTheOldestIdleConnectionOfAnotherPool() throws Exception {
         XnioWorker worker = ProxyServer.worker();
         ConnectionPool.Budget budget = new ConnectionPool.Budget(1);
-        ConnectionPool one = new ConnectionPool(null, worker.getIoThread(), null, null, () -> 0, budget, 4, ConnectionPool.Rest.NONE);
-        ConnectionPool other = new ConnectionPool(null, worker.getIoThread(), null, null, () -> 0, budget, 4, ConnectionPool.Rest.NONE);
+        ConnectionPool one =
+                new ConnectionPool(
+                        null,
+                        worker.getIoThread(),
+                        null,
+                        null,
+                        () -> 0,
+                        budget,
+                        4,
+                        ConnectionPool.Rest.NONE);
+        ConnectionPool other =
+                new ConnectionPool(
+                        null,
+                        worker.getIoThread(),
+                        null,
+                        null,
+                        () -> 0,
+                        budget,
+                        4,
+                        ConnectionPool.Rest.NONE);
         assertTrue(one.reserve());
-        ConnectionPool.Link link = one.opened(worker.createFullDuplexPipeConnection().getLeftSide());
+        ConnectionPool.Link link =
+                one.opened(worker.createFullDuplexPipeConnection().getLeftSide());
         assertFalse(other.reserve(), "busy");
         one.back(link);
         assertTrue(other.reserve());
@@ -348,19 +427,42 @@
     @Test
     void aReportWithFiguresThatAreNoneIsNone() {
         List<String> names = List.of("queue", "util");
-        assertArrayEquals(new double[] {2, 0.5}, BackendClient.report("TEXT util=0.5, x=1, queue=2", names));
-        for (String bad : List.of("", "TEXT", "TEXT queue=2", "queue=2, util=NaN", "queue=-1, util=0.5",
-                "queue=2, util=Infinity", "queue=2, util=1e300", "queue=2, util=", "\u0001\u0002")) {
+        assertArrayEquals(
+                new double[] {2, 0.5}, BackendClient.report("TEXT util=0.5, x=1, queue=2", names));
+        for (String bad :
+                List.of(
+                        "",
+                        "TEXT",
+                        "TEXT queue=2",
+                        "queue=2, util=NaN",
+                        "queue=-1, util=0.5",
+                        "queue=2, util=Infinity",
+                        "queue=2, util=1e300",
+                        "queue=2, util=",
+                        "\u0001\u0002")) {
             assertNull(BackendClient.report(bad, names), bad);
         }
     }
 
     @Test
     void loadReportsDecide() throws Exception {
-        StandIn busy = backend(request -> request.startsWith("GET /load")
-                ? http("TEXT queue=9, util=1.0") : OK);
-        StandIn idle = backend(request -> request.startsWith("GET /load") ? http("TEXT queue=0, util=0.1")
-                : OK.replace("\r\nC", "\r\nEndpoint-Load-Metrics: TEXT queue=0, util=0.1\r\nC"));
+        StandIn busy =
+                backend(
+                        request ->
+                                request.startsWith("GET /load")
+                                        ? http("TEXT queue=9, util=1.0")
+                                        : OK);
+        StandIn idle =
+                backend(
+                        request ->
+                                request.startsWith("GET /load")
+                                        ? http("TEXT queue=0, util=0.1")
+                                        : OK.replace(
+                                                "\r\nC",
+                                                "\r\n"
+                                                        + "Endpoint-Load-Metrics: TEXT queue=0,"
+                                                        + " util=0.1\r\n"
+                                                        + "C"));
         start(true, busy.port(), idle.port());
         for (int i = 0; i < 10; i++) {
             assertEquals(200, order("x").statusCode());
@@ -378,8 +480,13 @@
         second.requests.clear();
         news.add(http("{\"revision\":2}"));
         news.add(http("nonsense"));
-        news.add(http(list(3, false, "{\"id\":\"s-9\",\"phase\":\"active\"}", member(0, first.port(),
-                "leaving"))));
+        news.add(
+                http(
+                        list(
+                                3,
+                                false,
+                                "{\"id\":\"s-9\",\"phase\":\"active\"}",
+                                member(0, first.port(), "leaving"))));
         news.add(SILENCE);
         awaitWatch("from=3");
         for (int i = 0; i < 6; i++) {
@@ -405,8 +512,10 @@
         assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
         int port = proxy.address().getPort();
         Thread drain = drains();
-        var late = http.sendAsync(request("look").setHeader("X-Trace-Id", "late").build(),
-                HttpResponse.BodyHandlers.ofString());
+        var late =
+                http.sendAsync(
+                        request("look").setHeader("X-Trace-Id", "late").build(),
+                        HttpResponse.BodyHandlers.ofString());
         go.countDown();
         assertEquals(200, before.get().statusCode());
         assertEquals(200, late.get().statusCode());
@@ -418,14 +527,27 @@
 
     @Test
     void badConfigurationIsOneLineAndExitOne(@TempDir Path folder) throws Exception {
-        List<String> bad = List.of("", "[]", "{", "{\"listen\":\"nowhere\"}",
-                "{\"listen\":3,\"settings\":{}}", config(1, false).replace("retryable", "dubious"),
-                config(1, false).replace("8c1f", "wxyz"));
+        List<String> bad =
+                List.of(
+                        "",
+                        "[]",
+                        "{",
+                        "{\"listen\":\"nowhere\"}",
+                        "{\"listen\":3,\"settings\":{}}",
+                        config(1, false).replace("retryable", "dubious"),
+                        config(1, false).replace("8c1f", "wxyz"));
         for (String text : bad) {
             Path file = Files.writeString(folder.resolve("config.json"), text);
             ByteArrayOutputStream err = new ByteArrayOutputStream();
-            assertEquals(1, ProxyLauncher.run(Map.of("PROXY_CONFIG", file.toString()), new PrintStream(err)), text);
-            assertEquals(1, ProxyLauncher.check(Map.of("PROXY_CONFIG", file.toString()), System.err), text);
+            assertEquals(
+                    1,
+                    ProxyLauncher.run(
+                            Map.of("PROXY_CONFIG", file.toString()), new PrintStream(err)),
+                    text);
+            assertEquals(
+                    1,
+                    ProxyLauncher.check(Map.of("PROXY_CONFIG", file.toString()), System.err),
+                    text);
             assertEquals(1, err.toString().lines().count(), err.toString());
         }
         assertEquals(1, ProxyLauncher.run(Map.of(), new PrintStream(new ByteArrayOutputStream())));
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -1,7 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.config.ProxyConfig;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import com.google.gson.JsonObject;
@@ -16,25 +14,30 @@
 import java.util.List;
 import java.util.Queue;
 import java.util.Random;
-import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntUnaryOperator;
 import java.util.function.Predicate;
+import lemondrift.proxy.config.ProxyConfig;
 import org.junit.jupiter.api.Test;
 import org.xnio.ChannelListener;
 import org.xnio.IoFuture;
 import org.xnio.StreamConnection;
 
-/** Two events that cross, in the order that does harm; docs/incidents/narrow-moments.md has the list. */
+/**
+ * Two events that cross, in the order that does harm; docs/incidents/narrow-moments.md has the
+ * list.
+ */
 class RaceConditionsTest extends LoopbackFixture {
     private boolean mayCancel = true;
     private int contractTime = 1500, expiry = 4000;
 
     @Override
     String config(int discovery, boolean probes) {
-        return super.config(discovery, probes).replace("\"mayCancel\":true", "\"mayCancel\":" + mayCancel)
+        return super.config(discovery, probes)
+                .replace("\"mayCancel\":true", "\"mayCancel\":" + mayCancel)
                 .replace("\"sockets\":64", "\"sockets\":1024")
                 .replace("\"connectTimeout\":250", "\"connectTimeout\":5000")
                 .replace("\"contractTime\":1500", "\"contractTime\":" + contractTime)
@@ -48,7 +51,8 @@
     }
 
     private static String get(String trace) {
-        return "GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + trace
+        return "GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
+                + trace
                 + "\r\nX-Qos: look\r\nX-Expires-In-Ms: 60000\r\n\r\n";
     }
 
@@ -152,7 +156,8 @@
         contractTime = expiry = 60_000;
         StandIn backend = backend(SILENCE);
         start(backend);
-        for (String ahead : new String[] {"G", get("next").substring(0, 60), get("next") + get("third")}) {
+        for (String ahead :
+                new String[] {"G", get("next").substring(0, 60), get("next") + get("third")}) {
             try (Socket client = client()) {
                 write(client, get("a"));
                 assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
@@ -202,13 +207,18 @@
         StandIn backend = backend(SILENCE);
         start(backend);
         try (Socket client = client()) {
-            write(client, "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
-                    + "X-Expires-In-Ms: 4000\r\nContent-Length: 1000000\r\n\r\n" + "x".repeat(400_000));
+            write(
+                    client,
+                    "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
+                            + "X-Expires-In-Ms: 4000\r\nContent-Length: 1000000\r\n\r\n"
+                            + "x".repeat(400_000));
             await(now -> now.calls() == 1);
         }
         nothingIsInHand();
         assertTrue(backend.left.await(5, TimeUnit.SECONDS), "its connection is closed");
-        assertTrue(backend.requests.take().length() < 1_000_000, "cut short, so that it has not begun");
+        assertTrue(
+                backend.requests.take().length() < 1_000_000,
+                "cut short, so that it has not begun");
     }
 
     /** Each at another step: the id is free again, and nothing of it is left anywhere. */
@@ -220,15 +230,17 @@
         for (int i = 0; i < 6; i++) {
             Random chance = new Random(i);
             String trace = "same-" + i / 2;
-            clients.add(new Thread(() -> {
-                try {
-                    for (int n = 0; n < 40; n++) {
-                        leaves(chance, trace);
-                    }
-                } catch (Exception e) {
-                    failed.add(e);
-                }
-            }));
+            clients.add(
+                    new Thread(
+                            () -> {
+                                try {
+                                    for (int n = 0; n < 40; n++) {
+                                        leaves(chance, trace);
+                                    }
+                                } catch (Exception e) {
+                                    failed.add(e);
+                                }
+                            }));
         }
         clients.forEach(Thread::start);
         for (Thread each : clients) {
@@ -236,7 +248,8 @@
         }
         assertEquals(List.of(), List.copyOf(failed));
         nothingIsInHand();
-        // What a client sent before it left may be read after such a look; what is left behind stays.
+        // What a client sent before it left may be read after such a look; what is left behind
+        // stays.
         awaitOnIo(0);
         for (int i = 0; i < 3; i++) {
             int status = send(request("look").setHeader("X-Trace-Id", "same-" + i)).statusCode();
@@ -246,8 +259,12 @@
 
     private void leaves(Random chance, String trace) throws IOException {
         try (Socket client = client()) {
-            String post = "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + trace + "\r\nX-Qos: order\r\n"
-                    + "X-Expires-In-Ms: 4000\r\nContent-Length: 300000\r\n\r\n" + "x".repeat(290_000);
+            String post =
+                    "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
+                            + trace
+                            + "\r\nX-Qos: order\r\n"
+                            + "X-Expires-In-Ms: 4000\r\nContent-Length: 300000\r\n\r\n"
+                            + "x".repeat(290_000);
             switch (chance.nextInt(6)) {
                 case 0 -> write(client, get(trace));
                 case 1 -> write(client, get(trace) + get(trace + "-ahead"));
@@ -273,18 +290,22 @@
         lateConnections();
         StandIn backend = backend(SILENCE);
         start(backend);
-        var answer = http.sendAsync(request("order").build(),
-                java.net.http.HttpResponse.BodyHandlers.ofString());
+        var answer =
+                http.sendAsync(
+                        request("order").build(),
+                        java.net.http.HttpResponse.BodyHandlers.ofString());
         LateDial.Up up = dial.next();
-        proxy.runOnIoThread(() -> {
-            // The I/O thread stands still until the time is over; no timer runs before the connection is up.
-            try {
-                Thread.sleep(400);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-            up.run().run();
-        });
+        proxy.runOnIoThread(
+                () -> {
+                    // The I/O thread stands still until the time is over; no timer runs before the
+                    // connection is up.
+                    try {
+                        Thread.sleep(400);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                    up.run().run();
+                });
         sawNothing(backend);
         assertEquals(503, answer.get(10, TimeUnit.SECONDS).statusCode(), "it never ran");
         nothingIsInHand();
@@ -303,33 +324,40 @@
         try (Socket client = client()) {
             write(client, get("b"));
             awaitOnIo(1);
-            proxy.runOnIoThread(() -> {
-                awaits(left);
-                decides.countDown();
-                // Nothing is read until the attempt has been decided and is to be made.
-                CountDownLatch decided = new CountDownLatch(1);
-                proxy.runOnLoop(decided::countDown);
-                awaits(decided);
-            });
+            proxy.runOnIoThread(
+                    () -> {
+                        awaits(left);
+                        decides.countDown();
+                        // Nothing is read until the attempt has been decided and is to be made.
+                        CountDownLatch decided = new CountDownLatch(1);
+                        proxy.runOnLoop(decided::countDown);
+                        awaits(decided);
+                    });
         }
         left.countDown();
         nothingIsInHand();
         assertTrue(backend.requests.isEmpty(), "its client had gone");
     }
 
-    /** Danger: a backend works on for a client that has long gone, by a time that passed in a handshake. */
+    /**
+     * Danger: a backend works on for a client that has long gone, by a time that passed in a
+     * handshake.
+     */
     @Test
     void theTimeToldToABackendIsWhatIsLeftWhenItsConnectionIsUp() throws Exception {
         lateConnections();
         StandIn backend = backend(OK);
         start(backend);
-        var answer = http.sendAsync(request("look").build(),
-                java.net.http.HttpResponse.BodyHandlers.ofString());
+        var answer =
+                http.sendAsync(
+                        request("look").build(),
+                        java.net.http.HttpResponse.BodyHandlers.ofString());
         LateDial.Up up = dial.next();
         Thread.sleep(600);
         letUp(up);
         assertEquals(200, answer.get(10, TimeUnit.SECONDS).statusCode());
-        String told = backend.requests.take().replaceFirst("(?s).*X-Expires-In-Ms: (\\d+)\r\n.*", "$1");
+        String told =
+                backend.requests.take().replaceFirst("(?s).*X-Expires-In-Ms: (\\d+)\r\n.*", "$1");
         assertTrue(Integer.parseInt(told) <= contractTime - 600, told);
     }
 
@@ -344,7 +372,9 @@
         proxy.runOnLoop(() -> awaits(decides));
         try (Socket client = client()) {
             write(client, get("a").replace("60000", "300"));
-            assertTrue(read(client).startsWith("HTTP/1.1 502"), "no promise, as it may have been sent");
+            assertTrue(
+                    read(client).startsWith("HTTP/1.1 502"),
+                    "no promise, as it may have been sent");
             decides.countDown();
             nothingIsInHand();
             assertTrue(backend.requests.isEmpty());
@@ -357,7 +387,8 @@
     }
 
     @Test
-    void whatWaitedForAConnectionWhenItsBackendMovedDoesNotReachWhoeverIsThereNow() throws Exception {
+    void whatWaitedForAConnectionWhenItsBackendMovedDoesNotReachWhoeverIsThereNow()
+            throws Exception {
         int place = backend(OK).port();
         toldWhileOneWaits(port -> place, "active");
     }
@@ -367,11 +398,21 @@
         lateConnections();
         StandIn first = backend(OK), second = backend(OK);
         start(first, second);
-        var answer = http.sendAsync(request("order").build(),
-                java.net.http.HttpResponse.BodyHandlers.ofString());
+        var answer =
+                http.sendAsync(
+                        request("order").build(),
+                        java.net.http.HttpResponse.BodyHandlers.ofString());
         LateDial.Up up = dial.next();
         StandIn told = up.to().getPort() == first.port() ? first : second;
-        news.add(http(list(2, false, member(told == first ? 0 : 1, port.applyAsInt(told.port()), phase))));
+        news.add(
+                http(
+                        list(
+                                2,
+                                false,
+                                member(
+                                        told == first ? 0 : 1,
+                                        port.applyAsInt(told.port()),
+                                        phase))));
         awaitWatch("from=2");
         await(now -> true);
         letUp(up);
@@ -385,16 +426,21 @@
 
     @Test
     void aForwardThatCannotBeBegunEndsOnce() throws Exception {
-        dial = new LateDial(ProxyServer.worker()) {
-            @Override
-            public IoFuture<StreamConnection> open(java.net.InetSocketAddress to,
-                    ChannelListener<StreamConnection> opened) {
-                throw new IllegalStateException("made up");
-            }
-        };
+        dial =
+                new LateDial(ProxyServer.worker()) {
+                    @Override
+                    public IoFuture<StreamConnection> open(
+                            java.net.InetSocketAddress to,
+                            ChannelListener<StreamConnection> opened) {
+                        throw new IllegalStateException("made up");
+                    }
+                };
         start(backend(OK));
         assertEquals(503, look().statusCode());
-        assertEquals(0, proxy.inFlight().get(5, TimeUnit.SECONDS).calls(), "none ends again with its timers");
+        assertEquals(
+                0,
+                proxy.inFlight().get(5, TimeUnit.SECONDS).calls(),
+                "none ends again with its timers");
         nothingIsInHand();
     }
 
@@ -421,8 +467,9 @@
     @Test
     void aRequestHalfComeWhenADrainBeginsIsAnswered() throws Exception {
         start(backend(OK));
-        String whole = "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
-                + "X-Expires-In-Ms: 4000\r\nContent-Length: 4\r\n\r\nbody";
+        String whole =
+                "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
+                        + "X-Expires-In-Ms: 4000\r\nContent-Length: 4\r\n\r\nbody";
         for (int cut : new int[] {whole.length() - 2, whole.length() - 30}) {
             if (proxy.phase() == ProxyServer.Phase.STOPPED) {
                 start(backend(OK));
@@ -431,12 +478,16 @@
                 write(client, whole.substring(0, cut));
                 Thread drain = drains();
                 client.setSoTimeout(1000);
-                assertThrows(SocketTimeoutException.class, () -> client.getInputStream().read(),
+                assertThrows(
+                        SocketTimeoutException.class,
+                        () -> client.getInputStream().read(),
                         "it stays open");
                 client.setSoTimeout(10_000);
                 write(client, whole.substring(cut));
                 String answer = read(client);
-                assertTrue(answer != null && answer.startsWith("HTTP/1.1 200"), String.valueOf(answer));
+                assertTrue(
+                        answer != null && answer.startsWith("HTTP/1.1 200"),
+                        String.valueOf(answer));
                 drain.join();
             }
         }
@@ -464,8 +515,11 @@
         contractTime = expiry = 1000;
         start(backend(SILENCE));
         try (Socket client = client()) {
-            write(client, "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
-                    + "X-Expires-In-Ms: 1000\r\nContent-Length: 1000000\r\n\r\n" + "x".repeat(400_000));
+            write(
+                    client,
+                    "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
+                            + "X-Expires-In-Ms: 1000\r\nContent-Length: 1000000\r\n\r\n"
+                            + "x".repeat(400_000));
             await(now -> now.calls() == 1);
             Thread drain = drains();
             String answer = read(client);
@@ -482,8 +536,11 @@
         try (Socket client = client()) {
             write(client, get("a"));
             assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
-            write(client, "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: b\r\nX-Qos: order\r\n"
-                    + "X-Expires-In-Ms: 4000\r\nContent-Length: 100000\r\n\r\n" + "x".repeat(50_000));
+            write(
+                    client,
+                    "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: b\r\nX-Qos: order\r\n"
+                            + "X-Expires-In-Ms: 4000\r\nContent-Length: 100000\r\n\r\n"
+                            + "x".repeat(50_000));
             Thread drain = drains();
             go.countDown();
             drain.join();
@@ -494,23 +551,29 @@
 
     // Connections that stand idle.
 
-    /** Once one has said more than its answer: what comes later on, another request being there already. */
+    /**
+     * Once one has said more than its answer: what comes later on, another request being there
+     * already.
+     */
     @Test
     void aSecondAnswerIsNeverAnotherClients() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            daemon(() -> {
-                for (boolean first = true; ; first = false) {
-                    Socket socket = server.accept();
-                    String more = first ? http("evil") : "";
-                    daemon(() -> {
-                        read(socket);
-                        write(socket, OK + more);
-                        // The second answer waits for the second request, in case one comes here.
-                        read(socket);
-                        write(socket, http("evil") + OK);
+            daemon(
+                    () -> {
+                        for (boolean first = true; ; first = false) {
+                            Socket socket = server.accept();
+                            String more = first ? http("evil") : "";
+                            daemon(
+                                    () -> {
+                                        read(socket);
+                                        write(socket, OK + more);
+                                        // The second answer waits for the second request, in case
+                                        // one comes here.
+                                        read(socket);
+                                        write(socket, http("evil") + OK);
+                                    });
+                        }
                     });
-                }
-            });
             start(false, server.getLocalPort());
             for (int i = 0; i < 5; i++) {
                 assertEquals("body", look().body());
@@ -527,7 +590,10 @@
         JsonObject none = JsonParser.parseString(config(discovery.port(), false)).getAsJsonObject();
         JsonObject other = none.deepCopy();
         none.getAsJsonObject("settings").getAsJsonArray("serviceGrades").remove(0);
-        other.getAsJsonObject("settings").getAsJsonArray("serviceGrades").get(0).getAsJsonObject()
+        other.getAsJsonObject("settings")
+                .getAsJsonArray("serviceGrades")
+                .get(0)
+                .getAsJsonObject()
                 .addProperty("name", "new");
         CountDownLatch decides = new CountDownLatch(1);
         proxy.runOnLoop(() -> awaits(decides));
@@ -550,13 +616,24 @@
     void noClientIsTakenBeforeTheListIsThere() throws Exception {
         StandIn leaving = backend(OK), other = backend(OK);
         CountDownLatch tells = new CountDownLatch(1);
-        discovery = new StandIn(request -> {
-            awaits(tells);
-            return request.contains("?") ? SILENCE : http(list(2, true, member(0, leaving.port(), "leaving"),
-                    member(1, other.port(), "active")));
-        });
-        JsonObject config = JsonParser.parseString(config(discovery.port(), false)).getAsJsonObject();
-        config.add("known", JsonParser.parseString(list(1, true, member(0, leaving.port(), "active"))));
+        discovery =
+                new StandIn(
+                        request -> {
+                            awaits(tells);
+                            return request.contains("?")
+                                    ? SILENCE
+                                    : http(
+                                            list(
+                                                    2,
+                                                    true,
+                                                    member(0, leaving.port(), "leaving"),
+                                                    member(1, other.port(), "active")));
+                        });
+        JsonObject config =
+                JsonParser.parseString(config(discovery.port(), false)).getAsJsonObject();
+        config.add(
+                "known",
+                JsonParser.parseString(list(1, true, member(0, leaving.port(), "active"))));
         proxy = new ProxyServer(ProxyConfig.read(config.toString()));
         Thread serves = new Thread(() -> assertDoesNotThrow(() -> proxy.serve()));
         serves.start();
@@ -587,8 +664,14 @@
     void aLineThatCannotBeReadCostsThatLineAlone() throws Exception {
         StandIn first = backend(OK), second = backend(OK);
         start(first, second);
-        news.add(http(list(2, true, member(0, first.port(), "active").replace("\"cell\":0",
-                "\"cell\":\"none\""), member(1, second.port(), "leaving"))));
+        news.add(
+                http(
+                        list(
+                                2,
+                                true,
+                                member(0, first.port(), "active")
+                                        .replace("\"cell\":0", "\"cell\":\"none\""),
+                                member(1, second.port(), "leaving"))));
         news.add(SILENCE);
         awaitWatch("from=2");
         assertEquals(200, order("x").statusCode());
--- a/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
+++ b/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
@@ -1,8 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.lifecycle.ProxyLauncher;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.ByteArrayOutputStream;
@@ -10,14 +7,15 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.lifecycle.ProxyLauncher;
 import lemondrift.shadow.ShadowEvaluator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** The watching mode in the program, on loopback. */
 class ShadowSettingsFileTest extends LoopbackFixture {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private Map<String, String> files(String shadow) throws Exception {
         Path config = folder.resolve("config.json"), other = folder.resolve("shadow.json");
@@ -45,7 +43,10 @@
         proxy.drain();
         ShadowEvaluator shadow = proxy.shadow();
         assertTrue(full.requests.size() > 0);
-        assertEquals(full.requests.size(), shadow.count(ShadowEvaluator.Kind.NOT_SEND_AGAIN), shadow.summary());
+        assertEquals(
+                full.requests.size(),
+                shadow.count(ShadowEvaluator.Kind.NOT_SEND_AGAIN),
+                shadow.summary());
         assertEquals(6 + full.requests.size(), shadow.decisions(), shadow.summary());
     }
 
@@ -60,7 +61,8 @@
     void whatCannotBeWatchedIsOneLineThatNamesFileAndKey() throws Exception {
         check("{\"weights\":\"nominal\",\"siblings\":70}", 0);
         check("[]", 1);
-        for (String bad : new String[] {"weights\":\"heavy\"", "siblings\":-1", "localities\":[\"b\"]"}) {
+        for (String bad :
+                new String[] {"weights\":\"heavy\"", "siblings\":-1", "localities\":[\"b\"]"}) {
             String line = check("{\"" + bad + "}", 1), key = bad.substring(0, bad.indexOf('"'));
             assertTrue(line.contains("shadow.json: setting " + key + ": "), line);
         }
--- a/src/test/java/lemondrift/proxy/ShutdownTest.java
+++ b/src/test/java/lemondrift/proxy/ShutdownTest.java
@@ -19,6 +19,7 @@
 /** A real process at SIGTERM, whatever it is doing then. */
 class ShutdownTest extends LoopbackFixture {
     private static final int CLIENTS = 8;
+
     /** Nanoseconds after SIGTERM in which clients still open connections. */
     private static final long STRAGGLE = 350_000_000L;
 
@@ -29,13 +30,20 @@
 
     private Path file(Path folder, StandIn agent) throws IOException {
         port = freePort();
-        return Files.writeString(folder.resolve("config.json"), config(agent.port(), false)
-                .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                .replace("\"contractTime\":1500,\"expiry\":4000", "\"contractTime\":400,\"expiry\":1000")
-                .replace("\"sockets\":64", "\"sockets\":512"));
+        return Files.writeString(
+                folder.resolve("config.json"),
+                config(agent.port(), false)
+                        .replace("127.0.0.1:0", "127.0.0.1:" + port)
+                        .replace(
+                                "\"contractTime\":1500,\"expiry\":4000",
+                                "\"contractTime\":400,\"expiry\":1000")
+                        .replace("\"sockets\":64", "\"sockets\":512"));
     }
 
-    /** Asks again and again, on each connection for as long as it is there, until no more may be opened. */
+    /**
+     * Asks again and again, on each connection for as long as it is there, until no more may be
+     * opened.
+     */
     private void client(int number) throws Exception {
         while (System.nanoTime() - told < STRAGGLE) {
             try (Socket client = new Socket("127.0.0.1", port)) {
@@ -47,7 +55,8 @@
                     if (answer == null && i == 0) {
                         lost.add(trace + " on a new connection");
                     } else if (answer == null) {
-                        // Closed between requests, and nothing was read of this one: it goes elsewhere.
+                        // Closed between requests, and nothing was read of this one: it goes
+                        // elsewhere.
                         break;
                     } else if (!answer.matches("(?s)HTTP/1.1 (200|502|503) .*")) {
                         lost.add(trace + ": " + answer);
@@ -65,9 +74,16 @@
 
     private static String ask(Socket client, String trace) {
         try {
-            client.getOutputStream().write(("POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + trace
-                    + "\r\nX-Qos: order\r\nX-Expires-In-Ms: 1000\r\nContent-Length: 1\r\n\r\nx")
-                    .getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream()
+                    .write(
+                            ("POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
+                                            + trace
+                                            + "\r\n"
+                                            + "X-Qos: order\r\n"
+                                            + "X-Expires-In-Ms: 1000\r\n"
+                                            + "Content-Length: 1\r\n\r\n"
+                                            + "x")
+                                    .getBytes(StandardCharsets.US_ASCII));
             return read(client);
         } catch (IOException e) {
             return null;
@@ -79,7 +95,8 @@
         for (int i = 0; i < members.length; i++) {
             members[i] = member(i, backends[i].port(), "active");
         }
-        return new StandIn(request -> request.contains("?") ? SILENCE : http(list(1, true, members)));
+        return new StandIn(
+                request -> request.contains("?") ? SILENCE : http(list(1, true, members)));
     }
 
     private void ends(Process child) throws Exception {
@@ -87,7 +104,10 @@
         assertEquals(0, child.exitValue());
     }
 
-    /** Clients ask at every answer while half of the backends hang; the signal comes twice, and a hang-up. */
+    /**
+     * Clients ask at every answer while half of the backends hang; the signal comes twice, and a
+     * hang-up.
+     */
     @Test
     void underLoadNothingIsLost(@TempDir Path folder) throws Exception {
         StandIn agent = agent(backend(OK), backend(OK), backend(SILENCE), backend(SILENCE));
@@ -95,17 +115,19 @@
         try {
             BufferedReader log = child.inputReader();
             awaitLine(log, "serving");
-            daemon(() -> log.lines().forEach(line -> { }));
+            daemon(() -> log.lines().forEach(line -> {}));
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 int number = i;
-                Thread thread = new Thread(() -> {
-                    try {
-                        client(number);
-                    } catch (Exception | AssertionError e) {
-                        lost.add(e.toString());
-                    }
-                });
+                Thread thread =
+                        new Thread(
+                                () -> {
+                                    try {
+                                        client(number);
+                                    } catch (Exception | AssertionError e) {
+                                        lost.add(e.toString());
+                                    }
+                                });
                 thread.start();
                 clients.add(thread);
             }
@@ -134,7 +156,7 @@
             try {
                 awaitLine(child.inputReader(), line);
                 signal(child, "TERM");
-                child.inputReader().lines().forEach(each -> { });
+                child.inputReader().lines().forEach(each -> {});
                 ends(child);
             } finally {
                 child.destroyForcibly();
@@ -150,7 +172,7 @@
             awaitLine(child.inputReader(), "serving");
             assertNotNull(agent.requests.poll(10, TimeUnit.SECONDS));
             signal(child, "TERM");
-            child.inputReader().lines().forEach(each -> { });
+            child.inputReader().lines().forEach(each -> {});
             ends(child);
         } finally {
             child.destroyForcibly();
--- a/src/test/java/lemondrift/proxy/TakeoverLockTest.java
+++ b/src/test/java/lemondrift/proxy/TakeoverLockTest.java
@@ -1,13 +1,12 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.lifecycle.TakeoverLock;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.lifecycle.TakeoverLock;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -27,13 +26,19 @@
 
     private static Process other(Path folder) throws IOException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        return new ProcessBuilder(java, "-Xmx32m", "-cp", System.getProperty("java.class.path"),
-                Other.class.getName(), folder.toString())
-                .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        return new ProcessBuilder(
+                        java,
+                        "-Xmx32m",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Other.class.getName(),
+                        folder.toString())
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
     }
 
     private static int said(Process process) throws IOException {
-        for (String line; (line = process.inputReader().readLine()) != null;) {
+        for (String line; (line = process.inputReader().readLine()) != null; ) {
             if (line.length() == 1) {
                 return Integer.parseInt(line);
             }
@@ -92,9 +97,15 @@
     @Test
     void twoTogetherKeepWithinTheDescriptorsOfOne() {
         for (int sockets : new int[] {256, 384, 1024}) {
-            ProxyConfig config = ProxyConfig.read(new LoopbackFixture() { }.config(1, false)
-                    .replace("\"sockets\":64", "\"sockets\":" + sockets));
-            double each = 40 + config.connectionShare(2) * (config.connectionLimits().last() + 0.33 * config.maxConnections());
+            ProxyConfig config =
+                    ProxyConfig.read(
+                            new LoopbackFixture() {}.config(1, false)
+                                    .replace("\"sockets\":64", "\"sockets\":" + sockets));
+            double each =
+                    40
+                            + config.connectionShare(2)
+                                    * (config.connectionLimits().last()
+                                            + 0.33 * config.maxConnections());
             assertTrue(2 * each <= sockets, "two hold " + 2 * each);
             assertEquals(1, config.connectionShare(1));
         }
