--- a/src/test/java/lemondrift/proxy/UpgradeTest.java
+++ b/src/test/java/lemondrift/proxy/UpgradeTest.java
@@ -1,8 +1,5 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.lifecycle.ProxyLauncher;
-
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.ByteArrayOutputStream;
@@ -22,6 +19,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.stream.IntStream;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.lifecycle.ProxyLauncher;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -34,7 +33,9 @@
     private ProxyServer serve() throws Exception {
         // Whoever waits in the queue is asked for at once, so the list has to be known.
         String known = "{\"known\":" + list(1, true, members) + ",";
-        ProxyServer next = new ProxyServer(ProxyConfig.read(known + config(discovery.port(), false).substring(1)));
+        ProxyServer next =
+                new ProxyServer(
+                        ProxyConfig.read(known + config(discovery.port(), false).substring(1)));
         next.serve(given);
         awaitWatch("from=1");
         return next;
@@ -43,16 +44,26 @@
     private ProxyServer first(StandIn... backends) throws Exception {
         start(backends);
         proxy.drain();
-        members = IntStream.range(0, backends.length).mapToObj(i -> member(i, backends[i].port(), "active"))
-                .toArray(String[]::new);
-        given = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        members =
+                IntStream.range(0, backends.length)
+                        .mapToObj(i -> member(i, backends[i].port(), "active"))
+                        .toArray(String[]::new);
+        given =
+                ServerSocketChannel.open()
+                        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return serve();
     }
 
     private Socket ask(String grade) throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), given.socket().getLocalPort());
-        client.getOutputStream().write(("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: up-" + ++ids + "\r\nX-Qos: "
-                + grade + "\r\nX-Expires-In-Ms: 4000\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+        client.getOutputStream()
+                .write(
+                        ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: up-"
+                                        + ++ids
+                                        + "\r\nX-Qos: "
+                                        + grade
+                                        + "\r\nX-Expires-In-Ms: 4000\r\n\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
         return client;
     }
 
@@ -68,24 +79,30 @@
     void theNewOneTakesOverAndNothingIsLost() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         AtomicBoolean asked = new AtomicBoolean();
-        StandIn slow = backend(request -> {
-            try {
-                return asked.getAndSet(true) || go.await(5, TimeUnit.SECONDS) ? OK : CLOSE;
-            } catch (InterruptedException e) {
-                return CLOSE;
-            }
-        });
+        StandIn slow =
+                backend(
+                        request -> {
+                            try {
+                                return asked.getAndSet(true) || go.await(5, TimeUnit.SECONDS)
+                                        ? OK
+                                        : CLOSE;
+                            } catch (InterruptedException e) {
+                                return CLOSE;
+                            }
+                        });
         ProxyServer old = first(slow);
         Socket open = ask("look");
         assertNotNull(slow.requests.poll(5, TimeUnit.SECONDS));
         ProxyServer next = serve();
-        Thread drain = new Thread(() -> {
-            try {
-                old.drain();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        Thread drain =
+                new Thread(
+                        () -> {
+                            try {
+                                old.drain();
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
         drain.start();
         while (old.phase() == ProxyServer.Phase.SERVING) {
             Thread.onSpinWait();
@@ -93,7 +110,8 @@
         served(20);
         go.countDown();
         String last = read(open);
-        assertTrue(last.startsWith("HTTP/1.1 200 ") && last.contains("Connection: close\r\n"), last);
+        assertTrue(
+                last.startsWith("HTTP/1.1 200 ") && last.contains("Connection: close\r\n"), last);
         drain.join();
         assertTrue(given.isOpen(), "the platform's socket is not the old one's to close");
         served(20);
@@ -132,9 +150,17 @@
         Path file = Files.writeString(folder.resolve("config.json"), config(1, false));
         for (String descriptor : List.of("0", "1", "none", "")) {
             var err = new ByteArrayOutputStream();
-            assertEquals(1, ProxyLauncher.run(Map.of("PROXY_CONFIG", file.toString(), "PROXY_INHERITED_FD",
-                    descriptor), new PrintStream(err)));
-            assertTrue(err.toString().contains("PROXY_INHERITED_FD: descriptor " + descriptor),
+            assertEquals(
+                    1,
+                    ProxyLauncher.run(
+                            Map.of(
+                                    "PROXY_CONFIG",
+                                    file.toString(),
+                                    "PROXY_INHERITED_FD",
+                                    descriptor),
+                            new PrintStream(err)));
+            assertTrue(
+                    err.toString().contains("PROXY_INHERITED_FD: descriptor " + descriptor),
                     err.toString());
         }
     }
--- a/src/test/java/lemondrift/proxy/WarmupTest.java
+++ b/src/test/java/lemondrift/proxy/WarmupTest.java
@@ -1,16 +1,15 @@
 package lemondrift.proxy;
 
-import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.lifecycle.Warmup;
-
 import static org.junit.jupiter.api.Assertions.*;
 
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.lifecycle.Warmup;
 import org.junit.jupiter.api.Test;
 
 /** The rehearsal before a start. */
 class WarmupTest {
     @Test
     void nothingIsLeftInHandWhenItEnds() throws Exception {
-        assertTrue(Warmup.play(ProxyConfig.read(new LoopbackFixture() { }.config(1, false))));
+        assertTrue(Warmup.play(ProxyConfig.read(new LoopbackFixture() {}.config(1, false))));
     }
 }
--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -73,9 +73,12 @@
 
     @Test
     void answersAreTheSame() throws Exception {
-        XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
+        XnioWorker worker =
+                Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         try {
-            AdminServer adminServer = new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
+            AdminServer adminServer =
+                    new AdminServer(
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
             StringBuilder all = new StringBuilder();
             askAll(adminServer, all.append("before there is a proxy\n"));
             adminServer.operates(new Known());
@@ -87,17 +90,24 @@
     }
 
     private static void askAll(AdminServer adminServer, StringBuilder all) throws IOException {
-        for (String path : List.of("health", "stats", "recovery", "loop", "quiesce", "resume", "nothing")) {
+        for (String path :
+                List.of("health", "stats", "recovery", "loop", "quiesce", "resume", "nothing")) {
             for (String method : List.of("GET", "PUT")) {
                 String request = method + " /admin/" + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
-                all.append("> ").append(method).append(' ').append(path).append('\n')
-                        .append(ask(adminServer, request)).append('\n');
+                all.append("> ")
+                        .append(method)
+                        .append(' ')
+                        .append(path)
+                        .append('\n')
+                        .append(ask(adminServer, request))
+                        .append('\n');
             }
         }
     }
 
     private static String ask(AdminServer adminServer, String request) throws IOException {
-        try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), adminServer.address().getPort())) {
+        try (Socket caller =
+                new Socket(InetAddress.getLoopbackAddress(), adminServer.address().getPort())) {
             caller.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             ByteArrayOutputStream answer = new ByteArrayOutputStream();
             caller.getInputStream().transferTo(answer);
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
@@ -12,12 +12,12 @@
 
 /** A snapshot that the landed program wrote is read, and written the same. */
 class SnapshotCompatibilityTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void aSnapshotOfTheLandedProgramIsReadAndWrittenTheSame() throws IOException {
-        Snapshot snapshot = new Snapshot("n1", "3f1c9b1e-boot", 1764756000123L, 1764756000.5, 0.21875, 40);
+        Snapshot snapshot =
+                new Snapshot("n1", "3f1c9b1e-boot", 1764756000123L, 1764756000.5, 0.21875, 40);
         LandedBytes.assertHex("snapshot.hex", SnapshotFile.encoded(snapshot));
         Path file = Files.write(folder.resolve("n1.snap"), LandedBytes.ofHex("snapshot.hex"));
         assertEquals(snapshot, SnapshotFile.read(file));
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
@@ -1,6 +1,5 @@
 package lemondrift.proxy.recovery;
 
-import lemondrift.proxy.config.RecoverySettings;
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.IOException;
@@ -8,6 +7,7 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.function.UnaryOperator;
+import lemondrift.proxy.config.RecoverySettings;
 import lemondrift.recovery.PeerPollBackoff;
 import lemondrift.recovery.Snapshot;
 import org.junit.jupiter.api.Test;
@@ -18,15 +18,15 @@
     private static final Snapshot OLDER = new Snapshot("n1", "boot", 7, 1000, 0.2, 40);
     private static final Snapshot NEWER = new Snapshot("n1", "boot", 8, 1005, 0.25, 60);
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private Path file() {
         return folder.resolve("n1.snap");
     }
 
     private static RecoveryCoordinator begins(Path folder, String name) {
-        return new RecoveryCoordinator(new RecoverySettings(PeerPollBackoff.of(1), folder, 1), name, 0, 3, 0);
+        return new RecoveryCoordinator(
+                new RecoverySettings(PeerPollBackoff.of(1), folder, 1), name, 0, 3, 0);
     }
 
     private static long start(RecoveryCoordinator its) {
@@ -57,10 +57,11 @@
         for (int i = 0; i < length; i++) {
             int at = i;
             damaged(all -> Arrays.copyOf(all, at));
-            damaged(all -> {
-                all[at] ^= 0x41;
-                return all;
-            });
+            damaged(
+                    all -> {
+                        all[at] ^= 0x41;
+                        return all;
+                    });
         }
         damaged(all -> Arrays.copyOf(all, all.length + 1));
         damaged(all -> Arrays.copyOf(all, 100_000));
@@ -81,7 +82,10 @@
         writesBoth();
         Files.write(folder.resolve("n1.snap.new"), new byte[] {1, 2, 3});
         assertEquals(NEWER, SnapshotFile.read(file()), "before the new one is synced");
-        Files.move(file(), SnapshotFile.before(file()), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                file(),
+                SnapshotFile.before(file()),
+                java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         try (SnapshotStore keeper = new SnapshotStore(folder, "n1")) {
             assertEquals(8, keeper.trusted().above(), "between its two renames");
             assertTrue(keeper.keepNow(9, 0, 0));
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three proxies, every order of their messages, with losses, repeats and starts anew at every step, breadth
- * first to a bound. What never arrives is lost. What is found of an exchange's work is the finder's start
- * number, so that it is seen whose it is.
+ * Three proxies, every order of their messages, with losses, repeats and starts anew at every step,
+ * breadth first to a bound. What never arrives is lost. What is found of an exchange's work is the
+ * finder's start number, so that it is seen whose it is.
  */
 class RecoveryExplorationTest {
     private static final int PROXIES = 3, TICKS = 5, MOST = 600_000, FAIR = 12, EVERY = 97;
@@ -25,8 +25,14 @@
     private record Message(int from, int to, PeerStatus hello) {}
 
     /** All there is at one time, and what may still go wrong. */
-    private record All(List<RecoveryState> proxies, Map<Message, Integer> under, int now, int starts, int repeats,
-            int answers, int next) {}
+    private record All(
+            List<RecoveryState> proxies,
+            Map<Message, Integer> under,
+            int now,
+            int starts,
+            int repeats,
+            int answers,
+            int next) {}
 
     /** The core, or one that is broken on purpose. */
     private static class Core {
@@ -56,8 +62,11 @@
         all.set(p, step.next());
         for (RecoveryState.Sent each : step.sent()) {
             PeerStatus its = each.hello();
-            must(its.answers() == step.next().answers() && (its.answers() == 0 || its.work() == its.start()),
-                    "a proxy tells only what it has found itself", at);
+            must(
+                    its.answers() == step.next().answers()
+                            && (its.answers() == 0 || its.work() == its.start()),
+                    "a proxy tells only what it has found itself",
+                    at);
             under.merge(new Message(p, each.to(), its), 1, Integer::sum);
         }
         return new All(all, under, at.now, at.starts, at.repeats, at.answers, at.next);
@@ -71,21 +80,44 @@
         RecoveryState one = at.proxies.get(message.to);
         PeerObservation before = one.heard().get(message.from);
         RecoveryState.Step step = core.heard(one, message.from, message.hello, at.now);
-        boolean former = before != null && at.now - before.at() <= PACE.forget()
-                && message.hello.start() < before.hello().start()
-                || message.hello.to() != 0 && message.hello.to() != one.start();
-        must(!former || step.next().equals(one) && step.sent().isEmpty(), "a former self changes nothing",
+        boolean former =
+                before != null
+                                && at.now - before.at() <= PACE.forget()
+                                && message.hello.start() < before.hello().start()
+                        || message.hello.to() != 0 && message.hello.to() != one.start();
+        must(
+                !former || step.next().equals(one) && step.sent().isEmpty(),
+                "a former self changes nothing",
                 at);
         All then = with(at, message.to, step, under);
-        return new All(then.proxies, then.under, at.now, at.starts, at.repeats - (again ? 1 : 0), at.answers,
+        return new All(
+                then.proxies,
+                then.under,
+                at.now,
+                at.starts,
+                at.repeats - (again ? 1 : 0),
+                at.answers,
                 at.next);
     }
 
     /** Time goes on for all, and who is due asks. */
     private All tick(All at) {
-        All then = new All(at.proxies, at.under, at.now + 1, at.starts, at.repeats, at.answers, at.next);
+        All then =
+                new All(
+                        at.proxies,
+                        at.under,
+                        at.now + 1,
+                        at.starts,
+                        at.repeats,
+                        at.answers,
+                        at.next);
         for (int p = 0; p < PROXIES; p++) {
-            then = with(then, p, core.wake(then.proxies.get(p), then.now), new HashMap<>(then.under));
+            then =
+                    with(
+                            then,
+                            p,
+                            core.wake(then.proxies.get(p), then.now),
+                            new HashMap<>(then.under));
         }
         return then;
     }
@@ -127,18 +159,37 @@
 
     private void promises(All at) {
         for (RecoveryState one : at.proxies) {
-            List<PeerStatus> fresh = one.heard().values().stream().filter(each -> at.now - each.at()
-                    <= PACE.forget()).map(PeerObservation::hello).toList();
+            List<PeerStatus> fresh =
+                    one.heard().values().stream()
+                            .filter(each -> at.now - each.at() <= PACE.forget())
+                            .map(PeerObservation::hello)
+                            .toList();
             RecoveryState.Lesson lesson = core.lesson(one, at.now);
-            must(lesson == null || fresh.stream().anyMatch(each -> each.work() == lesson.work()
-                    && each.answers() > 0), "no figure is believed past its age or made up", at);
-            // What it is among them was judged when something last happened to it, one tick ago at the most.
+            must(
+                    lesson == null
+                            || fresh.stream()
+                                    .anyMatch(
+                                            each ->
+                                                    each.work() == lesson.work()
+                                                            && each.answers() > 0),
+                    "no figure is believed past its age or made up",
+                    at);
+            // What it is among them was judged when something last happened to it, one tick ago at
+            // the most.
             if (!one.isSettled() && one.askAt() > at.now) {
-                boolean any = one.heard().values().stream().anyMatch(each -> at.now - each.at()
-                        <= PACE.forget() + 1);
-                boolean warm = one.heard().values().stream().anyMatch(each -> each.hello().settled());
-                must(one.standing() != RecoveryPhase.ALL_NEW || any, "not heard is not all new", at);
-                must(one.standing() != RecoveryPhase.ALONE || warm, "alone only beside one that knows", at);
+                boolean any =
+                        one.heard().values().stream()
+                                .anyMatch(each -> at.now - each.at() <= PACE.forget() + 1);
+                boolean warm =
+                        one.heard().values().stream().anyMatch(each -> each.hello().settled());
+                must(
+                        one.standing() != RecoveryPhase.ALL_NEW || any,
+                        "not heard is not all new",
+                        at);
+                must(
+                        one.standing() != RecoveryPhase.ALONE || warm,
+                        "alone only beside one that knows",
+                        at);
             }
         }
     }
@@ -156,10 +207,15 @@
             at = tick(at);
         }
         RecoveryState last = at.proxies.get(PROXIES - 1);
-        must(at.proxies.stream().limit(PROXIES - 1).allMatch(RecoveryState::isSettled), "who has answers settles",
+        must(
+                at.proxies.stream().limit(PROXIES - 1).allMatch(RecoveryState::isSettled),
+                "who has answers settles",
+                at);
+        must(
+                last.isSettled()
+                        || last.standing() == RecoveryPhase.ALONE && last.lesson(at.now) != null,
+                "one that has none is alone among them at last, and is taught",
                 at);
-        must(last.isSettled() || last.standing() == RecoveryPhase.ALONE && last.lesson(at.now) != null,
-                "one that has none is alone among them at last, and is taught", at);
     }
 
     /** The first promise that is broken; null where all hold to the bound. */
@@ -201,65 +257,117 @@
 
     @Test
     void oneThatHearsFormerSelvesIsCaught() {
-        caught("a former self", new Core() {
-            @Override
-            RecoveryState.Step heard(RecoveryState one, int from, PeerStatus hello, double now) {
-                PeerObservation before = one.heard().get(from);
-                long start = before == null ? hello.start() : Math.max(hello.start(), before.hello().start());
-                return one.heard(from, new PeerStatus(start, 0, hello.asks(), hello.up() + 9, hello.work(),
-                        hello.answers(), hello.settled()), now);
-            }
-        });
+        caught(
+                "a former self",
+                new Core() {
+                    @Override
+                    RecoveryState.Step heard(
+                            RecoveryState one, int from, PeerStatus hello, double now) {
+                        PeerObservation before = one.heard().get(from);
+                        long start =
+                                before == null
+                                        ? hello.start()
+                                        : Math.max(hello.start(), before.hello().start());
+                        return one.heard(
+                                from,
+                                new PeerStatus(
+                                        start,
+                                        0,
+                                        hello.asks(),
+                                        hello.up() + 9,
+                                        hello.work(),
+                                        hello.answers(),
+                                        hello.settled()),
+                                now);
+                    }
+                });
     }
 
     @Test
     void oneThatPassesOnWhatItHasBorrowedIsCaught() {
-        caught("a proxy tells only", new Core() {
-            @Override
-            RecoveryState.Step wake(RecoveryState one, double now) {
-                RecoveryState.Step step = one.wake(now);
-                RecoveryState.Lesson its = one.lesson(now);
-                return its == null || one.answers() > 0 ? step : new RecoveryState.Step(step.next(),
-                        step.sent().stream().map(each -> new RecoveryState.Sent(each.to(), new PeerStatus(one.start(),
-                                0, true, each.hello().up(), (float) its.work(), its.answers(), false)))
-                                .toList(), false);
-            }
-        });
+        caught(
+                "a proxy tells only",
+                new Core() {
+                    @Override
+                    RecoveryState.Step wake(RecoveryState one, double now) {
+                        RecoveryState.Step step = one.wake(now);
+                        RecoveryState.Lesson its = one.lesson(now);
+                        return its == null || one.answers() > 0
+                                ? step
+                                : new RecoveryState.Step(
+                                        step.next(),
+                                        step.sent().stream()
+                                                .map(
+                                                        each ->
+                                                                new RecoveryState.Sent(
+                                                                        each.to(),
+                                                                        new PeerStatus(
+                                                                                one.start(),
+                                                                                0,
+                                                                                true,
+                                                                                each.hello().up(),
+                                                                                (float) its.work(),
+                                                                                its.answers(),
+                                                                                false)))
+                                                .toList(),
+                                        false);
+                    }
+                });
     }
 
     @Test
     void oneThatForgetsNothingIsCaught() {
-        caught("no figure", new Core() {
-            @Override
-            RecoveryState.Lesson lesson(RecoveryState one, double now) {
-                return one.lesson(one.began());
-            }
-        });
+        caught(
+                "no figure",
+                new Core() {
+                    @Override
+                    RecoveryState.Lesson lesson(RecoveryState one, double now) {
+                        return one.lesson(one.began());
+                    }
+                });
     }
 
     @Test
     void oneThatTakesSilenceForAllNewIsCaught() {
-        caught("not heard", new Core() {
-            @Override
-            RecoveryState.Step wake(RecoveryState one, double now) {
-                RecoveryState.Step step = one.wake(now);
-                RecoveryState its = step.next();
-                return its.standing() != RecoveryPhase.CUT_OFF ? step : new RecoveryState.Step(new RecoveryState(its.pace(),
-                        its.self(), its.proxies(), its.start(), its.began(), its.work(), its.answers(),
-                        new TreeMap<>(its.heard()), RecoveryPhase.ALL_NEW, its.asked(), its.askAt()), step.sent(),
-                        false);
-            }
-        });
+        caught(
+                "not heard",
+                new Core() {
+                    @Override
+                    RecoveryState.Step wake(RecoveryState one, double now) {
+                        RecoveryState.Step step = one.wake(now);
+                        RecoveryState its = step.next();
+                        return its.standing() != RecoveryPhase.CUT_OFF
+                                ? step
+                                : new RecoveryState.Step(
+                                        new RecoveryState(
+                                                its.pace(),
+                                                its.self(),
+                                                its.proxies(),
+                                                its.start(),
+                                                its.began(),
+                                                its.work(),
+                                                its.answers(),
+                                                new TreeMap<>(its.heard()),
+                                                RecoveryPhase.ALL_NEW,
+                                                its.asked(),
+                                                its.askAt()),
+                                        step.sent(),
+                                        false);
+                    }
+                });
     }
 
     @Test
     void oneThatAnswersNobodyIsCaught() {
-        caught("one that has none", new Core() {
-            @Override
-            RecoveryState.Step heard(RecoveryState one, int from, PeerStatus hello, double now) {
-                RecoveryState.Step step = one.heard(from, hello, now);
-                return new RecoveryState.Step(step.next(), List.of(), step.anew());
-            }
-        });
+        caught(
+                "one that has none",
+                new Core() {
+                    @Override
+                    RecoveryState.Step heard(
+                            RecoveryState one, int from, PeerStatus hello, double now) {
+                        RecoveryState.Step step = one.heard(from, hello, now);
+                        return new RecoveryState.Step(step.next(), List.of(), step.anew());
+                    }
+                });
     }
 }
