--- a/src/main/java/lemondrift/balancer/Eligibility.java
+++ b/src/main/java/lemondrift/balancer/Eligibility.java
@@ -151,7 +151,7 @@
 
     private boolean isSound(int i, int test, double now) {
         double until = suspendedUntil[test][i];
-        return until == 0 || until <= now && backends.out[i] == 0;
+        return until == 0 || (until <= now && backends.out[i] == 0);
     }
 
     @Override
--- a/src/main/java/lemondrift/balancer/RetryPolicy.java
+++ b/src/main/java/lemondrift/balancer/RetryPolicy.java
@@ -22,10 +22,10 @@
     /** A shed reply promises that a retry is harmless. */
     static boolean mayShed(Request request) {
         return request.terms.requestClass().idempotency() == Idempotency.IDEMPOTENT
-                || request.possiblyExecuted == null && request.attemptsInFlight == 0
-                || request.terms.requestClass().idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                || (request.possiblyExecuted == null && request.attemptsInFlight == 0)
+                || (request.terms.requestClass().idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && request.terms.requestClass().deduplicationScope()
-                                == DeduplicationScope.ALL;
+                                == DeduplicationScope.ALL);
     }
 
     @Override
@@ -56,15 +56,15 @@
         // Danger: receipts are forgotten after a while, counted from the first send that may have
         // run.
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && now - ran.sentAt < requestClass.idempotencyKeyTtlSeconds()
                         && (requestClass.deduplicationScope() == DeduplicationScope.ALL
-                                || backends.line[ran.backend].location()
+                                || (backends.line[ran.backend].location()
                                                 == backends.line[i].location()
                                         && (requestClass.deduplicationScope()
                                                         == DeduplicationScope.LOCATION
                                                 || backends.line[ran.backend].cell()
-                                                        == backends.line[i].cell()));
+                                                        == backends.line[i].cell()))));
     }
 
     @Override
--- a/src/main/java/lemondrift/balancer/UtilizationEstimator.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -220,7 +220,7 @@
         }
         if (good
                 || outcome == AttemptOutcome.TIMED_OUT
-                || outcome.neverExecuted && outcome != AttemptOutcome.NOT_SENT) {
+                || (outcome.neverExecuted && outcome != AttemptOutcome.NOT_SENT)) {
             double wait =
                     outcome == AttemptOutcome.OVERLOADED
                             ? window
--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -438,14 +438,15 @@
                 fairEviction.mayYield(i, source[i]);
             }
         }
-        fairEviction.yield(
+        fairEviction.evict(
                 used - places,
                 t,
                 i -> {
                     // Danger: a request that has come and waits unread, after a pause of the
                     // process, would be lost.
                     boolean silent =
-                            answers[i] == 0 && state[i] != ConnectionState.NEW || hands.isSilent(i);
+                            (answers[i] == 0 && state[i] != ConnectionState.NEW)
+                                    || hands.isSilent(i);
                     if (silent) {
                         close(i, CloseReason.CROWD);
                     }
@@ -463,7 +464,7 @@
         for (int i = 0; i < state.length; i++) {
             CloseReason why = overdue(i, t);
             if (why != null
-                    && (state[i] != ConnectionState.NEW && state[i] != ConnectionState.QUIET
+                    && ((state[i] != ConnectionState.NEW && state[i] != ConnectionState.QUIET)
                             || hands.isSilent(i))) {
                 close(i, why);
             }
--- a/src/main/java/lemondrift/connection/FairEviction.java
+++ b/src/main/java/lemondrift/connection/FairEviction.java
@@ -36,7 +36,7 @@
     /**
      * Has connections close until there were so many, or none is left; close says whether one did.
      */
-    void yield(int many, double now, IntPredicate close) {
+    void evict(int many, double now, IntPredicate close) {
         // Danger: a weight that changes while its source is queued would leave the order broken.
         record Share(ClientSource source, int order, double weight, double ratio) {}
         var most =
--- a/src/main/java/lemondrift/gossip/LoadGossip.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -183,7 +183,7 @@
         boolean known = now - peer.heardAt <= REMEMBERED * forget;
         if (known
                 && (start == peer.former
-                        || start == peer.start && !isAfter(numbered, peer.number))) {
+                        || (start == peer.start && !isAfter(numbered, peer.number)))) {
             return;
         }
         peer.former = known && start != peer.start ? peer.start : peer.former;
@@ -195,7 +195,8 @@
         int[] before = peer.tags;
         peer.tags = new int[length / TAG_BYTES];
         Arrays.setAll(
-                peer.tags, i -> (in.get() & 0xff) << 16 | (in.get() & 0xff) << 8 | in.get() & 0xff);
+                peer.tags,
+                i -> (in.get() & 0xff) << 16 | (in.get() & 0xff) << 8 | (in.get() & 0xff));
         peer.number = numbered;
         peer.heardAt = now;
         replace(before, peer.tags);
@@ -280,7 +281,7 @@
                         .limit(MOST)
                         .toArray();
         ByteBuffer out = ByteBuffer.allocate(HEAD + tags.length * TAG_BYTES);
-        out.put(KIND).putShort((short) (start << COUNT_BITS | ++peers[to].told & COUNTS - 1));
+        out.put(KIND).putShort((short) (start << COUNT_BITS | (++peers[to].told & COUNTS - 1)));
         for (int tag : tags) {
             out.put((byte) (tag >> 16)).put((byte) (tag >> 8)).put((byte) tag);
         }
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -74,7 +74,7 @@
     }
 
     private static long key(int proxy, int id) {
-        return mixed(proxy, id) >>> Long.SIZE - SCORE_BITS << ID_BITS | id;
+        return mixed(proxy, id) >>> (Long.SIZE - SCORE_BITS) << ID_BITS | id;
     }
 
     /** The ids of all backends that may be used. */
--- a/src/main/java/lemondrift/lab/fleet/FaultPlan.java
+++ b/src/main/java/lemondrift/lab/fleet/FaultPlan.java
@@ -21,7 +21,7 @@
     /** One fault and whom it falls on: proxies, and what is at the other end of the channel. */
     record Drawn(Fault fault, boolean[] from, boolean[] to) {
         boolean falls(int one, int other) {
-            return from[one] && to[other] || fault.both() && from[other] && to[one];
+            return (from[one] && to[other]) || (fault.both() && from[other] && to[one]);
         }
 
         /** The numbers of those that it falls on. */
--- a/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
@@ -191,8 +191,9 @@
             case ROLL -> {
                 for (int k = 0; k < numbers.length; k++) {
                     int p = numbers[k];
+                    int step = k * STEPS / numbers.length;
                     agenda.in(
-                            fault.lasts() / STEPS * (k * STEPS / numbers.length),
+                            fault.lasts() / STEPS * step,
                             () -> {
                                 ends(p, false);
                                 startsAgain(p);
--- a/src/main/java/lemondrift/lab/simulation/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -171,12 +171,12 @@
     private boolean mayRepeat(Attempt attempt, Attempt before, double now) {
         RequestClass requestClass = settings.requestClasses().get(attempt.request.requestClass);
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && now - before.sentAt < requestClass.idempotencyKeyTtlSeconds() + slack
                         && (requestClass.deduplicationScope() == DeduplicationScope.ALL
-                                || requestClass.deduplicationScope() == DeduplicationScope.LOCATION
-                                        && location[before.backend] == location[attempt.backend]
-                                || before.backend == attempt.backend);
+                                || (requestClass.deduplicationScope() == DeduplicationScope.LOCATION
+                                        && location[before.backend] == location[attempt.backend])
+                                || before.backend == attempt.backend));
     }
 
     /** Rule 4: all proxies' work for a cold backend in any window, against what it can do then. */
@@ -232,8 +232,8 @@
         RequestClass requestClass = settings.requestClasses().get(request.requestClass);
         boolean harmless =
                 requestClass.idempotency() == Idempotency.IDEMPOTENT
-                        || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                                && requestClass.deduplicationScope() == DeduplicationScope.ALL
+                        || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                && requestClass.deduplicationScope() == DeduplicationScope.ALL)
                         || seen.forwards.stream()
                                 .allMatch(
                                         attempt ->
--- a/src/main/java/lemondrift/lab/simulation/Simulation.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -245,7 +245,7 @@
                         ? null
                         : agenda.at(
                                 wakeAt, () -> carryOut(proxy, proxies[proxy].woken(agenda.now())));
-        cancels.forEach(attempt -> cancel(proxy, attempt));
+        cancels.forEach(this::cancel);
         sends.forEach(attempt -> send(proxy, attempt));
         answers.forEach(
                 a -> answered(proxy, a.request(), false, a.rejected(), a.retryAfterSeconds()));
@@ -368,7 +368,7 @@
     }
 
     /** A cancel drops what waits; what runs goes on to its end for nobody. */
-    private void cancel(int proxy, Attempt attempt) {
+    private void cancel(Attempt attempt) {
         Out its = out.get(attempt);
         if (its != null) {
             drops(attempt, its);
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -76,7 +76,7 @@
         piece.get(bytes);
         body.writeBytes(bytes);
         require(
-                body.size() <= most || mayPass && status == BackendResponse.OK,
+                body.size() <= most || (mayPass && status == BackendResponse.OK),
                 "over " + most + " bytes");
     }
 
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -412,7 +412,7 @@
         // Danger: a body in a coding that is not known has no end, and its request would wait for
         // ever.
         String coding = headers.getFirst(Headers.TRANSFER_ENCODING);
-        if (coding != null && (!coding.equalsIgnoreCase("chunked") || !client.isHttp11())
+        if ((coding != null && (!coding.equalsIgnoreCase("chunked") || !client.isHttp11()))
                 || headers.count(Headers.TRANSFER_ENCODING) + headers.count(Headers.CONTENT_LENGTH)
                         > 1
                 || client.isHostIncludedInRequestURI()
--- a/src/main/java/lemondrift/proxy/config/ConfigFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConfigFile.java
@@ -95,7 +95,7 @@
         }
         reader.beginObject();
         while (reader.hasNext()) {
-            reader.nextName();
+            String unusedName = reader.nextName();
             if (reader.peek() == JsonToken.BEGIN_ARRAY) {
                 skipLines(reader);
             } else {
--- a/src/main/java/lemondrift/recovery/RecoveryState.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -114,8 +114,8 @@
         if (from == self
                 || from < 0
                 || from >= proxies
-                || hello.to() != 0 && hello.to() != start
-                || known && before.isAfter(hello)) {
+                || (hello.to() != 0 && hello.to() != start)
+                || (known && before.isAfter(hello))) {
             return new Step(this, List.of(), false);
         }
         SortedMap<Integer, PeerObservation> all = new TreeMap<>(heard);
--- a/src/main/java/lemondrift/settings/InvalidSettingsException.java
+++ b/src/main/java/lemondrift/settings/InvalidSettingsException.java
@@ -18,6 +18,8 @@
     }
 
     @Override
+    @SuppressWarnings(
+            "OverrideThrowableToString") // the message alone is what callers add a file to
     public String toString() {
         return REPORTED_NAME + ": " + getMessage();
     }
--- a/src/main/java/lemondrift/simulator/SimulatorAdapter.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -151,90 +151,80 @@
     /** Null where the event needs no decision. */
     private Decision call(int code, SimulatedProxy instance, ByteBuffer b) {
         switch (code) {
-            case SYNC:
-                {
-                    int set = Byte.toUnsignedInt(b.get());
-                    int kind = b.get();
-                    if (kind == 3) {
-                        return instance.balancer.endpointListFailed(now);
-                    }
-                    List<SimulatedProxy.Line> lines = lists.get(set);
-                    if (lines == null) {
-                        throw new InvalidSettingsException("list " + set + " was never defined");
-                    }
-                    return instance.balancer.endpointsListed(
-                            now, kind != 0, kind == 2, instance.listed(lines));
+            case SYNC -> {
+                int set = Byte.toUnsignedInt(b.get());
+                int kind = b.get();
+                if (kind == 3) {
+                    return instance.balancer.endpointListFailed(now);
                 }
-            case ARRIVAL:
-                {
-                    long id = b.getLong();
-                    int requestClass = Short.toUnsignedInt(b.getShort());
-                    int tenant = b.getInt();
-                    b.getLong();
-                    double left = b.getDouble() / 1000;
-                    b.getDouble();
-                    return instance.balancer.requestArrived(
-                            now,
-                            instance.taken(
-                                    new Request(
-                                            id,
-                                            requestClass,
-                                            tenant,
-                                            now,
-                                            left,
-                                            (b.get() & RETRY) != 0)));
+                List<SimulatedProxy.Line> lines = lists.get(set);
+                if (lines == null) {
+                    throw new InvalidSettingsException("list " + set + " was never defined");
                 }
-            case UNDER_WAY:
-                {
-                    Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
-                    return forward == null ? null : instance.balancer.responseStarted(now, forward);
-                }
-            case FORWARD_END:
-                {
-                    Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
-                    address(b);
-                    int outcome = Short.toUnsignedInt(b.getShort());
-                    double durationSeconds = b.getDouble() / 1000;
-                    boolean over = b.get() != 0;
-                    double[] loadReport = report(b);
-                    if (forward == null || outcome >= OUTCOMES.length) {
-                        return null;
-                    }
-                    Decision decision =
-                            instance.balancer.attemptEnded(
-                                    now,
-                                    forward,
-                                    OUTCOMES[outcome],
-                                    durationSeconds,
-                                    over,
-                                    loadReport);
-                    instance.release(forward.request);
-                    return decision;
+                return instance.balancer.endpointsListed(
+                        now, kind != 0, kind == 2, instance.listed(lines));
+            }
+            case ARRIVAL -> {
+                long id = b.getLong();
+                int requestClass = Short.toUnsignedInt(b.getShort());
+                int tenant = b.getInt();
+                b.getLong();
+                double left = b.getDouble() / 1000;
+                b.getDouble();
+                return instance.balancer.requestArrived(
+                        now,
+                        instance.taken(
+                                new Request(
+                                        id,
+                                        requestClass,
+                                        tenant,
+                                        now,
+                                        left,
+                                        (b.get() & RETRY) != 0)));
+            }
+            case UNDER_WAY -> {
+                Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
+                return forward == null ? null : instance.balancer.responseStarted(now, forward);
+            }
+            case FORWARD_END -> {
+                Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
+                address(b);
+                int outcome = Short.toUnsignedInt(b.getShort());
+                double durationSeconds = b.getDouble() / 1000;
+                boolean over = b.get() != 0;
+                double[] loadReport = report(b);
+                if (forward == null || outcome >= OUTCOMES.length) {
+                    return null;
                 }
-            case VANISHED:
-                {
-                    Request exchange = instance.exchange(b.getLong());
-                    if (exchange == null) {
-                        return null;
-                    }
-                    Decision decision = instance.balancer.clientLeft(now, exchange);
-                    instance.release(exchange);
-                    return decision;
+                Decision decision =
+                        instance.balancer.attemptEnded(
+                                now, forward, OUTCOMES[outcome], durationSeconds, over, loadReport);
+                instance.release(forward.request);
+                return decision;
+            }
+            case VANISHED -> {
+                Request exchange = instance.exchange(b.getLong());
+                if (exchange == null) {
+                    return null;
                 }
-            case BELL:
+                Decision decision = instance.balancer.clientLeft(now, exchange);
+                instance.release(exchange);
+                return decision;
+            }
+            case BELL -> {
                 return instance.isCurrentAlarm(b.getLong()) ? instance.balancer.wake(now) : null;
-            case CHECKED:
-                {
-                    int backend = instance.index(address(b));
-                    b.getDouble();
-                    int outcome = Short.toUnsignedInt(b.getShort());
-                    return outcome >= OUTCOMES.length
-                            ? null
-                            : instance.balancer.probeEnded(
-                                    now, backend, OUTCOMES[outcome], report(b));
-                }
-            default:
+            }
+            case CHECKED -> {
+                int backend = instance.index(address(b));
+                b.getDouble();
+                int outcome = Short.toUnsignedInt(b.getShort());
+                return outcome >= OUTCOMES.length
+                        ? null
+                        : instance.balancer.probeEnded(now, backend, OUTCOMES[outcome], report(b));
+            }
+            default -> {
                 return null;
+            }
         }
     }
 
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -1,5 +1,6 @@
 package lemondrift;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.ByteArrayInputStream;
@@ -65,7 +66,7 @@
                         new ByteArrayInputStream(LandedBytes.ofHex("simulator-batch.hex")),
                         out,
                         new PrintStream(err));
-        assertEquals("", err.toString());
+        assertEquals("", err.toString(UTF_8));
         assertEquals(0, code);
         LandedBytes.assertHex("simulator-reply.hex", out.toByteArray());
     }
--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -220,11 +220,11 @@
         EndpointUpdate from = told.get(ran.backend);
         EndpointUpdate to = told.get(again.backend);
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && w.now - ran.sentAt <= requestClass.idempotencyKeyTtlSeconds()
                         && from.location() == to.location()
                         && (requestClass.deduplicationScope() == DeduplicationScope.LOCATION
-                                || from.cell() == to.cell());
+                                || from.cell() == to.cell()));
     }
 
     /** All that was sent to a backend within the window up to now, since it started. */
--- a/src/test/java/lemondrift/LoadBalancerTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -446,10 +446,10 @@
                         7);
         w.list(true, false, TestDeployment.lines(2));
         for (int i = 0; i < 20; i++) {
-            w.did(w.balancer.requestArrived(w.now, new Request(2 * i, ONCE, 0, w.now, 0.9)));
+            w.did(w.balancer.requestArrived(w.now, new Request(2L * i, ONCE, 0, w.now, 0.9)));
             w.did(
                     w.balancer.requestArrived(
-                            w.now, new Request(2 * i + 1, ONCE, 0, w.now, 1.9, true)));
+                            w.now, new Request(2L * i + 1, ONCE, 0, w.now, 1.9, true)));
             w.now += 0.1;
             List.copyOf(w.sends.subList(2 * i, w.sends.size()))
                     .forEach(attempt -> w.end(attempt, AttemptOutcome.SUCCESS, 0, 0));
--- a/src/test/java/lemondrift/SimulatorAdapterTest.java
+++ b/src/test/java/lemondrift/SimulatorAdapterTest.java
@@ -1,5 +1,6 @@
 package lemondrift;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -124,7 +125,7 @@
         err.reset();
         assertEquals(1, run(frames));
         assertTrue(
-                err.toString().contains(message) && err.toString().lines().count() == 1,
-                err.toString());
+                err.toString(UTF_8).contains(message) && err.toString(UTF_8).lines().count() == 1,
+                err.toString(UTF_8));
     }
 }
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -104,7 +104,7 @@
             fairEviction.mayYield(i, sources[holders.get(i)]);
         }
         List<Integer> gave = new ArrayList<>();
-        fairEviction.yield(
+        fairEviction.evict(
                 many,
                 0,
                 i -> {
--- a/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
 import lemondrift.model.EndpointUpdate;
@@ -63,14 +64,14 @@
     }
 
     /** Whom a proxy uses of those that are ready, by sorting all of them. */
-    private static List<Integer> subset(int proxy, TreeSet<Integer> ready) {
+    private static List<Integer> subset(int proxy, Set<Integer> ready) {
         return ready.stream()
                 .sorted(Comparator.comparing(id -> SubsetAssignment.score(proxy, id)))
                 .limit(WIDTH)
                 .toList();
     }
 
-    private static double used(int proxy, int proxies, int id, TreeSet<Integer> ready) {
+    private static double used(int proxy, int proxies, int id, Set<Integer> ready) {
         return !subset(proxy, ready).contains(id)
                 ? 0
                 : (double)
--- a/src/test/java/lemondrift/proxy/AsyncLogTest.java
+++ b/src/test/java/lemondrift/proxy/AsyncLogTest.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.ByteArrayOutputStream;
@@ -39,7 +40,7 @@
         log.drain(10);
         out.println("last");
         log.drain(10);
-        String[] lines = read.toString().split("\n");
+        String[] lines = read.toString(UTF_8).split("\n");
         assertEquals("line 0", lines[0]);
         assertEquals("last", lines[lines.length - 1]);
         int whole =
--- a/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.ByteArrayOutputStream;
@@ -339,8 +340,8 @@
                                     "PROXY_DOOR",
                                     file.toString()),
                             new PrintStream(err)));
-            assertEquals(1, err.toString().lines().count(), err.toString());
-            assertTrue(err.toString().contains("door.json"), err.toString());
+            assertEquals(1, err.toString(UTF_8).lines().count(), err.toString(UTF_8));
+            assertTrue(err.toString(UTF_8).contains("door.json"), err.toString(UTF_8));
         }
     }
 }
--- a/src/test/java/lemondrift/proxy/LoopbackFixture.java
+++ b/src/test/java/lemondrift/proxy/LoopbackFixture.java
@@ -18,6 +18,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
@@ -179,7 +180,7 @@
             }
             text.append((char) c);
         }
-        String head = text.toString().toLowerCase();
+        String head = text.toString().toLowerCase(Locale.ROOT);
         int at = head.indexOf("content-length: ");
         int length =
                 at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.BufferedReader;
@@ -14,6 +15,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -169,7 +171,7 @@
         for (int i = 0; i < 20; i++) {
             String answer = askAndStay(i, stay);
             assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
-            closed += answer.toLowerCase().contains("connection: close") ? 1 : 0;
+            closed += answer.toLowerCase(Locale.ROOT).contains("connection: close") ? 1 : 0;
         }
         // Of 24 places a quarter may stand unused; beyond that few are kept to learn from.
         assertTrue(closed >= 10, "closed " + closed);
@@ -190,7 +192,7 @@
             }
             assertEquals(
                     -1, silent.get(0).getInputStream().read(), "one that says nothing makes room");
-            client.getOutputStream().write("X-Expires-In-Ms: 900\r\n\r\n".getBytes());
+            client.getOutputStream().write("X-Expires-In-Ms: 900\r\n\r\n".getBytes(UTF_8));
             assertTrue(read(client).startsWith("HTTP/1.1 200"));
         }
     }
@@ -548,7 +550,7 @@
                     1,
                     ProxyLauncher.check(Map.of("PROXY_CONFIG", file.toString()), System.err),
                     text);
-            assertEquals(1, err.toString().lines().count(), err.toString());
+            assertEquals(1, err.toString(UTF_8).lines().count(), err.toString(UTF_8));
         }
         assertEquals(1, ProxyLauncher.run(Map.of(), new PrintStream(new ByteArrayOutputStream())));
     }
--- a/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
+++ b/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.ByteArrayOutputStream;
@@ -27,8 +28,8 @@
     private String check(String shadow, int code) throws Exception {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         assertEquals(code, ProxyLauncher.check(files(shadow), new PrintStream(err)));
-        assertEquals(code, err.toString().lines().count(), err.toString());
-        return err.toString();
+        assertEquals(code, err.toString(UTF_8).lines().count(), err.toString(UTF_8));
+        return err.toString(UTF_8);
     }
 
     @Test
--- a/src/test/java/lemondrift/proxy/ShutdownTest.java
+++ b/src/test/java/lemondrift/proxy/ShutdownTest.java
@@ -10,6 +10,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -62,7 +63,10 @@
                         lost.add(trace + ": " + answer);
                     }
                     answered.incrementAndGet();
-                    closes = answer == null || answer.toLowerCase().contains("connection: close");
+                    closes =
+                            answer == null
+                                    || answer.toLowerCase(Locale.ROOT)
+                                            .contains("connection: close");
                 }
             } catch (IOException e) {
                 // Refused: the process has ended.
--- a/src/test/java/lemondrift/proxy/UpgradeTest.java
+++ b/src/test/java/lemondrift/proxy/UpgradeTest.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.*;
 
 import java.io.ByteArrayOutputStream;
@@ -160,8 +161,8 @@
                                     descriptor),
                             new PrintStream(err)));
             assertTrue(
-                    err.toString().contains("PROXY_INHERITED_FD: descriptor " + descriptor),
-                    err.toString());
+                    err.toString(UTF_8).contains("PROXY_INHERITED_FD: descriptor " + descriptor),
+                    err.toString(UTF_8));
         }
     }
 }
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -81,12 +81,12 @@
         PeerObservation before = one.heard().get(message.from);
         RecoveryState.Step step = core.heard(one, message.from, message.hello, at.now);
         boolean former =
-                before != null
+                (before != null
                                 && at.now - before.at() <= PACE.forget()
-                                && message.hello.start() < before.hello().start()
-                        || message.hello.to() != 0 && message.hello.to() != one.start();
+                                && message.hello.start() < before.hello().start())
+                        || (message.hello.to() != 0 && message.hello.to() != one.start());
         must(
-                !former || step.next().equals(one) && step.sent().isEmpty(),
+                !former || (step.next().equals(one) && step.sent().isEmpty()),
                 "a former self changes nothing",
                 at);
         All then = with(at, message.to, step, under);
@@ -125,7 +125,7 @@
     private All finds(All at, int p) {
         RecoveryState one = at.proxies.get(p);
         List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, one.found(one.start(), one.answers() + 1));
+        all.set(p, one.found((double) one.start(), one.answers() + 1));
         return new All(all, at.under, at.now, at.starts, at.repeats, at.answers - 1, at.next);
     }
 
@@ -213,7 +213,7 @@
                 at);
         must(
                 last.isSettled()
-                        || last.standing() == RecoveryPhase.ALONE && last.lesson(at.now) != null,
+                        || (last.standing() == RecoveryPhase.ALONE && last.lesson(at.now) != null),
                 "one that has none is alone among them at last, and is taught",
                 at);
     }
--- a/src/test/java/lemondrift/recovery/RecoveryStateTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -49,7 +49,7 @@
         any[0] = PeerStatus.KIND;
         any[1] = PeerStatus.VERSION;
         PeerStatus its = PeerStatus.of(any);
-        assertTrue(its == null || its.up() >= 0 && its.work() >= 0 && its.start() > 0);
+        assertTrue(its == null || (its.up() >= 0 && its.work() >= 0 && its.start() > 0));
     }
 
     @Test
