--- a/src/main/java/lemondrift/balancer/AdmissionControl.java
+++ b/src/main/java/lemondrift/balancer/AdmissionControl.java
@@ -1,7 +1,10 @@
 package lemondrift.balancer;
 
 import java.util.Arrays;
-import lemondrift.model.*;
+import lemondrift.model.Decision;
+import lemondrift.model.FailureReason;
+import lemondrift.model.Request;
+import lemondrift.model.ShedThreshold;
 
 /** Overload: sheds at once what can no longer be answered in time, the least benefit first. */
 final class AdmissionControl extends DecisionStage {
@@ -10,7 +13,11 @@
      * one of most may wait, not work; and of how many exchanges' work where reports are old: longer
      * queues slow all.
      */
-    private static final double LEAST_SHARE = 0.4, TOLD_SHARE = 0.2, MOST_SHARE = 0.65, CROWD = 3;
+    private static final double LEAST_SHARE = 0.4;
+
+    private static final double TOLD_SHARE = 0.2;
+    private static final double MOST_SHARE = 0.65;
+    private static final double CROWD = 3;
 
     private final BackendSelector selector;
     private final UtilizationEstimator estimator;
@@ -42,8 +49,8 @@
             double share = quota[request.tenant] / backends.stated.proxyCount();
             rank *= used[request.tenant].at(now) > share ? backends.stated.overQuotaWeight() : 1;
         }
-        double wait = selector.expectedWait(request, now),
-                most = CROWD * estimator.workTime(request.bestBackend, now);
+        double wait = selector.expectedWait(request, now);
+        double most = CROWD * estimator.workTime(request.bestBackend, now);
         double limit =
                 share(rank)
                         * Math.min(
--- a/src/main/java/lemondrift/balancer/BackendSelector.java
+++ b/src/main/java/lemondrift/balancer/BackendSelector.java
@@ -1,7 +1,11 @@
 package lemondrift.balancer;
 
-import java.util.*;
-import lemondrift.model.*;
+import java.util.ArrayDeque;
+import java.util.Arrays;
+import java.util.Deque;
+import lemondrift.model.Attempt;
+import lemondrift.model.Decision;
+import lemondrift.model.Request;
 
 /**
  * The part of the fleet that this proxy uses, who of it is asked for a report, and the least
@@ -13,11 +17,12 @@
      * report is trusted, for which share of the window an answer is awaited, and what of cold ones
      * is for benefit.
      */
-    private static final double HARM = 0.5,
-            TIE = 0.125,
-            FRESH = 0.6,
-            PATIENCE = 1.0 / 32,
-            SPARE = 0.25;
+    private static final double HARM = 0.5;
+
+    private static final double TIE = 0.125;
+    private static final double FRESH = 0.6;
+    private static final double PATIENCE = 1.0 / 32;
+    private static final double SPARE = 0.25;
 
     /** So many times the part are drawn at the most to find others that can take a request. */
     private static final int LOOKED_AT = 32;
@@ -58,7 +63,8 @@
 
     /** Exchanges one of the part from time to time, and at once whoever can't be used. */
     private void renew(Request request, double now) {
-        int part = part(now), leaving = -1;
+        int part = part(now);
+        int leaving = -1;
         // Danger: others tell of none beyond the part, and who takes any of the rest sends there
         // blindly.
         int rest = estimator.othersHeard ? 0 : backends.order.length - part;
@@ -94,7 +100,8 @@
                         / Math.max(request.terms.requestClass().priorityWeight(), usual / 100);
         int[] order = backends.order;
         for (int j = 0; j < part; j++) {
-            int i = order[j], at = j;
+            int i = order[j];
+            int at = j;
             backends.figure[i] =
                     !mayTake(request, i, now)
                             ? Double.POSITIVE_INFINITY
@@ -167,9 +174,9 @@
     boolean drawsOthers(Request request, double now) {
         // Danger: of the rest others tell nothing, so that the busiest there would look as idle as
         // can be.
-        int part = part(now),
-                found = 0,
-                most = estimator.othersHeard && request.bestBackend >= 0 ? 0 : part;
+        int part = part(now);
+        int found = 0;
+        int most = estimator.othersHeard && request.bestBackend >= 0 ? 0 : part;
         // Danger: where nobody may take anything, to look at thousands would hold up all other
         // answers.
         int end =
--- a/src/main/java/lemondrift/balancer/BackendTable.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -1,7 +1,9 @@
 package lemondrift.balancer;
 
-import java.util.*;
-import lemondrift.model.*;
+import java.util.Arrays;
+import java.util.List;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Settings;
 
 /**
  * What this proxy's list has said of the backends, in parallel arrays under the door's dense index.
@@ -14,7 +16,9 @@
      * For sorting, a score stands above its place in one number, so that no object is made for
      * each.
      */
-    private static final int SCORE_BITS = 40, PLACE_BITS = 20;
+    private static final int SCORE_BITS = 40;
+
+    private static final int PLACE_BITS = 20;
 
     private final DeterministicRandom random;
     int size;
@@ -28,13 +32,16 @@
 
     boolean[] ready = {};
     int[] out = {};
-    double[] askedAt = {}, figure = {};
+    double[] askedAt = {};
+    double[] figure = {};
 
     /**
      * When it last started, as told; 0 is long ago; and what is above all starts that were acted
      * on.
      */
-    double[] started = {}, startSeen = {};
+    double[] started = {};
+
+    double[] startSeen = {};
 
     double meanPower = 1;
 
--- a/src/main/java/lemondrift/balancer/DecayingSum.java
+++ b/src/main/java/lemondrift/balancer/DecayingSum.java
@@ -3,7 +3,8 @@
 /** A sum that fades away over a span of time. */
 final class DecayingSum {
     double span = 1;
-    private double sum, at;
+    private double sum;
+    private double at;
 
     double at(double now) {
         return sum == 0 ? 0 : sum * Math.exp((at - now) / span);
--- a/src/main/java/lemondrift/balancer/DecisionStage.java
+++ b/src/main/java/lemondrift/balancer/DecisionStage.java
@@ -1,6 +1,9 @@
 package lemondrift.balancer;
 
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.Request;
 
 /**
  * One link of the chain. An exchange goes outward until a stage ends it; an ending comes back
--- a/src/main/java/lemondrift/balancer/Eligibility.java
+++ b/src/main/java/lemondrift/balancer/Eligibility.java
@@ -1,8 +1,13 @@
 package lemondrift.balancer;
 
-import java.util.*;
-import java.util.stream.*;
-import lemondrift.model.*;
+import java.util.Arrays;
+import java.util.List;
+import java.util.stream.Stream;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Request;
 
 /** Rules 3 and 4 and health: which backends may take an exchange now. */
 final class Eligibility extends DecisionStage {
@@ -10,19 +15,27 @@
      * The least share of bad outcomes that any sound one may have, the most of the ready to
      * suspend, and when: a sick backend explains the outcomes so many times better.
      */
-    private static final double SOUND = 0.05, MOST_SUSPENDED = 0.5, SUSPEND_AT = Math.log(1000);
+    private static final double SOUND = 0.05;
+
+    private static final double MOST_SUSPENDED = 0.5;
+    private static final double SUSPEND_AT = Math.log(1000);
 
     /**
      * Windows: of use that count against one as good as suspended, and to which a suspension
      * doubles.
      */
-    private static final double SUSPICION = 2, LONGEST = 8;
+    private static final double SUSPICION = 2;
+
+    private static final double LONGEST = 8;
 
     /**
      * A probe's work as a share of an exchange's, where a cold one's allowance counts it; of how
      * many answers the mean is, and as how many those of others count at the most.
      */
-    static final double PROBE_WORK = 0.01, LATELY = 50, BORROWED = 8;
+    static final double PROBE_WORK = 0.01;
+
+    static final double LATELY = 50;
+    static final double BORROWED = 8;
 
     private final BackendTable backends;
     private final UtilizationEstimator estimator;
@@ -34,13 +47,22 @@
      * little; the number of answers; and what is supposed before there are any, with the weight of
      * so many.
      */
-    double answerTime, answers, supposed, weight = 1;
+    double answerTime;
+
+    double answers;
+    double supposed;
+    double weight = 1;
 
     /** A test of all outcomes, then one for each grade's; 0 is not suspended. */
-    private double[][] score = {}, suspendedUntil = {};
+    private double[][] score = {};
+
+    private double[][] suspendedUntil = {};
 
     /** Own exchanges that a cold one has not drained yet, and as of when. */
-    private double[] owed = {}, owedAt = {}, judgedAt = {};
+    private double[] owed = {};
+
+    private double[] owedAt = {};
+    private double[] judgedAt = {};
 
     Eligibility(BackendTable backends, UtilizationEstimator estimator, DeterministicRandom random) {
         this.backends = backends;
@@ -126,8 +148,8 @@
         double users =
                 backends.stated.proxyCount()
                         * (estimator.known(i) ? backends.line[i].userShare() : 1);
-        double n = Math.min(answers, LATELY),
-                work = (supposed * weight + answerTime * n) / (weight + n);
+        double n = Math.min(answers, LATELY);
+        double work = (supposed * weight + answerTime * n) / (weight + n);
         return work
                 * users
                 * 2
@@ -194,7 +216,8 @@
      * One step of the sequential test: as bad as the fleet, or halfway from there to always bad.
      */
     private void judge(int i, int test, boolean bad, double now, Decision decision) {
-        double[] score = this.score[test], until = suspendedUntil[test];
+        double[] score = this.score[test];
+        double[] until = suspendedUntil[test];
         judgedAt[i] = now;
         double step = bad ? Math.log((1 + usualBad) / 2 / usualBad) : Math.log(0.5);
         score[i] = until[i] > 0 ? score[i] : Math.max(0, Math.min(SUSPEND_AT, score[i] + step));
--- a/src/main/java/lemondrift/balancer/EndpointListPolling.java
+++ b/src/main/java/lemondrift/balancer/EndpointListPolling.java
@@ -1,6 +1,7 @@
 package lemondrift.balancer;
 
-import lemondrift.model.*;
+import lemondrift.model.Decision;
+import lemondrift.model.Settings;
 
 /** Keeps this proxy subscribed to changes of the list where it must ask for them. */
 final class EndpointListPolling {
--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -1,7 +1,14 @@
 package lemondrift.balancer;
 
 import java.util.List;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Request;
+import lemondrift.model.ServiceTime;
+import lemondrift.model.Settings;
+import lemondrift.model.ShedThreshold;
 
 /**
  * The decisions of one proxy. Tell it each thing that happens, in order, with the time in seconds,
@@ -125,8 +132,8 @@
     }
 
     /** The mean work of an exchange as found here, in seconds, and from how many answers. */
-    public double[] measuredServiceTime() {
-        return new double[] {eligibility.answerTime, eligibility.answers};
+    public ServiceTime measuredServiceTime() {
+        return new ServiceTime(eligibility.answerTime, eligibility.answers);
     }
 
     /** For watching: forwards made there by another's choice, or fewer by its own. */
--- a/src/main/java/lemondrift/balancer/RequestDeadlines.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -1,7 +1,15 @@
 package lemondrift.balancer;
 
-import java.util.*;
-import lemondrift.model.*;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.List;
+import java.util.PriorityQueue;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.FailureReason;
+import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
 
 /** Rule 1: one final answer before expiry and nothing sent after it. */
 final class RequestDeadlines extends DecisionStage {
@@ -9,7 +17,9 @@
     private static final int ODD = 4;
 
     /** The time left of a usual first try, by grade, and how many in a row had less. */
-    private double[] usual = {}, since = {};
+    private double[] usual = {};
+
+    private double[] since = {};
 
     private final BackendTable backends;
     private final PriorityQueue<Request> open =
--- a/src/main/java/lemondrift/balancer/RetryPolicy.java
+++ b/src/main/java/lemondrift/balancer/RetryPolicy.java
@@ -1,6 +1,13 @@
 package lemondrift.balancer;
 
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.FailureReason;
+import lemondrift.model.Idempotency;
+import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
 
 /**
  * Rule 2: no effect twice. Says whether an exchange may be forwarded again, and to which backends.
--- a/src/main/java/lemondrift/balancer/UtilizationEstimator.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -1,29 +1,43 @@
 package lemondrift.balancer;
 
 import java.util.Arrays;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Settings;
 
 /** The design's figure: a backend's last report plus own sends since times one exchange's worth. */
 final class UtilizationEstimator {
     /**
      * Windows of memory, of the wait met lately, and over which reports fade; what asking may cost.
      */
-    private static final double MEMORY = 8, MET = 2, FADE = 0.125, MOST_COST = 0.03;
+    private static final double MEMORY = 8;
+
+    private static final double MET = 2;
+    private static final double FADE = 0.125;
+    private static final double MOST_COST = 0.03;
 
     /**
      * How many are asked for reports at a time and how often, where probes are cheap; the least
      * part.
      */
-    static final int ASKED = 3, ROUNDS = 4, PART = ASKED * ROUNDS;
+    static final int ASKED = 3;
+
+    static final int ROUNDS = 4;
+    static final int PART = ASKED * ROUNDS;
 
     /**
      * Floor and cap of a service time to the usual, a quick answer's least step, outcomes to be
      * sure by.
      */
-    private static final double SPREAD = 2, STEP = 0.02, FEW = 8;
+    private static final double SPREAD = 2;
+
+    private static final double STEP = 0.02;
+    private static final double FEW = 8;
 
     /** The window of the design page, and the span over which own figures are remembered. */
-    double window, memory;
+    double window;
+
+    double memory;
 
     private final BackendTable backends;
 
@@ -31,19 +45,34 @@
      * Answer times' lower quartile (three steps down balance one up) and number; time per one
      * ahead.
      */
-    private double quick, answers, pace;
+    private double quick;
+
+    private double answers;
+    private double pace;
 
     /**
      * How long a report is told again, the fleet's service time as told, when a wait was first
      * asked for.
      */
-    private double period, told, born, allOut;
+    private double period;
+
+    private double told;
+    private double born;
+    private double allOut;
 
     /** Own exchanges a second, the mean wait met, and the reports heard lately and their number. */
-    final DecayingSum ownRate = new DecayingSum(), metWait = new DecayingSum();
+    final DecayingSum ownRate = new DecayingSum();
+
+    final DecayingSum metWait = new DecayingSum();
 
-    private final DecayingSum heard = new DecayingSum(), heards = new DecayingSum();
-    private double[] loadReport = {}, reportedAt = {}, sends = {}, rated = {}, use = {}, held = {};
+    private final DecayingSum heard = new DecayingSum();
+    private final DecayingSum heards = new DecayingSum();
+    private double[] loadReport = {};
+    private double[] reportedAt = {};
+    private double[] sends = {};
+    private double[] rated = {};
+    private double[] use = {};
+    private double[] held = {};
 
     /** Where other proxies tell what they have out: that. */
     boolean othersHeard;
@@ -174,9 +203,9 @@
 
     /** The estimate. What a report no longer tells, being old, the mean and own forwards out do. */
     double of(int i, double now) {
-        double trust = trust(i, now),
-                mean = mean(now),
-                base = mean + trust * (loadReport[i] - mean);
+        double trust = trust(i, now);
+        double mean = mean(now);
+        double base = mean + trust * (loadReport[i] - mean);
         double own = trust * sends[i] + (1 - trust) * backends.out[i];
         if (othersHeard) {
             // What is out is known of all, so the report adds how busy it was, and what it held
--- a/src/main/java/lemondrift/cli/RootCommand.java
+++ b/src/main/java/lemondrift/cli/RootCommand.java
@@ -22,7 +22,10 @@
         })
 public final class RootCommand {
     /** Exit codes: done, the run failed or a rule broke, the call can't be used. */
-    static final int DONE = 0, FAILED = 1, USAGE = 2;
+    static final int DONE = 0;
+
+    static final int FAILED = 1;
+    static final int USAGE = 2;
 
     @Command(name = "serve", description = "One real proxy; PROXY_CONFIG names its configuration.")
     static final class Serve {}
--- a/src/main/java/lemondrift/connection/ClientSource.java
+++ b/src/main/java/lemondrift/connection/ClientSource.java
@@ -8,10 +8,14 @@
     private static final double MOST = 16;
 
     int held;
-    private double brought, cost, fadedAt;
+    private double brought;
+    private double cost;
+    private double fadedAt;
 
     /** Its connections that may give way, in that order; used while room is made. */
-    int firstYielding = -1, lastYielding = -1;
+    int firstYielding = -1;
+
+    int lastYielding = -1;
 
     private void fade(double now, double half) {
         double share = Math.pow(2, -Math.max(0, now - fadedAt) / half);
--- a/src/main/java/lemondrift/connection/ConnectionOrder.java
+++ b/src/main/java/lemondrift/connection/ConnectionOrder.java
@@ -6,8 +6,11 @@
 final class ConnectionOrder {
     private static final int NONE = -1;
 
-    private final int[] next, previous;
-    private int first = NONE, last = NONE, size;
+    private final int[] next;
+    private final int[] previous;
+    private int first = NONE;
+    private int last = NONE;
+    private int size;
 
     /** Lists of one door share their links, as each connection is in one of them. */
     ConnectionOrder(int[] next, int[] previous) {
--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -72,18 +72,25 @@
     private final ClientSource[] source;
     private final long[] key;
     private final CloseReason[] ending;
-    private final boolean[] promised, ahead;
-    private final int[] answers, turnedAway;
+    private final boolean[] promised;
+    private final boolean[] ahead;
+    private final int[] answers;
+    private final int[] turnedAway;
 
     /**
      * When it came, when it came into its state, and until when it may stay so without progress.
      */
-    private final double[] came, since, due, drainAt;
+    private final double[] came;
+
+    private final double[] since;
+    private final double[] due;
+    private final double[] drainAt;
 
     private final long[][] closed =
             new long[ConnectionState.values().length][CloseReason.values().length];
 
-    private int used, places;
+    private int used;
+    private int places;
 
     /** How many were closed at once, as there was no place. */
     private long refused;
@@ -92,12 +99,17 @@
      * When something was told last, and the time for which the process stood still, which counts
      * for nobody.
      */
-    private double toldAt = Double.NEGATIVE_INFINITY, stoodStill;
+    private double toldAt = Double.NEGATIVE_INFINITY;
+
+    private double stoodStill;
 
     /** Since when what is read may have waited, up to a time. */
-    private double wentStill, caughtUp = Double.NEGATIVE_INFINITY;
+    private double wentStill;
+
+    private double caughtUp = Double.NEGATIVE_INFINITY;
 
-    private double drainBegan = Double.POSITIVE_INFINITY, drainUntil;
+    private double drainBegan = Double.POSITIVE_INFINITY;
+    private double drainUntil;
 
     /** The seed decides which connections are kept to learn from. */
     public ConnectionPolicy(ConnectionLimits limits, Actions hands, long seed) {
@@ -127,7 +139,8 @@
         since = new double[last];
         due = new double[last];
         drainAt = new double[last];
-        int[] next = ConnectionOrder.links(last), previous = ConnectionOrder.links(last);
+        int[] next = ConnectionOrder.links(last);
+        int[] previous = ConnectionOrder.links(last);
         for (ConnectionState each : ConnectionState.values()) {
             orders.put(each, new ConnectionOrder(next, previous));
         }
@@ -503,7 +516,8 @@
     public void drain(double now, double until) {
         drainBegan = time(now);
         drainUntil = drainBegan + until - now;
-        int count = in(ConnectionState.NEW) + in(ConnectionState.QUIET), rank = 0;
+        int count = in(ConnectionState.NEW) + in(ConnectionState.QUIET);
+        int rank = 0;
         for (ConnectionState each :
                 new ConnectionState[] {ConnectionState.QUIET, ConnectionState.NEW}) {
             for (int i = orders.get(each).first(); i >= 0; i = orders.get(each).after(i)) {
--- a/src/main/java/lemondrift/connection/IdleReuseEstimator.java
+++ b/src/main/java/lemondrift/connection/IdleReuseEstimator.java
@@ -18,16 +18,23 @@
      * What is not known yet counts as so many connections, used again within the longest time so
      * often.
      */
-    private static final double PRIOR = 2, PRIOR_USES = 2;
+    private static final double PRIOR = 2;
+
+    private static final double PRIOR_USES = 2;
 
     /** Weights are scaled down again beyond this, long before a double could overflow. */
     private static final double MOST_WEIGHT = 1e6;
 
-    private final double longest, earliest, half;
-    private final double[] used = new double[BINS], came = new double[BINS];
+    private final double longest;
+    private final double earliest;
+    private final double half;
+    private final double[] used = new double[BINS];
+    private final double[] came = new double[BINS];
 
     /** What one that is counted now weighs; it grows in place of all others' fading. */
-    private double weight = 1, weighedAt;
+    private double weight = 1;
+
+    private double weighedAt;
 
     IdleReuseEstimator(double longest, double earliest, double half) {
         this.longest = longest;
@@ -82,7 +89,8 @@
 
     /** How likely one that is quiet at a bin's start is used again within it. */
     private double hazard(int bin) {
-        double length = start(bin + 1) - start(bin), prior = PRIOR * weight;
+        double length = start(bin + 1) - start(bin);
+        double prior = PRIOR * weight;
         double expected = 1 - Math.exp(-PRIOR_USES * length / longest);
         return (used[bin] + prior * expected) / (came[bin] + prior);
     }
@@ -96,9 +104,11 @@
      */
     double limit(double price, double now) {
         weigh(now);
-        double value = 0, limit = longest;
+        double value = 0;
+        double limit = longest;
         for (int b = BINS - 1; b >= 0; b--) {
-            double hazard = hazard(b), length = start(b + 1) - start(b);
+            double hazard = hazard(b);
+            double length = start(b + 1) - start(b);
             value = hazard - price * length * (1 - hazard / 2) + (1 - hazard) * value;
             // It can't be closed between the answer and the earliest time, so there is no choice
             // there.
--- a/src/main/java/lemondrift/gossip/LoadGossip.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -24,7 +24,11 @@
     private static final byte KIND = 4;
 
     /** Of a number the low bits count, and the others are of the sender's start number. */
-    private static final int COUNT_BITS = 12, COUNTS = 1 << COUNT_BITS, STARTS = 16, NONE = -1;
+    private static final int COUNT_BITS = 12;
+
+    private static final int COUNTS = 1 << COUNT_BITS;
+    private static final int STARTS = 16;
+    private static final int NONE = -1;
 
     /**
      * A former self, and how far one has counted, are remembered for so many times the span of a
@@ -32,10 +36,10 @@
      */
     private static final double REMEMBERED = 2;
 
-    private static final int HEAD = 3,
-            TAG_BYTES = 3,
-            TAG_BITS = 24,
-            MOST = (MAX_DATAGRAM_BYTES - HEAD) / TAG_BYTES;
+    private static final int HEAD = 3;
+    private static final int TAG_BYTES = 3;
+    private static final int TAG_BITS = 24;
+    private static final int MOST = (MAX_DATAGRAM_BYTES - HEAD) / TAG_BYTES;
 
     /** One that was given up counts as out for this share of the same span. */
     private static final double LINGER = 0.125;
@@ -53,27 +57,40 @@
 
     /** One other proxy as last told, and what it was told last. */
     private static final class Peer {
-        private int number, told, start = NONE, former = NONE;
+        private int number;
+        private int told;
+        private int start = NONE;
+        private int former = NONE;
         private int[] tags = {};
-        private double heardAt = Double.NEGATIVE_INFINITY, toldAt = Double.NEGATIVE_INFINITY;
-        private boolean dirty, knows;
+        private double heardAt = Double.NEGATIVE_INFINITY;
+        private double toldAt = Double.NEGATIVE_INFINITY;
+        private boolean dirty;
+        private boolean knows;
     }
 
     /**
      * Of how many gaps between two tellings the mean is; how many of them, and paces, are a
      * silence.
      */
-    private static final double LATELY = 32, SILENCE = 12, LEAST_SILENCE = 4;
+    private static final double LATELY = 32;
+
+    private static final double SILENCE = 12;
+    private static final double LEAST_SILENCE = 4;
 
     private final Peer[] peers;
-    private final int self, start;
-    private final double pace, forget;
+    private final int self;
+    private final int start;
+    private final double pace;
+    private final double forget;
     private final IntConsumer changed;
     private final SubsetAssignment subsets;
-    private final Map<Integer, Integer> others = new HashMap<>(), own = new HashMap<>();
+    private final Map<Integer, Integer> others = new HashMap<>();
+    private final Map<Integer, Integer> own = new HashMap<>();
 
     /** When another was last heard, and the mean time between two tellings. */
-    private double latestAt = Double.NEGATIVE_INFINITY, gap;
+    private double latestAt = Double.NEGATIVE_INFINITY;
+
+    private double gap;
 
     private final Queue<Lingering> lingering = new ArrayDeque<>();
 
@@ -179,7 +196,8 @@
             return;
         }
         ByteBuffer in = ByteBuffer.wrap(datagram, 1, datagram.length - 1);
-        int numbered = in.getShort() & 0xffff, start = numbered >> COUNT_BITS;
+        int numbered = in.getShort() & 0xffff;
+        int start = numbered >> COUNT_BITS;
         boolean known = now - peer.heardAt <= REMEMBERED * forget;
         if (known
                 && (start == peer.former
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -25,11 +25,14 @@
     private static final int KEPT_PER_PLACE = 2;
 
     /** A key is a score above the backend's id, so that sorting keys sorts by score. */
-    private static final int ID_BITS = 24, SCORE_BITS = 39;
+    private static final int ID_BITS = 24;
+
+    private static final int SCORE_BITS = 39;
 
     private static final int[] NOBODY = {};
 
-    private final int proxies, width;
+    private final int proxies;
+    private final int width;
     private final BestKeys[] best;
     private final ActiveIds active = new ActiveIds();
 
@@ -138,7 +141,8 @@
     }
 
     private EndpointUpdate scored(int proxy, EndpointUpdate update, int id) {
-        double score = score(proxy, id), used = used(proxy, id);
+        double score = score(proxy, id);
+        double used = used(proxy, id);
         known.computeIfPresent(
                 update.backend(),
                 (backend, its) -> new Known(its.line.withSubset(score, used), its.id));
--- a/src/main/java/lemondrift/lab/Baseline.java
+++ b/src/main/java/lemondrift/lab/Baseline.java
@@ -5,7 +5,13 @@
 import java.util.function.IntToDoubleFunction;
 import java.util.stream.IntStream;
 import lemondrift.lab.simulation.RoutingPolicy;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Idempotency;
+import lemondrift.model.Request;
+import lemondrift.model.Settings;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
@@ -47,7 +53,8 @@
     private final Decision decision = new Decision();
     private boolean[] ready = {};
     private int[] out = {};
-    private double[] peak = {}, peakAt = {};
+    private double[] peak = {};
+    private double[] peakAt = {};
     private int last;
 
     /** The true load of a backend is asked for by the oracle alone. */
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -6,7 +6,11 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import lemondrift.lab.simulation.*;
+import lemondrift.lab.simulation.Fault;
+import lemondrift.lab.simulation.Referee;
+import lemondrift.lab.simulation.RunResult;
+import lemondrift.lab.simulation.Scenario;
+import lemondrift.lab.simulation.Simulation;
 import lemondrift.model.DeduplicationScope;
 import lemondrift.model.Idempotency;
 import lemondrift.model.RequestClass;
@@ -58,7 +62,8 @@
      * twice.
      */
     private static List<RequestClass> grades(double contract) {
-        double expiry = 2.4 * contract, memory = 1.2 * contract;
+        double expiry = 2.4 * contract;
+        double memory = 1.2 * contract;
         return List.of(
                 new RequestClass(
                         1, 0, contract, expiry, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -6,7 +6,12 @@
 import lemondrift.gossip.LoadGossip;
 import lemondrift.gossip.SubsetAssignment;
 import lemondrift.lab.simulation.RoutingPolicy;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Request;
+import lemondrift.model.Settings;
 import lemondrift.recovery.PeerPollBackoff;
 import lemondrift.recovery.PeerStatus;
 import lemondrift.recovery.RecoveryState;
@@ -14,7 +19,9 @@
 /** The decision module itself as a world's decider. */
 public final class ModuleUnderTest implements RoutingPolicy {
     /** The least time between two tellings, and when what is told is forgotten, in windows. */
-    private static final double PACE = 0.02, FORGET = 2;
+    private static final double PACE = 0.02;
+
+    private static final double FORGET = 2;
 
     private static final int PART = 12;
 
@@ -84,8 +91,8 @@
         if (recovery != null) {
             recovery =
                     recovery.found(
-                            balancer.measuredServiceTime()[0],
-                            (int) balancer.measuredServiceTime()[1]);
+                            balancer.measuredServiceTime().seconds(),
+                            (int) balancer.measuredServiceTime().samples());
         }
         if (gossip != null) {
             gossip.expireSilentPeers(now);
--- a/src/main/java/lemondrift/lab/fleet/BackendFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -35,7 +35,8 @@
 final class BackendFleet implements HttpConnection.Hearer, AutoCloseable {
     /** What is known of one connection to a backend. */
     private static final class Line {
-        final int segment, backend;
+        final int segment;
+        final int backend;
         Backend.Job job;
         Attempt forward;
 
@@ -187,8 +188,8 @@
         if (line == null) {
             return;
         }
-        double now = agenda.now(),
-                cut = faults.get().cutFromBackend(line.segment, line.backend, now);
+        double now = agenda.now();
+        double cut = faults.get().cutFromBackend(line.segment, line.backend, now);
         double late = faults.get().lateToBackend(line.segment, line.backend, now);
         if (cut > now || late > 0) {
             agenda.at(cut + late, () -> comes(talk, line, head));
@@ -199,12 +200,13 @@
 
     private void comes(HttpConnection talk, Line line, String head) {
         Backend backend = backends[line.backend];
-        String path = head.substring(head.indexOf(' ') + 1),
-                trace = HttpConnection.field(head, "x-trace-id");
+        String path = head.substring(head.indexOf(' ') + 1);
+        String trace = HttpConnection.field(head, "x-trace-id");
         if (!talk.isOpen() || backend.silent > 0) {
             return;
         } else if (trace == null) {
-            boolean load = path.startsWith("/load"), asked = load || path.startsWith("/healthz");
+            boolean load = path.startsWith("/load");
+            boolean asked = load || path.startsWith("/healthz");
             answers(
                     talk,
                     line,
@@ -276,8 +278,8 @@
                                 + report(line.backend)
                                 + field,
                         body);
-        double now = agenda.now(),
-                cut = faults.get().cutFromBackend(line.segment, line.backend, now);
+        double now = agenda.now();
+        double cut = faults.get().cutFromBackend(line.segment, line.backend, now);
         if (cut > now) {
             agenda.at(cut, () -> talk.write(message));
         } else {
--- a/src/main/java/lemondrift/lab/fleet/ClientFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientFleet.java
@@ -37,7 +37,8 @@
     /** What a client wants: it asks until it has it, or has asked often enough. */
     private static final class Want {
         final int grade;
-        final double due, work;
+        final double due;
+        final double work;
         final int second;
 
         /** Of the day in which it was due. */
@@ -58,8 +59,11 @@
     private final class Ask implements HttpConnection.Hearer {
         final Want want;
         final String trace = run + "-" + ++asks;
-        int door, tried;
-        boolean crossed, over, isOut;
+        int door;
+        int tried;
+        boolean crossed;
+        boolean over;
+        boolean isOut;
         OutcomeRecorder.Asked its;
         Scheduler.Entry end;
         HttpConnection talk;
@@ -152,8 +156,8 @@
         public void heard(HttpConnection on, String head, byte[] body) {
             holders.remove(on);
             isOut(false);
-            String status = head.length() < 12 ? "" : head.substring(9, 12),
-                    close = HttpConnection.field(head, "connection");
+            String status = head.length() < 12 ? "" : head.substring(9, 12);
+            String close = HttpConnection.field(head, "connection");
             if ("close".equalsIgnoreCase(close)) {
                 on.close();
             } else {
@@ -285,7 +289,8 @@
         }
     }
 
-    private static final byte[] BODY = "what".getBytes(StandardCharsets.US_ASCII), NONE = {};
+    private static final byte[] BODY = "what".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] NONE = {};
 
     private final Scenario day;
     private final Scheduler agenda;
@@ -302,7 +307,8 @@
     private final ZigguratSampler.NormalizedGaussian bell;
     private final IntFunction<InetSocketAddress> address;
     private final IntSupplier pick;
-    private final DoubleSupplier traffic, heavy;
+    private final DoubleSupplier traffic;
+    private final DoubleSupplier heavy;
     private final Router router = new Router();
     private final Map<Integer, Deque<HttpConnection>> pools = new HashMap<>();
     private final Map<HttpConnection, Ask> holders = new HashMap<>();
--- a/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
+++ b/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
@@ -27,7 +27,9 @@
  */
 final class DatagramRelay implements AutoCloseable {
     /** Milliseconds between two datagrams of junk to each, and the longest that is sent. */
-    private static final int JUNK_PACE = 10, LONGEST_JUNK = 600;
+    private static final int JUNK_PACE = 10;
+
+    private static final int LONGEST_JUNK = 600;
 
     private record Late(double at, long order, int from, int to, byte[] datagram)
             implements Comparable<Late> {
@@ -50,7 +52,9 @@
     private final ByteBuffer buffer = ByteBuffer.allocate(2048);
 
     /** Datagrams and bytes that each proxy has sent. */
-    private final AtomicLongArray sent, bytes;
+    private final AtomicLongArray sent;
+
+    private final AtomicLongArray bytes;
 
     private final Thread thread = new Thread(this::run, "mail");
     private long order;
@@ -143,7 +147,8 @@
     }
 
     private void carry(int from, int to, byte[] datagram) {
-        double now = now(), at = now;
+        double now = now();
+        double at = now;
         boolean twice = false;
         List<Fault> holding = faults.get().onDatagram(from, to, now);
         for (Fault each : holding) {
--- a/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
+++ b/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
@@ -88,7 +88,8 @@
         }
 
         private void later(HttpConnection talk, Runnable then) {
-            double now = agenda.now(), cut = faults.get().cutFromDiscovery(proxy, now);
+            double now = agenda.now();
+            double cut = faults.get().cutFromDiscovery(proxy, now);
             double late = faults.get().lateFromDiscovery(proxy, now);
             if (cut > now) {
                 agenda.at(cut, () -> later(talk, then));
--- a/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
@@ -21,7 +21,11 @@
 import java.util.stream.Stream;
 import lemondrift.lab.Baseline;
 import lemondrift.lab.Experiment;
-import lemondrift.lab.simulation.*;
+import lemondrift.lab.simulation.BackendFault;
+import lemondrift.lab.simulation.BackendFaultInjector;
+import lemondrift.lab.simulation.Fault;
+import lemondrift.lab.simulation.RunResult;
+import lemondrift.lab.simulation.Scenario;
 import lemondrift.model.EndpointUpdate;
 import lemondrift.model.RequestClass;
 import lemondrift.settings.InvalidSettingsException;
@@ -40,7 +44,12 @@
  */
 public final class FleetTestbed implements AutoCloseable {
     /** Seconds of traffic before the first day counts and before another; the longest waits. */
-    private static final double WARM = 5, WARM_AGAIN = 0.5, START = 180, END = 60, LOOKS = 0.1;
+    private static final double WARM = 5;
+
+    private static final double WARM_AGAIN = 0.5;
+    private static final double START = 180;
+    private static final double END = 60;
+    private static final double LOOKS = 0.1;
 
     /** What sets backends apart that hold as many. */
     private static final double TIE = 1e-3;
@@ -71,7 +80,8 @@
     private final ClientDistributor doors;
     private final ProcessFaultInjector outages;
     private final List<IdleClient> loiterers = new ArrayList<>();
-    private final InetSocketAddress[] listens, hears;
+    private final InetSocketAddress[] listens;
+    private final InetSocketAddress[] hears;
     private final int[] segments;
     private volatile FaultPlan faults;
     private boolean played;
@@ -246,7 +256,8 @@
         if (up.length == 0) {
             return -1;
         }
-        int one = up[chance.nextInt(up.length)], other = up[chance.nextInt(up.length)];
+        int one = up[chance.nextInt(up.length)];
+        int other = up[chance.nextInt(up.length)];
         return switch (policy) {
             case RANDOM -> one;
             case TWO_CHOICES -> crowd.out(other) < crowd.out(one) ? other : one;
@@ -275,7 +286,8 @@
         if (processes == null) {
             return;
         }
-        int atOnce = Runtime.getRuntime().availableProcessors(), begun = 0;
+        int atOnce = Runtime.getRuntime().availableProcessors();
+        int begun = 0;
         for (double until = agenda.now() + START; agenda.now() < until; Thread.sleep(50)) {
             List<Integer> closed = ask(doors::closed);
             if (closed.isEmpty()) {
@@ -344,7 +356,8 @@
         faults = faults(between, start);
         progress.accept(faults.toString().isEmpty() ? "no faults" : faults.toString().strip());
         double[] cpu = new double[day.proxies()];
-        long[] sent = new long[day.proxies()], bytes = new long[day.proxies()];
+        long[] sent = new long[day.proxies()];
+        long[] bytes = new long[day.proxies()];
         ask(
                 () -> {
                     crowd.begins();
--- a/src/main/java/lemondrift/lab/fleet/HttpConnection.java
+++ b/src/main/java/lemondrift/lab/fleet/HttpConnection.java
@@ -35,7 +35,8 @@
     }
 
     private static final byte[] END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int MOST_HEAD = 16_384, MOST_BODY = 1 << 20;
+    private static final int MOST_HEAD = 16_384;
+    private static final int MOST_BODY = 1 << 20;
     private static final OptionMap NO_DELAY = OptionMap.create(Options.TCP_NODELAY, true);
 
     private final StreamConnection connection;
--- a/src/main/java/lemondrift/lab/fleet/IdleClient.java
+++ b/src/main/java/lemondrift/lab/fleet/IdleClient.java
@@ -12,7 +12,9 @@
  */
 final class IdleClient implements HttpConnection.Hearer {
     /** The most seconds that it stays, and that it is away. */
-    private static final double STAYS = 4, AWAY = 1;
+    private static final double STAYS = 4;
+
+    private static final double AWAY = 1;
 
     private static final byte[] PART =
             "GET /api HTTP/1.1\r\nHost: origin".getBytes(StandardCharsets.US_ASCII);
--- a/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
+++ b/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
@@ -13,14 +13,18 @@
  */
 final class LoopbackAddresses {
     /** The second bytes of those addresses. */
-    static final int PROXIES = 8, DISCOVERY = 9, BACKENDS = 16;
+    static final int PROXIES = 8;
+
+    static final int DISCOVERY = 9;
+    static final int BACKENDS = 16;
 
     private static final int IN_A_NET = 250;
 
     private LoopbackAddresses() {}
 
     static InetAddress address(int net, int number) {
-        int byte2 = net + number / (IN_A_NET * IN_A_NET), rest = number % (IN_A_NET * IN_A_NET);
+        int byte2 = net + number / (IN_A_NET * IN_A_NET);
+        int rest = number % (IN_A_NET * IN_A_NET);
         try {
             return InetAddress.getByAddress(
                     new byte[] {
--- a/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
@@ -15,7 +15,8 @@
  * on the I/O thread; what is done to a process may take its time, so it has a thread of its own.
  */
 final class ProcessFaultInjector {
-    private static final double LOOKS = 0.1, STILL_COME = 0.3;
+    private static final double LOOKS = 0.1;
+    private static final double STILL_COME = 0.3;
 
     /**
      * How long after the longest expiry a process that was told to end may be killed; the protocol
@@ -33,7 +34,8 @@
     private final ClientDistributor doors;
     private final OutcomeRecorder judge;
     private final RealTimeScheduler agenda;
-    private final InetSocketAddress[] listens, hears;
+    private final InetSocketAddress[] listens;
+    private final InetSocketAddress[] hears;
     private final CompletableFuture<Void> failed;
 
     /** In seconds. */
--- a/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
@@ -25,7 +25,9 @@
  */
 public final class ProxyProcesses implements AutoCloseable {
     /** Megabytes that one takes while it serves, and that the stand and the machine keep. */
-    private static final int EACH = 58, KEPT = 1024;
+    private static final int EACH = 58;
+
+    private static final int KEPT = 1024;
 
     /** Seconds after SIGTERM within which one has to have ended. */
     private static final int DRAIN = 15;
@@ -42,7 +44,8 @@
     private final ProcessLauncher launcher;
     private final Path folder;
     private final Scenario day;
-    private final boolean tells, recovers;
+    private final boolean tells;
+    private final boolean recovers;
     private final List<String> peers;
     private final Process[] all;
     private final boolean[] paused;
@@ -69,7 +72,8 @@
         this.peers = peers;
         all = new Process[day.proxies()];
         paused = new boolean[day.proxies()];
-        long free = free(), wanted = (long) EACH * day.proxies() + KEPT;
+        long free = free();
+        long wanted = (long) EACH * day.proxies() + KEPT;
         if (free < wanted) {
             throw new InvalidSettingsException(
                     day.proxies()
--- a/src/main/java/lemondrift/lab/fleet/SoakRun.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakRun.java
@@ -6,7 +6,11 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import lemondrift.lab.Experiment;
-import lemondrift.lab.simulation.*;
+import lemondrift.lab.simulation.BackendFault;
+import lemondrift.lab.simulation.Fault;
+import lemondrift.lab.simulation.FaultTarget;
+import lemondrift.lab.simulation.RunResult;
+import lemondrift.lab.simulation.Scenario;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
@@ -18,7 +22,9 @@
  */
 public final class SoakRun {
     /** Seconds of a day, and of it at its end in which nothing new begins. */
-    private static final double LASTS = 14, CALM_END = 4;
+    private static final double LASTS = 14;
+
+    private static final double CALM_END = 4;
 
     private static final int[] BACKENDS = {6, 24, 120, 400};
     private static final double[] CONTRACTS = {0.25, 0.4, 0.8, 1.2};
@@ -94,10 +100,11 @@
     }
 
     private Plan drawn(long seed) {
-        int proxies = 3 + chance.nextInt(3), backends = BACKENDS[chance.nextInt(BACKENDS.length)];
+        int proxies = 3 + chance.nextInt(3);
+        int backends = BACKENDS[chance.nextInt(BACKENDS.length)];
         double contract = CONTRACTS[chance.nextInt(CONTRACTS.length)];
-        double rate = proxies * between(10, 50),
-                work = Math.min(between(0.02, 0.1), 0.4 * backends / rate);
+        double rate = proxies * between(10, 50);
+        double work = Math.min(between(0.02, 0.1), 0.4 * backends / rate);
         Scenario day =
                 new Scenario(
                         Experiment.settings(proxies, 2, 0.08, contract),
--- a/src/main/java/lemondrift/lab/load/Load.java
+++ b/src/main/java/lemondrift/lab/load/Load.java
@@ -101,9 +101,15 @@
 
     private final Plan plan;
     private final AtomicLong next = new AtomicLong();
-    private final long total, warm, origin = System.nanoTime() + 20_000_000;
+    private final long total;
+    private final long warm;
+    private final long origin = System.nanoTime() + 20_000_000;
     private final Histogram latency = new Histogram(LONGEST, 2);
-    private long sent, delivered, shed, failed, behind;
+    private long sent;
+    private long delivered;
+    private long shed;
+    private long failed;
+    private long behind;
 
     private Load(Plan plan) {
         this.plan = plan;
@@ -137,7 +143,9 @@
      */
     public static double highestRate(Plan first, double quantile, double bound)
             throws InterruptedException {
-        double good = 0, bad = Double.POSITIVE_INFINITY, rate = first.rate;
+        double good = 0;
+        double bad = Double.POSITIVE_INFINITY;
+        double rate = first.rate;
         while (bad - good > 0.1 * good && rate <= 1e6) {
             Result result =
                     play(
--- a/src/main/java/lemondrift/lab/simulation/Backend.java
+++ b/src/main/java/lemondrift/lab/simulation/Backend.java
@@ -42,12 +42,19 @@
 
     private final Deque<Job> waiting = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
-    private double startedAt = Double.NEGATIVE_INFINITY, stalledUntil, busy, busyAt;
+    private double startedAt = Double.NEGATIVE_INFINITY;
+    private double stalledUntil;
+    private double busy;
+    private double busyAt;
 
     /** How many troubles of a kind are on it, and the slowest of those that slow it. */
-    public int dead, silent;
+    public int dead;
 
-    public double slow = 1, errors, gradeErrors;
+    public int silent;
+
+    public double slow = 1;
+    public double errors;
+    public double gradeErrors;
 
     public Backend(Scheduler agenda, int cores, Settings.Rules rules) {
         this.agenda = agenda;
@@ -71,7 +78,8 @@
      * Whether this much more work pushes it over: cold, it got more in a window than it can bear.
      */
     public boolean fallsOver(double work) {
-        double warmth = warmth(), now = agenda.now();
+        double warmth = warmth();
+        double now = agenda.now();
         if (warmth == 1) {
             coldWork.clear();
             return false;
--- a/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
@@ -31,7 +31,9 @@
     private final Host host;
 
     /** By how much traffic and the work of an exchange are more than usual now. */
-    public double traffic = 1, heavy = 1;
+    public double traffic = 1;
+
+    public double heavy = 1;
 
     /**
      * The delay is that of discovery, in seconds; one that is replaced is drained for longer first.
@@ -53,7 +55,8 @@
         int[] all = new int[backends.length];
         Arrays.setAll(all, i -> i);
         for (int i = all.length - 1; i > 0; i--) {
-            int j = chance.nextInt(i + 1), other = all[i];
+            int j = chance.nextInt(i + 1);
+            int other = all[i];
             all[i] = all[j];
             all[j] = other;
         }
--- a/src/main/java/lemondrift/lab/simulation/FaultTarget.java
+++ b/src/main/java/lemondrift/lab/simulation/FaultTarget.java
@@ -51,7 +51,8 @@
         if (kind == Kind.SHARE) {
             int[] order = IntStream.range(0, many).toArray();
             for (int k = 0; k < many && k < Math.max(1, Math.round(value * many)); k++) {
-                int j = k + chance.nextInt(many - k), other = order[k];
+                int j = k + chance.nextInt(many - k);
+                int other = order[k];
                 order[k] = order[j];
                 order[j] = other;
                 are[order[k]] = true;
--- a/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
+++ b/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
@@ -24,7 +24,13 @@
     private final long[] served;
     private final Deque<double[]> sends = new ArrayDeque<>();
     private final int[] sent;
-    private double now, from, wasted, fullest, idle, crowdedSince = Double.NaN, longestIdle;
+    private double now;
+    private double from;
+    private double wasted;
+    private double fullest;
+    private double idle;
+    private double crowdedSince = Double.NaN;
+    private double longestIdle;
     private int mostTogether;
     private double[] idleIn = {};
 
@@ -58,7 +64,9 @@
     private void passes(double time) {
         double span = time - now;
         if (span > 0) {
-            int free = 0, queued = 0, most = 0;
+            int free = 0;
+            int queued = 0;
+            int most = 0;
             for (int i = 0; i < held.length; i++) {
                 free += fit[i] && held[i] == 0 ? 1 : 0;
                 queued += fit[i] ? Math.max(0, held[i] - cores) : 0;
@@ -141,7 +149,8 @@
         if (!Double.isNaN(crowdedSince)) {
             endOfCrowd();
         }
-        double span = Math.max(1e-9, now - from), mean = Arrays.stream(served).average().orElse(0);
+        double span = Math.max(1e-9, now - from);
+        double mean = Arrays.stream(served).average().orElse(0);
         return new Measure(
                 wasted / span / Math.max(1, held.length),
                 idle / span / Math.max(1, held.length),
--- a/src/main/java/lemondrift/lab/simulation/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -7,7 +7,13 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.Idempotency;
+import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
+import lemondrift.model.Settings;
 
 /**
  * Judges a day by the four rules alone. It shares no code with the decisions and sees only what
@@ -48,14 +54,16 @@
 
     private final Settings settings;
     private final int rules;
-    private final double grace, slack;
+    private final double grace;
+    private final double slack;
     private final Map<Request, Seen> open = new HashMap<>();
     private final Deque<Event> events = new ArrayDeque<>();
 
     /** When a proxy was told that a backend wants nothing new. */
     private final double[][] told;
 
-    private final double[] started, capacity;
+    private final double[] started;
+    private final double[] capacity;
     private final List<Deque<Sent>> cold = new ArrayList<>();
     private final int[] location;
 
@@ -181,8 +189,8 @@
 
     /** Rule 4: all proxies' work for a cold backend in any window, against what it can do then. */
     private void countCold(int proxy, Attempt attempt, double work, double now) {
-        double age = now - started[attempt.backend],
-                window = settings.rules().overloadWindowSeconds();
+        double age = now - started[attempt.backend];
+        double window = settings.rules().overloadWindowSeconds();
         if (age >= settings.rules().slowStartSeconds()) {
             return;
         }
--- a/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
+++ b/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
@@ -2,7 +2,11 @@
 
 import java.util.List;
 import lemondrift.gossip.LoadGossip;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Request;
 
 /**
  * One instance's decisions, as the decision module's entry has them; baselines stand in its place.
--- a/src/main/java/lemondrift/lab/simulation/RunResult.java
+++ b/src/main/java/lemondrift/lab/simulation/RunResult.java
@@ -13,19 +13,34 @@
     private static final int BACK_OVER = 3;
 
     /** Benefit that clients wanted, and that was answered within the contract time. */
-    public double wanted, served;
+    public double wanted;
+
+    public double served;
 
     /** Exchanges that proxies took, and how they ended; forwards made, probes sent. */
-    public long taken, delivered, late, shed, scrapped, unanswered, forwards, probes;
+    public long taken;
+
+    public long delivered;
+    public long late;
+    public long shed;
+    public long scrapped;
+    public long unanswered;
+    public long forwards;
+    public long probes;
 
     /**
      * What clients want, how often they had it within the contract time, and whom a closed door
      * met.
      */
-    public long wants, inTime, unreached;
+    public long wants;
+
+    public long inTime;
+    public long unreached;
 
     /** Bytes that proxies told one another, and in how many messages. */
-    public long told, messages;
+    public long told;
+
+    public long messages;
 
     /** Processes that ended by themselves or did not drain. */
     public long crashed;
@@ -34,13 +49,17 @@
      * The share of a core and the megabytes that a process takes, the mean and the most, on
      * processes.
      */
-    public double cpu, memory;
+    public double cpu;
+
+    public double memory;
 
     /**
      * Seconds until a client has what it wants, counted from when it was due: median, 99th
      * percentile.
      */
-    public double p50, p99;
+    public double p50;
+
+    public double p99;
 
     /** Cold backends that were pushed over and stayed down. */
     public long fallen;
@@ -49,12 +68,17 @@
      * Benefit wanted and served by the second in which it was wanted; forwards that failed, by
      * backend.
      */
-    public final double[] wantedIn, servedIn;
+    public final double[] wantedIn;
+
+    public final double[] servedIn;
 
     /**
      * By second, on processes: exchanges shed, the share of backends fit and idle, benefit borne.
      */
-    public final double[] shedIn, idleIn, borneIn;
+    public final double[] shedIn;
+
+    public final double[] idleIn;
+    public final double[] borneIn;
 
     public final long[] failedAt;
 
@@ -94,7 +118,8 @@
     public int backAfter() {
         int back = 0;
         for (int from = 0; from + BACK_OVER <= wantedIn.length - 1; from++) {
-            double wanted = 0, served = 0;
+            double wanted = 0;
+            double served = 0;
             for (int s = from; s < from + BACK_OVER; s++) {
                 wanted += wantedIn[s];
                 served += servedIn[s];
--- a/src/main/java/lemondrift/lab/simulation/ServableOracle.java
+++ b/src/main/java/lemondrift/lab/simulation/ServableOracle.java
@@ -53,7 +53,8 @@
     }
 
     private double benefit(int second) {
-        double left = borne[second], benefit = 0;
+        double left = borne[second];
+        double benefit = 0;
         for (int requestClass : byBenefit) {
             double some = Math.min(left, wanted[second][requestClass]);
             benefit += some * requestClasses.get(requestClass).priorityWeight();
--- a/src/main/java/lemondrift/lab/simulation/Simulation.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -6,7 +6,13 @@
 import java.util.Map;
 import java.util.function.IntFunction;
 import lemondrift.gossip.LoadGossip;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
+import lemondrift.model.Settings;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
@@ -22,11 +28,14 @@
     /**
      * How long a message from one proxy to another takes on average, and how many of them are lost.
      */
-    private static final double MESSAGE = 0.01, LOST = 0.01;
+    private static final double MESSAGE = 0.01;
+
+    private static final double LOST = 0.01;
 
     /** What a client wants: it asks until it has it, or has asked often enough. */
     private static final class Want {
-        final int grade, second;
+        final int grade;
+        final int second;
         final double until;
         int tries;
 
@@ -232,8 +241,8 @@
 
     private void carryOut(int proxy, Decision decision) {
         // The next call reuses the turn: what it asks for is taken out of it first.
-        List<Attempt> cancels = List.copyOf(decision.cancellations),
-                sends = List.copyOf(decision.attempts);
+        List<Attempt> cancels = List.copyOf(decision.cancellations);
+        List<Attempt> sends = List.copyOf(decision.attempts);
         List<Decision.LocalReply> answers = List.copyOf(decision.localReplies);
         List<Integer> probes = List.copyOf(decision.probes);
         double wakeAt = Math.min(decision.wakeAt, tell(proxy));
--- a/src/main/java/lemondrift/metrics/EventLoopMetrics.java
+++ b/src/main/java/lemondrift/metrics/EventLoopMetrics.java
@@ -20,13 +20,17 @@
      * A wait or a turn as long is worth a line in the log, and so many seconds lie between two
      * lines.
      */
-    private static final double NOTABLE = 0.05, BETWEEN_LINES = 1;
+    private static final double NOTABLE = 0.05;
+
+    private static final double BETWEEN_LINES = 1;
 
     private static final Kind[] KINDS = Kind.values();
 
     private final long[] handled = new long[KINDS.length];
-    private volatile double longestWait, longestTurn;
-    private volatile Kind waited = Kind.OTHER, lasted = Kind.OTHER;
+    private volatile double longestWait;
+    private volatile double longestTurn;
+    private volatile Kind waited = Kind.OTHER;
+    private volatile Kind lasted = Kind.OTHER;
     private volatile int longestQueue;
 
     /**
@@ -35,10 +39,14 @@
      */
     private double waitsNow;
 
-    private Kind waiting = Kind.OTHER, last = Kind.OTHER;
+    private Kind waiting = Kind.OTHER;
+    private Kind last = Kind.OTHER;
 
     /** The same since the last line in the log. */
-    private double latelyWaited, latelyLasted, loggedAt = Double.NEGATIVE_INFINITY;
+    private double latelyWaited;
+
+    private double latelyLasted;
+    private double loggedAt = Double.NEGATIVE_INFINITY;
 
     /** An event is handled that has waited so long; below 0 where nobody knows. */
     public void eventHandled(Kind kind, double wait) {
--- a/src/main/java/lemondrift/metrics/ProxyMetrics.java
+++ b/src/main/java/lemondrift/metrics/ProxyMetrics.java
@@ -27,14 +27,14 @@
             long reloadFailure) {}
 
     private final Map<String, long[]> replies = new LinkedHashMap<>();
-    private long taken,
-            ended,
-            overdue,
-            dispatches,
-            targets,
-            targetsDisabled,
-            reloadSuccess,
-            reloadFailure;
+    private long taken;
+    private long ended;
+    private long overdue;
+    private long dispatches;
+    private long targets;
+    private long targetsDisabled;
+    private long reloadSuccess;
+    private long reloadFailure;
 
     /** Names what is counted from now on; what is not named any more keeps its counts. */
     public void registerClasses(List<String> names) {
--- a/src/main/java/lemondrift/model/Request.java
+++ b/src/main/java/lemondrift/model/Request.java
@@ -33,7 +33,8 @@
 
     public int[] probedBackends;
     public double probeWaitUntil;
-    public int probeRounds, subsetRedraws;
+    public int probeRounds;
+    public int subsetRedraws;
 
     /** Why it was rejected or failed; null where it was not. */
     public FailureReason failureReason;
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -56,7 +56,8 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(ProxyServer.class);
-    private static final int BUFFER = 8 * 1024, MOST_BUFFERS = 512;
+    private static final int BUFFER = 8 * 1024;
+    private static final int MOST_BUFFERS = 512;
 
     /**
      * Seconds in which new clients may still come after a drain has begun; by how much later than
@@ -64,7 +65,11 @@
      * two looks at whether all is answered. A platform that grants an expiry and 0.7 s has its end
      * before it kills.
      */
-    private static final double STRAGGLERS = 0.55, ANSWERS = 0.5, FETCHED = 0.6, DRAIN_LOOKS = 0.01;
+    private static final double STRAGGLERS = 0.55;
+
+    private static final double ANSWERS = 0.5;
+    private static final double FETCHED = 0.6;
+    private static final double DRAIN_LOOKS = 0.01;
 
     /**
      * Seconds in which clients are sent away. Danger: whoever is still here later may bring one
@@ -326,8 +331,8 @@
 
     /** Takes clients as long as they come, answers all that was taken, and returns. */
     public void drain() throws InterruptedException {
-        double began = clock.now(),
-                last = Math.max(began + config.longestTimeoutSeconds(), formerExpiry);
+        double began = clock.now();
+        double last = Math.max(began + config.longestTimeoutSeconds(), formerExpiry);
         clientListener.closeInheritedSocket();
         clientListener.drain(began + STRAGGLERS, last + ANSWERS);
         enter(Phase.DRAINING);
@@ -404,8 +409,8 @@
         CompletableFuture<InFlight> told = new CompletableFuture<>();
         runOnIoThread(
                 () -> {
-                    int visitors = clientListener.openConnectionCount(),
-                            calls = backendClient.callsInFlight();
+                    int visitors = clientListener.openConnectionCount();
+                    int calls = backendClient.callsInFlight();
                     runOnLoop(
                             () ->
                                     told.complete(
--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -58,14 +58,18 @@
 
     private ConnectionPool.Link link;
     private IoFuture<StreamConnection> connect;
-    private XnioExecutor.Key connectTimer, timer, passTimer;
+    private XnioExecutor.Key connectTimer;
+    private XnioExecutor.Key timer;
+    private XnioExecutor.Key passTimer;
     private boolean done;
 
     /** What has come of an answer that is passed on, and who is to hear of more. */
     private PooledByteBuffer passing;
 
     private Runnable more;
-    private double within = Double.POSITIVE_INFINITY, endless, began;
+    private double within = Double.POSITIVE_INFINITY;
+    private double endless;
+    private double began;
 
     private BackendCall(
             ConnectionPool pool,
--- a/src/main/java/lemondrift/proxy/backend/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -35,7 +35,9 @@
     static final int MOST_BODY = 64 * 1024;
 
     /** The share of the proxy's connections that go to backends, and of those the share for one. */
-    private static final double SHARE = 0.33, MOST_OF_THEM = 0.25;
+    private static final double SHARE = 0.33;
+
+    private static final double MOST_OF_THEM = 0.25;
 
     /** Idle connections are closed at this share of the time after which a backend does so. */
     private static final double IDLE_SHARE = 0.5;
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -43,7 +43,11 @@
     private Part part = Part.STATUS;
     private HeaderMap headers = new HeaderMap();
     private boolean old;
-    private int status, inHeads, inChunks, left, declared = -1;
+    private int status;
+    private int inHeads;
+    private int inChunks;
+    private int left;
+    private int declared = -1;
     private long came;
     private boolean passed;
 
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -261,7 +261,8 @@
     private final Consumer<Request> left;
 
     private XnioExecutor.Key sweeping;
-    private boolean makingRoom, stopped;
+    private boolean makingRoom;
+    private boolean stopped;
     private double toldAt = Double.NEGATIVE_INFINITY;
 
     ClientConnections(
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -29,7 +29,11 @@
 import lemondrift.buffer.BodyBufferBudget;
 import lemondrift.connection.RequestQueue;
 import lemondrift.metrics.ProxyMetrics;
-import lemondrift.model.*;
+import lemondrift.model.FailureReason;
+import lemondrift.model.Request;
+import lemondrift.model.RequestTerms;
+import lemondrift.model.Settings;
+import lemondrift.model.ShedThreshold;
 import lemondrift.proxy.config.ProxyConfig;
 import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.events.DecisionEvents;
@@ -625,7 +629,8 @@
         pooled = fresh ? connection.getByteBufferPool().allocate() : pooled;
         ByteBuffer buffer = pooled.getBuffer();
         // Danger: what was read ahead already, by Undertow too, stands between the two marks.
-        int begin = fresh ? 0 : buffer.position(), end = fresh ? 0 : buffer.limit();
+        int begin = fresh ? 0 : buffer.position();
+        int end = fresh ? 0 : buffer.limit();
         int got = 0;
         try {
             buffer.limit(buffer.capacity()).position(end);
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -65,7 +65,10 @@
      */
     private ByteBuffer loose;
 
-    private boolean beyond, ended, given, failed;
+    private boolean beyond;
+    private boolean ended;
+    private boolean given;
+    private boolean failed;
     private Runnable released = () -> {};
 
     RequestBody(
--- a/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
@@ -21,13 +21,17 @@
     /**
      * The share of the proxy's connections that clients may have, and where no more are accepted.
      */
-    private static final double SHARE = 0.6, LAST = 0.66;
+    private static final double SHARE = 0.6;
+
+    private static final double LAST = 0.66;
 
     /**
      * Seconds that an answered connection may be quiet, and before which none is closed between
      * requests.
      */
-    private static final double QUIET = 2.2, EARLIEST = 2;
+    private static final double QUIET = 2.2;
+
+    private static final double EARLIEST = 2;
 
     /** Bytes a second: the largest head takes eight seconds at the most. */
     private static final double LEAST_RATE = HttpFieldRules.MOST / 8.0;
@@ -55,7 +59,9 @@
 
     /** The same with what a file says; what can't be used is one line that names file and key. */
     public static ConnectionLimits read(Path file, ConnectionLimits usual) throws IOException {
-        double quiet = usual.quiet(), earliest = -1, leastRate = usual.leastRate();
+        double quiet = usual.quiet();
+        double earliest = -1;
+        double leastRate = usual.leastRate();
         ConnectionLimits.Sharing sharing = usual.sharing();
         boolean announces = usual.announces();
         for (Map.Entry<String, JsonElement> each : object(file).entrySet()) {
--- a/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
@@ -17,7 +17,9 @@
      * The pace of tellings and when a silent one is forgotten, as shares of the shortest contract
      * time.
      */
-    private static final double PACE = 0.02, FORGET = 2;
+    private static final double PACE = 0.02;
+
+    private static final double FORGET = 2;
 
     private static final int PART = 12;
 
@@ -28,7 +30,8 @@
      */
     public static GossipSettings read(Path file, Settings settings, JsonObject config)
             throws IOException {
-        double pace = PACE, forget = FORGET;
+        double pace = PACE;
+        double forget = FORGET;
         int part = PART;
         for (Map.Entry<String, JsonElement> each : ConnectionSettingsFile.object(file).entrySet()) {
             try {
--- a/src/main/java/lemondrift/proxy/config/ProxyConfig.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfig.java
@@ -214,8 +214,8 @@
 
     /** With what else the environment names: the operators' address and what is watched. */
     private ProxyConfig named(Map<String, String> environment, JsonObject json) throws IOException {
-        String other = environment.get("PROXY_ADMIN_ADDR"),
-                shadow = environment.get("PROXY_SHADOW");
+        String other = environment.get("PROXY_ADMIN_ADDR");
+        String shadow = environment.get("PROXY_SHADOW");
         ProxyConfig config =
                 other == null ? this : withAdminAddress(address("PROXY_ADMIN_ADDR", other));
         return shadow == null
--- a/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -20,8 +20,12 @@
     /** Spans are given as shares of the shortest contract time, which is so many seconds. */
     public static RecoverySettings read(Path file, double window) throws IOException {
         PeerPollBackoff usual = PeerPollBackoff.of(1);
-        double ask = usual.ask(), bound = usual.bound(), forget = usual.forget(), period = PERIOD;
-        int fanout = usual.fanout(), enough = usual.enough();
+        double ask = usual.ask();
+        double bound = usual.bound();
+        double forget = usual.forget();
+        double period = PERIOD;
+        int fanout = usual.fanout();
+        int enough = usual.enough();
         Path folder = null;
         for (Map.Entry<String, JsonElement> each : ConnectionSettingsFile.object(file).entrySet()) {
             JsonElement value = each.getValue();
--- a/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -25,12 +25,16 @@
         private final int index;
         private final String id;
         private InetSocketAddress address;
-        private boolean gone, moved, logged;
+        private boolean gone;
+        private boolean moved;
+        private boolean logged;
 
         /** The last that was read of it. */
         private EndpointUpdate update;
 
-        private int held, location, cell;
+        private int held;
+        private int location;
+        private int cell;
 
         /** The number of the list that has named it last. */
         private int namedBy;
@@ -49,7 +53,9 @@
     /** Indexes of those that have gone and that nothing speaks of any more. */
     private final TreeSet<Integer> free = new TreeSet<>();
 
-    private int listedCount, referenceCount, lists;
+    private int listedCount;
+    private int referenceCount;
+    private int lists;
 
     public BackendDirectory(List<String> locations) {
         this.locations = locations;
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
@@ -18,7 +18,10 @@
     private final EndpointListBuilder lines = new EndpointListBuilder();
     private Long revision;
     private Boolean complete;
-    private boolean begun, inMembers, hadMembers, done;
+    private boolean begun;
+    private boolean inMembers;
+    private boolean hadMembers;
+    private boolean done;
 
     public EndpointListParser(byte[] bytes) {
         reader =
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -14,7 +14,9 @@
     /**
      * What one slice may cost; a look at a line costs 1, and a line that says something new LINE.
      */
-    private static final int SLICE = 512, LINE = 8;
+    private static final int SLICE = 512;
+
+    private static final int LINE = 8;
 
     private enum Step {
         LOOK_AT_LINES,
@@ -28,15 +30,17 @@
     private final EndpointList list;
     private final boolean stale;
     private final Runnable notifyApplied;
-    private final List<EndpointList.Member> withdrawn = new ArrayList<>(),
-            added = new ArrayList<>();
+    private final List<EndpointList.Member> withdrawn = new ArrayList<>();
+    private final List<EndpointList.Member> added = new ArrayList<>();
     private final List<Integer> absent = new ArrayList<>();
     private Step step = Step.LOOK_AT_LINES;
 
     /** Its number, once its turn has come. */
     private int number;
 
-    private int at, slices, lines;
+    private int at;
+    private int slices;
+    private int lines;
 
     /** Stale is a list of before the start; applied is told when the decisions have all of it. */
     public EndpointListUpdate(
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -34,7 +34,11 @@
      * their own pause of 1.9 s at the most comes in place of the short one, and one silent watch
      * takes 5.6 s.
      */
-    private static final double HOLD = 1.8, COSTLY_HOLD = 3, SLACK = 0.7, PAUSE = 0.1;
+    private static final double HOLD = 1.8;
+
+    private static final double COSTLY_HOLD = 3;
+    private static final double SLACK = 0.7;
+    private static final double PAUSE = 0.1;
 
     /** Within how many seconds a whole list, or a new connection, is to be there. */
     private static final double AT_ONCE = 0.5;
@@ -56,7 +60,8 @@
     private final CountDownLatch first = new CountDownLatch(1);
 
     private long revision = -1;
-    private boolean stopped, failing;
+    private boolean stopped;
+    private boolean failing;
 
     /** An answer is read by the worker. */
     private boolean reading;
--- a/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
@@ -19,10 +19,13 @@
 public final class TakeoverLock {
     private static final Logger LOG = LoggerFactory.getLogger(TakeoverLock.class);
 
-    private final Path serving, waiting;
+    private final Path serving;
+    private final Path waiting;
     private final ResourceSplit succession = new ResourceSplit();
-    private FileChannel servingFile, waitingFile;
-    private FileLock serves, waits;
+    private FileChannel servingFile;
+    private FileChannel waitingFile;
+    private FileLock serves;
+    private FileLock waits;
     private boolean failed;
 
     /** In a folder that both have, under a name that is the proxy's. */
--- a/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
@@ -31,17 +31,22 @@
  */
 public final class Warmup {
     private static final Logger LOG = LoggerFactory.getLogger(Warmup.class);
-    private static final int CLIENTS = 6, BACKENDS = 4, EXCHANGES = 120;
+    private static final int CLIENTS = 6;
+    private static final int BACKENDS = 4;
+    private static final int EXCHANGES = 120;
 
     /** Seconds that it may take at the most, and that the last answers may. */
-    private static final double MOST = 1.5, LAST = 0.5;
+    private static final double MOST = 1.5;
+
+    private static final double LAST = 0.5;
 
     private final ProxyConfig config;
     private final XnioWorker worker;
     private final CountDownLatch left = new CountDownLatch(EXCHANGES);
     private final CountDownLatch quiet = new CountDownLatch(CLIENTS);
     private volatile boolean over;
-    private long sent, told;
+    private long sent;
+    private long told;
 
     private Warmup(ProxyConfig config, XnioWorker worker) {
         this.config = config;
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -7,6 +7,7 @@
 import java.util.function.Consumer;
 import lemondrift.balancer.LoadBalancer;
 import lemondrift.gossip.LoadGossip;
+import lemondrift.model.ServiceTime;
 import lemondrift.proxy.config.RecoverySettings;
 import lemondrift.recovery.PeerStatus;
 import lemondrift.recovery.RecoveryState;
@@ -98,8 +99,8 @@
             Consumer<LoadGossip.Message> tell) {
         boolean settled = recovery.isSettled();
         if (!settled) {
-            double[] work = balancer.measuredServiceTime();
-            recovery = recovery.found(work[0], (int) work[1]);
+            ServiceTime measured = balancer.measuredServiceTime();
+            recovery = recovery.found(measured.seconds(), (int) measured.samples());
         }
         for (Said next = said.poll(); next != null; next = said.poll()) {
             RecoveryState.Step step = recovery.heard(next.from, next.hello, now);
@@ -121,11 +122,14 @@
                     recovery.asked());
         }
         if (keeper != null && now >= keepAt) {
-            double[] work = balancer.measuredServiceTime();
+            ServiceTime measured = balancer.measuredServiceTime();
             // Danger: all proxies writing in step would have one disk of a machine stand still for
             // all.
             keepAt = now + period * (0.5 + Math.random());
-            keeper.keep(recovery.start(), work[0], (int) Math.min(work[1], Short.MAX_VALUE));
+            keeper.keep(
+                    recovery.start(),
+                    measured.seconds(),
+                    (int) Math.min(measured.samples(), Short.MAX_VALUE));
         }
     }
 
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
@@ -20,8 +20,8 @@
 public final class SnapshotFile {
     public static final int VERSION = 1;
     private static final byte[] MAGIC = "LDSN".getBytes(StandardCharsets.US_ASCII);
-    private static final int HEAD = MAGIC.length + Short.BYTES + 2 * Integer.BYTES,
-            MOST = 64 * 1024;
+    private static final int HEAD = MAGIC.length + Short.BYTES + 2 * Integer.BYTES;
+    private static final int MOST = 64 * 1024;
     private static final CBORMapper CBOR = new CBORMapper();
 
     private SnapshotFile() {}
@@ -54,7 +54,9 @@
             throw new IOException(file + ": not a snapshot");
         }
         in.position(MAGIC.length);
-        int version = in.getShort(), length = in.getInt(), sum = in.getInt();
+        int version = in.getShort();
+        int length = in.getInt();
+        int sum = in.getInt();
         if (version != VERSION) {
             throw new IOException(
                     file + ": of version " + version + ", and this program reads " + VERSION);
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
@@ -21,7 +21,8 @@
     private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
 
     private final Path file;
-    private final String name, boot;
+    private final String name;
+    private final String boot;
     private final ExecutorService thread =
             Executors.newSingleThreadExecutor(
                     task -> {
--- a/src/main/java/lemondrift/recovery/PeerStatus.java
+++ b/src/main/java/lemondrift/recovery/PeerStatus.java
@@ -18,8 +18,12 @@
  */
 public record PeerStatus(
         long start, long to, boolean asks, float up, float work, int answers, boolean settled) {
-    public static final byte KIND = 3, VERSION = 1;
-    private static final int LENGTH = 28, ASKS = 1, SETTLED = 2, MOST_ANSWERS = 255;
+    public static final byte KIND = 3;
+    public static final byte VERSION = 1;
+    private static final int LENGTH = 28;
+    private static final int ASKS = 1;
+    private static final int SETTLED = 2;
+    private static final int MOST_ANSWERS = 255;
 
     public PeerStatus {
         answers = Math.min(MOST_ANSWERS, answers);
@@ -46,7 +50,8 @@
             return null;
         }
         ByteBuffer in = ByteBuffer.wrap(datagram, 2, LENGTH - 2);
-        int flags = in.get(), answers = in.get() & 0xff;
+        int flags = in.get();
+        int answers = in.get() & 0xff;
         PeerStatus hello =
                 new PeerStatus(
                         in.getLong(),
--- a/src/main/java/lemondrift/recovery/RecoveryState.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -171,7 +171,8 @@
         if (isSettled()) {
             return this;
         }
-        long all = lately(now).count(), settled = lately(now).filter(PeerStatus::settled).count();
+        long all = lately(now).count();
+        long settled = lately(now).filter(PeerStatus::settled).count();
         boolean early = now - began < pace.bound() && all < proxies - 1;
         RecoveryPhase its =
                 early && settled == 0
--- a/src/main/java/lemondrift/settings/SettingsReader.java
+++ b/src/main/java/lemondrift/settings/SettingsReader.java
@@ -12,7 +12,8 @@
 
 /** Turns path=value pairs, as both doors have them, into Settings; unknown keys are passed over. */
 public final class SettingsReader {
-    private static final double LEAST = 1e-9, MOST = 1e9;
+    private static final double LEAST = 1e-9;
+    private static final double MOST = 1e9;
 
     private final Map<String, String> pairs;
 
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -7,7 +7,12 @@
 import java.util.Locale;
 import java.util.Map;
 import lemondrift.balancer.LoadBalancer;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Request;
+import lemondrift.model.Settings;
 
 /**
  * The watching mode: a second module with other settings sees all that happens, is asked at each
--- a/src/main/java/lemondrift/simulator/SimulatedProxy.java
+++ b/src/main/java/lemondrift/simulator/SimulatedProxy.java
@@ -5,7 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import lemondrift.balancer.LoadBalancer;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.Decision;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Request;
+import lemondrift.model.Settings;
 
 /** One proxy's decisions with the ids by which the wire names its exchanges and backends. */
 final class SimulatedProxy {
--- a/src/main/java/lemondrift/simulator/SimulatorAdapter.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -10,7 +10,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Request;
+import lemondrift.model.Settings;
 import lemondrift.settings.InvalidSettingsException;
 import lemondrift.settings.SettingsReader;
 
--- a/src/main/java/org/xnio/nio/InheritedServer.java
+++ b/src/main/java/org/xnio/nio/InheritedServer.java
@@ -28,7 +28,8 @@
     private final WorkerThread io;
     private final ChannelListener<StreamConnection> accepted;
     private final Handle handle;
-    private int most, open;
+    private int most;
+    private int open;
     private boolean stopped;
 
     private final class Handle extends NioHandle implements ChannelClosed {
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -40,7 +40,8 @@
 
     @Test
     void aDatagramOfGossipIsReadAndWrittenAsBefore() throws IOException {
-        LoadGossip sender = holdings(0), receiver = holdings(1);
+        LoadGossip sender = holdings(0);
+        LoadGossip receiver = holdings(1);
         sender.attemptSent(LoadGossip.tag("backend-1"));
         sender.attemptSent(LoadGossip.tag("backend-1"));
         sender.attemptSent(LoadGossip.tag("backend-2"));
@@ -60,7 +61,8 @@
 
     @Test
     void theSimulatorsBatchGetsTheReplyOfBefore() throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(), err = new ByteArrayOutputStream();
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        ByteArrayOutputStream err = new ByteArrayOutputStream();
         int code =
                 SimulatorAdapter.run(
                         new ByteArrayInputStream(LandedBytes.ofHex("simulator-batch.hex")),
--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -8,7 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Idempotency;
+import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -99,7 +106,8 @@
             }
         }
         for (double from = 0; from < 4; from += 0.25) {
-            double start = from, end = from + TestDeployment.RULES.overloadWindowSeconds();
+            double start = from;
+            double end = from + TestDeployment.RULES.overloadWindowSeconds();
             long count = sent.stream().filter(at -> at >= start && at < end).count();
             double share =
                     TestDeployment.RULES.slowStartMinShare()
--- a/src/test/java/lemondrift/LoadBalancerTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -1,11 +1,22 @@
 package lemondrift;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Request;
+import lemondrift.model.Settings;
+import lemondrift.model.ShedThreshold;
 import org.junit.jupiter.api.Test;
 
 /** Each danger that the module names, on the module alone. */
@@ -62,7 +73,8 @@
                                 14, false, new Settings.LoadReports(true, 0, 1, true, -1), false),
                         7);
         w.list(true, false, TestDeployment.lines(2));
-        Attempt first = w.arrive(ONCE), second = w.arrive(ONCE);
+        Attempt first = w.arrive(ONCE);
+        Attempt second = w.arrive(ONCE);
         w.now += 0.1;
         w.end(first, AttemptOutcome.SUCCESS, 0.5, 1);
         w.end(second, AttemptOutcome.SUCCESS, 0.4, 2);
@@ -241,7 +253,8 @@
     @Test
     void oneThatFailsOneGradeAloneTakesTheOthers() {
         TestDeployment w = TestDeployment.of(4);
-        int[] bad = new int[4], good = new int[4];
+        int[] bad = new int[4];
+        int[] good = new int[4];
         for (int i = 0; i < 400; i++) {
             int requestClass = i % 4 == 0 ? ONCE : PURE;
             Attempt attempt = w.arrive(requestClass);
@@ -363,10 +376,12 @@
         w.list(true, false, List.of());
         assertEquals(
                 Double.POSITIVE_INFINITY, w.balancer.shedThreshold(w.now, ONCE).minSecondsLeft());
-        TestDeployment asked = TestDeployment.of(20), other = TestDeployment.of(20);
+        TestDeployment asked = TestDeployment.of(20);
+        TestDeployment other = TestDeployment.of(20);
         for (int k = 0; k < 200; k++) {
             asked.balancer.shedThreshold(asked.now, k % 4);
-            Attempt attempt = asked.arrive(k % 4), same = other.arrive(k % 4);
+            Attempt attempt = asked.arrive(k % 4);
+            Attempt same = other.arrive(k % 4);
             assertEquals(attempt == null ? -1 : attempt.backend, same == null ? -1 : same.backend);
             for (TestDeployment each : List.of(asked, other)) {
                 if (k % 3 == 0 && attempt != null) {
--- a/src/test/java/lemondrift/ShadowEvaluatorTest.java
+++ b/src/test/java/lemondrift/ShadowEvaluatorTest.java
@@ -1,11 +1,14 @@
 package lemondrift;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Settings;
 import lemondrift.shadow.ShadowEvaluator;
 import org.junit.jupiter.api.Test;
 
@@ -36,7 +39,8 @@
         w.list(true, false, TestDeployment.lines(6));
         for (int event = 0; event < 3000; event++) {
             w.load(chance.doubles(6).toArray()).wakeUntil(w.now + 0.004 * chance.nextDouble());
-            int kind = chance.nextInt(10), before = w.sends.size();
+            int kind = chance.nextInt(10);
+            int before = w.sends.size();
             if (kind < 4 || open.isEmpty()) {
                 w.arrive(chance.nextBoolean() ? 0 : 2);
             } else {
@@ -90,9 +94,9 @@
 
     @Test
     void eachKindIsCounted() {
-        Settings free = settings(0, 4, false),
-                dear = settings(9, 4, false),
-                once = settings(0, 1, false);
+        Settings free = settings(0, 4, false);
+        Settings dear = settings(9, 4, false);
+        Settings once = settings(0, 1, false);
         ShadowEvaluator stays = watched(free, dear, true);
         counts(100, ShadowEvaluator.Kind.NOT_CROSS, stays);
         counts(
--- a/src/test/java/lemondrift/TestDeployment.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -9,7 +9,15 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import lemondrift.balancer.LoadBalancer;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Idempotency;
+import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
+import lemondrift.model.Settings;
 import lemondrift.shadow.ShadowEvaluator;
 
 /** One proxy's decisions in a small made-up deployment, and frames built by hand. */
--- a/src/test/java/lemondrift/ThinProxyTest.java
+++ b/src/test/java/lemondrift/ThinProxyTest.java
@@ -1,13 +1,20 @@
 package lemondrift;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Function;
 import java.util.stream.IntStream;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Settings;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -15,7 +22,8 @@
  * come.
  */
 class ThinProxyTest {
-    private static final int PURE = 0, ONCE = 2;
+    private static final int PURE = 0;
+    private static final int ONCE = 2;
 
     private static TestDeployment world(boolean sizes, EndpointUpdate... lines) {
         Settings settings = TestDeployment.settings(70, false, TestDeployment.ANSWERS, false);
@@ -188,7 +196,8 @@
 
     @Test
     void aColdOneGetsOfEachUserItsPartOnlyWhileTheOthersAreHeard() {
-        int alike = toACold(1, true), fifth = toACold(0.2, true);
+        int alike = toACold(1, true);
+        int fifth = toACold(0.2, true);
         assertTrue(alike > 0 && fifth > 3 * alike, alike + " and " + fifth);
         assertEquals(
                 toACold(1, false), toACold(0.2, false), "none heard: parts are not known to hold");
@@ -323,8 +332,8 @@
                     false,
                     false,
                     List.of(TestDeployment.line(0, EndpointUpdate.State.READY, w.now)));
-            double window = TestDeployment.RULES.overloadWindowSeconds(),
-                    apart = proxy < 5 ? 0.01 : 0.5;
+            double window = TestDeployment.RULES.overloadWindowSeconds();
+            double apart = proxy < 5 ? 0.01 : 0.5;
             cold +=
                     to(
                             w,
--- a/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -1,6 +1,10 @@
 package lemondrift.connection;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -23,7 +27,8 @@
         double since;
         ConnectionState state = ConnectionState.NEW;
         final List<Double> heard = new ArrayList<>();
-        boolean unread, answered;
+        boolean unread;
+        boolean answered;
         CloseReason ended;
 
         Client(double came, long address) {
@@ -145,7 +150,8 @@
      * Until when a request may take, reckoned from all that came of it: plainly, as the page says.
      */
     double due(Client client) {
-        double due = client.since + bounds.pause(), at = client.since;
+        double due = client.since + bounds.pause();
+        double at = client.since;
         for (int b = 0; b < client.heard.size(); b++) {
             if (client.heard.get(b) > at) {
                 due = Math.min(client.heard.get(b) + bounds.pause(), due + 1 / bounds.leastRate());
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -1,6 +1,10 @@
 package lemondrift.connection;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -125,7 +129,9 @@
         ConnectionPolicyModel street =
                 new ConnectionPolicyModel(ConnectionPolicyModel.bounds(200, EACH));
         int[] usual = IntStream.range(0, 20).map(i -> street.comes()).toArray();
-        int reused = 0, asked = 0, most = 0;
+        int reused = 0;
+        int asked = 0;
+        int most = 0;
         for (int turn = 0; turn < 200; turn++) {
             // Six come every 0.1 s, ask once and stay; two of the usual ask every 0.1 s, again and
             // again.
@@ -156,7 +162,8 @@
     void twoInThreeThatAreSilentFromTheStartMakeRoom() {
         ConnectionPolicyModel street =
                 new ConnectionPolicyModel(ConnectionPolicyModel.bounds(60, EACH));
-        int served = 0, tried = 0;
+        int served = 0;
+        int tried = 0;
         for (int turn = 0; turn < 100; turn++) {
             for (int k = 0; k < 9; k++) {
                 if (street.clients.size() >= street.bounds.last()) {
@@ -223,7 +230,9 @@
     void aPauseOfTheProcessMakesNobodyOverdue() {
         ConnectionPolicyModel street =
                 new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
-        int fresh = street.comes(), half = street.comes(), kept = street.comes();
+        int fresh = street.comes();
+        int half = street.comes();
+        int kept = street.comes();
         street.asks(kept);
         street.passes(0.5);
         street.says(half, 10);
@@ -240,7 +249,8 @@
     void unreadBytesAreLookedForBeforeAnyClose() {
         ConnectionPolicyModel street =
                 new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
-        int fresh = street.comes(), kept = street.comes();
+        int fresh = street.comes();
+        int kept = street.comes();
         street.asks(kept);
         street.passes(1.7);
         street.clients.get(fresh).unread = true;
@@ -299,7 +309,8 @@
     void aHeadMayTakeTwoSecondsAndABodyPauseAsLong() {
         ConnectionPolicyModel street =
                 new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
-        int slow = street.comes(), half = street.comes();
+        int slow = street.comes();
+        int half = street.comes();
         street.says(half, 100);
         for (int k = 0; k < 10; k++) {
             street.says(slow, 12);
@@ -324,7 +335,8 @@
     void anAnswerThatIsNotFetchedEndsByTheSameRule() {
         ConnectionPolicyModel street =
                 new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
-        int slow = street.comes(), quick = street.comes();
+        int slow = street.comes();
+        int quick = street.comes();
         for (int i : new int[] {slow, quick}) {
             street.opens(i, 0);
             street.door.keeps(i, street.now);
--- a/src/test/java/lemondrift/connection/KeepAliveMixes.java
+++ b/src/test/java/lemondrift/connection/KeepAliveMixes.java
@@ -11,7 +11,8 @@
  * opened a connection, and mean places.
  */
 final class KeepAliveMixes {
-    private static final int PLACES = 206, CLIENTS = 128;
+    private static final int PLACES = 206;
+    private static final int CLIENTS = 128;
     private static final double LASTS = 60;
 
     /** Asks again after a gap; goes after so many, staying on its connection without a word. */
@@ -22,7 +23,8 @@
     private record Mix(String name, int usual, Habit habit, double onceRate, int burst) {}
 
     private static final class Client {
-        int asksLeft, connection = -1;
+        int asksLeft;
+        int connection = -1;
         double at;
         final Habit habit;
 
@@ -75,8 +77,14 @@
             next.add(new Client(Integer.MAX_VALUE, street.now + chance.nextDouble(), mix.habit));
         }
         Habit quick = random -> 0.05;
-        double began = street.now, onceAt = began, sweepAt = began, places = 0;
-        long asked = 0, opened = 0, out = 0, sweeps = 0;
+        double began = street.now;
+        double onceAt = began;
+        double sweepAt = began;
+        double places = 0;
+        long asked = 0;
+        long opened = 0;
+        long out = 0;
+        long sweeps = 0;
         while (street.now < began + LASTS) {
             if (mix.onceRate > 0 && onceAt <= next.peek().at) {
                 next.add(new Client(mix.burst, onceAt, quick));
--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -1,6 +1,8 @@
 package lemondrift.gossip;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -40,7 +42,8 @@
 
     @Test
     void nonsenseLateAndRepeatedTellingsChangeNothing() {
-        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10);
+        LoadGossip b = holdings(2, 1, 10);
         a.attemptSent(7);
         byte[] old = telling(a, 1);
         a.attemptSent(7);
@@ -62,7 +65,8 @@
 
     @Test
     void whatAKilledProxyHadOutIsForgottenAndItsNewStartIsHeard() {
-        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10);
+        LoadGossip b = holdings(2, 1, 10);
         for (int i = 0; i < 50; i++) {
             a.attemptSent(7);
             b.receive(0, telling(a, 1 + 0.02 * i), 1 + 0.02 * i);
@@ -101,7 +105,8 @@
     @Test
     void onlyThoseAreToldWhoUseTheBackendHoweverManyThereAre() {
         for (int proxies : new int[] {20, 100, 300}) {
-            int backends = 2 * proxies, told = 0;
+            int backends = 2 * proxies;
+            int told = 0;
             int[] tags = IntStream.range(0, backends).map(i -> LoadGossip.tag("s-" + i)).toArray();
             SubsetAssignment subsets = new SubsetAssignment(proxies, 16);
             subsets.listed(tags);
@@ -127,14 +132,16 @@
     @Property(tries = 2000, seed = "48")
     void onceTellingsArriveAllKnowWhatTheOthersHaveOut(@ForAll long seed) {
         Random random = new Random(seed);
-        int proxies = 4, backends = 5;
+        int proxies = 4;
+        int backends = 5;
         LoadGossip[] all = new LoadGossip[proxies];
         Arrays.setAll(all, i -> holdings(proxies, i, backends));
         int[][] model = new int[proxies][backends];
         List<Flying> flying = new ArrayList<>();
         double now = 1;
         for (int step = 0; step < 100; step++, now += 0.002) {
-            int i = random.nextInt(proxies), b = random.nextInt(backends);
+            int i = random.nextInt(proxies);
+            int b = random.nextInt(backends);
             if (model[i][b] > 0 && random.nextBoolean()) {
                 model[i][b]--;
                 all[i].attemptEnded(b);
@@ -183,7 +190,8 @@
      */
     @Test
     void aLostLastWordIsMadeGoodByForgettingAndNoLater() {
-        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10);
+        LoadGossip b = holdings(2, 1, 10);
         a.attemptSent(7);
         b.receive(0, telling(a, 1), 1);
         a.attemptEnded(7);
@@ -198,7 +206,8 @@
     /** Danger: a backend may be at work for long on what nobody waits for any more. */
     @Test
     void whatIsGivenUpCountsAsOutForAWhileHereAndElsewhere() {
-        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10);
+        LoadGossip b = holdings(2, 1, 10);
         a.attemptSent(7);
         a.attemptAbandoned(7, 1);
         b.receive(0, telling(a, 1), 1);
@@ -216,7 +225,8 @@
      */
     @Test
     void whoHasStartedAnewHasNothingOutAndIsHeardAtOnce() {
-        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10);
+        LoadGossip b = holdings(2, 1, 10);
         for (int i = 0; i < 9; i++) {
             a.attemptSent(7);
             b.receive(0, telling(a, 1 + 0.02 * i), 1 + 0.02 * i);
@@ -241,7 +251,8 @@
      */
     @Test
     void manyUsualGapsWithoutAWordAreDeafnessLongBeforeAllIsForgotten() {
-        LoadGossip a = holdings(2, 0, 10), b = holdings(2, 1, 10);
+        LoadGossip a = holdings(2, 0, 10);
+        LoadGossip b = holdings(2, 1, 10);
         assertEquals(0, b.livePeerCount(0));
         double now = 1;
         for (int i = 0; i < 200; i++, now += 0.0025) {
--- a/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -1,6 +1,9 @@
 package lemondrift.gossip;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -88,7 +91,9 @@
     @Property(tries = 40, seed = "48")
     void whatIsToldOverManyChangesIsWhatSortingAllSays(@ForAll long seed) {
         Random random = new Random(seed);
-        int proxies = 1 + random.nextInt(8), own = random.nextInt(proxies), backends = 60;
+        int proxies = 1 + random.nextInt(8);
+        int own = random.nextInt(proxies);
+        int backends = 60;
         SubsetAssignment subsets = new SubsetAssignment(proxies, WIDTH);
         TreeSet<Integer> ready = new TreeSet<>();
         Map<Integer, EndpointUpdate> told = new HashMap<>();
@@ -195,8 +200,8 @@
     @Test
     void whoComesAndGoesWithinOneListIsGone() {
         SubsetAssignment subsets = new SubsetAssignment(10, WIDTH);
-        EndpointUpdate comes = line(4, EndpointUpdate.State.READY),
-                goes = line(4, EndpointUpdate.State.GONE);
+        EndpointUpdate comes = line(4, EndpointUpdate.State.READY);
+        EndpointUpdate goes = line(4, EndpointUpdate.State.GONE);
         subsets.assigned(0, false, List.of(comes, goes), i -> i);
         assertFalse(subsets.uses(0, 4));
         List<EndpointUpdate> told = subsets.assigned(0, false, List.of(goes, comes), i -> i);
--- a/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
+++ b/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
@@ -1,6 +1,8 @@
 package lemondrift.hotrestart;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/lemondrift/lab/ExperimentTest.java
+++ b/src/test/java/lemondrift/lab/ExperimentTest.java
@@ -1,6 +1,10 @@
 package lemondrift.lab;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
@@ -1,6 +1,10 @@
 package lemondrift.lab.fleet;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.stream.IntStream;
--- a/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
@@ -2,7 +2,10 @@
 
 import static lemondrift.lab.fleet.Fleets.cut;
 import static lemondrift.lab.fleet.Fleets.fault;
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.api.Assertions.fail;
 
 import java.nio.file.Path;
 import java.util.List;
--- a/src/test/java/lemondrift/lab/fleet/Fleets.java
+++ b/src/test/java/lemondrift/lab/fleet/Fleets.java
@@ -1,16 +1,22 @@
 package lemondrift.lab.fleet;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
 import lemondrift.lab.Experiment;
-import lemondrift.lab.simulation.*;
+import lemondrift.lab.simulation.BackendFault;
+import lemondrift.lab.simulation.Fault;
+import lemondrift.lab.simulation.FaultTarget;
+import lemondrift.lab.simulation.RunResult;
+import lemondrift.lab.simulation.Scenario;
 
 /** Small fleets of real processes, from the classes that are tested. */
 final class Fleets {
-    static final int PROXIES = 4, BACKENDS = 6;
+    static final int PROXIES = 4;
+    static final int BACKENDS = 6;
 
     private Fleets() {}
 
--- a/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
+++ b/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
@@ -2,7 +2,9 @@
 
 import static lemondrift.lab.fleet.Fleets.cut;
 import static lemondrift.lab.fleet.Fleets.fault;
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.api.Assertions.fail;
 
 import java.io.IOException;
 import java.nio.file.FileAlreadyExistsException;
@@ -125,7 +127,8 @@
     void oneAloneLearnsFromTheOthersThoughItsSnapshotIsBadAndItsOldDatagramsComeLate()
             throws Exception {
         comesBack();
-        long begun = lines(2, "recovery begins"), aside = lines(2, "set aside");
+        long begun = lines(2, "recovery begins");
+        long aside = lines(2, "set aside");
         // A folder in the place of the file can be neither read nor written over.
         for (Path file = disk.resolve("n2.snap"); !Files.isDirectory(file); ) {
             Files.deleteIfExists(file);
--- a/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
@@ -1,6 +1,8 @@
 package lemondrift.lab.fleet;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -88,7 +90,8 @@
                                 }
                             });
             Path config = stand.folder().resolve("n0.json");
-            String usual = Files.readString(config), changed = withAFreshClass(usual);
+            String usual = Files.readString(config);
+            String changed = withAFreshClass(usual);
             for (int i = 0; i < TIMES; i++) {
                 long before = refused();
                 switch (i % 5) {
--- a/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
+++ b/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
@@ -1,6 +1,8 @@
 package lemondrift.lab.fleet;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Path;
 import java.util.List;
--- a/src/test/java/lemondrift/lab/load/LoadTest.java
+++ b/src/test/java/lemondrift/lab/load/LoadTest.java
@@ -1,6 +1,9 @@
 package lemondrift.lab.load;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
+++ b/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
@@ -1,6 +1,7 @@
 package lemondrift.lab.simulation;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -59,12 +60,15 @@
             @ForAll @Size(30) int[] moves, @ForAll @IntRange(min = 1, max = 3) int cores) {
         LoadEvenness its = new LoadEvenness(3, cores, 1);
         int[] held = new int[3];
-        double waste = 0, fullest = 0;
+        double waste = 0;
+        double fullest = 0;
         for (int t = 0; t < moves.length; t++) {
             int i = Math.floorMod(moves[t], 3);
             held[i] = Math.floorMod(moves[t] / 3, 7);
             its.holds(i, held[i], true, t);
-            int idle = 0, queued = 0, most = 0;
+            int idle = 0;
+            int queued = 0;
+            int most = 0;
             for (int h : held) {
                 idle += h == 0 ? 1 : 0;
                 queued += Math.max(0, h - cores);
--- a/src/test/java/lemondrift/lab/simulation/SimulationTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -1,6 +1,9 @@
 package lemondrift.lab.simulation;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.HashMap;
 import java.util.List;
@@ -397,7 +400,8 @@
                                         storm.settings(),
                                         p,
                                         i -> world[0].trueLoad(i)));
-        double naive = world[0].play().service(), module = Scenarios.play(storm).service();
+        double naive = world[0].play().service();
+        double module = Scenarios.play(storm).service();
         assertTrue(module > naive + 0.1, "module " + module + ", naive " + naive);
     }
 
--- a/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
@@ -1,6 +1,8 @@
 package lemondrift.metrics;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
--- a/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
@@ -1,6 +1,7 @@
 package lemondrift.metrics;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -15,7 +16,10 @@
             @ForAll List<@IntRange(min = 0, max = 2) Integer> events) {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look"));
-        int open = 0, answered = 0, gone = 0, taken = 0;
+        int open = 0;
+        int answered = 0;
+        int gone = 0;
+        int taken = 0;
         for (int event : events) {
             if (event == 0) {
                 metrics.requestAccepted();
--- a/src/test/java/lemondrift/proxy/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/AdminServerTest.java
@@ -1,6 +1,8 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -181,7 +183,8 @@
 
     @Test
     void oneThatDrainsIsListedAndDisabled() throws Exception {
-        StandIn one = backend(OK), other = backend(OK);
+        StandIn one = backend(OK);
+        StandIn other = backend(OK);
         operate(one, other);
         news.add(http(list(2, false, member(0, one.port(), "leaving"))));
         awaitWatch("from=2");
--- a/src/test/java/lemondrift/proxy/AsyncLogTest.java
+++ b/src/test/java/lemondrift/proxy/AsyncLogTest.java
@@ -1,7 +1,8 @@
 package lemondrift.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayOutputStream;
 import java.io.OutputStream;
--- a/src/test/java/lemondrift/proxy/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionLoad.java
@@ -20,7 +20,8 @@
  * when a request should have been sent.
  */
 final class ClientConnectionLoad {
-    private static final int CONNECTIONS = 24, TURNS = 4;
+    private static final int CONNECTIONS = 24;
+    private static final int TURNS = 4;
     private static final double SECONDS = 4;
 
     /** One proxy of a build, with a backend and a discovery of this process. */
--- a/src/test/java/lemondrift/proxy/ConfigFileTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigFileTest.java
@@ -1,6 +1,7 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import com.google.gson.JsonObject;
 import java.nio.file.Files;
--- a/src/test/java/lemondrift/proxy/ConfigReloadTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigReloadTest.java
@@ -1,6 +1,8 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -98,13 +100,15 @@
 
     @Test
     void aNewClassIsUnderItsOwnRules() throws Exception {
-        StandIn one = backend(CLOSE), other = backend(CLOSE);
+        StandIn one = backend(CLOSE);
+        StandIn other = backend(CLOSE);
         start(one, other);
         JsonObject next = running();
         name(next, 0, "look", "fragile");
         proxy.reload(ProxyConfig.read(next.toString()));
         HttpRequest.Builder fragile = request("look");
-        int before = 0, now = 2;
+        int before = 0;
+        int now = 2;
         for (int i = 0; now > 1 && i < 50; i++) {
             before = one.requests.size() + other.requests.size();
             send(fragile.setHeader("X-Trace-Id", "f-" + i));
--- a/src/test/java/lemondrift/proxy/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/DecisionLoopTest.java
@@ -1,6 +1,7 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonParser;
 import java.net.InetSocketAddress;
@@ -14,7 +15,15 @@
 import lemondrift.balancer.LoadBalancer;
 import lemondrift.gossip.LoadGossip;
 import lemondrift.gossip.SubsetAssignment;
-import lemondrift.model.*;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.model.Idempotency;
+import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
+import lemondrift.model.Settings;
 import lemondrift.proxy.config.GossipSettings;
 import lemondrift.proxy.discovery.BackendDirectory;
 import lemondrift.proxy.discovery.EndpointListBuilder;
--- a/src/test/java/lemondrift/proxy/EndpointListParserTest.java
+++ b/src/test/java/lemondrift/proxy/EndpointListParserTest.java
@@ -1,6 +1,9 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonParser;
 import java.io.IOException;
@@ -57,7 +60,8 @@
         for (int i = random.nextInt(20); i > 0; i--) {
             lines.append(lines.length() == 0 ? "" : ", ").append(line(random));
         }
-        String members = "\"members\":[" + lines + "]", rest = "\"revision\":41,\"complete\":true";
+        String members = "\"members\":[" + lines + "]";
+        String rest = "\"revision\":41,\"complete\":true";
         String text =
                 "{" + (random.nextBoolean() ? members + "," + rest : rest + "," + members) + "}";
         EndpointList whole = EndpointListBuilder.of(JsonParser.parseString(text).getAsJsonObject());
--- a/src/test/java/lemondrift/proxy/LargeFleetTest.java
+++ b/src/test/java/lemondrift/proxy/LargeFleetTest.java
@@ -1,6 +1,6 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -27,7 +27,9 @@
  * answer in time.
  */
 class LargeFleetTest extends LoopbackFixture {
-    private static final int BACKENDS = 3200, PROXIES = 100, STEP = 160;
+    private static final int BACKENDS = 3200;
+    private static final int PROXIES = 100;
+    private static final int STEP = 160;
 
     /** The machine's last core; the first has work of the system's. */
     private static final String CORE =
@@ -37,12 +39,17 @@
     private static final int RIVALS = 4;
 
     /** Milliseconds that a client waits, and after which its request counts as lost. */
-    private static final int WAITS = 190, LOST = WAITS + 500;
+    private static final int WAITS = 190;
+
+    private static final int LOST = WAITS + 500;
 
     /** Milliseconds between two requests and between two versions of the list. */
-    private static final int EACH = 20, VERSION = 350;
+    private static final int EACH = 20;
+
+    private static final int VERSION = 350;
 
-    private static final int VERSIONS = 10, HANG_UPS = 6;
+    private static final int VERSIONS = 10;
+    private static final int HANG_UPS = 6;
 
     private final List<Process> rivals = new ArrayList<>();
     private final Queue<String> lost = new ConcurrentLinkedQueue<>();
@@ -229,7 +236,8 @@
                 back.countDown();
                 for (int version = 0; version < VERSIONS; version++) {
                     askFor(VERSION);
-                    int from = BACKENDS / 4 + version * STEP, fresh = BACKENDS + from;
+                    int from = BACKENDS / 4 + version * STEP;
+                    int fresh = BACKENDS + from;
                     news.add(
                             http(
                                     list(
--- a/src/test/java/lemondrift/proxy/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/LongBodiesTest.java
@@ -1,6 +1,10 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -102,7 +106,8 @@
         String half =
                 "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 300000\r\n\r\n"
                         + "x".repeat(100_000);
-        StandIn one = backend(half), other = backend(half);
+        StandIn one = backend(half);
+        StandIn other = backend(half);
         start(one, other);
         try (Socket client = ask("half")) {
             byte[] all = client.getInputStream().readAllBytes();
@@ -242,7 +247,8 @@
     private static final class Sink implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        final AtomicInteger came = new AtomicInteger(), requests = new AtomicInteger();
+        final AtomicInteger came = new AtomicInteger();
+        final AtomicInteger requests = new AtomicInteger();
         final CountDownLatch left = new CountDownLatch(1);
         volatile String head = "";
 
@@ -358,7 +364,8 @@
 
     @Test
     void whatIsHeldIsSentAgainWhereItNeverRan() throws Exception {
-        StandIn full = backend(NEVER_RAN), sound = backend(OK);
+        StandIn full = backend(NEVER_RAN);
+        StandIn sound = backend(OK);
         start(full, sound);
         String body = "x".repeat(200_000);
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/lemondrift/proxy/LoopbackFixture.java
+++ b/src/test/java/lemondrift/proxy/LoopbackFixture.java
@@ -1,6 +1,8 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -45,7 +47,9 @@
             "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0" + "\r\n\r\n";
 
     /** What a stand-in does in place of an answer. */
-    static final String CLOSE = "close", SILENCE = "silence";
+    static final String CLOSE = "close";
+
+    static final String SILENCE = "silence";
 
     final List<StandIn> standIns = new ArrayList<>();
     final LinkedBlockingQueue<String> news = new LinkedBlockingQueue<>();
--- a/src/test/java/lemondrift/proxy/ProcessPauseTest.java
+++ b/src/test/java/lemondrift/proxy/ProcessPauseTest.java
@@ -1,6 +1,7 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -93,7 +94,8 @@
             for (Socket each : gone) {
                 each.close();
             }
-            Socket late = ask(port, "late", 300), stays = ask(port, "stays", 4000);
+            Socket late = ask(port, "late", 300);
+            Socket stays = ask(port, "stays", 4000);
             Thread.sleep(STILL);
             signal(child, "CONT");
             assertTrue(read(late).startsWith("HTTP/1.1 503"), "its time has passed");
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -1,7 +1,13 @@
 package lemondrift.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
@@ -63,7 +69,8 @@
 
     @Test
     void whatMayHaveRunIsScrappedAndNotSentAgain() throws Exception {
-        StandIn one = backend(CLOSE), other = backend(HALF);
+        StandIn one = backend(CLOSE);
+        StandIn other = backend(HALF);
         start(one, other);
         HttpResponse<String> answer = order("x");
         assertEquals(502, answer.statusCode());
@@ -106,7 +113,9 @@
 
     @Test
     void refusedAndMarkedNeverRanGoElsewhere() throws Exception {
-        StandIn full = backend(NEVER_RAN), sound = backend(OK), closed = backend(OK);
+        StandIn full = backend(NEVER_RAN);
+        StandIn sound = backend(OK);
+        StandIn closed = backend(OK);
         closed.server.close();
         start(full, closed, sound);
         for (int i = 0; i < 2; i++) {
@@ -474,7 +483,8 @@
 
     @Test
     void aDrainToldTakesEffectAndNonsenseIsSurvived() throws Exception {
-        StandIn first = backend(OK), second = backend(OK);
+        StandIn first = backend(OK);
+        StandIn second = backend(OK);
         start(first, second);
         while (first.requests.isEmpty()) {
             assertEquals(200, look().statusCode());
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -1,6 +1,12 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -32,7 +38,8 @@
  */
 class RaceConditionsTest extends LoopbackFixture {
     private boolean mayCancel = true;
-    private int contractTime = 1500, expiry = 4000;
+    private int contractTime = 1500;
+    private int expiry = 4000;
 
     @Override
     String config(int discovery, boolean probes) {
@@ -319,7 +326,8 @@
         start(backend);
         assertEquals(200, look().statusCode(), "a connection to be used again");
         backend.requests.clear();
-        CountDownLatch decides = new CountDownLatch(1), left = new CountDownLatch(1);
+        CountDownLatch decides = new CountDownLatch(1);
+        CountDownLatch left = new CountDownLatch(1);
         proxy.runOnLoop(() -> awaits(decides));
         try (Socket client = client()) {
             write(client, get("b"));
@@ -396,7 +404,8 @@
     /** The list tells something of a backend while a forward to it waits for its connection. */
     private void toldWhileOneWaits(IntUnaryOperator port, String phase) throws Exception {
         lateConnections();
-        StandIn first = backend(OK), second = backend(OK);
+        StandIn first = backend(OK);
+        StandIn second = backend(OK);
         start(first, second);
         var answer =
                 http.sendAsync(
@@ -614,7 +623,8 @@
     /** What the agent has counts as told from the first moment of the process. */
     @Test
     void noClientIsTakenBeforeTheListIsThere() throws Exception {
-        StandIn leaving = backend(OK), other = backend(OK);
+        StandIn leaving = backend(OK);
+        StandIn other = backend(OK);
         CountDownLatch tells = new CountDownLatch(1);
         discovery =
                 new StandIn(
@@ -662,7 +672,8 @@
 
     @Test
     void aLineThatCannotBeReadCostsThatLineAlone() throws Exception {
-        StandIn first = backend(OK), second = backend(OK);
+        StandIn first = backend(OK);
+        StandIn second = backend(OK);
         start(first, second);
         news.add(
                 http(
--- a/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
+++ b/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
@@ -1,7 +1,9 @@
 package lemondrift.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -19,7 +21,8 @@
     @TempDir Path folder;
 
     private Map<String, String> files(String shadow) throws Exception {
-        Path config = folder.resolve("config.json"), other = folder.resolve("shadow.json");
+        Path config = folder.resolve("config.json");
+        Path other = folder.resolve("shadow.json");
         Files.writeString(config, config(1, false));
         Files.writeString(other, shadow);
         return Map.of("PROXY_CONFIG", config.toString(), "PROXY_SHADOW", other.toString());
@@ -64,7 +67,8 @@
         check("[]", 1);
         for (String bad :
                 new String[] {"weights\":\"heavy\"", "siblings\":-1", "localities\":[\"b\"]"}) {
-            String line = check("{\"" + bad + "}", 1), key = bad.substring(0, bad.indexOf('"'));
+            String line = check("{\"" + bad + "}", 1);
+            String key = bad.substring(0, bad.indexOf('"'));
             assertTrue(line.contains("shadow.json: setting " + key + ": "), line);
         }
     }
--- a/src/test/java/lemondrift/proxy/ShutdownTest.java
+++ b/src/test/java/lemondrift/proxy/ShutdownTest.java
@@ -1,6 +1,8 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -25,7 +27,8 @@
     private static final long STRAGGLE = 350_000_000L;
 
     private final ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger answered = new AtomicInteger(), asked = new AtomicInteger();
+    private final AtomicInteger answered = new AtomicInteger();
+    private final AtomicInteger asked = new AtomicInteger();
     private volatile long told = Long.MAX_VALUE;
     private int port;
 
--- a/src/test/java/lemondrift/proxy/WarmupTest.java
+++ b/src/test/java/lemondrift/proxy/WarmupTest.java
@@ -1,6 +1,6 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import lemondrift.proxy.config.ProxyConfig;
 import lemondrift.proxy.lifecycle.Warmup;
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -1,6 +1,7 @@
 package lemondrift.recovery;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -19,7 +20,11 @@
  * finder's start number, so that it is seen whose it is.
  */
 class RecoveryExplorationTest {
-    private static final int PROXIES = 3, TICKS = 5, MOST = 600_000, FAIR = 12, EVERY = 97;
+    private static final int PROXIES = 3;
+    private static final int TICKS = 5;
+    private static final int MOST = 600_000;
+    private static final int FAIR = 12;
+    private static final int EVERY = 97;
     private static final PeerPollBackoff PACE = new PeerPollBackoff(1, 1, 2, 1, 2);
 
     private record Message(int from, int to, PeerStatus hello) {}
--- a/src/test/java/lemondrift/recovery/RecoveryStateTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -1,6 +1,11 @@
 package lemondrift.recovery;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Arrays;
 import java.util.List;
@@ -56,7 +61,8 @@
     void whoAnswersSaysWhatOneIsAmongThem() {
         assertEquals(RecoveryPhase.UNKNOWN, fresh(4).wake(1).next().standing());
         assertEquals(RecoveryPhase.CUT_OFF, fresh(4).wake(5).next().standing(), "nobody answers");
-        PeerStatus warm = of(50, 99, 0.2f, 40, true), newOne = of(101, 1, 0, 0, false);
+        PeerStatus warm = of(50, 99, 0.2f, 40, true);
+        PeerStatus newOne = of(101, 1, 0, 0, false);
         assertEquals(RecoveryPhase.ALONE, hears(fresh(9), 1, warm).standing(), "at once");
         assertEquals(
                 RecoveryPhase.UNKNOWN, hears(fresh(4), 1, newOne).standing(), "others may be warm");
@@ -124,7 +130,8 @@
 
     @Test
     void newOnesTeachOnlyWhatTheyHaveFoundThemselves() {
-        RecoveryState a = fresh(2), b = RecoveryState.begins(PACE, 1, 2, 101, 0);
+        RecoveryState a = fresh(2);
+        RecoveryState b = RecoveryState.begins(PACE, 1, 2, 101, 0);
         for (double now = 0; now < 15; now++) {
             RecoveryState.Step ask = a.wake(now);
             a = ask.next();
--- a/src/test/java/lemondrift/settings/RequestClassIndexTest.java
+++ b/src/test/java/lemondrift/settings/RequestClassIndexTest.java
@@ -1,6 +1,9 @@
 package lemondrift.settings;
 
-import static org.junit.jupiter.api.Assertions.*;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Collections;
 import java.util.List;
@@ -20,8 +23,8 @@
         return new RequestClass(benefit, 0, 1, 2, effect, DeduplicationScope.ALL, 0);
     }
 
-    private static final RequestClass PURE = grade(Idempotency.IDEMPOTENT, 1),
-            ONCE = grade(Idempotency.NOT_IDEMPOTENT, 2);
+    private static final RequestClass PURE = grade(Idempotency.IDEMPOTENT, 1);
+    private static final RequestClass ONCE = grade(Idempotency.NOT_IDEMPOTENT, 2);
 
     private static RequestClassIndex retuned(RequestClassIndex old, boolean open, String... names) {
         return old.reloaded(List.of(names), Collections.nCopies(names.length, PURE), i -> open);
