--- a/src/main/java/lemondrift/simulator/FrameReader.java
+++ b/src/main/java/lemondrift/simulator/FrameReader.java
@@ -9,7 +9,7 @@
 /** Reads one batch at a time into a buffer that is reused. */
 final class FrameReader {
     /** A batch larger than this is taken for a broken length. */
-    private static final int MOST_BYTES = 1 << 30;
+    private static final int MAX_BATCH_BYTES = 1 << 30;
 
     private final InputStream in;
     private final byte[] head = new byte[4];
@@ -21,16 +21,16 @@
 
     /** The next batch's bytes after the length, or null where the input ends between batches. */
     ByteBuffer next() throws IOException {
-        int got = in.readNBytes(head, 0, 4);
-        if (got == 0) {
+        int read = in.readNBytes(head, 0, 4);
+        if (read == 0) {
             return null;
         }
-        if (got < 4) {
+        if (read < 4) {
             throw new EOFException(
-                    "the input ends after " + got + " of 4 bytes of a batch's length");
+                    "the input ends after " + read + " of 4 bytes of a batch's length");
         }
         int length = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt();
-        if (length < 12 || length > MOST_BYTES) {
+        if (length < 12 || length > MAX_BATCH_BYTES) {
             throw new IOException("a batch's length is " + Integer.toUnsignedString(length));
         }
         if (body.capacity() < length) {
@@ -38,10 +38,10 @@
                     ByteBuffer.allocate(Math.max(length, 2 * body.capacity()))
                             .order(ByteOrder.LITTLE_ENDIAN);
         }
-        got = in.readNBytes(body.array(), 0, length);
-        if (got < length) {
+        read = in.readNBytes(body.array(), 0, length);
+        if (read < length) {
             throw new EOFException(
-                    "the input ends after " + got + " of " + length + " bytes of a batch");
+                    "the input ends after " + read + " of " + length + " bytes of a batch");
         }
         body.clear().limit(length);
         return body;
--- a/src/main/java/lemondrift/simulator/ReplyWriter.java
+++ b/src/main/java/lemondrift/simulator/ReplyWriter.java
@@ -7,95 +7,89 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Builds one reply frame in a buffer that grows and is reused. */
+/**
+ * Encodes one reply frame in a buffer that grows and is reused; the record codes are the wire
+ * page's.
+ */
 final class ReplyWriter {
     private static final int CANCEL = 66;
-    private static final int SCRAP = 67;
-    private static final int ASK_WHOLE = 68;
-    private static final int SHED = 69;
-    private static final int DIE = 70;
+    private static final int FAIL = 67;
+    private static final int POLL_FULL_LIST = 68;
+    private static final int REJECT = 69;
+    private static final int PROXY_FAILED = 70;
     private static final int PROBE = 71;
-    private static final int PEER = 72;
-    private static final int WATCH = 73;
+    private static final int WATCH_LIST = 73;
     private static final int SEND = 74;
     private static final int NOTE = 75;
     private static final int ALARM = 76;
-    private static final int MOST_TEXT = 2000;
-    private static final int MOST_PEER = 256;
+    private static final int MAX_TEXT_BYTES = 2000;
 
-    private ByteBuffer buf = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
+    private ByteBuffer buffer = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
     private int records;
 
     void start() {
-        buf.clear().position(8);
+        buffer.clear().position(8);
         records = 0;
     }
 
-    private ByteBuffer record(int code, int bytes, int instance) {
-        if (buf.remaining() < 5 + bytes) {
-            ByteBuffer larger = ByteBuffer.allocate(2 * buf.capacity() + bytes);
-            buf = larger.order(ByteOrder.LITTLE_ENDIAN).put(buf.flip());
+    private ByteBuffer record(int code, int bytes, int proxy) {
+        if (buffer.remaining() < 5 + bytes) {
+            ByteBuffer larger = ByteBuffer.allocate(2 * buffer.capacity() + bytes);
+            buffer = larger.order(ByteOrder.LITTLE_ENDIAN).put(buffer.flip());
         }
         records++;
-        return buf.put((byte) code).putInt(bytes).putInt(instance);
+        return buffer.put((byte) code).putInt(bytes).putInt(proxy);
     }
 
-    void send(int instance, long exchange, long address, double timeOut) {
-        putAddress(record(SEND, 26, instance).putLong(exchange), address).putDouble(timeOut * 1000);
+    void send(int proxy, long request, long address, double timeoutSeconds) {
+        putAddress(record(SEND, 26, proxy).putLong(request), address)
+                .putDouble(timeoutSeconds * 1000);
     }
 
-    void scrap(int instance, long exchange) {
-        record(SCRAP, 12, instance).putLong(exchange);
+    void fail(int proxy, long request) {
+        record(FAIL, 12, proxy).putLong(request);
     }
 
-    void shed(int instance, long exchange, double retryAfter) {
-        record(SHED, 20, instance).putLong(exchange).putDouble(retryAfter * 1000);
+    void reject(int proxy, long request, double retryAfterSeconds) {
+        record(REJECT, 20, proxy).putLong(request).putDouble(retryAfterSeconds * 1000);
     }
 
-    void cancel(int instance, long exchange, int number) {
-        record(CANCEL, 13, instance).putLong(exchange).put((byte) number);
+    void cancel(int proxy, long request, int index) {
+        record(CANCEL, 13, proxy).putLong(request).put((byte) index);
     }
 
-    void probe(int instance, long address) {
-        putAddress(record(PROBE, 10, instance), address);
+    void probe(int proxy, long address) {
+        putAddress(record(PROBE, 10, proxy), address);
     }
 
-    void askWhole(int instance) {
-        record(ASK_WHOLE, 4, instance);
+    void pollFullList(int proxy) {
+        record(POLL_FULL_LIST, 4, proxy);
     }
 
-    void watch(int instance) {
-        record(WATCH, 5, instance).put((byte) 1);
+    void watchList(int proxy) {
+        record(WATCH_LIST, 5, proxy).put((byte) 1);
     }
 
-    void alarm(int instance, double offset, long tag) {
-        record(ALARM, 20, instance).putDouble(offset * 1000).putLong(tag);
+    void alarm(int proxy, double delaySeconds, long tag) {
+        record(ALARM, 20, proxy).putDouble(delaySeconds * 1000).putLong(tag);
     }
 
-    void toAllPeers(int instance, String text) {
-        byte[] bytes = bytes(text, MOST_PEER);
-        record(PEER, 8 + bytes.length, instance)
-                .putShort((short) -1)
-                .putShort((short) bytes.length)
-                .put(bytes);
+    void note(int proxy, String text) {
+        text(NOTE, proxy, text);
     }
 
-    void note(int instance, String text) {
-        text(NOTE, instance, text);
+    void proxyFailed(int proxy, String text) {
+        text(PROXY_FAILED, proxy, text);
     }
 
-    void die(int instance, String text) {
-        text(DIE, instance, text);
+    private void text(int code, int proxy, String text) {
+        byte[] bytes = bytes(text, MAX_TEXT_BYTES);
+        record(code, 6 + bytes.length, proxy).putShort((short) bytes.length).put(bytes);
     }
 
-    private void text(int code, int instance, String text) {
-        byte[] bytes = bytes(text, MOST_TEXT);
-        record(code, 6 + bytes.length, instance).putShort((short) bytes.length).put(bytes);
-    }
-
-    private static byte[] bytes(String text, int most) {
+    private static byte[] bytes(String text, int maxBytes) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        return bytes.length <= most ? bytes : Arrays.copyOf(bytes, most);
+        return bytes.length <= maxBytes ? bytes : Arrays.copyOf(bytes, maxBytes);
     }
 
     /** An address is kept as the six bytes it came in, in one long. */
@@ -104,8 +98,8 @@
     }
 
     void finish(OutputStream out) throws IOException {
-        buf.putInt(0, buf.position() - 4).putInt(4, records);
-        out.write(buf.array(), 0, buf.position());
+        buffer.putInt(0, buffer.position() - 4).putInt(4, records);
+        out.write(buffer.array(), 0, buffer.position());
         out.flush();
     }
 }
--- a/src/main/java/lemondrift/simulator/SimulatedProxy.java
+++ b/src/main/java/lemondrift/simulator/SimulatedProxy.java
@@ -11,20 +11,20 @@
 import lemondrift.model.Request;
 import lemondrift.model.Settings;
 
-/** One proxy's decisions with the ids by which the wire names its exchanges and backends. */
+/** One proxy's load balancer, with the ids by which the wire names its requests and backends. */
 final class SimulatedProxy {
-    /** One line of a list as it came, before the instance gives its backend an index. */
-    record Line(
+    /** One endpoint as it came, before its backend gets an index; startedAt in seconds. */
+    record Endpoint(
             long address,
             int location,
             int cell,
             EndpointUpdate.State state,
-            double started,
-            double size) {}
+            double startedAt,
+            double weight) {}
 
     final LoadBalancer balancer;
     private final int number;
-    private final Map<Long, Request> exchanges = new HashMap<>();
+    private final Map<Long, Request> requests = new HashMap<>();
     private final Map<Long, Integer> indexes = new HashMap<>();
     private final List<Long> addresses = new ArrayList<>();
     private double alarmAt = Double.POSITIVE_INFINITY;
@@ -35,6 +35,7 @@
         this.balancer = new LoadBalancer(settings, seed);
     }
 
+    /** The dense index of a backend, given out at its first mention. */
     int index(long address) {
         Integer known = indexes.get(address);
         if (known == null) {
@@ -45,50 +46,52 @@
         return known;
     }
 
-    List<EndpointUpdate> listed(List<Line> lines) {
-        List<EndpointUpdate> result = new ArrayList<>(lines.size());
-        for (Line line : lines) {
-            boolean fresh = !indexes.containsKey(line.address);
-            result.add(
+    List<EndpointUpdate> updates(List<Endpoint> endpoints) {
+        List<EndpointUpdate> updates = new ArrayList<>(endpoints.size());
+        for (Endpoint endpoint : endpoints) {
+            boolean newBackend = !indexes.containsKey(endpoint.address);
+            updates.add(
                     new EndpointUpdate(
-                            index(line.address),
-                            fresh,
-                            line.location,
-                            line.cell,
-                            line.state,
-                            line.started,
-                            line.size));
+                            index(endpoint.address),
+                            newBackend,
+                            endpoint.location,
+                            endpoint.cell,
+                            endpoint.state,
+                            endpoint.startedAt,
+                            endpoint.weight));
         }
-        return result;
+        return updates;
     }
 
-    Request taken(Request exchange) {
-        exchanges.put(exchange.id, exchange);
-        return exchange;
+    /** Keeps a request under its id. */
+    Request accept(Request request) {
+        requests.put(request.id, request);
+        return request;
     }
 
-    /** Null where the id is no longer held. */
-    Request exchange(long id) {
-        return exchanges.get(id);
+    /** Null where the id is not known any more. */
+    Request request(long id) {
+        return requests.get(id);
     }
 
-    Attempt forward(long id, int forwardNumber) {
-        Request exchange = exchanges.get(id);
-        Attempt forward = exchange == null ? null : exchange.latestAttempt;
-        while (forward != null && forward.index != forwardNumber) {
-            forward = forward.previous;
+    /** An attempt that is in flight, by its request and its number; null where there is none. */
+    Attempt attempt(long id, int index) {
+        Request request = requests.get(id);
+        Attempt attempt = request == null ? null : request.latestAttempt;
+        while (attempt != null && attempt.index != index) {
+            attempt = attempt.previous;
         }
-        return forward == null || forward.ended ? null : forward;
+        return attempt == null || attempt.ended ? null : attempt;
     }
 
-    /** Lets go of an exchange that is over and has nothing out. */
-    void release(Request exchange) {
-        if (exchange.completed && exchange.attemptsInFlight == 0) {
-            exchanges.remove(exchange.id);
+    /** Forgets a request that is completed and has no attempt in flight. */
+    void forgetIfDone(Request request) {
+        if (request.completed && request.attemptsInFlight == 0) {
+            requests.remove(request.id);
         }
     }
 
-    /** A bell that a later alarm has replaced is passed over. */
+    /** Whether an alarm that went off is the latest one set; an earlier one is ignored. */
     boolean isCurrentAlarm(long tag) {
         if (tag != alarmTag) {
             return false;
@@ -97,6 +100,7 @@
         return true;
     }
 
+    /** Writes what was decided; decision times are in seconds. */
     void write(Decision decision, double now, ReplyWriter reply) {
         for (Attempt attempt : decision.cancellations) {
             reply.cancel(number, attempt.request.id, attempt.index);
@@ -108,27 +112,24 @@
                     addresses.get(attempt.backend),
                     attempt.timeoutSeconds);
         }
-        for (Decision.LocalReply a : decision.localReplies) {
-            if (a.rejected()) {
-                reply.shed(number, a.request().id, a.retryAfterSeconds());
+        for (Decision.LocalReply local : decision.localReplies) {
+            if (local.rejected()) {
+                reply.reject(number, local.request().id, local.retryAfterSeconds());
             } else {
-                reply.scrap(number, a.request().id);
+                reply.fail(number, local.request().id);
             }
-            release(a.request());
+            forgetIfDone(local.request());
         }
         for (int backend : decision.probes) {
             reply.probe(number, addresses.get(backend));
         }
         for (Decision.EndpointListCall call : decision.endpointListCalls) {
             if (call == Decision.EndpointListCall.WATCH) {
-                reply.watch(number);
+                reply.watchList(number);
             } else {
-                reply.askWhole(number);
+                reply.pollFullList(number);
             }
         }
-        for (String text : decision.peerTexts) {
-            reply.toAllPeers(number, text);
-        }
         for (String text : decision.logMessages) {
             reply.note(number, text);
         }
--- a/src/main/java/lemondrift/simulator/SimulatorAdapter.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -19,25 +19,48 @@
 import lemondrift.settings.InvalidSettingsException;
 import lemondrift.settings.SettingsReader;
 
-/** The bench adapter: decodes batches into calls to the decisions and encodes what they return. */
+/**
+ * The operators' simulator on standard input and output: decodes batches of events into calls to
+ * the load balancers of many proxies and encodes what they decide. The record codes are those of
+ * the wire page.
+ */
 public final class SimulatorAdapter {
     /** The bit of an arrival that says that the client has tried before. */
-    private static final int RETRY = 2;
+    private static final int RETRY_FLAG = 2;
 
-    private static final int BORN = 1;
-    private static final int SYNC = 2;
-    private static final int ARRIVAL = 3;
-    private static final int UNDER_WAY = 4;
-    private static final int FORWARD_END = 5;
-    private static final int VANISHED = 6;
-    private static final int BELL = 7;
-    private static final int CHECKED = 8;
-    private static final int CRASH_NOW = 10;
+    /** A batch's record codes. */
+    private static final int PROXY_STARTED = 1;
+
+    private static final int ENDPOINT_LIST = 2;
+    private static final int REQUEST_ARRIVED = 3;
+    private static final int RESPONSE_STARTED = 4;
+    private static final int ATTEMPT_ENDED = 5;
+    private static final int CLIENT_LEFT = 6;
+    private static final int ALARM = 7;
+    private static final int PROBE_ENDED = 8;
+    private static final int PROXY_CRASHED = 10;
     private static final int DEFINE_LIST = 11;
-    private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
-    private final Map<Integer, SimulatedProxy> instances = new HashMap<>();
-    private final Map<Integer, List<SimulatedProxy.Line>> lists = new HashMap<>();
+    /** The kinds of endpoint list that an event may bring; any other is a full one. */
+    private static final int LIST_OF_CHANGES = 0;
+
+    private static final int LIST_STALE = 2;
+    private static final int LIST_FAILED = 3;
+
+    /** Attempt outcomes by their code on the wire. */
+    private static final AttemptOutcome[] OUTCOMES = {
+        AttemptOutcome.ERROR,
+        AttemptOutcome.SUCCESS,
+        AttemptOutcome.OVERLOADED,
+        AttemptOutcome.TIMED_OUT,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.RESET,
+        AttemptOutcome.CANCELLED,
+        AttemptOutcome.NOT_SENT
+    };
+
+    private final Map<Integer, SimulatedProxy> proxies = new HashMap<>();
+    private final Map<Integer, List<SimulatedProxy.Endpoint>> lists = new HashMap<>();
     private final ReplyWriter reply = new ReplyWriter();
     private final PrintStream err;
     private double now;
@@ -48,15 +71,15 @@
 
     /** Plays until the input ends; returns the process's exit code. */
     public static int run(InputStream in, OutputStream out, PrintStream err) {
-        SimulatorAdapter drill = new SimulatorAdapter(err);
+        SimulatorAdapter adapter = new SimulatorAdapter(err);
         FrameReader frames = new FrameReader(in);
         long batch = 0;
         try {
             for (ByteBuffer body = frames.next(); body != null; body = frames.next()) {
                 batch++;
-                drill.reply.start();
-                drill.batch(body);
-                drill.reply.finish(out);
+                adapter.reply.start();
+                adapter.batch(body);
+                adapter.reply.finish(out);
             }
             return 0;
         } catch (InvalidSettingsException | IOException e) {
@@ -112,171 +135,189 @@
         }
     }
 
-    private void record(int code, ByteBuffer b) {
+    private void record(int code, ByteBuffer in) {
         if (code == DEFINE_LIST) {
-            lists.put(Byte.toUnsignedInt(b.get()), lines(b));
-        } else if (code >= BORN && code < DEFINE_LIST) {
-            int number = b.getInt();
-            if (code == BORN) {
-                long seed = b.getLong();
-                byte[] text = new byte[checked(b, b.getInt(), 1)];
-                b.get(text);
-                Settings settings = SettingsReader.read(new String(text, StandardCharsets.UTF_8));
-                instances.put(number, new SimulatedProxy(number, settings, seed));
-            } else if (code == CRASH_NOW) {
-                instances.remove(number);
-            } else {
-                event(code, number, b);
-            }
+            lists.put(Byte.toUnsignedInt(in.get()), endpoints(in));
+            return;
         }
+        if (code < PROXY_STARTED || code > DEFINE_LIST) {
+            return;
+        }
+        int number = in.getInt();
+        switch (code) {
+            case PROXY_STARTED -> proxyStarted(number, in);
+            case PROXY_CRASHED -> proxies.remove(number);
+            default -> event(code, number, in);
+        }
+    }
+
+    private void proxyStarted(int number, ByteBuffer in) {
+        long seed = in.getLong();
+        byte[] text = new byte[checkedCount(in, in.getInt(), 1)];
+        in.get(text);
+        Settings settings = SettingsReader.read(new String(text, StandardCharsets.UTF_8));
+        proxies.put(number, new SimulatedProxy(number, settings, seed));
     }
 
-    private void event(int code, int number, ByteBuffer b) {
-        SimulatedProxy instance = instances.get(number);
-        if (instance == null) {
+    private void event(int code, int number, ByteBuffer in) {
+        SimulatedProxy proxy = proxies.get(number);
+        if (proxy == null) {
             return;
         }
         Decision decision;
         try {
-            decision = call(code, instance, b);
+            decision = decide(code, proxy, in);
         } catch (java.nio.BufferUnderflowException | InvalidSettingsException e) {
             throw e;
         } catch (RuntimeException e) {
+            // Guards against one proxy's fault ending the simulation of all others.
             err.println("lemondrift drill: instance " + number + ", event code " + code + ":");
             e.printStackTrace(err);
-            reply.die(number, e.toString());
-            instances.remove(number);
+            reply.proxyFailed(number, e.toString());
+            proxies.remove(number);
             return;
         }
         if (decision != null) {
-            instance.write(decision, now, reply);
+            proxy.write(decision, now, reply);
         }
     }
 
-    /** Null where the event needs no decision. */
-    private Decision call(int code, SimulatedProxy instance, ByteBuffer b) {
-        switch (code) {
-            case SYNC -> {
-                int set = Byte.toUnsignedInt(b.get());
-                int kind = b.get();
-                if (kind == 3) {
-                    return instance.balancer.endpointListFailed(now);
-                }
-                List<SimulatedProxy.Line> lines = lists.get(set);
-                if (lines == null) {
-                    throw new InvalidSettingsException("list " + set + " was never defined");
-                }
-                return instance.balancer.endpointsListed(
-                        now, kind != 0, kind == 2, instance.listed(lines));
-            }
-            case ARRIVAL -> {
-                long id = b.getLong();
-                int requestClass = Short.toUnsignedInt(b.getShort());
-                int tenant = b.getInt();
-                b.getLong();
-                double left = b.getDouble() / 1000;
-                b.getDouble();
-                return instance.balancer.requestArrived(
-                        now,
-                        instance.taken(
-                                new Request(
-                                        id,
-                                        requestClass,
-                                        tenant,
-                                        now,
-                                        left,
-                                        (b.get() & RETRY) != 0)));
-            }
-            case UNDER_WAY -> {
-                Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
-                return forward == null ? null : instance.balancer.responseStarted(now, forward);
-            }
-            case FORWARD_END -> {
-                Attempt forward = instance.forward(b.getLong(), Byte.toUnsignedInt(b.get()));
-                address(b);
-                int outcome = Short.toUnsignedInt(b.getShort());
-                double durationSeconds = b.getDouble() / 1000;
-                boolean over = b.get() != 0;
-                double[] loadReport = report(b);
-                if (forward == null || outcome >= OUTCOMES.length) {
-                    return null;
-                }
-                Decision decision =
-                        instance.balancer.attemptEnded(
-                                now, forward, OUTCOMES[outcome], durationSeconds, over, loadReport);
-                instance.release(forward.request);
-                return decision;
-            }
-            case VANISHED -> {
-                Request exchange = instance.exchange(b.getLong());
-                if (exchange == null) {
-                    return null;
-                }
-                Decision decision = instance.balancer.clientLeft(now, exchange);
-                instance.release(exchange);
-                return decision;
-            }
-            case BELL -> {
-                return instance.isCurrentAlarm(b.getLong()) ? instance.balancer.wake(now) : null;
-            }
-            case CHECKED -> {
-                int backend = instance.index(address(b));
-                b.getDouble();
-                int outcome = Short.toUnsignedInt(b.getShort());
-                return outcome >= OUTCOMES.length
-                        ? null
-                        : instance.balancer.probeEnded(now, backend, OUTCOMES[outcome], report(b));
-            }
-            default -> {
-                return null;
-            }
+    /** Decodes one event and hands it to the proxy; null where it needs no decision. */
+    private Decision decide(int code, SimulatedProxy proxy, ByteBuffer in) {
+        return switch (code) {
+            case ENDPOINT_LIST -> endpointList(proxy, in);
+            case REQUEST_ARRIVED -> requestArrived(proxy, in);
+            case RESPONSE_STARTED -> responseStarted(proxy, in);
+            case ATTEMPT_ENDED -> attemptEnded(proxy, in);
+            case CLIENT_LEFT -> clientLeft(proxy, in);
+            case ALARM -> alarm(proxy, in);
+            case PROBE_ENDED -> probeEnded(proxy, in);
+            default -> null;
+        };
+    }
+
+    private Decision alarm(SimulatedProxy proxy, ByteBuffer in) {
+        if (!proxy.isCurrentAlarm(in.getLong())) {
+            return null;
+        }
+        return proxy.balancer.wake(now);
+    }
+
+    private Decision endpointList(SimulatedProxy proxy, ByteBuffer in) {
+        int list = Byte.toUnsignedInt(in.get());
+        int kind = in.get();
+        if (kind == LIST_FAILED) {
+            return proxy.balancer.endpointListFailed(now);
+        }
+        List<SimulatedProxy.Endpoint> endpoints = lists.get(list);
+        if (endpoints == null) {
+            throw new InvalidSettingsException("list " + list + " was never defined");
+        }
+        return proxy.balancer.endpointsListed(
+                now, kind != LIST_OF_CHANGES, kind == LIST_STALE, proxy.updates(endpoints));
+    }
+
+    private Decision requestArrived(SimulatedProxy proxy, ByteBuffer in) {
+        long id = in.getLong();
+        int requestClass = Short.toUnsignedInt(in.getShort());
+        int tenant = in.getInt();
+        in.getLong(); // the idempotency key, which only backends need
+        double secondsLeft = in.getDouble() / 1000;
+        in.getDouble(); // the client's own time-out
+        boolean markedRetry = (in.get() & RETRY_FLAG) != 0;
+        Request request = new Request(id, requestClass, tenant, now, secondsLeft, markedRetry);
+        return proxy.balancer.requestArrived(now, proxy.accept(request));
+    }
+
+    private static Attempt attempt(SimulatedProxy proxy, ByteBuffer in) {
+        return proxy.attempt(in.getLong(), Byte.toUnsignedInt(in.get()));
+    }
+
+    private Decision responseStarted(SimulatedProxy proxy, ByteBuffer in) {
+        Attempt attempt = attempt(proxy, in);
+        return attempt == null ? null : proxy.balancer.responseStarted(now, attempt);
+    }
+
+    private Decision attemptEnded(SimulatedProxy proxy, ByteBuffer in) {
+        Attempt attempt = attempt(proxy, in);
+        address(in);
+        int outcome = Short.toUnsignedInt(in.getShort());
+        double durationSeconds = in.getDouble() / 1000;
+        boolean completed = in.get() != 0;
+        double[] loadReport = loadReport(in);
+        if (attempt == null || outcome >= OUTCOMES.length) {
+            return null;
         }
+        Decision decision =
+                proxy.balancer.attemptEnded(
+                        now, attempt, OUTCOMES[outcome], durationSeconds, completed, loadReport);
+        proxy.forgetIfDone(attempt.request);
+        return decision;
+    }
+
+    private Decision clientLeft(SimulatedProxy proxy, ByteBuffer in) {
+        Request request = proxy.request(in.getLong());
+        if (request == null) {
+            return null;
+        }
+        Decision decision = proxy.balancer.clientLeft(now, request);
+        proxy.forgetIfDone(request);
+        return decision;
+    }
+
+    private Decision probeEnded(SimulatedProxy proxy, ByteBuffer in) {
+        int backend = proxy.index(address(in));
+        in.getDouble(); // how long it took
+        int outcome = Short.toUnsignedInt(in.getShort());
+        return outcome >= OUTCOMES.length
+                ? null
+                : proxy.balancer.probeEnded(now, backend, OUTCOMES[outcome], loadReport(in));
     }
 
-    private static List<SimulatedProxy.Line> lines(ByteBuffer b) {
-        int count = checked(b, b.getInt(), 24);
-        List<SimulatedProxy.Line> lines = new ArrayList<>(count);
+    private static List<SimulatedProxy.Endpoint> endpoints(ByteBuffer in) {
+        int count = checkedCount(in, in.getInt(), 24);
+        List<SimulatedProxy.Endpoint> endpoints = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            long address = address(b);
-            int location = Short.toUnsignedInt(b.getShort());
-            b.get();
-            int cell = Short.toUnsignedInt(b.getShort());
+            long address = address(in);
+            int location = Short.toUnsignedInt(in.getShort());
+            in.get();
+            int cell = Short.toUnsignedInt(in.getShort());
             EndpointUpdate.State state =
-                    switch (b.get()) {
+                    switch (in.get()) {
                         case 1 -> EndpointUpdate.State.READY;
                         case 2 -> EndpointUpdate.State.DRAINING;
                         default -> EndpointUpdate.State.GONE;
                     };
-            double size = b.getFloat();
-            lines.add(
-                    new SimulatedProxy.Line(
-                            address, location, cell, state, b.getDouble() / 1000, size));
+            double weight = in.getFloat();
+            endpoints.add(
+                    new SimulatedProxy.Endpoint(
+                            address, location, cell, state, in.getDouble() / 1000, weight));
         }
-        return lines;
+        return endpoints;
     }
 
-    private static int checked(ByteBuffer b, int count, int bytesEach) {
-        if (count < 0 || (long) count * bytesEach > b.remaining()) {
+    private static int checkedCount(ByteBuffer in, int count, int bytesEach) {
+        if (count < 0 || (long) count * bytesEach > in.remaining()) {
             throw new InvalidSettingsException(
                     "a count of " + Integer.toUnsignedString(count) + " does not fit its record");
         }
         return count;
     }
 
-    private static long address(ByteBuffer b) {
-        long host = Integer.toUnsignedLong(b.getInt());
-        return host | (long) Short.toUnsignedInt(b.getShort()) << 32;
+    private static long address(ByteBuffer in) {
+        long host = Integer.toUnsignedLong(in.getInt());
+        return host | (long) Short.toUnsignedInt(in.getShort()) << 32;
     }
 
     /** Null where no report came along. */
-    private static double[] report(ByteBuffer b) {
-        int count = b.hasRemaining() ? Byte.toUnsignedInt(b.get()) : 0;
+    private static double[] loadReport(ByteBuffer in) {
+        int count = in.hasRemaining() ? Byte.toUnsignedInt(in.get()) : 0;
         if (count == 0) {
             return null;
         }
         double[] loadReport = new double[count];
         for (int i = 0; i < count; i++) {
-            loadReport[i] = b.getFloat();
+            loadReport[i] = in.getFloat();
         }
         return loadReport;
     }
