--- a/src/main/java/lemondrift/balancer/AdmissionControl.java
+++ b/src/main/java/lemondrift/balancer/AdmissionControl.java
@@ -4,81 +4,127 @@
 import lemondrift.model.Decision;
 import lemondrift.model.FailureReason;
 import lemondrift.model.Request;
+import lemondrift.model.Settings;
 import lemondrift.model.ShedThreshold;
 
-/** Overload: sheds at once what can no longer be answered in time, the least benefit first. */
+/**
+ * Where a request is rejected because no answer is to be expected in time, the lowest priority
+ * first.
+ *
+ * <p>A request is rejected at once, with WAIT_TOO_LONG, when the wait to expect at the best backend
+ * ({@link WaitEstimator}, seconds) passes its limit: a share of the time that it has left, the rest
+ * being room for its own work. The share rises with priority from {@link #MIN_WAIT_SHARE}, or
+ * {@link #MIN_WAIT_SHARE_WITH_GOSSIP} where peers gossip and waits are better known, to {@link
+ * #MAX_WAIT_SHARE}. Where reports are stale, the same share of {@link #MAX_QUEUED_REQUESTS} service
+ * times bounds it as well, since a queue that grows unseen slows the backend for all. The priority
+ * of a tenant beyond its quota is scaled by the settings' overQuotaWeight. Before a request is
+ * rejected, backends outside the subset are tried once.
+ *
+ * <p>Where no backend may take it the wait is infinite, and the reason NO_BACKEND. The Retry-After
+ * of the reply is the wait, at most a window.
+ */
 final class AdmissionControl extends DecisionStage {
-    /**
-     * The shares of its contract time that one of no benefit, the same where waits are told, and
-     * one of most may wait, not work; and of how many exchanges' work where reports are old: longer
-     * queues slow all.
-     */
-    private static final double LEAST_SHARE = 0.4;
+    /** The share of its time that a request of no priority may wait. */
+    private static final double MIN_WAIT_SHARE = 0.4;
 
-    private static final double TOLD_SHARE = 0.2;
-    private static final double MOST_SHARE = 0.65;
-    private static final double CROWD = 3;
+    /** The same where other proxies gossip of what they have in flight. */
+    private static final double MIN_WAIT_SHARE_WITH_GOSSIP = 0.2;
+
+    /** The share of its time that a request of the highest priority may wait. */
+    private static final double MAX_WAIT_SHARE = 0.65;
+
+    /** Where reports are stale: how many requests' work the share is of at the most. */
+    private static final double MAX_QUEUED_REQUESTS = 3;
 
-    private final BackendSelector selector;
-    private final UtilizationEstimator estimator;
-    private final double[] quota;
-    private final DecayingSum[] used;
     private final BackendTable backends;
+    private final UtilizationEstimator estimator;
+    private final ServiceTimeEstimator serviceTimes;
+    private final WaitEstimator waits;
+    private final BackendSelector selector;
+
+    /** By tenant: the requests a second that all proxies together owe it. */
+    private final double[] quotaPerSecond;
+
+    /** By tenant: the requests a second that this proxy has seen. */
+    private final DecayingSum[] tenantRate;
 
     AdmissionControl(
-            BackendTable backends, UtilizationEstimator estimator, BackendSelector selector) {
+            BackendTable backends,
+            UtilizationEstimator estimator,
+            ServiceTimeEstimator serviceTimes,
+            WaitEstimator waits,
+            BackendSelector selector) {
         this.backends = backends;
         this.estimator = estimator;
+        this.serviceTimes = serviceTimes;
+        this.waits = waits;
         this.selector = selector;
-        quota = backends.stated.tenantQuotaPerSecond();
-        used = new DecayingSum[quota.length];
-        Arrays.setAll(used, tenant -> new DecayingSum());
+        quotaPerSecond = backends.settings.tenantQuotaPerSecond();
+        tenantRate = new DecayingSum[quotaPerSecond.length];
+        Arrays.setAll(tenantRate, tenant -> new DecayingSum());
     }
 
     @Override
     void offer(Request request, double now, Decision decision) {
-        if (selector.asks(request, now, decision)) {
+        if (selector.waitsForReports(request, now, decision)) {
             return;
         }
-        double rank = backends.stated.relativePriority(request.terms.requestClass());
-        if (request.tenant < quota.length) {
-            used[request.tenant].span = estimator.memory;
-            used[request.tenant].add(
-                    request.attemptCount + request.subsetRedraws == 0 ? 1 / estimator.memory : 0,
-                    now);
-            double share = quota[request.tenant] / backends.stated.proxyCount();
-            rank *= used[request.tenant].at(now) > share ? backends.stated.overQuotaWeight() : 1;
-        }
-        double wait = selector.expectedWait(request, now);
-        double most = CROWD * estimator.workTime(request.bestBackend, now);
-        double limit =
-                share(rank)
-                        * Math.min(
-                                request.attemptDeadline - now,
-                                estimator.old() ? most : estimator.memory);
-        if (wait > limit && selector.drawsOthers(request, now)) {
+        double priority = priority(request, now);
+        boolean placeable = request.bestBackend != Request.NO_BACKEND;
+        double wait =
+                placeable ? waits.expected(request.bestBackend, now) : Double.POSITIVE_INFINITY;
+        boolean waitTooLong = wait > waitLimit(request, priority, now);
+        if (!waitTooLong) {
+            super.offer(request, now, decision);
+        } else if (selector.widensSubset(request, now)) {
             offer(request, now, decision);
-        } else if (wait > limit) {
-            request.failureReason =
-                    request.bestBackend < 0
-                            ? FailureReason.NO_BACKEND
-                            : FailureReason.WAIT_TOO_LONG;
-            giveUp(request, Math.min(wait, estimator.window), now, decision);
         } else {
-            super.offer(request, now, decision);
+            replyLocally(
+                    request,
+                    placeable ? FailureReason.WAIT_TOO_LONG : FailureReason.NO_BACKEND,
+                    Math.min(wait, backends.windowSeconds),
+                    decision);
+        }
+    }
+
+    /** From 0 to 1, scaled where the tenant has passed this proxy's part of its quota. */
+    private double priority(Request request, double now) {
+        Settings settings = backends.settings;
+        double priority = settings.relativePriority(request.terms.requestClass());
+        if (request.tenant >= quotaPerSecond.length) {
+            return priority;
+        }
+        boolean firstOffer = request.attemptCount + request.subsetRedraws == 0;
+        DecayingSum rate = tenantRate[request.tenant];
+        rate.spanSeconds = backends.memorySeconds;
+        rate.add(firstOffer ? 1 / backends.memorySeconds : 0, now);
+        double quota = quotaPerSecond[request.tenant] / settings.proxyCount();
+        return priority * (rate.value(now) > quota ? settings.overQuotaWeight() : 1);
+    }
+
+    /** How long the request may wait before work on it begins, in seconds. */
+    private double waitLimit(Request request, double priority, double now) {
+        double most = backends.memorySeconds;
+        if (estimator.reportsAreStale()) {
+            most =
+                    request.bestBackend == Request.NO_BACKEND
+                            ? 0
+                            : MAX_QUEUED_REQUESTS * serviceTimes.seconds(request.bestBackend, now);
         }
+        return waitShare(priority) * Math.min(request.attemptDeadline - now, most);
     }
 
-    private double share(double rank) {
-        double least = estimator.othersHeard ? TOLD_SHARE : LEAST_SHARE;
-        return least + (MOST_SHARE - least) * Math.min(1, rank);
+    /** The share of its time that a request may wait, by its priority. */
+    private double waitShare(double priority) {
+        double min = estimator.peersHeard ? MIN_WAIT_SHARE_WITH_GOSSIP : MIN_WAIT_SHARE;
+        return min + (MAX_WAIT_SHARE - min) * Math.min(1, priority);
     }
 
-    /** What it would shed of a grade now, without asking or drawing anybody; changes nothing. */
-    ShedThreshold word(Request request, double now) {
+    /** What would be rejected now; asks no backend for a report and changes nothing. */
+    ShedThreshold shedThreshold(Request request, double now) {
         double wait = selector.leastWait(request, now);
+        double priority = backends.settings.relativePriority(request.terms.requestClass());
         return new ShedThreshold(
-                wait / share(backends.stated.relativePriority(request.terms.requestClass())),
-                Math.min(wait, estimator.window));
+                wait / waitShare(priority), Math.min(wait, backends.windowSeconds));
     }
 }
--- a/src/main/java/lemondrift/balancer/BackendSelector.java
+++ b/src/main/java/lemondrift/balancer/BackendSelector.java
@@ -4,266 +4,266 @@
 import java.util.Arrays;
 import java.util.Deque;
 import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
 import lemondrift.model.Decision;
 import lemondrift.model.Request;
 
 /**
- * The part of the fleet that this proxy uses, who of it is asked for a report, and the least
- * estimate.
+ * Which backend an attempt goes to: the one of the subset with the lowest estimated utilization
+ * among those that may take it.
+ *
+ * <p>A backend in another zone is ranked worse by the cost of crossing, which weighs less the
+ * higher the request's priority. Ties break at random; where reports are stale most are ties, so
+ * the draw is wider, and failures short of an ejection count.
+ *
+ * <p>Where the best backend's report is not fresh and probes are allowed, the best ones are probed
+ * first and the request waits, up to {@link #PROBE_WAIT_WINDOWS} of a window for each round. A
+ * backend whose probe is unanswered for longer is left out until it answers.
  */
 final class BackendSelector extends DecisionStage {
-    /**
-     * The share that a utilisation higher by one makes late, an old tie's width, how much a fresh
-     * report is trusted, for which share of the window an answer is awaited, and what of cold ones
-     * is for benefit.
-     */
-    private static final double HARM = 0.5;
+    /** The share of requests that a utilization higher by 1 makes late. */
+    private static final double LATE_SHARE_PER_UTILIZATION = 0.5;
+
+    /** The least priority weight at which crossing is weighed, as a share of the mean. */
+    private static final double MIN_WEIGHT_DIVISOR = 100;
+
+    /** The width of a tie where reports are fresh, in utilization. */
+    private static final double TIE_WIDTH = 1e-6;
+
+    /** The width of a tie where reports are stale, in requests. */
+    private static final double STALE_TIE_REQUESTS = 0.125;
 
-    private static final double TIE = 0.125;
-    private static final double FRESH = 0.6;
-    private static final double PATIENCE = 1.0 / 32;
-    private static final double SPARE = 0.25;
+    /** Above this freshness (0 to 1) a report is not renewed. */
+    private static final double FRESH_ENOUGH = 0.6;
 
-    /** So many times the part are drawn at the most to find others that can take a request. */
-    private static final int LOOKED_AT = 32;
+    /** How long a probe is waited for, in windows. */
+    private static final double PROBE_WAIT_WINDOWS = 1.0 / 32;
+
+    /** The share of the subset that is left free for higher priorities where the best is cold. */
+    private static final double RESERVED_SHARE = 0.25;
 
     private final BackendTable backends;
     private final UtilizationEstimator estimator;
-    private final Eligibility eligibility;
+    private final ServiceTimeEstimator serviceTimes;
+    private final WaitEstimator waits;
+    private final OutlierDetection outliers;
+    private final SlowStart slowStart;
     private final DeterministicRandom random;
-    private final Deque<Request> kept = new ArrayDeque<>();
-    private double swapAt;
+    private final BackendSubset subset;
+
+    /** Requests that wait for probes, the one that waits longest first. */
+    private final Deque<Request> waiting = new ArrayDeque<>();
 
     BackendSelector(
             BackendTable backends,
             UtilizationEstimator estimator,
-            Eligibility eligibility,
+            ServiceTimeEstimator serviceTimes,
+            WaitEstimator waits,
+            OutlierDetection outliers,
+            SlowStart slowStart,
             DeterministicRandom random) {
         this.backends = backends;
         this.estimator = estimator;
-        this.eligibility = eligibility;
+        this.serviceTimes = serviceTimes;
+        this.waits = waits;
+        this.outliers = outliers;
+        this.slowStart = slowStart;
         this.random = random;
+        subset = new BackendSubset(backends, estimator, waits, random);
     }
 
-    /**
-     * How many it uses: where others tell all that they tell of, else those that it hears from
-     * often.
-     */
-    private int part(double now) {
-        backends.arrange();
-        return estimator.othersHeard && backends.told > 0
-                ? backends.told
-                : (int)
-                        Math.min(
-                                backends.order.length,
-                                Math.max(
-                                        UtilizationEstimator.PART,
-                                        estimator.ownRate.at(now) * estimator.memory));
+    /** Guards against a backend that answers no probe and so looks as idle as it last was. */
+    @Override
+    boolean mayTake(Request request, int backend, double now) {
+        return (backends.probeSentAt[backend] == 0
+                        || now - backends.probeSentAt[backend]
+                                < PROBE_WAIT_WINDOWS * backends.windowSeconds)
+                && super.mayTake(request, backend, now);
     }
 
-    /** Exchanges one of the part from time to time, and at once whoever can't be used. */
-    private void renew(Request request, double now) {
-        int part = part(now);
-        int leaving = -1;
-        // Danger: others tell of none beyond the part, and who takes any of the rest sends there
-        // blindly.
-        int rest = estimator.othersHeard ? 0 : backends.order.length - part;
-        if (now >= swapAt) {
-            swapAt = now + random.jitter(estimator.memory);
-            leaving = estimator.othersHeard ? -1 : (int) (random.next() * part);
-            backends.home();
-        }
-        for (int j = 0; j < part && rest > 0; j++) {
-            if (j == leaving || !mayTake(request, backends.order[j], now)) {
-                backends.swap(j, part + (int) (random.next() * rest));
+    /** Sorts the subset, the best first, and sets the request's best backend. */
+    private void rank(Request request, int size, double now) {
+        double crossZoneCost = crossZoneCost(request);
+        int[] order = backends.order;
+        for (int next = 0; next < size; next++) {
+            int backend = order[next];
+            int place = next;
+            backends.rankedBy[backend] = rank(request, backend, crossZoneCost, now);
+            for (;
+                    place > 0 && backends.rankedBy[order[place - 1]] > backends.rankedBy[backend];
+                    place--) {
+                order[place] = order[place - 1];
             }
+            order[place] = backend;
         }
+        boolean usable =
+                size > 0
+                        && backends.rankedBy[order[reserved(request, size, now)]]
+                                != Double.POSITIVE_INFINITY;
+        request.bestBackend = usable ? order[0] : Request.NO_BACKEND;
     }
 
-    /** Danger: one that leaves a probe unanswered looks as idle as it last was. */
-    @Override
-    boolean mayTake(Request request, int i, double now) {
-        return (backends.askedAt[i] == 0 || now - backends.askedAt[i] < PATIENCE * estimator.window)
-                && super.mayTake(request, i, now);
+    /** What a backend is ranked by, in utilization; infinite where it may not take the request. */
+    private double rank(Request request, int backend, double crossZoneCost, double now) {
+        if (!mayTake(request, backend, now)) {
+            return Double.POSITIVE_INFINITY;
+        }
+        boolean sameZone = backends.endpoint[backend].location() == backends.settings.location();
+        return estimator.estimate(backend, now)
+                + (sameZone ? 0 : crossZoneCost)
+                + tieBreak(backend, now);
+    }
+
+    /** The cost of crossing zones as a share of the request's priority, in utilization. */
+    private double crossZoneCost(Request request) {
+        double meanWeight = backends.settings.priorityWeights().average().orElse(1);
+        return backends.settings.costs().crossZone()
+                / LATE_SHARE_PER_UTILIZATION
+                * meanWeight
+                / Math.max(
+                        request.terms.requestClass().priorityWeight(),
+                        meanWeight / MIN_WEIGHT_DIVISOR);
+    }
+
+    private double tieBreak(int backend, double now) {
+        if (!estimator.reportsAreStale()) {
+            return TIE_WIDTH * random.next();
+        }
+        return (1 - estimator.freshness(backend, now))
+                * (outliers.penalty(backend, now)
+                        - STALE_TIE_REQUESTS
+                                * Math.log(1 - random.next())
+                                * serviceTimes.utilizationPerRequest(backend, now));
     }
 
     /**
-     * Ranks the part by estimate and, beyond it, crossing's charge as a share of the exchange's
-     * benefit.
+     * How many usable backends the request must leave free. Guards against low priorities taking
+     * the last capacity of cold backends from high ones.
      */
-    private void rank(Request request, int part, double now) {
-        double usual = backends.stated.priorityWeights().average().orElse(1);
-        double cross =
-                backends.stated.costs().crossZone()
-                        / HARM
-                        * usual
-                        / Math.max(request.terms.requestClass().priorityWeight(), usual / 100);
-        int[] order = backends.order;
-        for (int j = 0; j < part; j++) {
-            int i = order[j];
-            int at = j;
-            backends.figure[i] =
-                    !mayTake(request, i, now)
-                            ? Double.POSITIVE_INFINITY
-                            : estimator.of(i, now)
-                                    + (backends.line[i].location() == backends.stated.location()
-                                            ? 0
-                                            : cross)
-                                    + (!estimator.old()
-                                            ? 1e-6 * random.next()
-                                            : (1 - estimator.trust(i, now))
-                                                    * (eligibility.suspicion(i, now)
-                                                            - TIE
-                                                                    * Math.log(1 - random.next())
-                                                                    * estimator.worth(i, now)));
-            for (; at > 0 && backends.figure[order[at - 1]] > backends.figure[i]; at--) {
-                order[at] = order[at - 1];
-            }
-            order[at] = i;
+    private int reserved(Request request, int size, double now) {
+        if (backends.warmShare(backends.order[0], now) == 1) {
+            return 0;
         }
-        // Danger: whoever takes the last room of cold ones for little keeps out what is worth most.
-        int spare =
-                part == 0 || backends.coldShare(order[0], now) == 1
-                        ? 0
-                        : (int)
-                                (SPARE
-                                        * part
-                                        * (1
-                                                - backends.stated.relativePriority(
-                                                        request.terms.requestClass())));
-        request.bestBackend =
-                part == 0 || backends.figure[order[spare]] == Double.POSITIVE_INFINITY
-                        ? -1
-                        : order[0];
+        double priority = backends.settings.relativePriority(request.terms.requestClass());
+        return (int) (RESERVED_SHARE * size * (1 - priority));
     }
 
     /**
-     * Asks the least estimated for reports and keeps the exchange, until the least estimated is
-     * fresh.
+     * Ranks the subset for the request; then probes the best backends and keeps the request, as
+     * long as the best one's report is not fresh and rounds are left.
+     *
+     * @return whether the request was kept
      */
-    boolean asks(Request request, double now, Decision decision) {
+    boolean waitsForReports(Request request, double now, Decision decision) {
         if (request.probeRounds == 0) {
-            renew(request, now);
+            subset.renew(request, now, this);
         }
-        int part = part(now);
-        rank(request, part, now);
-        if (request.probeRounds >= estimator.rounds()
-                || request.bestBackend < 0
-                || estimator.trust(request.bestBackend, now) > FRESH) {
+        int size = subset.size(now);
+        rank(request, size, now);
+        if (request.probeRounds >= estimator.probeRounds()
+                || request.bestBackend == Request.NO_BACKEND
+                || estimator.freshness(request.bestBackend, now) > FRESH_ENOUGH) {
             return false;
         }
         request.probeRounds++;
         request.probedBackends =
-                Arrays.copyOf(backends.order, Math.min(UtilizationEstimator.ASKED, part));
-        for (int i : request.probedBackends) {
-            if (backends.askedAt[i] == 0
-                    && estimator.trust(i, now) <= FRESH
-                    && mayTake(request, i, now)) {
-                backends.askedAt[i] = now;
-                decision.probes.add(i);
-            }
-        }
-        request.probeWaitUntil = now + PATIENCE * estimator.window;
-        return kept.add(request);
-    }
-
-    /**
-     * Danger: a part of which none can take the exchange would shed what others in the fleet could
-     * take.
-     */
-    boolean drawsOthers(Request request, double now) {
-        // Danger: of the rest others tell nothing, so that the busiest there would look as idle as
-        // can be.
-        int part = part(now);
-        int found = 0;
-        int most = estimator.othersHeard && request.bestBackend >= 0 ? 0 : part;
-        // Danger: where nobody may take anything, to look at thousands would hold up all other
-        // answers.
-        int end =
-                (int)
-                        Math.min(
-                                backends.order.length,
-                                part
-                                        + (long) LOOKED_AT
-                                                * Math.max(part, UtilizationEstimator.PART));
-        for (int j = part; j < end && found < most && request.subsetRedraws == 0; j++) {
-            backends.swap(j, j + (int) (random.next() * (backends.order.length - j)));
-            if (mayTake(request, backends.order[j], now)) {
-                backends.swap(found++, j);
+                Arrays.copyOf(
+                        backends.order, Math.min(UtilizationEstimator.PROBES_PER_ROUND, size));
+        for (int backend : request.probedBackends) {
+            if (backends.probeSentAt[backend] == 0
+                    && estimator.freshness(backend, now) <= FRESH_ENOUGH
+                    && mayTake(request, backend, now)) {
+                backends.probeSentAt[backend] = now;
+                decision.probes.add(backend);
             }
         }
-        request.subsetRedraws++;
-        request.probeRounds = 0;
-        return found > 0;
+        request.probeWaitUntil = now + PROBE_WAIT_WINDOWS * backends.windowSeconds;
+        return waiting.add(request);
     }
 
-    /**
-     * The wait to expect: at the least loaded backend, and as own forwards meet it where reports
-     * are old.
-     */
-    double expectedWait(Request request, double now) {
-        return request.bestBackend < 0
-                ? Double.POSITIVE_INFINITY
-                : estimator.old()
-                        ? estimator.ownWait(request.bestBackend, now)
-                        : Math.max(
-                                estimator.known(request.bestBackend)
-                                        ? 0
-                                        : (1 - estimator.trust(request.bestBackend, now))
-                                                * estimator.metWait.at(now),
-                                estimator.wait(request.bestBackend, now));
+    /** Draws backends from outside the subset for the request; whether any was found. */
+    boolean widensSubset(Request request, double now) {
+        return subset.widen(request, now, this);
     }
 
     /**
-     * The least wait to expect in the part as it stands; infinite where none may take the exchange.
+     * The least wait to expect in the subset as it stands, in seconds; infinite where no backend
+     * may take the request. Probes count as answered: who asks has not read their answers yet.
      */
     double leastWait(Request request, double now) {
-        // Danger: who asks is behind, and probes whose answers it has not read yet make nobody
-        // silent.
         return Arrays.stream(backends.order)
-                .limit(part(now))
-                .filter(i -> super.mayTake(request, i, now))
-                .mapToDouble(i -> estimator.wait(i, now))
+                .limit(subset.size(now))
+                .filter(backend -> super.mayTake(request, backend, now))
+                .mapToDouble(backend -> waits.byUtilization(backend, now))
                 .min()
                 .orElse(Double.POSITIVE_INFINITY);
     }
 
+    /** Makes the attempt, at the request's best backend. */
     @Override
     void offer(Request request, double now, Decision decision) {
+        int backend = request.bestBackend;
         request.latestAttempt =
                 new Attempt(
                         request,
-                        request.bestBackend,
+                        backend,
                         now,
                         request.attemptDeadline - now,
-                        Math.max(0, estimator.of(request.bestBackend, now) - 1));
+                        Math.max(0, estimator.estimate(backend, now) - 1));
         request.attemptCount++;
         request.attemptsInFlight++;
-        request.probeRounds = request.subsetRedraws = 0;
+        request.probeRounds = 0;
+        request.subsetRedraws = 0;
         decision.attempts.add(request.latestAttempt);
-        estimator.sent(request.bestBackend, 1, now);
-        eligibility.spend(request.bestBackend, 1, now);
+        countAttempts(backend, 1, now);
+        slowStart.sent(backend, 1, now);
     }
 
-    /**
-     * Takes out an exchange whose asked have answered or that has waited long enough; null if none.
-     */
+    /** So many attempts more are in flight there; fewer where a shadow's own was not made. */
+    void countAttempts(int backend, int attempts, double now) {
+        estimator.sent(backend, attempts);
+        waits.sent(attempts, now);
+    }
+
+    @Override
+    void ended(
+            Attempt attempt,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            double now,
+            Decision decision) {
+        boolean stale = estimator.reportsAreStale();
+        // A stale report is no measure of what was ahead; the response's own report is.
+        double queueAhead =
+                stale ? estimator.reportedInFlight(attempt.backend) : attempt.queueAhead;
+        estimator.attemptEnded(attempt.backend);
+        serviceTimes.attemptEnded(outcome, durationSeconds, queueAhead, stale);
+        waits.attemptEnded(attempt, outcome, durationSeconds, now);
+        super.ended(attempt, outcome, durationSeconds, now, decision);
+    }
+
+    /** Takes out a request whose probes are answered or that has waited long enough, or null. */
     Request released(double now) {
-        Request done =
-                kept.stream()
+        Request released =
+                waiting.stream()
                         .filter(
                                 request ->
                                         request.completed
                                                 || now >= request.probeWaitUntil
-                                                || Arrays.stream(request.probedBackends)
-                                                        .allMatch(i -> backends.askedAt[i] == 0))
+                                                || probesAnswered(request))
                         .findFirst()
                         .orElse(null);
-        kept.remove(done);
-        return done;
+        waiting.remove(released);
+        return released;
+    }
+
+    private boolean probesAnswered(Request request) {
+        return Arrays.stream(request.probedBackends)
+                .allMatch(backend -> backends.probeSentAt[backend] == 0);
     }
 
+    /** When a request has waited long enough for its probes; infinite where none waits. */
     double wakeAt() {
-        return kept.isEmpty() ? Double.POSITIVE_INFINITY : kept.peek().probeWaitUntil;
+        return waiting.isEmpty() ? Double.POSITIVE_INFINITY : waiting.peek().probeWaitUntil;
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/balancer/BackendSubset.java
@@ -0,0 +1,100 @@
+package lemondrift.balancer;
+
+import lemondrift.model.Request;
+
+/**
+ * The part of the backends that this proxy uses: the first ones of the table's order. Of all
+ * backends each proxy would hear too seldom to know their load.
+ *
+ * <p>Where other proxies gossip, it is what the list says that this proxy uses, since gossip tells
+ * of no others. Else it is {@link #MIN_SIZE} at the least, and as many as this proxy sends requests
+ * in the time that it remembers where that is more. One backend of it is exchanged at random from
+ * time to time, and at once each that cannot be used.
+ */
+final class BackendSubset {
+    /** As many as can be probed for one attempt. */
+    static final int MIN_SIZE =
+            UtilizationEstimator.PROBES_PER_ROUND * UtilizationEstimator.MAX_PROBE_ROUNDS;
+
+    /** How many times the subset's size is looked at for backends that can take a request. */
+    private static final int MAX_SEARCH_FACTOR = 32;
+
+    private final BackendTable backends;
+    private final UtilizationEstimator estimator;
+    private final WaitEstimator waits;
+    private final DeterministicRandom random;
+
+    /** When the next backend is exchanged. */
+    private double exchangeAt;
+
+    BackendSubset(
+            BackendTable backends,
+            UtilizationEstimator estimator,
+            WaitEstimator waits,
+            DeterministicRandom random) {
+        this.backends = backends;
+        this.estimator = estimator;
+        this.waits = waits;
+        this.random = random;
+    }
+
+    int size(double now) {
+        backends.arrange();
+        return estimator.peersHeard && backends.gossipedCount > 0
+                ? backends.gossipedCount
+                : (int)
+                        Math.min(
+                                backends.order.length,
+                                Math.max(
+                                        MIN_SIZE,
+                                        waits.ownRate.value(now) * backends.memorySeconds));
+    }
+
+    /** Exchanges one backend from time to time, and at once each that may not take the request. */
+    void renew(Request request, double now, DecisionStage chain) {
+        int size = size(now);
+        int leavingPlace = -1;
+        // Guards against sending blindly: gossip tells of no backend outside the subset.
+        int outside = estimator.peersHeard ? 0 : backends.order.length - size;
+        if (now >= exchangeAt) {
+            exchangeAt = now + random.jitter(backends.memorySeconds);
+            leavingPlace = estimator.peersHeard ? -1 : (int) (random.next() * size);
+            backends.sortBySubsetScore();
+        }
+        for (int place = 0; place < size && outside > 0; place++) {
+            if (place == leavingPlace || !chain.mayTake(request, backends.order[place], now)) {
+                backends.swap(place, size + (int) (random.next() * outside));
+            }
+        }
+    }
+
+    /**
+     * Draws backends from outside that may take the request, once for each attempt, in place of
+     * those of the subset. Guards against rejecting what others could take.
+     *
+     * @return whether any was found
+     */
+    boolean widen(Request request, double now, DecisionStage chain) {
+        int size = size(now);
+        int found = 0;
+        // Guards against sending blindly: outside the subset the busiest looks idle to gossip.
+        int wanted = estimator.peersHeard && request.bestBackend != Request.NO_BACKEND ? 0 : size;
+        // Guards against holding up all other requests where no backend may take anything.
+        int end =
+                (int)
+                        Math.min(
+                                backends.order.length,
+                                size + (long) MAX_SEARCH_FACTOR * Math.max(size, MIN_SIZE));
+        for (int place = size;
+                place < end && found < wanted && request.subsetRedraws == 0;
+                place++) {
+            backends.swap(place, place + (int) (random.next() * (backends.order.length - place)));
+            if (chain.mayTake(request, backends.order[place], now)) {
+                backends.swap(found++, place);
+            }
+        }
+        request.subsetRedraws++;
+        request.probeRounds = 0;
+        return found > 0;
+    }
+}
--- a/src/main/java/lemondrift/balancer/BackendTable.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -6,192 +6,224 @@
 import lemondrift.model.Settings;
 
 /**
- * What this proxy's list has said of the backends, in parallel arrays under the door's dense index.
+ * What all stages share: the settings in force, and the endpoint list in parallel arrays by backend
+ * index, with what this proxy has in flight at each backend.
  */
 final class BackendTable {
-    /** What is stated now; an exchange keeps the terms that it came under. */
-    Settings stated;
+    /** How many windows back the proxy's own observations count. */
+    private static final double MEMORY_WINDOWS = 8;
 
     /**
-     * For sorting, a score stands above its place in one number, so that no object is made for
-     * each.
+     * Bits of a subset score, which stands above a place in one number so that it sorts cheaply.
      */
     private static final int SCORE_BITS = 40;
 
+    /** Bits of a place in the order. */
     private static final int PLACE_BITS = 20;
 
-    private final DeterministicRandom random;
+    /** The settings in force; a request keeps the terms that it arrived under. */
+    Settings settings;
+
+    /** The shortest latency objective of a request class, in seconds. */
+    double windowSeconds;
+
+    /** How far back the proxy's own observations count, in seconds. */
+    double memorySeconds;
+
+    /** How many backend indexes there are. */
     int size;
 
-    /**
-     * What was last told of each, whether it may be used, and what this proxy has out there; when a
-     * probe that is still out was sent, 0 if there is none, and the figure that each was last
-     * ranked by.
-     */
-    EndpointUpdate[] line = {};
+    /** The last update of each backend. */
+    EndpointUpdate[] endpoint = {};
 
+    /** Whether the list gives the backend as ready. */
     boolean[] ready = {};
-    int[] out = {};
-    double[] askedAt = {};
-    double[] figure = {};
 
-    /**
-     * When it last started, as told; 0 is long ago; and what is above all starts that were acted
-     * on.
-     */
-    double[] started = {};
+    /** This proxy's attempts in flight. */
+    int[] inFlight = {};
 
-    double[] startSeen = {};
+    /** When the probe that is out was sent; 0 where none is. */
+    double[] probeSentAt = {};
 
-    double meanPower = 1;
+    /** What each backend was last ranked by; infinite where it could not be used. */
+    double[] rankedBy = {};
 
-    /**
-     * Those that are ready, in this proxy's own random order, its subset first; of how many others
-     * tell.
-     */
+    /** The mean weight of the ready backends; 1 where weights do not count. */
+    double meanWeight = 1;
+
+    /** The ready backends in this proxy's own random order, the subset that it uses first. */
     int[] order = {};
 
-    int told;
-    private boolean[] ordered = {};
+    /** How many ready backends the list gives as used by this proxy and others. */
+    int gossipedCount;
+
+    private final DeterministicRandom random;
+    private boolean[] inOrder = {};
     private boolean arranged = true;
 
+    /** When each backend last started; 0 is long ago or not known. */
+    private double[] startedAt = {};
+
+    /** Above all starts that were acted on. */
+    private double[] startSeenBefore = {};
+
     BackendTable(Settings settings, DeterministicRandom random) {
-        stated = settings;
         this.random = random;
+        settingsChanged(settings);
+    }
+
+    void settingsChanged(Settings settings) {
+        this.settings = settings;
+        windowSeconds = settings.windowSeconds();
+        memorySeconds = MEMORY_WINDOWS * windowSeconds;
     }
 
     /**
-     * Rule 3: whoever is not told ready gets nothing new at once; the grace is slack, not a budget.
-     * The work is that of the lines told, and one plain pass over the order where somebody leaves
-     * it.
+     * Takes over a part of the endpoint list. The work is that of the updates given, and one pass
+     * over the order where a backend leaves it.
+     *
+     * @param full whether backends that are not among the updates are no longer listed
      */
-    void listed(boolean whole, List<EndpointUpdate> updates) {
-        boolean leaves = whole;
-        Arrays.fill(ready, 0, whole ? size : 0, false);
+    void listed(boolean full, List<EndpointUpdate> updates) {
+        boolean leaves = full;
+        Arrays.fill(ready, 0, full ? size : 0, false);
         grow(updates);
         for (EndpointUpdate update : updates) {
-            int i = update.backend();
-            line[i] = update.withWeightIf(stated.usesEndpointWeights());
-            leaves |= ready[i] && update.state() != EndpointUpdate.State.READY;
-            ready[i] = update.state() == EndpointUpdate.State.READY;
-            started[i] = Math.max(update.newBackend() ? 0 : started[i], update.startedAt());
-            startSeen[i] = update.newBackend() ? 0 : startSeen[i];
+            int backend = update.backend();
+            endpoint[backend] = update.withWeightIf(settings.usesEndpointWeights());
+            leaves |= ready[backend] && update.state() != EndpointUpdate.State.READY;
+            ready[backend] = update.state() == EndpointUpdate.State.READY;
+            startedAt[backend] =
+                    Math.max(update.newBackend() ? 0 : startedAt[backend], update.startedAt());
+            startSeenBefore[backend] = update.newBackend() ? 0 : startSeenBefore[backend];
         }
         if (leaves) {
             dropUnready();
         }
         append(updates);
-        meanPower = stated.usesEndpointWeights() ? meanSize() : 1;
+        meanWeight = settings.usesEndpointWeights() ? meanWeightOfReady() : 1;
         arranged = false;
     }
 
     private void grow(List<EndpointUpdate> updates) {
-        int most = size;
+        int newSize = size;
         for (EndpointUpdate update : updates) {
-            most = Math.max(most, update.backend() + 1);
+            newSize = Math.max(newSize, update.backend() + 1);
         }
-        if (most == size) {
+        if (newSize == size) {
             return;
         }
-        size = most;
+        size = newSize;
         ready = Arrays.copyOf(ready, size);
-        ordered = Arrays.copyOf(ordered, size);
-        line = Arrays.copyOf(line, size);
-        started = Arrays.copyOf(started, size);
-        startSeen = Arrays.copyOf(startSeen, size);
-        out = Arrays.copyOf(out, size);
-        askedAt = Arrays.copyOf(askedAt, size);
-        figure = Arrays.copyOf(figure, size);
+        inOrder = Arrays.copyOf(inOrder, size);
+        endpoint = Arrays.copyOf(endpoint, size);
+        startedAt = Arrays.copyOf(startedAt, size);
+        startSeenBefore = Arrays.copyOf(startSeenBefore, size);
+        inFlight = Arrays.copyOf(inFlight, size);
+        probeSentAt = Arrays.copyOf(probeSentAt, size);
+        rankedBy = Arrays.copyOf(rankedBy, size);
     }
 
     private void dropUnready() {
         int kept = 0;
-        for (int i : order) {
-            ordered[i] = ready[i];
-            if (ready[i]) {
-                order[kept++] = i;
+        for (int backend : order) {
+            inOrder[backend] = ready[backend];
+            if (ready[backend]) {
+                order[kept++] = backend;
             }
         }
         order = Arrays.copyOf(order, kept);
     }
 
-    /** Puts each that has become ready at a random place. */
+    /** Puts each backend that has become ready at a random place. */
     private void append(List<EndpointUpdate> updates) {
-        int[] fresh =
+        int[] added =
                 updates.stream()
                         .mapToInt(EndpointUpdate::backend)
-                        .filter(i -> ready[i] && !ordered[i])
+                        .filter(backend -> ready[backend] && !inOrder[backend])
                         .sorted()
                         .distinct()
                         .toArray();
-        int kept = order.length;
-        order = Arrays.copyOf(order, kept + fresh.length);
-        System.arraycopy(fresh, 0, order, kept, fresh.length);
-        for (int j = kept; j < order.length; j++) {
-            ordered[order[j]] = true;
-            swap(j, (int) (random.next() * (j + 1)));
+        int before = order.length;
+        order = Arrays.copyOf(order, before + added.length);
+        System.arraycopy(added, 0, order, before, added.length);
+        for (int place = before; place < order.length; place++) {
+            inOrder[order[place]] = true;
+            swap(place, (int) (random.next() * (place + 1)));
         }
     }
 
-    private double meanSize() {
+    private double meanWeightOfReady() {
         double sum = 0;
-        for (int i : order) {
-            sum += line[i].weight();
+        for (int backend : order) {
+            sum += endpoint[backend].weight();
         }
         return order.length == 0 ? 1 : sum / order.length;
     }
 
-    /**
-     * Counts and puts first whom this proxy uses, once for all lists that came since the last pick.
-     */
+    /** Counts and puts first the subset that gossip covers, once for all lists since the last. */
     void arrange() {
         if (arranged) {
             return;
         }
         arranged = true;
-        told = 0;
-        for (int i : order) {
-            told += line[i].userShare() > 0 ? 1 : 0;
+        gossipedCount = 0;
+        for (int backend : order) {
+            gossipedCount += endpoint[backend].userShare() > 0 ? 1 : 0;
         }
-        home();
+        sortBySubsetScore();
     }
 
     /**
-     * Puts first whom this proxy has the least scores for. Danger: others tell of those, and of no
-     * more.
+     * Puts the backends of the lowest subset scores first, where scores are given: gossip tells of
+     * those and of no more.
      */
-    void home() {
-        long[] places = new long[order.length];
+    void sortBySubsetScore() {
+        long[] scoresAndPlaces = new long[order.length];
         boolean scored = false;
-        for (int j = 0; j < order.length; j++) {
-            double score = line[order[j]].subsetScore();
+        for (int place = 0; place < order.length; place++) {
+            double score = endpoint[order[place]].subsetScore();
             scored |= score > 0;
-            places[j] = (long) (score * (1L << SCORE_BITS)) << PLACE_BITS | j;
+            scoresAndPlaces[place] = (long) (score * (1L << SCORE_BITS)) << PLACE_BITS | place;
         }
         if (!scored) {
             return;
         }
-        Arrays.sort(places);
-        int[] former = order;
-        order = new int[former.length];
-        for (int j = 0; j < order.length; j++) {
-            order[j] = former[(int) (places[j] & (1 << PLACE_BITS) - 1)];
+        Arrays.sort(scoresAndPlaces);
+        int[] before = order;
+        order = new int[before.length];
+        for (int place = 0; place < order.length; place++) {
+            order[place] = before[(int) (scoresAndPlaces[place] & (1 << PLACE_BITS) - 1)];
         }
     }
 
-    void swap(int a, int b) {
-        int i = order[a];
-        order[a] = order[b];
-        order[b] = i;
+    /** Exchanges the backends at two places of the order. */
+    void swap(int place, int otherPlace) {
+        int backend = order[place];
+        order[place] = order[otherPlace];
+        order[otherPlace] = backend;
+    }
+
+    /** Whether a start of the backend is listed that nobody has acted on; true once for each. */
+    boolean takeStart(int backend) {
+        if (startedAt[backend] >= startSeenBefore[backend]) {
+            startSeenBefore[backend] = Math.nextUp(startedAt[backend]);
+            return true;
+        }
+        return false;
     }
 
-    /** The share of its full capacity that a backend has at the least; 1 is warm. */
-    double coldShare(int i, double now) {
-        double age =
-                started[i] <= 0
+    /**
+     * The share (0 to 1) of its full capacity that a backend has at the least. It rises linearly
+     * over the slow start of the settings, from their least share to 1, which is warm.
+     */
+    double warmShare(int backend, double now) {
+        double elapsedShare =
+                startedAt[backend] <= 0
                         ? 1
-                        : Math.max(0, now - started[i]) / stated.rules().slowStartSeconds();
-        double from = stated.rules().slowStartMinShare();
-        return age >= 1 ? 1 : from + (1 - from) * age;
+                        : Math.max(0, now - startedAt[backend])
+                                / settings.rules().slowStartSeconds();
+        double minShare = settings.rules().slowStartMinShare();
+        return elapsedShare >= 1 ? 1 : minShare + (1 - minShare) * elapsedShare;
     }
 }
--- a/src/main/java/lemondrift/balancer/DecayingSum.java
+++ b/src/main/java/lemondrift/balancer/DecayingSum.java
@@ -1,17 +1,20 @@
 package lemondrift.balancer;
 
-/** A sum that fades away over a span of time. */
+/** A sum that decays exponentially with time. */
 final class DecayingSum {
-    double span = 1;
+    /** The time after which a value has decayed to 1/e, in seconds. */
+    double spanSeconds = 1;
+
     private double sum;
-    private double at;
+    private double updatedAt;
 
-    double at(double now) {
-        return sum == 0 ? 0 : sum * Math.exp((at - now) / span);
+    /** The sum as it has decayed by now. */
+    double value(double now) {
+        return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / spanSeconds);
     }
 
-    void add(double more, double now) {
-        sum = at(now) + more;
-        at = now;
+    void add(double amount, double now) {
+        sum = value(now) + amount;
+        updatedAt = now;
     }
 }
--- a/src/main/java/lemondrift/balancer/DeterministicRandom.java
+++ b/src/main/java/lemondrift/balancer/DeterministicRandom.java
@@ -4,15 +4,15 @@
 import java.util.zip.CRC32;
 
 /**
- * All chance: a checksum over the instance's seed and a counter; the same events give the same
- * acts.
+ * The only source of randomness: a checksum over a seed and a counter, so that the same events give
+ * the same decisions.
  */
 final class DeterministicRandom {
-    /**
-     * Danger: checksums of successive numbers differ alike each time, so draws would repeat a
-     * pattern.
-     */
-    private static final long SPREAD = 0x9E3779B97F4A7C15L;
+    /** Guards against a pattern in the draws: checksums of successive numbers differ alike. */
+    private static final long COUNTER_FACTOR = 0x9E3779B97F4A7C15L;
+
+    /** One more than the largest checksum. */
+    private static final double CHECKSUM_RANGE = 0x1p32;
 
     private final long seed;
     private long counter;
@@ -21,18 +21,19 @@
         this.seed = seed;
     }
 
+    /** From 0 to less than 1. */
     double next() {
         CRC32 crc = new CRC32();
         crc.update(
                 ByteBuffer.allocate(2 * Long.BYTES)
                         .putLong(seed)
-                        .putLong(++counter * SPREAD)
+                        .putLong(++counter * COUNTER_FACTOR)
                         .flip());
-        return crc.getValue() / 0x1p32;
+        return crc.getValue() / CHECKSUM_RANGE;
     }
 
     /** Half to one and a half of a span of time, so that proxies do not act in step. */
-    double jitter(double span) {
-        return span * (0.5 + next());
+    double jitter(double seconds) {
+        return seconds * (0.5 + next());
     }
 }
--- a/src/main/java/lemondrift/balancer/EndpointListPolling.java
+++ b/src/main/java/lemondrift/balancer/EndpointListPolling.java
@@ -3,35 +3,45 @@
 import lemondrift.model.Decision;
 import lemondrift.model.Settings;
 
-/** Keeps this proxy subscribed to changes of the list where it must ask for them. */
+/**
+ * Keeps this proxy subscribed to the endpoint list where it must poll for it: at the start, again
+ * where no answer comes, and after a failed call with a jittered backoff. Where the list is pushed
+ * it does nothing.
+ */
 final class EndpointListPolling {
-    private final boolean onRequest;
-    private final double patience;
+    private final boolean polls;
+
+    /** A quarter of the time within which the settings demand a poll. */
+    private final double quarterSeconds;
+
     private final DeterministicRandom random;
-    double askAt = Double.POSITIVE_INFINITY;
+
+    /** When the next call is due; infinite where none is. */
+    double pollAt = Double.POSITIVE_INFINITY;
 
     EndpointListPolling(Settings settings, DeterministicRandom random) {
-        onRequest = settings.pollsEndpointList();
-        patience = settings.rules().pollWithinSeconds() / 4;
+        polls = settings.pollsEndpointList();
+        quarterSeconds = settings.rules().pollWithinSeconds() / 4;
         this.random = random;
     }
 
+    /** A list has come; a stale one does not end the polling. */
     void listed(boolean stale, double now) {
-        askAt = onRequest && stale ? now : Double.POSITIVE_INFINITY;
+        pollAt = polls && stale ? now : Double.POSITIVE_INFINITY;
     }
 
-    /** Danger: all proxies asking again in step keep a list service of fixed capacity down. */
+    /** Guards against all proxies polling in step, which keeps a small list service down. */
     void failed(double now, Decision decision) {
-        if (onRequest) {
-            askAt = now + random.jitter(patience / 2);
+        if (polls) {
+            pollAt = now + random.jitter(quarterSeconds / 2);
             decision.logMessages.add("list call failed, asking again");
         }
     }
 
     void wake(double now, Decision decision) {
-        if (askAt <= now) {
+        if (pollAt <= now) {
             decision.endpointListCalls.add(Decision.EndpointListCall.WATCH);
-            askAt = now + 2 * patience;
+            pollAt = now + 2 * quarterSeconds;
         }
     }
 }
--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -11,80 +11,126 @@
 import lemondrift.model.ShedThreshold;
 
 /**
- * The decisions of one proxy. Tell it each thing that happens, in order, with the time in seconds,
- * and carry out the Turn it returns before the next call reuses it; call wake at or after
- * Turn.wakeAt.
+ * The decisions of one proxy. It hears each event in order, with the time in seconds, and answers
+ * with a {@link Decision} to be carried out before the next call, which reuses it. {@link #wake} is
+ * to be called at {@link Decision#wakeAt} or after. Not thread-safe.
  */
 public final class LoadBalancer {
     private final Decision decision = new Decision();
     private final BackendTable backends;
+    private final ServiceTimeEstimator serviceTimes;
     private final UtilizationEstimator estimator;
+    private final WaitEstimator waits;
     private final RequestDeadlines deadlines;
     private final AdmissionControl admission;
-    private final Eligibility eligibility;
+    private final OutlierDetection outliers;
+    private final SlowStart slowStart;
     private final BackendSelector selector;
     private final EndpointListPolling polling;
 
+    /**
+     * @param seed of all randomness; each proxy needs its own, so that they do not act in step
+     */
     public LoadBalancer(Settings settings, long seed) {
         DeterministicRandom random = new DeterministicRandom(seed);
         backends = new BackendTable(settings, random);
+        serviceTimes = new ServiceTimeEstimator(backends);
+        estimator = new UtilizationEstimator(backends, serviceTimes);
+        waits = new WaitEstimator(backends, estimator, serviceTimes);
         deadlines = new RequestDeadlines(backends);
-        estimator = new UtilizationEstimator(backends);
-        eligibility = new Eligibility(backends, estimator, random);
-        selector = new BackendSelector(backends, estimator, eligibility, random);
+        outliers = new OutlierDetection(backends, random);
+        slowStart = new SlowStart(backends, estimator, random);
+        selector =
+                new BackendSelector(
+                        backends, estimator, serviceTimes, waits, outliers, slowStart, random);
         polling = new EndpointListPolling(settings, random);
-        admission = new AdmissionControl(backends, estimator, selector);
-        deadlines.then(admission).then(new RetryPolicy(backends)).then(eligibility).then(selector);
+        admission = new AdmissionControl(backends, estimator, serviceTimes, waits, selector);
+        deadlines
+                .then(admission)
+                .then(new RetryPolicy(backends))
+                .then(outliers)
+                .then(slowStart)
+                .then(new DrainCheck(backends))
+                .then(selector);
     }
 
+    /** A client's request has come; it keeps the terms of its class that hold now. */
     public Decision requestArrived(double now, Request request) {
-        request.terms =
-                request.terms == null
-                        ? backends.stated.termsFor(request.requestClass)
-                        : request.terms;
-        return decide(now, () -> deadlines.take(request, now, decision));
+        if (request.terms == null) {
+            request.terms = backends.settings.termsFor(request.requestClass);
+        }
+        return decide(now, () -> deadlines.arrived(request, now, decision));
     }
 
+    /**
+     * An attempt has ended, whether by its backend, its timeout or its cancellation.
+     *
+     * @param completed whether the client has its answer or has left
+     * @param loadReport the fields of the report that came with the response; null where none did
+     */
     public Decision attemptEnded(
             double now,
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
-            boolean over,
+            boolean completed,
             double[] loadReport) {
         attempt.ended = true;
         attempt.request.attemptsInFlight--;
-        attempt.request.completed |= over;
+        attempt.request.completed |= completed;
         estimator.reported(
                 attempt.backend, loadReport, outcome == AttemptOutcome.SUCCESS, true, now);
         return decide(now, () -> selector.ended(attempt, outcome, durationSeconds, now, decision));
     }
 
+    /** The first bytes of a response go to the client: it no longer ends at its deadline. */
     public Decision responseStarted(double now, Attempt attempt) {
         return decide(now, () -> attempt.request.responseStarted = true);
     }
 
+    /**
+     * An endpoint list or its last part has come.
+     *
+     * @param full whether backends that are not among the updates are no longer listed
+     * @param stale whether the list may be out of date, so that it must be polled for
+     */
     public Decision endpointsListed(
-            double now, boolean whole, boolean stale, List<EndpointUpdate> updates) {
-        endpointsChanged(now, whole, updates);
+            double now, boolean full, boolean stale, List<EndpointUpdate> updates) {
+        endpointsChanged(now, full, updates);
         polling.listed(stale, now);
         return wake(now);
     }
 
-    /** Some lines of a list of which more come; backendsListed ends it. */
-    public void endpointsChanged(double now, boolean whole, List<EndpointUpdate> updates) {
-        backends.listed(whole, updates);
-        estimator.listed();
-        eligibility.listed(updates, now);
+    /** A part of a list of which more comes; {@link #endpointsListed} ends it. */
+    public void endpointsChanged(double now, boolean full, List<EndpointUpdate> updates) {
+        backends.listed(full, updates);
+        serviceTimes.backendsListed();
+        estimator.backendsListed();
+        outliers.backendsListed();
+        slowStart.backendsListed();
+        for (EndpointUpdate update : updates) {
+            if (backends.takeStart(update.backend())) {
+                backendStarted(update.backend(), now);
+            }
+        }
+    }
+
+    private void backendStarted(int backend, double now) {
+        slowStart.started(backend, now);
+        outliers.forget(backend);
+        estimator.forget(backend);
+        serviceTimes.forget(backend);
     }
 
+    /** A call for the endpoint list has failed. */
     public Decision endpointListFailed(double now) {
         return decide(now, () -> polling.failed(now, decision));
     }
 
+    /** A probe was answered, with a load report or null, or has failed. */
     public Decision probeEnded(
             double now, int backend, AttemptOutcome outcome, double[] loadReport) {
-        backends.askedAt[backend] = 0;
+        backends.probeSentAt[backend] = 0;
         return decide(
                 now,
                 () ->
@@ -97,68 +143,72 @@
     }
 
     /**
-     * Other grades and limits are stated. At a fresh index stands one of which nothing is known.
+     * Other settings hold.
+     *
+     * @param reassigned the indexes at which another request class stands than before
      */
-    public void settingsChanged(Settings settings, List<Integer> fresh) {
-        backends.stated = settings;
-        estimator.stated();
-        deadlines.stated(fresh);
-        eligibility.stated(fresh);
+    public void settingsChanged(Settings settings, List<Integer> reassigned) {
+        backends.settingsChanged(settings);
+        waits.settingsChanged();
+        deadlines.settingsChanged(reassigned);
+        outliers.settingsChanged(reassigned);
     }
 
-    /** How many exchanges the other proxies have out at a backend, as far as they have told. */
-    public void peerLoadReported(int backend, int exchanges) {
-        estimator.others[backend] = exchanges;
+    /** How many requests the other proxies have in flight at a backend, as far as they tell. */
+    public void peerLoadReported(int backend, int requests) {
+        estimator.peerInFlight[backend] = requests;
     }
 
     /**
-     * Whether others are to tell what they have out; not where reports can be asked for, which say
-     * more.
+     * Whether other proxies are to tell what they have in flight; not where backends can be probed,
+     * which says more.
      */
     public boolean wantsGossip() {
-        return estimator.rounds() == 0;
+        return estimator.probeRounds() == 0;
     }
 
+    /** Whether any other proxy tells what it has in flight. */
     public void peersHeard(boolean any) {
-        estimator.othersHeard = any;
+        estimator.peersHeard = any;
     }
 
-    /**
-     * What others have found the work of an exchange to be, in seconds, from at least one answer.
-     */
-    public void seedServiceTime(double work, double answers) {
-        eligibility.supposed = work;
-        eligibility.weight = Math.min(answers, Eligibility.BORROWED);
+    /** What other proxies have measured of the service time, from at least one response. */
+    public void seedServiceTime(double seconds, double samples) {
+        slowStart.seed(seconds, samples);
     }
 
-    /** The mean work of an exchange as found here, in seconds, and from how many answers. */
+    /** The mean service time as this proxy has measured it. */
     public ServiceTime measuredServiceTime() {
-        return new ServiceTime(eligibility.answerTime, eligibility.answers);
+        return slowStart.measured();
     }
 
-    /** For watching: forwards made there by another's choice, or fewer by its own. */
-    public void adjustAttempts(double now, int backend, int forwards) {
-        estimator.sent(backend, forwards, now);
+    /**
+     * For a shadow: attempts made at a backend by another's choice; negative to take its own back.
+     */
+    public void adjustAttempts(double now, int backend, int attempts) {
+        selector.countAttempts(backend, attempts, now);
     }
 
-    /** A question that changes nothing: what would be shed of a service grade on arrival now. */
+    /** What would be rejected of a request class on arrival now; asking changes nothing. */
     public ShedThreshold shedThreshold(double now, int requestClass) {
         Request request = new Request(0, requestClass, 0, now, 0);
-        request.terms = backends.stated.termsFor(requestClass);
+        request.terms = backends.settings.termsFor(requestClass);
         return admission
-                .word(request, now)
-                .withMaxRetryAfter(backends.stated.limits().maxRetryAfterSeconds());
+                .shedThreshold(request, now)
+                .withMaxRetryAfter(backends.settings.limits().maxRetryAfterSeconds());
     }
 
-    /** How many backends may be sent to, those left out for one grade only among them. */
+    /** How many ready backends are not ejected; ejected for one request class alone counts. */
     public int usableBackendCount() {
-        return eligibility.sound(0);
+        return outliers.notEjectedCount();
     }
 
+    /** The client has gone; what is in flight for it is cancelled where that is allowed. */
     public Decision clientLeft(double now, Request request) {
         return decide(now, () -> deadlines.clientLeft(request, decision));
     }
 
+    /** The time asked for by {@link Decision#wakeAt} has come. */
     public Decision wake(double now) {
         return decide(
                 now,
@@ -174,10 +224,10 @@
         for (Request request = selector.released(now);
                 request != null;
                 request = selector.released(now)) {
-            deadlines.again(request, now, decision);
+            deadlines.offerAgain(request, now, decision);
         }
-        decision.probes.forEach(i -> eligibility.spend(i, Eligibility.PROBE_WORK, now));
-        decision.wakeAt = Math.min(deadlines.wakeAt(), Math.min(polling.askAt, selector.wakeAt()));
+        decision.probes.forEach(backend -> slowStart.sent(backend, SlowStart.PROBE_REQUESTS, now));
+        decision.wakeAt = Math.min(deadlines.wakeAt(), Math.min(polling.pollAt, selector.wakeAt()));
         return decision;
     }
 }
--- a/src/main/java/lemondrift/balancer/RequestDeadlines.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -11,78 +11,114 @@
 import lemondrift.model.Request;
 import lemondrift.model.RequestClass;
 
-/** Rule 1: one final answer before expiry and nothing sent after it. */
+/**
+ * Rule 1: each request has one final answer, no later than its deadline, and no attempt is made
+ * after its attempt deadline.
+ *
+ * <p>The deadline is when the client stops waiting. The attempt deadline is the arrival plus the
+ * latency objective of the request class, or its timeout where a late response still counts, less
+ * what the client's earlier tries have used up; never later than the deadline. All in seconds.
+ *
+ * <p>After each attempt that did not answer it, a request goes through the chain again. It ends
+ * here with NO_TIME_LEFT once the attempt deadline has passed, and with EXPIRED where it is still
+ * open at its deadline and no response has started.
+ */
 final class RequestDeadlines extends DecisionStage {
-    /** After so many tries of a grade, all with less time, the longest time was an odd one's. */
-    private static final int ODD = 4;
+    /** After so many tries in a row with less time, the longest time seen no longer counts. */
+    private static final int MAX_SHORTER_IN_A_ROW = 4;
 
-    /** The time left of a usual first try, by grade, and how many in a row had less. */
-    private double[] usual = {};
-
-    private double[] since = {};
+    /** By how much the time left must differ from the usual to tell a retry, as a share of it. */
+    private static final double TIME_LEFT_TOLERANCE = 0.01;
 
     private final BackendTable backends;
+
+    /** By request class: the time that a first try has left when it arrives, in seconds. */
+    private double[] usualSecondsLeft = {};
+
+    /** By request class: how many tries in a row had less than that. */
+    private double[] shorterInARow = {};
+
+    /** The requests that may be open, the one with the nearest deadline first. */
     private final PriorityQueue<Request> open =
             new PriorityQueue<>(Comparator.comparing(request -> request.deadline));
 
     RequestDeadlines(BackendTable backends) {
         this.backends = backends;
-        stated(List.of());
+        settingsChanged(List.of());
     }
 
-    void stated(List<Integer> fresh) {
-        usual = Arrays.copyOf(usual, backends.stated.requestClasses().size());
-        since = Arrays.copyOf(since, usual.length);
-        fresh.forEach(grade -> usual[grade] = since[grade] = 0);
+    /** Other request classes hold; what is known of those at reassigned indexes is forgotten. */
+    void settingsChanged(List<Integer> reassigned) {
+        usualSecondsLeft =
+                Arrays.copyOf(usualSecondsLeft, backends.settings.requestClasses().size());
+        shorterInARow = Arrays.copyOf(shorterInARow, usualSecondsLeft.length);
+        for (int requestClass : reassigned) {
+            usualSecondsLeft[requestClass] = 0;
+            shorterInARow[requestClass] = 0;
+        }
     }
 
-    /**
-     * Takes a new exchange; where a late answer brings nothing, its useful time is the contract
-     * time.
-     */
-    void take(Request request, double now, Decision decision) {
+    /** Sets the attempt deadline of a new request and sends it through the chain. */
+    void arrived(Request request, double now, Decision decision) {
         RequestClass requestClass = request.terms.requestClass();
-        double useful =
+        double usefulSeconds =
                 requestClass.latePriorityWeight() > 0
                         ? requestClass.timeoutSeconds()
                         : requestClass.latencyObjectiveSeconds();
-        // Danger: work done after the first try's time is lost, so a retry has less by what has
-        // passed.
-        double left = request.deadline - now;
-        boolean marked = backends.stated.clientsMarkRetries();
-        // Clients may give a first try up sooner than the next, which then has more time left, not
-        // less.
-        boolean retry =
-                marked
-                        ? request.markedRetry
-                                && Math.abs(left - usual[request.requestClass])
-                                        > 0.01 * usual[request.requestClass]
-                        : isRetry(request.requestClass, left);
-        double age = retry ? Math.max(0, requestClass.timeoutSeconds() - left) : 0;
-        usual[request.requestClass] =
-                marked && !request.markedRetry ? left : usual[request.requestClass];
-        request.attemptDeadline = Math.min(request.deadline, request.arrivedAt + useful - age);
+        // Guards against work after the first try's time, which is lost.
+        double secondsLeft = request.deadline - now;
+        double secondsUsed =
+                isClientRetry(request, secondsLeft)
+                        ? Math.max(0, requestClass.timeoutSeconds() - secondsLeft)
+                        : 0;
+        request.attemptDeadline =
+                Math.min(request.deadline, request.arrivedAt + usefulSeconds - secondsUsed);
         open.add(request);
-        again(request, now, decision);
+        offerAgain(request, now, decision);
+    }
+
+    private boolean isClientRetry(Request request, double secondsLeft) {
+        return backends.settings.clientsMarkRetries()
+                ? isMarkedRetry(request, secondsLeft)
+                : looksLikeRetry(request.requestClass, secondsLeft);
     }
 
     /**
-     * Where clients do not mark their retries, a try with less time left than others is taken for
-     * one.
+     * Whether a request is marked as a retry and its time tells that it shares its first try's.
+     * Clients may stop waiting for a first try sooner than for the next, which then has its own.
      */
-    private boolean isRetry(int requestClass, double left) {
-        since[requestClass] = left < 0.99 * usual[requestClass] ? since[requestClass] + 1 : 0;
-        usual[requestClass] =
-                since[requestClass] > ODD ? left : Math.max(usual[requestClass], left);
-        return left < 0.99 * usual[requestClass];
+    private boolean isMarkedRetry(Request request, double secondsLeft) {
+        double usual = usualSecondsLeft[request.requestClass];
+        if (!request.markedRetry) {
+            usualSecondsLeft[request.requestClass] = secondsLeft;
+            return false;
+        }
+        return Math.abs(secondsLeft - usual) > TIME_LEFT_TOLERANCE * usual;
     }
 
-    void again(Request request, double now, Decision decision) {
+    /**
+     * Where clients do not mark retries, a try with less time left than others is taken for one.
+     */
+    private boolean looksLikeRetry(int requestClass, double secondsLeft) {
+        double usual = usualSecondsLeft[requestClass];
+        shorterInARow[requestClass] =
+                secondsLeft < (1 - TIME_LEFT_TOLERANCE) * usual
+                        ? shorterInARow[requestClass] + 1
+                        : 0;
+        usual =
+                shorterInARow[requestClass] > MAX_SHORTER_IN_A_ROW
+                        ? secondsLeft
+                        : Math.max(usual, secondsLeft);
+        usualSecondsLeft[requestClass] = usual;
+        return secondsLeft < (1 - TIME_LEFT_TOLERANCE) * usual;
+    }
+
+    /** Sends a request through the chain, with nothing in flight, or ends it for lack of time. */
+    void offerAgain(Request request, double now, Decision decision) {
         if (!request.completed && now < request.attemptDeadline) {
             offer(request, now, decision);
         } else {
-            request.failureReason = FailureReason.NO_TIME_LEFT;
-            giveUp(request, 0, now, decision);
+            replyLocally(request, FailureReason.NO_TIME_LEFT, 0, decision);
         }
     }
 
@@ -94,52 +130,58 @@
             double now,
             Decision decision) {
         if (attempt.request.attemptsInFlight == 0) {
-            again(attempt.request, now, decision);
+            offerAgain(attempt.request, now, decision);
         }
     }
 
     /**
-     * Danger: a shed reply invites a retry, which would be a second effect if an earlier forward
-     * ran.
+     * Ends a request that is still open: as rejected, with a Retry-After, where a retry of the
+     * client is harmless; else as failed. Guards against a second effect by the retry that a
+     * rejection invites.
      */
     @Override
-    void giveUp(Request request, double comeBack, double now, Decision decision) {
+    void replyLocally(
+            Request request, FailureReason reason, double retryAfterSeconds, Decision decision) {
+        request.failureReason = reason;
         if (!request.completed) {
             request.completed = true;
-            boolean shed = RetryPolicy.mayShed(request);
-            double retryAfter = Math.min(comeBack, backends.stated.limits().maxRetryAfterSeconds());
+            boolean rejected = RetryPolicy.isClientRetryHarmless(request);
+            double boundedSeconds =
+                    Math.min(retryAfterSeconds, backends.settings.limits().maxRetryAfterSeconds());
             decision.localReplies.add(
-                    new Decision.LocalReply(request, shed, shed ? retryAfter : 0));
-            cancelAll(request, decision);
+                    new Decision.LocalReply(request, rejected, rejected ? boundedSeconds : 0));
+            cancelAttempts(request, decision);
         }
     }
 
+    /** Nobody waits for the request any more. */
     void clientLeft(Request request, Decision decision) {
         request.completed = true;
-        cancelAll(request, decision);
+        cancelAttempts(request, decision);
     }
 
-    private void cancelAll(Request request, Decision decision) {
-        for (Attempt attempt = request.latestAttempt;
-                attempt != null && backends.stated.limits().canCancel() && !request.responseStarted;
-                attempt = attempt.previous) {
+    private void cancelAttempts(Request request, Decision decision) {
+        if (!backends.settings.limits().canCancel() || request.responseStarted) {
+            return;
+        }
+        for (Attempt attempt = request.latestAttempt; attempt != null; attempt = attempt.previous) {
             if (!attempt.ended) {
                 decision.cancellations.add(attempt);
             }
         }
     }
 
-    /** The safe alarm: whatever went wrong, what is still open at its expiry is answered. */
+    /** Whatever went wrong, ends what is still open at its deadline. */
     void wake(double now, Decision decision) {
         while (wakeAt() <= now) {
             Request request = open.poll();
             if (!request.responseStarted) {
-                request.failureReason = FailureReason.EXPIRED;
-                giveUp(request, 0, now, decision);
+                replyLocally(request, FailureReason.EXPIRED, 0, decision);
             }
         }
     }
 
+    /** The nearest deadline of an open request; infinite where there is none. */
     double wakeAt() {
         while (!open.isEmpty() && open.peek().completed) {
             open.poll();
--- a/src/main/java/lemondrift/balancer/RetryPolicy.java
+++ b/src/main/java/lemondrift/balancer/RetryPolicy.java
@@ -8,70 +8,108 @@
 import lemondrift.model.Idempotency;
 import lemondrift.model.Request;
 import lemondrift.model.RequestClass;
+import lemondrift.model.RequestTerms;
 
 /**
- * Rule 2: no effect twice. Says whether an exchange may be forwarded again, and to which backends.
+ * Rule 2: when a request may be attempted again, and where, so that no effect happens twice.
+ *
+ * <p>A retry is made where all of these hold; else the request ends here or, where no backend is
+ * left, in {@link AdmissionControl}:
+ *
+ * <ul>
+ *   <li>it has had fewer attempts than its terms allow, or it ends with ATTEMPTS_USED;
+ *   <li>the retry budget holds a whole retry, or it ends with RETRY_BUDGET_SPENT. Each first
+ *       attempt earns {@link #RETRIES_PER_REQUEST}, so that a storm of retries is never of this
+ *       proxy's making;
+ *   <li>the backend has not had this request before;
+ *   <li>no attempt before may have been executed ({@link AttemptOutcome#neverExecuted}); or the
+ *       request is idempotent; or it carries an idempotency key, the first attempt that may have
+ *       been executed is not older than the key's time to live (seconds), and the backend shares
+ *       the memory of keys with that attempt's: all do, or those of its location, or of its cell.
+ * </ul>
  */
 final class RetryPolicy extends DecisionStage {
-    /**
-     * Further forwards stay under this share of first ones: a retry storm is never of our making.
-     */
-    private static final double RETRY_SHARE = 0.25;
+    /** How many retries each first attempt earns. */
+    private static final double RETRIES_PER_REQUEST = 0.25;
 
     private final BackendTable backends;
-    private double credit;
+
+    /** How many retries may be made now. */
+    private double retryBudget;
 
     RetryPolicy(BackendTable backends) {
-        credit = backends.stated.limits().maxAttempts();
         this.backends = backends;
+        retryBudget = backends.settings.limits().maxAttempts();
     }
 
-    /** A shed reply promises that a retry is harmless. */
-    static boolean mayShed(Request request) {
-        return request.terms.requestClass().idempotency() == Idempotency.IDEMPOTENT
+    /**
+     * Whether a reply may say that the request was rejected, which promises the client that a retry
+     * is harmless.
+     */
+    static boolean isClientRetryHarmless(Request request) {
+        RequestClass requestClass = request.terms.requestClass();
+        return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (request.possiblyExecuted == null && request.attemptsInFlight == 0)
-                || (request.terms.requestClass().idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && request.terms.requestClass().deduplicationScope()
-                                == DeduplicationScope.ALL);
+                || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     @Override
     void offer(Request request, double now, Decision decision) {
-        boolean repeat = request.attemptCount > 0;
-        if (repeat && (request.attemptCount >= request.terms.maxAttempts() || credit < 1)) {
-            request.failureReason =
-                    credit < 1 ? FailureReason.RETRY_BUDGET_SPENT : FailureReason.ATTEMPTS_USED;
-            giveUp(request, 0, now, decision);
-            return;
+        RequestTerms terms = request.terms;
+        if (request.attemptCount == 0) {
+            retryBudget = Math.min(terms.maxAttempts(), retryBudget + RETRIES_PER_REQUEST);
+            super.offer(request, now, decision);
+        } else if (retryBudget < 1) {
+            replyLocally(request, FailureReason.RETRY_BUDGET_SPENT, 0, decision);
+        } else if (request.attemptCount >= terms.maxAttempts()) {
+            replyLocally(request, FailureReason.ATTEMPTS_USED, 0, decision);
+        } else {
+            retryBudget--;
+            super.offer(request, now, decision);
         }
-        credit = repeat ? credit - 1 : Math.min(request.terms.maxAttempts(), credit + RETRY_SHARE);
-        super.offer(request, now, decision);
     }
 
     @Override
-    boolean mayTake(Request request, int i, double now) {
-        Attempt attempt = request.latestAttempt;
-        for (; attempt != null && attempt.backend != i; attempt = attempt.previous) {}
-        return attempt == null
+    boolean mayTake(Request request, int backend, double now) {
+        return !hasHad(request, backend)
                 && (request.possiblyExecuted == null
                         || mayRepeat(
-                                request.terms.requestClass(), request.possiblyExecuted, i, now))
-                && super.mayTake(request, i, now);
+                                request.terms.requestClass(),
+                                request.possiblyExecuted,
+                                backend,
+                                now))
+                && super.mayTake(request, backend, now);
     }
 
-    private boolean mayRepeat(RequestClass requestClass, Attempt ran, int i, double now) {
-        // Danger: receipts are forgotten after a while, counted from the first send that may have
-        // run.
-        return requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && now - ran.sentAt < requestClass.idempotencyKeyTtlSeconds()
-                        && (requestClass.deduplicationScope() == DeduplicationScope.ALL
-                                || (backends.line[ran.backend].location()
-                                                == backends.line[i].location()
-                                        && (requestClass.deduplicationScope()
-                                                        == DeduplicationScope.LOCATION
-                                                || backends.line[ran.backend].cell()
-                                                        == backends.line[i].cell()))));
+    private static boolean hasHad(Request request, int backend) {
+        Attempt attempt = request.latestAttempt;
+        while (attempt != null && attempt.backend != backend) {
+            attempt = attempt.previous;
+        }
+        return attempt != null;
+    }
+
+    /** Whether a backend may execute what another may have executed already. */
+    private boolean mayRepeat(
+            RequestClass requestClass, Attempt executed, int backend, double now) {
+        return switch (requestClass.idempotency()) {
+            case IDEMPOTENT -> true;
+            case NOT_IDEMPOTENT -> false;
+            case IDEMPOTENT_WITH_KEY ->
+                    now - executed.sentAt < requestClass.idempotencyKeyTtlSeconds()
+                            && sharesKeys(
+                                    requestClass.deduplicationScope(), executed.backend, backend);
+        };
+    }
+
+    /** Whether two backends recognize the same idempotency keys. */
+    private boolean sharesKeys(DeduplicationScope scope, int backend, int other) {
+        return scope == DeduplicationScope.ALL
+                || (backends.endpoint[backend].location() == backends.endpoint[other].location()
+                        && (scope == DeduplicationScope.LOCATION
+                                || backends.endpoint[backend].cell()
+                                        == backends.endpoint[other].cell()));
     }
 
     @Override
--- a/src/main/java/lemondrift/balancer/UtilizationEstimator.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -1,277 +1,230 @@
 package lemondrift.balancer;
 
 import java.util.Arrays;
-import lemondrift.model.Attempt;
-import lemondrift.model.AttemptOutcome;
 import lemondrift.model.Settings;
 
-/** The design's figure: a backend's last report plus own sends since times one exchange's worth. */
+/**
+ * The estimated utilization of each backend, by which the selector chooses (Salem, Wong and
+ * Bochmann, "Least Utilization"): the last load report, plus what this proxy has sent there since,
+ * times the utilization that one request adds. 1 is busy all the time, and each request waiting
+ * beyond that adds to it.
+ *
+ * <p>A report loses freshness with age (1 when it comes, then exponentially towards 0). As far as
+ * it has, the mean of the reports heard lately stands in for it, and the attempts in flight for
+ * those sent since. Where other proxies gossip of what they have in flight, that counts like own
+ * attempts.
+ *
+ * <p>Reports are called stale where the backends renew them so seldom that they are old when they
+ * come; that is seen from reports that repeat the one before.
+ */
 final class UtilizationEstimator {
-    /**
-     * Windows of memory, of the wait met lately, and over which reports fade; what asking may cost.
-     */
-    private static final double MEMORY = 8;
+    /** How many backends are probed in one round. */
+    static final int PROBES_PER_ROUND = 3;
 
-    private static final double MET = 2;
-    private static final double FADE = 0.125;
-    private static final double MOST_COST = 0.03;
+    /** How many rounds of probes one attempt may wait for. */
+    static final int MAX_PROBE_ROUNDS = 4;
 
-    /**
-     * How many are asked for reports at a time and how often, where probes are cheap; the least
-     * part.
-     */
-    static final int ASKED = 3;
+    /** Over which part of a window a report loses freshness where it can be renewed. */
+    private static final double FRESH_WINDOWS = 0.125;
 
-    static final int ROUNDS = 4;
-    static final int PART = ASKED * ROUNDS;
+    /** What the probes of a request may cost, as a share of a request. */
+    private static final double MAX_PROBE_COST = 0.03;
 
-    /**
-     * Floor and cap of a service time to the usual, a quick answer's least step, outcomes to be
-     * sure by.
-     */
-    private static final double SPREAD = 2;
+    /** What the mean of no report is, counted as one. */
+    private static final double MEAN_BEFORE_REPORTS = 0.5;
 
-    private static final double STEP = 0.02;
-    private static final double FEW = 8;
+    /** Whether other proxies tell what they have in flight. */
+    boolean peersHeard;
 
-    /** The window of the design page, and the span over which own figures are remembered. */
-    double window;
-
-    double memory;
+    /** By backend: what other proxies have in flight there. */
+    double[] peerInFlight = {};
 
     private final BackendTable backends;
+    private final ServiceTimeEstimator serviceTimes;
 
-    /**
-     * Answer times' lower quartile (three steps down balance one up) and number; time per one
-     * ahead.
-     */
-    private double quick;
+    /** How long backends repeat a report, in seconds. */
+    private double repeatSeconds;
 
-    private double answers;
-    private double pace;
+    /** The busyness and the number of the reports heard lately. */
+    private final DecayingSum recentBusyness = new DecayingSum();
 
-    /**
-     * How long a report is told again, the fleet's service time as told, when a wait was first
-     * asked for.
-     */
-    private double period;
+    private final DecayingSum recentReports = new DecayingSum();
 
-    private double told;
-    private double born;
-    private double allOut;
+    /** By backend: the utilization of the last report with the work of the requests it holds. */
+    private double[] reportedBusyness = {};
 
-    /** Own exchanges a second, the mean wait met, and the reports heard lately and their number. */
-    final DecayingSum ownRate = new DecayingSum();
+    /** By backend: the utilization of the last report alone; 1 after a failed attempt. */
+    private double[] reportedUtilization = {};
 
-    final DecayingSum metWait = new DecayingSum();
+    /** By backend: the requests in flight of the last report. */
+    private double[] reportedInFlight = {};
 
-    private final DecayingSum heard = new DecayingSum();
-    private final DecayingSum heards = new DecayingSum();
-    private double[] loadReport = {};
+    /** By backend: when the last report came, in seconds; 0 where none has. */
     private double[] reportedAt = {};
-    private double[] sends = {};
-    private double[] rated = {};
-    private double[] use = {};
-    private double[] held = {};
 
-    /** Where other proxies tell what they have out: that. */
-    boolean othersHeard;
+    /** By backend: own attempts sent since the last report. */
+    private double[] sentSinceReport = {};
 
-    double[] others = {};
-
-    UtilizationEstimator(BackendTable backends) {
+    UtilizationEstimator(BackendTable backends, ServiceTimeEstimator serviceTimes) {
         this.backends = backends;
-        stated();
-        pace = quick = window / 16;
-        told = backends.stated.loadReports().requestRateField() < 0 ? 0 : quick;
-    }
-
-    void stated() {
-        window = backends.stated.windowSeconds();
-        ownRate.span = metWait.span = memory = MEMORY * window;
-    }
-
-    /** How often an exchange may ask for reports. */
-    int rounds() {
-        return old() ? 0 : (int) Math.min(ROUNDS, MOST_COST / ASKED / backends.stated.probeCost());
+        this.serviceTimes = serviceTimes;
     }
 
-    /** How long a report counts: where none can be asked for, until the next may come by itself. */
-    private double horizon() {
-        return old() || rounds() > 0 ? FADE * window : memory;
-    }
-
-    void listed() {
-        if (loadReport.length == backends.size) {
+    /** Makes room for backends that were listed for the first time. */
+    void backendsListed() {
+        if (reportedAt.length == backends.size) {
             return;
         }
-        loadReport = Arrays.copyOf(loadReport, backends.size);
+        reportedBusyness = Arrays.copyOf(reportedBusyness, backends.size);
+        reportedUtilization = Arrays.copyOf(reportedUtilization, backends.size);
+        reportedInFlight = Arrays.copyOf(reportedInFlight, backends.size);
         reportedAt = Arrays.copyOf(reportedAt, backends.size);
-        sends = Arrays.copyOf(sends, backends.size);
-        rated = Arrays.copyOf(rated, backends.size);
-        others = Arrays.copyOf(others, backends.size);
-        use = Arrays.copyOf(use, backends.size);
-        held = Arrays.copyOf(held, backends.size);
+        sentSinceReport = Arrays.copyOf(sentSinceReport, backends.size);
+        peerInFlight = Arrays.copyOf(peerInFlight, backends.size);
     }
 
-    /**
-     * A report overwrites the estimate and clears the sends; exchanges held add their work to it.
-     */
-    void reported(int i, double[] figures, boolean delivered, boolean answer, double now) {
-        Settings.LoadReports places = backends.stated.loadReports();
-        double u = Settings.LoadReports.field(figures, places.utilizationField());
-        // Danger: one that comes with an answer counts the exchange answered, so the idle would
-        // look busy.
-        double itself = places.countsAnsweredRequest() && answer && delivered ? 1 : 0;
-        double h =
-                Math.max(0, Settings.LoadReports.field(figures, places.inFlightField()) - itself);
-        if (figures == null || !(u + h >= 0)) {
-            return;
-        }
-        // Danger: one that is told again says nothing new, and clearing the sends would draw a herd
-        // to it.
-        if (reportedAt[i] > 0 && delivered && u > 0 && u == use[i] && h == held[i]) {
-            period += Math.max(0, now - reportedAt[i] - period) / 8;
-            return;
-        }
-        period -=
-                reportedAt[i] > 0 && delivered ? Math.max(0, period - now + reportedAt[i]) / 4 : 0;
-        use[i] = delivered ? u : 1;
-        held[i] = h;
-        double s = u / Settings.LoadReports.field(figures, places.requestRateField());
-        if (s > 0 && s < window) {
-            told += u * (s - told) / (FEW * FEW);
-            rated[i] += (s - rated[i]) * (rated[i] == 0 ? 1 : 2.0 / FEW);
-        }
-        double busy = u + h * worth(i, now);
-        // Danger: a backend that errors quickly reports the lowest figure and draws traffic.
-        loadReport[i] = delivered ? busy : Math.max(busy, mean(now));
-        reportedAt[i] = now;
-        sends[i] = 0;
-        heard.span = heards.span = horizon();
-        heard.add(busy, now);
-        heards.add(1, now);
-    }
-
-    private double mean(double now) {
-        return (0.5 + heard.at(now)) / (1 + heards.at(now));
+    /** The backend has started anew: nothing that was known of it holds. */
+    void forget(int backend) {
+        reportedAt[backend] = 0;
+        sentSinceReport[backend] = 0;
+        peerInFlight[backend] = 0;
     }
 
-    /**
-     * How long an exchange waits for its work to begin where the utilisation is estimated above
-     * one.
-     */
-    double wait(int i, double now) {
-        return Math.max(0, of(i, now) - 1) / worth(i, now) * workTime(i, now);
+    /** How many rounds of probes an attempt may wait for; 0 where none is worth its cost. */
+    int probeRounds() {
+        return reportsAreStale()
+                ? 0
+                : (int)
+                        Math.min(
+                                MAX_PROBE_ROUNDS,
+                                MAX_PROBE_COST / PROBES_PER_ROUND / backends.settings.probeCost());
     }
 
-    /** Whether the others tell what they have out there. */
-    boolean known(int i) {
-        return othersHeard && backends.line[i].userShare() > 0;
+    /** Whether backends renew their reports so seldom that they are old when they come. */
+    boolean reportsAreStale() {
+        return repeatSeconds > FRESH_WINDOWS * backends.windowSeconds;
     }
 
-    /** The wait that own forwards meet now, by Little's law, where reports are old. */
-    double ownWait(int i, double now) {
-        born = born == 0 ? now : born;
-        double rate = ownRate.at(now) / (1 - Math.exp((born - now) / memory) + 1e-9);
-        double work = workTime(i, now);
-        // Danger: one that is out at a thin proxy would look like a jam, so a few met lately count
-        // with it.
-        return Math.max(0, (allOut + FEW) / (rate + FEW / (work + metWait.at(now))) - work);
+    /** Over how many seconds a report loses freshness: until the next where none can be probed. */
+    private double freshSeconds() {
+        return reportsAreStale() || probeRounds() > 0
+                ? FRESH_WINDOWS * backends.windowSeconds
+                : backends.memorySeconds;
     }
 
-    double workTime(int i, double now) {
-        return i < 0 ? 0 : (told > 0 ? told : pace) / backends.coldShare(i, now);
+    /** How far the last report of a backend still counts: 1 when it comes, 0 without one. */
+    double freshness(int backend, double now) {
+        return reportedAt[backend] == 0
+                ? 0
+                : Math.exp((reportedAt[backend] - now) / freshSeconds());
     }
 
     /**
-     * The utilisation that one exchange adds if the others send alike, no more than a whole
-     * window's.
+     * Hears a load report; one that is missing, negative or no number is ignored.
+     *
+     * @param succeeded whether the attempt or probe that it came with did
+     * @param withAttempt whether it came with an attempt's response, not a probe's
      */
-    double worth(int i, double now) {
-        double usual = told > 0 ? told : quick;
-        double share =
-                rated[i] > 0 ? rated[i] / usual : backends.meanPower / backends.line[i].weight();
-        return Math.min(1, quick * backends.stated.proxyCount() / window)
-                * Math.max(1 / SPREAD, Math.min(SPREAD, share))
-                / backends.coldShare(i, now);
-    }
-
-    double trust(int i, double now) {
-        return reportedAt[i] == 0 ? 0 : Math.exp((reportedAt[i] - now) / horizon());
-    }
-
-    /** The estimate. What a report no longer tells, being old, the mean and own forwards out do. */
-    double of(int i, double now) {
-        double trust = trust(i, now);
-        double mean = mean(now);
-        double base = mean + trust * (loadReport[i] - mean);
-        double own = trust * sends[i] + (1 - trust) * backends.out[i];
-        if (othersHeard) {
-            // What is out is known of all, so the report adds how busy it was, and what it held
-            // beyond that.
-            own = Math.max(backends.out[i] + others[i], trust * (held[i] + sends[i]));
-            mean = Math.min(1, mean);
-            base = mean + trust * (use[i] - mean);
+    void reported(
+            int backend, double[] loadReport, boolean succeeded, boolean withAttempt, double now) {
+        Settings.LoadReports fields = backends.settings.loadReports();
+        double utilization = Settings.LoadReports.field(loadReport, fields.utilizationField());
+        // Guards against an idle backend that looks busy with the request just answered.
+        double answered = fields.countsAnsweredRequest() && withAttempt && succeeded ? 1 : 0;
+        double inFlight =
+                Math.max(
+                        0,
+                        Settings.LoadReports.field(loadReport, fields.inFlightField()) - answered);
+        if (loadReport == null || !(utilization + inFlight >= 0)) {
+            return;
         }
-        // Danger: a cold backend reports near nothing and draws more than it can bear.
-        return (backends.coldShare(i, now) < 1 ? Math.max(base, mean) : base) + own * worth(i, now);
-    }
-
-    /** So many forwards more; fewer where one of watching's own was never made. */
-    void sent(int i, int forwards, double now) {
-        sends[i] = Math.max(0, sends[i] + forwards);
-        backends.out[i] += forwards;
-        allOut += forwards;
-        ownRate.add(forwards / memory, now);
-    }
-
-    void ended(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double now) {
-        int i = attempt.backend;
-        backends.out[i]--;
-        allOut--;
-        boolean good = outcome == AttemptOutcome.SUCCESS;
-        if (good || outcome == AttemptOutcome.TIMED_OUT) {
-            // Danger: where all turn slow only the quickest are delivered, and the rest must count
-            // too.
-            // What an old report says is ahead is no measure; what the answer's own report says is.
-            double ahead = old() ? held[i] : attempt.queueAhead;
-            pace +=
-                    (durationSeconds / (1 + ahead) - pace)
-                            / Math.min(++answers, old() ? FEW * FEW : FEW);
+        // Guards against a herd: a repeated report says nothing new, so what was sent still counts.
+        if (isRepeated(backend, utilization, inFlight, succeeded)) {
+            repeatSeconds += Math.max(0, now - reportedAt[backend] - repeatSeconds) / 8;
+            return;
         }
-        if (good) {
-            double step = Math.max(STEP, 1 / (3 + answers));
-            quick =
-                    answers == 1
-                            ? Math.max(durationSeconds, window / 1000)
-                            : quick * (durationSeconds < quick ? 1 - 3 * step : 1 + step);
+        if (reportedAt[backend] > 0 && succeeded) {
+            repeatSeconds -= Math.max(0, repeatSeconds - now + reportedAt[backend]) / 4;
         }
-        if (good
-                || outcome == AttemptOutcome.TIMED_OUT
-                || (outcome.neverExecuted && outcome != AttemptOutcome.NOT_SENT)) {
-            double wait =
-                    outcome == AttemptOutcome.OVERLOADED
-                            ? window
-                            : !good
-                                    ? durationSeconds
-                                    : backends.stated.loadReports().inResponses() && !old()
-                                            ? wait(i, now)
-                                            : Math.max(0, durationSeconds - workTime(i, now));
-            // Over four outcomes at least, so that none decides; it fades sooner where no report
-            // ends a jam.
-            metWait.span = old() ? MET * window : memory;
-            metWait.add(
-                    (wait - metWait.at(now)) / Math.max(4, MET * window * ownRate.at(now)), now);
+        serviceTimes.reported(
+                backend,
+                utilization,
+                Settings.LoadReports.field(loadReport, fields.requestRateField()));
+        renew(backend, utilization, inFlight, succeeded, now);
+    }
+
+    private boolean isRepeated(
+            int backend, double utilization, double inFlight, boolean succeeded) {
+        return reportedAt[backend] > 0
+                && succeeded
+                && utilization > 0
+                && utilization == reportedUtilization[backend]
+                && inFlight == reportedInFlight[backend];
+    }
+
+    private void renew(
+            int backend, double utilization, double inFlight, boolean succeeded, double now) {
+        double busyness = utilization + inFlight * serviceTimes.utilizationPerRequest(backend, now);
+        reportedUtilization[backend] = succeeded ? utilization : 1;
+        reportedInFlight[backend] = inFlight;
+        // Guards against a backend that fails fast, reports the least and draws all requests.
+        reportedBusyness[backend] = succeeded ? busyness : Math.max(busyness, meanReported(now));
+        reportedAt[backend] = now;
+        sentSinceReport[backend] = 0;
+        recentBusyness.spanSeconds = freshSeconds();
+        recentReports.spanSeconds = recentBusyness.spanSeconds;
+        recentBusyness.add(busyness, now);
+        recentReports.add(1, now);
+    }
+
+    private double meanReported(double now) {
+        return (MEAN_BEFORE_REPORTS + recentBusyness.value(now)) / (1 + recentReports.value(now));
+    }
+
+    /** The requests in flight of a backend's last report. */
+    double reportedInFlight(int backend) {
+        return reportedInFlight[backend];
+    }
+
+    /** Whether other proxies tell what they have in flight at a backend. */
+    boolean hasGossip(int backend) {
+        return peersHeard && backends.endpoint[backend].userShare() > 0;
+    }
+
+    /** The estimated utilization of a backend; 1 and above is busy all the time. */
+    double estimate(int backend, double now) {
+        double freshness = freshness(backend, now);
+        double mean = meanReported(now);
+        double base;
+        double requests;
+        if (peersHeard) {
+            // Gossip counts what is in flight, so of the report only what it says beyond that is
+            // added.
+            requests =
+                    Math.max(
+                            backends.inFlight[backend] + peerInFlight[backend],
+                            freshness * (reportedInFlight[backend] + sentSinceReport[backend]));
+            mean = Math.min(1, mean);
+            base = mean + freshness * (reportedUtilization[backend] - mean);
+        } else {
+            requests =
+                    freshness * sentSinceReport[backend]
+                            + (1 - freshness) * backends.inFlight[backend];
+            base = mean + freshness * (reportedBusyness[backend] - mean);
         }
+        // Guards against a cold backend that reports near nothing and draws more than it bears.
+        return (backends.warmShare(backend, now) < 1 ? Math.max(base, mean) : base)
+                + requests * serviceTimes.utilizationPerRequest(backend, now);
     }
 
-    /** Whether reports are refreshed so seldom that one is old when it comes. */
-    boolean old() {
-        return period > FADE * window;
+    /** So many attempts more were sent; fewer where a shadow's own was not made. */
+    void sent(int backend, int attempts) {
+        sentSinceReport[backend] = Math.max(0, sentSinceReport[backend] + attempts);
+        backends.inFlight[backend] += attempts;
     }
 
-    void forget(int i) {
-        reportedAt[i] = rated[i] = sends[i] = others[i] = 0;
+    /** An own attempt has ended. */
+    void attemptEnded(int backend) {
+        backends.inFlight[backend]--;
     }
 }
--- a/src/main/java/lemondrift/model/Request.java
+++ b/src/main/java/lemondrift/model/Request.java
@@ -5,6 +5,9 @@
  * on it.
  */
 public final class Request {
+    /** In {@link #bestBackend}: no backend may take the request. */
+    public static final int NO_BACKEND = -1;
+
     public final long id;
     public final int requestClass;
     public final int tenant;
