--- a/src/main/java/lemondrift/model/AttemptOutcome.java
+++ b/src/main/java/lemondrift/model/AttemptOutcome.java
@@ -1,23 +1,32 @@
 package lemondrift.model;
 
-/** How a forward ended, and whether that proves that it never ran. */
+/** How an attempt ended, and whether that proves that the backend never executed the request. */
 public enum AttemptOutcome {
+    /** The backend answered with an error. */
     ERROR(false, false),
+    /** The backend answered. */
     SUCCESS(false, false),
+    /** The backend rejected it unexecuted. */
     OVERLOADED(true, false),
+    /** No answer within the attempt's timeout. */
     TIMED_OUT(false, true),
+    /** No connection was made. */
     CONNECT_FAILED(true, false),
+    /** The connection broke after the request was sent. */
     RESET(false, false),
+    /** The proxy gave it up. */
     CANCELLED(false, true),
+    /** The proxy did not send it. */
     NOT_SENT(true, false);
 
+    /** Whether the outcome proves that the backend never executed the request. */
     public final boolean neverExecuted;
 
-    /** Whether nobody waits for it any more though the backend may be at work on it. */
+    /** Whether nobody waits for it any more though the backend may still be at work on it. */
     public final boolean mayStillRun;
 
-    AttemptOutcome(boolean neverRan, boolean mayRunOn) {
-        this.neverExecuted = neverRan;
-        this.mayStillRun = mayRunOn;
+    AttemptOutcome(boolean neverExecuted, boolean mayStillRun) {
+        this.neverExecuted = neverExecuted;
+        this.mayStillRun = mayStillRun;
     }
 }
--- a/src/main/java/lemondrift/model/FailureReason.java
+++ b/src/main/java/lemondrift/model/FailureReason.java
@@ -5,11 +5,11 @@
  * metrics.
  */
 public enum FailureReason {
-    /** Its useful time had passed before another attempt could be made. */
+    /** Its attempt deadline had passed before another attempt could be made. */
     NO_TIME_LEFT,
     /** It was still open when its client stopped waiting. */
     EXPIRED,
-    /** The wait to expect was longer than its class may wait. */
+    /** The wait to expect was longer than its priority and its time left allow. */
     WAIT_TOO_LONG,
     /** No backend may take it. */
     NO_BACKEND,
@@ -17,8 +17,8 @@
     ATTEMPTS_USED,
     /** Retries have had their share of the traffic. */
     RETRY_BUDGET_SPENT,
-    /** The process ends. */
+    /** The process shuts down. */
     SHUTDOWN,
-    /** The decisions had not answered it by its expiry, so the client's side did. */
+    /** The decisions had not answered it by its deadline, so the client's side did. */
     OVERDUE
 }
--- a/src/main/java/lemondrift/model/RequestClass.java
+++ b/src/main/java/lemondrift/model/RequestClass.java
@@ -1,6 +1,16 @@
 package lemondrift.model;
 
-/** One service grade; times in seconds. */
+/**
+ * What the settings say of the requests of one class.
+ *
+ * @param priorityWeight what a response in time is worth
+ * @param latePriorityWeight what one after the latency objective is worth; 0 where nothing
+ * @param latencyObjectiveSeconds within which a response is in time
+ * @param timeoutSeconds for which a client waits
+ * @param idempotency whether a request may be executed twice
+ * @param deduplicationScope which backends recognize the idempotency key of a request
+ * @param idempotencyKeyTtlSeconds for which they do
+ */
 public record RequestClass(
         double priorityWeight,
         double latePriorityWeight,
--- a/src/main/java/lemondrift/model/RequestTerms.java
+++ b/src/main/java/lemondrift/model/RequestTerms.java
@@ -1,8 +1,15 @@
 package lemondrift.model;
 
-/** What holds for an exchange from its arrival to its end, whatever is stated later. */
+/**
+ * What holds for a request from its arrival to its end, whatever settings come later.
+ *
+ * @param maxAttempts how many attempts it may have
+ */
 public record RequestTerms(RequestClass requestClass, int maxAttempts) {
-    /** The same with so much time, where its request takes that long to come. */
+    /**
+     * The same with another latency objective and timeout, both of so many seconds, for a request
+     * whose body takes long to come.
+     */
     public RequestTerms withTimeout(double seconds) {
         return new RequestTerms(
                 new RequestClass(
@@ -16,10 +23,8 @@
                 maxAttempts);
     }
 
-    /**
-     * The same with no more forwards than these, where its request can't be sent whole any more.
-     */
-    public RequestTerms withMaxAttempts(int most) {
-        return new RequestTerms(requestClass, Math.min(maxAttempts, most));
+    /** The same with so many attempts at the most, for a request whose body cannot be replayed. */
+    public RequestTerms withMaxAttempts(int limit) {
+        return new RequestTerms(requestClass, Math.min(maxAttempts, limit));
     }
 }
--- a/src/main/java/lemondrift/model/Settings.java
+++ b/src/main/java/lemondrift/model/Settings.java
@@ -6,8 +6,17 @@
 import java.util.stream.Stream;
 
 /**
- * What a deployment states; times in seconds, charges and shares as fractions. A service grade is
- * null where its index stands for none any more.
+ * What a deployment's settings say; costs and shares are fractions.
+ *
+ * @param proxyCount how many proxies share the backends
+ * @param locationCount how many zones there are
+ * @param location the zone of this proxy
+ * @param pollsEndpointList whether the endpoint list must be asked for; else it is pushed
+ * @param requestClasses by index; null where no class stands at it any more
+ * @param tenantQuotaPerSecond by tenant: the requests a second that all proxies together owe it
+ * @param overQuotaWeight what the priority of a tenant beyond its quota is multiplied by
+ * @param clientsMarkRetries whether clients mark a request that is not their first try
+ * @param usesEndpointWeights whether the weights of the endpoint list count
  */
 public record Settings(
         int proxyCount,
@@ -24,45 +33,80 @@
         Costs costs,
         boolean usesEndpointWeights) {
 
-    /** The grades that are stated now. */
+    /** Those whose endpoint lists give no weights that count. */
+    public Settings(
+            int proxyCount,
+            int locationCount,
+            int location,
+            boolean pollsEndpointList,
+            List<RequestClass> requestClasses,
+            double[] tenantQuotaPerSecond,
+            double overQuotaWeight,
+            boolean clientsMarkRetries,
+            LoadReports loadReports,
+            Limits limits,
+            Rules rules,
+            Costs costs) {
+        this(
+                proxyCount,
+                locationCount,
+                location,
+                pollsEndpointList,
+                requestClasses,
+                tenantQuotaPerSecond,
+                overQuotaWeight,
+                clientsMarkRetries,
+                loadReports,
+                limits,
+                rules,
+                costs,
+                false);
+    }
+
+    /** The request classes that the settings name now. */
     public Stream<RequestClass> activeClasses() {
         return requestClasses.stream().filter(Objects::nonNull);
     }
 
-    /** The window of the design page, which is the shortest contract time. */
+    /**
+     * The span that the decisions count in: the shortest latency objective, in seconds; 1 where
+     * there is no class.
+     */
     public double windowSeconds() {
         return activeClasses().mapToDouble(RequestClass::latencyObjectiveSeconds).min().orElse(1);
     }
 
-    /** What a probe costs, as a share of an exchange; infinite where none is allowed. */
+    /** What a probe costs, as a share of a request; infinite where none is allowed. */
     public double probeCost() {
         return limits.canProbe ? costs.probe : Double.POSITIVE_INFINITY;
     }
 
+    /** The priority weights of the request classes. */
     public DoubleStream priorityWeights() {
         return activeClasses().mapToDouble(RequestClass::priorityWeight);
     }
 
-    /** A grade's benefit as a share of the most that one is stated to have. */
+    /** A class's priority weight as a share (0 to 1) of the highest. */
     public double relativePriority(RequestClass requestClass) {
         return requestClass.priorityWeight() / priorityWeights().max().orElse(1);
     }
 
-    /** What an exchange of a grade comes under now. */
+    /** What a request of the class at an index arrives under now. */
     public RequestTerms termsFor(int requestClass) {
         return new RequestTerms(requestClasses.get(requestClass), limits.maxAttempts);
     }
 
     /**
-     * What another statement changes of this one while it holds, with grades under these indexes.
+     * These after a reload: what may change while the process runs is taken from the new settings,
+     * with the request classes at the indexes given.
      */
-    public Settings reloaded(Settings to, List<RequestClass> indexed) {
+    public Settings reloaded(Settings to, List<RequestClass> byIndex) {
         return new Settings(
                 to.proxyCount,
                 locationCount,
                 location,
                 pollsEndpointList,
-                indexed,
+                byIndex,
                 tenantQuotaPerSecond,
                 to.overQuotaWeight,
                 to.clientsMarkRetries,
@@ -73,31 +117,19 @@
                 usesEndpointWeights);
     }
 
-    /** The same for a proxy that stands in another location. */
-    public Settings inLocation(int place) {
-        return new Settings(
-                proxyCount,
-                locationCount,
-                place,
-                pollsEndpointList,
-                requestClasses,
-                tenantQuotaPerSecond,
-                overQuotaWeight,
-                clientsMarkRetries,
-                loadReports,
-                limits,
-                rules,
-                costs,
-                usesEndpointWeights);
+    /** The same for a proxy in another zone. */
+    public Settings inLocation(int location) {
+        return with(proxyCount, location);
     }
 
-    /**
-     * The same where each proxy is so many processes, with the work and the budgets of one
-     * together.
-     */
+    /** The same for one of several processes that share one proxy's traffic and budgets. */
     public Settings dividedAmong(int processes) {
+        return with(proxyCount * processes, location);
+    }
+
+    private Settings with(int proxyCount, int location) {
         return new Settings(
-                proxyCount * processes,
+                proxyCount,
                 locationCount,
                 location,
                 pollsEndpointList,
@@ -112,40 +144,15 @@
                 usesEndpointWeights);
     }
 
-    /** The same where lists tell no sizes that hold. */
-    public Settings(
-            int balancers,
-            int locations,
-            int location,
-            boolean listOnRequest,
-            List<RequestClass> grades,
-            double[] tenantQuota,
-            double excessBenefit,
-            boolean marksRetries,
-            LoadReports reports,
-            Limits limits,
-            Rules rules,
-            Costs charges) {
-        this(
-                balancers,
-                locations,
-                location,
-                listOnRequest,
-                grades,
-                tenantQuota,
-                excessBenefit,
-                marksRetries,
-                reports,
-                limits,
-                rules,
-                charges,
-                false);
-    }
-
     /**
-     * Load reports: where they come from, and at which place each figure stands (-1: not given).
-     * Where the exchanges held are all those in work, an answer's report still counts the one that
-     * it answers.
+     * Where load reports come from, and at which place of a report each field stands; below 0 where
+     * it is not given.
+     *
+     * @param inResponses whether responses carry them
+     * @param utilizationField the share of time that the backend was busy
+     * @param inFlightField the requests that it holds
+     * @param countsAnsweredRequest whether a response's report still counts the request answered
+     * @param requestRateField the requests a second that it answers
      */
     public record LoadReports(
             boolean inResponses,
@@ -153,7 +160,7 @@
             int inFlightField,
             boolean countsAnsweredRequest,
             int requestRateField) {
-        /** The figure of a report at a place; 0 where there is none. */
+        /** The field of a report at a place; 0 where there is none. */
         public static double field(double[] loadReport, int place) {
             return place >= 0 && loadReport != null && place < loadReport.length
                     ? loadReport[place]
@@ -161,9 +168,26 @@
         }
     }
 
+    /**
+     * What this proxy may do.
+     *
+     * @param canCancel whether attempts in flight may be cancelled
+     * @param canProbe whether backends may be asked for a load report
+     * @param maxAttempts how many attempts a request may have
+     * @param maxRetryAfterSeconds the longest retry-after that a rejection may name
+     */
     public record Limits(
             boolean canCancel, boolean canProbe, int maxAttempts, double maxRetryAfterSeconds) {}
 
+    /**
+     * What backends and the endpoint list bear.
+     *
+     * @param slowStartMinShare the share (0 to 1) of its capacity that a backend starts with
+     * @param slowStartSeconds after which it has all of it
+     * @param overloadFactor times its present capacity a warming backend bears
+     * @param overloadWindowSeconds within which that is counted
+     * @param pollWithinSeconds within which the endpoint list must be asked for
+     */
     public record Rules(
             double slowStartMinShare,
             double slowStartSeconds,
@@ -171,5 +195,11 @@
             double overloadWindowSeconds,
             double pollWithinSeconds) {}
 
+    /**
+     * Costs as a share of what a request of mean priority is worth.
+     *
+     * @param crossZone of sending a request to another zone
+     * @param probe of asking a backend for a load report
+     */
     public record Costs(double crossZone, double probe) {}
 }
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -15,35 +15,42 @@
 import lemondrift.model.Settings;
 
 /**
- * The watching mode: a second module with other settings sees all that happens, is asked at each
- * decision what it would do, and follows what was done. It counts by kind where it would have
- * decided otherwise. Nothing of it is carried out; its chance, probes and budgets are its own, so
- * that the deciding module never notices it.
+ * A second balancer with other settings that sees all events, is asked at each decision what it
+ * would do, and then follows what was done. It counts by kind where it would have decided
+ * otherwise. Nothing of it is carried out; its randomness, probes and budgets are its own, so that
+ * the balancer in force never notices it.
  */
 public final class ShadowEvaluator {
     /** What it would have done in place of what was done. */
     public enum Kind {
+        /** Sent to another backend. */
         ANOTHER_BACKEND,
+        /** Sent to a backend in another zone. */
         CROSS,
+        /** Sent to one in this zone. */
         NOT_CROSS,
+        /** Rejected or failed in place of the first attempt. */
         SHED,
+        /** Made the first attempt. */
         NOT_SHED,
+        /** Retried. */
         SEND_AGAIN,
+        /** Not retried. */
         NOT_SEND_AGAIN
     }
 
-    private static final int NONE = -1;
+    /** In place of a backend: no attempt was made. */
+    private static final int NO_ATTEMPT = -1;
 
-    /**
-     * An exchange as the second module knows it, and the forward that stands for the one that is
-     * out.
-     */
+    /** A request as the shadow knows it. */
     private static final class Copy {
-        final Request exchange;
+        final Request request;
+
+        /** What stands for the attempt that is in flight; null where none is. */
         Attempt followed;
 
         Copy(Request request) {
-            exchange =
+            this.request =
                     new Request(
                             request.id,
                             request.requestClass,
@@ -55,67 +62,88 @@
     }
 
     private final LoadBalancer balancer;
-    private final int here;
+    private final int ownLocation;
     private Settings settings;
+
+    /** By the request in force. */
     private final Map<Request, Copy> copies = new HashMap<>();
+
+    /** By the ordinal of the kind. */
     private final long[] counts = new long[Kind.values().length];
+
+    /** By backend: its zone. */
     private final Map<Integer, Integer> locations = new HashMap<>();
+
     private long decisions;
     private double wakeAt = Double.POSITIVE_INFINITY;
 
+    /**
+     * @param settings those to evaluate
+     * @param seed of all randomness
+     */
     public ShadowEvaluator(Settings settings, long seed) {
         balancer = new LoadBalancer(settings, seed);
-        here = settings.location();
+        ownLocation = settings.location();
         this.settings = settings;
     }
 
-    /** The program's own were stated anew, and with them these. */
-    public void settingsChanged(Settings other, List<Integer> fresh) {
-        settings = settings.reloaded(other, other.requestClasses());
-        balancer.settingsChanged(settings, fresh);
+    /**
+     * Other settings are to be evaluated, after a reload.
+     *
+     * @param reassigned the indexes at which another request class stands than before
+     */
+    public void settingsChanged(Settings reloaded, List<Integer> reassigned) {
+        settings = settings.reloaded(reloaded, reloaded.requestClasses());
+        balancer.settingsChanged(settings, reassigned);
     }
 
+    /** See {@link LoadBalancer#endpointsListed}. */
     public void endpointsListed(
-            double now, boolean whole, boolean stale, List<EndpointUpdate> updates) {
+            double now, boolean full, boolean stale, List<EndpointUpdate> updates) {
         updates.forEach(update -> locations.put(update.backend(), update.location()));
-        settle(now, balancer.endpointsListed(now, whole, stale, updates));
+        settle(now, balancer.endpointsListed(now, full, stale, updates));
     }
 
+    /** A request has come; one of a class that these settings do not name is left out. */
     public void requestArrived(double now, Request request) {
         if (settings.requestClasses().get(request.requestClass) == null) {
             return;
         }
         Copy copy = new Copy(request);
         copies.put(request, copy);
-        settle(now, balancer.requestArrived(now, copy.exchange));
+        settle(now, balancer.requestArrived(now, copy.request));
     }
 
-    /** Compares with what the deciding module has done, and follows that. */
+    /** Compares with what the balancer in force has decided, and follows that. */
     public void decided(double now, Decision decision) {
         for (Attempt attempt : decision.attempts) {
             Copy copy = copies.get(attempt.request);
             if (copy != null) {
                 Attempt own = own(copy);
-                compare(own == null ? NONE : own.backend, attempt.backend, attempt.index > 0);
+                compare(own == null ? NO_ATTEMPT : own.backend, attempt.backend, attempt.index > 0);
                 follow(now, copy, own, attempt);
             }
         }
-        for (Decision.LocalReply a : decision.localReplies) {
-            Copy copy = copies.get(a.request());
+        for (Decision.LocalReply reply : decision.localReplies) {
+            Copy copy = copies.get(reply.request());
             if (copy != null && copy.followed == null) {
                 Attempt own = own(copy);
-                compare(own == null ? NONE : own.backend, NONE, a.request().attemptCount > 0);
+                compare(
+                        own == null ? NO_ATTEMPT : own.backend,
+                        NO_ATTEMPT,
+                        reply.request().attemptCount > 0);
             }
-            clientLeft(now, a.request());
+            clientLeft(now, reply.request());
         }
     }
 
+    /** See {@link LoadBalancer#attemptEnded}. */
     public void attemptEnded(
             double now,
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
-            boolean over,
+            boolean completed,
             double[] loadReport) {
         Copy copy = copies.get(attempt.request);
         if (copy == null || copy.followed == null) {
@@ -125,18 +153,21 @@
         copy.followed = null;
         settle(
                 now,
-                balancer.attemptEnded(now, followed, outcome, durationSeconds, over, loadReport));
-        if (over) {
+                balancer.attemptEnded(
+                        now, followed, outcome, durationSeconds, completed, loadReport));
+        if (completed) {
             copies.remove(attempt.request);
         }
     }
 
+    /** See {@link LoadBalancer#probeEnded}. */
     public void probeEnded(double now, int backend, AttemptOutcome outcome, double[] loadReport) {
         settle(now, balancer.probeEnded(now, backend, outcome, loadReport));
     }
 
     /**
-     * The exchange is over. Danger: a forward that is still out counts there until its end is told.
+     * The request is over. Its copy stays while an attempt is in flight, which counts until it
+     * ends.
      */
     public void clientLeft(double now, Request request) {
         Copy copy = copies.get(request);
@@ -144,29 +175,33 @@
             return;
         }
         Attempt own = own(copy);
-        settle(now, balancer.clientLeft(now, copy.exchange));
+        settle(now, balancer.clientLeft(now, copy.request));
         if (own != null) {
-            takeBack(now, copy.exchange, own);
+            takeBack(now, copy.request, own);
         }
         if (copy.followed == null) {
             copies.remove(request);
         }
     }
 
+    /** Wakes the shadow where its time has come. */
     public void wake(double now) {
         if (wakeAt <= now) {
             settle(now, balancer.wake(now));
         }
     }
 
+    /** When {@link #wake} is to be called; infinite where it need not. */
     public double wakeAt() {
         return wakeAt;
     }
 
+    /** How many decisions were compared. */
     public long decisions() {
         return decisions;
     }
 
+    /** How many of them would have been of a kind. */
     public long count(Kind kind) {
         return counts[kind.ordinal()];
     }
@@ -185,22 +220,23 @@
         return text.toString();
     }
 
-    /** Its own choice that is not carried out yet; null where it would give up. */
+    /** The shadow's own attempt that is not in flight; null where it would make none. */
     private static Attempt own(Copy copy) {
-        Attempt latest = copy.exchange.latestAttempt;
+        Attempt latest = copy.request.latestAttempt;
         return latest == null || latest.ended || latest == copy.followed ? null : latest;
     }
 
-    private void compare(int own, int done, boolean again) {
+    /** Compares the shadow's backend with the one sent to, either of which may be none. */
+    private void compare(int own, int done, boolean retry) {
         decisions++;
-        if (own == NONE && done != NONE) {
-            counted(again ? Kind.NOT_SEND_AGAIN : Kind.SHED);
-        } else if (own != NONE && done == NONE) {
-            counted(again ? Kind.SEND_AGAIN : Kind.NOT_SHED);
+        if (own == NO_ATTEMPT && done != NO_ATTEMPT) {
+            counted(retry ? Kind.NOT_SEND_AGAIN : Kind.SHED);
+        } else if (own != NO_ATTEMPT && done == NO_ATTEMPT) {
+            counted(retry ? Kind.SEND_AGAIN : Kind.NOT_SHED);
         } else if (own != done) {
             counted(Kind.ANOTHER_BACKEND);
-            boolean crosses = locations.getOrDefault(own, here) != here;
-            if (crosses != (locations.getOrDefault(done, here) != here)) {
+            boolean crosses = locations.getOrDefault(own, ownLocation) != ownLocation;
+            if (crosses != (locations.getOrDefault(done, ownLocation) != ownLocation)) {
                 counted(crosses ? Kind.CROSS : Kind.NOT_CROSS);
             }
         }
@@ -210,9 +246,9 @@
         counts[kind.ordinal()]++;
     }
 
-    /** Puts the forward that was made in the place of its own choice, if there is one. */
+    /** Puts the attempt that was made in the place of the shadow's own, if there is one. */
     private void follow(double now, Copy copy, Attempt own, Attempt done) {
-        Request request = copy.exchange;
+        Request request = copy.request;
         if (own != null && own.backend == done.backend) {
             copy.followed = own;
             return;
@@ -230,6 +266,7 @@
         balancer.adjustAttempts(now, done.backend, 1);
     }
 
+    /** Undoes an attempt of the shadow's own that was not made. */
     private void takeBack(double now, Request request, Attempt own) {
         own.ended = true;
         request.latestAttempt = own.previous;
@@ -239,14 +276,14 @@
     }
 
     /**
-     * Danger: probes are not sent for it, and one that nobody answers would make its backend look
-     * silent.
+     * Ends the probes that the shadow asks for, since none is sent for it. Guards against backends
+     * that it would leave out as not answering.
      */
     private void settle(double now, Decision decision) {
-        Deque<Integer> asked = new ArrayDeque<>(decision.probes);
-        while (!asked.isEmpty()) {
-            asked.addAll(
-                    balancer.probeEnded(now, asked.poll(), AttemptOutcome.NOT_SENT, null).probes);
+        Deque<Integer> probes = new ArrayDeque<>(decision.probes);
+        while (!probes.isEmpty()) {
+            probes.addAll(
+                    balancer.probeEnded(now, probes.poll(), AttemptOutcome.NOT_SENT, null).probes);
         }
         wakeAt = decision.wakeAt;
     }
