--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -20,83 +20,88 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** A slow, plain model of the four rules beside the module on generated days. */
+/** A plain reference model of the four rules beside the balancer, on generated events. */
 class FourRulesTest {
-    /** The work of each exchange; answers never take less. */
-    private static final double WORK = 0.1;
+    /** The work of each request in seconds; responses never take less. */
+    private static final double WORK_SECONDS = 0.1;
 
-    private static final RequestClass[] GRADES = {
-        TestDeployment.PURE, TestDeployment.MARKED, TestDeployment.ONCE, TestDeployment.CELLS
+    private static final RequestClass[] REQUEST_CLASSES = {
+        TestDeployment.IDEMPOTENT,
+        TestDeployment.WITH_KEY,
+        TestDeployment.NOT_IDEMPOTENT,
+        TestDeployment.WITH_KEY_BY_CELL
     };
 
-    private final Map<Request, List<Attempt>> made = new HashMap<>();
+    private final Map<Request, List<Attempt>> attemptsOf = new HashMap<>();
     private final Map<Attempt, AttemptOutcome> outcomes = new HashMap<>();
-    private final Map<Request, Integer> answered = new HashMap<>();
-    private final Map<Integer, EndpointUpdate> told = new HashMap<>();
-    private final List<Attempt> open = new ArrayList<>();
-    private TestDeployment w;
-    private Request latest;
+    private final Map<Request, Integer> finalAnswers = new HashMap<>();
+    private final Map<Integer, EndpointUpdate> endpoints = new HashMap<>();
+    private final List<Attempt> inFlight = new ArrayList<>();
+    private TestDeployment proxy;
+    private Request latestRequest;
 
     @Property(tries = 150, seed = "20261201")
-    void theModuleKeepsTheRules(
+    void theBalancerKeepsTheRules(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 7) int backends,
             @ForAll boolean byProbe,
-            @ForAll @IntRange(min = 1, max = 40) int pace) {
-        Random chance = new Random(seed);
-        w =
+            @ForAll @IntRange(min = 1, max = 40) int meanStepHundredths) {
+        Random random = new Random(seed);
+        proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 3,
-                                chance.nextBoolean(),
-                                byProbe ? TestDeployment.PROBES : TestDeployment.ANSWERS,
+                                random.nextBoolean(),
+                                byProbe
+                                        ? TestDeployment.REPORTS_BY_PROBE
+                                        : TestDeployment.REPORTS_IN_RESPONSES,
                                 byProbe),
                         7);
-        w.watcher = this::check;
-        List.of(made, outcomes, answered, told).forEach(Map::clear);
-        open.clear();
-        TestDeployment.lines(backends).forEach(update -> told.put(update.backend(), update));
-        w.list(true, true, TestDeployment.lines(backends));
+        proxy.onDecision = this::check;
+        List.of(attemptsOf, outcomes, finalAnswers, endpoints).forEach(Map::clear);
+        inFlight.clear();
+        TestDeployment.endpoints(backends)
+                .forEach(update -> endpoints.put(update.backend(), update));
+        proxy.list(true, true, TestDeployment.endpoints(backends));
         for (int step = 0; step < 300; step++) {
-            w.loads.put(
-                    chance.nextInt(backends),
-                    chance.nextInt(4) == 0
+            proxy.loads.put(
+                    random.nextInt(backends),
+                    random.nextInt(4) == 0
                             ? null
-                            : new double[] {chance.nextDouble(), chance.nextInt(4)});
-            w.wakeUntil(w.now + chance.nextDouble() * pace / 100);
+                            : new double[] {random.nextDouble(), random.nextInt(4)});
+            proxy.wakeUntil(proxy.now + random.nextDouble() * meanStepHundredths / 100);
             endOverdue();
-            event(chance, backends);
+            event(random, backends);
         }
-        w.wakeUntil(w.now + 3);
+        proxy.wakeUntil(proxy.now + 3);
         endOverdue();
-        made.keySet()
+        attemptsOf
+                .keySet()
                 .forEach(
                         request ->
                                 assertEquals(
                                         1,
-                                        answered.getOrDefault(request, 0),
+                                        finalAnswers.getOrDefault(request, 0),
                                         "one final answer each"));
     }
 
-    /**
-     * Hundreds of proxies, told of one start at once, share its budget; each keeps only its own
-     * part.
-     */
+    /** Hundreds of proxies that hear of one start at once share its budget. */
     @Property(tries = 12, seed = "20261201")
-    void manyProxiesTogetherPushNoColdBackendOver(
+    void manyProxiesTogetherOverloadNoColdBackend(
             @ForAll @IntRange(min = 2, max = 500) int proxies,
-            @ForAll @IntRange(min = 1, max = 4) int aSecond) {
+            @ForAll @IntRange(min = 1, max = 4) int requestsPerSecond) {
         List<Double> sent = new ArrayList<>();
         for (int i = 0; i < proxies; i++) {
             TestDeployment each =
                     new TestDeployment(
-                            TestDeployment.settings(proxies, false, TestDeployment.ANSWERS, true),
+                            TestDeployment.settings(
+                                    proxies, false, TestDeployment.REPORTS_IN_RESPONSES, true),
                             i);
             each.list(
                     true,
                     i % 2 == 0,
-                    List.of(TestDeployment.line(0, EndpointUpdate.State.READY, each.now)));
-            for (double at = 0.5 / aSecond; at < 6; at += 1.0 / aSecond) {
+                    List.of(TestDeployment.endpoint(0, EndpointUpdate.State.READY, each.now)));
+            for (double at = 0.5 / requestsPerSecond; at < 6; at += 1.0 / requestsPerSecond) {
                 each.wakeUntil(100 + at);
                 Attempt attempt = each.arrive(0);
                 if (attempt != null) {
@@ -109,160 +114,176 @@
             double start = from;
             double end = from + TestDeployment.RULES.overloadWindowSeconds();
             long count = sent.stream().filter(at -> at >= start && at < end).count();
-            double share =
+            double warmShare =
                     TestDeployment.RULES.slowStartMinShare()
                             + (1 - TestDeployment.RULES.slowStartMinShare())
                                     * from
                                     / TestDeployment.RULES.slowStartSeconds();
-            double bearable =
+            double bearableSeconds =
                     TestDeployment.RULES.overloadFactor()
-                            * share
+                            * warmShare
                             * TestDeployment.RULES.overloadWindowSeconds();
-            assertTrue(count * WORK <= bearable + WORK, count + " from " + from);
+            assertTrue(
+                    count * WORK_SECONDS <= bearableSeconds + WORK_SECONDS,
+                    count + " from " + from);
         }
     }
 
-    private void event(Random chance, int backends) {
-        int kind = chance.nextInt(20);
+    private void event(Random random, int backends) {
+        int kind = random.nextInt(20);
         if (kind < 9) {
-            latest =
+            latestRequest =
                     new Request(
-                            made.size(),
-                            chance.nextInt(4),
+                            attemptsOf.size(),
+                            random.nextInt(4),
                             0,
-                            w.now,
-                            chance.nextInt(4) == 0 ? 1.2 : 2);
-            made.put(latest, new ArrayList<>());
-            w.did(w.balancer.requestArrived(w.now, latest));
-        } else if (kind < 16 && !open.isEmpty()) {
-            Attempt attempt = open.get(chance.nextInt(open.size()));
+                            proxy.now,
+                            random.nextInt(4) == 0 ? 1.2 : 2);
+            attemptsOf.put(latestRequest, new ArrayList<>());
+            proxy.apply(proxy.balancer.requestArrived(proxy.now, latestRequest));
+        } else if (kind < 16 && !inFlight.isEmpty()) {
+            Attempt attempt = inFlight.get(random.nextInt(inFlight.size()));
             AttemptOutcome outcome =
-                    AttemptOutcome.values()[chance.nextInt(AttemptOutcome.values().length)];
-            if (outcome != AttemptOutcome.SUCCESS || w.now - attempt.sentAt >= WORK) {
-                end(attempt, outcome, chance.nextDouble());
+                    AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+            if (outcome != AttemptOutcome.SUCCESS || proxy.now - attempt.sentAt >= WORK_SECONDS) {
+                end(attempt, outcome, random.nextDouble());
             }
         } else if (kind < 18) {
-            int i = chance.nextInt(backends + 2);
-            EndpointUpdate.State state = EndpointUpdate.State.values()[chance.nextInt(3)];
-            told.put(i, TestDeployment.line(i, state, chance.nextBoolean() ? w.now : 0));
-            w.list(false, false, List.of(told.get(i)));
+            int backend = random.nextInt(backends + 2);
+            EndpointUpdate.State state = EndpointUpdate.State.values()[random.nextInt(3)];
+            endpoints.put(
+                    backend,
+                    TestDeployment.endpoint(backend, state, random.nextBoolean() ? proxy.now : 0));
+            proxy.list(false, false, List.of(endpoints.get(backend)));
         } else if (kind == 18) {
-            w.did(
-                    w.balancer.probeEnded(
-                            w.now,
-                            chance.nextInt(backends),
-                            AttemptOutcome.values()[chance.nextInt(8)],
+            proxy.apply(
+                    proxy.balancer.probeEnded(
+                            proxy.now,
+                            random.nextInt(backends),
+                            AttemptOutcome.values()[random.nextInt(8)],
                             new double[] {0, 0}));
-        } else if (latest != null && !answered.containsKey(latest)) {
-            answered.put(latest, 1);
-            w.did(w.balancer.clientLeft(w.now, latest));
+        } else if (latestRequest != null && !finalAnswers.containsKey(latestRequest)) {
+            finalAnswers.put(latestRequest, 1);
+            proxy.apply(proxy.balancer.clientLeft(proxy.now, latestRequest));
         }
     }
 
-    /** A forward whose time is up ends as a time-out, so that its exchange can be answered. */
+    /** An attempt past its timeout ends as timed out, so that its request can be answered. */
     private void endOverdue() {
-        for (Attempt attempt : List.copyOf(open)) {
-            if (w.now >= attempt.sentAt + attempt.timeoutSeconds) {
+        for (Attempt attempt : List.copyOf(inFlight)) {
+            if (proxy.now >= attempt.sentAt + attempt.timeoutSeconds) {
                 end(attempt, AttemptOutcome.TIMED_OUT, 1);
             }
         }
     }
 
-    private void end(Attempt attempt, AttemptOutcome outcome, double utilisation) {
-        open.remove(attempt);
+    private void end(Attempt attempt, AttemptOutcome outcome, double utilization) {
+        inFlight.remove(attempt);
         outcomes.put(attempt, outcome);
         if (outcome == AttemptOutcome.SUCCESS) {
-            answered.putIfAbsent(attempt.request, 1);
+            finalAnswers.putIfAbsent(attempt.request, 1);
         }
-        w.did(
-                w.balancer.attemptEnded(
-                        w.now,
+        proxy.apply(
+                proxy.balancer.attemptEnded(
+                        proxy.now,
                         attempt,
                         outcome,
-                        w.now - attempt.sentAt,
-                        answered.containsKey(attempt.request),
-                        new double[] {utilisation, 0}));
+                        proxy.now - attempt.sentAt,
+                        finalAnswers.containsKey(attempt.request),
+                        new double[] {utilization, 0}));
     }
 
     private void check(Decision decision) {
         for (Attempt attempt : decision.attempts) {
-            List<Attempt> before = made.get(attempt.request);
+            List<Attempt> earlier = attemptsOf.get(attempt.request);
             assertTrue(
-                    !answered.containsKey(attempt.request) && w.now < attempt.request.deadline,
-                    "rule 1: sent late");
-            before.forEach(b -> assertTrue(outcomes.containsKey(b), "two forwards out at once"));
-            before.stream()
-                    .filter(b -> !outcomes.get(b).neverExecuted)
+                    !finalAnswers.containsKey(attempt.request)
+                            && proxy.now < attempt.request.deadline,
+                    "rule 1: attempt after the deadline");
+            earlier.forEach(
+                    previous ->
+                            assertTrue(
+                                    outcomes.containsKey(previous),
+                                    "two attempts in flight at once"));
+            earlier.stream()
+                    .filter(previous -> !outcomes.get(previous).neverExecuted)
                     .findFirst()
                     .ifPresent(
-                            b ->
+                            previous ->
                                     assertTrue(
                                             mayRepeat(
-                                                    GRADES[attempt.request.requestClass],
-                                                    b,
+                                                    REQUEST_CLASSES[attempt.request.requestClass],
+                                                    previous,
                                                     attempt),
-                                            "rule 2: " + outcomes.get(b)));
-            assertEquals(EndpointUpdate.State.READY, told.get(attempt.backend).state(), "rule 3");
-            before.add(attempt);
-            open.add(attempt);
+                                            "rule 2: " + outcomes.get(previous)));
+            assertEquals(
+                    EndpointUpdate.State.READY, endpoints.get(attempt.backend).state(), "rule 3");
+            earlier.add(attempt);
+            inFlight.add(attempt);
             assertTrue(
-                    work(attempt.backend) <= budget(attempt.backend) + WORK,
-                    "rule 4: " + work(attempt.backend));
+                    workSeconds(attempt.backend) <= budgetSeconds(attempt.backend) + WORK_SECONDS,
+                    "rule 4: " + workSeconds(attempt.backend));
         }
-        for (Decision.LocalReply a : decision.localReplies) {
-            assertTrue(w.now <= a.request().deadline, "rule 1: answered late");
-            assertEquals(1, answered.merge(a.request(), 1, Integer::sum), "rule 1: answered twice");
+        for (Decision.LocalReply reply : decision.localReplies) {
+            assertTrue(proxy.now <= reply.request().deadline, "rule 1: answered late");
+            assertEquals(
+                    1,
+                    finalAnswers.merge(reply.request(), 1, Integer::sum),
+                    "rule 1: answered twice");
             boolean harmless =
-                    made.get(a.request()).stream()
+                    attemptsOf.get(reply.request()).stream()
                             .allMatch(
                                     attempt ->
                                             outcomes.containsKey(attempt)
                                                     && outcomes.get(attempt).neverExecuted);
             assertTrue(
-                    !a.rejected() || harmless || a.request().requestClass == 0,
-                    "rule 2: shed, may have run");
+                    !reply.rejected() || harmless || reply.request().requestClass == 0,
+                    "rule 2: rejected, may have been executed");
         }
     }
 
-    private boolean mayRepeat(RequestClass requestClass, Attempt ran, Attempt again) {
-        EndpointUpdate from = told.get(ran.backend);
-        EndpointUpdate to = told.get(again.backend);
+    private boolean mayRepeat(RequestClass requestClass, Attempt executed, Attempt retry) {
+        EndpointUpdate from = endpoints.get(executed.backend);
+        EndpointUpdate to = endpoints.get(retry.backend);
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && w.now - ran.sentAt <= requestClass.idempotencyKeyTtlSeconds()
+                        && proxy.now - executed.sentAt <= requestClass.idempotencyKeyTtlSeconds()
                         && from.location() == to.location()
                         && (requestClass.deduplicationScope() == DeduplicationScope.LOCATION
                                 || from.cell() == to.cell()));
     }
 
     /** All that was sent to a backend within the window up to now, since it started. */
-    private double work(int i) {
-        return WORK
-                * made.values().stream()
+    private double workSeconds(int backend) {
+        return WORK_SECONDS
+                * attemptsOf.values().stream()
                         .flatMap(List::stream)
                         .filter(
                                 attempt ->
-                                        attempt.backend == i
+                                        attempt.backend == backend
                                                 && attempt.sentAt
-                                                        > w.now
+                                                        > proxy.now
                                                                 - TestDeployment.RULES
                                                                         .overloadWindowSeconds()
-                                                && attempt.sentAt >= told.get(i).startedAt())
+                                                && attempt.sentAt
+                                                        >= endpoints.get(backend).startedAt())
                         .count();
     }
 
     /**
      * This proxy's part of what a cold backend bears in one window; without bound where it is warm.
      */
-    private double budget(int i) {
-        double age = (w.now - told.get(i).startedAt()) / TestDeployment.RULES.slowStartSeconds();
-        double share =
+    private double budgetSeconds(int backend) {
+        double elapsedShare =
+                (proxy.now - endpoints.get(backend).startedAt())
+                        / TestDeployment.RULES.slowStartSeconds();
+        double warmShare =
                 TestDeployment.RULES.slowStartMinShare()
-                        + (1 - TestDeployment.RULES.slowStartMinShare()) * age;
-        return told.get(i).startedAt() == 0 || age >= 1
+                        + (1 - TestDeployment.RULES.slowStartMinShare()) * elapsedShare;
+        return endpoints.get(backend).startedAt() == 0 || elapsedShare >= 1
                 ? Double.POSITIVE_INFINITY
                 : TestDeployment.RULES.overloadFactor()
-                        * share
+                        * warmShare
                         * TestDeployment.RULES.overloadWindowSeconds()
                         / 3;
     }
--- a/src/test/java/lemondrift/LoadBalancerTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -19,263 +19,282 @@
 import lemondrift.model.ShedThreshold;
 import org.junit.jupiter.api.Test;
 
-/** Each danger that the module names, on the module alone. */
+/** Each failure that the balancer guards against, on the balancer alone. */
 class LoadBalancerTest {
-    private static final int PURE = 0;
-    private static final int MARKED = 1;
-    private static final int ONCE = 2;
-
-    private static double share(TestDeployment w, int backend, int of) {
-        int hits = 0;
-        for (int i = 0; i < of; i++) {
-            Attempt attempt = w.arrive(PURE);
-            hits += attempt != null && attempt.backend == backend ? 1 : 0;
+    private static final int IDEMPOTENT = 0;
+    private static final int WITH_KEY = 1;
+    private static final int NOT_IDEMPOTENT = 2;
+
+    private static double share(TestDeployment proxy, int backend, int requests) {
+        int attempts = 0;
+        for (int i = 0; i < requests; i++) {
+            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            attempts += attempt != null && attempt.backend == backend ? 1 : 0;
         }
-        return (double) hits / of;
+        return (double) attempts / requests;
     }
 
     /**
-     * The backends that so many exchanges go to, one every so many seconds, each delivered at once.
+     * The backends that so many requests go to, one every so many seconds, each answered at once.
      */
-    private static Set<Integer> used(TestDeployment w, int exchanges, double apart) {
+    private static Set<Integer> used(TestDeployment proxy, int requests, double secondsApart) {
         Set<Integer> used = new HashSet<>();
-        for (int i = 0; i < exchanges; i++) {
-            w.wakeUntil(w.now + apart);
-            Attempt attempt = w.arrive(ONCE);
+        for (int i = 0; i < requests; i++) {
+            proxy.wakeUntil(proxy.now + secondsApart);
+            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
             used.add(attempt.backend);
-            w.end(attempt, AttemptOutcome.SUCCESS);
+            proxy.end(attempt, AttemptOutcome.SUCCESS);
         }
         return used;
     }
 
     @Test
-    void theLeastEstimateWinsUntilOwnSendsRaiseIt() {
-        TestDeployment w = TestDeployment.of(3).load(0.8, 0.1, 0.8);
-        assertEquals(1, w.arrive(PURE).backend);
-        assertTrue(share(w, 1, 9) < 1, "own sends raise the estimate");
+    void theLowestEstimateIsChosenUntilOwnAttemptsRaiseIt() {
+        TestDeployment proxy = TestDeployment.of(3).load(0.8, 0.1, 0.8);
+        assertEquals(1, proxy.arrive(IDEMPOTENT).backend);
+        assertTrue(share(proxy, 1, 9) < 1, "own attempts raise the estimate");
     }
 
     @Test
-    void aReportOverwritesTheEstimateAndClearsTheSends() {
-        TestDeployment w = TestDeployment.of(2).load(0.5, 0.6);
-        Attempt attempt = w.arrive(ONCE);
+    void aLoadReportReplacesTheEstimateAndClearsWhatWasSent() {
+        TestDeployment proxy = TestDeployment.of(2).load(0.5, 0.6);
+        Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
         assertEquals(0, attempt.backend);
-        assertEquals(1, w.arrive(ONCE).backend);
-        w.end(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
-        assertEquals(0, w.arrive(ONCE).backend);
+        assertEquals(1, proxy.arrive(NOT_IDEMPOTENT).backend);
+        proxy.end(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
+        assertEquals(0, proxy.arrive(NOT_IDEMPOTENT).backend);
     }
 
     @Test
-    void anAnswersReportDoesNotCountTheExchangeItAnswers() {
-        TestDeployment w =
+    void aResponsesReportDoesNotCountTheRequestItAnswers() {
+        TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 14, false, new Settings.LoadReports(true, 0, 1, true, -1), false),
                         7);
-        w.list(true, false, TestDeployment.lines(2));
-        Attempt first = w.arrive(ONCE);
-        Attempt second = w.arrive(ONCE);
-        w.now += 0.1;
-        w.end(first, AttemptOutcome.SUCCESS, 0.5, 1);
-        w.end(second, AttemptOutcome.SUCCESS, 0.4, 2);
+        proxy.list(true, false, TestDeployment.endpoints(2));
+        Attempt first = proxy.arrive(NOT_IDEMPOTENT);
+        Attempt second = proxy.arrive(NOT_IDEMPOTENT);
+        proxy.now += 0.1;
+        proxy.end(first, AttemptOutcome.SUCCESS, 0.5, 1);
+        proxy.end(second, AttemptOutcome.SUCCESS, 0.4, 2);
         assertEquals(
                 0,
-                w.balancer.shedThreshold(w.now, ONCE).retryAfterSeconds(),
-                "an idle fleet sheds nothing");
-        assertEquals(first.backend, w.arrive(ONCE).backend, "idle, though its report says one");
+                proxy.balancer.shedThreshold(proxy.now, NOT_IDEMPOTENT).retryAfterSeconds(),
+                "nothing is rejected where all are idle");
+        assertEquals(
+                first.backend,
+                proxy.arrive(NOT_IDEMPOTENT).backend,
+                "idle, though its report says one");
     }
 
     @Test
-    void whatOthersHaveOutCountsLikeOwnAndNeverWarmsACold() {
-        TestDeployment w =
+    void peersInFlightCountsLikeOwnAndNeverWarmsAColdBackend() {
+        TestDeployment proxy =
                 new TestDeployment(
-                        TestDeployment.settings(14, false, TestDeployment.ANSWERS, false), 7);
-        w.list(
+                        TestDeployment.settings(
+                                14, false, TestDeployment.REPORTS_IN_RESPONSES, false),
+                        7);
+        proxy.list(
                 true,
                 false,
                 List.of(
-                        TestDeployment.line(0, EndpointUpdate.State.READY, 0),
-                        TestDeployment.line(1, EndpointUpdate.State.READY, 0),
-                        TestDeployment.line(2, EndpointUpdate.State.READY, w.now)));
-        w.balancer.peerLoadReported(0, 3);
-        w.balancer.peerLoadReported(2, 0);
-        w.balancer.peersHeard(true);
-        assertEquals(1, w.arrive(ONCE).backend, "idle as told");
-        int cold = 0;
+                        TestDeployment.endpoint(0, EndpointUpdate.State.READY, 0),
+                        TestDeployment.endpoint(1, EndpointUpdate.State.READY, 0),
+                        TestDeployment.endpoint(2, EndpointUpdate.State.READY, proxy.now)));
+        proxy.balancer.peerLoadReported(0, 3);
+        proxy.balancer.peerLoadReported(2, 0);
+        proxy.balancer.peersHeard(true);
+        assertEquals(1, proxy.arrive(NOT_IDEMPOTENT).backend, "idle as peers report");
+        int toTheCold = 0;
         for (int i = 0; i < 30; i++) {
-            Attempt attempt = w.arrive(ONCE);
-            cold += attempt != null && attempt.backend == 2 ? 1 : 0;
+            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            toTheCold += attempt != null && attempt.backend == 2 ? 1 : 0;
         }
-        assertTrue(cold <= 1, cold + " went to one that looks idle and is cold");
+        assertTrue(toTheCold <= 1, toTheCold + " went to one that looks idle and is cold");
     }
 
     @Test
-    void exchangesHeldSeparateWhereUtilisationsSaturate() {
-        TestDeployment w = TestDeployment.of(2).load(0.9, 1);
-        w.loads.put(0, new double[] {0.9, 2});
-        assertEquals(1, w.arrive(ONCE).backend);
+    void requestsInFlightTellBackendsApartWhereUtilizationSaturates() {
+        TestDeployment proxy = TestDeployment.of(2).load(0.9, 1);
+        proxy.loads.put(0, new double[] {0.9, 2});
+        assertEquals(1, proxy.arrive(NOT_IDEMPOTENT).backend);
     }
 
     @Test
-    void crossingIsPaidForByBenefit() {
-        TestDeployment w = TestDeployment.of(2).load(0.5, 0.4);
-        assertEquals(0, w.arrive(PURE).backend, "a low benefit stays in its location");
-        w = TestDeployment.of(2).load(0.5, 0.4);
-        assertEquals(1, w.arrive(ONCE).backend, "a high benefit crosses for the lower utilisation");
+    void crossingZonesIsWeighedAgainstPriority() {
+        TestDeployment proxy = TestDeployment.of(2).load(0.5, 0.4);
+        assertEquals(0, proxy.arrive(IDEMPOTENT).backend, "a low priority stays in its zone");
+        proxy = TestDeployment.of(2).load(0.5, 0.4);
+        assertEquals(
+                1,
+                proxy.arrive(NOT_IDEMPOTENT).backend,
+                "a high priority crosses for the lower utilization");
     }
 
     @Test
-    void reportsThatAreOldAreRenewedBeforeAPick() {
-        TestDeployment w = TestDeployment.of(9).load(1, 1, 1, 1, 1, 1, 1, 1, 1);
-        w.loads.put(7, new double[] {0, 0});
-        w.loads.put(8, null);
-        assertNull(w.arrive(ONCE), "kept while one has not answered");
-        w.wakeUntil(w.now + 0.2);
-        assertEquals(7, w.sends.get(0).backend, "asked in turn until the least estimated is fresh");
-        int asked = w.probes.size();
-        w.arrive(ONCE);
-        assertTrue(asked <= 12 && w.probes.size() <= asked + 12, "a few at a time");
+    void reportsThatAreNotFreshAreRenewedByProbesBeforeAnAttempt() {
+        TestDeployment proxy = TestDeployment.of(9).load(1, 1, 1, 1, 1, 1, 1, 1, 1);
+        proxy.loads.put(7, new double[] {0, 0});
+        proxy.loads.put(8, null);
+        assertNull(proxy.arrive(NOT_IDEMPOTENT), "waits while a probe is not answered");
+        proxy.wakeUntil(proxy.now + 0.2);
+        assertEquals(
+                7,
+                proxy.attempts.get(0).backend,
+                "probed in turn until the lowest estimate is fresh");
+        int probesOfFirst = proxy.probes.size();
+        proxy.arrive(NOT_IDEMPOTENT);
+        assertTrue(
+                probesOfFirst <= 12 && proxy.probes.size() <= probesOfFirst + 12,
+                "a few at a time");
     }
 
     @Test
-    void theSilentAreNotPickedThoughTheyLookIdle() {
-        TestDeployment w = TestDeployment.of(2).load(0.9);
-        w.loads.put(1, null);
+    void backendsThatAnswerNoProbeAreNotChosenThoughTheyLookIdle() {
+        TestDeployment proxy = TestDeployment.of(2).load(0.9);
+        proxy.loads.put(1, null);
         for (int i = 0; i < 20; i++) {
-            w.arrive(ONCE);
-            w.wakeUntil(w.now + 0.3);
+            proxy.arrive(NOT_IDEMPOTENT);
+            proxy.wakeUntil(proxy.now + 0.3);
         }
         assertTrue(
-                w.sends.size() >= 19 && w.sends.stream().allMatch(attempt -> attempt.backend == 0));
+                proxy.attempts.size() >= 19
+                        && proxy.attempts.stream().allMatch(attempt -> attempt.backend == 0));
     }
 
     @Test
-    void aLargeFleetIsUsedInPartAndThePartChangesFromTimeToTime() {
-        TestDeployment w = TestDeployment.of(60);
-        assertTrue(used(w, 30, 0.01).size() <= 9, "a part");
-        int many = used(w, 300, 1).size();
-        assertTrue(many > 9, many + " by exchanging one at a time");
-        Set<Integer> one = used(TestDeployment.of(60), 30, 0.01);
+    void ofManyBackendsASubsetIsUsedThatChangesFromTimeToTime() {
+        TestDeployment proxy = TestDeployment.of(60);
+        assertTrue(used(proxy, 30, 0.01).size() <= 9, "a subset");
+        int usedCount = used(proxy, 300, 1).size();
+        assertTrue(usedCount > 9, usedCount + " by exchanging one at a time");
+        Set<Integer> subset = used(TestDeployment.of(60), 30, 0.01);
         TestDeployment other =
                 new TestDeployment(
-                        TestDeployment.settings(3, false, TestDeployment.ANSWERS, true), 8);
-        other.list(true, false, TestDeployment.lines(60));
-        assertNotEquals(one, used(other, 30, 0.01), "each proxy draws its own");
+                        TestDeployment.settings(
+                                3, false, TestDeployment.REPORTS_IN_RESPONSES, true),
+                        8);
+        other.list(true, false, TestDeployment.endpoints(60));
+        assertNotEquals(subset, used(other, 30, 0.01), "each proxy draws its own");
     }
 
     @Test
-    void aPartNeverShedsWhatOthersCouldTake() {
-        TestDeployment w = TestDeployment.of(60);
+    void nothingIsRejectedThatBackendsOutsideTheSubsetCouldTake() {
+        TestDeployment proxy = TestDeployment.of(60);
         for (int i = 0; i < 60; i++) {
-            w.loads.put(i, new double[] {1, i == 41 ? 0 : 40});
+            proxy.loads.put(i, new double[] {1, i == 41 ? 0 : 40});
         }
-        int taken = 0;
+        int accepted = 0;
         for (int i = 0; i < 40; i++) {
-            w.wakeUntil(w.now + 1);
-            Attempt attempt = w.arrive(ONCE);
+            proxy.wakeUntil(proxy.now + 1);
+            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
             if (attempt != null) {
-                taken++;
-                w.end(attempt, AttemptOutcome.SUCCESS, 1, 0);
+                accepted++;
+                proxy.end(attempt, AttemptOutcome.SUCCESS, 1, 0);
             }
         }
-        assertTrue(taken > 8, taken + " taken by the one that is idle");
-        TestDeployment gone = TestDeployment.of(60);
-        Set<Integer> used = used(gone, 30, 0.01);
-        gone.list(
+        assertTrue(accepted > 8, accepted + " taken by the one that is idle");
+        TestDeployment draining = TestDeployment.of(60);
+        Set<Integer> used = used(draining, 30, 0.01);
+        draining.list(
                 false,
                 false,
                 used.stream()
-                        .map(i -> TestDeployment.line(i, EndpointUpdate.State.DRAINING, 0))
+                        .map(i -> TestDeployment.endpoint(i, EndpointUpdate.State.DRAINING, 0))
                         .toList());
-        assertTrue(used(gone, 30, 0.01).stream().noneMatch(used::contains), "replaced at once");
+        assertTrue(used(draining, 30, 0.01).stream().noneMatch(used::contains), "replaced at once");
     }
 
     @Test
-    void withoutProbesExchangesGoOutAtOnce() {
-        TestDeployment w =
+    void withoutProbesRequestsAreSentAtOnce() {
+        TestDeployment proxy =
                 new TestDeployment(
-                        TestDeployment.settings(400, false, TestDeployment.ANSWERS, false), 7);
-        w.list(true, false, TestDeployment.lines(60));
-        int many = used(w, 40, 0.5).size();
-        assertTrue(many > 3, many + " used");
-        assertTrue(w.probes.isEmpty());
+                        TestDeployment.settings(
+                                400, false, TestDeployment.REPORTS_IN_RESPONSES, false),
+                        7);
+        proxy.list(true, false, TestDeployment.endpoints(60));
+        int usedCount = used(proxy, 40, 0.5).size();
+        assertTrue(usedCount > 3, usedCount + " used");
+        assertTrue(proxy.probes.isEmpty());
     }
 
     @Test
-    void anErrorsReportDrawsNoTraffic() {
-        TestDeployment w = TestDeployment.of(3).load(0.5, 0.9, 0.2);
-        Attempt attempt = w.arrive(ONCE);
+    void theReportOfAFailedAttemptDrawsNoTraffic() {
+        TestDeployment proxy = TestDeployment.of(3).load(0.5, 0.9, 0.2);
+        Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
         assertEquals(2, attempt.backend);
-        w.end(attempt, AttemptOutcome.ERROR, 0, 0);
-        assertEquals(0, w.arrive(ONCE).backend, "the mean stands for the one that errors");
+        proxy.end(attempt, AttemptOutcome.ERROR, 0, 0);
+        assertEquals(
+                0, proxy.arrive(NOT_IDEMPOTENT).backend, "the mean stands for the one that errors");
     }
 
     @Test
-    void badOutcomesSuspendAndATrialRestores() {
-        TestDeployment w = TestDeployment.of(4);
-        int bad = 0;
+    void failuresEjectABackendAndATrialRestoresIt() {
+        TestDeployment proxy = TestDeployment.of(4);
+        int failed = 0;
         for (int i = 0; i < 200; i++) {
-            Attempt attempt = w.arrive(PURE);
-            w.now += 0.001;
-            w.end(
+            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            proxy.now += 0.001;
+            proxy.end(
                     attempt,
                     attempt.backend == 2 ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS,
                     0.3,
                     0);
-            bad += attempt.backend == 2 ? 1 : 0;
+            failed += attempt.backend == 2 ? 1 : 0;
         }
-        assertTrue(bad >= 3 && bad <= 8, bad + " went to the sick one");
-        w.wakeUntil(w.now + 3);
-        w.load(0.9, 0.9, 0, 0.9);
-        assertEquals(2, w.arrive(PURE).backend, "tried once its suspension is over");
-        assertNotEquals(2, w.arrive(PURE).backend, "one trial at a time");
+        assertTrue(failed >= 3 && failed <= 8, failed + " went to the failing one");
+        proxy.wakeUntil(proxy.now + 3);
+        proxy.load(0.9, 0.9, 0, 0.9);
+        assertEquals(2, proxy.arrive(IDEMPOTENT).backend, "tried once its ejection is over");
+        assertNotEquals(2, proxy.arrive(IDEMPOTENT).backend, "one trial at a time");
     }
 
     @Test
-    void anIndexThatPassesOnCarriesNothingOver() {
-        TestDeployment w = TestDeployment.of(2).load(0.9, 0);
+    void anotherBackendAtAnIndexInheritsNothing() {
+        TestDeployment proxy = TestDeployment.of(2).load(0.9, 0);
         for (int i = 0; i < 20; i++) {
-            Attempt attempt = w.arrive(PURE);
-            w.end(
+            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            proxy.end(
                     attempt,
                     attempt.backend == 1 ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS,
                     0.9,
                     0);
         }
-        assertEquals(0, w.arrive(PURE).backend, "the other is suspended");
-        w.list(
+        assertEquals(0, proxy.arrive(IDEMPOTENT).backend, "the other is ejected");
+        proxy.list(
                 false,
                 false,
                 List.of(new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0)));
-        assertEquals(1, w.arrive(PURE).backend);
+        assertEquals(1, proxy.arrive(IDEMPOTENT).backend);
     }
 
     @Test
-    void oneThatFailsOneGradeAloneTakesTheOthers() {
-        TestDeployment w = TestDeployment.of(4);
-        int[] bad = new int[4];
-        int[] good = new int[4];
+    void aBackendThatFailsOneRequestClassTakesTheOthers() {
+        TestDeployment proxy = TestDeployment.of(4);
+        int[] failed = new int[4];
+        int[] succeeded = new int[4];
         for (int i = 0; i < 400; i++) {
-            int requestClass = i % 4 == 0 ? ONCE : PURE;
-            Attempt attempt = w.arrive(requestClass);
-            w.now += 0.001;
-            boolean fails = attempt.backend == 2 && requestClass == ONCE;
-            w.end(attempt, fails ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS, 0.3, 0);
-            bad[attempt.backend] += fails ? 1 : 0;
-            good[attempt.backend] += fails ? 0 : 1;
+            int requestClass = i % 4 == 0 ? NOT_IDEMPOTENT : IDEMPOTENT;
+            Attempt attempt = proxy.arrive(requestClass);
+            proxy.now += 0.001;
+            boolean fails = attempt.backend == 2 && requestClass == NOT_IDEMPOTENT;
+            proxy.end(attempt, fails ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS, 0.3, 0);
+            failed[attempt.backend] += fails ? 1 : 0;
+            succeeded[attempt.backend] += fails ? 0 : 1;
         }
-        assertTrue(bad[2] <= 8, bad[2] + " went where their grade fails");
-        assertTrue(good[2] >= 40, good[2] + " of the others still do");
+        assertTrue(failed[2] <= 8, failed[2] + " went where their class fails");
+        assertTrue(succeeded[2] >= 40, succeeded[2] + " of the others still do");
     }
 
     @Test
-    void aSharedFaultSuspendsAtMostHalf() {
-        TestDeployment w = TestDeployment.of(4);
+    void aSharedFaultEjectsAtMostHalf() {
+        TestDeployment proxy = TestDeployment.of(4);
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            Attempt attempt = w.arrive(ONCE);
-            w.wakeUntil(w.now + 0.2);
-            if (attempt != null && w.end(attempt, AttemptOutcome.RESET) == null && i > 100) {
+            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            proxy.wakeUntil(proxy.now + 0.2);
+            if (attempt != null && proxy.end(attempt, AttemptOutcome.RESET) == null && i > 100) {
                 used.add(attempt.backend);
             }
         }
@@ -283,218 +302,246 @@
     }
 
     @Test
-    void aColdBackendIsNotPushedOverByAShareOfTheProxies() {
-        TestDeployment w = TestDeployment.of(2).load(0.9, 0.9);
-        w.list(false, false, List.of(TestDeployment.line(2, EndpointUpdate.State.READY, w.now)));
-        assertTrue(share(w, 2, 30) <= 0.1, "its near-zero load draws no more than its allowance");
+    void aColdBackendIsNotOverloadedByOneOfTheProxies() {
+        TestDeployment proxy = TestDeployment.of(2).load(0.9, 0.9);
+        proxy.list(
+                false,
+                false,
+                List.of(TestDeployment.endpoint(2, EndpointUpdate.State.READY, proxy.now)));
+        assertTrue(share(proxy, 2, 30) <= 0.1, "its near-zero load draws no more than its budget");
     }
 
     @Test
     void aDrainingBackendGetsNothingNew() {
-        TestDeployment w = TestDeployment.of(2);
-        w.list(false, false, List.of(TestDeployment.line(0, EndpointUpdate.State.DRAINING, 0)));
-        assertEquals(0, share(w, 0, 4));
+        TestDeployment proxy = TestDeployment.of(2);
+        proxy.list(
+                false,
+                false,
+                List.of(TestDeployment.endpoint(0, EndpointUpdate.State.DRAINING, 0)));
+        assertEquals(0, share(proxy, 0, 4));
     }
 
     @Test
-    void provenOutcomesAreForwardedAgainAndOthersByGrade() {
-        for (AttemptOutcome proof :
+    void whatNeverExecutedIsRetriedAndTheRestByIdempotency() {
+        for (AttemptOutcome neverExecuted :
                 List.of(
                         AttemptOutcome.OVERLOADED,
                         AttemptOutcome.CONNECT_FAILED,
                         AttemptOutcome.NOT_SENT)) {
-            TestDeployment w = TestDeployment.of(2);
-            Attempt attempt = w.arrive(ONCE);
-            assertEquals(1 - attempt.backend, w.end(attempt, proof).backend);
+            TestDeployment proxy = TestDeployment.of(2);
+            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            assertEquals(1 - attempt.backend, proxy.end(attempt, neverExecuted).backend);
         }
-        for (AttemptOutcome doubt :
+        for (AttemptOutcome possiblyExecuted :
                 List.of(
                         AttemptOutcome.ERROR,
                         AttemptOutcome.RESET,
                         AttemptOutcome.TIMED_OUT,
                         AttemptOutcome.CANCELLED)) {
-            TestDeployment w = TestDeployment.of(60);
-            assertNull(w.end(w.arrive(ONCE), doubt));
-            assertFalse(w.answers.get(0).rejected(), "no promise where it may have run");
-            Attempt attempt = w.arrive(MARKED);
+            TestDeployment proxy = TestDeployment.of(60);
+            assertNull(proxy.end(proxy.arrive(NOT_IDEMPOTENT), possiblyExecuted));
+            assertFalse(
+                    proxy.localReplies.get(0).rejected(),
+                    "no promise where it may have been executed");
+            Attempt attempt = proxy.arrive(WITH_KEY);
             assertEquals(
                     attempt.backend % 2,
-                    w.end(attempt, doubt).backend % 2,
-                    "a repeat stays in its group");
-            Attempt late = w.arrive(MARKED);
-            w.now += 0.6;
-            assertNull(w.end(late, doubt), "receipts are forgotten");
-            assertNotNull(w.end(w.arrive(PURE), doubt));
+                    proxy.end(attempt, possiblyExecuted).backend % 2,
+                    "a retry stays in its deduplication scope");
+            Attempt late = proxy.arrive(WITH_KEY);
+            proxy.now += 0.6;
+            assertNull(proxy.end(late, possiblyExecuted), "the idempotency key is forgotten");
+            assertNotNull(proxy.end(proxy.arrive(IDEMPOTENT), possiblyExecuted));
         }
     }
 
     @Test
-    void forwardsAreBoundedByALimitAndABudget() {
-        TestDeployment w = TestDeployment.of(8);
-        int sent = 0;
+    void attemptsAreBoundedByALimitAndARetryBudget() {
+        TestDeployment proxy = TestDeployment.of(8);
+        int attempts = 0;
         for (int i = 0; i < 40; i++) {
-            for (Attempt attempt = w.arrive(PURE);
+            for (Attempt attempt = proxy.arrive(IDEMPOTENT);
                     attempt != null;
-                    attempt = w.end(attempt, AttemptOutcome.OVERLOADED)) {
-                sent++;
+                    attempt = proxy.end(attempt, AttemptOutcome.OVERLOADED)) {
+                attempts++;
                 assertTrue(attempt.index < 4);
             }
-            w.wakeUntil(w.now + 1);
+            proxy.wakeUntil(proxy.now + 1);
         }
-        assertTrue(sent >= 40 && sent < 60, sent + " forwards for 40 exchanges");
+        assertTrue(attempts >= 40 && attempts < 60, attempts + " attempts for 40 requests");
     }
 
     @Test
-    void whatCannotBeAnsweredInTimeIsShedAtOnceWithATimeToComeBack() {
-        TestDeployment w = TestDeployment.of(2);
-        w.loads.put(0, new double[] {1, 9});
-        w.loads.put(1, new double[] {1, 9});
-        assertNull(w.arrive(PURE));
-        assertTrue(w.answers.get(0).rejected() && w.answers.get(0).retryAfterSeconds() > 0);
-        w.loads.put(0, new double[] {1, 8});
-        assertNotNull(w.arrive(ONCE), "the least benefit goes first");
-        w.load(0.5, 0.5).now += 1;
-        assertNotNull(w.arrive(PURE), "shedding can't lock itself in");
+    void whatCannotBeAnsweredInTimeIsRejectedAtOnceWithARetryAfter() {
+        TestDeployment proxy = TestDeployment.of(2);
+        proxy.loads.put(0, new double[] {1, 9});
+        proxy.loads.put(1, new double[] {1, 9});
+        assertNull(proxy.arrive(IDEMPOTENT));
+        assertTrue(
+                proxy.localReplies.get(0).rejected()
+                        && proxy.localReplies.get(0).retryAfterSeconds() > 0);
+        proxy.loads.put(0, new double[] {1, 8});
+        assertNotNull(proxy.arrive(NOT_IDEMPOTENT), "the lowest priority is rejected first");
+        proxy.load(0.5, 0.5).now += 1;
+        assertNotNull(proxy.arrive(IDEMPOTENT), "rejecting can't lock itself in");
     }
 
     @Test
-    void theWordIsWhatWouldBeShedAndAskingChangesNothing() {
-        TestDeployment w = TestDeployment.of(2);
+    void theShedThresholdIsWhatWouldBeRejectedAndAskingChangesNothing() {
+        TestDeployment proxy = TestDeployment.of(2);
         assertEquals(
                 0,
-                w.balancer.shedThreshold(w.now, PURE).minSecondsLeft(),
-                "nothing is shed of an idle fleet");
-        w.loads.put(0, new double[] {1, 9});
-        w.loads.put(1, new double[] {1, 9});
-        assertNull(w.arrive(PURE));
-        ShedThreshold word = w.balancer.shedThreshold(w.now, PURE);
-        assertTrue(word.minSecondsLeft() > 1, "not with a whole contract time");
-        assertEquals(w.answers.get(0).retryAfterSeconds(), word.retryAfterSeconds(), 1e-9);
+                proxy.balancer.shedThreshold(proxy.now, IDEMPOTENT).minSecondsLeft(),
+                "nothing is rejected where all are idle");
+        proxy.loads.put(0, new double[] {1, 9});
+        proxy.loads.put(1, new double[] {1, 9});
+        assertNull(proxy.arrive(IDEMPOTENT));
+        ShedThreshold threshold = proxy.balancer.shedThreshold(proxy.now, IDEMPOTENT);
+        assertTrue(threshold.minSecondsLeft() > 1, "not with the whole latency objective left");
+        assertEquals(
+                proxy.localReplies.get(0).retryAfterSeconds(), threshold.retryAfterSeconds(), 1e-9);
         assertTrue(
-                w.balancer.shedThreshold(w.now, ONCE).minSecondsLeft() < word.minSecondsLeft(),
-                "the least benefit goes first");
-        w.list(true, false, List.of());
+                proxy.balancer.shedThreshold(proxy.now, NOT_IDEMPOTENT).minSecondsLeft()
+                        < threshold.minSecondsLeft(),
+                "the lowest priority is rejected first");
+        proxy.list(true, false, List.of());
         assertEquals(
-                Double.POSITIVE_INFINITY, w.balancer.shedThreshold(w.now, ONCE).minSecondsLeft());
-        TestDeployment asked = TestDeployment.of(20);
+                Double.POSITIVE_INFINITY,
+                proxy.balancer.shedThreshold(proxy.now, NOT_IDEMPOTENT).minSecondsLeft());
+        TestDeployment questioned = TestDeployment.of(20);
         TestDeployment other = TestDeployment.of(20);
         for (int k = 0; k < 200; k++) {
-            asked.balancer.shedThreshold(asked.now, k % 4);
-            Attempt attempt = asked.arrive(k % 4);
+            questioned.balancer.shedThreshold(questioned.now, k % 4);
+            Attempt attempt = questioned.arrive(k % 4);
             Attempt same = other.arrive(k % 4);
             assertEquals(attempt == null ? -1 : attempt.backend, same == null ? -1 : same.backend);
-            for (TestDeployment each : List.of(asked, other)) {
+            for (TestDeployment each : List.of(questioned, other)) {
                 if (k % 3 == 0 && attempt != null) {
                     each.end(
-                            each == asked ? attempt : same,
+                            each == questioned ? attempt : same,
                             AttemptOutcome.SUCCESS,
                             k % 10 / 10.0,
                             0);
                 }
                 each.wakeUntil(each.now + 0.013);
             }
-            assertEquals(asked.wakeAt, other.wakeAt);
+            assertEquals(questioned.wakeAt, other.wakeAt);
         }
-        assertEquals(asked.probes, other.probes);
+        assertEquals(questioned.probes, other.probes);
     }
 
     @Test
-    void whereAllTurnSlowOnlyTheIdleAreUsed() {
-        TestDeployment w = TestDeployment.of(1);
-        w.loads.put(0, new double[] {1, 1});
-        assertNotNull(w.arrive(PURE), "one ahead is a short wait");
-        w.load(0);
+    void whereAllBackendsTurnSlowOnlyIdleOnesAreUsed() {
+        TestDeployment proxy = TestDeployment.of(1);
+        proxy.loads.put(0, new double[] {1, 1});
+        assertNotNull(proxy.arrive(IDEMPOTENT), "one ahead is a short wait");
+        proxy.load(0);
         for (int i = 0; i < 12; i++) {
-            Attempt attempt = w.arrive(PURE);
-            w.wakeUntil(w.now + 1);
-            w.end(attempt, AttemptOutcome.TIMED_OUT);
+            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            proxy.wakeUntil(proxy.now + 1);
+            proxy.end(attempt, AttemptOutcome.TIMED_OUT);
         }
-        assertNotNull(w.arrive(PURE));
-        w.loads.put(0, new double[] {1, 1});
-        w.wakeUntil(w.now + 1);
-        assertNull(w.arrive(PURE), "time-outs tell how long the one ahead takes");
+        assertNotNull(proxy.arrive(IDEMPOTENT));
+        proxy.loads.put(0, new double[] {1, 1});
+        proxy.wakeUntil(proxy.now + 1);
+        assertNull(proxy.arrive(IDEMPOTENT), "time-outs tell how long the one ahead takes");
     }
 
     @Test
-    void everyExchangeIsAnsweredByItsExpiryAndTheClientsLeavingCancels() {
-        TestDeployment w = TestDeployment.of(2);
-        Attempt attempt = w.arrive(ONCE);
-        w.wakeUntil(attempt.request.deadline);
-        assertEquals(1, w.answers.size());
-        Attempt g = w.arrive(PURE);
-        w.did(w.balancer.clientLeft(w.now, g.request));
-        assertTrue(w.cancels.contains(g));
-        assertNull(w.end(g, AttemptOutcome.CANCELLED));
-        assertEquals(1, w.answers.size(), "nothing is owed to a client that left");
+    void everyRequestIsAnsweredByItsDeadlineAndCancelledWhenItsClientLeaves() {
+        TestDeployment proxy = TestDeployment.of(2);
+        Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+        proxy.wakeUntil(attempt.request.deadline);
+        assertEquals(1, proxy.localReplies.size());
+        Attempt abandoned = proxy.arrive(IDEMPOTENT);
+        proxy.apply(proxy.balancer.clientLeft(proxy.now, abandoned.request));
+        assertTrue(proxy.cancellations.contains(abandoned));
+        assertNull(proxy.end(abandoned, AttemptOutcome.CANCELLED));
+        assertEquals(1, proxy.localReplies.size(), "no reply to a client that left");
     }
 
     @Test
-    void aRetryWhoseFirstTrysContractTimeIsOverIsShedAtOnce() {
-        TestDeployment w = TestDeployment.of(2);
-        assertNotNull(w.arrive(ONCE));
-        w.did(w.balancer.requestArrived(w.now, new Request(9, ONCE, 0, w.now, 0.9)));
-        assertEquals(1, w.sends.size());
-        assertTrue(w.answers.get(0).rejected());
+    void aRetryWhoseFirstTrysObjectiveHasPassedIsRejectedAtOnce() {
+        TestDeployment proxy = TestDeployment.of(2);
+        assertNotNull(proxy.arrive(NOT_IDEMPOTENT));
+        proxy.apply(
+                proxy.balancer.requestArrived(
+                        proxy.now, new Request(9, NOT_IDEMPOTENT, 0, proxy.now, 0.9)));
+        assertEquals(1, proxy.attempts.size());
+        assertTrue(proxy.localReplies.get(0).rejected());
     }
 
     @Test
-    void anOddTryWithMoreTimeDoesNotMakeRetriesOfAllThatFollow() {
-        TestDeployment w = TestDeployment.of(2);
-        w.did(w.balancer.requestArrived(w.now, new Request(9, ONCE, 0, w.now, 9)));
-        int sent = 0;
+    void oneRequestWithMoreTimeDoesNotMakeRetriesOfAllThatFollow() {
+        TestDeployment proxy = TestDeployment.of(2);
+        proxy.apply(
+                proxy.balancer.requestArrived(
+                        proxy.now, new Request(9, NOT_IDEMPOTENT, 0, proxy.now, 9)));
+        int attempts = 0;
         for (int i = 0; i < 20; i++) {
-            Attempt attempt = w.arrive(ONCE);
-            sent += attempt == null ? 0 : 1;
+            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            attempts += attempt == null ? 0 : 1;
             if (attempt != null) {
-                w.end(attempt, AttemptOutcome.SUCCESS, 0, 0);
+                proxy.end(attempt, AttemptOutcome.SUCCESS, 0, 0);
             }
         }
-        assertTrue(sent >= 10, sent + " of 20 went out");
+        assertTrue(attempts >= 10, attempts + " of 20 were sent");
     }
 
     @Test
-    void aMarkedRetryWithMoreTimeMakesNoRetriesOfFirstTries() {
-        TestDeployment w =
+    void aMarkedRetryWithMoreTimeDoesNotMakeRetriesOfFirstTries() {
+        TestDeployment proxy =
                 new TestDeployment(
-                        TestDeployment.marked(
-                                TestDeployment.settings(3, false, TestDeployment.ANSWERS, true)),
+                        TestDeployment.withMarkedRetries(
+                                TestDeployment.settings(
+                                        3, false, TestDeployment.REPORTS_IN_RESPONSES, true)),
                         7);
-        w.list(true, false, TestDeployment.lines(2));
+        proxy.list(true, false, TestDeployment.endpoints(2));
         for (int i = 0; i < 20; i++) {
-            w.did(w.balancer.requestArrived(w.now, new Request(2L * i, ONCE, 0, w.now, 0.9)));
-            w.did(
-                    w.balancer.requestArrived(
-                            w.now, new Request(2L * i + 1, ONCE, 0, w.now, 1.9, true)));
-            w.now += 0.1;
-            List.copyOf(w.sends.subList(2 * i, w.sends.size()))
-                    .forEach(attempt -> w.end(attempt, AttemptOutcome.SUCCESS, 0, 0));
+            proxy.apply(
+                    proxy.balancer.requestArrived(
+                            proxy.now, new Request(2L * i, NOT_IDEMPOTENT, 0, proxy.now, 0.9)));
+            proxy.apply(
+                    proxy.balancer.requestArrived(
+                            proxy.now,
+                            new Request(2L * i + 1, NOT_IDEMPOTENT, 0, proxy.now, 1.9, true)));
+            proxy.now += 0.1;
+            List.copyOf(proxy.attempts.subList(2 * i, proxy.attempts.size()))
+                    .forEach(attempt -> proxy.end(attempt, AttemptOutcome.SUCCESS, 0, 0));
         }
-        assertEquals(40, w.sends.size(), "first tries are first tries, and retries are young");
-        w.did(w.balancer.requestArrived(w.now, new Request(99, ONCE, 0, w.now, 0.7, true)));
-        assertTrue(w.answers.get(0).rejected(), "its first try's contract time is over");
+        assertEquals(
+                40,
+                proxy.attempts.size(),
+                "first tries are no retries, and marked ones with time are young");
+        proxy.apply(
+                proxy.balancer.requestArrived(
+                        proxy.now, new Request(99, NOT_IDEMPOTENT, 0, proxy.now, 0.7, true)));
+        assertTrue(
+                proxy.localReplies.get(0).rejected(),
+                "its first try's latency objective has passed");
     }
 
     @Test
-    void aBegunStreamHasNoExpiry() {
-        TestDeployment w = TestDeployment.of(1);
-        Attempt attempt = w.arrive(ONCE);
-        w.did(w.balancer.responseStarted(w.now, attempt));
-        w.wakeUntil(w.now + 9);
-        assertTrue(w.answers.isEmpty());
+    void aResponseThatHasStartedHasNoDeadline() {
+        TestDeployment proxy = TestDeployment.of(1);
+        Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+        proxy.apply(proxy.balancer.responseStarted(proxy.now, attempt));
+        proxy.wakeUntil(proxy.now + 9);
+        assertTrue(proxy.localReplies.isEmpty());
     }
 
     @Test
-    void theListIsFollowedAndAskedForAgain() {
-        TestDeployment w =
+    void theEndpointListIsWatchedAndPolledAgainAfterAFailure() {
+        TestDeployment proxy =
                 new TestDeployment(
-                        TestDeployment.settings(3, true, TestDeployment.PROBES, true), 7);
-        w.list(true, true, TestDeployment.lines(3));
-        assertEquals(List.of(Decision.EndpointListCall.WATCH), w.listCalls);
-        w.did(w.balancer.endpointListFailed(w.now));
-        w.wakeUntil(w.now + 3);
-        assertEquals(2, w.listCalls.size());
-        w.list(false, false, List.of());
-        w.wakeUntil(w.now + 60);
-        assertEquals(2, w.listCalls.size(), "subscribed");
+                        TestDeployment.settings(3, true, TestDeployment.REPORTS_BY_PROBE, true), 7);
+        proxy.list(true, true, TestDeployment.endpoints(3));
+        assertEquals(List.of(Decision.EndpointListCall.WATCH), proxy.endpointListCalls);
+        proxy.apply(proxy.balancer.endpointListFailed(proxy.now));
+        proxy.wakeUntil(proxy.now + 3);
+        assertEquals(2, proxy.endpointListCalls.size());
+        proxy.list(false, false, List.of());
+        proxy.wakeUntil(proxy.now + 60);
+        assertEquals(2, proxy.endpointListCalls.size(), "subscribed");
     }
 }
--- a/src/test/java/lemondrift/ShadowEvaluatorTest.java
+++ b/src/test/java/lemondrift/ShadowEvaluatorTest.java
@@ -12,10 +12,11 @@
 import lemondrift.shadow.ShadowEvaluator;
 import org.junit.jupiter.api.Test;
 
-/** Watching: what is done stays as it is, and what would be done otherwise is counted by kind. */
+/** The decisions stay as they are, and what would be decided otherwise is counted by kind. */
 class ShadowEvaluatorTest {
-    private static Settings settings(double crossing, int forwards, boolean probes) {
-        Settings settings = TestDeployment.settings(3, false, TestDeployment.ANSWERS, probes);
+    private static Settings settings(double crossZoneCost, int maxAttempts, boolean canProbe) {
+        Settings settings =
+                TestDeployment.settings(3, false, TestDeployment.REPORTS_IN_RESPONSES, canProbe);
         return new Settings(
                 3,
                 2,
@@ -26,67 +27,72 @@
                 1,
                 false,
                 settings.loadReports(),
-                new Settings.Limits(true, probes, forwards, 0.5),
+                new Settings.Limits(true, canProbe, maxAttempts, 0.5),
                 settings.rules(),
-                new Settings.Costs(crossing, 0.001));
+                new Settings.Costs(crossZoneCost, 0.001));
     }
 
-    /** Plays a day of chance; what was done, as text. */
-    private static String play(Settings settings, ShadowEvaluator shadow, boolean sound) {
-        TestDeployment w = new TestDeployment(settings, 7, shadow);
-        Random chance = new Random(11);
-        List<Attempt> open = new ArrayList<>();
-        w.list(true, false, TestDeployment.lines(6));
+    /** Plays random events; what was decided, as text. */
+    private static String play(Settings settings, ShadowEvaluator shadow, boolean allSucceed) {
+        TestDeployment proxy = new TestDeployment(settings, 7, shadow);
+        Random random = new Random(11);
+        List<Attempt> inFlight = new ArrayList<>();
+        proxy.list(true, false, TestDeployment.endpoints(6));
         for (int event = 0; event < 3000; event++) {
-            w.load(chance.doubles(6).toArray()).wakeUntil(w.now + 0.004 * chance.nextDouble());
-            int kind = chance.nextInt(10);
-            int before = w.sends.size();
-            if (kind < 4 || open.isEmpty()) {
-                w.arrive(chance.nextBoolean() ? 0 : 2);
+            proxy.load(random.doubles(6).toArray())
+                    .wakeUntil(proxy.now + 0.004 * random.nextDouble());
+            int kind = random.nextInt(10);
+            int attemptsBefore = proxy.attempts.size();
+            if (kind < 4 || inFlight.isEmpty()) {
+                proxy.arrive(random.nextBoolean() ? 0 : 2);
             } else {
                 AttemptOutcome outcome =
-                        sound || kind < 8
+                        allSucceed || kind < 8
                                 ? AttemptOutcome.SUCCESS
-                                : AttemptOutcome.values()[chance.nextInt(6)];
-                Attempt attempt = open.remove(chance.nextInt(open.size()));
-                w.end(attempt, outcome, chance.nextDouble(), chance.nextInt(3));
+                                : AttemptOutcome.values()[random.nextInt(6)];
+                Attempt attempt = inFlight.remove(random.nextInt(inFlight.size()));
+                proxy.end(attempt, outcome, random.nextDouble(), random.nextInt(3));
             }
-            open.addAll(w.sends.subList(before, w.sends.size()));
+            inFlight.addAll(proxy.attempts.subList(attemptsBefore, proxy.attempts.size()));
         }
-        StringBuilder did = new StringBuilder(w.probes + " ");
-        w.sends.forEach(
+        StringBuilder decided = new StringBuilder(proxy.probes + " ");
+        proxy.attempts.forEach(
                 attempt ->
-                        did.append(attempt.request.id)
+                        decided.append(attempt.request.id)
                                 .append('>')
                                 .append(attempt.backend)
                                 .append(' '));
-        w.answers.forEach(a -> did.append(a.request().id).append(a.rejected() ? "- " : "! "));
-        return did.toString();
+        proxy.localReplies.forEach(
+                reply -> decided.append(reply.request().id).append(reply.rejected() ? "- " : "! "));
+        return decided.toString();
     }
 
-    private static ShadowEvaluator watched(Settings own, Settings other, boolean sound) {
-        ShadowEvaluator shadow = new ShadowEvaluator(other, 7);
-        play(own, shadow, sound);
+    private static ShadowEvaluator shadowOf(
+            Settings inForce, Settings shadowed, boolean allSucceed) {
+        ShadowEvaluator shadow = new ShadowEvaluator(shadowed, 7);
+        play(inForce, shadow, allSucceed);
         return shadow;
     }
 
-    private static void counts(long atLeast, ShadowEvaluator.Kind kind, ShadowEvaluator shadow) {
+    private static void assertCounts(
+            long atLeast, ShadowEvaluator.Kind kind, ShadowEvaluator shadow) {
         assertTrue(shadow.count(kind) >= atLeast, shadow.summary());
     }
 
     @Test
-    void whatIsDoneIsTheSameWithWatchingOnAndOff() {
-        for (boolean probes : new boolean[] {false, true}) {
-            Settings own = settings(0.05, 4, probes);
+    void theDecisionsAreTheSameWithAShadowAndWithout() {
+        for (boolean canProbe : new boolean[] {false, true}) {
+            Settings inForce = settings(0.05, 4, canProbe);
             ShadowEvaluator shadow = new ShadowEvaluator(settings(0, 1, true), 7);
-            assertEquals(play(own, null, false), play(own, shadow, false));
+            assertEquals(play(inForce, null, false), play(inForce, shadow, false));
             assertTrue(shadow.decisions() > 500, shadow.summary());
         }
     }
 
     @Test
     void theSameSettingsWouldDecideTheSame() {
-        ShadowEvaluator shadow = watched(settings(0.05, 4, false), settings(0.05, 4, false), false);
+        ShadowEvaluator shadow =
+                shadowOf(settings(0.05, 4, false), settings(0.05, 4, false), false);
         for (ShadowEvaluator.Kind kind : ShadowEvaluator.Kind.values()) {
             assertEquals(0, shadow.count(kind), shadow.summary());
         }
@@ -94,17 +100,19 @@
 
     @Test
     void eachKindIsCounted() {
-        Settings free = settings(0, 4, false);
-        Settings dear = settings(9, 4, false);
-        Settings once = settings(0, 1, false);
-        ShadowEvaluator stays = watched(free, dear, true);
-        counts(100, ShadowEvaluator.Kind.NOT_CROSS, stays);
-        counts(
-                stays.count(ShadowEvaluator.Kind.NOT_CROSS),
+        Settings freeCrossing = settings(0, 4, false);
+        Settings dearCrossing = settings(9, 4, false);
+        Settings oneAttempt = settings(0, 1, false);
+        ShadowEvaluator staysInZone = shadowOf(freeCrossing, dearCrossing, true);
+        assertCounts(100, ShadowEvaluator.Kind.NOT_CROSS, staysInZone);
+        assertCounts(
+                staysInZone.count(ShadowEvaluator.Kind.NOT_CROSS),
                 ShadowEvaluator.Kind.ANOTHER_BACKEND,
-                stays);
-        counts(100, ShadowEvaluator.Kind.CROSS, watched(dear, free, true));
-        counts(10, ShadowEvaluator.Kind.NOT_SEND_AGAIN, watched(free, once, false));
-        counts(10, ShadowEvaluator.Kind.SEND_AGAIN, watched(once, free, false));
+                staysInZone);
+        assertCounts(100, ShadowEvaluator.Kind.CROSS, shadowOf(dearCrossing, freeCrossing, true));
+        assertCounts(
+                10, ShadowEvaluator.Kind.NOT_SEND_AGAIN, shadowOf(freeCrossing, oneAttempt, false));
+        assertCounts(
+                10, ShadowEvaluator.Kind.SEND_AGAIN, shadowOf(oneAttempt, freeCrossing, false));
     }
 }
--- a/src/test/java/lemondrift/TestDeployment.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -20,80 +20,86 @@
 import lemondrift.model.Settings;
 import lemondrift.shadow.ShadowEvaluator;
 
-/** One proxy's decisions in a small made-up deployment, and frames built by hand. */
+/** One proxy's balancer in a small made-up deployment, and simulator frames built by hand. */
 final class TestDeployment {
-    static final RequestClass PURE =
+    static final RequestClass IDEMPOTENT =
             new RequestClass(1, 0, 1, 2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0);
-    static final RequestClass MARKED =
+    static final RequestClass WITH_KEY =
             new RequestClass(
                     4, 0, 1, 2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.LOCATION, 0.5);
-    static final RequestClass ONCE =
+    static final RequestClass NOT_IDEMPOTENT =
             new RequestClass(8, 0, 1, 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0);
-    static final RequestClass CELLS =
+    static final RequestClass WITH_KEY_BY_CELL =
             new RequestClass(
                     2, 0, 1, 2, Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, 0.8);
-    static final Settings.LoadReports ANSWERS = new Settings.LoadReports(true, 0, 1, false, -1);
-    static final Settings.LoadReports PROBES = new Settings.LoadReports(false, 0, -1, false, -1);
+    static final Settings.LoadReports REPORTS_IN_RESPONSES =
+            new Settings.LoadReports(true, 0, 1, false, -1);
+    static final Settings.LoadReports REPORTS_BY_PROBE =
+            new Settings.LoadReports(false, 0, -1, false, -1);
     static final Settings.Rules RULES = new Settings.Rules(0.25, 8, 3, 2, 10);
 
     final LoadBalancer balancer;
-    final List<Decision.LocalReply> answers = new ArrayList<>();
-    final List<Attempt> sends = new ArrayList<>();
-    final List<Attempt> cancels = new ArrayList<>();
+    final List<Decision.LocalReply> localReplies = new ArrayList<>();
+    final List<Attempt> attempts = new ArrayList<>();
+    final List<Attempt> cancellations = new ArrayList<>();
     final List<Integer> probes = new ArrayList<>();
-    final List<Decision.EndpointListCall> listCalls = new ArrayList<>();
+    final List<Decision.EndpointListCall> endpointListCalls = new ArrayList<>();
 
     /**
-     * What each backend answers to a probe: its utilisation and what it holds; null is no answer.
+     * What each backend answers to a probe: utilization and requests in flight; null is no answer.
      */
     final Map<Integer, double[]> loads = new HashMap<>();
 
     double now = 100;
     double wakeAt;
-    Consumer<Decision> watcher = decision -> {};
+    Consumer<Decision> onDecision = decision -> {};
     private final ShadowEvaluator shadow;
 
     TestDeployment(Settings settings, long seed) {
         this(settings, seed, null);
     }
 
-    /** One that is watched, where the shadow is not null. */
+    /** One with a shadow, where that is not null. */
     TestDeployment(Settings settings, long seed, ShadowEvaluator shadow) {
         balancer = new LoadBalancer(settings, seed);
         this.shadow = shadow;
     }
 
-    private void watch(Consumer<ShadowEvaluator> event) {
+    private void tellShadow(Consumer<ShadowEvaluator> event) {
         if (shadow != null) {
             event.accept(shadow);
         }
     }
 
     static TestDeployment of(int backends) {
-        TestDeployment world = new TestDeployment(settings(3, false, ANSWERS, true), 7);
-        world.list(true, false, lines(backends));
-        return world;
+        TestDeployment proxy =
+                new TestDeployment(settings(3, false, REPORTS_IN_RESPONSES, true), 7);
+        proxy.list(true, false, endpoints(backends));
+        return proxy;
     }
 
     static Settings settings(
-            int balancers, boolean onRequest, Settings.LoadReports reports, boolean mayProbe) {
+            int proxyCount,
+            boolean pollsEndpointList,
+            Settings.LoadReports reports,
+            boolean canProbe) {
         return new Settings(
-                balancers,
+                proxyCount,
                 2,
                 0,
-                onRequest,
-                List.of(PURE, MARKED, ONCE, CELLS),
+                pollsEndpointList,
+                List.of(IDEMPOTENT, WITH_KEY, NOT_IDEMPOTENT, WITH_KEY_BY_CELL),
                 new double[0],
                 1,
                 false,
                 reports,
-                new Settings.Limits(true, mayProbe, 4, 0.5),
+                new Settings.Limits(true, canProbe, 4, 0.5),
                 RULES,
                 new Settings.Costs(0.05, 0.002));
     }
 
     /** The same where clients mark their retries. */
-    static Settings marked(Settings settings) {
+    static Settings withMarkedRetries(Settings settings) {
         return new Settings(
                 settings.proxyCount(),
                 settings.locationCount(),
@@ -109,68 +115,73 @@
                 settings.costs());
     }
 
-    static List<EndpointUpdate> lines(int backends) {
+    static List<EndpointUpdate> endpoints(int backends) {
         List<EndpointUpdate> updates = new ArrayList<>();
         for (int i = 0; i < backends; i++) {
-            updates.add(line(i, EndpointUpdate.State.READY, 0));
+            updates.add(endpoint(i, EndpointUpdate.State.READY, 0));
         }
         return updates;
     }
 
-    static EndpointUpdate line(int i, EndpointUpdate.State state, double started) {
-        return new EndpointUpdate(i, false, i % 2, i % 4, state, started);
+    static EndpointUpdate endpoint(int backend, EndpointUpdate.State state, double startedAt) {
+        return new EndpointUpdate(backend, false, backend % 2, backend % 4, state, startedAt);
     }
 
-    void did(Decision decision) {
-        watcher.accept(decision);
-        watch(s -> s.decided(now, decision));
-        answers.addAll(decision.localReplies);
-        sends.addAll(decision.attempts);
-        cancels.addAll(decision.cancellations);
+    void apply(Decision decision) {
+        onDecision.accept(decision);
+        tellShadow(s -> s.decided(now, decision));
+        localReplies.addAll(decision.localReplies);
+        attempts.addAll(decision.attempts);
+        cancellations.addAll(decision.cancellations);
         probes.addAll(decision.probes);
-        listCalls.addAll(decision.endpointListCalls);
+        endpointListCalls.addAll(decision.endpointListCalls);
         wakeAt = decision.wakeAt;
         for (int i : List.copyOf(decision.probes)) {
-            double[] load = loads.getOrDefault(i, new double[] {0, 0});
-            if (load != null) {
-                // No two reports are quite the same, unless one is told again.
-                double[] fresh = load.clone();
-                fresh[0] += 1e-9 * probes.size();
-                watch(s -> s.probeEnded(now, i, AttemptOutcome.SUCCESS, fresh));
-                did(balancer.probeEnded(now, i, AttemptOutcome.SUCCESS, fresh));
+            double[] report = loads.getOrDefault(i, new double[] {0, 0});
+            if (report != null) {
+                // No two reports are quite the same, unless one is repeated.
+                double[] distinct = report.clone();
+                distinct[0] += 1e-9 * probes.size();
+                tellShadow(s -> s.probeEnded(now, i, AttemptOutcome.SUCCESS, distinct));
+                apply(balancer.probeEnded(now, i, AttemptOutcome.SUCCESS, distinct));
             }
         }
     }
 
-    TestDeployment load(double... utilisation) {
-        for (int i = 0; i < utilisation.length; i++) {
-            loads.put(i, new double[] {utilisation[i], 0});
+    TestDeployment load(double... utilization) {
+        for (int i = 0; i < utilization.length; i++) {
+            loads.put(i, new double[] {utilization[i], 0});
         }
         return this;
     }
 
-    void list(boolean whole, boolean stale, List<EndpointUpdate> updates) {
-        watch(s -> s.endpointsListed(now, whole, stale, updates));
-        did(balancer.endpointsListed(now, whole, stale, updates));
+    void list(boolean full, boolean stale, List<EndpointUpdate> updates) {
+        tellShadow(s -> s.endpointsListed(now, full, stale, updates));
+        apply(balancer.endpointsListed(now, full, stale, updates));
     }
 
-    /** The forward that a new exchange is sent by, or null. */
+    /** The first attempt of a new request, or null. */
     Attempt arrive(int requestClass) {
-        int before = sends.size();
-        Request request = new Request(sends.size(), requestClass, 0, now, 2);
-        watch(s -> s.requestArrived(now, request));
-        did(balancer.requestArrived(now, request));
-        return sends.size() > before ? sends.get(before) : null;
+        int attemptsBefore = attempts.size();
+        Request request = new Request(attempts.size(), requestClass, 0, now, 2);
+        tellShadow(s -> s.requestArrived(now, request));
+        apply(balancer.requestArrived(now, request));
+        return attempts.size() > attemptsBefore ? attempts.get(attemptsBefore) : null;
     }
 
-    /** The forward that follows, or null. */
+    /** The attempt that follows, or null. */
     Attempt end(Attempt attempt, AttemptOutcome outcome, double... loadReport) {
-        int before = sends.size();
-        boolean over = outcome == AttemptOutcome.SUCCESS || attempt.request.completed;
-        double[] told = loadReport.length == 0 ? null : loadReport;
-        watch(s -> s.attemptEnded(now, attempt, outcome, now - attempt.sentAt, over, told));
-        did(balancer.attemptEnded(now, attempt, outcome, now - attempt.sentAt, over, told));
-        return sends.size() > before ? sends.get(before) : null;
+        int attemptsBefore = attempts.size();
+        boolean completed = outcome == AttemptOutcome.SUCCESS || attempt.request.completed;
+        double[] report = loadReport.length == 0 ? null : loadReport;
+        tellShadow(
+                s ->
+                        s.attemptEnded(
+                                now, attempt, outcome, now - attempt.sentAt, completed, report));
+        apply(
+                balancer.attemptEnded(
+                        now, attempt, outcome, now - attempt.sentAt, completed, report));
+        return attempts.size() > attemptsBefore ? attempts.get(attemptsBefore) : null;
     }
 
     void wakeUntil(double time) {
@@ -179,8 +190,8 @@
                 throw new AssertionError("wakes without end");
             }
             now = Math.max(now, wakeAt);
-            did(balancer.wake(now));
-            watch(s -> s.wake(now));
+            apply(balancer.wake(now));
+            tellShadow(s -> s.wake(now));
         }
         now = time;
     }
--- a/src/test/java/lemondrift/ThinProxyTest.java
+++ b/src/test/java/lemondrift/ThinProxyTest.java
@@ -17,17 +17,15 @@
 import lemondrift.model.Settings;
 import org.junit.jupiter.api.Test;
 
-/**
- * Proxies of which each has little traffic of its own, and backends whose reports are old when they
- * come.
- */
+/** Proxies with little traffic each, and backends whose load reports are stale. */
 class ThinProxyTest {
-    private static final int PURE = 0;
-    private static final int ONCE = 2;
+    private static final int IDEMPOTENT = 0;
+    private static final int NOT_IDEMPOTENT = 2;
 
-    private static TestDeployment world(boolean sizes, EndpointUpdate... lines) {
-        Settings settings = TestDeployment.settings(70, false, TestDeployment.ANSWERS, false);
-        TestDeployment w =
+    private static TestDeployment proxy(boolean usesEndpointWeights, EndpointUpdate... endpoints) {
+        Settings settings =
+                TestDeployment.settings(70, false, TestDeployment.REPORTS_IN_RESPONSES, false);
+        TestDeployment proxy =
                 new TestDeployment(
                         new Settings(
                                 settings.proxyCount(),
@@ -42,59 +40,59 @@
                                 settings.limits(),
                                 settings.rules(),
                                 settings.costs(),
-                                sizes),
+                                usesEndpointWeights),
                         7);
-        w.list(true, false, List.of(lines));
-        return w;
+        proxy.list(true, false, List.of(endpoints));
+        return proxy;
     }
 
-    /** One that has been told the same reports again for some windows. */
-    private static TestDeployment old(int backends) {
-        TestDeployment w =
-                world(false, TestDeployment.lines(backends).toArray(new EndpointUpdate[0]));
-        to(w, ONCE, 20 * backends, 0.1, i -> AttemptOutcome.SUCCESS);
-        return w;
+    /** A proxy whose backends have repeated their reports for some windows. */
+    private static TestDeployment withStaleReports(int backends) {
+        TestDeployment proxy =
+                proxy(false, TestDeployment.endpoints(backends).toArray(new EndpointUpdate[0]));
+        send(proxy, NOT_IDEMPOTENT, 20 * backends, 0.1, i -> AttemptOutcome.SUCCESS);
+        return proxy;
     }
 
-    /** How many go to each backend; each ends after 0.01 s as told, its report the same as ever. */
-    private static int[] to(
-            TestDeployment w,
+    /** Sends requests one at a time, 0.01 s each, with one report; the attempts to each backend. */
+    private static int[] send(
+            TestDeployment proxy,
             int requestClass,
-            int exchanges,
-            double apart,
-            Function<Integer, AttemptOutcome> ends) {
-        return to(w, requestClass, exchanges, apart, 0.01, ends);
+            int requests,
+            double secondsApart,
+            Function<Integer, AttemptOutcome> outcomeOf) {
+        return send(proxy, requestClass, requests, secondsApart, 0.01, outcomeOf);
     }
 
-    private static int[] to(
-            TestDeployment w,
+    private static int[] send(
+            TestDeployment proxy,
             int requestClass,
-            int exchanges,
-            double apart,
+            int requests,
+            double secondsApart,
             double durationSeconds,
-            Function<Integer, AttemptOutcome> ends) {
-        int[] hits = new int[60];
-        for (int n = 0; n < exchanges; n++) {
-            w.wakeUntil(w.now + apart);
-            Attempt attempt = w.arrive(requestClass);
-            for (w.now += durationSeconds; attempt != null; ) {
-                hits[attempt.backend]++;
-                attempt = w.end(attempt, ends.apply(attempt.backend), 0.5, 0);
+            Function<Integer, AttemptOutcome> outcomeOf) {
+        int[] attemptsTo = new int[60];
+        for (int n = 0; n < requests; n++) {
+            proxy.wakeUntil(proxy.now + secondsApart);
+            Attempt attempt = proxy.arrive(requestClass);
+            for (proxy.now += durationSeconds; attempt != null; ) {
+                attemptsTo[attempt.backend]++;
+                attempt = proxy.end(attempt, outcomeOf.apply(attempt.backend), 0.5, 0);
             }
         }
-        return hits;
+        return attemptsTo;
     }
 
     @Test
-    void whatTheListSaysOfSizesSetsTheShareWhereReportsAreOld() {
-        for (double none : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
+    void endpointWeightsSetTheShareWhereReportsAreStale() {
+        for (double badWeight : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
             assertEquals(
                     1,
-                    new EndpointUpdate(0, false, 0, 0, EndpointUpdate.State.READY, 0, none)
+                    new EndpointUpdate(0, false, 0, 0, EndpointUpdate.State.READY, 0, badWeight)
                             .weight());
         }
-        TestDeployment w =
-                world(
+        TestDeployment proxy =
+                proxy(
                         true,
                         IntStream.range(0, 3)
                                 .mapToObj(
@@ -108,187 +106,212 @@
                                                         0,
                                                         i == 2 ? 2 : 1))
                                 .toArray(EndpointUpdate[]::new));
-        to(w, ONCE, 60, 1, i -> AttemptOutcome.SUCCESS);
-        int large = to(w, ONCE, 400, 1, i -> AttemptOutcome.SUCCESS)[2];
+        send(proxy, NOT_IDEMPOTENT, 60, 1, i -> AttemptOutcome.SUCCESS);
+        int toTheLarge = send(proxy, NOT_IDEMPOTENT, 400, 1, i -> AttemptOutcome.SUCCESS)[2];
         assertTrue(
-                large > 160 && large < 240, large + " of 400 went to one of half the fleet's size");
+                toTheLarge > 160 && toTheLarge < 240,
+                toTheLarge + " of 400 went to one of half the fleet's size");
     }
 
     @Test
-    void aReportCountsUntilTheNextWhereNoneCanBeAskedFor() {
-        TestDeployment w =
+    void aReportCountsUntilTheNextWhereProbesAreNotAllowed() {
+        TestDeployment proxy =
                 new TestDeployment(
-                        TestDeployment.settings(100, false, TestDeployment.ANSWERS, false), 7);
-        w.list(true, false, TestDeployment.lines(2));
-        List<Attempt> both = List.of(w.arrive(PURE), w.arrive(PURE));
-        w.now += 0.1;
+                        TestDeployment.settings(
+                                100, false, TestDeployment.REPORTS_IN_RESPONSES, false),
+                        7);
+        proxy.list(true, false, TestDeployment.endpoints(2));
+        List<Attempt> both = List.of(proxy.arrive(IDEMPOTENT), proxy.arrive(IDEMPOTENT));
+        proxy.now += 0.1;
         both.forEach(
                 attempt ->
-                        w.end(
+                        proxy.end(
                                 attempt,
                                 AttemptOutcome.SUCCESS,
                                 attempt.backend == 0 ? 1 : 0.1,
                                 attempt.backend == 0 ? 3 : 0));
-        w.now += 1;
+        proxy.now += 1;
         assertEquals(
-                1, w.arrive(PURE).backend, "a window later: near and busy, or across and idle");
+                1,
+                proxy.arrive(IDEMPOTENT).backend,
+                "a window later: near and busy, or across and idle");
     }
 
     @Test
-    void whereOthersTellOnlyThoseDrawnByLotAreUsedAndTheyAgainAfterAList() {
-        TestDeployment w =
+    void withGossipOnlyTheSubsetIsUsedAndStaysAfterAnEndpointList() {
+        TestDeployment proxy =
                 new TestDeployment(
-                        TestDeployment.settings(100, false, TestDeployment.ANSWERS, false), 7);
-        assertTrue(w.balancer.wantsGossip(), "where none is asked others are to tell");
-        assertFalse(
-                TestDeployment.of(2).balancer.wantsGossip(),
-                "where reports can be asked for nobody need tell");
+                        TestDeployment.settings(
+                                100, false, TestDeployment.REPORTS_IN_RESPONSES, false),
+                        7);
+        assertTrue(proxy.balancer.wantsGossip(), "without probes peers are to gossip");
+        assertFalse(TestDeployment.of(2).balancer.wantsGossip(), "with probes nobody need gossip");
         List<EndpointUpdate> updates =
                 IntStream.range(0, 60)
                         .mapToObj(
                                 i ->
-                                        TestDeployment.line(i, EndpointUpdate.State.READY, 0)
+                                        TestDeployment.endpoint(i, EndpointUpdate.State.READY, 0)
                                                 .withSubset(
                                                         (i * 37 % 60) / 60.0,
                                                         i * 37 % 60 < 16 ? 0.2 : 0))
                         .toList();
-        w.list(true, false, updates);
-        w.balancer.peersHeard(true);
+        proxy.list(true, false, updates);
+        proxy.balancer.peersHeard(true);
         for (int round = 0; round < 3; round++) {
-            int[] hits = to(w, ONCE, 200, 0.1, i -> AttemptOutcome.SUCCESS);
-            int used = (int) Arrays.stream(hits).filter(n -> n > 0).count();
-            assertTrue(used >= 6 && used <= 16, used + " are used");
+            int[] attemptsTo = send(proxy, NOT_IDEMPOTENT, 200, 0.1, i -> AttemptOutcome.SUCCESS);
+            int usedCount = (int) Arrays.stream(attemptsTo).filter(n -> n > 0).count();
+            assertTrue(usedCount >= 6 && usedCount <= 16, usedCount + " are used");
             updates.stream()
                     .filter(update -> update.subsetScore() * 60 > 15.5)
                     .forEach(
                             update ->
                                     assertEquals(
                                             0,
-                                            hits[update.backend()],
-                                            "nobody tells this proxy of " + update));
-            w.list(true, false, updates);
+                                            attemptsTo[update.backend()],
+                                            "gossip does not cover " + update));
+            proxy.list(true, false, updates);
         }
     }
 
-    /** How many of a flood go to one that has just started, the only one that there is. */
-    private static int toACold(double used, boolean heard) {
-        TestDeployment w =
+    /** How many of 600 requests go to the only backend, which has just started. */
+    private static int sentToColdBackend(double userShare, boolean peersHeard) {
+        TestDeployment proxy =
                 new TestDeployment(
-                        TestDeployment.settings(6, false, TestDeployment.ANSWERS, false), 7);
-        w.list(
+                        TestDeployment.settings(
+                                6, false, TestDeployment.REPORTS_IN_RESPONSES, false),
+                        7);
+        proxy.list(
                 true,
                 false,
                 List.of(
-                        TestDeployment.line(0, EndpointUpdate.State.READY, w.now)
-                                .withSubset(0, used)));
-        w.balancer.peersHeard(heard);
+                        TestDeployment.endpoint(0, EndpointUpdate.State.READY, proxy.now)
+                                .withSubset(0, userShare)));
+        proxy.balancer.peersHeard(peersHeard);
         int sent = 0;
         for (int n = 0; n < 600; n++) {
-            w.now += 0.01;
-            Attempt attempt = w.arrive(PURE);
+            proxy.now += 0.01;
+            Attempt attempt = proxy.arrive(IDEMPOTENT);
             sent += attempt == null ? 0 : 1;
-            for (w.now += 0.0001; attempt != null; ) {
-                attempt = w.end(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
+            for (proxy.now += 0.0001; attempt != null; ) {
+                attempt = proxy.end(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
             }
         }
         return sent;
     }
 
     @Test
-    void aColdOneGetsOfEachUserItsPartOnlyWhileTheOthersAreHeard() {
-        int alike = toACold(1, true);
-        int fifth = toACold(0.2, true);
-        assertTrue(alike > 0 && fifth > 3 * alike, alike + " and " + fifth);
+    void aColdBackendsBudgetIsDividedAmongItsUsersOnlyWhilePeersAreHeard() {
+        int usedByAll = sentToColdBackend(1, true);
+        int usedByAFifth = sentToColdBackend(0.2, true);
+        assertTrue(
+                usedByAll > 0 && usedByAFifth > 3 * usedByAll, usedByAll + " and " + usedByAFifth);
         assertEquals(
-                toACold(1, false), toACold(0.2, false), "none heard: parts are not known to hold");
+                sentToColdBackend(1, false),
+                sentToColdBackend(0.2, false),
+                "no peer heard: user shares are not known to hold");
     }
 
     @Test
-    void whoFailsFastIsLeftAfterOneErrorAndUsedAgainOnceSound() {
-        TestDeployment w = old(8);
+    void aBackendThatFailsFastIsAvoidedAfterOneErrorAndUsedAgainOnceSound() {
+        TestDeployment proxy = withStaleReports(8);
         int errors =
-                to(w, ONCE, 200, 0.1, i -> i == 0 ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS)[
-                        0];
+                send(
+                        proxy,
+                        NOT_IDEMPOTENT,
+                        200,
+                        0.1,
+                        i -> i == 0 ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS)[0];
         assertTrue(
                 errors <= 3,
                 errors + " of 200 went to one that fails fast and reports that it is idle");
-        int again = to(w, ONCE, 1500, 0.1, i -> AttemptOutcome.SUCCESS)[0];
-        assertTrue(again > 50, again + " of 1500: sound again, used again");
+        int requestsAfter = send(proxy, NOT_IDEMPOTENT, 1500, 0.1, i -> AttemptOutcome.SUCCESS)[0];
+        assertTrue(requestsAfter > 50, requestsAfter + " of 1500: sound again, used again");
     }
 
     @Test
-    void aReportToldAgainClearsNoSends() {
-        int herd = 0;
+    void aRepeatedReportDoesNotClearWhatWasSent() {
+        int sentToRepeated = 0;
         for (int n = 0; n < 40; n++) {
-            TestDeployment w = old(2);
-            to(w, ONCE, n, 0.1, i -> AttemptOutcome.SUCCESS);
-            w.wakeUntil(w.now + 1);
-            List<Attempt> out = new ArrayList<>();
+            TestDeployment proxy = withStaleReports(2);
+            send(proxy, NOT_IDEMPOTENT, n, 0.1, i -> AttemptOutcome.SUCCESS);
+            proxy.wakeUntil(proxy.now + 1);
+            List<Attempt> inFlight = new ArrayList<>();
             for (int k = 0; k < 4; k++) {
-                out.add(w.arrive(ONCE));
+                inFlight.add(proxy.arrive(NOT_IDEMPOTENT));
             }
-            Attempt first = out.get(0);
-            w.end(first, AttemptOutcome.SUCCESS, 0.5, 0);
-            assertEquals(first.backend, w.arrive(ONCE).backend, "one out against two");
-            herd += w.arrive(ONCE).backend == first.backend ? 1 : 0;
+            Attempt first = inFlight.get(0);
+            proxy.end(first, AttemptOutcome.SUCCESS, 0.5, 0);
+            assertEquals(
+                    first.backend,
+                    proxy.arrive(NOT_IDEMPOTENT).backend,
+                    "one in flight against two");
+            sentToRepeated += proxy.arrive(NOT_IDEMPOTENT).backend == first.backend ? 1 : 0;
         }
         assertTrue(
-                herd > 5 && herd < 35,
-                herd + " of 40, with two out at each, went to one told idle again");
+                sentToRepeated > 5 && sentToRepeated < 35,
+                sentToRepeated
+                        + " of 40, with two in flight at each, went to one that reported idle"
+                        + " again");
     }
 
     @Test
-    void aJamIsShedAtOnceAndForgottenOnceItIsLongAgo() {
-        TestDeployment w = old(4);
-        List<Attempt> slow = new ArrayList<>();
+    void requestsAreRejectedDuringAJamAndAdmittedLongAfterIt() {
+        TestDeployment proxy = withStaleReports(4);
+        List<Attempt> timingOut = new ArrayList<>();
         for (int n = 0; n < 60; n++) {
-            w.now += 0.02;
-            int answered = w.answers.size();
-            Attempt attempt = w.arrive(PURE);
+            proxy.now += 0.02;
+            int repliesBefore = proxy.localReplies.size();
+            Attempt attempt = proxy.arrive(IDEMPOTENT);
             assertTrue(
-                    attempt != null || w.answers.size() == answered + 1,
-                    "given up is answered at once");
-            slow.addAll(attempt == null ? List.of() : List.of(attempt));
+                    attempt != null || proxy.localReplies.size() == repliesBefore + 1,
+                    "rejected at once");
+            timingOut.addAll(attempt == null ? List.of() : List.of(attempt));
         }
-        assertTrue(slow.size() < 60, "sixty out and none answered is a jam");
-        w.now += 0.5;
-        slow.forEach(attempt -> w.end(attempt, AttemptOutcome.TIMED_OUT));
-        w.wakeUntil(w.now + 20);
-        assertNotNull(w.arrive(PURE), "nothing out, and no wait met lately");
+        assertTrue(timingOut.size() < 60, "sixty in flight and none answered is a jam");
+        proxy.now += 0.5;
+        timingOut.forEach(attempt -> proxy.end(attempt, AttemptOutcome.TIMED_OUT));
+        proxy.wakeUntil(proxy.now + 20);
+        assertNotNull(proxy.arrive(IDEMPOTENT), "nothing in flight, and no wait observed lately");
     }
 
     @Test
-    void groupsThatDieWhileReportsComeLateAreLeftAndSparedOnceBack() {
-        TestDeployment w = old(9);
+    void failedGroupsAreAvoidedWithStaleReportsAndWarmUpOnceBack() {
+        TestDeployment proxy = withStaleReports(9);
         // No report is new from here on, and three refuse.
-        int[] hits =
-                to(
-                        w,
-                        ONCE,
+        int[] attemptsTo =
+                send(
+                        proxy,
+                        NOT_IDEMPOTENT,
                         300,
                         0.05,
                         i -> i < 3 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.SUCCESS);
         assertTrue(
-                hits[0] + hits[1] + hits[2] <= 30,
-                "300 went, to the dead " + hits[0] + hits[1] + hits[2]);
-        double back = w.now;
-        w.list(
+                attemptsTo[0] + attemptsTo[1] + attemptsTo[2] <= 30,
+                "of 300, to the failed " + attemptsTo[0] + attemptsTo[1] + attemptsTo[2]);
+        double restartedAt = proxy.now;
+        proxy.list(
                 false,
                 false,
                 IntStream.range(0, 3)
-                        .mapToObj(i -> TestDeployment.line(i, EndpointUpdate.State.READY, back))
+                        .mapToObj(
+                                i ->
+                                        TestDeployment.endpoint(
+                                                i, EndpointUpdate.State.READY, restartedAt))
                         .toList());
-        hits = to(w, ONCE, 20, 0.05, i -> AttemptOutcome.SUCCESS);
+        attemptsTo = send(proxy, NOT_IDEMPOTENT, 20, 0.05, i -> AttemptOutcome.SUCCESS);
+        assertTrue(
+                attemptsTo[0] + attemptsTo[1] + attemptsTo[2] <= 3,
+                "cold, though the last report is an idle one's");
+        proxy.wakeUntil(restartedAt + 2 * TestDeployment.RULES.slowStartSeconds());
+        attemptsTo = send(proxy, NOT_IDEMPOTENT, 300, 0.05, i -> AttemptOutcome.SUCCESS);
         assertTrue(
-                hits[0] + hits[1] + hits[2] <= 3, "cold, though the last report is an idle one's");
-        w.wakeUntil(back + 2 * TestDeployment.RULES.slowStartSeconds());
-        hits = to(w, ONCE, 300, 0.05, i -> AttemptOutcome.SUCCESS);
-        assertTrue(hits[0] > 0 && hits[1] > 0 && hits[2] > 0, "warm, and used again");
+                attemptsTo[0] > 0 && attemptsTo[1] > 0 && attemptsTo[2] > 0,
+                "warm, and used again");
     }
 
     @Test
-    void crossingIsForWhatTheOwnLocationCannotCarry() {
-        EndpointUpdate[] lines =
+    void requestsCrossZonesOnlyForWhatTheOwnZoneCannotCarry() {
+        EndpointUpdate[] endpoints =
                 IntStream.range(0, 6)
                         .mapToObj(
                                 i ->
@@ -300,151 +323,152 @@
                                                 EndpointUpdate.State.READY,
                                                 0))
                         .toArray(EndpointUpdate[]::new);
-        TestDeployment w = world(false, lines);
+        TestDeployment proxy = proxy(false, endpoints);
         assertTrue(
-                to(w, PURE, 200, 0.5, i -> AttemptOutcome.SUCCESS)[0] >= 190,
+                send(proxy, IDEMPOTENT, 200, 0.5, i -> AttemptOutcome.SUCCESS)[0] >= 190,
                 "one at a time stays");
-        List<Attempt> open = new ArrayList<>();
-        int away = 0;
+        List<Attempt> inFlight = new ArrayList<>();
+        int crossed = 0;
         for (int n = 0; n < 200; n++) {
-            w.wakeUntil(w.now + 0.003);
-            Attempt attempt = w.arrive(ONCE);
-            away += attempt != null && attempt.backend != 0 ? 1 : 0;
-            open.addAll(attempt == null ? List.of() : List.of(attempt));
-            if (open.size() > 2) {
-                w.end(open.remove(0), AttemptOutcome.SUCCESS, 0.5, 0);
+            proxy.wakeUntil(proxy.now + 0.003);
+            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            crossed += attempt != null && attempt.backend != 0 ? 1 : 0;
+            inFlight.addAll(attempt == null ? List.of() : List.of(attempt));
+            if (inFlight.size() > 2) {
+                proxy.end(inFlight.remove(0), AttemptOutcome.SUCCESS, 0.5, 0);
             }
         }
-        assertTrue(away > 80, away + " of 200 left one backend that held several");
+        assertTrue(crossed > 80, crossed + " of 200 left a backend with several in flight");
     }
 
     @Test
-    void allTogetherKeepTheColdBudgetThoughFewCarryMostTraffic() {
-        int cold = 0;
-        for (int proxy = 0; proxy < 70; proxy++) {
-            TestDeployment w =
+    void allProxiesTogetherKeepTheSlowStartBudgetThoughFewCarryMostTraffic() {
+        int toTheCold = 0;
+        for (int proxyIndex = 0; proxyIndex < 70; proxyIndex++) {
+            TestDeployment proxy =
                     new TestDeployment(
-                            TestDeployment.settings(70, false, TestDeployment.ANSWERS, false),
-                            1000 + proxy);
-            w.list(true, false, TestDeployment.lines(8));
-            to(w, ONCE, 60, 0.01, 0.1, i -> AttemptOutcome.SUCCESS);
-            w.list(
+                            TestDeployment.settings(
+                                    70, false, TestDeployment.REPORTS_IN_RESPONSES, false),
+                            1000 + proxyIndex);
+            proxy.list(true, false, TestDeployment.endpoints(8));
+            send(proxy, NOT_IDEMPOTENT, 60, 0.01, 0.1, i -> AttemptOutcome.SUCCESS);
+            proxy.list(
                     false,
                     false,
-                    List.of(TestDeployment.line(0, EndpointUpdate.State.READY, w.now)));
-            double window = TestDeployment.RULES.overloadWindowSeconds();
-            double apart = proxy < 5 ? 0.01 : 0.5;
-            cold +=
-                    to(
-                            w,
-                            ONCE,
-                            (int) (window / (apart + 0.1)),
-                            apart,
+                    List.of(TestDeployment.endpoint(0, EndpointUpdate.State.READY, proxy.now)));
+            double windowSeconds = TestDeployment.RULES.overloadWindowSeconds();
+            double secondsApart = proxyIndex < 5 ? 0.01 : 0.5;
+            toTheCold +=
+                    send(
+                            proxy,
+                            NOT_IDEMPOTENT,
+                            (int) (windowSeconds / (secondsApart + 0.1)),
+                            secondsApart,
                             0.1,
                             i -> AttemptOutcome.SUCCESS)[0];
         }
-        double budget =
+        double budgetSeconds =
                 TestDeployment.RULES.overloadFactor()
                         * TestDeployment.RULES.slowStartMinShare()
                         * TestDeployment.RULES.overloadWindowSeconds();
         assertTrue(
-                cold > 0 && cold * 0.1 <= budget,
-                cold + " exchanges of 0.1 s for a budget of " + budget);
+                toTheCold > 0 && toTheCold * 0.1 <= budgetSeconds,
+                toTheCold + " requests of 0.1 s for a budget of " + budgetSeconds);
     }
 
-    /** One among forty that tell, of whose thirty backends it uses sixteen. */
-    private static TestDeployment told(double started) {
-        TestDeployment w =
+    /** A proxy among forty that gossip; it uses sixteen of thirty backends. */
+    private static TestDeployment withGossip(double startedAt) {
+        TestDeployment proxy =
                 new TestDeployment(
-                        TestDeployment.settings(40, false, TestDeployment.ANSWERS, false), 7);
-        w.list(
+                        TestDeployment.settings(
+                                40, false, TestDeployment.REPORTS_IN_RESPONSES, false),
+                        7);
+        proxy.list(
                 true,
                 false,
                 IntStream.range(0, 30)
                         .mapToObj(
                                 i ->
-                                        TestDeployment.line(i, EndpointUpdate.State.READY, started)
+                                        TestDeployment.endpoint(
+                                                        i, EndpointUpdate.State.READY, startedAt)
                                                 .withSubset(i / 30.0, i < 16 ? 0.5 : 0))
                         .toList());
-        w.balancer.peersHeard(true);
-        return w;
+        proxy.balancer.peersHeard(true);
+        return proxy;
     }
 
-    /**
-     * Danger: after an overload all was shed for the waits of that time, backends idle beside it.
-     */
+    /** Guards against rejecting all after an overload, for the waits of that time. */
     @Test
-    void waitsMetBeforeShedNothingWhereNobodyHasAnythingOut() {
-        TestDeployment w = told(0);
+    void waitsObservedBeforeRejectNothingWhereNothingIsInFlight() {
+        TestDeployment proxy = withGossip(0);
         for (int n = 0; n < 60; n++) {
-            w.now += 0.01;
-            Attempt attempt = w.arrive(ONCE);
+            proxy.now += 0.01;
+            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
             if (attempt != null) {
-                w.now += 1;
-                w.end(attempt, AttemptOutcome.TIMED_OUT);
+                proxy.now += 1;
+                proxy.end(attempt, AttemptOutcome.TIMED_OUT);
             }
         }
-        for (int requestClass : new int[] {0, ONCE}) {
-            assertNotNull(w.arrive(requestClass), "grade " + requestClass);
+        for (int requestClass : new int[] {0, NOT_IDEMPOTENT}) {
+            assertNotNull(proxy.arrive(requestClass), "request class " + requestClass);
         }
     }
 
-    /** Danger: those of whom nobody tells look idle whatever they hold. */
+    /** Guards against backends that look idle since no peer tells of them. */
     @Test
-    void noneOfWhomNobodyTellsIsDrawnWhereOneOfThePartCouldTakeIt() {
-        TestDeployment w = told(0);
-        IntStream.range(0, 30).forEach(i -> w.balancer.peerLoadReported(i, i < 16 ? 30 : 0));
-        assertNull(w.arrive(0), "all that it knows of are busy");
-        IntStream.range(0, 16).forEach(i -> w.balancer.peerLoadReported(i, 0));
-        assertTrue(w.arrive(0).backend < 16);
+    void noBackendOutsideGossipIsDrawnWhereOneOfTheSubsetCouldTakeTheRequest() {
+        TestDeployment proxy = withGossip(0);
+        IntStream.range(0, 30).forEach(i -> proxy.balancer.peerLoadReported(i, i < 16 ? 30 : 0));
+        assertNull(proxy.arrive(0), "all that gossip covers are busy");
+        IntStream.range(0, 16).forEach(i -> proxy.balancer.peerLoadReported(i, 0));
+        assertTrue(proxy.arrive(0).backend < 16);
     }
 
-    /**
-     * Danger: with little room among cold ones, what is worth little would take what is worth most
-     * needs.
-     */
+    /** Guards against low priorities taking the last capacity of cold backends. */
     @Test
-    void theLastRoomOfColdOnesIsForWhatIsWorthMost() {
-        int[] went = new int[4];
+    void theLastCapacityOfColdBackendsIsForTheHighestPriority() {
+        int[] attemptsOf = new int[4];
         for (int seed = 0; seed < 20; seed++) {
-            TestDeployment w = told(99);
-            w.balancer.seedServiceTime(0.1, 8);
+            TestDeployment proxy = withGossip(99);
+            proxy.balancer.seedServiceTime(0.1, 8);
             for (int n = 0; n < 30; n++) {
-                w.now += 0.1;
-                int requestClass = n % 2 == 0 ? 0 : ONCE;
-                Attempt attempt = w.arrive(requestClass);
-                went[requestClass] += attempt == null ? 0 : 1;
+                proxy.now += 0.1;
+                int requestClass = n % 2 == 0 ? IDEMPOTENT : NOT_IDEMPOTENT;
+                Attempt attempt = proxy.arrive(requestClass);
+                attemptsOf[requestClass] += attempt == null ? 0 : 1;
                 if (attempt != null) {
-                    w.now += 0.1;
-                    w.end(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
-                    w.now -= 0.1;
+                    proxy.now += 0.1;
+                    proxy.end(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
+                    proxy.now -= 0.1;
                 }
             }
         }
-        assertTrue(went[ONCE] > 1.3 * went[0] && went[0] > 0, went[ONCE] + " and " + went[0]);
+        assertTrue(
+                attemptsOf[NOT_IDEMPOTENT] > 1.3 * attemptsOf[0] && attemptsOf[0] > 0,
+                attemptsOf[NOT_IDEMPOTENT] + " and " + attemptsOf[0]);
     }
 
     @Test
-    void whatOthersHaveFoundOpensColdOnesUntilOwnAnswersSayOtherwise() {
+    void aSeededServiceTimeOpensColdBackendsUntilOwnResponsesSayOtherwise() {
         int[] sent = new int[3];
         for (int i = 0; i < 3; i++) {
-            TestDeployment w = told(99);
+            TestDeployment proxy = withGossip(99);
             if (i > 0) {
-                w.balancer.seedServiceTime(0.02, 8);
+                proxy.balancer.seedServiceTime(0.02, 8);
             }
-            double work = i == 2 ? 0.8 : 0.02;
+            double serviceSeconds = i == 2 ? 0.8 : 0.02;
             for (int n = 0; n < 300; n++) {
-                w.now += 0.01;
-                Attempt attempt = w.arrive(ONCE);
+                proxy.now += 0.01;
+                Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
                 sent[i] += attempt == null ? 0 : 1;
                 if (attempt != null) {
-                    w.now += work;
-                    w.end(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
-                    w.now -= work;
+                    proxy.now += serviceSeconds;
+                    proxy.end(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
+                    proxy.now -= serviceSeconds;
                 }
             }
         }
-        assertTrue(sent[1] > 1.5 * sent[0], "taught " + sent[1] + ", untaught " + sent[0]);
-        assertTrue(sent[2] < sent[1] / 2, "taught wrongly " + sent[2] + ", rightly " + sent[1]);
+        assertTrue(sent[1] > 1.5 * sent[0], "seeded " + sent[1] + ", unseeded " + sent[0]);
+        assertTrue(sent[2] < sent[1] / 2, "seeded wrongly " + sent[2] + ", rightly " + sent[1]);
     }
 }
