--- a/src/main/java/lemondrift/balancer/AdmissionControl.java
+++ b/src/main/java/lemondrift/balancer/AdmissionControl.java
@@ -12,13 +12,14 @@
  * first.
  *
  * <p>A request is rejected at once, with WAIT_TOO_LONG, when the wait to expect at the best backend
- * ({@link WaitEstimator}, seconds) passes its limit: a share of the time that it has left, the rest
- * being room for its own work. The share rises with priority from {@link #MIN_WAIT_SHARE}, or
- * {@link #MIN_WAIT_SHARE_WITH_GOSSIP} where peers gossip and waits are better known, to {@link
- * #MAX_WAIT_SHARE}. Where reports are stale, the same share of {@link #MAX_QUEUED_REQUESTS} service
- * times bounds it as well, since a queue that grows unseen slows the backend for all. The priority
- * of a tenant beyond its quota is scaled by the settings' overQuotaWeight. Before a request is
- * rejected, backends outside the subset are tried once.
+ * ({@link WaitEstimator}, seconds) passes its limit: a share of the time until its attempt deadline
+ * (at most {@link BackendTable#memorySeconds}), the rest being room for its own work. The share
+ * rises with priority from {@link #MIN_WAIT_SHARE}, or {@link #MIN_WAIT_SHARE_WITH_GOSSIP} where
+ * peers gossip and waits are better known, to {@link #MAX_WAIT_SHARE}. Where reports are stale, the
+ * same share of {@link #MAX_QUEUED_REQUESTS} service times bounds it as well, since a queue that
+ * grows unseen slows the backend for all. The priority of a tenant beyond its quota is scaled by
+ * the settings' overQuotaWeight. Before a request is rejected, backends outside the subset are
+ * tried once.
  *
  * <p>Where no backend may take it the wait is infinite, and the reason NO_BACKEND. The Retry-After
  * of the reply is the wait, at most a window.
--- a/src/main/java/lemondrift/balancer/BackendSelector.java
+++ b/src/main/java/lemondrift/balancer/BackendSelector.java
@@ -24,7 +24,7 @@
     /** The share of requests that a utilization higher by 1 makes late. */
     private static final double LATE_SHARE_PER_UTILIZATION = 0.5;
 
-    /** The least priority weight at which crossing is weighed, as a share of the mean. */
+    /** The mean priority weight over this is the least that crossing is weighed against. */
     private static final double MIN_WEIGHT_DIVISOR = 100;
 
     /** The width of a tie where reports are fresh, in utilization. */
@@ -82,13 +82,13 @@
     }
 
     /** Sorts the subset, the best first, and sets the request's best backend. */
-    private void rank(Request request, int size, double now) {
+    private void rankSubset(Request request, int size, double now) {
         double crossZoneCost = crossZoneCost(request);
         int[] order = backends.order;
         for (int next = 0; next < size; next++) {
             int backend = order[next];
             int place = next;
-            backends.rankedBy[backend] = rank(request, backend, crossZoneCost, now);
+            backends.rankedBy[backend] = ranking(request, backend, crossZoneCost, now);
             for (;
                     place > 0 && backends.rankedBy[order[place - 1]] > backends.rankedBy[backend];
                     place--) {
@@ -103,8 +103,11 @@
         request.bestBackend = usable ? order[0] : Request.NO_BACKEND;
     }
 
-    /** What a backend is ranked by, in utilization; infinite where it may not take the request. */
-    private double rank(Request request, int backend, double crossZoneCost, double now) {
+    /**
+     * What a backend is ranked by, the lowest first, in utilization; infinite where it may not take
+     * the request.
+     */
+    private double ranking(Request request, int backend, double crossZoneCost, double now) {
         if (!mayTake(request, backend, now)) {
             return Double.POSITIVE_INFINITY;
         }
@@ -159,7 +162,7 @@
             subset.renew(request, now, this);
         }
         int size = subset.size(now);
-        rank(request, size, now);
+        rankSubset(request, size, now);
         if (request.probeRounds >= estimator.probeRounds()
                 || request.bestBackend == Request.NO_BACKEND
                 || estimator.freshness(request.bestBackend, now) > FRESH_ENOUGH) {
--- a/src/main/java/lemondrift/balancer/OutlierDetection.java
+++ b/src/main/java/lemondrift/balancer/OutlierDetection.java
@@ -23,7 +23,8 @@
  * then no more than {@link #MAX_EJECTED_SHARE} of the ready backends are. It lasts half to one and
  * a half windows (a window is the shortest latency objective), then comes a trial: one attempt at a
  * time. A good trial ends the ejection, with half the score left; a failed one doubles it, up to
- * {@link #MAX_EJECTION_WINDOWS}. A new start of the backend ends it as well.
+ * {@link #MAX_EJECTION_WINDOWS} windows, again half to one and a half times that. A new start of
+ * the backend ends it as well.
  */
 final class OutlierDetection extends DecisionStage {
     /** The least share of failures that a sound backend is supposed to have. */
@@ -155,6 +156,7 @@
         }
     }
 
+    /** The score after one more outcome; an outlier fails halfway from the usual to always. */
     private double stepped(double score, boolean failed) {
         double step =
                 failed ? Math.log((1 + usualFailureShare) / 2 / usualFailureShare) : Math.log(0.5);
--- a/src/main/java/lemondrift/balancer/RequestDeadlines.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -36,7 +36,7 @@
     private double[] usualSecondsLeft = {};
 
     /** By request class: how many tries in a row had less than that. */
-    private double[] shorterInARow = {};
+    private int[] shorterInARow = {};
 
     /** The requests that may be open, the one with the nearest deadline first. */
     private final PriorityQueue<Request> open =
--- a/src/main/java/lemondrift/balancer/RetryPolicy.java
+++ b/src/main/java/lemondrift/balancer/RetryPolicy.java
@@ -19,8 +19,8 @@
  * <ul>
  *   <li>it has had fewer attempts than its terms allow, or it ends with ATTEMPTS_USED;
  *   <li>the retry budget holds a whole retry, or it ends with RETRY_BUDGET_SPENT. Each first
- *       attempt earns {@link #RETRIES_PER_REQUEST}, so that a storm of retries is never of this
- *       proxy's making;
+ *       attempt earns {@link #RETRIES_PER_REQUEST}, up to as many as a request may have attempts,
+ *       so that a storm of retries is never of this proxy's making;
  *   <li>the backend has not had this request before;
  *   <li>no attempt before may have been executed ({@link AttemptOutcome#neverExecuted}); or the
  *       request is idempotent; or it carries an idempotency key, the first attempt that may have
@@ -93,14 +93,11 @@
     /** Whether a backend may execute what another may have executed already. */
     private boolean mayRepeat(
             RequestClass requestClass, Attempt executed, int backend, double now) {
-        return switch (requestClass.idempotency()) {
-            case IDEMPOTENT -> true;
-            case NOT_IDEMPOTENT -> false;
-            case IDEMPOTENT_WITH_KEY ->
-                    now - executed.sentAt < requestClass.idempotencyKeyTtlSeconds()
-                            && sharesKeys(
-                                    requestClass.deduplicationScope(), executed.backend, backend);
-        };
+        if (requestClass.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY) {
+            return requestClass.idempotency() == Idempotency.IDEMPOTENT;
+        }
+        return now - executed.sentAt < requestClass.idempotencyKeyTtlSeconds()
+                && sharesKeys(requestClass.deduplicationScope(), executed.backend, backend);
     }
 
     /** Whether two backends recognize the same idempotency keys. */
--- a/src/main/java/lemondrift/balancer/ServiceTimeEstimator.java
+++ b/src/main/java/lemondrift/balancer/ServiceTimeEstimator.java
@@ -15,10 +15,16 @@
     /** A single backend's service time is taken as half to twice the usual one. */
     private static final double MAX_RATIO = 2;
 
+    /** A service time is taken as the window over this before anything is measured. */
+    private static final double INITIAL_WINDOW_DIVISOR = 16;
+
+    /** The first quick response time is taken as the window over this at the least. */
+    private static final double MIN_WINDOW_DIVISOR = 1000;
+
     /** The least step of the quick response time upward, as a share of it. */
     private static final double MIN_STEP = 0.02;
 
-    /** Steps up that one step down balances, so that it settles at the lower quartile. */
+    /** How many steps up balance one step down: it settles at the lower quartile. */
     private static final double STEPS_DOWN = 3;
 
     /** Over how many outcomes or reports a mean is taken. */
@@ -46,7 +52,7 @@
 
     ServiceTimeEstimator(BackendTable backends) {
         this.backends = backends;
-        quickSeconds = backends.windowSeconds / 16;
+        quickSeconds = backends.windowSeconds / INITIAL_WINDOW_DIVISOR;
         secondsPerQueued = quickSeconds;
         reportedSeconds = backends.settings.loadReports().requestRateField() < 0 ? 0 : quickSeconds;
     }
@@ -101,7 +107,7 @@
             double step = Math.max(MIN_STEP, 1 / (3 + outcomes));
             quickSeconds =
                     outcomes == 1
-                            ? Math.max(durationSeconds, backends.windowSeconds / 1000)
+                            ? Math.max(durationSeconds, backends.windowSeconds / MIN_WINDOW_DIVISOR)
                             : quickSeconds
                                     * (durationSeconds < quickSeconds
                                             ? 1 - STEPS_DOWN * step
--- a/src/main/java/lemondrift/balancer/SlowStart.java
+++ b/src/main/java/lemondrift/balancer/SlowStart.java
@@ -13,12 +13,13 @@
  * <p>A backend that has just started has the share of its capacity that {@link
  * BackendTable#warmShare} gives, rising from slowStartMinShare to 1 over slowStartSeconds. It must
  * not be given more than overloadFactor times that within overloadWindowSeconds (all of them
- * settings), by all proxies that use it together. This proxy's part is divided by the number of
- * those proxies: half of it may go out at once, the other half over the window.
+ * settings), by all proxies that use it together. So this proxy's part in one window is, in seconds
+ * of a warm backend's work, overloadFactor times warmShare times overloadWindowSeconds divided by
+ * the number of those proxies: half of it may go out at once, the other half over the window.
  *
- * <p>So each request drains after {@link #drainSeconds}, and another may be sent where what has not
- * drained, with it, drains within the window. The undrained work is counted in requests and drains
- * at the present pace, so that what is learnt of the service time holds for it at once.
+ * <p>Each request thus drains after {@link #drainSeconds}, and another may be sent where what has
+ * not drained, with it, drains within the window. The undrained work is counted in requests and
+ * drains at the present pace, so that what is learnt of the service time holds for it at once.
  */
 final class SlowStart extends DecisionStage {
     /** A probe's work as a share of a request's. */
--- a/src/main/java/lemondrift/balancer/UtilizationEstimator.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -30,6 +30,12 @@
     /** What the probes of a request may cost, as a share of a request. */
     private static final double MAX_PROBE_COST = 0.03;
 
+    /** Over how many repeated reports the repetition time rises. */
+    private static final double REPEATS_TO_RISE = 8;
+
+    /** Over how many new reports it falls. */
+    private static final double REPORTS_TO_FALL = 4;
+
     /** What the mean of no report is, counted as one. */
     private static final double MEAN_BEFORE_REPORTS = 0.5;
 
@@ -140,11 +146,13 @@
         }
         // Guards against a herd: a repeated report says nothing new, so what was sent still counts.
         if (isRepeated(backend, utilization, inFlight, succeeded)) {
-            repeatSeconds += Math.max(0, now - reportedAt[backend] - repeatSeconds) / 8;
+            repeatSeconds +=
+                    Math.max(0, now - reportedAt[backend] - repeatSeconds) / REPEATS_TO_RISE;
             return;
         }
         if (reportedAt[backend] > 0 && succeeded) {
-            repeatSeconds -= Math.max(0, repeatSeconds - now + reportedAt[backend]) / 4;
+            repeatSeconds -=
+                    Math.max(0, repeatSeconds - now + reportedAt[backend]) / REPORTS_TO_FALL;
         }
         serviceTimes.reported(
                 backend,
