--- a/src/main/java/lemondrift/balancer/OutlierDetection.java
+++ b/src/main/java/lemondrift/balancer/OutlierDetection.java
@@ -19,12 +19,12 @@
  * (at least {@link #MIN_FAILURE_SHARE}), so that a fault which all share ejects nobody; an outlier
  * fails halfway from there to always.
  *
- * <p>Ejected at a score of {@link #EJECTION_SCORE}: after three failures in a row at the least, if
- * then no more than {@link #MAX_EJECTED_SHARE} of the ready backends are. It lasts half to one and
- * a half windows (a window is the shortest latency objective), then comes a trial: one attempt at a
- * time. A good trial ends the ejection, with half the score left; a failed one doubles it, up to
- * {@link #MAX_EJECTION_WINDOWS} windows, again half to one and a half times that. A new start of
- * the backend ends it as well.
+ * <p>Ejected at a score of {@link #EJECTION_SCORE}, which from 0 takes four failures in a row at
+ * the least, if then no more than {@link #MAX_EJECTED_SHARE} of the ready backends are. It lasts
+ * half to one and a half windows (a window is the shortest latency objective), then comes a trial:
+ * one attempt at a time. A good trial ends the ejection, with half the score left; a failed one
+ * doubles it, up to {@link #MAX_EJECTION_WINDOWS} windows, again half to one and a half times that.
+ * A new start of the backend ends it as well.
  */
 final class OutlierDetection extends DecisionStage {
     /** The least share of failures that a sound backend is supposed to have. */
@@ -42,8 +42,8 @@
     /** To how many windows an ejection doubles at the most. */
     private static final double MAX_EJECTION_WINDOWS = 8;
 
-    /** What a backend that is about to be ejected is penalized by, in windows of utilization. */
-    private static final double MAX_PENALTY_WINDOWS = 2;
+    /** What a backend's rank is worsened by when it is about to be ejected, in utilization. */
+    private static final double MAX_PENALTY = 2;
 
     /** The test over all outcomes; the one of a request class stands at its index plus one. */
     private static final int ALL_CLASSES = 0;
@@ -192,7 +192,7 @@
      * errors at a proxy that sends seldom.
      */
     double penalty(int backend, double now) {
-        return MAX_PENALTY_WINDOWS
+        return MAX_PENALTY
                 * score[ALL_CLASSES][backend]
                 / EJECTION_SCORE
                 * Math.exp((lastOutcomeAt[backend] - now) / backends.memorySeconds);
