--- /dev/null
+++ b/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
@@ -0,0 +1,192 @@
+package lemondrift.proxy.loop;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.FailureReason;
+import lemondrift.model.Request;
+import lemondrift.proxy.discovery.BackendDirectory;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.events.ProxyActions;
+import lemondrift.proxy.time.MonotonicClock;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Carries out decisions: turns them into actions of the I/O thread, and owns the open requests and
+ * the time at which the balancer wants to be woken. {@link #eventFailed} is what happens when a
+ * decision throws. Decisions thread only.
+ */
+final class DecisionExecutor {
+    private static final Logger LOG = LoggerFactory.getLogger(DecisionExecutor.class);
+
+    /**
+     * Seconds after a failed event at which the balancer is woken at the latest, as the wake time
+     * it wanted may be lost.
+     */
+    private static final double WAKE_AFTER_FAILURE_SECONDS = 1;
+
+    private final LoadBalancer balancer;
+    private final BackendDirectory directory;
+    private final MonotonicClock clock;
+    private final ProxyActions actions;
+    private final PeerExchange peers;
+    private final ShadowRunner shadow;
+    private final Map<Request, PendingRequest> openRequests = new HashMap<>();
+    private double wakeAt = Double.POSITIVE_INFINITY;
+
+    DecisionExecutor(
+            LoadBalancer balancer,
+            BackendDirectory directory,
+            MonotonicClock clock,
+            ProxyActions actions,
+            PeerExchange peers,
+            ShadowRunner shadow) {
+        this.balancer = balancer;
+        this.directory = directory;
+        this.clock = clock;
+        this.actions = actions;
+        this.peers = peers;
+        this.shadow = shadow;
+    }
+
+    /** When the balancer wants to be woken, as of its last decision. */
+    double wakeAt() {
+        return wakeAt;
+    }
+
+    int openRequestCount() {
+        return openRequests.size();
+    }
+
+    boolean hasOpenRequestOf(int requestClass) {
+        return openRequests.keySet().stream()
+                .anyMatch(request -> request.requestClass == requestClass);
+    }
+
+    void opened(PendingRequest pending) {
+        openRequests.put(pending.request(), pending);
+    }
+
+    /**
+     * Cancellations first, then attempts, local replies, probes, calls for the endpoint list and
+     * log lines.
+     */
+    void execute(Decision decision) {
+        shadow.decided(decision);
+        decision.cancellations.forEach(actions::cancel);
+        for (Attempt attempt : decision.attempts) {
+            send(attempt);
+        }
+        for (Decision.LocalReply reply : decision.localReplies) {
+            fail(reply.request(), reply.rejected(), reply.retryAfterSeconds());
+            release(reply.request());
+        }
+        for (int backend : decision.probes) {
+            directory.retain(backend);
+            actions.probe(backend, directory.address(backend));
+        }
+        decision.endpointListCalls.forEach(actions::requestEndpointList);
+        decision.logMessages.forEach(LOG::info);
+        // A backend that becomes usable or unusable without a list comes with a log message.
+        if (!decision.logMessages.isEmpty()) {
+            reportBackendCount();
+        }
+        wakeAt = decision.wakeAt;
+    }
+
+    private void send(Attempt attempt) {
+        directory.retain(attempt.backend);
+        peers.attemptSent(attempt.backend);
+        actions.send(
+                attempt, openRequests.get(attempt.request), directory.address(attempt.backend));
+    }
+
+    /**
+     * Delivers the response of the first attempt that succeeds, and discards what follows of any
+     * other.
+     *
+     * @param response null where none came
+     * @return whether this attempt is the first of its request to succeed
+     */
+    boolean deliverOrDiscard(Attempt attempt, AttemptOutcome outcome, BackendResponse response) {
+        boolean firstSuccess = outcome == AttemptOutcome.SUCCESS && !attempt.request.completed;
+        PendingRequest pending = openRequests.get(attempt.request);
+        if (firstSuccess && pending != null) {
+            actions.deliver(pending, response);
+        } else if (response != null && response.remainder() != null) {
+            actions.discard(response);
+        }
+        return firstSuccess;
+    }
+
+    /**
+     * What happens when a decision, or carrying it out, throws: the error is logged with its event
+     * and request, the request fails at once (502) unless it is completed, the shadow forgets it,
+     * and the balancer is woken within a second.
+     */
+    void eventFailed(Event event, Throwable cause) {
+        Request request = event.request();
+        if (request == null) {
+            LOG.error("decision event {} failed", event.type(), cause);
+        } else {
+            LOG.error("decision event {} of request {} failed", event.type(), request.id, cause);
+        }
+        if (request != null && !request.completed) {
+            request.completed = true;
+            fail(request, false, 0);
+            shadow.clientLeft(request);
+        }
+        wakeAt = Math.min(wakeAt, clock.now() + WAKE_AFTER_FAILURE_SECONDS);
+    }
+
+    /**
+     * Fails all open requests at the end of the process; those without an attempt are rejected, so
+     * that clients may retry.
+     */
+    void failOpenRequests() {
+        for (Request request : List.copyOf(openRequests.keySet())) {
+            if (!request.completed) {
+                request.failureReason = FailureReason.SHUTDOWN;
+                execute(balancer.clientLeft(clock.now(), request));
+                fail(request, request.attemptCount == 0, 0);
+                release(request);
+            }
+        }
+    }
+
+    private void fail(Request request, boolean rejected, double retryAfterSeconds) {
+        PendingRequest pending = openRequests.get(request);
+        if (pending != null) {
+            actions.fail(pending, rejected, retryAfterSeconds);
+        }
+    }
+
+    /**
+     * Forgets a request that is completed and has no attempt in flight, and releases its backends.
+     */
+    void release(Request request) {
+        if (request.completed
+                && request.attemptsInFlight == 0
+                && openRequests.remove(request) != null) {
+            // Guards against the index of an earlier attempt's backend that passes on: retries go
+            // by it.
+            for (Attempt attempt = request.latestAttempt;
+                    attempt != null;
+                    attempt = attempt.previous) {
+                directory.release(attempt.backend);
+            }
+        }
+    }
+
+    /** Has the metrics count how many backends are listed, and how many of them are not usable. */
+    void reportBackendCount() {
+        actions.backendsCounted(
+                directory.listedCount(), directory.listedCount() - balancer.usableBackendCount());
+    }
+}
--- a/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -1,36 +1,24 @@
 package lemondrift.proxy.loop;
 
-import java.util.ArrayDeque;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Queue;
 import java.util.Set;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
-import java.util.stream.IntStream;
 import lemondrift.balancer.LoadBalancer;
 import lemondrift.metrics.EventLoopMetrics;
 import lemondrift.model.Attempt;
 import lemondrift.model.AttemptOutcome;
-import lemondrift.model.Decision;
-import lemondrift.model.EndpointUpdate;
-import lemondrift.model.FailureReason;
 import lemondrift.model.Request;
 import lemondrift.model.Settings;
 import lemondrift.model.ShedThreshold;
 import lemondrift.proxy.config.GossipSettings;
 import lemondrift.proxy.discovery.BackendDirectory;
-import lemondrift.proxy.discovery.EndpointListUpdate;
 import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.events.DecisionEvents;
 import lemondrift.proxy.events.EndpointList;
 import lemondrift.proxy.events.PendingRequest;
 import lemondrift.proxy.events.ProxyActions;
-import lemondrift.proxy.gossip.GossipSession;
 import lemondrift.proxy.recovery.RecoveryCoordinator;
 import lemondrift.proxy.time.MonotonicClock;
 import lemondrift.settings.RequestClassIndex;
@@ -38,75 +26,50 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread that calls the decisions. Everybody else reaches it through its queue. */
+/**
+ * The queue of events and the one thread that handles them and calls the balancer. All other
+ * threads reach the balancer through the queue: a public method queues an event and returns, and
+ * blocks only while the queue is full, unless it says otherwise.
+ */
 public final class DecisionLoop implements DecisionEvents {
     private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
-    private static final int QUEUED = 4096;
 
-    /** How many events are handled before the sockets are told what came of them. */
-    private static final int AT_A_TIME = 32;
+    /** Events that may wait; whoever adds one more blocks. */
+    private static final int QUEUE_CAPACITY = 4096;
 
-    private static final double LONGEST_WAIT = 10;
-
-    /** When an event came, where nobody has looked. */
-    private static final double UNKNOWN = Double.POSITIVE_INFINITY;
-
-    /** Seconds in which others may run between two slices of a list. */
-    private static final double BETWEEN_SLICES = 0.001;
+    /**
+     * Events handled after the first of an iteration before the I/O thread hears what was decided.
+     */
+    private static final int MAX_FURTHER_EVENTS = 32;
 
-    /** How often, in seconds, the log has what watching has counted. */
-    private static final double SHOWN = 60;
+    /** Longest wait for an event, in seconds. */
+    private static final double MAX_WAIT_SECONDS = 10;
 
     /**
-     * Something that happened, when if that is known, and the exchange that it is about, if any.
+     * Longest wait for an event between two slices of an endpoint list, in seconds, in which other
+     * threads may run.
      */
-    private record Event(
-            EventLoopMetrics.Kind kind, double came, Request about, Supplier<Decision> call) {}
-
-    /** Lists that are not followed whole yet, the oldest first. */
-    private final Queue<EndpointListUpdate> updates = new ArrayDeque<>();
+    private static final double SLICE_INTERVAL_SECONDS = 0.001;
 
-    private final BlockingQueue<Event> queue = new ArrayBlockingQueue<>(QUEUED);
-    private final LoadBalancer balancer;
-    private final BackendDirectory directory;
+    private final BlockingQueue<Event> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final Thread thread = new Thread(this::run, "decisions");
+    private final EventLoopMetrics loopMetrics = new EventLoopMetrics();
     private final MonotonicClock clock;
     private final ProxyActions actions;
-    private final Map<Request, PendingRequest> open = new HashMap<>();
-    private final Thread thread = new Thread(this::run, "owner");
-    private final EventLoopMetrics loopMetrics = new EventLoopMetrics();
-    private double turnBegan;
-
-    /** What others tell and are told; null where they tell nothing. */
-    private GossipSession gossipSession;
-
-    /** The way back after the start; null where nobody is asked. */
-    private RecoveryCoordinator recoveryCoordinator;
-
-    private double wakeAt = Double.POSITIVE_INFINITY;
-
-    /** What other settings would have decided; null where nobody watches. */
-    private ShadowEvaluator shadow;
-
-    private double shownAt;
-    private int arrived;
-
-    /** What the decisions would shed of each grade, as of the last time that the queue was long. */
-    private volatile List<ShedThreshold> shedThresholds = List.of();
-
-    /** What is stated now, the grades under the indexes that exchanges name. */
-    private RequestClassIndex requestClasses;
-
-    private Settings settings;
-    private int processes = 1;
+    private final BackendDirectory directory;
+    private final PeerExchange peers;
+    private final ShadowRunner shadow;
+    private final DecisionExecutor executor;
+    private final EventHandler eventHandler;
+    private final EndpointListApplier endpointLists;
+    private final ShedThresholds shedThresholds;
+    private final ActiveSettings activeSettings;
+    private double iterationStartedAt;
 
     /**
-     * How many statements the front does not go by yet, and the indexes that it had exchanges under
-     * when it went by the last. Danger: what it still puts on one must not mean another class here.
+     * A loop that {@link #start} runs; it calls the balancer and the directory from its own thread
+     * alone.
      */
-    private int unfollowed;
-
-    private Set<Integer> held = Set.of();
-
     public DecisionLoop(
             LoadBalancer balancer,
             BackendDirectory directory,
@@ -114,76 +77,62 @@
             ProxyActions actions,
             RequestClassIndex requestClasses,
             Settings settings) {
-        this.requestClasses = requestClasses;
-        this.settings = settings;
-        this.balancer = balancer;
-        this.directory = directory;
         this.clock = clock;
         this.actions = actions;
+        this.directory = directory;
+        peers = new PeerExchange(balancer, directory, clock, actions);
+        shadow = new ShadowRunner(clock);
+        executor = new DecisionExecutor(balancer, directory, clock, actions, peers, shadow);
+        eventHandler = new EventHandler(balancer, directory, clock, peers, shadow, executor);
+        endpointLists =
+                new EndpointListApplier(
+                        balancer, directory, clock, actions, peers, shadow, executor);
+        shedThresholds = new ShedThresholds(balancer, clock);
+        activeSettings =
+                new ActiveSettings(
+                        requestClasses,
+                        settings,
+                        balancer,
+                        actions,
+                        executor,
+                        shedThresholds,
+                        shadow);
         thread.setDaemon(true);
     }
 
-    /** Tells the other proxies what is out here and hears it of them; before the start. */
+    /** Exchanges load with the other proxies; before the start. */
     public void enableGossip(GossipSettings gossip) {
-        gossipSession = new GossipSession(gossip, System.currentTimeMillis(), balancer, directory);
+        peers.enable(gossip);
     }
 
-    /** The same, and asks others after the start. */
-    public void enableGossip(GossipSettings gossip, RecoveryCoordinator its) {
-        recoveryCoordinator = its;
-        gossipSession = new GossipSession(gossip, its.startNumber(), balancer, directory);
+    /** Exchanges load with the other proxies, and recovers with their help; before the start. */
+    public void enableGossip(GossipSettings gossip, RecoveryCoordinator recoveryCoordinator) {
+        peers.enable(gossip, recoveryCoordinator);
     }
 
+    /** Null where there is none. Any thread. */
     public RecoveryCoordinator recoveryCoordinator() {
-        return recoveryCoordinator;
+        return peers.recoveryCoordinator();
     }
 
-    /** Counts what these settings would have decided otherwise; before the start. */
+    /** Counts what other settings would have decided otherwise; before the start. */
     public void enableShadow(Settings settings, long seed) {
-        shadow = new ShadowEvaluator(settings, seed);
-        shownAt = clock.now();
-    }
-
-    /**
-     * Danger: what goes wrong in watching must not touch an exchange, so it ends the watching
-     * alone.
-     */
-    private void watch(Consumer<ShadowEvaluator> event) {
-        try {
-            event.accept(shadow);
-        } catch (RuntimeException e) {
-            LOG.error("watching has ended", e);
-            shadow = null;
-        }
+        shadow.enable(settings, seed);
     }
 
+    /** Null where there is none. Once the loop has stopped. */
     public ShadowEvaluator shadow() {
-        return shadow;
-    }
-
-    private void showAtTimes() {
-        if (shadow != null && clock.now() >= shownAt + SHOWN) {
-            shownAt = clock.now();
-            LOG.info("watching: {}", shadow.summary());
-        }
-    }
-
-    /** Another proxy's datagram has come. */
-    @Override
-    public void datagramReceived(int from, byte[] datagram) {
-        if (recoveryCoordinator != null && RecoveryCoordinator.isRecoveryDatagram(datagram)) {
-            recoveryCoordinator.received(from, datagram);
-            put(null, () -> null);
-        } else {
-            gossipSession.received(from, datagram);
-        }
+        return shadow.evaluator();
     }
 
     public void start() {
         thread.start();
     }
 
-    /** Danger: what the owner still has in hand would find the I/O thread gone. */
+    /**
+     * Ends the thread and returns once it has ended. Guards against actions of it that find the I/O
+     * thread gone.
+     */
     public void stop() {
         thread.interrupt();
         try {
@@ -191,38 +140,25 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (shadow != null) {
-            LOG.info("watching: {}", shadow.summary());
-        }
+        shadow.logSummary();
     }
 
     @Override
     public void requestArrived(PendingRequest pending) {
         put(
-                EventLoopMetrics.Kind.ARRIVAL,
-                pending.request(),
-                () -> {
-                    arrived++;
-                    open.put(pending.request(), pending);
-                    if (shadow != null) {
-                        watch(s -> s.requestArrived(clock.now(), pending.request()));
-                    }
-                    return balancer.requestArrived(clock.now(), pending.request());
-                });
+                new Event(
+                        EventType.REQUEST_ARRIVED,
+                        pending.request().arrivedAt,
+                        pending.request(),
+                        () -> eventHandler.requestArrived(pending)));
     }
 
-    /**
-     * Whether the decisions would shed an exchange now; null if not, else with what retry-after.
-     * Any thread.
-     */
+    /** Returns at once, without an event. Any thread. */
     @Override
-    public ShedThreshold shedThreshold(int requestClass, double left) {
-        ShedThreshold word =
-                requestClass < shedThresholds.size() ? shedThresholds.get(requestClass) : null;
-        return word != null && left < word.minSecondsLeft() ? word : null;
+    public ShedThreshold shedThreshold(int requestClass, double secondsLeft) {
+        return shedThresholds.forRequest(requestClass, secondsLeft);
     }
 
-    /** The answer is the one to pass on if this forward delivers. */
     @Override
     public void attemptEnded(
             Attempt attempt,
@@ -231,256 +167,122 @@
             double[] loadReport,
             BackendResponse response) {
         put(
-                EventLoopMetrics.Kind.OUTCOME,
+                EventType.ATTEMPT_ENDED,
                 attempt.request,
-                () -> {
-                    boolean wins = outcome == AttemptOutcome.SUCCESS && !attempt.request.completed;
-                    PendingRequest pending = open.get(attempt.request);
-                    if (wins && pending != null) {
-                        actions.deliver(pending, response);
-                    } else if (response != null && response.remainder() != null) {
-                        actions.discard(response);
-                    }
-                    if (gossipSession != null) {
-                        gossipSession.attemptEnded(attempt.backend, outcome, clock.now());
-                    }
-                    boolean over = wins || attempt.request.completed;
-                    if (shadow != null) {
-                        watch(
-                                s ->
-                                        s.attemptEnded(
-                                                clock.now(),
-                                                attempt,
-                                                outcome,
-                                                durationSeconds,
-                                                over,
-                                                loadReport));
-                    }
-                    return balancer.attemptEnded(
-                            clock.now(), attempt, outcome, durationSeconds, over, loadReport);
-                });
+                () ->
+                        eventHandler.attemptEnded(
+                                attempt, outcome, durationSeconds, loadReport, response));
     }
 
     @Override
     public void probeEnded(int backend, AttemptOutcome outcome, double[] loadReport) {
-        put(
-                null,
-                () -> {
-                    directory.release(backend);
-                    if (shadow != null) {
-                        watch(s -> s.probeEnded(clock.now(), backend, outcome, loadReport));
-                    }
-                    return balancer.probeEnded(clock.now(), backend, outcome, loadReport);
-                });
+        put(EventType.PROBE_ENDED, () -> eventHandler.probeEnded(backend, outcome, loadReport));
     }
 
     @Override
     public void clientLeft(Request request) {
-        put(
-                EventLoopMetrics.Kind.CLIENT_LEFT,
-                request,
-                () -> {
-                    if (shadow != null) {
-                        watch(s -> s.clientLeft(clock.now(), request));
-                    }
-                    return request.completed ? null : balancer.clientLeft(clock.now(), request);
-                });
-    }
-
-    /** So many processes share what is this proxy's, its part of a cold backend's budget too. */
-    public void setProcessCount(int many) {
-        put(
-                null,
-                () -> {
-                    processes = many;
-                    balancer.settingsChanged(settings.dividedAmong(many), List.of());
-                    return null;
-                });
+        put(EventType.CLIENT_LEFT, request, () -> eventHandler.clientLeft(request));
     }
 
-    /** Its request can't be sent whole any more. */
     @Override
     public void bodyNotReplayable(Request request) {
-        put(
-                request,
-                () -> {
-                    request.terms = request.terms.withMaxAttempts(request.attemptCount);
-                    return null;
-                });
+        put(EventType.BODY_NOT_REPLAYABLE, request, () -> eventHandler.bodyNotReplayable(request));
     }
 
-    /**
-     * A list has come; stale is one of before the start. Applied hears when the decisions have all
-     * of it.
-     */
+    /** See {@link EndpointListApplier}. */
     @Override
     public void endpointListReceived(EndpointList list, boolean stale, Runnable applied) {
-        put(
-                EventLoopMetrics.Kind.LIST,
-                null,
-                () -> {
-                    updates.add(new EndpointListUpdate(directory, list, stale, applied));
-                    // What is small is followed at once.
-                    return updates.size() == 1 ? nextSlice() : null;
-                });
+        put(EventType.ENDPOINT_LIST_RECEIVED, () -> endpointLists.received(list, stale, applied));
     }
 
-    /** Follows a part of the list that has come first. */
-    private Decision nextSlice() {
-        EndpointListUpdate update = updates.peek();
-        List<EndpointUpdate> listed = update.nextSlice();
-        List<EndpointUpdate> lines =
-                gossipSession == null || listed.isEmpty()
-                        ? listed
-                        : gossipSession.withSubsets(listed);
-        if (shadow != null) {
-            watch(s -> s.endpointsListed(clock.now(), false, update.isStale(), lines));
-        }
-        balancer.endpointsChanged(clock.now(), false, lines);
-        if (gossipSession != null) {
-            gossipSession.endpointsApplied(lines);
-        }
-        for (EndpointUpdate line : lines) {
-            // Danger: what waits for a connection to where it was would reach whoever is there now.
-            if (line.state() != EndpointUpdate.State.READY || directory.hasMoved(line.backend())) {
-                actions.retirePool(line.backend());
-            }
-        }
-        return update.isDone() ? endOf(updates.remove()) : null;
+    @Override
+    public void endpointListFailed() {
+        put(EventType.ENDPOINT_LIST_FAILED, eventHandler::endpointListFailed);
     }
 
-    private Decision endOf(EndpointListUpdate update) {
-        count();
-        if (!update.unreadable().isEmpty()) {
-            LOG.warn(
-                    "lines of the list are passed over, the first: {}", update.unreadable().get(0));
-        }
-        if (!update.isEmpty()) {
-            LOG.info(
-                    "list followed {} backends={} usable={}",
-                    update.summary(),
-                    directory.listedCount(),
-                    balancer.usableBackendCount());
+    /**
+     * Wakes the loop for a datagram of recovery alone: load of other proxies matters only when the
+     * loop decides.
+     */
+    @Override
+    public void datagramReceived(int from, byte[] datagram) {
+        if (peers.received(from, datagram)) {
+            put(EventType.RECOVERY_DATAGRAM_RECEIVED, () -> {});
         }
-        update.notifyApplied();
-        return balancer.endpointsListed(clock.now(), false, update.isStale(), List.of());
     }
 
-    /** Other settings hold from now on, for what comes; watched is null where nobody watches. */
-    public void reload(Settings to, List<String> names, Settings watched) {
-        put(
-                null,
-                () -> {
-                    requestClasses =
-                            requestClasses.reloaded(
-                                    names,
-                                    to.requestClasses(),
-                                    i ->
-                                            unfollowed > 0
-                                                    || held.contains(i)
-                                                    || open.keySet().stream()
-                                                            .anyMatch(
-                                                                    request ->
-                                                                            request.requestClass
-                                                                                    == i));
-                    unfollowed++;
-                    // Danger: under an index another class may stand from now on.
-                    shedThresholds = List.of();
-                    settings = settings.reloaded(to, requestClasses.byIndex());
-                    balancer.settingsChanged(
-                            settings.dividedAmong(processes), requestClasses.reassigned());
-                    if (shadow != null && watched != null) {
-                        watch(
-                                s ->
-                                        s.settingsChanged(
-                                                watched.reloaded(
-                                                        watched,
-                                                        requestClasses.byIndex(
-                                                                watched.requestClasses())),
-                                                requestClasses.reassigned()));
-                    }
-                    actions.settingsChanged(requestClasses, settings);
-                    return null;
-                });
+    /**
+     * So many processes share what the settings grant this proxy, its part of a warming backend's
+     * budget too.
+     */
+    public void setProcessCount(int processCount) {
+        put(EventType.PROCESS_COUNT_CHANGED, () -> activeSettings.setProcessCount(processCount));
     }
 
-    /** The front goes by what was stated last, and has exchanges under these indexes of classes. */
-    public void settingsApplied(Set<Integer> under) {
+    /**
+     * Replaces the settings for requests that arrive from now on.
+     *
+     * @param classNames the names of the new request classes, in the order of the settings
+     * @param shadowSettings null where the new configuration has none
+     */
+    public void reload(Settings next, List<String> classNames, Settings shadowSettings) {
         put(
-                null,
-                () -> {
-                    unfollowed--;
-                    held = under;
-                    return null;
-                });
+                EventType.SETTINGS_RELOADED,
+                () -> activeSettings.reload(next, classNames, shadowSettings));
     }
 
-    private void count() {
-        actions.backendsCounted(
-                directory.listedCount(), directory.listedCount() - balancer.usableBackendCount());
+    /**
+     * The I/O thread goes by the settings of one more reload, and has requests of these classes.
+     */
+    public void settingsApplied(Set<Integer> classesInUse) {
+        put(EventType.SETTINGS_APPLIED, () -> activeSettings.applied(classesInUse));
     }
 
     /**
-     * Answers all that is open: refused where nothing was forwarded. Danger: at the end of the
-     * process what has no answer is lost.
+     * Fails all open requests; those without an attempt are rejected. At the end of the process.
      */
     public void failOpenRequests() {
-        put(
-                null,
-                () -> {
-                    for (Request request : List.copyOf(open.keySet())) {
-                        if (!request.completed) {
-                            request.failureReason = FailureReason.SHUTDOWN;
-                            carryOut(balancer.clientLeft(clock.now(), request));
-                            answer(request, request.attemptCount == 0, 0);
-                            release(request);
-                        }
-                    }
-                    return null;
-                });
+        put(EventType.SHUTDOWN, executor::failOpenRequests);
     }
 
     /**
-     * What is the owner's own is to be seen there only. What it has asked of the sockets is on its
-     * way.
+     * Runs a task on the loop's thread, once all actions so far are on their way to the I/O thread.
      */
     public void runOnLoop(Runnable task) {
         put(
-                null,
+                EventType.TASK,
                 () -> {
                     actions.flush();
                     task.run();
-                    return null;
                 });
     }
 
-    /** How often something speaks of a backend by its index. Owner's thread only. */
+    /** How many attempts and probes hold a backend's index. The loop's thread only. */
     public int backendReferenceCount() {
         return directory.referenceCount();
     }
 
-    /** How many exchanges are open. Owner's thread only. */
+    /** The loop's thread only. */
     public int openRequestCount() {
-        return open.size();
+        return executor.openRequestCount();
     }
 
-    @Override
-    public void endpointListFailed() {
-        put(null, () -> balancer.endpointListFailed(clock.now()));
+    /** How the loop keeps up, as JSON. Any thread. */
+    public String metricsJson() {
+        return loopMetrics.json();
     }
 
-    private void put(Request about, Supplier<Decision> call) {
-        put(EventLoopMetrics.Kind.OTHER, about, call);
+    private void put(EventType type, Runnable action) {
+        put(type, null, action);
     }
 
-    /**
-     * Danger: to read the clock for each event takes more of a small part of a core than most
-     * events do.
-     */
-    private void put(EventLoopMetrics.Kind kind, Request about, Supplier<Decision> call) {
-        double came = kind == EventLoopMetrics.Kind.ARRIVAL ? about.arrivedAt : UNKNOWN;
+    private void put(EventType type, Request request, Runnable action) {
+        put(new Event(type, Event.UNKNOWN_TIME, request, action));
+    }
+
+    private void put(Event event) {
         try {
-            queue.put(new Event(kind, came, about, call));
+            queue.put(event);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -489,175 +291,92 @@
     private void run() {
         while (!Thread.interrupted()) {
             try {
-                double next =
-                        gossipSession == null
-                                ? wakeAt
-                                : Math.min(wakeAt, gossipSession.nextSendAt());
-                next =
-                        recoveryCoordinator == null
-                                ? next
-                                : Math.min(next, recoveryCoordinator.wakeAt());
-                next = shadow == null ? next : Math.min(next, shadow.wakeAt());
-                double wait =
-                        Math.min(
-                                updates.isEmpty() ? LONGEST_WAIT : BETWEEN_SLICES,
-                                next - clock.now());
-                long nanos = (long) (Math.max(0, wait) * 1e9);
-                Event event = queue.poll(nanos, TimeUnit.NANOSECONDS);
-                turnBegan = clock.now();
-                int handled = 0;
-                if (gossipSession != null) {
-                    gossipSession.processReceived(clock.now());
-                }
-                for (; event != null; handled++) {
-                    handle(event);
-                    event = handled < AT_A_TIME ? queue.poll() : null;
-                }
-                if (handled > AT_A_TIME) {
-                    shedThresholds =
-                            IntStream.range(0, settings.requestClasses().size())
-                                    .mapToObj(this::word)
-                                    .toList();
-                }
-                if (wakeAt <= clock.now()) {
-                    handle(
-                            new Event(
-                                    EventLoopMetrics.Kind.TIMER,
-                                    wakeAt,
-                                    null,
-                                    () -> balancer.wake(clock.now())));
-                }
-                // Danger: whatever owes its answer now goes before the list.
-                if (!updates.isEmpty()) {
-                    handle(own(EventLoopMetrics.Kind.LIST, this::nextSlice));
-                }
-                if (shadow != null) {
-                    watch(s -> s.wake(clock.now()));
-                    showAtTimes();
-                }
-                if (arrived > 0) {
-                    actions.requestsDecided(arrived, clock.now() - turnBegan);
-                    arrived = 0;
-                }
-                if (recoveryCoordinator != null) {
-                    recoveryCoordinator.advance(
-                            clock.now(),
-                            balancer,
-                            gossipSession::peerRestarted,
-                            actions::sendGossip);
-                }
-                if (gossipSession != null) {
-                    gossipSession.dueMessages(clock.now()).forEach(actions::sendGossip);
-                }
-                actions.flush();
-                turned(clock.now());
+                iterate(queue.poll(nanosToWait(), TimeUnit.NANOSECONDS));
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    /** What nobody has waited for. */
-    private Event own(EventLoopMetrics.Kind kind, Supplier<Decision> call) {
-        return new Event(kind, UNKNOWN, null, call);
-    }
-
-    /** How it keeps up, as JSON. Any thread. */
-    public String metricsJson() {
-        return loopMetrics.json();
-    }
-
-    private ShedThreshold word(int requestClass) {
-        return settings.requestClasses().get(requestClass) == null
-                ? null
-                : balancer.shedThreshold(clock.now(), requestClass);
-    }
-
-    private void handle(Event event) {
-        loopMetrics.eventHandled(event.kind, turnBegan - event.came);
-        carryOut(event);
-    }
-
-    private void turned(double now) {
-        String line = loopMetrics.iterationEnded(now - turnBegan, queue.size(), now);
-        if (line != null) {
-            LOG.info("decision loop {}", line);
-        }
+    private long nanosToWait() {
+        double wakeAt = Math.min(Math.min(executor.wakeAt(), peers.wakeAt()), shadow.wakeAt());
+        double maxWaitSeconds =
+                endpointLists.hasPending() ? SLICE_INTERVAL_SECONDS : MAX_WAIT_SECONDS;
+        double waitSeconds = Math.min(maxWaitSeconds, wakeAt - clock.now());
+        return (long) (Math.max(0, waitSeconds) * 1e9);
     }
 
     /**
-     * Danger: an exception in one exchange must not end the proxy, nor leave the exchange
-     * unanswered.
+     * Handles what is due and then wakes the I/O thread once. The event is null where none came in
+     * time.
      */
-    private void carryOut(Event event) {
-        try {
-            Decision decision = event.call.get();
-            if (decision != null) {
-                carryOut(decision);
-            }
-        } catch (RuntimeException | Error e) {
-            LOG.error("event failed", e);
-            if (event.about != null && !event.about.completed) {
-                event.about.completed = true;
-                answer(event.about, false, 0);
-                if (shadow != null) {
-                    watch(s -> s.clientLeft(clock.now(), event.about));
-                }
-            }
-            wakeAt = Math.min(wakeAt, clock.now() + 1);
+    private void iterate(Event firstEvent) {
+        iterationStartedAt = clock.now();
+        peers.processReceived();
+        handleQueued(firstEvent);
+        if (executor.wakeAt() <= clock.now()) {
+            handle(
+                    new Event(
+                            EventType.WAKE_TIME_REACHED,
+                            executor.wakeAt(),
+                            null,
+                            eventHandler::wakeTimeReached));
         }
-        // Danger: letting go of an exchange before the turn is carried out would leave it
-        // unanswered.
-        if (event.about != null) {
-            release(event.about);
+        // Guards against requests whose reply is due now and that would wait for a long list.
+        if (endpointLists.hasPending()) {
+            handle(
+                    new Event(
+                            EventType.ENDPOINT_LIST_SLICE,
+                            Event.UNKNOWN_TIME,
+                            null,
+                            endpointLists::applyNextSlice));
         }
+        shadow.iterationEnded();
+        int arrivedCount = eventHandler.takeArrivedCount();
+        if (arrivedCount > 0) {
+            actions.requestsDecided(arrivedCount, clock.now() - iterationStartedAt);
+        }
+        peers.sendDue();
+        actions.flush();
+        measureIteration(clock.now());
     }
 
-    private void carryOut(Decision decision) {
-        if (shadow != null) {
-            watch(s -> s.decided(clock.now(), decision));
-        }
-        decision.cancellations.forEach(actions::cancel);
-        for (Attempt attempt : decision.attempts) {
-            directory.retain(attempt.backend);
-            if (gossipSession != null) {
-                gossipSession.attemptSent(attempt.backend);
-            }
-            actions.send(attempt, open.get(attempt.request), directory.address(attempt.backend));
-        }
-        for (Decision.LocalReply a : decision.localReplies) {
-            answer(a.request(), a.rejected(), a.retryAfterSeconds());
-            release(a.request());
-        }
-        for (int backend : decision.probes) {
-            directory.retain(backend);
-            actions.probe(backend, directory.address(backend));
+    /**
+     * Handles one batch of the queue; where it was full, the queue is long and the thresholds are
+     * computed anew.
+     */
+    private void handleQueued(Event firstEvent) {
+        Event event = firstEvent;
+        int handledCount = 0;
+        while (event != null) {
+            handle(event);
+            event = handledCount < MAX_FURTHER_EVENTS ? queue.poll() : null;
+            handledCount++;
         }
-        decision.endpointListCalls.forEach(actions::requestEndpointList);
-        decision.logMessages.forEach(LOG::info);
-        // Who is avoided changes with a list or with a note on it.
-        if (!decision.logMessages.isEmpty()) {
-            count();
+        if (handledCount > MAX_FURTHER_EVENTS) {
+            shedThresholds.update(activeSettings.settings());
         }
-        wakeAt = decision.wakeAt;
     }
 
-    private void answer(Request request, boolean shed, double retryAfter) {
-        PendingRequest pending = open.get(request);
-        if (pending != null) {
-            actions.fail(pending, shed, retryAfter);
+    private void handle(Event event) {
+        loopMetrics.eventHandled(event.type().metricsKind, iterationStartedAt - event.dueAt());
+        try {
+            event.action().run();
+        } catch (RuntimeException | Error e) {
+            // Wide, as no error about one request may end the thread that decides for all.
+            executor.eventFailed(event, e);
+        }
+        // Guards against a request that is forgotten before its decision is carried out, and never
+        // answered.
+        if (event.request() != null) {
+            executor.release(event.request());
         }
     }
 
-    /** Lets go of an exchange that is over and has nothing out. */
-    private void release(Request request) {
-        if (request.completed && request.attemptsInFlight == 0 && open.remove(request) != null) {
-            // Danger: whether a forward may be repeated goes by where the earlier ones went.
-            for (Attempt attempt = request.latestAttempt;
-                    attempt != null;
-                    attempt = attempt.previous) {
-                directory.release(attempt.backend);
-            }
+    private void measureIteration(double now) {
+        String line = loopMetrics.iterationEnded(now - iterationStartedAt, queue.size(), now);
+        if (line != null) {
+            LOG.info("decision loop {}", line);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
@@ -0,0 +1,104 @@
+package lemondrift.proxy.loop;
+
+import java.util.ArrayDeque;
+import java.util.List;
+import java.util.Queue;
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.model.EndpointUpdate;
+import lemondrift.proxy.discovery.BackendDirectory;
+import lemondrift.proxy.discovery.EndpointListUpdate;
+import lemondrift.proxy.events.EndpointList;
+import lemondrift.proxy.events.ProxyActions;
+import lemondrift.proxy.time.MonotonicClock;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Applies new endpoint lists, one after the other in the order in which they came and each in
+ * slices, so that requests never wait for the whole of a long one. A slice goes to the shadow, the
+ * balancer and gossip; then idle connections to backends that are not ready any more or have
+ * another address are closed. Decisions thread only.
+ */
+final class EndpointListApplier {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListApplier.class);
+
+    private final LoadBalancer balancer;
+    private final BackendDirectory directory;
+    private final MonotonicClock clock;
+    private final ProxyActions actions;
+    private final PeerExchange peers;
+    private final ShadowRunner shadow;
+    private final DecisionExecutor executor;
+
+    /** Lists that are not applied whole yet, the oldest first. */
+    private final Queue<EndpointListUpdate> pending = new ArrayDeque<>();
+
+    EndpointListApplier(
+            LoadBalancer balancer,
+            BackendDirectory directory,
+            MonotonicClock clock,
+            ProxyActions actions,
+            PeerExchange peers,
+            ShadowRunner shadow,
+            DecisionExecutor executor) {
+        this.balancer = balancer;
+        this.directory = directory;
+        this.clock = clock;
+        this.actions = actions;
+        this.peers = peers;
+        this.shadow = shadow;
+        this.executor = executor;
+    }
+
+    /** Whether a list waits for its next slice. */
+    boolean hasPending() {
+        return !pending.isEmpty();
+    }
+
+    /** Takes a new list, and applies its first slice at once unless another list is under way. */
+    void received(EndpointList list, boolean stale, Runnable notifyApplied) {
+        pending.add(new EndpointListUpdate(directory, list, stale, notifyApplied));
+        if (pending.size() == 1) {
+            applyNextSlice();
+        }
+    }
+
+    /** Applies the next slice of the oldest list; one has to be pending. */
+    void applyNextSlice() {
+        EndpointListUpdate list = pending.peek();
+        List<EndpointUpdate> updates = peers.withSubsets(list.nextSlice());
+        shadow.endpointsListed(list.isStale(), updates);
+        balancer.endpointsChanged(clock.now(), false, updates);
+        peers.endpointsApplied(updates);
+        for (EndpointUpdate update : updates) {
+            // Guards against an attempt that waits for a connection and reaches whoever has the
+            // address now.
+            if (update.state() != EndpointUpdate.State.READY
+                    || directory.hasMoved(update.backend())) {
+                actions.retirePool(update.backend());
+            }
+        }
+        if (list.isDone()) {
+            finish(pending.remove());
+        }
+    }
+
+    /** All of a list is with the balancer, which decides on what waited for it. */
+    private void finish(EndpointListUpdate list) {
+        executor.reportBackendCount();
+        if (!list.unreadable().isEmpty()) {
+            LOG.warn(
+                    "unreadable endpoints in the list ignored, the first: {}",
+                    list.unreadable().get(0));
+        }
+        if (!list.isEmpty()) {
+            LOG.info(
+                    "endpoint list applied {} backends={} usable={}",
+                    list.summary(),
+                    directory.listedCount(),
+                    balancer.usableBackendCount());
+        }
+        list.notifyApplied();
+        executor.execute(balancer.endpointsListed(clock.now(), false, list.isStale(), List.of()));
+    }
+}
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/loop/EventHandler.java
@@ -0,0 +1,100 @@
+package lemondrift.proxy.loop;
+
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Request;
+import lemondrift.proxy.discovery.BackendDirectory;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.time.MonotonicClock;
+
+/**
+ * What each event about a request or a backend does: it goes to gossip, to the shadow and to the
+ * balancer, and what the balancer decides is carried out. Decisions thread only.
+ */
+final class EventHandler {
+    private final LoadBalancer balancer;
+    private final BackendDirectory directory;
+    private final MonotonicClock clock;
+    private final PeerExchange peers;
+    private final ShadowRunner shadow;
+    private final DecisionExecutor executor;
+
+    /** Requests that arrived in this iteration. */
+    private int arrivedCount;
+
+    EventHandler(
+            LoadBalancer balancer,
+            BackendDirectory directory,
+            MonotonicClock clock,
+            PeerExchange peers,
+            ShadowRunner shadow,
+            DecisionExecutor executor) {
+        this.balancer = balancer;
+        this.directory = directory;
+        this.clock = clock;
+        this.peers = peers;
+        this.shadow = shadow;
+        this.executor = executor;
+    }
+
+    void requestArrived(PendingRequest pending) {
+        arrivedCount++;
+        executor.opened(pending);
+        shadow.requestArrived(pending.request());
+        executor.execute(balancer.requestArrived(clock.now(), pending.request()));
+    }
+
+    /** How many requests have arrived since the last call. */
+    int takeArrivedCount() {
+        int count = arrivedCount;
+        arrivedCount = 0;
+        return count;
+    }
+
+    void attemptEnded(
+            Attempt attempt,
+            AttemptOutcome outcome,
+            double durationSeconds,
+            double[] loadReport,
+            BackendResponse response) {
+        boolean firstSuccess = executor.deliverOrDiscard(attempt, outcome, response);
+        peers.attemptEnded(attempt.backend, outcome);
+        boolean requestCompleted = firstSuccess || attempt.request.completed;
+        shadow.attemptEnded(attempt, outcome, durationSeconds, requestCompleted, loadReport);
+        executor.execute(
+                balancer.attemptEnded(
+                        clock.now(),
+                        attempt,
+                        outcome,
+                        durationSeconds,
+                        requestCompleted,
+                        loadReport));
+    }
+
+    void probeEnded(int backend, AttemptOutcome outcome, double[] loadReport) {
+        directory.release(backend);
+        shadow.probeEnded(backend, outcome, loadReport);
+        executor.execute(balancer.probeEnded(clock.now(), backend, outcome, loadReport));
+    }
+
+    void clientLeft(Request request) {
+        shadow.clientLeft(request);
+        if (!request.completed) {
+            executor.execute(balancer.clientLeft(clock.now(), request));
+        }
+    }
+
+    void bodyNotReplayable(Request request) {
+        request.terms = request.terms.withMaxAttempts(request.attemptCount);
+    }
+
+    void endpointListFailed() {
+        executor.execute(balancer.endpointListFailed(clock.now()));
+    }
+
+    void wakeTimeReached() {
+        executor.execute(balancer.wake(clock.now()));
+    }
+}
