--- a/src/main/java/lemondrift/metrics/EventLoopMetrics.java
+++ b/src/main/java/lemondrift/metrics/EventLoopMetrics.java
@@ -1,12 +1,11 @@
 package lemondrift.metrics;
 
 /**
- * How the one thread that decides keeps up: how long events waited for it, and how long it was busy
- * before it came to the next ones. Times are in seconds. One thread counts; any thread may read,
- * perhaps a little late.
+ * How the decision loop keeps up: how long events waited for it, and how long its iterations took.
+ * Times are in seconds. One thread counts; any thread may read, perhaps a little late.
  */
 public final class EventLoopMetrics {
-    /** What an event is about. */
+    /** What an event is about; the names stand in the JSON. */
     public enum Kind {
         ARRIVAL,
         OUTCOME,
@@ -16,84 +15,91 @@
         OTHER
     }
 
-    /**
-     * A wait or a turn as long is worth a line in the log, and so many seconds lie between two
-     * lines.
-     */
-    private static final double NOTABLE = 0.05;
+    /** A wait or an iteration that is longer, in seconds, is worth a log line. */
+    private static final double LOGGED_ABOVE_SECONDS = 0.05;
 
-    private static final double BETWEEN_LINES = 1;
+    /** Shortest time between two log lines. */
+    private static final double LOG_INTERVAL_SECONDS = 1;
 
     private static final Kind[] KINDS = Kind.values();
 
-    private final long[] handled = new long[KINDS.length];
-    private volatile double longestWait;
-    private volatile double longestTurn;
-    private volatile Kind waited = Kind.OTHER;
-    private volatile Kind lasted = Kind.OTHER;
+    /** By ordinal of the kind. */
+    private final long[] handledCounts = new long[KINDS.length];
+
+    private volatile double longestWaitSeconds;
+    private volatile Kind longestWaitKind = Kind.OTHER;
+    private volatile double longestIterationSeconds;
+
+    /** The last event that the longest iteration handled. */
+    private volatile Kind longestIterationKind = Kind.OTHER;
+
     private volatile int longestQueue;
 
-    /**
-     * Of the present turn: the longest wait and what had waited, and the last event that was
-     * handled.
-     */
-    private double waitsNow;
+    /** The longest wait of this iteration's events. */
+    private double iterationWaitSeconds;
+
+    private Kind iterationWaitKind = Kind.OTHER;
+    private Kind lastHandledKind = Kind.OTHER;
 
-    private Kind waiting = Kind.OTHER;
-    private Kind last = Kind.OTHER;
+    /** The longest wait since the last log line. */
+    private double recentWaitSeconds;
 
-    /** The same since the last line in the log. */
-    private double latelyWaited;
+    /** The longest iteration since the last log line. */
+    private double recentIterationSeconds;
 
-    private double latelyLasted;
     private double loggedAt = Double.NEGATIVE_INFINITY;
 
-    /** An event is handled that has waited so long; below 0 where nobody knows. */
-    public void eventHandled(Kind kind, double wait) {
-        handled[kind.ordinal()]++;
-        last = kind;
-        if (wait > waitsNow) {
-            waitsNow = wait;
-            waiting = kind;
+    /** An event is handled that has waited so long; below 0 where that is not known. */
+    public void eventHandled(Kind kind, double waitSeconds) {
+        handledCounts[kind.ordinal()]++;
+        lastHandledKind = kind;
+        if (waitSeconds > iterationWaitSeconds) {
+            iterationWaitSeconds = waitSeconds;
+            iterationWaitKind = kind;
         }
     }
 
-    /** A turn is over that took so long; so many events wait now. A line for the log, or null. */
-    public String iterationEnded(double seconds, int queue, double now) {
-        longestQueue = Math.max(longestQueue, queue);
-        if (waitsNow > longestWait) {
-            longestWait = waitsNow;
-            waited = waiting;
+    /**
+     * An iteration took so long and left so many events queued; returns a line for the log, or
+     * null.
+     */
+    public String iterationEnded(double iterationSeconds, int queueLength, double now) {
+        longestQueue = Math.max(longestQueue, queueLength);
+        if (iterationWaitSeconds > longestWaitSeconds) {
+            longestWaitSeconds = iterationWaitSeconds;
+            longestWaitKind = iterationWaitKind;
         }
-        if (seconds > longestTurn) {
-            longestTurn = seconds;
-            lasted = last;
+        if (iterationSeconds > longestIterationSeconds) {
+            longestIterationSeconds = iterationSeconds;
+            longestIterationKind = lastHandledKind;
         }
-        latelyWaited = Math.max(latelyWaited, waitsNow);
-        latelyLasted = Math.max(latelyLasted, seconds);
-        waitsNow = 0;
-        boolean notable =
-                Math.max(latelyWaited, latelyLasted) > NOTABLE && now >= loggedAt + BETWEEN_LINES;
-        return notable ? line(now) : null;
+        recentWaitSeconds = Math.max(recentWaitSeconds, iterationWaitSeconds);
+        recentIterationSeconds = Math.max(recentIterationSeconds, iterationSeconds);
+        iterationWaitSeconds = 0;
+        boolean logged =
+                Math.max(recentWaitSeconds, recentIterationSeconds) > LOGGED_ABOVE_SECONDS
+                        && now >= loggedAt + LOG_INTERVAL_SECONDS;
+        return logged ? logLine(now) : null;
     }
 
-    private String line(double now) {
+    private String logLine(double now) {
         String line =
                 "lately_waited_ms="
-                        + milliseconds(latelyWaited)
+                        + milliseconds(recentWaitSeconds)
                         + " lately_lasted_ms="
-                        + milliseconds(latelyLasted)
+                        + milliseconds(recentIterationSeconds)
                         + " longest_wait_ms="
-                        + milliseconds(longestWait)
+                        + milliseconds(longestWaitSeconds)
                         + " of="
-                        + waited
+                        + longestWaitKind
                         + " longest_turn_ms="
-                        + milliseconds(longestTurn)
+                        + milliseconds(longestIterationSeconds)
                         + " of="
-                        + lasted
+                        + longestIterationKind
                         + " longest_queue="
                         + longestQueue;
-        latelyWaited = latelyLasted = 0;
+        recentWaitSeconds = 0;
+        recentIterationSeconds = 0;
         loggedAt = now;
         return line;
     }
@@ -104,24 +110,24 @@
 
     /** As JSON, times in seconds. Any thread. */
     public String json() {
-        StringBuilder all =
+        StringBuilder json =
                 new StringBuilder("{\"longest_wait\":")
-                        .append(longestWait)
+                        .append(longestWaitSeconds)
                         .append(",\"longest_wait_of\":\"")
-                        .append(waited)
+                        .append(longestWaitKind)
                         .append("\",\"longest_turn\":")
-                        .append(longestTurn)
+                        .append(longestIterationSeconds)
                         .append(",\"longest_turn_of\":\"")
-                        .append(lasted)
+                        .append(longestIterationKind)
                         .append("\",\"longest_queue\":")
                         .append(longestQueue)
                         .append(",\"handled\":{");
         for (Kind kind : KINDS) {
-            all.append(kind.ordinal() == 0 ? "\"" : ",\"")
+            json.append(kind.ordinal() == 0 ? "\"" : ",\"")
                     .append(kind)
                     .append("\":")
-                    .append(handled[kind.ordinal()]);
+                    .append(handledCounts[kind.ordinal()]);
         }
-        return all.append("}}").toString();
+        return json.append("}}").toString();
     }
 }
--- a/src/main/java/lemondrift/metrics/ProxyMetrics.java
+++ b/src/main/java/lemondrift/metrics/ProxyMetrics.java
@@ -5,18 +5,28 @@
 import java.util.Map;
 
 /**
- * Counts of one process since its start. One thread counts and reads. What is in hand is what was
- * taken less what has ended, so that the two can't drift apart.
+ * Counts of one process since its start. One thread counts and reads. The requests in flight are
+ * those accepted less those completed, so that the two can't drift apart.
  */
 public final class ProxyMetrics {
-    /** How an exchange ended for its client. */
+    /** How a request ended for its client. */
     public enum Reply {
         SUCCESS,
         OVERLOAD,
         ERROR
     }
 
-    /** What is told at one moment; replies are by service grade and then as in Reply. */
+    /**
+     * The counts at one moment.
+     *
+     * @param replies by name of the request class, and then by ordinal of {@link Reply}
+     * @param concurrent requests in flight
+     * @param dispatches attempts whose last byte was handed to the system
+     * @param targets backends listed
+     * @param targetsDisabled backends listed that are not usable
+     * @param reloadSuccess configurations reloaded
+     * @param reloadFailure configurations that could not be used
+     */
     public record Figures(
             Map<String, long[]> replies,
             long concurrent,
@@ -26,79 +36,86 @@
             long reloadSuccess,
             long reloadFailure) {}
 
-    private final Map<String, long[]> replies = new LinkedHashMap<>();
-    private long taken;
-    private long ended;
-    private long overdue;
-    private long dispatches;
-    private long targets;
-    private long targetsDisabled;
-    private long reloadSuccess;
-    private long reloadFailure;
+    /** By name of the request class, and then by ordinal of {@link Reply}. */
+    private final Map<String, long[]> replyCounts = new LinkedHashMap<>();
 
-    /** Names what is counted from now on; what is not named any more keeps its counts. */
+    private long acceptedRequests;
+    private long completedRequests;
+    private long overdueRequests;
+    private long attemptsSent;
+    private long backendsListed;
+    private long backendsDisabled;
+    private long reloadsSucceeded;
+    private long reloadsFailed;
+
+    /**
+     * Counts these request classes from now on; one that is not named any more keeps its counts.
+     */
     public void registerClasses(List<String> names) {
         names.forEach(
-                name -> replies.computeIfAbsent(name, none -> new long[Reply.values().length]));
+                name ->
+                        replyCounts.computeIfAbsent(
+                                name, unseen -> new long[Reply.values().length]));
     }
 
+    /** A request was read and is owed a reply. */
     public void requestAccepted() {
-        taken++;
+        acceptedRequests++;
     }
 
-    /** Whatever became of it, and whether or not its client is still there. */
+    /** A request is over, whatever became of it and whether or not its client is still there. */
     public void requestCompleted() {
-        ended++;
+        completedRequests++;
     }
 
-    /** One was answered by the client's side, as the decisions had not done so by its expiry. */
+    /** A request was failed on the client's side, as it was not decided by its deadline. */
     public void overdueRequestFailed() {
-        overdue++;
+        overdueRequests++;
     }
 
-    /** How many were. */
     public long overdueRequestCount() {
-        return overdue;
+        return overdueRequests;
     }
 
-    /** A reply is out whole; one of a grade that nobody has named counts nowhere. */
-    public void replySent(String grade, Reply reply) {
-        long[] counts = replies.get(grade);
+    /** A reply was sent whole; not counted where the request class is not registered. */
+    public void replySent(String requestClass, Reply reply) {
+        long[] counts = replyCounts.get(requestClass);
         if (counts != null) {
             counts[reply.ordinal()]++;
         }
     }
 
-    /** The last byte of a forward is with the system. */
+    /** The last byte of an attempt was handed to the system. */
     public void attemptSent() {
-        dispatches++;
+        attemptsSent++;
     }
 
-    /** How many backends the list has, and how many of them nothing is sent to now. */
+    /** How many backends are listed, and how many of them are not usable now. */
     public void backendsCounted(int listed, int disabled) {
-        targets = listed;
-        targetsDisabled = disabled;
+        backendsListed = listed;
+        backendsDisabled = disabled;
     }
 
-    public void configurationReloaded(boolean taken) {
-        if (taken) {
-            reloadSuccess++;
+    /** A configuration was reloaded, or could not be used. */
+    public void configurationReloaded(boolean succeeded) {
+        if (succeeded) {
+            reloadsSucceeded++;
         } else {
-            reloadFailure++;
+            reloadsFailed++;
         }
     }
 
     /** A copy, which later counts do not change. */
     public Figures snapshot() {
-        Map<String, long[]> copy = new LinkedHashMap<>();
-        replies.forEach((grade, counts) -> copy.put(grade, counts.clone()));
+        Map<String, long[]> replies = new LinkedHashMap<>();
+        replyCounts.forEach((requestClass, counts) -> replies.put(requestClass, counts.clone()));
         return new Figures(
-                copy,
-                taken - ended,
-                dispatches,
-                targets,
-                targetsDisabled,
-                reloadSuccess,
-                reloadFailure);
+                replies,
+                acceptedRequests - completedRequests,
+                attemptsSent,
+                backendsListed,
+                backendsDisabled,
+                reloadsSucceeded,
+                reloadsFailed);
     }
 }
