--- a/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -14,30 +14,37 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Backends' ids, which end here, their dense indexes, and where this proxy reaches each. What one
- * line of a list costs does not go with the number of backends.
+ * The backends' ids, the dense indexes by which the balancer knows them, and their addresses. An
+ * index passes to another backend once its own has gone and nothing holds a reference to it. The
+ * cost of one endpoint does not grow with the number of backends. Decisions thread only.
  */
 public final class BackendDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(BackendDirectory.class);
 
-    /** What one index stands for. */
+    /** The backend that an index stands for. */
     private static final class Entry {
         private final int index;
         private final String id;
         private InetSocketAddress address;
+        private int location;
+        private int cell;
+
+        /** What the balancer was told last; set as soon as the entry is added. */
+        private EndpointUpdate lastUpdate;
+
+        /** Whether it has left the list. */
         private boolean gone;
+
+        /** Whether its address has changed since {@link #takeMoved}. */
         private boolean moved;
-        private boolean logged;
 
-        /** The last that was read of it. */
-        private EndpointUpdate update;
+        private boolean logged;
 
-        private int held;
-        private int location;
-        private int cell;
+        /** Attempts and probes that name it by its index. */
+        private int referenceCount;
 
-        /** The number of the list that has named it last. */
-        private int namedBy;
+        /** The number of the last list that named it. */
+        private int lastListNumber;
 
         private Entry(int index, String id) {
             this.index = index;
@@ -45,171 +52,174 @@
         }
     }
 
+    /** Names of the locations, by their index. */
     private final List<String> locations;
+
     private final Map<String, Entry> byId = new HashMap<>();
-    private final List<Entry> entries = new ArrayList<>();
+    private final List<Entry> byIndex = new ArrayList<>();
+
+    /** Those that have not gone. */
     private final Map<InetSocketAddress, Set<Entry>> byAddress = new HashMap<>();
 
-    /** Indexes of those that have gone and that nothing speaks of any more. */
-    private final TreeSet<Integer> free = new TreeSet<>();
+    /** Indexes of backends that have gone and are not referenced any more. */
+    private final TreeSet<Integer> freeIndexes = new TreeSet<>();
 
     private int listedCount;
     private int referenceCount;
-    private int lists;
+    private int lastListNumber;
 
+    /** An empty directory; the first location stands for any that is not named. */
     public BackendDirectory(List<String> locations) {
         this.locations = locations;
     }
 
     public InetSocketAddress address(int backend) {
-        return entries.get(backend).address;
+        return byIndex.get(backend).address;
     }
 
     public String id(int backend) {
-        return entries.get(backend).id;
+        return byIndex.get(backend).id;
     }
 
-    /** How many backends the list has, draining ones too. */
+    /** How many backends are listed, draining ones too. */
     public int listedCount() {
         return listedCount;
     }
 
-    /** How many indexes have been given out. */
-    int size() {
-        return entries.size();
+    /** How many indexes have been given out, free ones too. */
+    int indexCount() {
+        return byIndex.size();
     }
 
-    /** Whether it has another address than when this was asked last. */
-    public boolean hasMoved(int backend) {
-        boolean moved = entries.get(backend).moved;
-        entries.get(backend).moved = false;
+    /** Whether the address of a backend has changed since the last call. */
+    public boolean takeMoved(int backend) {
+        Entry entry = byIndex.get(backend);
+        boolean moved = entry.moved;
+        entry.moved = false;
         return moved;
     }
 
-    /** How often something speaks of any of them. */
+    /** How many references there are to all backends. */
     public int referenceCount() {
         return referenceCount;
     }
 
-    /** Something speaks of the backend by its index, which stands for it until it is let go. */
+    /** Adds a reference to a backend: its index stands for it until each reference is released. */
     public void retain(int backend) {
-        Entry entry = entries.get(backend);
+        Entry entry = byIndex.get(backend);
         if (!entry.logged) {
-            // Once it is used, not when it is listed: a line for each of thousands would fill the
-            // log.
+            // At its first use, as a line for each of thousands that are listed would fill the log.
             entry.logged = true;
             LOG.info("backend {} is {} at {}", backend, entry.id, entry.address);
         }
-        entry.held++;
+        entry.referenceCount++;
         referenceCount++;
-        keepFree(entry);
+        updateFreeIndexes(entry);
     }
 
+    /** Takes back one {@link #retain}. */
     public void release(int backend) {
-        Entry entry = entries.get(backend);
-        entry.held--;
+        Entry entry = byIndex.get(backend);
+        entry.referenceCount--;
         referenceCount--;
-        keepFree(entry);
+        updateFreeIndexes(entry);
     }
 
-    private void keepFree(Entry entry) {
-        if (entry.gone && entry.held == 0) {
-            free.add(entry.index);
+    private void updateFreeIndexes(Entry entry) {
+        if (entry.gone && entry.referenceCount == 0) {
+            freeIndexes.add(entry.index);
         } else {
-            free.remove(entry.index);
+            freeIndexes.remove(entry.index);
         }
     }
 
-    /** The number of a list that is followed from now on; marks are by it. */
-    int nextList() {
-        return ++lists;
+    /** Begins to apply a list, and returns the number by which its endpoints are marked. */
+    int beginList() {
+        return ++lastListNumber;
     }
 
-    /** A list of a number names a backend; whether that says anything new of it. */
-    boolean names(int list, EndpointList.Member member) {
-        Entry entry = byId.get(member.id());
+    /**
+     * Marks a backend as named by a list; returns whether the endpoint tells anything new of it.
+     */
+    boolean markListed(int listNumber, EndpointList.Endpoint endpoint) {
+        Entry entry = byId.get(endpoint.id());
         if (entry == null) {
-            // One that was never here and is gone already is nobody.
-            return member.isReadable() && member.state() != EndpointUpdate.State.GONE;
+            // One that was never listed and has gone already is of no interest.
+            return endpoint.isReadable() && endpoint.state() != EndpointUpdate.State.GONE;
         }
-        entry.namedBy = list;
-        return member.isReadable() && !says(entry, member);
+        entry.lastListNumber = listNumber;
+        return endpoint.isReadable() && !isKnown(entry, endpoint);
     }
 
-    /** Whether all that a line says is known. */
-    private boolean says(Entry entry, EndpointList.Member member) {
-        return entry.update != null
-                && entry.update.state() == member.state()
-                && (member.address() == null || member.address().equals(entry.address))
-                && location(entry, member) == entry.location
-                && cell(entry, member) == entry.cell
-                && entry.update.startedAt() == member.started()
-                && entry.update.weight() == member.size();
+    private boolean isKnown(Entry entry, EndpointList.Endpoint endpoint) {
+        return entry.lastUpdate.state() == endpoint.state()
+                && (endpoint.address() == null || endpoint.address().equals(entry.address))
+                && location(entry, endpoint) == entry.location
+                && cell(entry, endpoint) == entry.cell
+                && entry.lastUpdate.startedAt() == endpoint.startedAt()
+                && entry.lastUpdate.weight() == endpoint.weight();
     }
 
-    private int location(Entry entry, EndpointList.Member member) {
-        return member.locality() == null
+    /** The index of an endpoint's location; the first one's if its own is not known. */
+    private int location(Entry entry, EndpointList.Endpoint endpoint) {
+        return endpoint.locality() == null
                 ? entry.location
-                : Math.max(0, locations.indexOf(member.locality()));
+                : Math.max(0, locations.indexOf(endpoint.locality()));
     }
 
-    private static int cell(Entry entry, EndpointList.Member member) {
-        return member.cell() == null ? entry.cell : member.cell();
+    private static int cell(Entry entry, EndpointList.Endpoint endpoint) {
+        return endpoint.cell() == null ? entry.cell : endpoint.cell();
     }
 
     /**
-     * Whether an index stands for a backend that a whole list of a number has not named, and so has
-     * gone.
+     * Whether an index stands for a listed backend that the complete list of a number has not
+     * named.
      */
-    boolean isAbsent(int list, int backend) {
-        Entry entry = entries.get(backend);
-        return !entry.gone && entry.namedBy != list;
+    boolean isMissingFrom(int listNumber, int backend) {
+        Entry entry = byIndex.get(backend);
+        return !entry.gone && entry.lastListNumber != listNumber;
     }
 
-    /** The line of a backend that has gone without a word. */
-    EndpointUpdate withdrawn(int backend) {
-        return gone(entries.get(backend));
+    /** Takes a backend off the list, and returns what the balancer has to hear of it. */
+    EndpointUpdate remove(int backend) {
+        return remove(byIndex.get(backend));
     }
 
-    /** Follows what a line says, and adds what the decisions are to hear of it. */
-    void follow(EndpointList.Member member, List<EndpointUpdate> updates) {
-        Entry entry = byId.get(member.id());
-        boolean fresh = entry == null;
-        if (fresh) {
-            if (member.state() == EndpointUpdate.State.READY) {
-                // Danger: what is sent to one that was here before would reach this one under its
-                // name.
-                for (Entry former :
-                        List.copyOf(byAddress.getOrDefault(member.address(), Set.of()))) {
-                    updates.add(gone(former));
-                }
-            }
-            entry = entry(member.id());
+    /** Applies an endpoint, and adds what the balancer has to hear of it. */
+    void apply(EndpointList.Endpoint endpoint, List<EndpointUpdate> updates) {
+        Entry known = byId.get(endpoint.id());
+        if (known == null && endpoint.state() == EndpointUpdate.State.READY) {
+            removeAllAt(endpoint.address(), updates);
         }
-        entry.namedBy = lists;
-        entry.moved |=
-                !fresh && member.address() != null && !member.address().equals(entry.address);
-        settle(
-                entry,
-                member.state() == EndpointUpdate.State.GONE,
-                member.address() != null ? member.address() : entry.address);
-        entry.location = location(entry, member);
-        entry.cell = cell(entry, member);
-        entry.update =
+        Entry entry = known == null ? add(endpoint.id()) : known;
+        entry.lastListNumber = lastListNumber;
+        InetSocketAddress address = endpoint.address() != null ? endpoint.address() : entry.address;
+        entry.moved |= known != null && address != null && !address.equals(entry.address);
+        setPresence(entry, endpoint.state() == EndpointUpdate.State.GONE, address);
+        entry.location = location(entry, endpoint);
+        entry.cell = cell(entry, endpoint);
+        entry.lastUpdate =
                 new EndpointUpdate(
                         entry.index,
-                        fresh,
+                        known == null,
                         entry.location,
                         entry.cell,
-                        member.state(),
-                        member.started(),
-                        member.size());
-        updates.add(entry.update);
+                        endpoint.state(),
+                        endpoint.startedAt(),
+                        endpoint.weight());
+        updates.add(entry.lastUpdate);
     }
 
-    private EndpointUpdate gone(Entry entry) {
-        settle(entry, true, entry.address);
-        entry.update =
+    /** Guards against requests for a former backend that reach a new one at its address. */
+    private void removeAllAt(InetSocketAddress address, List<EndpointUpdate> updates) {
+        for (Entry former : List.copyOf(byAddress.getOrDefault(address, Set.of()))) {
+            updates.add(remove(former));
+        }
+    }
+
+    private EndpointUpdate remove(Entry entry) {
+        setPresence(entry, true, entry.address);
+        entry.lastUpdate =
                 new EndpointUpdate(
                         entry.index,
                         false,
@@ -217,41 +227,42 @@
                         entry.cell,
                         EndpointUpdate.State.GONE,
                         0);
-        return entry.update;
+        return entry.lastUpdate;
     }
 
-    /** Whether it is there, and where; all that goes by either is kept in step. */
-    private void settle(Entry entry, boolean gone, InetSocketAddress address) {
+    /**
+     * Sets whether a backend has gone, and its address, and keeps all that goes by either in step.
+     */
+    private void setPresence(Entry entry, boolean gone, InetSocketAddress address) {
         if (!entry.gone && entry.address != null) {
             byAddress.computeIfPresent(
                     entry.address,
-                    (its, same) -> {
-                        same.remove(entry);
-                        return same.isEmpty() ? null : same;
+                    (unchanged, entries) -> {
+                        entries.remove(entry);
+                        return entries.isEmpty() ? null : entries;
                     });
         }
         listedCount += (gone ? 0 : 1) - (entry.gone ? 0 : 1);
         entry.gone = gone;
         entry.address = address;
         if (!gone && address != null) {
-            byAddress.computeIfAbsent(address, none -> new HashSet<>(2)).add(entry);
+            byAddress.computeIfAbsent(address, unseen -> new HashSet<>(2)).add(entry);
         }
-        keepFree(entry);
+        updateFreeIndexes(entry);
     }
 
     /**
-     * A new backend's entry, in the place of one that has gone and that nothing speaks of any more.
-     * Danger: where backends are replaced all day, the figures of all that ever were would fill the
-     * memory.
+     * Adds a backend under the lowest free index. Guards against growth where backends are replaced
+     * all day.
      */
-    private Entry entry(String id) {
-        Integer place = free.pollFirst();
-        Entry entry = new Entry(place == null ? entries.size() : place, id);
-        if (place == null) {
-            entries.add(entry);
+    private Entry add(String id) {
+        Integer freeIndex = freeIndexes.pollFirst();
+        Entry entry = new Entry(freeIndex == null ? byIndex.size() : freeIndex, id);
+        if (freeIndex == null) {
+            byIndex.add(entry);
         } else {
-            byId.remove(entries.get(place).id);
-            entries.set(place, entry);
+            byId.remove(byIndex.get(freeIndex).id);
+            byIndex.set(freeIndex, entry);
         }
         byId.put(id, entry);
         listedCount++;
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
@@ -12,72 +12,84 @@
 import lemondrift.proxy.config.ProxyConfig;
 import lemondrift.proxy.events.EndpointList;
 
-/** Collects the lines of one endpoint list in discovery's JSON form, a few at a time if need be. */
+/** Maps the members of one list from discovery's JSON form to endpoints, one at a time. */
 public final class EndpointListBuilder {
-    private final Map<String, EndpointList.Member> members = new LinkedHashMap<>();
+    /** Weight of an endpoint that states none. */
+    private static final double DEFAULT_WEIGHT = 1;
+
+    private final Map<String, EndpointList.Endpoint> endpoints = new LinkedHashMap<>();
     private final List<String> unreadable = new ArrayList<>();
 
-    /** Danger: a line that can't be read must not cost the others, nor its own backend. */
-    void add(JsonElement line) {
-        EndpointList.Member member;
+    /**
+     * Guards against an unreadable member that costs the others, or its own backend if its id can
+     * be read.
+     */
+    void add(JsonElement member) {
+        EndpointList.Endpoint endpoint;
         try {
-            member = member(line.getAsJsonObject());
+            endpoint = endpoint(member.getAsJsonObject());
         } catch (RuntimeException e) {
-            unreadable.add(line + ": " + e);
-            if (!(line instanceof JsonObject its && its.get("id") instanceof JsonPrimitive id)) {
+            // Wide, as each kind of wrong JSON has an exception of its own.
+            unreadable.add(member + ": " + e);
+            if (!(member instanceof JsonObject object
+                    && object.get("id") instanceof JsonPrimitive id)) {
                 return;
             }
-            member = EndpointList.Member.unreadable(id.getAsString());
+            endpoint = EndpointList.Endpoint.unreadable(id.getAsString());
         }
-        // The last word on a backend comes last.
-        members.remove(member.id());
-        members.put(member.id(), member);
+        // A backend that is named again moves to the end: its last member counts.
+        endpoints.remove(endpoint.id());
+        endpoints.put(endpoint.id(), endpoint);
     }
 
     EndpointList build(long revision, boolean complete) {
         return new EndpointList(
-                revision, complete, List.copyOf(members.values()), List.copyOf(unreadable));
+                revision, complete, List.copyOf(endpoints.values()), List.copyOf(unreadable));
     }
 
-    /** From discovery's form, whatever its revision; it has to have members. */
+    /**
+     * A list from discovery's JSON form; its revision may be missing.
+     *
+     * @throws RuntimeException if the object has no "members" or no "complete"
+     */
     public static EndpointList of(JsonObject list) {
-        EndpointListBuilder lines = new EndpointListBuilder();
-        list.getAsJsonArray("members").forEach(lines::add);
-        return lines.build(
-                list.has("revision") ? list.get("revision").getAsLong() : -1,
+        EndpointListBuilder builder = new EndpointListBuilder();
+        list.getAsJsonArray("members").forEach(builder::add);
+        return builder.build(
+                list.has("revision") ? list.get("revision").getAsLong() : EndpointList.NO_REVISION,
                 list.get("complete").getAsBoolean());
     }
 
-    private static EndpointList.Member member(JsonObject line) {
+    private static EndpointList.Endpoint endpoint(JsonObject member) {
         EndpointUpdate.State state =
-                switch (line.get("phase").getAsString()) {
+                switch (member.get("phase").getAsString()) {
                     case "active" -> EndpointUpdate.State.READY;
                     case "leaving" -> EndpointUpdate.State.DRAINING;
                     default -> EndpointUpdate.State.GONE;
                 };
-        // A backend that has left needs no address.
+        // A backend that has gone needs no address.
         InetSocketAddress address =
-                state == EndpointUpdate.State.GONE && !line.has("host_port")
+                state == EndpointUpdate.State.GONE && !member.has("host_port")
                         ? null
-                        : ProxyConfig.address("host_port", line.get("host_port").getAsString());
-        return new EndpointList.Member(
-                line.get("id").getAsString(),
+                        : ProxyConfig.address("host_port", member.get("host_port").getAsString());
+        return new EndpointList.Endpoint(
+                member.get("id").getAsString(),
                 state,
                 address,
-                line.has("locality") ? line.get("locality").getAsString() : null,
-                line.has("cell") ? (Integer) number(line, "cell").intValue() : null,
-                size(line),
-                number(line, "up_since_ms").doubleValue() / 1000);
+                member.has("locality") ? member.get("locality").getAsString() : null,
+                member.has("cell") ? (Integer) number(member, "cell").intValue() : null,
+                weight(member),
+                number(member, "up_since_ms").doubleValue() / 1000);
     }
 
-    /** Danger: a size that can't be read must not cost the backend, so it counts as not told. */
-    private static double size(JsonObject line) {
-        return line.get("size") instanceof JsonPrimitive size && size.isNumber()
+    /** Guards against an unreadable weight that costs the backend. */
+    private static double weight(JsonObject member) {
+        return member.get("size") instanceof JsonPrimitive size && size.isNumber()
                 ? size.getAsDouble()
-                : 1;
+                : DEFAULT_WEIGHT;
     }
 
-    private static Number number(JsonObject line, String key) {
-        return line.has(key) ? line.get(key).getAsNumber() : 0;
+    private static Number number(JsonObject member, String key) {
+        return member.has(key) ? member.get(key).getAsNumber() : 0;
     }
 }
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
@@ -10,62 +10,71 @@
 import lemondrift.proxy.events.EndpointList;
 
 /**
- * Reads a list of discovery from its bytes in steps, so that one of thousands of lines holds nobody
- * up.
+ * Parses a list in discovery's JSON form in steps, so that thousands of members hold up no other
+ * thread.
  */
 public final class EndpointListParser {
+    private enum Position {
+        BEFORE_LIST,
+        IN_FIELDS,
+        IN_MEMBERS,
+        AFTER_LIST
+    }
+
     private final JsonReader reader;
-    private final EndpointListBuilder lines = new EndpointListBuilder();
+    private final EndpointListBuilder builder = new EndpointListBuilder();
+    private Position position = Position.BEFORE_LIST;
+
+    /** Null until it was read, as the next. */
     private Long revision;
+
     private Boolean complete;
-    private boolean begun;
-    private boolean inMembers;
     private boolean hadMembers;
-    private boolean done;
 
-    public EndpointListParser(byte[] bytes) {
+    /** A parser of the body of one response, in UTF-8. */
+    public EndpointListParser(byte[] body) {
         reader =
                 new JsonReader(
                         new InputStreamReader(
-                                new ByteArrayInputStream(bytes), StandardCharsets.UTF_8));
+                                new ByteArrayInputStream(body), StandardCharsets.UTF_8));
     }
 
     /**
-     * Reads so many lines more at the most; whether that was the end.
+     * Parses up to so many members more; returns whether the list has come to its end.
      *
-     * @throws IOException or a runtime exception where it is no list in discovery's form
+     * @throws IOException or a runtime exception if the body is no list in discovery's form
      */
-    public boolean advance(int most) throws IOException {
-        if (!begun) {
+    public boolean advance(int maxMembers) throws IOException {
+        if (position == Position.BEFORE_LIST) {
             reader.beginObject();
-            begun = true;
+            position = Position.IN_FIELDS;
         }
-        int left = most;
-        while (left > 0 && !done) {
-            if (inMembers) {
-                left--;
-                member();
+        int membersLeft = maxMembers;
+        while (membersLeft > 0 && position != Position.AFTER_LIST) {
+            if (position == Position.IN_MEMBERS) {
+                membersLeft--;
+                parseMember();
             } else {
-                field();
+                parseField();
             }
         }
-        return done;
+        return position == Position.AFTER_LIST;
     }
 
-    private void member() throws IOException {
+    private void parseMember() throws IOException {
         if (reader.hasNext()) {
-            lines.add(JsonParser.parseReader(reader));
+            builder.add(JsonParser.parseReader(reader));
         } else {
             reader.endArray();
-            inMembers = false;
+            position = Position.IN_FIELDS;
         }
     }
 
-    private void field() throws IOException {
+    private void parseField() throws IOException {
         if (!reader.hasNext()) {
             reader.endObject();
             require(reader.peek() == JsonToken.END_DOCUMENT, "more than a list");
-            done = true;
+            position = Position.AFTER_LIST;
             return;
         }
         switch (reader.nextName()) {
@@ -73,24 +82,32 @@
             case "complete" -> complete = reader.nextBoolean();
             case "members" -> {
                 reader.beginArray();
-                inMembers = hadMembers = true;
+                hadMembers = true;
+                position = Position.IN_MEMBERS;
             }
             default -> reader.skipValue();
         }
     }
 
-    /** What was read, once it has come to the end. */
+    /**
+     * The list, once {@link #advance} has come to its end.
+     *
+     * @throws IOException if a field is missing. Guards against a revision that is taken from half
+     *     a list
+     */
     public EndpointList list() throws IOException {
-        // Danger: a revision taken from half a list would never be asked for again.
         require(
-                done && hadMembers && revision != null && complete != null,
+                position == Position.AFTER_LIST
+                        && hadMembers
+                        && revision != null
+                        && complete != null,
                 "a list without its fields");
-        return lines.build(revision, complete);
+        return builder.build(revision, complete);
     }
 
-    private static void require(boolean holds, String otherwise) throws IOException {
-        if (!holds) {
-            throw new IOException(otherwise);
+    private static void require(boolean condition, String message) throws IOException {
+        if (!condition) {
+            throw new IOException(message);
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -6,121 +6,152 @@
 import lemondrift.proxy.events.EndpointList;
 
 /**
- * One list on its way to the decisions, in slices, so that answers never wait for the whole of it.
- * Whoever drains or has gone comes first, then who is new or has changed; what says nothing new
- * costs a look. Owner's thread only.
+ * One endpoint list on its way to the balancer, in slices of bounded cost. It first looks at all
+ * endpoints and leaves out what is known already; then come the backends that drain or have gone,
+ * as requests must not reach them, and last those that are new or have changed. Decisions thread
+ * only.
  */
 public final class EndpointListUpdate {
-    /**
-     * What one slice may cost; a look at a line costs 1, and a line that says something new LINE.
-     */
-    private static final int SLICE = 512;
+    /** What one slice may cost, where a look at an endpoint costs 1. */
+    private static final int MAX_SLICE_COST = 512;
 
-    private static final int LINE = 8;
+    /** What an update for the balancer costs, by the same measure. */
+    private static final int UPDATE_COST = 8;
 
+    /** In their order. */
     private enum Step {
-        LOOK_AT_LINES,
-        LOOK_FOR_ABSENT,
+        COMPARE_ENDPOINTS,
+        FIND_MISSING,
         WITHDRAW,
-        ADD,
-        DONE
+        ADD_OR_CHANGE,
+        DONE;
+
+        private Step next() {
+            return values()[ordinal() + 1];
+        }
     }
 
     private final BackendDirectory directory;
     private final EndpointList list;
     private final boolean stale;
     private final Runnable notifyApplied;
-    private final List<EndpointList.Member> withdrawn = new ArrayList<>();
-    private final List<EndpointList.Member> added = new ArrayList<>();
-    private final List<Integer> absent = new ArrayList<>();
-    private Step step = Step.LOOK_AT_LINES;
 
-    /** Its number, once its turn has come. */
-    private int number;
+    /** Indexes of the backends that a complete list does not name. */
+    private final List<Integer> missing = new ArrayList<>();
+
+    /** Endpoints that drain or have gone. */
+    private final List<EndpointList.Endpoint> withdrawn = new ArrayList<>();
 
-    private int at;
-    private int slices;
-    private int lines;
+    private final List<EndpointList.Endpoint> newOrChanged = new ArrayList<>();
+    private Step step = Step.COMPARE_ENDPOINTS;
 
-    /** Stale is a list of before the start; applied is told when the decisions have all of it. */
+    /** The next element of the present step. */
+    private int position;
+
+    /** By which the directory marks the endpoints; set with the first slice. */
+    private int listNumber;
+
+    private int sliceCount;
+    private int updateCount;
+
+    /**
+     * An update whose first slice is not taken yet.
+     *
+     * @param stale whether the list is one of before the start
+     * @param notifyApplied run by {@link #notifyApplied}
+     */
     public EndpointListUpdate(
-            BackendDirectory directory, EndpointList list, boolean stale, Runnable applied) {
+            BackendDirectory directory, EndpointList list, boolean stale, Runnable notifyApplied) {
         this.directory = directory;
         this.list = list;
         this.stale = stale;
-        this.notifyApplied = applied;
+        this.notifyApplied = notifyApplied;
     }
 
+    /** Whether the list is one of before the start. */
     public boolean isStale() {
         return stale;
     }
 
-    /** Whether it says nothing at all, as a watch does that nothing came of. */
+    /** Whether the list tells nothing, as a watch call does that ends without news. */
     public boolean isEmpty() {
-        return list.members().isEmpty() && !list.complete();
+        return list.endpoints().isEmpty() && !list.complete();
     }
 
+    /** Whether all slices were taken. */
     public boolean isDone() {
         return step == Step.DONE;
     }
 
+    /** Tells whoever asked that the balancer has all of the list. */
     public void notifyApplied() {
         notifyApplied.run();
     }
 
-    /** The next lines for the decisions, perhaps none. */
+    /** The endpoints that could not be read, each with the reason. */
+    public List<String> unreadable() {
+        return list.unreadable();
+    }
+
+    /** The next updates for the balancer, perhaps none. */
     public List<EndpointUpdate> nextSlice() {
-        List<EndpointUpdate> told = new ArrayList<>();
-        number = slices++ == 0 ? directory.nextList() : number;
-        for (int left = SLICE; left > 0 && step != Step.DONE; ) {
-            left -= advance(told);
+        if (sliceCount == 0) {
+            listNumber = directory.beginList();
+        }
+        sliceCount++;
+        List<EndpointUpdate> updates = new ArrayList<>();
+        int costLeft = MAX_SLICE_COST;
+        while (costLeft > 0 && step != Step.DONE) {
+            costLeft -= advance(updates);
         }
-        lines += told.size();
-        return told;
+        updateCount += updates.size();
+        return updates;
     }
 
-    /** Takes one step and returns its cost. */
-    private int advance(List<EndpointUpdate> told) {
-        if (at >= end()) {
-            step = Step.values()[step.ordinal() + 1];
-            at = 0;
+    /** Handles one element, or passes on to the next step; returns the cost. */
+    private int advance(List<EndpointUpdate> updates) {
+        if (position >= elementCount()) {
+            step = step.next();
+            position = 0;
             return 0;
         }
-        int next = at++;
+        int element = position++;
         switch (step) {
-            case LOOK_AT_LINES -> lookAt(list.members().get(next));
-            case LOOK_FOR_ABSENT -> {
-                if (directory.isAbsent(number, next)) {
-                    absent.add(next);
+            case COMPARE_ENDPOINTS -> compare(list.endpoints().get(element));
+            case FIND_MISSING -> {
+                if (directory.isMissingFrom(listNumber, element)) {
+                    missing.add(element);
                 }
             }
-            case WITHDRAW -> withdraw(next, told);
-            default -> directory.follow(added.get(next), told);
+            case WITHDRAW -> withdraw(element, updates);
+            default -> directory.apply(newOrChanged.get(element), updates);
         }
-        return step == Step.WITHDRAW || step == Step.ADD ? LINE : 1;
+        return step == Step.WITHDRAW || step == Step.ADD_OR_CHANGE ? UPDATE_COST : 1;
     }
 
-    private int end() {
+    private int elementCount() {
         return switch (step) {
-            case LOOK_AT_LINES -> list.members().size();
-            case LOOK_FOR_ABSENT -> list.complete() ? directory.size() : 0;
-            case WITHDRAW -> absent.size() + withdrawn.size();
-            case ADD -> added.size();
+            case COMPARE_ENDPOINTS -> list.endpoints().size();
+            case FIND_MISSING -> list.complete() ? directory.indexCount() : 0;
+            case WITHDRAW -> missing.size() + withdrawn.size();
+            case ADD_OR_CHANGE -> newOrChanged.size();
             case DONE -> Integer.MAX_VALUE;
         };
     }
 
-    private void lookAt(EndpointList.Member member) {
-        if (directory.names(number, member)) {
-            (member.state() == EndpointUpdate.State.READY ? added : withdrawn).add(member);
+    private void compare(EndpointList.Endpoint endpoint) {
+        if (directory.markListed(listNumber, endpoint)) {
+            boolean ready = endpoint.state() == EndpointUpdate.State.READY;
+            (ready ? newOrChanged : withdrawn).add(endpoint);
         }
     }
 
-    private void withdraw(int place, List<EndpointUpdate> told) {
-        if (place < absent.size()) {
-            told.add(directory.withdrawn(absent.get(place)));
+    /** Missing backends first. */
+    private void withdraw(int element, List<EndpointUpdate> updates) {
+        if (element < missing.size()) {
+            updates.add(directory.remove(missing.get(element)));
         } else {
-            directory.follow(withdrawn.get(place - absent.size()), told);
+            directory.apply(withdrawn.get(element - missing.size()), updates);
         }
     }
 
@@ -128,25 +159,21 @@
     public String summary() {
         return "revision="
                 + list.revision()
-                + " whole="
+                + " complete="
                 + list.complete()
-                + " lines="
-                + list.members().size()
+                + " endpoints="
+                + list.endpoints().size()
                 + " unreadable="
                 + list.unreadable().size()
-                + " absent="
-                + absent.size()
+                + " missing="
+                + missing.size()
                 + " withdrawn="
                 + withdrawn.size()
                 + " new_or_changed="
-                + added.size()
-                + " told="
-                + lines
+                + newOrChanged.size()
+                + " updates="
+                + updateCount
                 + " slices="
-                + slices;
-    }
-
-    public List<String> unreadable() {
-        return list.unreadable();
+                + sliceCount;
     }
 }
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -3,6 +3,7 @@
 import io.undertow.connector.ByteBufferPool;
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.util.OptionalLong;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
@@ -22,31 +23,58 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** Keeps the list up to date: the whole list once, then one watch. I/O thread only. */
+/**
+ * Keeps the endpoint list up to date: calls discovery for the full list, and then for what changes
+ * after the last revision. At most one call is out. I/O thread only, but where it says otherwise.
+ */
 public final class EndpointListWatch {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListWatch.class);
-    private static final int MOST_LIST = 4 << 20;
+
+    /** Longest body of a list, in bytes. */
+    private static final int MAX_LIST_BYTES = 4 << 20;
+
+    /** Connections to discovery. */
+    private static final int MAX_CONNECTIONS = 4;
+
+    /**
+     * Seconds for which discovery may hold a watch call without news. Two silent calls in a row,
+     * each with slack and pause, end within the 6 s after which a change counts as known.
+     */
+    private static final double HOLD_SECONDS = 1.8;
 
     /**
-     * How many seconds discovery may hold a watch, and where each call costs it something; how much
-     * later silence is no answer, and the pause then. What a silent watch misses counts as told 6 s
-     * after it fell silent: two in a row take 2 x (1.8 + 0.7 + 0.1) s. Where the decisions ask,
-     * their own pause of 1.9 s at the most comes in place of the short one, and one silent watch
-     * takes 5.6 s.
+     * The same where the balancer polls, as each call has a cost; here one silent call ends within
+     * the 6 s.
      */
-    private static final double HOLD = 1.8;
+    private static final double POLLING_HOLD_SECONDS = 3;
 
-    private static final double COSTLY_HOLD = 3;
-    private static final double SLACK = 0.7;
-    private static final double PAUSE = 0.1;
+    /** Seconds after the hold after which silence is a failure. */
+    private static final double HOLD_SLACK_SECONDS = 0.7;
 
-    /** Within how many seconds a whole list, or a new connection, is to be there. */
-    private static final double AT_ONCE = 0.5;
+    /** Seconds between a failed call and the next, where the balancer does not poll. */
+    private static final double RETRY_PAUSE_SECONDS = 0.1;
 
-    /** A list is read so many lines at a time, with so many nanoseconds for others in between. */
-    private static final int LINES_AT_A_TIME = 64;
+    /** Seconds for a new connection, and for the response to a call that is not held. */
+    private static final double RESPONSE_TIMEOUT_SECONDS = 0.5;
 
-    private static final long BETWEEN_PARTS = 500_000;
+    /** Seconds for which the start waits for the first list: a connection and a response. */
+    private static final double FIRST_LIST_TIMEOUT_SECONDS = 2 * RESPONSE_TIMEOUT_SECONDS;
+
+    /** Members parsed at a time. */
+    private static final int MEMBERS_PER_STEP = 64;
+
+    /** Pause between two steps of parsing, in which other threads may run. */
+    private static final long STEP_PAUSE_NANOS = 500_000;
+
+    private enum State {
+        /** The next call may start. */
+        IDLE,
+        /** A call is out. */
+        CALLING,
+        /** The task thread parses a response. */
+        PARSING,
+        STOPPED
+    }
 
     private final MonotonicClock clock;
     private final XnioIoThread io;
@@ -54,21 +82,28 @@
     private final BackendConnector connector;
     private final ByteBufferPool buffers;
     private final DecisionEvents decisionEvents;
-    private final boolean onRequest;
 
-    /** The first call has ended, with a list or without. */
-    private final CountDownLatch first = new CountDownLatch(1);
+    /** Whether the balancer says when to call, as each call has a cost. */
+    private final boolean polling;
 
-    private long revision = -1;
-    private boolean stopped;
-    private boolean failing;
+    /** Counted down when the first call has ended, with a list or without. */
+    private final CountDownLatch firstCallEnded = new CountDownLatch(1);
 
-    /** An answer is read by the worker. */
-    private boolean reading;
+    private State state = State.IDLE;
 
+    /** The revision of the last list; empty where the next call is for the full list. */
+    private OptionalLong lastRevision = OptionalLong.empty();
+
+    /** Whether the last call failed. */
+    private boolean failing;
+
+    /** Connections to the present address of discovery. */
     private ConnectionPool pool;
+
+    /** Null but while calling. */
     private BackendCall call;
 
+    /** A watch of the configured discovery address, not started yet. */
     public EndpointListWatch(
             ProxyConfig config,
             MonotonicClock clock,
@@ -82,184 +117,196 @@
         this.connector = connector;
         this.buffers = buffers;
         this.decisionEvents = decisionEvents;
-        onRequest = config.settings().pollsEndpointList();
-        pool = links(config.discovery());
+        polling = config.settings().pollsEndpointList();
+        pool = poolTo(config.discovery());
     }
 
-    private ConnectionPool links(InetSocketAddress discovery) {
+    private ConnectionPool poolTo(InetSocketAddress discovery) {
         return new ConnectionPool(
                 discovery,
                 io,
                 connector,
                 buffers,
                 clock,
-                new ConnectionPool.Budget(4),
-                4,
+                new ConnectionPool.Budget(MAX_CONNECTIONS),
+                MAX_CONNECTIONS,
                 ConnectionPool.Rest.NONE);
     }
 
-    /**
-     * Where lists are told unasked the watch runs from the start; elsewhere the decisions begin it.
-     */
+    /** Starts to watch, unless the balancer polls: then it asks for the first call. */
     public void start() {
-        if (!onRequest) {
-            call();
+        if (!polling) {
+            startCall();
         }
     }
 
     /**
-     * Waits until the decisions have the list as it stands, or discovery does not tell it. Danger:
-     * what the agent has counts as told from the first moment of the process, and the list known
-     * from before may name backends that have drained for longer than the grace. Any thread but the
-     * I/O thread.
+     * Waits until the balancer has the present list, or the first call has failed, for a second at
+     * most. Guards against requests to backends that the list known from before names and that have
+     * drained since. Any thread but the I/O thread.
      */
     public void awaitFirst() {
         try {
-            first.await((long) (2 * AT_ONCE * 1e9), TimeUnit.NANOSECONDS);
+            firstCallEnded.await((long) (FIRST_LIST_TIMEOUT_SECONDS * 1e9), TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /**
-     * Leaves discovery for another address. Danger: the old one's late answer would undo the new
-     * one's.
-     */
+    /** Leaves discovery for another address; what is out at the old one is dropped. */
     public void moveTo(InetSocketAddress discovery) {
-        if (stopped) {
+        if (state == State.STOPPED) {
             return;
         }
         if (call != null) {
             call.abandon();
             call = null;
         }
-        reading = false;
+        state = State.IDLE;
         pool.retire();
-        pool = links(discovery);
-        // Danger: the new one may count its revisions otherwise and never tell what the old one had
-        // not.
-        revision = -1;
-        call();
+        pool = poolTo(discovery);
+        // Guards against revisions that the new address counts otherwise.
+        lastRevision = OptionalLong.empty();
+        startCall();
+    }
+
+    /** The balancer asks for the list. */
+    public void listRequested(Decision.EndpointListCall kind) {
+        if (kind == Decision.EndpointListCall.FULL) {
+            lastRevision = OptionalLong.empty();
+        }
+        startCall();
     }
 
-    public void listRequested(Decision.EndpointListCall call) {
-        if (call == Decision.EndpointListCall.FULL) {
-            revision = -1;
+    /** Stops for good. */
+    public void stop() {
+        state = State.STOPPED;
+        if (call != null) {
+            call.abandon();
         }
-        call();
     }
 
-    private void call() {
-        if (call != null || reading || stopped) {
+    private void startCall() {
+        if (state != State.IDLE) {
             return;
         }
-        double hold = onRequest ? COSTLY_HOLD : HOLD;
+        double holdSeconds = polling ? POLLING_HOLD_SECONDS : HOLD_SECONDS;
+        boolean full = lastRevision.isEmpty();
         String path =
                 "/v1/servers"
-                        + (revision < 0
+                        + (full
                                 ? ""
-                                : "?from=" + revision + "&hold_ms=" + Math.round(hold * 1000));
+                                : "?from="
+                                        + lastRevision.getAsLong()
+                                        + "&hold_ms="
+                                        + Math.round(holdSeconds * 1000));
         call =
                 BackendCall.make(
                         pool,
                         BackendCall.get(path, pool.address.getHostString()),
-                        MOST_LIST,
-                        AT_ONCE,
-                        revision < 0 ? AT_ONCE : hold + SLACK,
-                        this::answered);
+                        MAX_LIST_BYTES,
+                        RESPONSE_TIMEOUT_SECONDS,
+                        full ? RESPONSE_TIMEOUT_SECONDS : holdSeconds + HOLD_SLACK_SECONDS,
+                        this::callEnded);
         if (call == null) {
-            failed("no connection free");
+            callFailed("no connection free");
         } else {
+            state = State.CALLING;
             call.start();
         }
     }
 
-    public void stop() {
-        stopped = true;
-        if (call != null) {
-            call.abandon();
-        }
-    }
-
-    private void answered(BackendResponse response) {
+    private void callEnded(BackendResponse response) {
         call = null;
+        state = State.IDLE;
         if (response.status() != BackendResponse.OK) {
-            failed("status " + response.status());
+            callFailed("status " + response.status());
             return;
         }
-        reading = true;
+        state = State.PARSING;
         ConnectionPool from = pool;
         EndpointListParser parser = new EndpointListParser(response.body());
-        hand(worker, () -> read(parser, from));
+        execute(worker, () -> parse(parser, from));
     }
 
-    /** Danger: a process that ends takes no more tasks, and needs no list. */
-    private static void hand(Executor to, Runnable task) {
+    /**
+     * Guards against an error at the end of the process, when no more tasks are taken and no list
+     * is needed.
+     */
+    private static void execute(Executor executor, Runnable task) {
         try {
-            to.execute(task);
+            executor.execute(task);
         } catch (RejectedExecutionException e) {
-            LOG.debug("a list comes after the end");
+            LOG.debug("an endpoint list came after the end");
         }
     }
 
     /**
-     * Reads a part of a list. Danger: thousands of lines at once would hold up whoever shares the
-     * core.
+     * Parses a list in steps, so that it holds up no thread on the same core. XNIO's task thread.
      */
-    private void read(EndpointListParser parser, ConnectionPool from) {
+    private void parse(EndpointListParser parser, ConnectionPool from) {
         try {
-            while (!parser.advance(LINES_AT_A_TIME)) {
-                LockSupport.parkNanos(BETWEEN_PARTS);
+            while (!parser.advance(MEMBERS_PER_STEP)) {
+                LockSupport.parkNanos(STEP_PAUSE_NANOS);
             }
             EndpointList list = parser.list();
-            hand(io, () -> told(list, from));
+            execute(io, () -> parsed(list, from));
         } catch (IOException | RuntimeException | StackOverflowError e) {
-            // The last is how nesting without end shows.
-            hand(io, () -> unreadable(e, from));
-        }
-    }
-
-    /** Danger: what comes of an address that was left since would undo what the new one says. */
-    private boolean isOfLate(ConnectionPool from) {
-        if (from == pool) {
-            reading = false;
+            // Wide, as each kind of wrong JSON has an exception of its own; endless nesting
+            // overflows the stack.
+            execute(io, () -> unparsable(e, from));
         }
-        return stopped || from != pool;
     }
 
-    private void told(EndpointList list, ConnectionPool from) {
-        if (isOfLate(from)) {
+    private void parsed(EndpointList list, ConnectionPool from) {
+        if (!endParsing(from)) {
             return;
         }
-        revision = list.revision();
-        if (failing || !list.members().isEmpty()) {
-            LOG.info("list of revision {}, lines: {}", revision, list.members().size());
+        lastRevision =
+                list.revision() < 0 ? OptionalLong.empty() : OptionalLong.of(list.revision());
+        if (failing || !list.endpoints().isEmpty()) {
+            LOG.info(
+                    "endpoint list of revision {} received, endpoints: {}",
+                    list.revision(),
+                    list.endpoints().size());
         }
         failing = false;
-        decisionEvents.endpointListReceived(list, false, first::countDown);
-        // Danger: a later call than 200 ms begins a new watch, and what changed before it counts as
-        // told.
-        call();
+        decisionEvents.endpointListReceived(list, false, firstCallEnded::countDown);
+        // Guards against a gap: what changes more than 200 ms before the next watch begins counts
+        // as known.
+        startCall();
     }
 
-    private void unreadable(Throwable e, ConnectionPool from) {
-        if (!isOfLate(from)) {
-            failed(e.toString());
+    private void unparsable(Throwable cause, ConnectionPool from) {
+        if (endParsing(from)) {
+            callFailed(cause.toString());
+        }
+    }
+
+    /**
+     * Whether the outcome counts: not after the end, nor from an address that was left meanwhile.
+     */
+    private boolean endParsing(ConnectionPool from) {
+        if (state == State.STOPPED || from != pool) {
+            return false;
         }
+        state = State.IDLE;
+        return true;
     }
 
-    /** Danger: an agent that answers nonsense at once would be asked without a pause. */
-    private void failed(String why) {
-        // Danger: a line for every call would drown all others while discovery is down.
+    /** Calls again after a pause, or leaves that to the balancer where it polls. */
+    private void callFailed(String reason) {
+        // Guards against a line for every call while discovery is down.
         if (!failing) {
-            LOG.info("list call failed, asking again: {}", why);
+            LOG.info("list call failed, asking again: {}", reason);
         }
         failing = true;
-        first.countDown();
-        if (onRequest) {
+        firstCallEnded.countDown();
+        if (polling) {
             decisionEvents.endpointListFailed();
         } else {
-            io.executeAfter(this::call, Math.round(PAUSE * 1e9), TimeUnit.NANOSECONDS);
+            io.executeAfter(
+                    this::startCall, Math.round(RETRY_PAUSE_SECONDS * 1e9), TimeUnit.NANOSECONDS);
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/events/BackendResponse.java
+++ b/src/main/java/lemondrift/proxy/events/BackendResponse.java
@@ -3,8 +3,14 @@
 import io.undertow.util.HeaderMap;
 
 /**
- * What came back on a call; status 0 where the connection failed before the answer was whole. Where
- * it is passed on, the body is its beginning and the rest is whoever has what follows, else null.
+ * What came of one call to a backend.
+ *
+ * @param status the HTTP status; 0 where the connection failed before the response was complete,
+ *     {@link #UNSENT} where the request was not sent whole through no fault of the backend
+ * @param body the body, or its beginning where there is a remainder
+ * @param requestSent whether the last byte of the request was handed to the system
+ * @param timedOut whether the call ended because its time was over
+ * @param remainder what follows of a long body; null where the body is complete
  */
 public record BackendResponse(
         int status,
@@ -13,16 +19,23 @@
         boolean requestSent,
         boolean timedOut,
         ResponseRemainder remainder) {
+    /** The one status that counts as success. */
     public static final int OK = 200;
 
-    /** Given up before all of its request was sent, through no fault of its backend. */
+    /** The status of a call that was given up before its request was sent whole. */
     public static final int UNSENT = -1;
 
+    /**
+     * A call that was given up before its request was sent whole, through no fault of its backend.
+     */
     public static BackendResponse unsent() {
         return new BackendResponse(UNSENT, new HeaderMap(), new byte[0], false, false, null);
     }
 
-    public static BackendResponse broken(boolean sent, boolean timedOut) {
-        return new BackendResponse(0, new HeaderMap(), new byte[0], sent, timedOut, null);
+    /**
+     * A connection that failed, or a call whose time was over, before the response was complete.
+     */
+    public static BackendResponse broken(boolean requestSent, boolean timedOut) {
+        return new BackendResponse(0, new HeaderMap(), new byte[0], requestSent, timedOut, null);
     }
 }
--- a/src/main/java/lemondrift/proxy/events/DecisionEvents.java
+++ b/src/main/java/lemondrift/proxy/events/DecisionEvents.java
@@ -6,21 +6,25 @@
 import lemondrift.model.ShedThreshold;
 
 /**
- * What the I/O thread tells the thread that decides. Each call queues the event; none waits for it.
+ * What the I/O thread reports to the thread that decides. Each call but {@link #shedThreshold}
+ * queues an event and does not wait for it to be handled.
  */
 public interface DecisionEvents {
     /** A request was read whole, or as much of it as is buffered. */
     void requestArrived(PendingRequest pending);
 
     /**
-     * What would be shed of a request class now; null where a request with this much time left is
-     * not.
+     * The threshold by which a request of this class with so many seconds left would be shed now;
+     * null where it would not be. Any thread.
      */
     ShedThreshold shedThreshold(int requestClass, double secondsLeft);
 
     /**
-     * An attempt ended; the response is the one to deliver if it succeeded. The load report may be
-     * null.
+     * An attempt ended.
+     *
+     * @param durationSeconds from its sending to its end
+     * @param loadReport null where none came
+     * @param response the one to deliver if the attempt succeeded; null where none came
      */
     void attemptEnded(
             Attempt attempt,
@@ -39,8 +43,10 @@
     void bodyNotReplayable(Request request);
 
     /**
-     * An endpoint list came; stale is one from before the start. Applied is run once all of it
-     * holds.
+     * A new endpoint list came.
+     *
+     * @param stale whether it is one from before the start
+     * @param applied run on the decisions thread once the balancer has all of the list
      */
     void endpointListReceived(EndpointList list, boolean stale, Runnable applied);
 
--- a/src/main/java/lemondrift/proxy/events/PendingRequest.java
+++ b/src/main/java/lemondrift/proxy/events/PendingRequest.java
@@ -4,8 +4,10 @@
 import lemondrift.model.Request;
 
 /**
- * An exchange with its client's side: the request as it came, which the decisions never see. The
- * upload is null where all of the body is here.
+ * A request with its client's side, which the balancer never sees.
+ *
+ * @param body the whole body; empty where it is streamed
+ * @param streamedBody the body where it is too long to be buffered whole, else null
  */
 public record PendingRequest(
         Request request,
--- a/src/main/java/lemondrift/proxy/events/ProxyActions.java
+++ b/src/main/java/lemondrift/proxy/events/ProxyActions.java
@@ -7,43 +7,53 @@
 import lemondrift.model.Settings;
 import lemondrift.settings.RequestClassIndex;
 
-/** What the owner of the decisions has the sockets do; each returns at once. */
+/**
+ * What the thread that decides has the I/O thread do. Called on the decisions thread; each call
+ * returns at once, and what it asks for is done after the next {@link #flush}, in the order of the
+ * calls.
+ */
 public interface ProxyActions {
-    void send(Attempt attempt, PendingRequest pending, InetSocketAddress to);
+    /** Sends an attempt to its backend. */
+    void send(Attempt attempt, PendingRequest pending, InetSocketAddress address);
 
+    /** Gives up an attempt that is in flight. */
     void cancel(Attempt attempt);
 
-    void probe(int backend, InetSocketAddress to);
+    /** Asks a backend for its load. */
+    void probe(int backend, InetSocketAddress address);
 
+    /** Calls discovery for the endpoint list. */
     void requestEndpointList(Decision.EndpointListCall call);
 
+    /** Passes a response on to the client. */
     void deliver(PendingRequest pending, BackendResponse response);
 
-    /** Nobody wants the rest of an answer that is passed on. */
+    /** Drops the remainder of a response that is not delivered. */
     void discard(BackendResponse response);
 
     /**
-     * Ends an exchange as the decisions say; the retry-after is in seconds, 0 where there is none.
+     * Answers a request without a backend's response.
+     *
+     * @param rejected whether it is rejected (503: a retry is harmless) rather than failed (502)
+     * @param retryAfterSeconds 0 where the client gets no Retry-After
      */
-    void fail(PendingRequest pending, boolean shed, double retryAfter);
+    void fail(PendingRequest pending, boolean rejected, double retryAfterSeconds);
 
-    /** A backend is no longer ready or has another address: what stands idle there is closed. */
+    /** Closes idle connections to a backend that is no longer ready or has another address. */
     void retirePool(int backend);
 
-    /**
-     * So many exchanges that had arrived were decided, in so many seconds for all that was done.
-     */
-    void requestsDecided(int exchanges, double seconds);
+    /** So many arrived requests were decided in an iteration that took so many seconds in all. */
+    void requestsDecided(int requests, double seconds);
 
-    /** So many backends are listed, and to so many of them nothing is sent now. */
+    /** So many backends are listed, and so many of them are not usable now. */
     void backendsCounted(int listed, int disabled);
 
-    /** These are stated from now on. */
+    /** These settings are in force from now on. */
     void settingsChanged(RequestClassIndex requestClasses, Settings settings);
 
-    /** Tells another proxy. */
-    public void sendGossip(LoadGossip.Message telling);
+    /** Sends a datagram to another proxy. */
+    void sendGossip(LoadGossip.Message message);
 
-    /** All that was asked for since the last time is to be done now. */
+    /** Has the I/O thread do all that was asked for since the last call. */
     void flush();
 }
--- a/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
+++ b/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
@@ -4,7 +4,7 @@
 
 /** What follows of a response whose beginning has been delivered. I/O thread only. */
 public interface ResponseRemainder extends BodyChunks {
-    /** The Content-Length of the whole body; below 0 where the backend states none. */
+    /** The Content-Length of the whole body, in bytes; below 0 where the backend states none. */
     int declared();
 
     /** All of it has been passed on to the client. */
--- a/src/main/java/lemondrift/proxy/events/StreamedRequestBody.java
+++ b/src/main/java/lemondrift/proxy/events/StreamedRequestBody.java
@@ -7,16 +7,16 @@
  * only.
  */
 public interface StreamedRequestBody extends BodyChunks {
-    /** Starts again at the first byte; false where that is no longer buffered. */
+    /** Starts again at the first byte; returns false where that is no longer buffered. */
     boolean restart();
 
     /** Whether its length is not known, so that it is sent in chunks. */
     boolean isChunked();
 
-    /** How long a backend may take nothing of it. */
+    /** Seconds for which a backend may take nothing of it. */
     double stallTimeoutSeconds();
 
-    /** How long the backend has for its response, from the last byte of the body on. */
+    /** Seconds that the backend has for its response, from the last byte of the body on. */
     double responseTimeoutSeconds();
 
     /** Sets what is to be done when its request is over. */
--- a/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
+++ b/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
@@ -74,7 +74,7 @@
             // Guards against an attempt that waits for a connection and reaches whoever has the
             // address now.
             if (update.state() != EndpointUpdate.State.READY
-                    || directory.hasMoved(update.backend())) {
+                    || directory.takeMoved(update.backend())) {
                 actions.retirePool(update.backend());
             }
         }
--- a/src/test/java/lemondrift/proxy/EndpointListParserTest.java
+++ b/src/test/java/lemondrift/proxy/EndpointListParserTest.java
@@ -78,9 +78,9 @@
                             + "{\"id\":\"a\",\"phase\":\"left\"}]}",
                         1);
         assertEquals(
-                List.of("b", "a"), list.members().stream().map(EndpointList.Member::id).toList());
-        assertFalse(list.members().get(0).isReadable());
-        assertEquals(EndpointUpdate.State.GONE, list.members().get(1).state());
+                List.of("b", "a"), list.endpoints().stream().map(EndpointList.Endpoint::id).toList());
+        assertFalse(list.endpoints().get(0).isReadable());
+        assertEquals(EndpointUpdate.State.GONE, list.endpoints().get(1).state());
         assertEquals(1, list.unreadable().size());
     }
 
