--- a/src/test/java/lemondrift/proxy/EndpointListParserTest.java
+++ b/src/test/java/lemondrift/proxy/discovery/EndpointListParserTest.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,8 +11,6 @@
 import java.util.List;
 import java.util.Random;
 import lemondrift.model.EndpointUpdate;
-import lemondrift.proxy.discovery.EndpointListBuilder;
-import lemondrift.proxy.discovery.EndpointListParser;
 import lemondrift.proxy.events.EndpointList;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
--- a/src/test/java/lemondrift/proxy/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.loop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -32,7 +32,6 @@
 import lemondrift.proxy.events.EndpointList;
 import lemondrift.proxy.events.PendingRequest;
 import lemondrift.proxy.events.ProxyActions;
-import lemondrift.proxy.loop.DecisionLoop;
 import lemondrift.settings.RequestClassIndex;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
