--- a/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
@@ -8,14 +8,14 @@
 import com.google.gson.JsonParser;
 import org.junit.jupiter.api.Test;
 
-/** What is told of how the decisions keep up. */
+/** The log line and the JSON on how the decision loop keeps up. */
 class EventLoopMetricsTest {
     private final EventLoopMetrics loopMetrics = new EventLoopMetrics();
 
     @Test
-    void aLongWaitIsALineOfTheLogOnceAndStaysAmongTheFigures() {
+    void aLongWaitIsLoggedOnceAndStaysInTheJson() {
         loopMetrics.eventHandled(EventLoopMetrics.Kind.ARRIVAL, 0.001);
-        assertNull(loopMetrics.iterationEnded(0.001, 0, 10), "nothing of note");
+        assertNull(loopMetrics.iterationEnded(0.001, 0, 10), "nothing worth a line");
         loopMetrics.eventHandled(EventLoopMetrics.Kind.TIMER, 0.3);
         loopMetrics.eventHandled(EventLoopMetrics.Kind.LIST, -1);
         assertTrue(
@@ -23,15 +23,15 @@
                         .iterationEnded(0.06, 7, 10.5)
                         .startsWith("lately_waited_ms=300 lately_lasted_ms=60"));
         loopMetrics.eventHandled(EventLoopMetrics.Kind.ARRIVAL, 0.2);
-        assertNull(loopMetrics.iterationEnded(0.01, 0, 11), "a line a second at the most");
+        assertNull(loopMetrics.iterationEnded(0.01, 0, 11), "at most one line a second");
         assertTrue(loopMetrics.iterationEnded(0.01, 0, 11.6).startsWith("lately_waited_ms=200"));
-        assertNull(loopMetrics.iterationEnded(0.01, 0, 13), "no longer of late");
-        JsonObject told = JsonParser.parseString(loopMetrics.json()).getAsJsonObject();
-        assertEquals(0.3, told.get("longest_wait").getAsDouble());
-        assertEquals("TIMER", told.get("longest_wait_of").getAsString());
-        assertEquals(0.06, told.get("longest_turn").getAsDouble());
-        assertEquals("LIST", told.get("longest_turn_of").getAsString());
-        assertEquals(7, told.get("longest_queue").getAsInt());
-        assertEquals(2, told.getAsJsonObject("handled").get("ARRIVAL").getAsInt());
+        assertNull(loopMetrics.iterationEnded(0.01, 0, 13), "nothing long since the last line");
+        JsonObject json = JsonParser.parseString(loopMetrics.json()).getAsJsonObject();
+        assertEquals(0.3, json.get("longest_wait").getAsDouble());
+        assertEquals("TIMER", json.get("longest_wait_of").getAsString());
+        assertEquals(0.06, json.get("longest_turn").getAsDouble());
+        assertEquals("LIST", json.get("longest_turn_of").getAsString());
+        assertEquals(7, json.get("longest_queue").getAsInt());
+        assertEquals(2, json.getAsJsonObject("handled").get("ARRIVAL").getAsInt());
     }
 }
--- a/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
@@ -9,58 +9,63 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
+/** The counts of requests and replies. */
 class ProxyMetricsTest {
-    /** 0 takes one, 1 answers and ends one, 2 ends one whose client has gone. */
+    /**
+     * Event 0 accepts a request, 1 answers and completes one, 2 completes one whose client has
+     * left.
+     */
     @Property(seed = "48")
-    void inHandIsWhatWasTakenLessWhatHasEnded(
+    void requestsInFlightAreThoseAcceptedLessThoseCompleted(
             @ForAll List<@IntRange(min = 0, max = 2) Integer> events) {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look"));
-        int open = 0;
+        int inFlight = 0;
         int answered = 0;
-        int gone = 0;
-        int taken = 0;
+        int clientsLeft = 0;
+        int accepted = 0;
         for (int event : events) {
             if (event == 0) {
                 metrics.requestAccepted();
-                taken++;
-                open++;
-            } else if (open > 0) {
+                accepted++;
+                inFlight++;
+            } else if (inFlight > 0) {
                 if (event == 1) {
                     metrics.replySent("look", ProxyMetrics.Reply.SUCCESS);
                     answered++;
                 } else {
-                    gone++;
+                    clientsLeft++;
                 }
                 metrics.requestCompleted();
-                open--;
+                inFlight--;
             }
         }
-        ProxyMetrics.Figures figures = metrics.snapshot();
-        assertEquals(open, figures.concurrent());
-        assertEquals(answered, figures.replies().get("look")[ProxyMetrics.Reply.SUCCESS.ordinal()]);
-        assertEquals(taken, answered + gone + figures.concurrent());
+        ProxyMetrics.Figures snapshot = metrics.snapshot();
+        assertEquals(inFlight, snapshot.concurrent());
+        assertEquals(
+                answered, snapshot.replies().get("look")[ProxyMetrics.Reply.SUCCESS.ordinal()]);
+        assertEquals(accepted, answered + clientsLeft + snapshot.concurrent());
     }
 
     @Test
-    void aGradeThatIsDroppedKeepsItsCountsAndANewOneBeginsAtNone() {
+    void aClassThatIsDroppedKeepsItsCountsAndANewOneBeginsAtZero() {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look", "order"));
         metrics.replySent("look", ProxyMetrics.Reply.OVERLOAD);
         metrics.registerClasses(List.of("order", "book"));
-        metrics.replySent("nobody's", ProxyMetrics.Reply.ERROR);
+        metrics.replySent("unregistered", ProxyMetrics.Reply.ERROR);
         assertArrayEquals(new long[] {0, 1, 0}, metrics.snapshot().replies().get("look"));
         assertArrayEquals(new long[3], metrics.snapshot().replies().get("book"));
         assertEquals(3, metrics.snapshot().replies().size());
     }
 
     @Test
-    void figuresOnceReadDoNotChange() {
+    void aSnapshotDoesNotChange() {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look"));
-        ProxyMetrics.Figures figures = metrics.snapshot();
+        ProxyMetrics.Figures snapshot = metrics.snapshot();
         metrics.replySent("look", ProxyMetrics.Reply.ERROR);
         metrics.requestAccepted();
-        assertEquals(0, figures.replies().get("look")[2] + figures.concurrent());
+        assertEquals(0, snapshot.replies().get("look")[2] + snapshot.concurrent());
     }
 }
--- /dev/null
+++ b/src/test/java/lemondrift/proxy/discovery/BackendDirectoryTest.java
@@ -0,0 +1,72 @@
+package lemondrift.proxy.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.stream.IntStream;
+import lemondrift.model.EndpointUpdate;
+import org.junit.jupiter.api.Test;
+
+/** Which updates come of endpoint lists, and in which order. */
+class BackendDirectoryTest {
+    private static final int BACKENDS = 3200;
+
+    private final BackendDirectory directory = new BackendDirectory(List.of("a"));
+
+    private List<EndpointUpdate> apply(boolean complete, String... idPhasePort) {
+        EndpointListUpdate update =
+                new EndpointListUpdate(
+                        directory, EndpointLists.of(complete, idPhasePort), false, () -> {});
+        List<EndpointUpdate> updates = new ArrayList<>();
+        while (!update.isDone()) {
+            updates.addAll(update.nextSlice());
+        }
+        return updates;
+    }
+
+    @Test
+    void inALongListWithdrawnBackendsComeFirst() {
+        apply(true, "one active 1", "two active 2");
+        String[] endpoints =
+                IntStream.range(0, BACKENDS)
+                        .mapToObj(backend -> "many-" + backend + " active " + (1000 + backend))
+                        .toArray(String[]::new);
+        endpoints[BACKENDS - 1] = "two leaving 2";
+        List<EndpointUpdate> updates = apply(true, endpoints);
+        assertEquals(
+                List.of(
+                        EndpointUpdate.State.GONE,
+                        EndpointUpdate.State.DRAINING,
+                        EndpointUpdate.State.READY),
+                updates.stream().limit(3).map(EndpointUpdate::state).toList());
+        assertEquals(List.of(), apply(true, endpoints), "the same list again gives no update");
+    }
+
+    @Test
+    void anIndexPassesOnOnceItsBackendIsGoneAndNotReferenced() {
+        apply(true, "one active 1", "two active 2");
+        directory.retain(0);
+        assertTrue(
+                apply(true, "two active 2")
+                        .contains(new EndpointUpdate(0, false, 0, 3, EndpointUpdate.State.GONE, 0)),
+                "missing from a complete list");
+        assertEquals(2, apply(false, "three active 3").get(0).backend(), "still referenced");
+        directory.release(0);
+        assertEquals(
+                new EndpointUpdate(0, true, 0, 3, EndpointUpdate.State.READY, 0),
+                apply(false, "four active 4").get(0));
+        assertEquals(3, apply(false, "one active 1").get(0).backend(), "another index");
+    }
+
+    @Test
+    void anAddressThatPassesOnRemovesItsFormerBackend() {
+        apply(true, "one active 1");
+        assertEquals(
+                List.of(
+                        new EndpointUpdate(0, false, 0, 3, EndpointUpdate.State.GONE, 0),
+                        new EndpointUpdate(0, true, 0, 3, EndpointUpdate.State.READY, 0)),
+                apply(false, "two active 1"));
+    }
+}
--- a/src/test/java/lemondrift/proxy/discovery/EndpointListParserTest.java
+++ b/src/test/java/lemondrift/proxy/discovery/EndpointListParserTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lists of discovery, read in steps of any size. */
+/** Endpoint lists of discovery, parsed in steps of any size. */
 class EndpointListParserTest {
-    private static EndpointList read(String text, int step) throws IOException {
+    private static EndpointList parse(String text, int membersPerStep) throws IOException {
         EndpointListParser parser = new EndpointListParser(text.getBytes(StandardCharsets.UTF_8));
         int steps = 0;
-        while (!parser.advance(step)) {
+        while (!parser.advance(membersPerStep)) {
             assertTrue(++steps < 10_000, "it comes to an end");
         }
         return parser.list();
     }
 
-    private static String line(Random random) {
+    private static String randomMember(Random random) {
         String id = "\"id\":\"s-" + random.nextInt(12) + "\"";
         return switch (random.nextInt(5)) {
             case 0 -> "{" + id + ",\"phase\":\"left\"}";
@@ -52,37 +52,43 @@
     }
 
     @Property(tries = 100, seed = "48")
-    void stepsOfAnySizeReadTheSame(@ForAll long seed) throws IOException {
+    void stepsOfAnySizeParseTheSame(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
-        StringBuilder lines = new StringBuilder();
+        StringBuilder list = new StringBuilder();
         for (int i = random.nextInt(20); i > 0; i--) {
-            lines.append(lines.length() == 0 ? "" : ", ").append(line(random));
+            list.append(list.length() == 0 ? "" : ", ").append(randomMember(random));
         }
-        String members = "\"members\":[" + lines + "]";
-        String rest = "\"revision\":41,\"complete\":true";
+        String members = "\"members\":[" + list + "]";
+        String otherFields = "\"revision\":41,\"complete\":true";
         String text =
-                "{" + (random.nextBoolean() ? members + "," + rest : rest + "," + members) + "}";
-        EndpointList whole = EndpointListBuilder.of(JsonParser.parseString(text).getAsJsonObject());
-        assertEquals(whole, read(text, 1 + random.nextInt(30)), "seed " + seed + ": " + text);
+                "{"
+                        + (random.nextBoolean()
+                                ? members + "," + otherFields
+                                : otherFields + "," + members)
+                        + "}";
+        EndpointList atOnce =
+                EndpointListBuilder.of(JsonParser.parseString(text).getAsJsonObject());
+        assertEquals(atOnce, parse(text, 1 + random.nextInt(30)), "seed " + seed + ": " + text);
     }
 
     @Test
-    void theLastLineOfABackendCountsAndAnUnreadableOneKeepsIt() throws IOException {
+    void theLastMemberOfABackendCountsAndAnUnreadableOneKeepsIt() throws IOException {
         EndpointList list =
-                read(
+                parse(
                         "{\"revision\":3,\"complete\":false,\"members\":["
                             + "{\"id\":\"a\",\"phase\":\"active\",\"host_port\":\"127.0.0.1:1\"},"
                             + "{\"id\":\"b\",\"phase\":\"active\",\"host_port\":\"nowhere\"},"
                             + "{\"id\":\"a\",\"phase\":\"left\"}]}",
                         1);
         assertEquals(
-                List.of("b", "a"), list.endpoints().stream().map(EndpointList.Endpoint::id).toList());
+                List.of("b", "a"),
+                list.endpoints().stream().map(EndpointList.Endpoint::id).toList());
         assertFalse(list.endpoints().get(0).isReadable());
         assertEquals(EndpointUpdate.State.GONE, list.endpoints().get(1).state());
         assertEquals(1, list.unreadable().size());
     }
 
-    /** Danger: a revision taken from half a list would never be asked for again. */
+    /** Guards against a revision that is taken from half a list and never asked for again. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -99,7 +105,7 @@
                 "{\"revision\":null,\"complete\":true,\"members\":[]}",
                 "{\"revision\":1,\"complete\":true,\"members\":[]} and more"
             })
-    void whatIsNoListIsRefused(String text) {
-        assertThrows(Exception.class, () -> read(text, 5));
+    void whatIsNoListIsRejected(String text) {
+        assertThrows(Exception.class, () -> parse(text, 5));
     }
 }
--- /dev/null
+++ b/src/test/java/lemondrift/proxy/discovery/EndpointLists.java
@@ -0,0 +1,27 @@
+package lemondrift.proxy.discovery;
+
+import com.google.gson.JsonParser;
+import java.util.Arrays;
+import java.util.stream.Collectors;
+import lemondrift.proxy.events.EndpointList;
+
+/** Endpoint lists for tests. */
+public final class EndpointLists {
+    private EndpointLists() {}
+
+    /**
+     * A list with an endpoint for each text of id, phase and port, all on loopback and in cell 3.
+     */
+    public static EndpointList of(boolean complete, String... idPhasePort) {
+        String member =
+                "{\"id\":\"$1\",\"phase\":\"$2\",\"host_port\":\"127.0.0.1:$3\",\"cell\":3}";
+        String members =
+                Arrays.stream(idPhasePort)
+                        .map(each -> each.replaceFirst("(.+) (.+) (.+)", member))
+                        .collect(Collectors.joining(","));
+        return EndpointListBuilder.of(
+                JsonParser.parseString(
+                                "{\"complete\":" + complete + ",\"members\":[" + members + "]}")
+                        .getAsJsonObject());
+    }
+}
--- a/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -3,14 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.google.gson.JsonParser;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import lemondrift.balancer.LoadBalancer;
 import lemondrift.gossip.LoadGossip;
@@ -19,15 +16,13 @@
 import lemondrift.model.AttemptOutcome;
 import lemondrift.model.Decision;
 import lemondrift.model.DeduplicationScope;
-import lemondrift.model.EndpointUpdate;
 import lemondrift.model.Idempotency;
 import lemondrift.model.Request;
 import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 import lemondrift.proxy.config.GossipSettings;
 import lemondrift.proxy.discovery.BackendDirectory;
-import lemondrift.proxy.discovery.EndpointListBuilder;
-import lemondrift.proxy.discovery.EndpointListUpdate;
+import lemondrift.proxy.discovery.EndpointLists;
 import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.events.EndpointList;
 import lemondrift.proxy.events.PendingRequest;
@@ -36,9 +31,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The owner without sockets, its clock in the test's hand. */
+/** The decision loop without sockets; the test sets its clock and records what it asks for. */
 class DecisionLoopTest implements ProxyActions {
-    private static final int MANY = 3200;
+    private static final int BACKENDS = 3200;
     private static final Settings SETTINGS =
             new Settings(
                     1,
@@ -61,17 +56,17 @@
                     new Settings.Limits(true, false, 4, 0.5),
                     new Settings.Rules(0.25, 8, 3, 2, 10),
                     new Settings.Costs(0, 0));
-    private static final BackendResponse DELIVERED =
+    private static final BackendResponse OK_RESPONSE =
             new BackendResponse(BackendResponse.OK, null, new byte[0], true, false, null);
 
-    private final LinkedBlockingQueue<byte[]> tellings = new LinkedBlockingQueue<>();
-    private final LinkedBlockingQueue<String> did = new LinkedBlockingQueue<>();
-    private final LinkedBlockingQueue<Attempt> sends = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<byte[]> gossipDatagrams = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> actions = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Attempt> sentAttempts = new LinkedBlockingQueue<>();
     private volatile double now = 1000;
-    private volatile boolean failing;
+    private volatile boolean sendFails;
 
-    /** How many seconds pass while the sockets are told to let go of a backend. */
-    private volatile double passes;
+    /** Seconds that pass while a pool is retired. */
+    private volatile double retireSeconds;
 
     private final DecisionLoop decisionLoop =
             new DecisionLoop(
@@ -85,15 +80,16 @@
     private Attempt arrive(long id) throws InterruptedException {
         decisionLoop.requestArrived(
                 new PendingRequest(new Request(id, 0, 0, now, 2), null, new byte[0], null));
-        return sends.poll(5, TimeUnit.SECONDS);
+        return sentAttempts.poll(5, TimeUnit.SECONDS);
     }
 
-    private void list(String phase) {
-        decisionLoop.endpointListReceived(list(true, "s-1 " + phase + " 1"), false, () -> {});
+    private void receiveList(String phase) {
+        decisionLoop.endpointListReceived(
+                EndpointLists.of(true, "s-1 " + phase + " 1"), false, () -> {});
     }
 
-    private String next() throws InterruptedException {
-        return did.poll(5, TimeUnit.SECONDS);
+    private String nextAction() throws InterruptedException {
+        return actions.poll(5, TimeUnit.SECONDS);
     }
 
     @AfterEach
@@ -102,239 +98,165 @@
     }
 
     @Test
-    void anErrorInOneExchangeEndsThatExchangeAlone() throws Exception {
+    void anErrorInOneRequestFailsThatRequestAlone() throws Exception {
         decisionLoop.start();
-        list("active");
-        failing = true;
+        receiveList("active");
+        sendFails = true;
         decisionLoop.requestArrived(
                 new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
-        assertEquals("scrapped 1", next());
-        failing = false;
-        decisionLoop.attemptEnded(arrive(2), AttemptOutcome.SUCCESS, 0.1, null, DELIVERED);
-        assertEquals("delivered 2", next());
+        assertEquals("failed 1", nextAction());
+        sendFails = false;
+        decisionLoop.attemptEnded(arrive(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        assertEquals("delivered 2", nextAction());
     }
 
     @Test
-    void theOthersAreToldWhatIsOut() throws Exception {
-        InetSocketAddress any = InetSocketAddress.createUnresolved("p", 1);
-        decisionLoop.enableGossip(new GossipSettings(null, List.of(any, any), 1, 0, 1, 12));
+    void otherProxiesHearOfAttemptsInFlight() throws Exception {
+        InetSocketAddress anyAddress = InetSocketAddress.createUnresolved("p", 1);
+        decisionLoop.enableGossip(
+                new GossipSettings(null, List.of(anyAddress, anyAddress), 1, 0, 1, 12));
         decisionLoop.start();
-        list("active");
+        receiveList("active");
         Attempt attempt = arrive(1);
         SubsetAssignment subsets = new SubsetAssignment(2, 12);
-        LoadGossip other = new LoadGossip(2, 0, 1, 0, 1, subsets, tag -> {});
-        other.receive(1, tellings.poll(5, TimeUnit.SECONDS), now);
-        while (other.peerLoad(LoadGossip.tag("s-1")) == 0) {
-            other.receive(1, tellings.poll(5, TimeUnit.SECONDS), now);
+        LoadGossip otherProxy = new LoadGossip(2, 0, 1, 0, 1, subsets, tag -> {});
+        otherProxy.receive(1, gossipDatagrams.poll(5, TimeUnit.SECONDS), now);
+        while (otherProxy.peerLoad(LoadGossip.tag("s-1")) == 0) {
+            otherProxy.receive(1, gossipDatagrams.poll(5, TimeUnit.SECONDS), now);
         }
         decisionLoop.datagramReceived(0, new byte[] {1, 2, 3});
-        decisionLoop.attemptEnded(attempt, AttemptOutcome.SUCCESS, 0.1, null, DELIVERED);
-        while (other.peerLoad(LoadGossip.tag("s-1")) > 0) {
-            other.receive(1, tellings.poll(5, TimeUnit.SECONDS), now);
+        decisionLoop.attemptEnded(attempt, AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        while (otherProxy.peerLoad(LoadGossip.tag("s-1")) > 0) {
+            otherProxy.receive(1, gossipDatagrams.poll(5, TimeUnit.SECONDS), now);
         }
-        assertEquals("delivered 1", next());
+        assertEquals("delivered 1", nextAction());
     }
 
     @Test
-    void anExchangeIsAnsweredOnceAndLateAnswersAreDropped() throws Exception {
+    void aRequestIsAnsweredOnceAndLateResponsesAreDiscarded() throws Exception {
         decisionLoop.start();
-        list("active");
+        receiveList("active");
         Attempt first = arrive(1);
         now += 1.5;
         decisionLoop.attemptEnded(first, AttemptOutcome.TIMED_OUT, 1.5, null, null);
-        assertEquals("scrapped 1", next());
+        assertEquals("failed 1", nextAction());
         Attempt second = arrive(2);
         decisionLoop.clientLeft(second.request);
-        assertEquals("cancelled 2", next());
-        decisionLoop.attemptEnded(second, AttemptOutcome.SUCCESS, 0.1, null, DELIVERED);
-        decisionLoop.attemptEnded(arrive(3), AttemptOutcome.SUCCESS, 0.1, null, DELIVERED);
-        assertEquals("delivered 3", next(), "nothing more for the one whose client has gone");
+        assertEquals("cancelled 2", nextAction());
+        decisionLoop.attemptEnded(second, AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        decisionLoop.attemptEnded(arrive(3), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        assertEquals("delivered 3", nextAction(), "nothing more for the one whose client has gone");
     }
 
     @Test
-    void aDrainToldLetsGoAndTheNextIsShed() throws Exception {
+    void aDrainingBackendsPoolIsRetiredAndTheNextRequestIsRejected() throws Exception {
         decisionLoop.start();
-        list("leaving");
-        assertEquals("let go", next());
+        receiveList("leaving");
+        assertEquals("pool retired", nextAction());
         decisionLoop.requestArrived(
                 new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
-        assertEquals("shed 1", next());
-    }
-
-    private static EndpointList list(boolean whole, String... idPhasePort) {
-        String member =
-                "{\"id\":\"$1\",\"phase\":\"$2\"," + "\"host_port\":\"127.0.0.1:$3\",\"cell\":3}";
-        String members =
-                Arrays.stream(idPhasePort)
-                        .map(each -> each.replaceFirst("(.+) (.+) (.+)", member))
-                        .collect(Collectors.joining(","));
-        return EndpointListBuilder.of(
-                JsonParser.parseString("{\"complete\":" + whole + ",\"members\":[" + members + "]}")
-                        .getAsJsonObject());
+        assertEquals("rejected 1", nextAction());
     }
 
     /** Thousands of backends, all in one phase. */
     private static EndpointList longList(String phase) {
-        return list(
+        return EndpointLists.of(
                 false,
-                IntStream.range(0, MANY)
-                        .mapToObj(i -> "many-" + i + " " + phase + " " + (1000 + i))
+                IntStream.range(0, BACKENDS)
+                        .mapToObj(
+                                backend -> "many-" + backend + " " + phase + " " + (1000 + backend))
                         .toArray(String[]::new));
     }
 
-    private static List<EndpointUpdate> listed(
-            BackendDirectory directory, boolean whole, String... idPhasePort) {
-        EndpointListUpdate update =
-                new EndpointListUpdate(directory, list(whole, idPhasePort), false, () -> {});
-        List<EndpointUpdate> updates = new ArrayList<>();
-        while (!update.isDone()) {
-            updates.addAll(update.nextSlice());
-        }
-        return updates;
-    }
-
-    /**
-     * Danger: thousands of lines would hold up whoever comes meanwhile, and all that have to be
-     * answered.
-     */
+    /** Guards against a long list that holds up requests and replies. */
     @Test
-    void whileALongListIsFollowedRequestsAreDecidedAndExpiriesKept() throws Exception {
-        list("active");
-        decisionLoop.endpointListReceived(longList("active"), false, () -> did.add("followed"));
+    void whileALongListIsAppliedRequestsAreDecidedAndDeadlinesKept() throws Exception {
+        receiveList("active");
+        decisionLoop.endpointListReceived(longList("active"), false, () -> actions.add("applied"));
         decisionLoop.requestArrived(
                 new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
         decisionLoop.start();
-        Attempt first = sends.poll(5, TimeUnit.SECONDS);
-        assertEquals(List.of(), List.copyOf(did), "sent before the list was followed");
-        assertEquals("followed", next());
-        passes = 3;
-        decisionLoop.endpointListReceived(longList("left"), false, () -> did.add("followed"));
-        List<String> then = new ArrayList<>();
-        for (String each = next(); !"followed".equals(each); each = next()) {
-            then.add(each);
+        Attempt first = sentAttempts.poll(5, TimeUnit.SECONDS);
+        assertEquals(List.of(), List.copyOf(actions), "sent before the list was applied");
+        assertEquals("applied", nextAction());
+        retireSeconds = 3;
+        decisionLoop.endpointListReceived(longList("left"), false, () -> actions.add("applied"));
+        List<String> meanwhile = new ArrayList<>();
+        for (String action = nextAction(); !"applied".equals(action); action = nextAction()) {
+            meanwhile.add(action);
         }
         assertTrue(
-                then.contains("scrapped 1") && then.indexOf("scrapped 1") < MANY / 2,
-                then.toString());
+                meanwhile.contains("failed 1") && meanwhile.indexOf("failed 1") < BACKENDS / 2,
+                meanwhile.toString());
         decisionLoop.attemptEnded(first, AttemptOutcome.CANCELLED, 3, null, null);
     }
 
-    /**
-     * Danger: what came while another list is followed must not be told of backends by the older
-     * one.
-     */
+    /** Guards against an older list that is applied after a newer one. */
     @Test
-    void listsThatComeWhileOneIsFollowedAreFollowedInTheirOrder() throws Exception {
-        decisionLoop.endpointListReceived(longList("active"), false, () -> did.add("followed 1"));
+    void listsThatComeWhileOneIsAppliedAreAppliedInTheirOrder() throws Exception {
+        decisionLoop.endpointListReceived(
+                longList("active"), false, () -> actions.add("applied 1"));
         decisionLoop.endpointListReceived(
-                list(true, "s-1 active 1"), false, () -> did.add("followed 2"));
+                EndpointLists.of(true, "s-1 active 1"), false, () -> actions.add("applied 2"));
         decisionLoop.start();
-        for (String each = next(); !"followed 2".equals(each); each = next()) {
-            assertTrue(List.of("followed 1", "let go").contains(each), each);
+        for (String action = nextAction(); !"applied 2".equals(action); action = nextAction()) {
+            assertTrue(List.of("applied 1", "pool retired").contains(action), action);
         }
         assertEquals(0, arrive(1).backend, "the only one left, under the first index that is free");
     }
 
-    @Test
-    void whatALongListSaysOfDrainsComesBeforeAllElse() {
-        BackendDirectory directory = new BackendDirectory(List.of("a"));
-        listed(directory, true, "one active 1", "two active 2");
-        String[] lines =
-                IntStream.range(0, MANY)
-                        .mapToObj(i -> "many-" + i + " active " + (1000 + i))
-                        .toArray(String[]::new);
-        lines[MANY - 1] = "two leaving 2";
-        List<EndpointUpdate> told = listed(directory, true, lines);
-        assertEquals(
-                List.of(
-                        EndpointUpdate.State.GONE,
-                        EndpointUpdate.State.DRAINING,
-                        EndpointUpdate.State.READY),
-                told.stream().limit(3).map(EndpointUpdate::state).toList());
-        assertEquals(List.of(), listed(directory, true, lines), "the same again says nothing");
-    }
-
-    @Test
-    void anIndexPassesOnOnceItsBackendIsGoneAndNothingSpeaksOfIt() {
-        BackendDirectory directory = new BackendDirectory(List.of("a"));
-        listed(directory, true, "one active 1", "two active 2");
-        directory.retain(0);
-        assertTrue(
-                listed(directory, true, "two active 2")
-                        .contains(new EndpointUpdate(0, false, 0, 3, EndpointUpdate.State.GONE, 0)),
-                "gone without a word");
-        assertEquals(
-                2, listed(directory, false, "three active 3").get(0).backend(), "still spoken of");
-        directory.release(0);
-        assertEquals(
-                new EndpointUpdate(0, true, 0, 3, EndpointUpdate.State.READY, 0),
-                listed(directory, false, "four active 4").get(0));
-        assertEquals(3, listed(directory, false, "one active 1").get(0).backend(), "another place");
-    }
-
-    @Test
-    void anAddressThatPassesOnTakesItsOldBackendAway() {
-        BackendDirectory directory = new BackendDirectory(List.of("a"));
-        listed(directory, true, "one active 1");
-        assertEquals(
-                List.of(
-                        new EndpointUpdate(0, false, 0, 3, EndpointUpdate.State.GONE, 0),
-                        new EndpointUpdate(0, true, 0, 3, EndpointUpdate.State.READY, 0)),
-                listed(directory, false, "two active 1"));
-    }
-
     @Override
-    public void send(Attempt attempt, PendingRequest pending, InetSocketAddress to) {
-        if (failing) {
-            throw new IllegalStateException("made up");
+    public void send(Attempt attempt, PendingRequest pending, InetSocketAddress address) {
+        if (sendFails) {
+            throw new IllegalStateException("thrown by the test");
         }
-        sends.add(attempt);
+        sentAttempts.add(attempt);
     }
 
     @Override
     public void cancel(Attempt attempt) {
-        did.add("cancelled " + attempt.request.id);
+        actions.add("cancelled " + attempt.request.id);
     }
 
     @Override
-    public void probe(int backend, InetSocketAddress to) {
-        did.add("probe");
+    public void probe(int backend, InetSocketAddress address) {
+        actions.add("probe");
     }
 
     @Override
     public void requestEndpointList(Decision.EndpointListCall call) {
-        did.add("list");
+        actions.add("list requested");
     }
 
     @Override
     public void deliver(PendingRequest pending, BackendResponse response) {
-        did.add("delivered " + pending.request().id);
+        actions.add("delivered " + pending.request().id);
     }
 
     @Override
     public void discard(BackendResponse response) {
-        did.add("dropped");
+        actions.add("discarded");
     }
 
     @Override
-    public void fail(PendingRequest pending, boolean shed, double retryAfter) {
-        did.add((shed ? "shed " : "scrapped ") + pending.request().id);
+    public void fail(PendingRequest pending, boolean rejected, double retryAfterSeconds) {
+        actions.add((rejected ? "rejected " : "failed ") + pending.request().id);
     }
 
     @Override
-    public void requestsDecided(int exchanges, double seconds) {}
+    public void requestsDecided(int requests, double seconds) {}
 
     @Override
     public void backendsCounted(int listed, int disabled) {}
 
     @Override
     public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
-        did.add("retuned " + requestClasses.names());
+        actions.add("settings changed " + requestClasses.names());
     }
 
     @Override
-    public void sendGossip(LoadGossip.Message telling) {
-        tellings.add(telling.datagram());
+    public void sendGossip(LoadGossip.Message message) {
+        gossipDatagrams.add(message.datagram());
     }
 
     @Override
@@ -342,8 +264,8 @@
 
     @Override
     public void retirePool(int backend) {
-        now += passes;
-        passes = 0;
-        did.add("let go");
+        now += retireSeconds;
+        retireSeconds = 0;
+        actions.add("pool retired");
     }
 }
