--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -1,14 +1,10 @@
 package lemondrift.proxy.discovery;
 
 import io.undertow.connector.ByteBufferPool;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.OptionalLong;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.Executor;
-import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.locks.LockSupport;
 import lemondrift.model.Decision;
 import lemondrift.proxy.backend.BackendCall;
 import lemondrift.proxy.backend.BackendConnector;
@@ -21,7 +17,6 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
-import org.xnio.XnioWorker;
 
 /**
  * Keeps the endpoint list up to date: calls discovery for the full list, and then for what changes
@@ -60,12 +55,6 @@
     /** Seconds for which the start waits for the first list: a connection and a response. */
     private static final double FIRST_LIST_TIMEOUT_SECONDS = 2 * RESPONSE_TIMEOUT_SECONDS;
 
-    /** Members parsed at a time. */
-    private static final int MEMBERS_PER_STEP = 64;
-
-    /** Pause between two steps of parsing, in which other threads may run. */
-    private static final long STEP_PAUSE_NANOS = 500_000;
-
     private enum State {
         /** The next call may start. */
         IDLE,
@@ -78,10 +67,10 @@
 
     private final MonotonicClock clock;
     private final XnioIoThread io;
-    private final XnioWorker worker;
     private final BackendConnector connector;
     private final ByteBufferPool buffers;
     private final DecisionEvents decisionEvents;
+    private final EndpointListParserTask parserTask;
 
     /** Whether the balancer says when to call, as each call has a cost. */
     private final boolean polling;
@@ -113,7 +102,7 @@
             DecisionEvents decisionEvents) {
         this.clock = clock;
         this.io = io;
-        worker = io.getWorker();
+        parserTask = new EndpointListParserTask(io);
         this.connector = connector;
         this.buffers = buffers;
         this.decisionEvents = decisionEvents;
@@ -225,37 +214,8 @@
         }
         state = State.PARSING;
         ConnectionPool from = pool;
-        EndpointListParser parser = new EndpointListParser(response.body());
-        execute(worker, () -> parse(parser, from));
-    }
-
-    /**
-     * Guards against an error at the end of the process, when no more tasks are taken and no list
-     * is needed.
-     */
-    private static void execute(Executor executor, Runnable task) {
-        try {
-            executor.execute(task);
-        } catch (RejectedExecutionException e) {
-            LOG.debug("an endpoint list came after the end");
-        }
-    }
-
-    /**
-     * Parses a list in steps, so that it holds up no thread on the same core. XNIO's task thread.
-     */
-    private void parse(EndpointListParser parser, ConnectionPool from) {
-        try {
-            while (!parser.advance(MEMBERS_PER_STEP)) {
-                LockSupport.parkNanos(STEP_PAUSE_NANOS);
-            }
-            EndpointList list = parser.list();
-            execute(io, () -> parsed(list, from));
-        } catch (IOException | RuntimeException | StackOverflowError e) {
-            // Wide, as each kind of wrong JSON has an exception of its own; endless nesting
-            // overflows the stack.
-            execute(io, () -> unparsable(e, from));
-        }
+        parserTask.start(
+                response.body(), list -> parsed(list, from), cause -> unparsable(cause, from));
     }
 
     private void parsed(EndpointList list, ConnectionPool from) {
--- a/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -2,11 +2,7 @@
 
 import java.util.List;
 import java.util.Set;
-import java.util.concurrent.ArrayBlockingQueue;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.TimeUnit;
 import lemondrift.balancer.LoadBalancer;
-import lemondrift.metrics.EventLoopMetrics;
 import lemondrift.model.Attempt;
 import lemondrift.model.AttemptOutcome;
 import lemondrift.model.Request;
@@ -23,38 +19,13 @@
 import lemondrift.proxy.time.MonotonicClock;
 import lemondrift.settings.RequestClassIndex;
 import lemondrift.shadow.ShadowEvaluator;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * The queue of events and the one thread that handles them and calls the balancer. All other
- * threads reach the balancer through the queue: a public method queues an event and returns, and
- * blocks only while the queue is full, unless it says otherwise.
+ * The way to the balancer for all other threads: a public method queues an event for the decisions
+ * thread and returns, and blocks only while the queue is full, unless it says otherwise. {@link
+ * EventLoop} is the queue and the thread.
  */
 public final class DecisionLoop implements DecisionEvents {
-    private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
-
-    /** Events that may wait; whoever adds one more blocks. */
-    private static final int QUEUE_CAPACITY = 4096;
-
-    /**
-     * Events handled after the first of an iteration before the I/O thread hears what was decided.
-     */
-    private static final int MAX_FURTHER_EVENTS = 32;
-
-    /** Longest wait for an event, in seconds. */
-    private static final double MAX_WAIT_SECONDS = 10;
-
-    /**
-     * Longest wait for an event between two slices of an endpoint list, in seconds, in which other
-     * threads may run.
-     */
-    private static final double SLICE_INTERVAL_SECONDS = 0.001;
-
-    private final BlockingQueue<Event> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
-    private final Thread thread = new Thread(this::run, "decisions");
-    private final EventLoopMetrics loopMetrics = new EventLoopMetrics();
-    private final MonotonicClock clock;
     private final ProxyActions actions;
     private final BackendDirectory directory;
     private final PeerExchange peers;
@@ -64,7 +35,7 @@
     private final EndpointListApplier endpointLists;
     private final ShedThresholds shedThresholds;
     private final ActiveSettings activeSettings;
-    private double iterationStartedAt;
+    private final EventLoop eventLoop;
 
     /**
      * A loop that {@link #start} runs; it calls the balancer and the directory from its own thread
@@ -77,7 +48,6 @@
             ProxyActions actions,
             RequestClassIndex requestClasses,
             Settings settings) {
-        this.clock = clock;
         this.actions = actions;
         this.directory = directory;
         peers = new PeerExchange(balancer, directory, clock, actions);
@@ -97,7 +67,17 @@
                         executor,
                         shedThresholds,
                         shadow);
-        thread.setDaemon(true);
+        eventLoop =
+                new EventLoop(
+                        clock,
+                        actions,
+                        peers,
+                        shadow,
+                        executor,
+                        eventHandler,
+                        endpointLists,
+                        shedThresholds,
+                        activeSettings);
     }
 
     /** Exchanges load with the other proxies; before the start. */
@@ -126,7 +106,7 @@
     }
 
     public void start() {
-        thread.start();
+        eventLoop.start();
     }
 
     /**
@@ -134,18 +114,13 @@
      * thread gone.
      */
     public void stop() {
-        thread.interrupt();
-        try {
-            thread.join();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+        eventLoop.stop();
         shadow.logSummary();
     }
 
     @Override
     public void requestArrived(PendingRequest pending) {
-        put(
+        eventLoop.put(
                 new Event(
                         EventType.REQUEST_ARRIVED,
                         pending.request().arrivedAt,
@@ -269,7 +244,7 @@
 
     /** How the loop keeps up, as JSON. Any thread. */
     public String metricsJson() {
-        return loopMetrics.json();
+        return eventLoop.metricsJson();
     }
 
     private void put(EventType type, Runnable action) {
@@ -277,106 +252,6 @@
     }
 
     private void put(EventType type, Request request, Runnable action) {
-        put(new Event(type, Event.UNKNOWN_TIME, request, action));
-    }
-
-    private void put(Event event) {
-        try {
-            queue.put(event);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
-
-    private void run() {
-        while (!Thread.interrupted()) {
-            try {
-                iterate(queue.poll(nanosToWait(), TimeUnit.NANOSECONDS));
-            } catch (InterruptedException e) {
-                return;
-            }
-        }
-    }
-
-    private long nanosToWait() {
-        double wakeAt = Math.min(Math.min(executor.wakeAt(), peers.wakeAt()), shadow.wakeAt());
-        double maxWaitSeconds =
-                endpointLists.hasPending() ? SLICE_INTERVAL_SECONDS : MAX_WAIT_SECONDS;
-        double waitSeconds = Math.min(maxWaitSeconds, wakeAt - clock.now());
-        return (long) (Math.max(0, waitSeconds) * 1e9);
-    }
-
-    /**
-     * Handles what is due and then wakes the I/O thread once. The event is null where none came in
-     * time.
-     */
-    private void iterate(Event firstEvent) {
-        iterationStartedAt = clock.now();
-        peers.processReceived();
-        handleQueued(firstEvent);
-        if (executor.wakeAt() <= clock.now()) {
-            handle(
-                    new Event(
-                            EventType.WAKE_TIME_REACHED,
-                            executor.wakeAt(),
-                            null,
-                            eventHandler::wakeTimeReached));
-        }
-        // Guards against requests whose reply is due now and that would wait for a long list.
-        if (endpointLists.hasPending()) {
-            handle(
-                    new Event(
-                            EventType.ENDPOINT_LIST_SLICE,
-                            Event.UNKNOWN_TIME,
-                            null,
-                            endpointLists::applyNextSlice));
-        }
-        shadow.iterationEnded();
-        int arrivedCount = eventHandler.takeArrivedCount();
-        if (arrivedCount > 0) {
-            actions.requestsDecided(arrivedCount, clock.now() - iterationStartedAt);
-        }
-        peers.sendDue();
-        actions.flush();
-        measureIteration(clock.now());
-    }
-
-    /**
-     * Handles one batch of the queue; where it was full, the queue is long and the thresholds are
-     * computed anew.
-     */
-    private void handleQueued(Event firstEvent) {
-        Event event = firstEvent;
-        int handledCount = 0;
-        while (event != null) {
-            handle(event);
-            event = handledCount < MAX_FURTHER_EVENTS ? queue.poll() : null;
-            handledCount++;
-        }
-        if (handledCount > MAX_FURTHER_EVENTS) {
-            shedThresholds.update(activeSettings.settings());
-        }
-    }
-
-    private void handle(Event event) {
-        loopMetrics.eventHandled(event.type().metricsKind, iterationStartedAt - event.dueAt());
-        try {
-            event.action().run();
-        } catch (RuntimeException | Error e) {
-            // Wide, as no error about one request may end the thread that decides for all.
-            executor.eventFailed(event, e);
-        }
-        // Guards against a request that is forgotten before its decision is carried out, and never
-        // answered.
-        if (event.request() != null) {
-            executor.release(event.request());
-        }
-    }
-
-    private void measureIteration(double now) {
-        String line = loopMetrics.iterationEnded(now - iterationStartedAt, queue.size(), now);
-        if (line != null) {
-            LOG.info("decision loop {}", line);
-        }
+        eventLoop.put(new Event(type, Event.UNKNOWN_TIME, request, action));
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/loop/EventLoop.java
@@ -0,0 +1,193 @@
+package lemondrift.proxy.loop;
+
+import java.util.concurrent.ArrayBlockingQueue;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.TimeUnit;
+import lemondrift.metrics.EventLoopMetrics;
+import lemondrift.proxy.events.ProxyActions;
+import lemondrift.proxy.time.MonotonicClock;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The queue of events and the one thread that handles them and calls the balancer. An iteration
+ * handles a batch of events, wakes the balancer if it is due, applies one slice of an endpoint
+ * list, exchanges what is due with other proxies, and wakes the I/O thread once for all that came
+ * of it. {@link DecisionExecutor#eventFailed} is what happens when an event throws.
+ */
+final class EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
+
+    /** Events that may wait; whoever adds one more blocks. */
+    private static final int QUEUE_CAPACITY = 4096;
+
+    /**
+     * Events handled after the first of an iteration before the I/O thread hears what was decided.
+     */
+    private static final int MAX_FURTHER_EVENTS = 32;
+
+    /** Longest wait for an event, in seconds. */
+    private static final double MAX_WAIT_SECONDS = 10;
+
+    /**
+     * Longest wait for an event between two slices of an endpoint list, in seconds, in which other
+     * threads may run.
+     */
+    private static final double SLICE_INTERVAL_SECONDS = 0.001;
+
+    private final BlockingQueue<Event> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final Thread thread = new Thread(this::run, "decisions");
+    private final EventLoopMetrics loopMetrics = new EventLoopMetrics();
+    private final MonotonicClock clock;
+    private final ProxyActions actions;
+    private final PeerExchange peers;
+    private final ShadowRunner shadow;
+    private final DecisionExecutor executor;
+    private final EventHandler eventHandler;
+    private final EndpointListApplier endpointLists;
+    private final ShedThresholds shedThresholds;
+    private final ActiveSettings activeSettings;
+    private double iterationStartedAt;
+
+    EventLoop(
+            MonotonicClock clock,
+            ProxyActions actions,
+            PeerExchange peers,
+            ShadowRunner shadow,
+            DecisionExecutor executor,
+            EventHandler eventHandler,
+            EndpointListApplier endpointLists,
+            ShedThresholds shedThresholds,
+            ActiveSettings activeSettings) {
+        this.clock = clock;
+        this.actions = actions;
+        this.peers = peers;
+        this.shadow = shadow;
+        this.executor = executor;
+        this.eventHandler = eventHandler;
+        this.endpointLists = endpointLists;
+        this.shedThresholds = shedThresholds;
+        this.activeSettings = activeSettings;
+        thread.setDaemon(true);
+    }
+
+    void start() {
+        thread.start();
+    }
+
+    /** Ends the thread and returns once it has ended. */
+    void stop() {
+        thread.interrupt();
+        try {
+            thread.join();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** How the loop keeps up, as JSON. Any thread. */
+    String metricsJson() {
+        return loopMetrics.json();
+    }
+
+    /** Blocks while the queue is full. Any thread but the loop's. */
+    void put(Event event) {
+        try {
+            queue.put(event);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private void run() {
+        while (!Thread.interrupted()) {
+            try {
+                iterate(queue.poll(nanosToWait(), TimeUnit.NANOSECONDS));
+            } catch (InterruptedException e) {
+                return;
+            }
+        }
+    }
+
+    private long nanosToWait() {
+        double wakeAt = Math.min(Math.min(executor.wakeAt(), peers.wakeAt()), shadow.wakeAt());
+        double maxWaitSeconds =
+                endpointLists.hasPending() ? SLICE_INTERVAL_SECONDS : MAX_WAIT_SECONDS;
+        double waitSeconds = Math.min(maxWaitSeconds, wakeAt - clock.now());
+        return (long) (Math.max(0, waitSeconds) * 1e9);
+    }
+
+    /**
+     * Handles what is due and then wakes the I/O thread once. The event is null where none came in
+     * time.
+     */
+    private void iterate(Event firstEvent) {
+        iterationStartedAt = clock.now();
+        peers.processReceived();
+        handleQueued(firstEvent);
+        if (executor.wakeAt() <= clock.now()) {
+            handle(
+                    new Event(
+                            EventType.WAKE_TIME_REACHED,
+                            executor.wakeAt(),
+                            null,
+                            eventHandler::wakeTimeReached));
+        }
+        // Guards against requests whose reply is due now and that would wait for a long list.
+        if (endpointLists.hasPending()) {
+            handle(
+                    new Event(
+                            EventType.ENDPOINT_LIST_SLICE,
+                            Event.UNKNOWN_TIME,
+                            null,
+                            endpointLists::applyNextSlice));
+        }
+        shadow.iterationEnded();
+        int arrivedCount = eventHandler.takeArrivedCount();
+        if (arrivedCount > 0) {
+            actions.requestsDecided(arrivedCount, clock.now() - iterationStartedAt);
+        }
+        peers.sendDue();
+        actions.flush();
+        measureIteration(clock.now());
+    }
+
+    /**
+     * Handles one batch of the queue; where it was full, the queue is long and the thresholds are
+     * computed anew.
+     */
+    private void handleQueued(Event firstEvent) {
+        Event event = firstEvent;
+        int handledCount = 0;
+        while (event != null) {
+            handle(event);
+            event = handledCount < MAX_FURTHER_EVENTS ? queue.poll() : null;
+            handledCount++;
+        }
+        if (handledCount > MAX_FURTHER_EVENTS) {
+            shedThresholds.update(activeSettings.settings());
+        }
+    }
+
+    private void handle(Event event) {
+        loopMetrics.eventHandled(event.type().metricsKind, iterationStartedAt - event.dueAt());
+        try {
+            event.action().run();
+        } catch (RuntimeException | Error e) {
+            // Wide, as no error about one request may end the thread that decides for all.
+            executor.eventFailed(event, e);
+        }
+        // Guards against a request that is forgotten before its decision is carried out, and never
+        // answered.
+        if (event.request() != null) {
+            executor.release(event.request());
+        }
+    }
+
+    private void measureIteration(double now) {
+        String line = loopMetrics.iterationEnded(now - iterationStartedAt, queue.size(), now);
+        if (line != null) {
+            LOG.info("decision loop {}", line);
+        }
+    }
+}
--- a/src/main/java/lemondrift/proxy/loop/package-info.java
+++ b/src/main/java/lemondrift/proxy/loop/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The thread that decides, "decisions". {@link lemondrift.proxy.loop.DecisionLoop} queues events
- * from other threads and handles them in batches; {@code EventHandler} asks the balancer about
- * each, {@code DecisionExecutor} carries out what it decides, and {@code EndpointListApplier}
- * applies a new endpoint list in slices between events.
+ * The thread that decides, "decisions". {@link lemondrift.proxy.loop.DecisionLoop} queues what
+ * other threads report, {@code EventLoop} handles it in batches; {@code EventHandler} asks the
+ * balancer about each event, {@code DecisionExecutor} carries out what it decides, and {@code
+ * EndpointListApplier} applies a new endpoint list in slices between events.
  *
  * <p>Owns the balancer, the open requests, the endpoint lists under way, the settings in force, the
  * shadow evaluator and the gossip session. All of it runs on the decisions thread but for what
