--- a/src/test/java/lemondrift/proxy/ConfigReloadTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigReloadTest.java
@@ -19,80 +19,80 @@
 import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 
-/** Settings at SIGHUP, on loopback. */
+/** Reload of the configuration, as at SIGHUP, on loopback. */
 class ConfigReloadTest extends LoopbackFixture {
-    private JsonObject running() {
+    private JsonObject runningConfig() {
         return JsonParser.parseString(config(discovery.port(), false)).getAsJsonObject();
     }
 
-    private static void name(JsonObject config, int requestClass, String name, String effect) {
-        JsonObject it =
+    private static void replaceClass(
+            JsonObject config, int requestClass, String name, String effect) {
+        JsonObject serviceGrade =
                 config.getAsJsonObject("settings")
                         .getAsJsonArray("serviceGrades")
                         .get(requestClass)
                         .getAsJsonObject();
-        it.addProperty("name", name);
-        it.addProperty("effect", effect);
+        serviceGrade.addProperty("name", name);
+        serviceGrade.addProperty("effect", effect);
     }
 
-    /** A file is followed for what is read after it; a request of this class shows that it is. */
-    private void follow(JsonObject config, String shows) throws Exception {
+    /** Reloads, and waits until a request of a class of the new configuration is answered. */
+    private void reload(JsonObject config, String newClass) throws Exception {
         proxy.reload(ProxyConfig.read(config.toString()));
-        for (int i = 0; ask(shows, "shows-" + i) != 200; i++) {
+        for (int i = 0; statusOf(newClass, "reloaded-" + i) != 200; i++) {
             Thread.onSpinWait();
         }
     }
 
-    private int ask(String grade, String trace) throws Exception {
-        return send(request(grade).setHeader("X-Trace-Id", trace)).statusCode();
+    private int statusOf(String requestClass, String traceId) throws Exception {
+        return send(request(requestClass).setHeader("X-Trace-Id", traceId)).statusCode();
     }
 
     @Test
     void classesComeAndGoAndTheOthersStay() throws Exception {
         start(backend(OK));
-        JsonObject next = running();
-        name(next, 0, "book", "fragile");
-        follow(next, "book");
-        assertEquals(400, ask("look", "t1"), "no class any more");
-        assertEquals(200, ask("order", "t2"));
-        follow(running(), "look");
-        assertEquals(400, ask("book", "t3"));
+        JsonObject next = runningConfig();
+        replaceClass(next, 0, "book", "fragile");
+        reload(next, "book");
+        assertEquals(400, statusOf("look", "t1"), "no class any more");
+        assertEquals(200, statusOf("order", "t2"));
+        reload(runningConfig(), "look");
+        assertEquals(400, statusOf("book", "t3"));
     }
 
-    /**
-     * A class that was harmless to repeat and is not any more, with one of it open over the retune.
-     */
+    /** A class stops being idempotent while one of its requests is open. */
     @Test
-    void whatIsOpenKeepsTheRulesItCameUnder() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        Semaphore asked = new Semaphore(0);
+    void openRequestsKeepTheRulesTheyArrivedUnder() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        Semaphore attempted = new Semaphore(0);
         Function<String, String> script =
                 request -> {
-                    boolean first = request.contains("X-Qos: look") && go.getCount() > 0;
-                    asked.release(first ? 1 : 0);
-                    return first && await(go) ? CLOSE : OK;
+                    boolean first = request.contains("X-Qos: look") && release.getCount() > 0;
+                    attempted.release(first ? 1 : 0);
+                    return first && await(release) ? CLOSE : OK;
                 };
         start(backend(script), backend(script));
-        var open = http.sendAsync(request("look").build(), HttpResponse.BodyHandlers.ofString());
-        assertTrue(asked.tryAcquire(5, TimeUnit.SECONDS));
-        JsonObject next = running();
-        name(next, 0, "look", "fragile");
+        var openRequest =
+                http.sendAsync(request("look").build(), HttpResponse.BodyHandlers.ofString());
+        assertTrue(attempted.tryAcquire(5, TimeUnit.SECONDS));
+        JsonObject next = runningConfig();
+        replaceClass(next, 0, "look", "fragile");
         next.getAsJsonObject("settings").getAsJsonObject("limits").addProperty("mostForwards", 1);
         proxy.reload(ProxyConfig.read(next.toString()));
-        // What came before it on the owner's queue is done when this is answered.
-        while (ask("order", "after") != 200) {
+        // Events queued before this request are handled once it is answered.
+        while (statusOf("order", "after") != 200) {
             Thread.onSpinWait();
         }
-        go.countDown();
+        release.countDown();
         assertEquals(
                 200,
-                open.get(20, TimeUnit.SECONDS).statusCode(),
-                "sent again: harmless, two attempts");
+                openRequest.get(20, TimeUnit.SECONDS).statusCode(),
+                "retried: idempotent, two attempts");
     }
 
-    private static boolean await(CountDownLatch go) {
+    private static boolean await(CountDownLatch release) {
         try {
-            return go.await(20, TimeUnit.SECONDS);
+            return release.await(20, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             return false;
         }
@@ -103,80 +103,79 @@
         StandIn one = backend(CLOSE);
         StandIn other = backend(CLOSE);
         start(one, other);
-        JsonObject next = running();
-        name(next, 0, "look", "fragile");
+        JsonObject next = runningConfig();
+        replaceClass(next, 0, "look", "fragile");
         proxy.reload(ProxyConfig.read(next.toString()));
-        HttpRequest.Builder fragile = request("look");
-        int before = 0;
-        int now = 2;
-        for (int i = 0; now > 1 && i < 50; i++) {
-            before = one.requests.size() + other.requests.size();
-            send(fragile.setHeader("X-Trace-Id", "f-" + i));
-            now = one.requests.size() + other.requests.size() - before;
+        HttpRequest.Builder notIdempotent = request("look");
+        int attemptsBefore = 0;
+        int attempts = 2;
+        for (int i = 0; attempts > 1 && i < 50; i++) {
+            attemptsBefore = one.requests.size() + other.requests.size();
+            send(notIdempotent.setHeader("X-Trace-Id", "f-" + i));
+            attempts = one.requests.size() + other.requests.size() - attemptsBefore;
         }
-        assertEquals(1, now, "what may have run is not sent again");
+        assertEquals(1, attempts, "an attempt that may have been executed is not retried");
     }
 
-    /** Each key that the running file has, taken out by itself. */
+    /** Each key of the running configuration is taken out by itself. */
     @Test
-    void aFileThatIsShortOfAKeyChangesNothing() throws Exception {
+    void aConfigurationWithoutOneOfTheKeysChangesNothing() throws Exception {
         start(backend(OK));
         List<String> keys = new ArrayList<>();
-        int lacks = cut(running(), running(), "", keys);
-        assertTrue(lacks > 25, keys.toString());
-        assertEquals(200, ask("look", "still"));
+        int removed = removeEachKey(runningConfig(), "", keys);
+        assertTrue(removed > 25, keys.toString());
+        assertEquals(200, statusOf("look", "still"));
     }
 
-    private int cut(JsonObject whole, JsonObject at, String path, List<String> keys) {
-        int cut = 0;
-        for (String key : List.copyOf(at.keySet())) {
-            JsonElement value = at.remove(key);
-            String text = path.isEmpty() ? at.toString() : replaced(path, at);
+    private int removeEachKey(JsonObject object, String path, List<String> keys) {
+        int removed = 0;
+        for (String key : List.copyOf(object.keySet())) {
+            JsonElement value = object.remove(key);
+            String text = path.isEmpty() ? object.toString() : withReplaced(path, object);
             keys.add(path + key);
             assertThrows(
                     InvalidSettingsException.class,
                     () -> proxy.reload(ProxyConfig.read(text)),
                     path + key);
-            at.add(key, value);
-            cut++;
+            object.add(key, value);
+            removed++;
             if (value.isJsonObject()) {
-                cut += cut(whole, value.getAsJsonObject(), path + key + ".", keys);
+                removed += removeEachKey(value.getAsJsonObject(), path + key + ".", keys);
             } else if (value.isJsonArray() && value.getAsJsonArray().get(0).isJsonObject()) {
-                cut +=
-                        cut(
-                                whole,
+                removed +=
+                        removeEachKey(
                                 value.getAsJsonArray().get(1).getAsJsonObject(),
                                 path + key + ".1.",
                                 keys);
             }
         }
-        return cut;
+        return removed;
     }
 
-    private String replaced(String path, JsonObject with) {
-        JsonObject all = running();
-        JsonElement at = all;
+    private String withReplaced(String path, JsonObject replacement) {
+        JsonObject config = runningConfig();
+        JsonElement parent = config;
         String[] steps = path.split("\\.");
         for (int i = 0; i < steps.length - 1; i++) {
-            at =
-                    at.isJsonArray()
-                            ? at.getAsJsonArray().get(Integer.parseInt(steps[i]))
-                            : at.getAsJsonObject().get(steps[i]);
+            parent =
+                    parent.isJsonArray()
+                            ? parent.getAsJsonArray().get(Integer.parseInt(steps[i]))
+                            : parent.getAsJsonObject().get(steps[i]);
         }
         String last = steps[steps.length - 1];
-        if (at.isJsonArray()) {
-            at.getAsJsonArray().set(Integer.parseInt(last), with);
+        if (parent.isJsonArray()) {
+            parent.getAsJsonArray().set(Integer.parseInt(last), replacement);
         } else {
-            at.getAsJsonObject().add(last, with);
+            parent.getAsJsonObject().add(last, replacement);
         }
-        return all.toString();
+        return config.toString();
     }
 
     @Test
-    void aBrokenFileNamesItsKey() throws Exception {
+    void anUnusableConfigurationNamesItsKey() throws Exception {
         start(backend(OK));
-        String good = running().toString();
-        String[][] bad = {
+        String usable = runningConfig().toString();
+        String[][] textReplacementAndMessage = {
             {"\"expiry\":4000", "\"expiry\":0", "expiry"},
             {"\"contractTime\":1500", "\"contractTime\":-5", "contractTime"},
             {"\"contractTime\":1500", "\"contractTime\":\"NaN\"", "contractTime"},
@@ -189,43 +188,43 @@
             {"\"name\":\"order\"", "\"name\":\"\"", "serviceGrades.1.name"},
             {"\"effect\":\"fragile\"", "\"effect\":\"odd\"", "effect"}
         };
-        for (String[] each : bad) {
-            assertTrue(good.contains(each[0]), each[0]);
-            String text = good.replace(each[0], each[1]);
-            String said =
+        for (String[] each : textReplacementAndMessage) {
+            assertTrue(usable.contains(each[0]), each[0]);
+            String text = usable.replace(each[0], each[1]);
+            String message =
                     assertThrows(
                                     InvalidSettingsException.class,
                                     () -> proxy.reload(ProxyConfig.read(text)))
                             .getMessage();
-            assertTrue(said.contains(each[2]), said);
+            assertTrue(message.contains(each[2]), message);
         }
-        for (int cut = 0; cut < good.length(); cut += 7) {
-            String text = good.substring(0, cut);
+        for (int cut = 0; cut < usable.length(); cut += 7) {
+            String text = usable.substring(0, cut);
             assertThrows(
                     InvalidSettingsException.class, () -> proxy.reload(ProxyConfig.read(text)));
         }
-        assertEquals(200, ask("look", "still"));
+        assertEquals(200, statusOf("look", "still"));
     }
 
     @Test
-    void whatHoldsFromTheNextStartIsNamed() throws Exception {
+    void keysThatApplyAtTheNextStartAreNamed() throws Exception {
         start(backend(OK));
-        JsonObject next = running();
+        JsonObject next = runningConfig();
         next.addProperty("listen", "127.0.0.1:9");
         next.getAsJsonObject("settings").getAsJsonObject("charges").addProperty("probe", 0.5);
         assertEquals(
                 List.of("listen"),
                 ProxyConfig.read(next.toString())
-                        .keysAppliedAtStart(ProxyConfig.read(running().toString())));
+                        .keysAppliedAtStart(ProxyConfig.read(runningConfig().toString())));
     }
 
     @Test
-    void aHundredRetunesLeaveNothingBehind() throws Exception {
+    void aHundredReloadsUseUpNoIndexes() throws Exception {
         start(backend(OK));
         for (int i = 0; i < 100; i++) {
-            JsonObject next = running();
-            name(next, 0, "class-" + i, i % 2 == 0 ? "fragile" : "retryable");
-            follow(next, "class-" + i);
+            JsonObject next = runningConfig();
+            replaceClass(next, 0, "class-" + i, i % 2 == 0 ? "fragile" : "retryable");
+            reload(next, "class-" + i);
         }
         assertTrue(proxy.classesKnown() <= 4, "indexes of " + proxy.classesKnown());
     }
--- a/src/test/java/lemondrift/proxy/LargeFleetTest.java
+++ b/src/test/java/lemondrift/proxy/LargeFleetTest.java
@@ -24,45 +24,47 @@
 /**
  * A real process with a small part of a core, a hundred peers and thousands of backends, most of
  * which are replaced while discovery is away and right after its return. Every request is owed its
- * answer in time.
+ * reply in time.
  */
 class LargeFleetTest extends LoopbackFixture {
     private static final int BACKENDS = 3200;
     private static final int PROXIES = 100;
-    private static final int STEP = 160;
+    private static final int REPLACED_PER_VERSION = 160;
 
-    /** The machine's last core; the first has work of the system's. */
-    private static final String CORE =
+    /** The machine's last core; the first is used by the system. */
+    private static final String LAST_CORE =
             String.valueOf(Runtime.getRuntime().availableProcessors() - 1);
 
     /** Processes that keep the proxy's core busy beside it. */
-    private static final int RIVALS = 4;
+    private static final int BUSY_PROCESSES = 4;
 
-    /** Milliseconds that a client waits, and after which its request counts as lost. */
-    private static final int WAITS = 190;
+    /** The timeout that a client states. */
+    private static final int TIMEOUT_MILLIS = 190;
 
-    private static final int LOST = WAITS + 500;
+    /** A request without a reply by then counts as lost. */
+    private static final int LOST_AFTER_MILLIS = TIMEOUT_MILLIS + 500;
 
-    /** Milliseconds between two requests and between two versions of the list. */
-    private static final int EACH = 20;
+    /** Time between two requests. */
+    private static final int REQUEST_INTERVAL_MILLIS = 20;
 
-    private static final int VERSION = 350;
+    /** Time between two versions of the list. */
+    private static final int VERSION_INTERVAL_MILLIS = 350;
 
     private static final int VERSIONS = 10;
-    private static final int HANG_UPS = 6;
+    private static final int RELOADS = 6;
 
-    private final List<Process> rivals = new ArrayList<>();
+    private final List<Process> busyProcesses = new ArrayList<>();
     private final Queue<String> lost = new ConcurrentLinkedQueue<>();
     private final List<Thread> clients = new ArrayList<>();
-    private final CountDownLatch back = new CountDownLatch(1);
+    private final CountDownLatch discoveryBack = new CountDownLatch(1);
     private int port;
 
     @AfterEach
-    void endRivals() {
-        rivals.forEach(Process::destroyForcibly);
+    void endBusyProcesses() {
+        busyProcesses.forEach(Process::destroyForcibly);
     }
 
-    private Path config(Path folder, String known) throws IOException {
+    private Path config(Path folder, String initialList) throws IOException {
         port = freePort();
         String peers =
                 IntStream.range(0, PROXIES)
@@ -73,7 +75,7 @@
                         .replace("127.0.0.1:0", "127.0.0.1:" + port)
                         .replace(
                                 "\"contractTime\":1500,\"expiry\":4000",
-                                "\"contractTime\":150,\"expiry\":" + WAITS)
+                                "\"contractTime\":150,\"expiry\":" + TIMEOUT_MILLIS)
                         .replace("\"sockets\":64", "\"sockets\":1024")
                         .replace("\"siblings\":1,", "\"siblings\":" + PROXIES + ",\"slotNo\":0,")
                         .replace(
@@ -86,23 +88,24 @@
                                         + "\",\"peers\":["
                                         + peers
                                         + "],\"known\":"
-                                        + known
+                                        + initialList
                                         + ",");
         return Files.writeString(folder.resolve("config.json"), config);
     }
 
     /** A process on one core of the machine that it shares with others. */
     private Process proxyOnAPartOfACore(Path config) throws IOException {
-        for (int i = 0; i < RIVALS; i++) {
-            rivals.add(
-                    new ProcessBuilder("taskset", "-c", CORE, "sh", "-c", "while :; do :; done")
+        for (int i = 0; i < BUSY_PROCESSES; i++) {
+            busyProcesses.add(
+                    new ProcessBuilder(
+                                    "taskset", "-c", LAST_CORE, "sh", "-c", "while :; do :; done")
                             .start());
         }
         ProcessBuilder command =
                 new ProcessBuilder(
                         "taskset",
                         "-c",
-                        CORE,
+                        LAST_CORE,
                         Path.of(System.getProperty("java.home"), "bin/java").toString(),
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
@@ -121,14 +124,14 @@
     }
 
     /** One request on a connection of its own, on a thread of its own. */
-    private void ask(int number) {
+    private void sendRequest(int number) {
         Thread client =
                 new Thread(
                         () -> {
-                            long began = System.nanoTime();
+                            long startedAt = System.nanoTime();
                             try (Socket socket = new Socket("127.0.0.1", port)) {
-                                socket.setSoTimeout(LOST);
-                                began = System.nanoTime();
+                                socket.setSoTimeout(LOST_AFTER_MILLIS);
+                                startedAt = System.nanoTime();
                                 socket.getOutputStream()
                                         .write(
                                                 ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: r"
@@ -136,17 +139,29 @@
                                                                 + "\r\n"
                                                                 + "X-Qos: look\r\n"
                                                                 + "X-Expires-In-Ms: "
-                                                                + WAITS
+                                                                + TIMEOUT_MILLIS
                                                                 + "\r\n\r\n")
                                                         .getBytes(StandardCharsets.US_ASCII));
-                                String answer = read(socket);
-                                long took =
-                                        TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
-                                if (answer == null || took > LOST) {
-                                    lost.add("r" + number + " after " + took + " ms: " + answer);
+                                String response = read(socket);
+                                long durationMillis =
+                                        TimeUnit.NANOSECONDS.toMillis(
+                                                System.nanoTime() - startedAt);
+                                if (response == null || durationMillis > LOST_AFTER_MILLIS) {
+                                    lost.add(
+                                            "r"
+                                                    + number
+                                                    + " after "
+                                                    + durationMillis
+                                                    + " ms: "
+                                                    + response);
                                 }
                             } catch (SocketTimeoutException e) {
-                                lost.add("r" + number + " has no answer after " + LOST + " ms");
+                                lost.add(
+                                        "r"
+                                                + number
+                                                + " has no answer after "
+                                                + LOST_AFTER_MILLIS
+                                                + " ms");
                             } catch (IOException e) {
                                 lost.add("r" + number + ": " + e);
                             }
@@ -156,56 +171,53 @@
         client.start();
     }
 
-    private void askFor(int milliseconds) throws InterruptedException {
-        for (int asked = 0; asked < milliseconds / EACH; asked++) {
-            ask(clients.size());
-            Thread.sleep(EACH);
+    private void sendRequestsFor(int milliseconds) throws InterruptedException {
+        for (int sent = 0; sent < milliseconds / REQUEST_INTERVAL_MILLIS; sent++) {
+            sendRequest(clients.size());
+            Thread.sleep(REQUEST_INTERVAL_MILLIS);
         }
     }
 
     /**
-     * Discovery is silent until it is back, and then tells a whole list and one change after
+     * Discovery is silent until it is back; then it gives the full list and one change after
      * another.
      */
-    private String answer(String request, String whole) {
+    private String discoveryResponse(String request, String fullList) {
         try {
             if (request.contains("from=")) {
                 return news.take();
             }
-            return back.await(0, TimeUnit.SECONDS) ? http(whole) : SILENCE;
+            return discoveryBack.await(0, TimeUnit.SECONDS) ? http(fullList) : SILENCE;
         } catch (InterruptedException e) {
             return CLOSE;
         }
     }
 
-    private static String[] both(String[] some, String[] others) {
-        return IntStream.range(0, some.length + others.length)
-                .mapToObj(i -> i < some.length ? some[i] : others[i - some.length])
+    private static String[] concatenated(String[] first, String[] second) {
+        return IntStream.range(0, first.length + second.length)
+                .mapToObj(i -> i < first.length ? first[i] : second[i - first.length])
                 .toArray(String[]::new);
     }
 
-    /**
-     * Danger: the file has the list of before, and who reads it shares the core with who owes
-     * answers.
-     */
+    /** Guards against a reload, whose file has a long list, that holds up replies. */
     @Test
-    void whileConfigurationsAreReadAgainInARowEveryRequestIsAnsweredInTime(@TempDir Path folder)
+    void whileConfigurationsAreReloadedInARowEveryRequestIsAnsweredInTime(@TempDir Path folder)
             throws Exception {
         try (ManyBackends backends = new ManyBackends(BACKENDS)) {
-            String known = list(1, true, backends.members(0, BACKENDS, "active"));
-            discovery = new StandIn(request -> answer(request, known));
-            back.countDown();
-            Process child = proxyOnAPartOfACore(config(folder, known));
+            String initialList = list(1, true, backends.members(0, BACKENDS, "active"));
+            discovery = new StandIn(request -> discoveryResponse(request, initialList));
+            discoveryBack.countDown();
+            Process child = proxyOnAPartOfACore(config(folder, initialList));
             try {
                 BufferedReader log = child.inputReader();
                 awaitLine(log, "serving");
                 daemon(() -> log.lines().forEach(line -> {}));
-                askFor(1000);
-                for (int i = 0; i < HANG_UPS; i++) {
+                sendRequestsFor(1000);
+                for (int i = 0; i < RELOADS; i++) {
                     signal(child, "HUP");
-                    askFor(VERSION);
+                    sendRequestsFor(VERSION_INTERVAL_MILLIS);
                 }
-                askFor(1000);
+                sendRequestsFor(1000);
                 for (Thread client : clients) {
                     client.join();
                 }
@@ -220,38 +232,40 @@
     void whileMostOfThousandsOfBackendsAreReplacedEveryRequestIsAnsweredInTime(@TempDir Path folder)
             throws Exception {
         try (ManyBackends backends = new ManyBackends(2 * BACKENDS)) {
-            String known = list(1, true, backends.members(0, BACKENDS, "active"));
-            String whole =
+            String initialList = list(1, true, backends.members(0, BACKENDS, "active"));
+            String fullList =
                     list(
                             10,
                             true,
                             backends.members(BACKENDS / 4, BACKENDS + BACKENDS / 4, "active"));
-            discovery = new StandIn(request -> answer(request, whole));
-            Process child = proxyOnAPartOfACore(config(folder, known));
+            discovery = new StandIn(request -> discoveryResponse(request, fullList));
+            Process child = proxyOnAPartOfACore(config(folder, initialList));
             try {
                 BufferedReader log = child.inputReader();
                 awaitLine(log, "serving");
                 daemon(() -> log.lines().forEach(line -> {}));
-                askFor(1000);
-                back.countDown();
+                sendRequestsFor(1000);
+                discoveryBack.countDown();
                 for (int version = 0; version < VERSIONS; version++) {
-                    askFor(VERSION);
-                    int from = BACKENDS / 4 + version * STEP;
-                    int fresh = BACKENDS + from;
+                    sendRequestsFor(VERSION_INTERVAL_MILLIS);
+                    int from = BACKENDS / 4 + version * REPLACED_PER_VERSION;
+                    int newFrom = BACKENDS + from;
                     news.add(
                             http(
                                     list(
                                             11 + version,
                                             false,
-                                            both(
+                                            concatenated(
                                                     backends.members(
                                                             from,
-                                                            from + STEP,
+                                                            from + REPLACED_PER_VERSION,
                                                             version % 2 == 0 ? "leaving" : "left"),
                                                     backends.members(
-                                                            fresh, fresh + STEP, "active")))));
+                                                            newFrom,
+                                                            newFrom + REPLACED_PER_VERSION,
+                                                            "active")))));
                 }
-                askFor(1000);
+                sendRequestsFor(1000);
                 for (Thread client : clients) {
                     client.join();
                 }
--- a/src/test/java/lemondrift/proxy/ManyBackends.java
+++ b/src/test/java/lemondrift/proxy/ManyBackends.java
@@ -11,10 +11,11 @@
 import java.util.stream.IntStream;
 
 /**
- * Thousands of backends on loopback ports of their own, served by one thread; each answers at once.
+ * Thousands of backends on loopback ports of their own, served by one thread; each responds at
+ * once.
  */
 final class ManyBackends implements AutoCloseable {
-    private static final byte[] ANSWER =
+    private static final byte[] RESPONSE =
             ("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n"
                             + "Endpoint-Load-Metrics: TEXT queue=0, util=0.1\r\n\r\nbody")
                     .getBytes(StandardCharsets.US_ASCII);
@@ -24,12 +25,12 @@
 
     ManyBackends(int count) throws IOException {
         ports = new int[count];
-        for (int i = 0; i < count; i++) {
+        for (int backend = 0; backend < count; backend++) {
             ServerSocketChannel server = ServerSocketChannel.open();
             server.bind(new InetSocketAddress("127.0.0.1", 0), 50);
             server.configureBlocking(false);
             server.register(selector, SelectionKey.OP_ACCEPT);
-            ports[i] = server.socket().getLocalPort();
+            ports[backend] = server.socket().getLocalPort();
         }
         LoopbackFixture.daemon(this::serve);
     }
@@ -38,10 +39,10 @@
         return ports[backend];
     }
 
-    /** Lines of a list about backends of consecutive numbers, in one phase. */
+    /** Members of a list for consecutive backends, in one phase. */
     String[] members(int from, int to, String phase) {
         return IntStream.range(from, to)
-                .mapToObj(i -> LoopbackFixture.member(i, ports[i], phase))
+                .mapToObj(backend -> LoopbackFixture.member(backend, ports[backend], phase))
                 .toArray(String[]::new);
     }
 
@@ -72,10 +73,11 @@
             return;
         }
         // The requests of these tests have no body.
-        String got = new String(buffer.array(), 0, buffer.position(), StandardCharsets.ISO_8859_1);
-        if (got.endsWith("\r\n\r\n")) {
+        String received =
+                new String(buffer.array(), 0, buffer.position(), StandardCharsets.ISO_8859_1);
+        if (received.endsWith("\r\n\r\n")) {
             buffer.clear();
-            connection.write(ByteBuffer.wrap(ANSWER));
+            connection.write(ByteBuffer.wrap(RESPONSE));
         }
     }
 
@@ -83,7 +85,7 @@
         try {
             key.channel().close();
         } catch (IOException e) {
-            // It is of no use either way.
+            // It is closed as far as it can be.
         }
     }
 
