--- a/src/main/java/lemondrift/proxy/loop/EventHandler.java
+++ b/src/main/java/lemondrift/proxy/loop/EventHandler.java
@@ -39,6 +39,7 @@
         this.executor = executor;
     }
 
+    /** The request is open from now on; the balancer decides where it goes, or rejects it. */
     void requestArrived(PendingRequest pending) {
         arrivedCount++;
         executor.opened(pending);
@@ -53,6 +54,7 @@
         return count;
     }
 
+    /** The first success is delivered; any other outcome may lead to a retry or a failure. */
     void attemptEnded(
             Attempt attempt,
             AttemptOutcome outcome,
@@ -86,6 +88,7 @@
         }
     }
 
+    /** Allows the request no more attempts than it has had. */
     void bodyNotReplayable(Request request) {
         request.terms = request.terms.withMaxAttempts(request.attemptCount);
     }
