--- /dev/null
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -0,0 +1,271 @@
+package lemondrift.proxy.loop;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.IntStream;
+import lemondrift.balancer.LoadBalancer;
+import lemondrift.gossip.LoadGossip;
+import lemondrift.gossip.SubsetAssignment;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Decision;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.Idempotency;
+import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
+import lemondrift.model.Settings;
+import lemondrift.proxy.config.GossipSettings;
+import lemondrift.proxy.discovery.BackendDirectory;
+import lemondrift.proxy.discovery.EndpointLists;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.EndpointList;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.events.ProxyActions;
+import lemondrift.settings.RequestClassIndex;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+/** The decision loop without sockets; the test sets its clock and records what it asks for. */
+class DecisionLoopTest implements ProxyActions {
+    private static final int BACKENDS = 3200;
+    private static final Settings SETTINGS =
+            new Settings(
+                    1,
+                    1,
+                    0,
+                    false,
+                    List.of(
+                            new RequestClass(
+                                    1,
+                                    0,
+                                    1,
+                                    2,
+                                    Idempotency.NOT_IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0)),
+                    new double[0],
+                    1,
+                    false,
+                    new Settings.LoadReports(false, -1, -1, false, -1),
+                    new Settings.Limits(true, false, 4, 0.5),
+                    new Settings.Rules(0.25, 8, 3, 2, 10),
+                    new Settings.Costs(0, 0));
+    private static final BackendResponse OK_RESPONSE =
+            new BackendResponse(BackendResponse.OK, null, new byte[0], true, false, null);
+
+    private final LinkedBlockingQueue<byte[]> gossipDatagrams = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> actions = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Attempt> sentAttempts = new LinkedBlockingQueue<>();
+    private volatile double now = 1000;
+    private volatile boolean sendFails;
+
+    /** Seconds that pass while a pool is retired. */
+    private volatile double retireSeconds;
+
+    private final DecisionLoop decisionLoop =
+            new DecisionLoop(
+                    new LoadBalancer(SETTINGS, 7),
+                    new BackendDirectory(List.of("a")),
+                    () -> now,
+                    this,
+                    new RequestClassIndex(List.of("order"), SETTINGS.requestClasses()),
+                    SETTINGS);
+
+    private Attempt arrive(long id) throws InterruptedException {
+        decisionLoop.requestArrived(
+                new PendingRequest(new Request(id, 0, 0, now, 2), null, new byte[0], null));
+        return sentAttempts.poll(5, TimeUnit.SECONDS);
+    }
+
+    private void receiveList(String phase) {
+        decisionLoop.endpointListReceived(
+                EndpointLists.of(true, "s-1 " + phase + " 1"), false, () -> {});
+    }
+
+    private String nextAction() throws InterruptedException {
+        return actions.poll(5, TimeUnit.SECONDS);
+    }
+
+    @AfterEach
+    void stop() {
+        decisionLoop.stop();
+    }
+
+    @Test
+    void anErrorInOneRequestFailsThatRequestAlone() throws Exception {
+        decisionLoop.start();
+        receiveList("active");
+        sendFails = true;
+        decisionLoop.requestArrived(
+                new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
+        assertEquals("failed 1", nextAction());
+        sendFails = false;
+        decisionLoop.attemptEnded(arrive(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        assertEquals("delivered 2", nextAction());
+    }
+
+    @Test
+    void otherProxiesHearOfAttemptsInFlight() throws Exception {
+        InetSocketAddress anyAddress = InetSocketAddress.createUnresolved("p", 1);
+        decisionLoop.enableGossip(
+                new GossipSettings(null, List.of(anyAddress, anyAddress), 1, 0, 1, 12));
+        decisionLoop.start();
+        receiveList("active");
+        Attempt attempt = arrive(1);
+        SubsetAssignment subsets = new SubsetAssignment(2, 12);
+        LoadGossip otherProxy = new LoadGossip(2, 0, 1, 0, 1, subsets, tag -> {});
+        otherProxy.receive(1, gossipDatagrams.poll(5, TimeUnit.SECONDS), now);
+        while (otherProxy.peerLoad(LoadGossip.tag("s-1")) == 0) {
+            otherProxy.receive(1, gossipDatagrams.poll(5, TimeUnit.SECONDS), now);
+        }
+        decisionLoop.datagramReceived(0, new byte[] {1, 2, 3});
+        decisionLoop.attemptEnded(attempt, AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        while (otherProxy.peerLoad(LoadGossip.tag("s-1")) > 0) {
+            otherProxy.receive(1, gossipDatagrams.poll(5, TimeUnit.SECONDS), now);
+        }
+        assertEquals("delivered 1", nextAction());
+    }
+
+    @Test
+    void aRequestIsAnsweredOnceAndLateResponsesAreDiscarded() throws Exception {
+        decisionLoop.start();
+        receiveList("active");
+        Attempt first = arrive(1);
+        now += 1.5;
+        decisionLoop.attemptEnded(first, AttemptOutcome.TIMED_OUT, 1.5, null, null);
+        assertEquals("failed 1", nextAction());
+        Attempt second = arrive(2);
+        decisionLoop.clientLeft(second.request);
+        assertEquals("cancelled 2", nextAction());
+        decisionLoop.attemptEnded(second, AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        decisionLoop.attemptEnded(arrive(3), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        assertEquals("delivered 3", nextAction(), "nothing more for the one whose client has gone");
+    }
+
+    @Test
+    void aDrainingBackendsPoolIsRetiredAndTheNextRequestIsRejected() throws Exception {
+        decisionLoop.start();
+        receiveList("leaving");
+        assertEquals("pool retired", nextAction());
+        decisionLoop.requestArrived(
+                new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
+        assertEquals("rejected 1", nextAction());
+    }
+
+    /** Thousands of backends, all in one phase. */
+    private static EndpointList longList(String phase) {
+        return EndpointLists.of(
+                false,
+                IntStream.range(0, BACKENDS)
+                        .mapToObj(
+                                backend -> "many-" + backend + " " + phase + " " + (1000 + backend))
+                        .toArray(String[]::new));
+    }
+
+    /** Guards against a long list that holds up requests and replies. */
+    @Test
+    void whileALongListIsAppliedRequestsAreDecidedAndDeadlinesKept() throws Exception {
+        receiveList("active");
+        decisionLoop.endpointListReceived(longList("active"), false, () -> actions.add("applied"));
+        decisionLoop.requestArrived(
+                new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
+        decisionLoop.start();
+        Attempt first = sentAttempts.poll(5, TimeUnit.SECONDS);
+        assertEquals(List.of(), List.copyOf(actions), "sent before the list was applied");
+        assertEquals("applied", nextAction());
+        retireSeconds = 3;
+        decisionLoop.endpointListReceived(longList("left"), false, () -> actions.add("applied"));
+        List<String> meanwhile = new ArrayList<>();
+        for (String action = nextAction(); !"applied".equals(action); action = nextAction()) {
+            meanwhile.add(action);
+        }
+        assertTrue(
+                meanwhile.contains("failed 1") && meanwhile.indexOf("failed 1") < BACKENDS / 2,
+                meanwhile.toString());
+        decisionLoop.attemptEnded(first, AttemptOutcome.CANCELLED, 3, null, null);
+    }
+
+    /** Guards against an older list that is applied after a newer one. */
+    @Test
+    void listsThatComeWhileOneIsAppliedAreAppliedInTheirOrder() throws Exception {
+        decisionLoop.endpointListReceived(
+                longList("active"), false, () -> actions.add("applied 1"));
+        decisionLoop.endpointListReceived(
+                EndpointLists.of(true, "s-1 active 1"), false, () -> actions.add("applied 2"));
+        decisionLoop.start();
+        for (String action = nextAction(); !"applied 2".equals(action); action = nextAction()) {
+            assertTrue(List.of("applied 1", "pool retired").contains(action), action);
+        }
+        assertEquals(0, arrive(1).backend, "the only one left, under the first index that is free");
+    }
+
+    @Override
+    public void send(Attempt attempt, PendingRequest pending, InetSocketAddress address) {
+        if (sendFails) {
+            throw new IllegalStateException("thrown by the test");
+        }
+        sentAttempts.add(attempt);
+    }
+
+    @Override
+    public void cancel(Attempt attempt) {
+        actions.add("cancelled " + attempt.request.id);
+    }
+
+    @Override
+    public void probe(int backend, InetSocketAddress address) {
+        actions.add("probe");
+    }
+
+    @Override
+    public void requestEndpointList(Decision.EndpointListCall call) {
+        actions.add("list requested");
+    }
+
+    @Override
+    public void deliver(PendingRequest pending, BackendResponse response) {
+        actions.add("delivered " + pending.request().id);
+    }
+
+    @Override
+    public void discard(BackendResponse response) {
+        actions.add("discarded");
+    }
+
+    @Override
+    public void fail(PendingRequest pending, boolean rejected, double retryAfterSeconds) {
+        actions.add((rejected ? "rejected " : "failed ") + pending.request().id);
+    }
+
+    @Override
+    public void requestsDecided(int requests, double seconds) {}
+
+    @Override
+    public void backendsCounted(int listed, int disabled) {}
+
+    @Override
+    public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
+        actions.add("settings changed " + requestClasses.names());
+    }
+
+    @Override
+    public void sendGossip(LoadGossip.Message message) {
+        gossipDatagrams.add(message.datagram());
+    }
+
+    @Override
+    public void flush() {}
+
+    @Override
+    public void retirePool(int backend) {
+        now += retireSeconds;
+        retireSeconds = 0;
+        actions.add("pool retired");
+    }
+}
