--- a/src/main/java/lemondrift/buffer/BodyBufferBudget.java
+++ b/src/main/java/lemondrift/buffer/BodyBufferBudget.java
@@ -1,45 +1,52 @@
 package lemondrift.buffer;
 
 /**
- * How much of request bodies is held in memory. Held whole, a request can be sent again, and a slow
- * client keeps no backend waiting; what can't be held is passed on as it comes. No I/O.
+ * The memory for buffered request bodies. A request whose body is buffered whole can be sent again,
+ * and a slow client keeps no backend waiting; a body that exceeds the budget is streamed.
  */
 public final class BodyBufferBudget {
-    private final int each;
-    private long all;
-    private long held;
+    private final int maxBodyBytes;
+    private long maxTotalBytes;
+    private long bufferedBytes;
 
-    /** So many bytes of one body at the most, and so many of all; both 0 or more. */
-    public BodyBufferBudget(int each, long all) {
-        if (each < 0 || all < 0) {
-            throw new IllegalArgumentException("bounds of what is held, below zero");
+    /**
+     * An unused budget.
+     *
+     * @throws IllegalArgumentException if a bound is below 0
+     */
+    public BodyBufferBudget(int maxBodyBytes, long maxTotalBytes) {
+        if (maxBodyBytes < 0 || maxTotalBytes < 0) {
+            throw new IllegalArgumentException("bounds of buffered bodies below zero");
         }
-        this.each = each;
-        this.all = all;
+        this.maxBodyBytes = maxBodyBytes;
+        this.maxTotalBytes = maxTotalBytes;
     }
 
-    /** So many bytes of all from now on; what is held already may be more for a while. */
-    public void all(long most) {
-        all = most;
+    /** Sets another bound of all bodies; what is buffered already may exceed it for a while. */
+    public void setMaxTotalBytes(long bytes) {
+        maxTotalBytes = bytes;
     }
 
     /**
-     * Whether more of one that has so many held may be held; if so it counts until it is let go.
+     * Reserves more bytes for a body.
+     *
+     * @param bodyBytes what is reserved for the body already
+     * @return false, with nothing reserved, where a bound would be exceeded
      */
-    public boolean takes(int has, int more) {
-        if (more > each - has || more > all - held) {
+    public boolean tryReserve(int bodyBytes, int moreBytes) {
+        if (moreBytes > maxBodyBytes - bodyBytes || moreBytes > maxTotalBytes - bufferedBytes) {
             return false;
         }
-        held += more;
+        bufferedBytes += moreBytes;
         return true;
     }
 
-    /** So many bytes are held no longer. */
-    public void letGo(int bytes) {
-        held -= bytes;
+    /** Bytes that were reserved are not buffered any more. */
+    public void release(int bytes) {
+        bufferedBytes -= bytes;
     }
 
-    public long held() {
-        return held;
+    public long bufferedBytes() {
+        return bufferedBytes;
     }
 }
--- a/src/main/java/lemondrift/connection/ClientSource.java
+++ b/src/main/java/lemondrift/connection/ClientSource.java
@@ -1,53 +1,51 @@
 package lemondrift.connection;
 
-/** Who connections come from: what it holds, and what it brought and cost lately. */
+/**
+ * Where connections come from: how many it has open, and what it earned and cost lately. Credit and
+ * cost both decay, by half in each half-life.
+ */
 final class ClientSource {
-    /**
-     * What a source has brought raises its weight so far at the most: none may outweigh all others.
-     */
-    private static final double MOST = 16;
+    /** The most credit, and the most cost, that counts: no source may outweigh all others. */
+    private static final double MAX_CREDIT = 16;
 
-    int held;
-    private double brought;
+    int connections;
+    private double credit;
     private double cost;
-    private double fadedAt;
+    private double decayedAt;
 
-    /** Its connections that may give way, in that order; used while room is made. */
-    int firstYielding = -1;
+    /** Head of the list of its connections that may be evicted, in that order. */
+    int firstCandidate = ConnectionTable.NONE;
 
-    int lastYielding = -1;
+    int lastCandidate = ConnectionTable.NONE;
 
-    private void fade(double now, double half) {
-        double share = Math.pow(2, -Math.max(0, now - fadedAt) / half);
-        brought *= share;
-        cost *= share;
-        fadedAt = now;
+    private void decay(double now, double halfLifeSeconds) {
+        double remainingShare = Math.pow(2, -Math.max(0, now - decayedAt) / halfLifeSeconds);
+        credit *= remainingShare;
+        cost *= remainingShare;
+        decayedAt = now;
     }
 
-    /** What it brought, as a ratio to a usual exchange's benefit. */
-    void brought(double benefit, double now, double half) {
-        fade(now, half);
-        brought = Math.min(MOST, brought + benefit);
+    /** A request of it was answered; the value is a ratio to a usual request's priority weight. */
+    void addCredit(double value, double now, double halfLifeSeconds) {
+        decay(now, halfLifeSeconds);
+        credit = Math.min(MAX_CREDIT, credit + value);
     }
 
-    /** A request of it was turned away, or a connection ended without one. */
-    void cost(double now, double half) {
-        fade(now, half);
-        cost = Math.min(MOST, cost + 1);
+    /** A request of it was rejected, or a connection ended without one. */
+    void addCost(double now, double halfLifeSeconds) {
+        decay(now, halfLifeSeconds);
+        cost = Math.min(MAX_CREDIT, cost + 1);
     }
 
-    /**
-     * How many places it is due beside others: more for what it brought, less for what it only
-     * cost.
-     */
-    double weight(double now, double half) {
-        fade(now, half);
-        return (1 + brought) / (1 + cost);
+    /** Its fair share of connections relative to other sources, 1/17 to 17. */
+    double weight(double now, double halfLifeSeconds) {
+        decay(now, halfLifeSeconds);
+        return (1 + credit) / (1 + cost);
     }
 
-    /** What it only cost lately, in requests turned away, 0 to 16. */
-    double costs(double now, double half) {
-        fade(now, half);
-        return Math.max(0, cost - brought);
+    /** By how many rejected requests its cost exceeds its credit, 0 to 16. */
+    double netCost(double now, double halfLifeSeconds) {
+        decay(now, halfLifeSeconds);
+        return Math.max(0, cost - credit);
     }
 }
--- a/src/main/java/lemondrift/connection/ClientSourceTable.java
+++ b/src/main/java/lemondrift/connection/ClientSourceTable.java
@@ -5,41 +5,57 @@
 import java.util.Map;
 
 /**
- * Sources by their key. Those that hold places are as many as places at the most; of the others as
- * many are remembered, and the one gone longest is forgotten first. Danger: a table of all
- * addresses has no bound.
+ * Sources of connections by their key: an address, or a tenant once it is known. Guards against a
+ * table of all addresses without bound: no more sources without a connection are remembered than
+ * there are connections, and the one that left first is forgotten first.
  */
 final class ClientSourceTable {
-    private final Map<Long, ClientSource> present = new HashMap<>();
-    private final Map<Long, ClientSource> gone = new LinkedHashMap<>();
-    private final int most;
+    private final boolean eachConnectionAlone;
+    private final int maxRemembered;
+    private final Map<Long, ClientSource> connected = new HashMap<>();
+    private final Map<Long, ClientSource> remembered = new LinkedHashMap<>();
 
-    ClientSourceTable(int most) {
-        this.most = most;
+    ClientSourceTable(ConnectionLimits.Sharing sharing, int maxRemembered) {
+        eachConnectionAlone = sharing == ConnectionLimits.Sharing.CONNECTION;
+        this.maxRemembered = maxRemembered;
     }
 
-    /** The source of a key, with one place more. */
-    ClientSource enter(long key) {
-        ClientSource source = present.get(key);
+    /** The key of a tenant, which equals no address's key as those are not negative. */
+    static long tenantKey(int tenant) {
+        return -1L - tenant;
+    }
+
+    /** The source of a key, with one connection more. */
+    ClientSource connect(long key) {
+        ClientSource source = eachConnectionAlone ? new ClientSource() : sourceOf(key);
+        source.connections++;
+        return source;
+    }
+
+    private ClientSource sourceOf(long key) {
+        ClientSource source = connected.get(key);
         if (source == null) {
-            source = gone.remove(key);
+            source = remembered.remove(key);
             source = source == null ? new ClientSource() : source;
-            present.put(key, source);
+            connected.put(key, source);
         }
-        source.held++;
         return source;
     }
 
-    void leave(long key, ClientSource source) {
-        if (--source.held == 0 && present.remove(key) != null) {
-            gone.put(key, source);
-            if (gone.size() > most) {
-                gone.remove(gone.keySet().iterator().next());
+    /** One of a source's connections is closed, or counts for another source from now on. */
+    void disconnect(long key, ClientSource source) {
+        if (eachConnectionAlone) {
+            return;
+        }
+        if (--source.connections == 0 && connected.remove(key) != null) {
+            remembered.put(key, source);
+            if (remembered.size() > maxRemembered) {
+                remembered.remove(remembered.keySet().iterator().next());
             }
         }
     }
 
-    int remembered() {
-        return present.size() + gone.size();
+    int size() {
+        return connected.size() + remembered.size();
     }
 }
--- a/src/main/java/lemondrift/connection/CloseReason.java
+++ b/src/main/java/lemondrift/connection/CloseReason.java
@@ -1,25 +1,25 @@
 package lemondrift.connection;
 
-/** Why a client's connection ended. */
+/** Why a client's connection was closed. */
 public enum CloseReason {
-    /** It never said anything. */
-    NO_WORD,
+    /** No byte came on it in time. */
+    NO_REQUEST,
     /** Its request came too slowly. */
-    SLOW,
-    /** Its answer was not fetched, or too slowly. */
-    UNFETCHED,
-    /** It was quiet for longer than any may be. */
-    QUIET,
-    /** It was quiet for longer than its place was worth. */
-    UNUSED,
-    /** It gave way in a crowd. */
-    CROWD,
-    /** It closed with its answer, as the place was worth more than its next use. */
-    WITH_ANSWER,
-    /** It closed with its answer, as too many of its requests in a row were turned away. */
-    TURNED_AWAY,
+    SLOW_REQUEST,
+    /** The client took its response too slowly, or not at all. */
+    SLOW_READER,
+    /** It was idle for longer than any connection may be. */
+    IDLE_TIMEOUT,
+    /** It was idle for longer than its expected reuse was worth. */
+    REUSE_UNLIKELY,
+    /** There were too many connections. */
+    EVICTED,
+    /** Closed with its response, as the place was worth more than its expected reuse. */
+    NOT_KEPT_ALIVE,
+    /** Closed with its response, as too many of its requests in a row were rejected. */
+    REPEATEDLY_REJECTED,
     /** The proxy drains. */
-    DRAIN,
-    /** Its client closed it, or the network did. */
-    GONE
+    DRAINING,
+    /** The client or the network closed it. */
+    CLIENT_CLOSED
 }
--- /dev/null
+++ b/src/main/java/lemondrift/connection/ConnectionDeadlines.java
@@ -0,0 +1,88 @@
+package lemondrift.connection;
+
+/**
+ * How long a connection may take for what it is doing. A request that comes and a response that is
+ * taken must make progress: each byte moves the deadline on by its time at the least rate, but no
+ * farther ahead than the state's timeout.
+ *
+ * <table>
+ * <caption>What ends a connection in each state</caption>
+ * <tr><td>NEW</td><td>first byte timeout: NO_REQUEST</td></tr>
+ * <tr><td>READING_HEAD, READING_BODY</td><td>read timeout: SLOW_REQUEST</td></tr>
+ * <tr><td>SENDING_RESPONSE</td><td>write timeout: SLOW_READER</td></tr>
+ * <tr><td>IDLE</td><td>longest idle time: IDLE_TIMEOUT; learned limit: REUSE_UNLIKELY</td></tr>
+ * <tr><td>NEW, IDLE</td><td>its time in a drain: DRAINING</td></tr>
+ * </table>
+ */
+final class ConnectionDeadlines {
+    private final ConnectionLimits limits;
+    private final ConnectionTable connections;
+    private final KeepAlivePolicy keepAlive;
+    private final ConnectionDrain drain;
+
+    ConnectionDeadlines(
+            ConnectionLimits limits,
+            ConnectionTable connections,
+            KeepAlivePolicy keepAlive,
+            ConnectionDrain drain) {
+        this.limits = limits;
+        this.connections = connections;
+        this.keepAlive = keepAlive;
+        this.drain = drain;
+    }
+
+    void awaitFirstByte(int connection, double now) {
+        connections.deadlines[connection] = now + limits.firstByteTimeoutSeconds();
+    }
+
+    void awaitRequestBytes(int connection, double now) {
+        connections.deadlines[connection] = now + limits.readTimeoutSeconds();
+    }
+
+    void requestProgress(int connection, int bytes, double now) {
+        progress(connection, bytes, limits.readTimeoutSeconds(), now);
+    }
+
+    void awaitResponseTaken(int connection, double now) {
+        connections.deadlines[connection] = now + limits.writeTimeoutSeconds();
+    }
+
+    void responseProgress(int connection, int bytes, double now) {
+        progress(connection, bytes, limits.writeTimeoutSeconds(), now);
+    }
+
+    private void progress(int connection, int bytes, double timeoutSeconds, double now) {
+        connections.deadlines[connection] =
+                Math.min(
+                        now + timeoutSeconds,
+                        connections.deadlines[connection] + bytes / limits.leastRate());
+    }
+
+    /** Why a connection is to be closed now; null if it may stay. */
+    CloseReason overdue(int connection, double now) {
+        boolean late = now > connections.deadlines[connection];
+        return switch (connections.state(connection)) {
+            case NEW -> late ? CloseReason.NO_REQUEST : drained(connection, now);
+            case READING_HEAD, READING_BODY -> late ? CloseReason.SLOW_REQUEST : null;
+            case SENDING_RESPONSE -> late ? CloseReason.SLOW_READER : null;
+            case IDLE -> idleTooLong(connection, now);
+            case FREE, AWAITING_RESPONSE, READ_PAUSED -> null;
+        };
+    }
+
+    private CloseReason idleTooLong(int connection, double now) {
+        double idleSeconds = connections.secondsInState(connection, now);
+        if (idleSeconds > limits.quiet()) {
+            return CloseReason.IDLE_TIMEOUT;
+        }
+        if (idleSeconds > keepAlive.idleLimitSeconds(connection)
+                && !connections.keepAliveAnnounced[connection]) {
+            return CloseReason.REUSE_UNLIKELY;
+        }
+        return drained(connection, now);
+    }
+
+    private CloseReason drained(int connection, double now) {
+        return drain.isDue(connection, now) ? CloseReason.DRAINING : null;
+    }
+}
--- a/src/main/java/lemondrift/connection/ConnectionLimits.java
+++ b/src/main/java/lemondrift/connection/ConnectionLimits.java
@@ -1,20 +1,21 @@
 package lemondrift.connection;
 
 /**
- * What the door may use and how patient it is. All times are in seconds and follow from one, the
- * time that a connection may be quiet; they are ratios to it.
+ * How many clients' connections there may be and how patient the proxy is with them. All times are
+ * in seconds and are ratios to the longest idle time.
  *
- * @param places how many connections there are to be at the most, 1 or more
- * @param last how many there may be for a moment, until some have given way; places or more
- * @param quiet how long an answered connection may say nothing, over 0
- * @param earliest how long one may say nothing before it is closed between requests except in a
- *     crowd; 0 to quiet
+ * @param places how many connections are to stay open, 1 or more
+ * @param last how many there may be until some are evicted; places or more
+ * @param quiet the longest idle time of an answered connection, in seconds over 0
+ * @param earliest the idle time before which none is closed between requests unless there are too
+ *     many, in seconds from 0 to quiet
  * @param sharing what the places are shared among
- * @param announces whether answers promise how long the connection stays, which is then held to
- * @param leastRate bytes a second that a request, or the fetching of an answer, must make progress
- *     by
- * @param benefit what a usual exchange brings, over 0; what one earns for its source is a ratio to
- *     it
+ * @param announces whether responses announce for how long the connection stays open, which is then
+ *     held to
+ * @param leastRate bytes a second by which a request that comes, or a response that is taken, must
+ *     make progress; over 0
+ * @param benefit the priority weight of a usual request, over 0; what a request earns for its
+ *     source is a ratio to it
  */
 public record ConnectionLimits(
         int places,
@@ -25,19 +26,24 @@
         boolean announces,
         double leastRate,
         double benefit) {
-    /** What is one source of connections. */
+    /** What counts as one source of connections. */
     public enum Sharing {
-        /** Each connection by itself: behind a front all clients have one address. */
+        /** Each connection by itself: behind a front proxy all clients have one address. */
         CONNECTION,
-        /** All of one address. */
+        /** All connections of one address. */
         ADDRESS,
         /** All of one tenant, and of one address as long as the tenant is not known. */
         TENANT
     }
 
-    /** Of the places, how many may stand unused before a place has its full price. */
-    static final double UNUSED = 0.25;
+    /** The share of the places that may stand unused before a place has its full price. */
+    static final double UNUSED_SHARE_AT_FULL_PRICE = 0.25;
 
+    /**
+     * Checks that the limits fit together.
+     *
+     * @throws IllegalArgumentException if one is out of its range
+     */
     public ConnectionLimits {
         if (places < 1
                 || last < places
@@ -51,57 +57,55 @@
     }
 
     /**
-     * How long a new one may take for its first word, which stays under 1.3 quiet as pause does.
+     * How long a new connection may take for its first byte. With the read timeout it stays under
+     * the 3 s, at the default idle time, within which a client that brings no request is closed.
      */
-    double firstWord() {
+    double firstByteTimeoutSeconds() {
         return 0.8 * quiet;
     }
 
     /**
-     * How long a head may take, and how long a body may pause; progress brings the time by which
-     * more must come no farther ahead than this. Danger: much shorter, and slow clients are cut off
-     * in the middle.
+     * How long a head may take and a body may pause, and how far progress moves the deadline ahead
+     * at the most. Guards against cutting off slow clients midway.
      */
-    double pause() {
+    double readTimeoutSeconds() {
         return 1.1 * quiet;
     }
 
-    /**
-     * The same for the fetching of an answer: the system takes a lot, and then nothing for long.
-     */
-    double fetch() {
+    /** The same for a client that takes its response: kernels take a lot, then nothing for long. */
+    double writeTimeoutSeconds() {
         return 4 * quiet;
     }
 
-    /** How long a backend may give nothing of an answer that it has begun. */
-    public double stall() {
-        return fetch();
+    /** How long a backend may give nothing of a response that it has begun. */
+    public double backendStallTimeoutSeconds() {
+        return writeTimeoutSeconds();
+    }
+
+    /** How long a connection is not read after a rejected request, the first time. */
+    double firstReadPauseSeconds() {
+        return quiet / 11;
     }
 
-    /** How long a client whose requests are turned away is not read at the most. */
-    double longestLinger() {
+    /** How long a connection is not read after a rejected request, at the most. */
+    double maxReadPauseSeconds() {
         return 0.45 * quiet;
     }
 
     /**
-     * How long a new one keeps its place in a crowd without a word, and half of that for a request.
+     * The age from which a connection without a byte may be evicted; twice that, a first request.
      */
-    double patience() {
+    double evictionGraceSeconds() {
         return quiet / 22;
     }
 
-    /** How long a client whose request was turned away is not read, the first time. */
-    double linger() {
-        return quiet / 11;
-    }
-
-    /** How often the door is to be looked after at the least. */
-    public double sweep() {
+    /** How often {@link ConnectionPolicy#sweep} is to be called at the least. */
+    public double sweepIntervalSeconds() {
         return quiet / 11;
     }
 
-    /** How long what a source did counts: half of it is forgotten in this time. */
-    double memory() {
+    /** The half-life of what a source earned and cost, and of what was seen of idle times. */
+    double halfLifeSeconds() {
         return 4 * quiet;
     }
 }
--- a/src/main/java/lemondrift/connection/ConnectionOrder.java
+++ b/src/main/java/lemondrift/connection/ConnectionOrder.java
@@ -2,50 +2,48 @@
 
 import java.util.Arrays;
 
-/** The connections of one state, the one that came into it first at the front. */
+/** The connections of one state as a linked list, the one that entered it first at the front. */
 final class ConnectionOrder {
-    private static final int NONE = -1;
-
     private final int[] next;
     private final int[] previous;
-    private int first = NONE;
-    private int last = NONE;
+    private int first = ConnectionTable.NONE;
+    private int last = ConnectionTable.NONE;
     private int size;
 
-    /** Lists of one door share their links, as each connection is in one of them. */
+    /** The lists of one table share their links, as each connection is in exactly one list. */
     ConnectionOrder(int[] next, int[] previous) {
         this.next = next;
         this.previous = previous;
     }
 
-    static int[] links(int most) {
-        int[] links = new int[most];
-        Arrays.fill(links, NONE);
+    static int[] newLinks(int capacity) {
+        int[] links = new int[capacity];
+        Arrays.fill(links, ConnectionTable.NONE);
         return links;
     }
 
-    void add(int i) {
-        previous[i] = last;
-        next[i] = NONE;
-        if (last == NONE) {
-            first = i;
+    void add(int connection) {
+        previous[connection] = last;
+        next[connection] = ConnectionTable.NONE;
+        if (last == ConnectionTable.NONE) {
+            first = connection;
         } else {
-            next[last] = i;
+            next[last] = connection;
         }
-        last = i;
+        last = connection;
         size++;
     }
 
-    void remove(int i) {
-        if (previous[i] == NONE) {
-            first = next[i];
+    void remove(int connection) {
+        if (previous[connection] == ConnectionTable.NONE) {
+            first = next[connection];
         } else {
-            next[previous[i]] = next[i];
+            next[previous[connection]] = next[connection];
         }
-        if (next[i] == NONE) {
-            last = previous[i];
+        if (next[connection] == ConnectionTable.NONE) {
+            last = previous[connection];
         } else {
-            previous[next[i]] = previous[i];
+            previous[next[connection]] = previous[connection];
         }
         size--;
     }
@@ -54,8 +52,8 @@
         return first;
     }
 
-    int after(int i) {
-        return next[i];
+    int after(int connection) {
+        return next[connection];
     }
 
     int size() {
--- a/src/main/java/lemondrift/connection/ConnectionState.java
+++ b/src/main/java/lemondrift/connection/ConnectionState.java
@@ -1,21 +1,21 @@
 package lemondrift.connection;
 
-/** What a client's connection is doing. docs/door.md draws how one leads to another. */
+/** What a client's connection is doing. docs/door.md draws how one state leads to another. */
 public enum ConnectionState {
-    /** Its place is free. */
+    /** The index is not in use. */
     FREE,
-    /** Accepted, and nothing has come on it yet. */
+    /** Accepted, and no byte has come on it yet. */
     NEW,
     /** Part of a request's head has come. */
-    HEAD,
-    /** The head is whole, part of the body has come. */
-    BODY,
-    /** An exchange is open and waits for its answer. */
-    OPEN,
-    /** The answer is being fetched. */
-    FETCHING,
-    /** Its request was turned away; it is not read for a while. */
-    TURNED_AWAY,
-    /** It was answered and has said nothing since. */
-    QUIET
+    READING_HEAD,
+    /** The head is complete, part of the body has come. */
+    READING_BODY,
+    /** A complete request waits for its response. */
+    AWAITING_RESPONSE,
+    /** The response is being written to the client. */
+    SENDING_RESPONSE,
+    /** Its request was rejected; it is not read for a while. */
+    READ_PAUSED,
+    /** Between requests: the last response is out and no byte has come since. */
+    IDLE
 }
--- a/src/main/java/lemondrift/connection/FairEviction.java
+++ b/src/main/java/lemondrift/connection/FairEviction.java
@@ -7,59 +7,68 @@
 import java.util.function.IntPredicate;
 
 /**
- * Who gives way where there are too many: weighted max-min over sources. The source that holds the
- * most places for its weight gives one up, again and again; so nobody can gain a place by which one
- * with fewer would lose.
+ * Which connections are closed where there are too many: weighted max-min fairness over sources.
+ * The source with the most connections for its weight loses one, again and again, so that no source
+ * gains a connection by which one with fewer would lose.
  */
 final class FairEviction {
-    private final int[] next;
-    private final double half;
-    private final List<ClientSource> yielding = new ArrayList<>();
+    private final int[] nextCandidate;
+    private final double halfLifeSeconds;
+    private final List<ClientSource> sources = new ArrayList<>();
 
-    FairEviction(int places, double half) {
-        next = new int[places];
-        this.half = half;
+    FairEviction(int capacity, double halfLifeSeconds) {
+        nextCandidate = new int[capacity];
+        this.halfLifeSeconds = halfLifeSeconds;
     }
 
-    /** A connection that may give way, after those of its source that were named before. */
-    void mayYield(int i, ClientSource source) {
-        next[i] = -1;
-        if (source.firstYielding < 0) {
-            source.firstYielding = i;
-            yielding.add(source);
+    /** A connection that may be closed, after those of its source that were added before. */
+    void addCandidate(int connection, ClientSource source) {
+        nextCandidate[connection] = ConnectionTable.NONE;
+        if (source.firstCandidate == ConnectionTable.NONE) {
+            source.firstCandidate = connection;
+            sources.add(source);
         } else {
-            next[source.lastYielding] = i;
+            nextCandidate[source.lastCandidate] = connection;
         }
-        source.lastYielding = i;
+        source.lastCandidate = connection;
     }
 
     /**
-     * Has connections close until there were so many, or none is left; close says whether one did.
+     * Closes connections until there were so many, or no candidate is left.
+     *
+     * @param close closes a connection and says whether it did
      */
-    void evict(int many, double now, IntPredicate close) {
-        // Danger: a weight that changes while its source is queued would leave the order broken.
-        record Share(ClientSource source, int order, double weight, double ratio) {}
-        var most =
-                new PriorityQueue<Share>(
-                        Comparator.comparing(Share::ratio).reversed().thenComparing(Share::order));
-        for (ClientSource source : yielding) {
-            double weight = source.weight(now, half);
-            most.add(new Share(source, most.size(), weight, source.held / weight));
+    void evict(int excess, double now, IntPredicate close) {
+        // Guards against a broken order: a weight must not change while its source is queued.
+        record Usage(ClientSource source, int order, double weight, double connectionsPerWeight) {}
+        var greediest =
+                new PriorityQueue<Usage>(
+                        Comparator.comparing(Usage::connectionsPerWeight)
+                                .reversed()
+                                .thenComparing(Usage::order));
+        for (ClientSource source : sources) {
+            double weight = source.weight(now, halfLifeSeconds);
+            greediest.add(new Usage(source, greediest.size(), weight, source.connections / weight));
         }
-        int left = many;
-        while (left > 0 && !most.isEmpty()) {
-            Share share = most.poll();
-            ClientSource source = share.source;
-            int i = source.firstYielding;
-            source.firstYielding = next[i];
-            if (close.test(i)) {
-                left--;
+        int remaining = excess;
+        while (remaining > 0 && !greediest.isEmpty()) {
+            Usage usage = greediest.poll();
+            ClientSource source = usage.source;
+            int connection = source.firstCandidate;
+            source.firstCandidate = nextCandidate[connection];
+            if (close.test(connection)) {
+                remaining--;
             }
-            if (source.firstYielding >= 0) {
-                most.add(new Share(source, share.order, share.weight, source.held / share.weight));
+            if (source.firstCandidate != ConnectionTable.NONE) {
+                greediest.add(
+                        new Usage(
+                                source,
+                                usage.order,
+                                usage.weight,
+                                source.connections / usage.weight));
             }
         }
-        yielding.forEach(source -> source.firstYielding = -1);
-        yielding.clear();
+        sources.forEach(source -> source.firstCandidate = ConnectionTable.NONE);
+        sources.clear();
     }
 }
--- a/src/main/java/lemondrift/connection/IdleReuseEstimator.java
+++ b/src/main/java/lemondrift/connection/IdleReuseEstimator.java
@@ -1,122 +1,121 @@
 package lemondrift.connection;
 
 /**
- * Learns after how long quiet connections are used again, and says how long that makes one worth
- * its place. Spans of quiet are counted in a histogram that fades, as used again or as ended
- * without; the share used again of those that came so far is a hazard, after Kaplan and Meier
- * (1958). How long to keep a place is then a problem of optimal stopping, solved backwards over the
- * bins. No I/O, no clock.
+ * Learns after how long idle connections are reused, and from that for how long one is worth its
+ * place. Idle times go into a histogram that decays, as reused or as closed without reuse; the
+ * share reused of those that lasted so long is a hazard (Kaplan and Meier, 1958). How long to keep
+ * a place is then optimal stopping, solved backwards over the bins.
  */
 final class IdleReuseEstimator {
-    /**
-     * Each bin is twice as long as the one before but for the first, which is as long as the
-     * second.
-     */
+    /** Each bin is twice as long as the one before, but for the first two, which are equal. */
     private static final int BINS = 12;
 
-    /**
-     * What is not known yet counts as so many connections, used again within the longest time so
-     * often.
-     */
-    private static final double PRIOR = 2;
+    /** The number of connections that the prior knowledge counts as. */
+    private static final double PRIOR_CONNECTIONS = 2;
 
-    private static final double PRIOR_USES = 2;
+    /** How often one is reused within the longest idle time, by the prior knowledge. */
+    private static final double PRIOR_REUSES = 2;
 
-    /** Weights are scaled down again beyond this, long before a double could overflow. */
-    private static final double MOST_WEIGHT = 1e6;
+    /** The sample weight from which all are scaled down, long before a double overflows. */
+    private static final double MAX_SAMPLE_WEIGHT = 1e6;
 
-    private final double longest;
-    private final double earliest;
-    private final double half;
-    private final double[] used = new double[BINS];
-    private final double[] came = new double[BINS];
+    private final double maxIdleSeconds;
+    private final double minIdleSeconds;
+    private final double halfLifeSeconds;
 
-    /** What one that is counted now weighs; it grows in place of all others' fading. */
-    private double weight = 1;
+    /** By bin, the weight of connections that were reused in it. */
+    private final double[] reused = new double[BINS];
 
-    private double weighedAt;
+    /** By bin, the weight of connections that lasted through it or were reused in it. */
+    private final double[] observed = new double[BINS];
 
-    IdleReuseEstimator(double longest, double earliest, double half) {
-        this.longest = longest;
-        this.earliest = earliest;
-        this.half = half;
+    /** What a sample counted now weighs; it grows instead of the decay of all others. */
+    private double sampleWeight = 1;
+
+    private double weightUpdatedAt;
+
+    IdleReuseEstimator(double maxIdleSeconds, double minIdleSeconds, double halfLifeSeconds) {
+        this.maxIdleSeconds = maxIdleSeconds;
+        this.minIdleSeconds = minIdleSeconds;
+        this.halfLifeSeconds = halfLifeSeconds;
     }
 
-    private double start(int bin) {
-        return bin == 0 ? 0 : longest * Math.scalb(1.0, bin - BINS);
+    private double startOf(int bin) {
+        return bin == 0 ? 0 : maxIdleSeconds * Math.scalb(1.0, bin - BINS);
     }
 
-    /** One was used again after so many seconds of quiet. */
-    void usedAfter(double quiet, double now) {
-        int at = count(quiet, now);
-        if (at < BINS) {
-            came[at] += weight;
-            used[at] += weight;
+    /** A connection was reused after so many idle seconds. */
+    void reusedAfter(double idleSeconds, double now) {
+        int bin = countOutlasted(idleSeconds, now);
+        if (bin < BINS) {
+            observed[bin] += sampleWeight;
+            reused[bin] += sampleWeight;
         }
     }
 
     /**
-     * One ended after so many seconds of quiet. Danger: counted as never used, short limits prove
-     * themselves.
+     * A connection was closed after so many idle seconds. Guards against short limits that prove
+     * themselves: it does not count as never reused in the bins that it did not outlast.
      */
-    void endedAfter(double quiet, double now) {
-        count(quiet, now);
+    void closedAfter(double idleSeconds, double now) {
+        countOutlasted(idleSeconds, now);
     }
 
-    /**
-     * Counts it in the bins that it has outlasted; the bin that it is in, or as many as there are.
-     */
-    private int count(double quiet, double now) {
-        weigh(now);
-        int at = 0;
-        for (; at < BINS && start(at + 1) <= quiet; at++) {
-            came[at] += weight;
+    /** Counts the bins that were outlasted and returns the bin after them, up to BINS. */
+    private int countOutlasted(double idleSeconds, double now) {
+        updateSampleWeight(now);
+        int bin = 0;
+        for (; bin < BINS && startOf(bin + 1) <= idleSeconds; bin++) {
+            observed[bin] += sampleWeight;
         }
-        return at;
+        return bin;
     }
 
-    private void weigh(double now) {
-        weight *= Math.pow(2, Math.max(0, now - weighedAt) / half);
-        weighedAt = now;
-        if (weight > MOST_WEIGHT) {
-            for (int b = 0; b < BINS; b++) {
-                used[b] /= weight;
-                came[b] /= weight;
+    private void updateSampleWeight(double now) {
+        sampleWeight *= Math.pow(2, Math.max(0, now - weightUpdatedAt) / halfLifeSeconds);
+        weightUpdatedAt = now;
+        if (sampleWeight > MAX_SAMPLE_WEIGHT) {
+            for (int bin = 0; bin < BINS; bin++) {
+                reused[bin] /= sampleWeight;
+                observed[bin] /= sampleWeight;
             }
-            weight = 1;
+            sampleWeight = 1;
         }
     }
 
-    /** How likely one that is quiet at a bin's start is used again within it. */
+    /** How likely a connection that is idle at a bin's start is reused within the bin, 0 to 1. */
     private double hazard(int bin) {
-        double length = start(bin + 1) - start(bin);
-        double prior = PRIOR * weight;
-        double expected = 1 - Math.exp(-PRIOR_USES * length / longest);
-        return (used[bin] + prior * expected) / (came[bin] + prior);
+        double lengthSeconds = startOf(bin + 1) - startOf(bin);
+        double priorWeight = PRIOR_CONNECTIONS * sampleWeight;
+        double priorHazard = 1 - Math.exp(-PRIOR_REUSES * lengthSeconds / maxIdleSeconds);
+        return (reused[bin] + priorWeight * priorHazard) / (observed[bin] + priorWeight);
     }
 
     /**
-     * How many seconds of quiet a place is worth at a price, 0 where it is best given up with the
-     * answer.
+     * For how many idle seconds a place is worth its price.
      *
-     * @param price what a place costs for a second, in connections that need not be opened again; 0
-     *     or more
+     * @param pricePerSecond what a place costs, in connections that need not be opened again
+     * @return 0 where the place is best given up with the response, else up to the longest idle
+     *     time
      */
-    double limit(double price, double now) {
-        weigh(now);
+    double idleLimitSeconds(double pricePerSecond, double now) {
+        updateSampleWeight(now);
         double value = 0;
-        double limit = longest;
-        for (int b = BINS - 1; b >= 0; b--) {
-            double hazard = hazard(b);
-            double length = start(b + 1) - start(b);
-            value = hazard - price * length * (1 - hazard / 2) + (1 - hazard) * value;
-            // It can't be closed between the answer and the earliest time, so there is no choice
-            // there.
-            if (value <= 0 && (b == 0 || start(b) >= earliest)) {
+        double limitSeconds = maxIdleSeconds;
+        for (int bin = BINS - 1; bin >= 0; bin--) {
+            double hazard = hazard(bin);
+            double lengthSeconds = startOf(bin + 1) - startOf(bin);
+            value =
+                    hazard
+                            - pricePerSecond * lengthSeconds * (1 - hazard / 2)
+                            + (1 - hazard) * value;
+            // Between the response and the least idle time it can't be closed.
+            boolean mayClose = bin == 0 || startOf(bin) >= minIdleSeconds;
+            if (value <= 0 && mayClose) {
                 value = 0;
-                limit = start(b);
+                limitSeconds = startOf(bin);
             }
         }
-        return limit;
+        return limitSeconds;
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/connection/KeepAlivePolicy.java
@@ -0,0 +1,106 @@
+package lemondrift.connection;
+
+import java.util.Arrays;
+import java.util.SplittableRandom;
+
+/**
+ * Whether a connection stays open after its response, and how long it may be idle. A place costs
+ * nothing while most are free and more the more of them stand unused; it is kept as long as the
+ * reuse that {@link IdleReuseEstimator} expects is worth that price.
+ */
+final class KeepAlivePolicy {
+    /** Connections with one response, with two or three, and with more are learned apart. */
+    private static final int REUSE_GROUPS = 3;
+
+    /** The share kept whatever is expected. Guards against never seeing a reuse to learn from. */
+    private static final double EXPLORED_SHARE = 1.0 / 16;
+
+    /** The price of a place rises with this power of the unused places. */
+    private static final int PRICE_EXPONENT = 4;
+
+    /** The ratio of unused places from which none is kept just to learn from. */
+    private static final double MAX_UNUSED_RATIO_TO_EXPLORE = 2;
+
+    private final ConnectionLimits limits;
+    private final ConnectionTable connections;
+    private final SplittableRandom random;
+    private final IdleReuseEstimator[] estimators = new IdleReuseEstimator[REUSE_GROUPS];
+    private final double[] idleLimitSeconds = new double[REUSE_GROUPS];
+
+    KeepAlivePolicy(ConnectionLimits limits, ConnectionTable connections, long seed) {
+        this.limits = limits;
+        this.connections = connections;
+        random = new SplittableRandom(seed);
+        Arrays.setAll(
+                estimators,
+                group ->
+                        new IdleReuseEstimator(
+                                limits.quiet(), limits.earliest(), limits.halfLifeSeconds()));
+        Arrays.fill(idleLimitSeconds, limits.quiet());
+    }
+
+    private static int group(int responses) {
+        if (responses < 2) {
+            return 0;
+        }
+        return responses < 4 ? 1 : 2;
+    }
+
+    private int groupOf(int connection) {
+        return group(connections.responses[connection]);
+    }
+
+    /** Whether a connection is to stay open after the response that is ready now. */
+    boolean keepsOpen(int connection, double now) {
+        boolean worthKeeping =
+                estimators[groupOf(connection)].idleLimitSeconds(pricePerSecond(), now) > 0;
+        boolean explores =
+                unusedRatio() < MAX_UNUSED_RATIO_TO_EXPLORE && random.nextDouble() < EXPLORED_SHARE;
+        return worthKeeping || explores;
+    }
+
+    /** Whether the response may announce for how long the connection stays open. */
+    boolean mayAnnounce() {
+        return limits.announces() && pricePerSecond() < 1 / limits.quiet();
+    }
+
+    /** An idle connection was used again. */
+    void reused(int connection, double now) {
+        estimators[groupOf(connection)].reusedAfter(
+                connections.secondsInState(connection, now), now);
+    }
+
+    /** An idle connection was closed without having been used again. */
+    void closedIdle(int connection, double now) {
+        estimators[groupOf(connection)].closedAfter(
+                connections.secondsInState(connection, now), now);
+    }
+
+    /** Learns anew how long idle connections may stay, from the present price. */
+    void updateIdleLimits(double now) {
+        for (int group = 0; group < REUSE_GROUPS; group++) {
+            idleLimitSeconds[group] =
+                    Math.max(
+                            limits.earliest(),
+                            estimators[group].idleLimitSeconds(pricePerSecond(), now));
+        }
+    }
+
+    double idleLimitSeconds(int connection) {
+        return idleLimitSeconds[groupOf(connection)];
+    }
+
+    /** Places that stand unused, as a ratio to how many may before they have their full price. */
+    private double unusedRatio() {
+        int busy =
+                connections.count(ConnectionState.AWAITING_RESPONSE)
+                        + connections.count(ConnectionState.SENDING_RESPONSE);
+        return (connections.openCount() - busy)
+                / (ConnectionLimits.UNUSED_SHARE_AT_FULL_PRICE * connections.maxConnections());
+    }
+
+    /** What a place costs for a second, in connections that need not be opened again. */
+    private double pricePerSecond() {
+        return Math.pow(unusedRatio(), PRICE_EXPONENT) / limits.quiet();
+    }
+}
--- a/src/main/java/lemondrift/connection/RequestQueue.java
+++ b/src/main/java/lemondrift/connection/RequestQueue.java
@@ -4,105 +4,108 @@
 import java.util.PriorityQueue;
 
 /**
- * How much the decisions' queue takes, and who goes next when it has room: the exchange whose time
- * is up first. Danger: a queue longer than its exchanges can wait makes all of them late, where
- * some could be in time. No more than one exchange waits here for each connection, so that it has a
- * bound.
+ * Bounds the queue before the balancer to what can be decided in time, and holds back the rest, of
+ * which the one with the earliest deadline goes next. Guards against a queue that makes all
+ * requests late where some could be in time. No more than one request for each connection is held
+ * back.
  *
- * @param <T> an exchange as the adapter knows it
+ * @param <T> a request as the caller knows it
  */
 public final class RequestQueue<T> {
-    /** The share of the shortest contract time that an exchange may wait for the decisions. */
-    private static final double SHARE = 0.125;
+    /** The share of the shortest latency objective that a request may wait for its decision. */
+    private static final double MAX_WAIT_SHARE = 0.125;
 
     /**
-     * The queue always takes so many, and so many more than the share allows must wait before any
-     * is asked.
+     * Wait, in longest waits, from which the balancer is asked whether it would shed the request.
      */
-    private static final int LEAST = 16;
+    private static final double BACKLOG_WAITS = 2;
 
-    /** The weight of the newest measurement in what one decision takes. */
-    private static final double NEW = 1.0 / 16;
+    /** The least capacity of the queue, in requests. */
+    private static final int MIN_CAPACITY = 16;
 
-    private record Waiting<T>(T exchange, double end, long order) {}
+    /** The largest capacity of the queue, in requests, once decisions have been measured. */
+    private static final double MAX_CAPACITY = 1e6;
 
-    private double longestWait;
-    private final PriorityQueue<Waiting<T>> waiting =
+    /** The weight of the newest measurement in the mean time of a decision. */
+    private static final double NEWEST_WEIGHT = 1.0 / 16;
+
+    private record HeldRequest<T>(T request, double deadline, long order) {}
+
+    private double maxWaitSeconds;
+    private final PriorityQueue<HeldRequest<T>> heldBack =
             new PriorityQueue<>(
-                    Comparator.comparingDouble((Waiting<T> each) -> each.end)
-                            .thenComparingLong(Waiting::order));
-    private double cost;
-    private long taken;
+                    Comparator.comparingDouble((HeldRequest<T> each) -> each.deadline)
+                            .thenComparingLong(HeldRequest::order));
+    private double decisionSeconds;
+    private long lastOrder;
     private int queued;
 
-    /** The contract time is the shortest of all service grades, in seconds, over 0. */
-    public RequestQueue(double contractTime) {
-        retuned(contractTime);
+    /** A queue for the shortest latency objective of all request classes, in seconds over 0. */
+    public RequestQueue(double latencyObjectiveSeconds) {
+        setLatencyObjective(latencyObjectiveSeconds);
     }
 
-    /** Another one is the shortest from now on. */
-    public void retuned(double contractTime) {
-        longestWait = SHARE * contractTime;
+    /** Another latency objective is the shortest from now on. */
+    public void setLatencyObjective(double latencyObjectiveSeconds) {
+        maxWaitSeconds = MAX_WAIT_SHARE * latencyObjectiveSeconds;
     }
 
-    /** The decisions took so many exchanges out of the queue, which took so many seconds in all. */
-    public void decided(int exchanges, double seconds) {
-        queued -= exchanges;
-        if (exchanges > 0) {
-            cost += (seconds / exchanges - cost) * NEW;
+    /** The balancer took so many requests out of the queue, in so many seconds for all. */
+    public void decided(int requests, double seconds) {
+        queued -= requests;
+        if (requests > 0) {
+            decisionSeconds += (seconds / requests - decisionSeconds) * NEWEST_WEIGHT;
         }
     }
 
-    /** How many may be in the queue. */
-    public int most() {
-        return cost <= 0
-                ? Integer.MAX_VALUE
-                : (int) Math.max(LEAST, Math.min(1e6, longestWait / cost));
+    /** How many requests may be in the queue. */
+    public int capacity() {
+        if (decisionSeconds <= 0) {
+            return Integer.MAX_VALUE;
+        }
+        return (int)
+                Math.max(MIN_CAPACITY, Math.min(MAX_CAPACITY, maxWaitSeconds / decisionSeconds));
     }
 
-    /**
-     * Whether one more may go to the queue now. If so it counts as queued; else it is to wait here.
-     */
-    public boolean takes() {
-        if (!waiting.isEmpty() || queued >= most()) {
+    private boolean isFull() {
+        return queued >= capacity();
+    }
+
+    /** Whether a request may go to the queue now; if so it counts as queued. */
+    public boolean tryEnqueue() {
+        if (!heldBack.isEmpty() || isFull()) {
             return false;
         }
         queued++;
         return true;
     }
 
-    /** How long one that comes now would wait until it is decided, in seconds. */
-    public double expectedWait() {
-        return (queued + waiting.size()) * cost;
+    /** How long a request that comes now would wait for its decision, in seconds. */
+    public double expectedWaitSeconds() {
+        return (queued + heldBack.size()) * decisionSeconds;
     }
 
-    /**
-     * Whether so many wait that one more should be asked for only if the decisions would not shed
-     * it.
-     */
-    public boolean isLong() {
-        return expectedWait() > 2 * longestWait;
+    /** Whether so many wait that one more should be held back only if it would not be shed. */
+    public boolean isBacklogged() {
+        return expectedWaitSeconds() > BACKLOG_WAITS * maxWaitSeconds;
     }
 
-    /** An exchange waits here; its time is up at the end. */
-    public void waits(T exchange, double end) {
-        waiting.add(new Waiting<>(exchange, end, ++taken));
+    /** Holds a request back until there is room for it. */
+    public void holdBack(T request, double deadline) {
+        heldBack.add(new HeldRequest<>(request, deadline, ++lastOrder));
     }
 
-    /**
-     * Takes out the one to go to the queue next, which counts as queued from now on; null if there
-     * is none.
-     */
-    public T next() {
-        if (waiting.isEmpty() || queued >= most()) {
+    /** Takes out the request to queue next, which counts as queued; null if there is none. */
+    public T pollNext() {
+        if (heldBack.isEmpty() || isFull()) {
             return null;
         }
         queued++;
-        return waiting.poll().exchange;
+        return heldBack.poll().request;
     }
 
-    /** How many wait here. */
-    public int size() {
-        return waiting.size();
+    /** How many requests are held back. */
+    public int heldBackCount() {
+        return heldBack.size();
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/client/RequestAdmission.java
@@ -0,0 +1,94 @@
+package lemondrift.proxy.client;
+
+import lemondrift.connection.RequestQueue;
+import lemondrift.metrics.ProxyMetrics;
+import lemondrift.model.FailureReason;
+import lemondrift.model.Request;
+import lemondrift.model.ShedThreshold;
+import lemondrift.proxy.events.DecisionEvents;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.time.MonotonicClock;
+
+/**
+ * Hands requests to the balancer as fast as it decides them. What can't be decided in time is held
+ * back here, or shed (503, WAIT_TOO_LONG) by the balancer's threshold; what the balancer leaves
+ * undecided past its deadline is failed (502, OVERDUE). I/O thread only.
+ */
+final class RequestAdmission {
+    private final RequestQueue<PendingRequest> requestQueue;
+    private final DecisionEvents decisionEvents;
+    private final ResponseWriter responses;
+    private final MonotonicClock clock;
+    private final ProxyMetrics metrics;
+    private Runnable beforeEachRequest = () -> {};
+
+    RequestAdmission(
+            double latencyObjectiveSeconds,
+            DecisionEvents decisionEvents,
+            ResponseWriter responses,
+            MonotonicClock clock,
+            ProxyMetrics metrics) {
+        requestQueue = new RequestQueue<>(latencyObjectiveSeconds);
+        this.decisionEvents = decisionEvents;
+        this.responses = responses;
+        this.clock = clock;
+        this.metrics = metrics;
+    }
+
+    /** What is to be done before a request is decided; set before listening. */
+    void beforeEachRequest(Runnable task) {
+        beforeEachRequest = task;
+    }
+
+    /** The shortest latency objective of all request classes from now on. */
+    void setLatencyObjective(double seconds) {
+        requestQueue.setLatencyObjective(seconds);
+    }
+
+    /** Queues a request for the balancer, holds it back, or sheds it. */
+    void offer(PendingRequest pending) {
+        beforeEachRequest.run();
+        Request request = pending.request();
+        double decideBy =
+                request.arrivedAt
+                        + Math.min(
+                                request.deadline - request.arrivedAt,
+                                request.terms.requestClass().latencyObjectiveSeconds());
+        if (requestQueue.tryEnqueue()) {
+            decisionEvents.requestArrived(pending);
+            return;
+        }
+        ShedThreshold shed =
+                requestQueue.isBacklogged()
+                        ? decisionEvents.shedThreshold(request.requestClass, decideBy - clock.now())
+                        : null;
+        if (shed == null) {
+            requestQueue.holdBack(pending, decideBy);
+        } else {
+            request.failureReason = FailureReason.WAIT_TOO_LONG;
+            responses.fail(pending.exchange(), true, shed.retryAfterSeconds());
+        }
+    }
+
+    /** The balancer decided so many requests in so many seconds, and has room for more. */
+    void decided(int requests, double seconds) {
+        requestQueue.decided(requests, seconds);
+        for (PendingRequest next = requestQueue.pollNext();
+                next != null;
+                next = requestQueue.pollNext()) {
+            decisionEvents.requestArrived(next);
+        }
+    }
+
+    /** Fails a request that is past its deadline, whatever keeps the balancer. */
+    void failOverdue(PendingRequest pending) {
+        if (!ClientCloseWatch.isClientWaiting(pending)) {
+            return;
+        }
+        Request request = pending.request();
+        request.failureReason = FailureReason.OVERDUE;
+        metrics.overdueRequestFailed();
+        responses.fail(pending.exchange(), false, ResponseWriter.NO_RETRY_AFTER);
+        decisionEvents.clientLeft(request);
+    }
+}
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -14,111 +14,129 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * A request's body as it comes: held as long as it may be, then given on piece by piece, in chunks
- * where nobody tells its length. I/O thread only.
+ * A request's body as it comes: buffered as long as the budget allows, else streamed piece by
+ * piece, in chunks where its length is not known. I/O thread only.
  */
 public final class RequestBody implements StreamedRequestBody {
-    /** Who hears what becomes of it. */
-    interface Hearer {
-        /** All of it has come and is held. */
-        void held(byte[] body);
+    /** Hears what becomes of a body. */
+    interface Listener {
+        /** All of it has come and is buffered. */
+        void buffered(byte[] body);
 
-        /** It can't be held to its end and is to be passed on. */
-        void passes(RequestBody streamedBody);
+        /** It can't be buffered to its end and is to be streamed. */
+        void streamed(RequestBody body);
 
-        /** The last byte of one that is passed on has come. */
-        void whole();
+        /** The last byte of a streamed body has come. */
+        void streamComplete();
 
-        /** A byte was given on that is not held. */
-        void letGo();
+        /** A byte was passed on that is not buffered. */
+        void notReplayable();
 
-        /** It can't be read, or is longer than any may be. */
-        void failed(boolean tooLong);
+        /** It is longer than a body may be. */
+        void tooLong();
+
+        /** It can't be read, or its framing is broken. */
+        void unreadable();
     }
 
-    private static final ByteBuffer END = ByteBuffer.wrap(new byte[] {'\r', '\n'});
+    private static final ByteBuffer CHUNK_END = ByteBuffer.wrap(new byte[] {'\r', '\n'});
 
     private final StreamSourceChannel channel;
     private final BodyBufferBudget bufferBudget;
-    private final ByteBufferPool buffers;
-    private final long longest;
-    private final Hearer hearer;
+    private final ByteBufferPool bufferPool;
+    private final long maxBytes;
+    private final Listener listener;
 
     /** How long a backend may take nothing of it. */
     private final double stallTimeoutSeconds;
 
     private final boolean chunked;
-    private final Deque<ByteBuffer> next = new ArrayDeque<>();
 
-    /**
-     * How many seconds there are for the answer from the last byte on; set when it is passed on.
-     */
+    /** What was read and is to be passed on next, with the framing of chunks. */
+    private final Deque<ByteBuffer> nextPieces = new ArrayDeque<>();
+
+    /** How long the response may take from the last byte on; set when the body is streamed. */
     private double responseTimeoutSeconds;
 
-    private byte[] held = {};
-    private int count;
-    private long came;
+    private byte[] buffered = {};
+    private int bufferedBytes;
+    private long receivedBytes;
 
     /**
-     * What has come and is not held. Danger: one of a pool might be given away while it is still
-     * written.
+     * What has come and is not buffered. Guards against a pooled buffer that is given away while it
+     * is still written.
      */
-    private ByteBuffer loose;
+    private ByteBuffer unbuffered;
+
+    private boolean passedBuffered;
+    private boolean sourceEnded;
+    private boolean allGiven;
 
-    private boolean beyond;
-    private boolean ended;
-    private boolean given;
-    private boolean failed;
-    private Runnable released = () -> {};
+    /** Nothing more is read: it failed, or its request is over. */
+    private boolean stopped;
+
+    private Runnable onRelease = () -> {};
 
     RequestBody(
-            HttpServerExchange client,
+            HttpServerExchange exchange,
             BodyBufferBudget bufferBudget,
-            ByteBufferPool buffers,
-            long longest,
-            double stall,
-            Hearer hearer) {
-        this.stallTimeoutSeconds = stall;
-        channel = client.getRequestChannel();
-        chunked = client.getRequestContentLength() < 0;
+            ByteBufferPool bufferPool,
+            long maxBytes,
+            double stallTimeoutSeconds,
+            Listener listener) {
+        this.stallTimeoutSeconds = stallTimeoutSeconds;
+        channel = exchange.getRequestChannel();
+        chunked = exchange.getRequestContentLength() < 0;
         this.bufferBudget = bufferBudget;
-        this.buffers = buffers;
-        this.longest = longest;
-        this.hearer = hearer;
-    }
-
-    /** Reads until all is held, or as much as may be. */
-    void hold() {
-        try (PooledByteBuffer pooled = buffers.allocate()) {
-            ByteBuffer buffer = pooled.getBuffer();
-            for (int got = channel.read(buffer.clear());
-                    got != 0;
-                    got = channel.read(buffer.clear())) {
-                if (got < 0) {
-                    ended = true;
-                    hearer.held(count == held.length ? held : Arrays.copyOf(held, count));
+        this.bufferPool = bufferPool;
+        this.maxBytes = maxBytes;
+        this.listener = listener;
+    }
+
+    /** Reads until all is buffered, or as much as may be. */
+    void buffer() {
+        try (PooledByteBuffer pooled = bufferPool.allocate()) {
+            ByteBuffer piece = pooled.getBuffer();
+            for (int count = channel.read(piece.clear());
+                    count != 0;
+                    count = channel.read(piece.clear())) {
+                if (count < 0) {
+                    sourceEnded = true;
+                    listener.buffered(
+                            bufferedBytes == buffered.length
+                                    ? buffered
+                                    : Arrays.copyOf(buffered, bufferedBytes));
                     return;
                 }
-                came += got;
-                buffer.flip();
-                if (!bufferBudget.takes(count, got)) {
-                    loose = ByteBuffer.allocate(buffer.capacity()).put(buffer).flip();
-                    channel.suspendReads();
-                    hearer.passes(this);
+                receivedBytes += count;
+                piece.flip();
+                if (!bufferBudget.tryReserve(bufferedBytes, count)) {
+                    stream(piece);
                     return;
                 }
-                held =
-                        count + got <= held.length
-                                ? held
-                                : Arrays.copyOf(held, Math.max(count + got, 2 * held.length));
-                buffer.get(held, count, got);
-                count += got;
+                append(piece, count);
             }
-            channel.getReadSetter().set(source -> hold());
+            channel.getReadSetter().set(source -> buffer());
             channel.resumeReads();
         } catch (IOException | RuntimeException e) {
-            fail(false);
+            // Wide: whatever the decoder of the body throws, its client must have a response.
+            unreadable();
+        }
+    }
+
+    private void append(ByteBuffer piece, int count) {
+        int needed = bufferedBytes + count;
+        if (needed > buffered.length) {
+            buffered = Arrays.copyOf(buffered, Math.max(needed, 2 * buffered.length));
         }
+        piece.get(buffered, bufferedBytes, count);
+        bufferedBytes += count;
+    }
+
+    private void stream(ByteBuffer piece) {
+        unbuffered = ByteBuffer.allocate(piece.capacity()).put(piece).flip();
+        channel.suspendReads();
+        listener.streamed(this);
     }
 
     @Override
@@ -142,105 +160,118 @@
 
     @Override
     public boolean restart() {
-        if (beyond) {
+        if (passedBuffered) {
             return false;
         }
-        next.clear();
-        given = false;
-        if (count > 0) {
-            give(ByteBuffer.wrap(held, 0, count).slice());
+        nextPieces.clear();
+        allGiven = false;
+        if (bufferedBytes > 0) {
+            addPiece(ByteBuffer.wrap(buffered, 0, bufferedBytes).slice());
         }
         return true;
     }
 
-    private void give(ByteBuffer piece) {
+    private void addPiece(ByteBuffer piece) {
         if (chunked) {
-            next.add(
-                    ByteBuffer.wrap(
-                            (Integer.toHexString(piece.remaining()) + "\r\n")
-                                    .getBytes(StandardCharsets.US_ASCII)));
+            nextPieces.add(ascii(Integer.toHexString(piece.remaining()) + "\r\n"));
         }
-        next.add(piece);
+        nextPieces.add(piece);
         if (chunked) {
-            next.add(END.duplicate());
+            nextPieces.add(CHUNK_END.duplicate());
         }
     }
 
+    private static ByteBuffer ascii(String text) {
+        return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
+    }
+
     @Override
     public ByteBuffer next() {
-        if (next.isEmpty() && !given) {
-            read();
+        if (nextPieces.isEmpty() && !allGiven) {
+            readNext();
         }
-        return next.poll();
+        return nextPieces.poll();
     }
 
-    /** Danger: an error here is the client's; its backend must not be blamed for it. */
-    private void read() {
+    /** Guards against blaming the backend for an error of the client: none is thrown here. */
+    private void readNext() {
         try {
-            if (!beyond) {
-                beyond = true;
-                hearer.letGo();
-            } else if (!ended) {
-                int got = failed ? 0 : channel.read(loose.clear());
-                loose.flip();
-                came += Math.max(0, got);
-                ended = got < 0;
+            if (!passedBuffered) {
+                passedBuffered = true;
+                listener.notReplayable();
+            } else if (!sourceEnded) {
+                int count = stopped ? 0 : channel.read(unbuffered.clear());
+                unbuffered.flip();
+                receivedBytes += Math.max(0, count);
+                sourceEnded = count < 0;
             }
-            if (came > longest) {
-                fail(true);
-            } else if (loose.hasRemaining()) {
-                give(loose.slice());
-                loose.position(loose.limit());
-            } else if (ended) {
-                given = true;
-                hearer.whole();
+            if (receivedBytes > maxBytes) {
+                tooLong();
+            } else if (unbuffered.hasRemaining()) {
+                addPiece(unbuffered.slice());
+                unbuffered.position(unbuffered.limit());
+            } else if (sourceEnded) {
+                allGiven = true;
+                listener.streamComplete();
                 if (chunked) {
-                    next.add(ByteBuffer.wrap("0\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+                    nextPieces.add(ascii("0\r\n\r\n"));
                 }
             }
         } catch (IOException | RuntimeException e) {
-            fail(false);
+            // Wide: whatever the decoder of the body throws is not the backend's fault.
+            unreadable();
         }
     }
 
-    private void fail(boolean tooLong) {
-        if (!failed) {
-            failed = true;
-            channel.suspendReads();
-            hearer.failed(tooLong);
+    private void tooLong() {
+        if (!stopped) {
+            stopReading();
+            listener.tooLong();
         }
     }
 
+    private void unreadable() {
+        if (!stopped) {
+            stopReading();
+            listener.unreadable();
+        }
+    }
+
+    private void stopReading() {
+        stopped = true;
+        channel.suspendReads();
+    }
+
     @Override
     public boolean isWhole() {
-        return given && next.isEmpty();
+        return allGiven && nextPieces.isEmpty();
     }
 
     @Override
-    public void awaitMore(Runnable then) {
-        if (failed) {
+    public void awaitMore(Runnable action) {
+        if (stopped) {
             return;
         }
         channel.getReadSetter()
                 .set(
                         source -> {
                             source.suspendReads();
-                            then.run();
+                            action.run();
                         });
         channel.resumeReads();
     }
 
     @Override
-    public void whenReleased(Runnable then) {
-        released = then;
+    public void whenReleased(Runnable action) {
+        onRelease = action;
     }
 
-    /** Its request is over: nothing is held any more. */
+    /** Its request is over: nothing is buffered any more. */
     void release() {
-        bufferBudget.letGo(count);
-        count = 0;
-        held = new byte[0];
-        failed = true;
-        released.run();
+        bufferBudget.release(bufferedBytes);
+        bufferedBytes = 0;
+        buffered = new byte[0];
+        stopped = true;
+        onRelease.run();
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/client/RequestReader.java
@@ -0,0 +1,210 @@
+package lemondrift.proxy.client;
+
+import io.undertow.connector.ByteBufferPool;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.SameThreadExecutor;
+import io.undertow.util.StatusCodes;
+import lemondrift.buffer.BodyBufferBudget;
+import lemondrift.model.Request;
+import lemondrift.proxy.events.DecisionEvents;
+import lemondrift.proxy.events.PendingRequest;
+import org.xnio.IoUtils;
+
+/**
+ * Reads requests and offers them for admission: whole where the body can be buffered, else as soon
+ * as it can't be. Rejects here:
+ *
+ * <ul>
+ *   <li>400, connection closed: ambiguous framing, a body that can't be read, a streamed request
+ *       with a bad field;
+ *   <li>400, connection read again later: a bad field, or the id of a request that is open;
+ *   <li>413, connection closed: a body longer than {@link #MAX_BODY_BYTES}.
+ * </ul>
+ *
+ * <p>I/O thread only.
+ */
+final class RequestReader {
+    /** The longest body that is accepted. */
+    private static final long MAX_BODY_BYTES = 40 << 20;
+
+    private static final String HEALTH_CHECK_PATH = "/healthz";
+
+    private final ClientConnections connections;
+    private final RequestValidator validator;
+    private final RequestAdmission admission;
+    private final ResponseWriter responses;
+    private final BodyBufferBudget bufferBudget;
+    private final ByteBufferPool bufferPool;
+    private final double backendStallTimeoutSeconds;
+    private final DecisionEvents decisionEvents;
+
+    RequestReader(
+            ClientConnections connections,
+            RequestValidator validator,
+            RequestAdmission admission,
+            ResponseWriter responses,
+            BodyBufferBudget bufferBudget,
+            ByteBufferPool bufferPool,
+            double backendStallTimeoutSeconds,
+            DecisionEvents decisionEvents) {
+        this.connections = connections;
+        this.validator = validator;
+        this.admission = admission;
+        this.responses = responses;
+        this.bufferBudget = bufferBudget;
+        this.bufferPool = bufferPool;
+        this.backendStallTimeoutSeconds = backendStallTimeoutSeconds;
+        this.decisionEvents = decisionEvents;
+    }
+
+    /** Undertow has read a request's head. */
+    void handle(HttpServerExchange exchange) {
+        ClientConnection connection = connections.of(ClientConnection.socketOf(exchange));
+        if (connection == null) {
+            // Guards against a head that Undertow had read before its connection was closed.
+            IoUtils.safeClose(ClientConnection.socketOf(exchange));
+            return;
+        }
+        connection.headRead();
+        connection.attachTo(exchange);
+        exchange.addExchangeCompleteListener(
+                (completed, next) -> {
+                    completed(completed, connection);
+                    next.proceed();
+                });
+        if (isHealthCheck(exchange)) {
+            responses.writeHealth(exchange);
+        } else if (!RequestValidator.isUnambiguous(exchange)) {
+            responses.rejectAndClose(exchange, StatusCodes.BAD_REQUEST);
+        } else if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
+            responses.rejectAndClose(exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE);
+        } else if (exchange.isRequestComplete()) {
+            requestRead(exchange, new byte[0]);
+        } else {
+            readBody(exchange, connection);
+        }
+    }
+
+    private static boolean isHealthCheck(HttpServerExchange exchange) {
+        return exchange.getRequestPath().equals(HEALTH_CHECK_PATH)
+                && !exchange.getRequestHeaders().contains(RequestValidator.REQUEST_ID);
+    }
+
+    /** Guards against what was closed midway: it completes too, before its close is reported. */
+    private void completed(HttpServerExchange exchange, ClientConnection connection) {
+        ClientCloseWatch.stop(exchange);
+        if (ClientConnection.socketOf(exchange).isOpen()) {
+            responses.countCompleted(exchange);
+            connection.responseSent();
+        }
+    }
+
+    private void readBody(HttpServerExchange exchange, ClientConnection connection) {
+        connection.body =
+                new RequestBody(
+                        exchange,
+                        bufferBudget,
+                        bufferPool,
+                        MAX_BODY_BYTES,
+                        backendStallTimeoutSeconds,
+                        bodyListener(exchange, connection));
+        connection.body.buffer();
+    }
+
+    private RequestBody.Listener bodyListener(
+            HttpServerExchange exchange, ClientConnection connection) {
+        return new RequestBody.Listener() {
+            @Override
+            public void buffered(byte[] body) {
+                requestRead(exchange, body);
+            }
+
+            @Override
+            public void streamed(RequestBody body) {
+                exchange.dispatch(SameThreadExecutor.INSTANCE, () -> offerStreamed(exchange, body));
+            }
+
+            @Override
+            public void streamComplete() {
+                connection.requestRead();
+                ClientCloseWatch.start(exchange);
+            }
+
+            @Override
+            public void notReplayable() {
+                decisionEvents.bodyNotReplayable(connection.request);
+            }
+
+            @Override
+            public void tooLong() {
+                responses.rejectAndClose(exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE);
+            }
+
+            @Override
+            public void unreadable() {
+                if (connection.request == null) {
+                    responses.rejectAndClose(exchange, StatusCodes.BAD_REQUEST);
+                } else {
+                    IoUtils.safeClose(ClientConnection.socketOf(exchange));
+                }
+            }
+        };
+    }
+
+    private void requestRead(HttpServerExchange exchange, byte[] body) {
+        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> offerWhole(exchange, body));
+    }
+
+    private void offerWhole(HttpServerExchange exchange, byte[] body) {
+        Request request = openRequest(exchange);
+        if (request == null) {
+            responses.rejectAndPause(exchange);
+            return;
+        }
+        ClientConnection connection = ClientConnection.of(exchange);
+        connection.requestRead();
+        ClientCloseWatch.start(exchange);
+        if (connections.stoodStill()) {
+            // Guards against a request whose client has closed while the process stood still.
+            ClientCloseWatch.checkNow(exchange);
+        }
+        PendingRequest pending = new PendingRequest(request, exchange, body, null);
+        connection.failOverdue = () -> admission.failOverdue(pending);
+        admission.offer(pending);
+    }
+
+    /** Decided now and sent as it comes, with all the time that its client needs for it. */
+    private void offerStreamed(HttpServerExchange exchange, RequestBody body) {
+        Request bounded = openRequest(exchange);
+        if (bounded == null) {
+            responses.rejectAndClose(exchange, StatusCodes.BAD_REQUEST);
+            return;
+        }
+        body.setResponseTimeoutSeconds(
+                Math.min(
+                        bounded.deadline - bounded.arrivedAt,
+                        bounded.terms.requestClass().latencyObjectiveSeconds()));
+        double timeoutSeconds = RequestValidator.MAX_TIMEOUT_MILLIS / 1e3;
+        Request request =
+                new Request(
+                        bounded.id,
+                        bounded.requestClass,
+                        bounded.tenant,
+                        bounded.arrivedAt,
+                        timeoutSeconds,
+                        bounded.markedRetry);
+        request.terms = bounded.terms.withTimeout(timeoutSeconds);
+        ClientConnection.of(exchange).request = request;
+        admission.offer(new PendingRequest(request, exchange, new byte[0], body));
+    }
+
+    /** Null where a field is bad or another request of its id is open. */
+    private Request openRequest(HttpServerExchange exchange) {
+        Request request = validator.parse(exchange.getRequestHeaders());
+        boolean opened =
+                request != null
+                        && ClientConnection.of(exchange)
+                                .openRequest(RequestValidator.requestIdOf(exchange), request);
+        return opened ? request : null;
+    }
+}
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -0,0 +1,295 @@
+package lemondrift.proxy.client;
+
+import io.undertow.io.IoCallback;
+import io.undertow.io.Sender;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import io.undertow.util.StatusCodes;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import lemondrift.metrics.ProxyMetrics;
+import lemondrift.model.Request;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.http.BodyChunks;
+import lemondrift.proxy.http.BodyRelay;
+import lemondrift.proxy.http.ProxyHeaders;
+import lemondrift.proxy.logging.FailureLog;
+import lemondrift.proxy.time.MonotonicClock;
+import org.xnio.IoUtils;
+import org.xnio.XnioIoThread;
+
+/** Writes responses to clients, the backends' and the proxy's own, and counts them. */
+final class ResponseWriter {
+    /** Stands for a failure without a Retry-After. */
+    static final double NO_RETRY_AFTER = 0;
+
+    private static final HttpString KEEP_ALIVE = new HttpString("Keep-Alive");
+
+    private final XnioIoThread ioThread;
+    private final MonotonicClock clock;
+    private final ProxyMetrics metrics;
+    private final FailureLog failureLog;
+    private final double backendStallTimeoutSeconds;
+    private volatile boolean draining;
+
+    ResponseWriter(
+            XnioIoThread ioThread,
+            MonotonicClock clock,
+            ProxyMetrics metrics,
+            double backendStallTimeoutSeconds) {
+        this.ioThread = ioThread;
+        this.clock = clock;
+        this.metrics = metrics;
+        failureLog = new FailureLog(metrics);
+        this.backendStallTimeoutSeconds = backendStallTimeoutSeconds;
+    }
+
+    /** While it drains, each response closes its connection and health checks fail. Any thread. */
+    void setDraining(boolean isDraining) {
+        draining = isDraining;
+    }
+
+    boolean isDraining() {
+        return draining;
+    }
+
+    void writeHealth(HttpServerExchange exchange) {
+        writeEmpty(exchange, draining ? StatusCodes.SERVICE_UNAVAILABLE : BackendResponse.OK);
+    }
+
+    /**
+     * Rejects a request that is not read to its end and closes its connection. Guards against a
+     * response without a body, which Undertow would hold back until all of the request has come.
+     */
+    void rejectAndClose(HttpServerExchange exchange, int status) {
+        exchange.setPersistent(false);
+        reject(
+                exchange,
+                status,
+                sent -> {
+                    if (sent.isRequestComplete()) {
+                        sent.endExchange();
+                    } else {
+                        closeAfterPause(sent);
+                    }
+                });
+    }
+
+    /** Rejects with 400 what was read but can't be used, and reads no more for a while. */
+    void rejectAndPause(HttpServerExchange exchange) {
+        reject(exchange, StatusCodes.BAD_REQUEST, sent -> afterReadPause(sent, sent::endExchange));
+    }
+
+    private void closeAfterPause(HttpServerExchange exchange) {
+        afterReadPause(exchange, () -> IoUtils.safeClose(ClientConnection.socketOf(exchange)));
+    }
+
+    private void afterReadPause(HttpServerExchange exchange, Runnable task) {
+        double seconds = ClientConnection.of(exchange).readPauseSeconds();
+        ioThread.executeAfter(task, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+    }
+
+    private void reject(
+            HttpServerExchange exchange, int status, Consumer<HttpServerExchange> whenSent) {
+        if (isClientError(status)) {
+            ClientConnection.of(exchange).requestRejected();
+        }
+        write(
+                exchange,
+                status,
+                StatusCodes.getReason(status).getBytes(StandardCharsets.US_ASCII),
+                new IoCallback() {
+                    @Override
+                    public void onComplete(HttpServerExchange sent, Sender sender) {
+                        count(sent);
+                        whenSent.accept(sent);
+                    }
+
+                    @Override
+                    public void onException(
+                            HttpServerExchange failed, Sender sender, IOException e) {
+                        IoUtils.safeClose(ClientConnection.socketOf(failed));
+                    }
+                });
+    }
+
+    /** Counts a completed response; one that rejected its request was counted when it was sent. */
+    void countCompleted(HttpServerExchange exchange) {
+        if (!isClientError(exchange.getStatusCode())) {
+            count(exchange);
+        }
+    }
+
+    private void count(HttpServerExchange exchange) {
+        count(exchange, reply(exchange.getStatusCode()));
+    }
+
+    private void count(HttpServerExchange exchange, ProxyMetrics.Reply reply) {
+        metrics.replySent(RequestValidator.requestClassOf(exchange), reply);
+    }
+
+    private static boolean isClientError(int status) {
+        return status / 100 == 4;
+    }
+
+    private static ProxyMetrics.Reply reply(int status) {
+        return switch (status) {
+            case BackendResponse.OK -> ProxyMetrics.Reply.SUCCESS;
+            case StatusCodes.SERVICE_UNAVAILABLE -> ProxyMetrics.Reply.OVERLOAD;
+            default -> ProxyMetrics.Reply.ERROR;
+        };
+    }
+
+    /**
+     * Ends a request that no backend serves: rejected is 503 and promises that a retry is harmless,
+     * else 502, which promises nothing.
+     *
+     * @param retryAfterSeconds for a rejected request, {@link #NO_RETRY_AFTER} to say nothing
+     */
+    void fail(HttpServerExchange exchange, boolean rejected, double retryAfterSeconds) {
+        Request request = ClientConnection.of(exchange).request;
+        if (request != null) {
+            failureLog.notServed(
+                    request,
+                    RequestValidator.requestIdOf(exchange),
+                    RequestValidator.requestClassOf(exchange),
+                    rejected,
+                    clock.now());
+        }
+        if (rejected && retryAfterSeconds > NO_RETRY_AFTER) {
+            double wholeMillis = Math.ceil(retryAfterSeconds * 1000);
+            exchange.getResponseHeaders()
+                    .put(Headers.RETRY_AFTER, String.valueOf(wholeMillis / 1000));
+        }
+        int status = rejected ? StatusCodes.SERVICE_UNAVAILABLE : StatusCodes.BAD_GATEWAY;
+        if (exchange.isRequestComplete()) {
+            writeEmpty(exchange, status);
+        } else {
+            // Undertow would hold a response without a body back until all of the request has come.
+            exchange.setPersistent(false);
+            reject(exchange, status, this::closeAfterPause);
+        }
+    }
+
+    /** Passes a backend's response on. */
+    void deliver(PendingRequest pending, BackendResponse response) {
+        HttpServerExchange exchange = pending.exchange();
+        ClientConnection.of(exchange)
+                .requestServed(pending.request().terms.requestClass().priorityWeight());
+        ProxyHeaders.copyEndToEnd(response.headers(), exchange.getResponseHeaders());
+        if (response.remainder() == null) {
+            write(exchange, BackendResponse.OK, response.body(), IoCallback.END_EXCHANGE);
+        } else {
+            relay(exchange, response);
+        }
+    }
+
+    /** Passes a long response on as it comes. */
+    private void relay(HttpServerExchange exchange, BackendResponse response) {
+        ClientConnection connection = ClientConnection.of(exchange);
+        if (!start(exchange, BackendResponse.OK)) {
+            response.remainder().abandonResponse();
+            return;
+        }
+        if (response.remainder().declared() >= 0) {
+            exchange.setResponseContentLength(response.remainder().declared());
+        }
+        BodyRelay relay =
+                new BodyRelay(
+                        new LongResponse(response),
+                        exchange.getResponseChannel(),
+                        ioThread,
+                        new BodyRelay.Patience(backendStallTimeoutSeconds, 0),
+                        connection::responseBytesAvailable,
+                        whole -> {
+                            connection.stopRelay = null;
+                            relayEnded(exchange, response, whole);
+                        });
+        connection.stopRelay =
+                () -> {
+                    relay.stop();
+                    response.remainder().abandonResponse();
+                };
+        relay.run();
+    }
+
+    private void relayEnded(HttpServerExchange exchange, BackendResponse response, boolean whole) {
+        if (whole) {
+            response.remainder().passed();
+            exchange.endExchange();
+        } else {
+            // A close the client can see: the length is short, or the last chunk is missing.
+            response.remainder().abandonResponse();
+            count(exchange, ProxyMetrics.Reply.ERROR);
+            IoUtils.safeClose(ClientConnection.socketOf(exchange));
+        }
+    }
+
+    /** A long response from its beginning, which was read whole, to its end. */
+    private static final class LongResponse implements BodyChunks {
+        private final BackendResponse response;
+        private boolean beginningGiven;
+
+        LongResponse(BackendResponse response) {
+            this.response = response;
+        }
+
+        @Override
+        public ByteBuffer next() throws IOException {
+            if (!beginningGiven) {
+                beginningGiven = true;
+                return ByteBuffer.wrap(response.body());
+            }
+            return response.remainder().next();
+        }
+
+        @Override
+        public boolean isWhole() {
+            return beginningGiven && response.remainder().isWhole();
+        }
+
+        @Override
+        public void awaitMore(Runnable action) {
+            response.remainder().awaitMore(action);
+        }
+    }
+
+    private void writeEmpty(HttpServerExchange exchange, int status) {
+        write(exchange, status, new byte[0], IoCallback.END_EXCHANGE);
+    }
+
+    private void write(HttpServerExchange exchange, int status, byte[] body, IoCallback whenSent) {
+        if (!start(exchange, status)) {
+            return;
+        }
+        exchange.setResponseContentLength(body.length);
+        if (body.length == 0) {
+            exchange.endExchange();
+        } else {
+            exchange.getResponseSender().send(ByteBuffer.wrap(body), whenSent);
+        }
+    }
+
+    /** Sets a response's head; false where there is a response already, or nobody to have it. */
+    private boolean start(HttpServerExchange exchange, int status) {
+        ClientConnection connection = ClientConnection.of(exchange);
+        if (exchange.isResponseStarted()
+                || exchange.isComplete()
+                || !ClientConnection.socketOf(exchange).isOpen()) {
+            return false;
+        }
+        if (!connection.responseReady() || draining) {
+            exchange.setPersistent(false);
+        } else if (connection.announcedKeepAliveSeconds() > 0) {
+            exchange.getResponseHeaders()
+                    .put(KEEP_ALIVE, "timeout=" + connection.announcedKeepAliveSeconds());
+        }
+        exchange.setStatusCode(status);
+        return true;
+    }
+}
--- a/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
+++ b/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
@@ -18,34 +18,36 @@
      * held.
      */
     @Property(tries = 300, seed = "48")
-    void neitherBoundIsPassedAndAllIsLetGo(
+    void neitherBoundIsExceededAndAllIsReleased(
             @ForAll List<@IntRange(min = 0, max = 999) Integer> steps) {
         BodyBufferBudget bufferBudget = new BodyBufferBudget(100, 250);
-        int[] has = new int[8];
+        int[] reserved = new int[8];
         for (int step : steps) {
             int body = step % 8;
             if (step < 800) {
                 int more = 1 + step / 8;
-                if (bufferBudget.takes(has[body], more)) {
-                    has[body] += more;
+                if (bufferBudget.tryReserve(reserved[body], more)) {
+                    reserved[body] += more;
                 } else {
-                    int sum = Arrays.stream(has).sum();
-                    assertTrue(has[body] + more > 100 || sum + more > 250, "refused without need");
+                    int sum = Arrays.stream(reserved).sum();
+                    assertTrue(
+                            reserved[body] + more > 100 || sum + more > 250,
+                            "refused without need");
                 }
             } else {
-                bufferBudget.letGo(has[body]);
-                has[body] = 0;
+                bufferBudget.release(reserved[body]);
+                reserved[body] = 0;
             }
-            assertTrue(has[body] <= 100);
-            assertEquals(Arrays.stream(has).sum(), bufferBudget.held());
-            assertTrue(bufferBudget.held() <= 250);
+            assertTrue(reserved[body] <= 100);
+            assertEquals(Arrays.stream(reserved).sum(), bufferBudget.bufferedBytes());
+            assertTrue(bufferBudget.bufferedBytes() <= 250);
         }
     }
 
     @Test
-    void withoutRoomNothingIsHeld() {
-        assertFalse(new BodyBufferBudget(0, 100).takes(0, 1));
-        assertFalse(new BodyBufferBudget(100, 0).takes(0, 1));
+    void withoutBudgetNothingIsBuffered() {
+        assertFalse(new BodyBufferBudget(0, 100).tryReserve(0, 1));
+        assertFalse(new BodyBufferBudget(100, 0).tryReserve(0, 1));
         assertThrows(IllegalArgumentException.class, () -> new BodyBufferBudget(-1, 5));
     }
 }
--- a/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -13,175 +13,185 @@
 import java.util.Set;
 
 /**
- * Clients before a door, without sockets, and a plain model of each: what it did in full, from
- * which it is reckoned anew at each look what the door must do and must not.
+ * Clients of a {@link ConnectionPolicy}, without sockets, and a plain model of each: its whole
+ * history, from which each check computes anew what the policy must and must not do.
  */
 final class ConnectionPolicyModel implements ConnectionPolicy.Actions {
     /**
-     * A client's connection: when it came, when each byte of the present request came, what it
-     * waits for.
+     * A client's connection: when it was accepted, when each byte of the present request came, and
+     * its state.
      */
     static final class Client {
-        final double came;
+        final double acceptedAt;
         final long address;
-        double since;
+        double enteredStateAt;
         ConnectionState state = ConnectionState.NEW;
-        final List<Double> heard = new ArrayList<>();
-        boolean unread;
-        boolean answered;
-        CloseReason ended;
+        final List<Double> byteTimes = new ArrayList<>();
+        boolean hasUnreadBytes;
+        boolean wasAnswered;
+        CloseReason closeReason;
 
-        Client(double came, long address) {
-            this.came = came;
+        Client(double acceptedAt, long address) {
+            this.acceptedAt = acceptedAt;
             this.address = address;
-            since = came;
+            enteredStateAt = acceptedAt;
         }
     }
 
-    final ConnectionLimits bounds;
-    final ConnectionPolicy door;
+    final ConnectionLimits limits;
+    final ConnectionPolicy policy;
     final Map<Integer, Client> clients = new LinkedHashMap<>();
-    final List<Client> gone = new ArrayList<>();
+    final List<Client> closed = new ArrayList<>();
     double now = 1000;
 
     ConnectionPolicyModel(ConnectionLimits limits) {
-        this.bounds = limits;
-        door = new ConnectionPolicy(limits, this, 7);
-        door.sweep(now);
+        this.limits = limits;
+        policy = new ConnectionPolicy(limits, this, 7);
+        policy.sweep(now);
     }
 
-    static ConnectionLimits bounds(int places, ConnectionLimits.Sharing sharing) {
+    static ConnectionLimits limits(int places, ConnectionLimits.Sharing sharing) {
         return new ConnectionLimits(
                 places, places + places / 10 + 1, 2.2, 2, sharing, false, 2048, 1);
     }
 
     @Override
-    public boolean isSilent(int i) {
-        Client client = clients.get(i);
-        if (client.unread) {
-            client.unread = false;
-            says(i, 1);
+    public boolean isSilent(int connection) {
+        Client client = clients.get(connection);
+        if (client.hasUnreadBytes) {
+            client.hasUnreadBytes = false;
+            sendBytes(connection, 1);
             return false;
         }
         return true;
     }
 
     @Override
-    public void close(int i, CloseReason why) {
-        Client client = clients.get(i);
-        assertNotEquals(ConnectionState.OPEN, client.state, "an exchange is open on it");
+    public void close(int connection, CloseReason reason) {
+        Client client = clients.get(connection);
+        assertNotEquals(ConnectionState.AWAITING_RESPONSE, client.state, "a request is open on it");
         assertFalse(
-                client.unread
+                client.hasUnreadBytes
                         && (client.state == ConnectionState.NEW
-                                || client.state == ConnectionState.QUIET),
-                "what it said was not looked at");
-        leaves(i);
-        client.ended = why;
+                                || client.state == ConnectionState.IDLE),
+                "its unread bytes were not looked at");
+        disconnect(connection);
+        client.closeReason = reason;
     }
 
-    int comes(long address) {
-        int i = door.came(address, now);
-        assertNull(clients.put(i, new Client(now, address)));
-        return i;
+    int accept(long address) {
+        int connection = policy.accepted(address, now);
+        assertNull(clients.put(connection, new Client(now, address)));
+        return connection;
     }
 
-    int comes() {
-        return comes(1);
+    int accept() {
+        return accept(1);
     }
 
-    private void is(int i, ConnectionState state) {
-        clients.get(i).state = state;
-        clients.get(i).since = now;
+    private void enter(int connection, ConnectionState state) {
+        clients.get(connection).state = state;
+        clients.get(connection).enteredStateAt = now;
     }
 
-    void says(int i, int bytes) {
-        Client client = clients.get(i);
-        if (client.state == ConnectionState.NEW || client.state == ConnectionState.QUIET) {
-            client.heard.clear();
-            is(i, ConnectionState.HEAD);
+    void sendBytes(int connection, int bytes) {
+        Client client = clients.get(connection);
+        if (client.state == ConnectionState.NEW || client.state == ConnectionState.IDLE) {
+            client.byteTimes.clear();
+            enter(connection, ConnectionState.READING_HEAD);
         }
-        for (int b = 0; b < bytes; b++) {
-            client.heard.add(now);
+        for (int k = 0; k < bytes; k++) {
+            client.byteTimes.add(now);
         }
-        door.heard(i, bytes, now);
+        policy.bytesReceived(connection, bytes, now);
     }
 
-    void opens(int i, int tenant) {
-        says(i, 100);
-        door.headRead(i, now);
-        door.opened(i, tenant, now);
-        is(i, ConnectionState.OPEN);
+    void sendRequest(int connection, int tenant) {
+        sendBytes(connection, 100);
+        policy.headRead(connection, now);
+        policy.requestRead(connection, tenant, now);
+        enter(connection, ConnectionState.AWAITING_RESPONSE);
     }
 
-    /** Answers it; false where its connection closes with that. */
-    boolean answered(int i, double benefit) {
-        boolean keeps = door.keeps(i, now);
-        door.answered(i, benefit, now);
-        clients.get(i).answered = true;
-        is(i, ConnectionState.QUIET);
-        if (!keeps) {
-            leaves(i);
+    /** Sends a response; false where the connection closes with it. */
+    boolean respond(int connection, double priorityWeight) {
+        boolean keepsOpen = policy.responseReady(connection, now);
+        policy.responseSent(connection, priorityWeight, now);
+        clients.get(connection).wasAnswered = true;
+        enter(connection, ConnectionState.IDLE);
+        if (!keepsOpen) {
+            disconnect(connection);
         }
-        return keeps;
+        return keepsOpen;
     }
 
-    boolean asks(int i) {
-        opens(i, 0);
-        return answered(i, 1);
+    boolean exchange(int connection) {
+        sendRequest(connection, 0);
+        return respond(connection, 1);
     }
 
-    void leaves(int i) {
-        door.gone(i, now);
-        gone.add(clients.remove(i));
+    void disconnect(int connection) {
+        policy.closed(connection, now);
+        closed.add(clients.remove(connection));
     }
 
-    /** Lets time pass, the door looked after as often as it wants. */
-    void passes(double seconds) {
+    /** Lets time pass, with a sweep at each interval. */
+    void advance(double seconds) {
         double end = now + seconds;
-        while (now + bounds.sweep() < end) {
-            now += bounds.sweep();
-            door.sweep(now);
+        while (now + limits.sweepIntervalSeconds() < end) {
+            now += limits.sweepIntervalSeconds();
+            policy.sweep(now);
         }
         now = end;
-        door.sweep(now);
+        policy.sweep(now);
     }
 
     /**
-     * Until when a request may take, reckoned from all that came of it: plainly, as the page says.
+     * The deadline of a request, computed from all of its bytes as docs/door.md states the rule.
      */
-    double due(Client client) {
-        double due = client.since + bounds.pause();
-        double at = client.since;
-        for (int b = 0; b < client.heard.size(); b++) {
-            if (client.heard.get(b) > at) {
-                due = Math.min(client.heard.get(b) + bounds.pause(), due + 1 / bounds.leastRate());
+    double deadline(Client client) {
+        double deadline = client.enteredStateAt + limits.readTimeoutSeconds();
+        double startedAt = client.enteredStateAt;
+        for (int k = 0; k < client.byteTimes.size(); k++) {
+            if (client.byteTimes.get(k) > startedAt) {
+                deadline =
+                        Math.min(
+                                client.byteTimes.get(k) + limits.readTimeoutSeconds(),
+                                deadline + 1 / limits.leastRate());
             }
         }
-        return due;
+        return deadline;
     }
 
-    void looksSound() {
+    void check() {
         for (Map.Entry<Integer, Client> each : clients.entrySet()) {
             Client client = each.getValue();
-            assertEquals(client.state, door.state(each.getKey()));
-            double late = now - bounds.sweep() - 1e-9;
+            assertEquals(client.state, policy.state(each.getKey()));
+            double late = now - limits.sweepIntervalSeconds() - 1e-9;
             switch (client.state) {
                 case NEW ->
                         assertTrue(
-                                client.came + bounds.firstWord() >= late, "no word for too long");
-                case QUIET ->
-                        assertTrue(client.since + bounds.quiet() >= late, "quiet for too long");
-                case HEAD -> assertTrue(due(client) >= late, "no progress for too long");
+                                client.acceptedAt + limits.firstByteTimeoutSeconds() >= late,
+                                "no byte for too long");
+                case IDLE ->
+                        assertTrue(
+                                client.enteredStateAt + limits.quiet() >= late,
+                                "idle for too long");
+                case READING_HEAD ->
+                        assertTrue(deadline(client) >= late, "no progress for too long");
                 default -> {}
             }
         }
-        assertEquals(clients.size(), door.indexes() - door.in(ConnectionState.FREE));
+        assertEquals(clients.size(), policy.capacity() - policy.count(ConnectionState.FREE));
     }
 
-    /** Ends of any kind that are among these. */
-    long ended(CloseReason... why) {
-        return gone.stream()
-                .filter(client -> client.ended != null && Set.of(why).contains(client.ended))
+    /** How many were closed for one of these reasons. */
+    long closedCount(CloseReason... reasons) {
+        return closed.stream()
+                .filter(
+                        client ->
+                                client.closeReason != null
+                                        && Set.of(reasons).contains(client.closeReason))
                 .count();
     }
 }
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -18,69 +18,73 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The door without sockets: its hard cases, and generated histories beside a plain model. */
+/**
+ * Connection decisions without sockets: hard cases, and generated histories beside a plain model.
+ */
 class ConnectionPolicyTest {
     private static final ConnectionLimits.Sharing EACH = ConnectionLimits.Sharing.CONNECTION;
 
     @Property(tries = 400, seed = "48")
-    void whateverComesTheRulesHold(
+    void rulesHoldForAnyHistory(
             @ForAll @IntRange(min = 1, max = 40) int places,
             @ForAll ConnectionLimits.Sharing sharing,
             @ForAll @Size(min = 50, max = 400) List<@IntRange(max = 9999) Integer> steps) {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(places, sharing));
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(places, sharing));
         for (int step : steps) {
-            List<Integer> all = List.copyOf(street.clients.keySet());
-            int i = all.isEmpty() ? -1 : all.get(step / 10 % all.size());
-            ConnectionState state = i < 0 ? ConnectionState.FREE : street.clients.get(i).state;
+            List<Integer> all = List.copyOf(model.clients.keySet());
+            int connection = all.isEmpty() ? -1 : all.get(step / 10 % all.size());
+            ConnectionState state =
+                    connection < 0 ? ConnectionState.FREE : model.clients.get(connection).state;
             switch (step % 10) {
                 case 0, 1, 2 -> {
-                    if (street.clients.size() < street.bounds.last()) {
-                        street.comes(step / 10 % 7);
+                    if (model.clients.size() < model.limits.last()) {
+                        model.accept(step / 10 % 7);
                     }
                 }
                 case 3 -> {
                     if (state == ConnectionState.NEW
-                            || state == ConnectionState.QUIET
-                            || state == ConnectionState.HEAD) {
-                        street.says(i, 1 + step / 10 % 50);
+                            || state == ConnectionState.IDLE
+                            || state == ConnectionState.READING_HEAD) {
+                        model.sendBytes(connection, 1 + step / 10 % 50);
                     }
                 }
                 case 4, 5 -> {
                     if (state == ConnectionState.NEW
-                            || state == ConnectionState.QUIET
-                            || state == ConnectionState.HEAD) {
-                        street.opens(i, step / 10 % 3);
-                    } else if (state == ConnectionState.OPEN) {
-                        street.answered(i, step / 10 % 3);
+                            || state == ConnectionState.IDLE
+                            || state == ConnectionState.READING_HEAD) {
+                        model.sendRequest(connection, step / 10 % 3);
+                    } else if (state == ConnectionState.AWAITING_RESPONSE) {
+                        model.respond(connection, step / 10 % 3);
                     }
                 }
                 case 6 -> {
-                    if (state == ConnectionState.NEW || state == ConnectionState.QUIET) {
-                        street.clients.get(i).unread = true;
+                    if (state == ConnectionState.NEW || state == ConnectionState.IDLE) {
+                        model.clients.get(connection).hasUnreadBytes = true;
                     } else if (state != ConnectionState.FREE) {
-                        street.leaves(i);
+                        model.disconnect(connection);
                     }
                 }
-                case 7 -> street.passes(step / 10 % 60 / 100.0);
-                case 8 -> street.now += step / 10 % 9 / 100.0;
-                default -> street.door.makeRoom(street.now);
+                case 7 -> model.advance(step / 10 % 60 / 100.0);
+                case 8 -> model.now += step / 10 % 9 / 100.0;
+                default -> model.policy.evictExcess(model.now);
             }
             if (step % 10 == 7) {
-                street.looksSound();
+                model.check();
             }
         }
-        // All that say nothing give way in a crowd, so that it ends.
-        street.clients.values().forEach(client -> client.unread = false);
-        street.passes(2 * street.bounds.patience() + street.bounds.sweep());
+        // All that send nothing are evicted, down to the limit.
+        model.clients.values().forEach(client -> client.hasUnreadBytes = false);
+        model.advance(
+                2 * model.limits.evictionGraceSeconds() + model.limits.sweepIntervalSeconds());
         long open =
-                street.clients.values().stream()
+                model.clients.values().stream()
                         .filter(
                                 client ->
-                                        client.state == ConnectionState.OPEN
-                                                || client.state == ConnectionState.HEAD)
+                                        client.state == ConnectionState.AWAITING_RESPONSE
+                                                || client.state == ConnectionState.READING_HEAD)
                         .count();
-        assertTrue(street.clients.size() <= Math.max(street.bounds.places(), open));
+        assertTrue(model.clients.size() <= Math.max(model.limits.places(), open));
     }
 
     /**
@@ -88,7 +92,7 @@
      * search.
      */
     @Property(tries = 300, seed = "48")
-    void givingWayIsMaxMin(
+    void evictionIsMaxMinFair(
             @ForAll @Size(min = 1, max = 30) List<@IntRange(max = 5) Integer> holders,
             @ForAll @IntRange(max = 40) int many,
             @ForAll long seed) {
@@ -98,14 +102,14 @@
         int[] held = new int[6];
         for (int s = 0; s < 6; s++) {
             sources[s] = new ClientSource();
-            sources[s].brought(random.nextInt(4), 0, 1);
+            sources[s].addCredit(random.nextInt(4), 0, 1);
             weight[s] = sources[s].weight(0, 1);
         }
         FairEviction fairEviction = new FairEviction(holders.size(), 1);
         for (int i = 0; i < holders.size(); i++) {
-            sources[holders.get(i)].held++;
+            sources[holders.get(i)].connections++;
             held[holders.get(i)]++;
-            fairEviction.mayYield(i, sources[holders.get(i)]);
+            fairEviction.addCandidate(i, sources[holders.get(i)]);
         }
         List<Integer> gave = new ArrayList<>();
         fairEviction.evict(
@@ -113,7 +117,7 @@
                 0,
                 i -> {
                     gave.add(holders.get(i));
-                    return --sources[holders.get(i)].held >= 0;
+                    return --sources[holders.get(i)].connections >= 0;
                 });
         assertEquals(Math.min(many, holders.size()), gave.size());
         for (int source : gave) {
@@ -125,10 +129,10 @@
     }
 
     @Test
-    void clientsThatAskOnceAndStayLeavePlacesToThoseThatComeAgain() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(200, EACH));
-        int[] usual = IntStream.range(0, 20).map(i -> street.comes()).toArray();
+    void clientsThatNeverReuseLeavePlacesToThoseThatDo() {
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(200, EACH));
+        int[] usual = IntStream.range(0, 20).map(i -> model.accept()).toArray();
         int reused = 0;
         int asked = 0;
         int most = 0;
@@ -136,20 +140,20 @@
             // Six come every 0.1 s, ask once and stay; two of the usual ask every 0.1 s, again and
             // again.
             for (int k = 0; k < 6; k++) {
-                street.asks(street.comes());
+                model.exchange(model.accept());
             }
             for (int k = 0; k < 2; k++) {
                 int j = (2 * turn + k) % usual.length;
                 asked += turn < 100 ? 0 : 1;
-                if (street.clients.containsKey(usual[j])) {
+                if (model.clients.containsKey(usual[j])) {
                     reused += turn < 100 ? 0 : 1;
                 } else {
-                    usual[j] = street.comes();
+                    usual[j] = model.accept();
                 }
-                street.asks(usual[j]);
+                model.exchange(usual[j]);
             }
-            street.passes(0.1);
-            most = Math.max(most, street.clients.size());
+            model.advance(0.1);
+            most = Math.max(most, model.clients.size());
         }
         assertTrue(
                 most <= 80,
@@ -159,244 +163,245 @@
     }
 
     @Test
-    void twoInThreeThatAreSilentFromTheStartMakeRoom() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(60, EACH));
+    void connectionsWithoutARequestAreEvicted() {
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(60, EACH));
         int served = 0;
         int tried = 0;
         for (int turn = 0; turn < 100; turn++) {
             for (int k = 0; k < 9; k++) {
-                if (street.clients.size() >= street.bounds.last()) {
+                if (model.clients.size() >= model.limits.last()) {
                     continue;
                 }
-                int i = street.comes();
-                street.door.makeRoom(street.now);
+                int connection = model.accept();
+                model.policy.evictExcess(model.now);
                 if (k % 3 == 0) {
-                    street.asks(i);
+                    model.exchange(connection);
                     served++;
                 }
             }
             tried += 3;
-            street.passes(0.1);
+            model.advance(0.1);
         }
         assertTrue(served > 0.9 * tried, served + " of " + tried);
     }
 
     @Test
-    void oneThatPausesForALittleLessThanIsAllowedKeepsItsPlace() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(100, EACH));
-        int i = street.comes();
+    void idleForLessThanTheLimitStaysOpen() {
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(100, EACH));
+        int connection = model.accept();
         for (int k = 0; k < 4; k++) {
-            assertTrue(street.asks(i));
-            street.passes(2.1);
-            assertTrue(street.clients.containsKey(i), "after pause " + k);
+            assertTrue(model.exchange(connection));
+            model.advance(2.1);
+            assertTrue(model.clients.containsKey(connection), "after pause " + k);
         }
     }
 
     @Test
-    void manySourcesWithOneEachStandBesideFewWithMany() {
-        ConnectionPolicyModel street =
+    void manySourcesWithOneConnectionHoldAgainstFewWithMany() {
+        ConnectionPolicyModel model =
                 new ConnectionPolicyModel(
-                        ConnectionPolicyModel.bounds(1000, ConnectionLimits.Sharing.ADDRESS));
+                        ConnectionPolicyModel.limits(1000, ConnectionLimits.Sharing.ADDRESS));
         for (int i = 0; i < 1000; i++) {
-            street.asks(street.comes(i));
+            model.exchange(model.accept(i));
         }
-        street.passes(0.2);
+        model.advance(0.2);
         for (int k = 0; k < 100; k++) {
             for (int s = 0; s < 10; s++) {
-                int i = street.comes(100_000 + s);
-                street.door.makeRoom(street.now);
-                street.opens(i, 0);
-                street.answered(i, 1);
+                int i = model.accept(100_000 + s);
+                model.policy.evictExcess(model.now);
+                model.sendRequest(i, 0);
+                model.respond(i, 1);
             }
-            street.passes(0.02);
+            model.advance(0.02);
         }
         long few =
-                street.clients.values().stream()
-                        .filter(client -> client.address >= 100_000)
-                        .count();
-        assertTrue(street.clients.size() <= 1000);
+                model.clients.values().stream().filter(client -> client.address >= 100_000).count();
+        assertTrue(model.clients.size() <= 1000);
         assertTrue(few <= 10 * 17, "no more than what they brought gives weight to: " + few);
         for (int i = 0; i < 3000; i++) {
-            street.leaves(street.comes(1_000_000 + i));
+            model.disconnect(model.accept(1_000_000 + i));
         }
         assertTrue(
-                street.door.remembered() <= 2 * street.bounds.last(),
+                model.policy.sourceCount() <= 2 * model.limits.last(),
                 "memory for sources is bounded");
     }
 
     @Test
     void aPauseOfTheProcessMakesNobodyOverdue() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
-        int fresh = street.comes();
-        int half = street.comes();
-        int kept = street.comes();
-        street.asks(kept);
-        street.passes(0.5);
-        street.says(half, 10);
-        street.now += 3;
-        street.clients.get(fresh).unread = true;
-        street.door.sweep(street.now);
-        assertTrue(street.clients.keySet().containsAll(List.of(fresh, half, kept)));
-        street.passes(4);
-        assertTrue(street.clients.isEmpty(), "without anything more all have gone");
-        assertEquals(2, street.ended(CloseReason.SLOW), "what they began is not gone on with");
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        int fresh = model.accept();
+        int half = model.accept();
+        int kept = model.accept();
+        model.exchange(kept);
+        model.advance(0.5);
+        model.sendBytes(half, 10);
+        model.now += 3;
+        model.clients.get(fresh).hasUnreadBytes = true;
+        model.policy.sweep(model.now);
+        assertTrue(model.clients.keySet().containsAll(List.of(fresh, half, kept)));
+        model.advance(4);
+        assertTrue(model.clients.isEmpty(), "without anything more all have gone");
+        assertEquals(
+                2,
+                model.closedCount(CloseReason.SLOW_REQUEST),
+                "what they began is not gone on with");
     }
 
     @Test
     void unreadBytesAreLookedForBeforeAnyClose() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
-        int fresh = street.comes();
-        int kept = street.comes();
-        street.asks(kept);
-        street.passes(1.7);
-        street.clients.get(fresh).unread = true;
-        street.passes(0.1);
-        street.clients.get(kept).unread = true;
-        street.passes(0.6);
-        assertEquals(ConnectionState.HEAD, street.door.state(kept));
-        assertEquals(ConnectionState.HEAD, street.door.state(fresh));
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        int fresh = model.accept();
+        int kept = model.accept();
+        model.exchange(kept);
+        model.advance(1.7);
+        model.clients.get(fresh).hasUnreadBytes = true;
+        model.advance(0.1);
+        model.clients.get(kept).hasUnreadBytes = true;
+        model.advance(0.6);
+        assertEquals(ConnectionState.READING_HEAD, model.policy.state(kept));
+        assertEquals(ConnectionState.READING_HEAD, model.policy.state(fresh));
     }
 
     @Test
     void aByteEach90MillisecondsIsNoProgress() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
-        int i = street.comes();
-        double began = street.now;
-        for (int k = 0; k < 50 && street.clients.containsKey(i); k++) {
-            street.says(i, 1);
-            street.passes(0.09);
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        int connection = model.accept();
+        double began = model.now;
+        for (int k = 0; k < 50 && model.clients.containsKey(connection); k++) {
+            model.sendBytes(connection, 1);
+            model.advance(0.09);
         }
         assertTrue(
-                street.now - began < street.bounds.pause() + 0.5,
-                "ended after " + (street.now - began));
-        assertEquals(1, street.ended(CloseReason.SLOW));
-        int quick = street.comes();
+                model.now - began < model.limits.readTimeoutSeconds() + 0.5,
+                "ended after " + (model.now - began));
+        assertEquals(1, model.closedCount(CloseReason.SLOW_REQUEST));
+        int quick = model.accept();
         for (int k = 0; k < 100; k++) {
-            street.says(quick, 200);
-            street.passes(0.09);
+            model.sendBytes(quick, 200);
+            model.advance(0.09);
         }
-        assertTrue(street.clients.containsKey(quick), "2.2 KiB a second is progress");
+        assertTrue(model.clients.containsKey(quick), "2.2 KiB a second is progress");
     }
 
     @Test
-    void withFewerPlacesTheQuietGiveWayAndComeBackWhenThereAreMore() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
+    void idleConnectionsAreEvictedWhenTheLimitFalls() {
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
         for (int i = 0; i < 4; i++) {
-            assertTrue(street.asks(street.comes()));
+            assertTrue(model.exchange(model.accept()));
         }
-        int open = street.comes();
-        street.opens(open, 0);
-        street.door.places(2);
-        street.door.makeRoom(street.now);
-        assertEquals(2, street.clients.size());
-        assertTrue(street.clients.containsKey(open), "an open exchange gives way to nothing");
-        street.door.places(1000);
+        int open = model.accept();
+        model.sendRequest(open, 0);
+        model.policy.setMaxConnections(2);
+        model.policy.evictExcess(model.now);
+        assertEquals(2, model.clients.size());
+        assertTrue(model.clients.containsKey(open), "a connection with a request is never evicted");
+        model.policy.setMaxConnections(1000);
         for (int i = 0; i < 18; i++) {
-            street.comes();
+            model.accept();
         }
-        assertFalse(street.door.isCrowded(), "20 as ever");
-        street.comes();
-        assertTrue(street.door.isCrowded());
+        assertFalse(model.policy.isOverLimit(), "20 as ever");
+        model.accept();
+        assertTrue(model.policy.isOverLimit());
     }
 
     @Test
     void aHeadMayTakeTwoSecondsAndABodyPauseAsLong() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
-        int slow = street.comes();
-        int half = street.comes();
-        street.says(half, 100);
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        int slow = model.accept();
+        int half = model.accept();
+        model.sendBytes(half, 100);
         for (int k = 0; k < 10; k++) {
-            street.says(slow, 12);
-            street.passes(0.2);
+            model.sendBytes(slow, 12);
+            model.advance(0.2);
         }
-        assertTrue(street.clients.containsKey(slow));
-        street.opens(slow, 0);
-        street.passes(0.9);
-        assertFalse(street.clients.containsKey(half), "half a request has a close within 3 s");
-        int body = street.comes();
-        street.door.heard(body, 300, street.now);
-        street.door.headRead(body, street.now);
-        street.clients.get(body).state = ConnectionState.BODY;
+        assertTrue(model.clients.containsKey(slow));
+        model.sendRequest(slow, 0);
+        model.advance(0.9);
+        assertFalse(model.clients.containsKey(half), "half a request has a close within 3 s");
+        int body = model.accept();
+        model.policy.bytesReceived(body, 300, model.now);
+        model.policy.headRead(body, model.now);
+        model.clients.get(body).state = ConnectionState.READING_BODY;
         for (int k = 0; k < 4; k++) {
-            street.passes(2);
-            street.door.heard(body, 128_000, street.now);
+            model.advance(2);
+            model.policy.bytesReceived(body, 128_000, model.now);
         }
-        assertTrue(street.clients.containsKey(body), "64 kB a second, in four pieces");
+        assertTrue(model.clients.containsKey(body), "64 kB a second, in four pieces");
     }
 
     @Test
-    void anAnswerThatIsNotFetchedEndsByTheSameRule() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
-        int slow = street.comes();
-        int quick = street.comes();
+    void aResponseThatIsNotTakenEndsTheConnection() {
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        int slow = model.accept();
+        int quick = model.accept();
         for (int i : new int[] {slow, quick}) {
-            street.opens(i, 0);
-            street.door.keeps(i, street.now);
-            street.clients.get(i).state = ConnectionState.FETCHING;
+            model.sendRequest(i, 0);
+            model.policy.responseReady(i, model.now);
+            model.clients.get(i).state = ConnectionState.SENDING_RESPONSE;
         }
         for (int second = 0; second < 10; second++) {
             for (int k = 0; k < 10; k++) {
-                street.door.fetched(quick, 1000, street.now);
-                if (street.clients.containsKey(slow) && k == 0) {
-                    street.door.fetched(slow, 1, street.now);
+                model.policy.bytesSent(quick, 1000, model.now);
+                if (model.clients.containsKey(slow) && k == 0) {
+                    model.policy.bytesSent(slow, 1, model.now);
                 }
-                street.passes(0.1);
+                model.advance(0.1);
             }
         }
-        assertEquals(List.of(quick), List.copyOf(street.clients.keySet()));
-        assertEquals(1, street.ended(CloseReason.UNFETCHED));
+        assertEquals(List.of(quick), List.copyOf(model.clients.keySet()));
+        assertEquals(1, model.closedCount(CloseReason.SLOW_READER));
     }
 
     @Test
-    void whoIsTurnedAwayAgainAndAgainIsReadLessAndThenClosed() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(20, EACH));
-        int i = street.comes();
+    void repeatedRejectionsPauseReadingAndThenClose() {
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        int connection = model.accept();
         double last = 0;
         boolean keeps = true;
         int times = 0;
         for (; keeps && times < 50; times++) {
-            street.says(i, 10);
-            street.door.headRead(i, street.now);
-            street.door.turnedAway(i, street.now);
-            keeps = street.door.keeps(i, street.now);
-            double lingers = street.door.lingers(i, street.now);
-            assertTrue(lingers >= last && lingers <= street.bounds.longestLinger());
+            model.sendBytes(connection, 10);
+            model.policy.headRead(connection, model.now);
+            model.policy.requestRejected(connection, model.now);
+            keeps = model.policy.responseReady(connection, model.now);
+            double lingers = model.policy.readPauseSeconds(connection, model.now);
+            assertTrue(lingers >= last && lingers <= model.limits.maxReadPauseSeconds());
             last = lingers;
-            street.now += lingers;
-            street.door.answered(i, -1, street.now);
-            street.clients.get(i).state = ConnectionState.QUIET;
+            model.now += lingers;
+            model.policy.responseSent(connection, -1, model.now);
+            model.clients.get(connection).state = ConnectionState.IDLE;
         }
         assertEquals(6, times);
-        assertTrue(last > 4 * street.bounds.linger());
+        assertTrue(last > 4 * model.limits.firstReadPauseSeconds());
     }
 
     @Test
-    void aDrainSpreadsThoseWithoutAWordOverItsTime() {
-        ConnectionPolicyModel street =
-                new ConnectionPolicyModel(ConnectionPolicyModel.bounds(300, EACH));
+    void aDrainSpreadsClosesOverItsTime() {
+        ConnectionPolicyModel model =
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(300, EACH));
         List<Integer> quiet = new ArrayList<>();
         for (int k = 0; k < 40; k++) {
-            quiet.add(street.comes());
-            street.asks(quiet.get(k));
+            quiet.add(model.accept());
+            model.exchange(quiet.get(k));
         }
-        int busy = street.comes();
-        street.opens(busy, 0);
-        street.door.drain(street.now, street.now + 0.5);
+        int busy = model.accept();
+        model.sendRequest(busy, 0);
+        model.policy.drain(model.now, model.now + 0.5);
         int[] left = new int[6];
         for (int k = 0; k < 5; k++) {
-            left[k] = street.clients.size();
+            left[k] = model.clients.size();
             for (int sweeps = 0; sweeps < 2; sweeps++) {
-                street.now += 0.05;
-                street.door.sweep(street.now);
+                model.now += 0.05;
+                model.policy.sweep(model.now);
             }
         }
         for (int k = 1; k < 5; k++) {
@@ -404,106 +409,111 @@
                     left[k - 1] - left[k] >= 6 && left[k - 1] - left[k] <= 10,
                     Arrays.toString(left));
         }
-        street.passes(0.2);
-        assertEquals(List.of(busy), List.copyOf(street.clients.keySet()), "an open exchange stays");
-        assertFalse(street.door.keeps(busy, street.now), "its answer closes");
+        model.advance(0.2);
+        assertEquals(
+                List.of(busy),
+                List.copyOf(model.clients.keySet()),
+                "a connection with a request stays");
+        assertFalse(model.policy.responseReady(busy, model.now), "its answer closes");
     }
 
     @Test
-    void eachBoundHolds() {
+    void connectionLimitsHold() {
         for (int places : new int[] {14, 129, 9806}) {
-            ConnectionPolicyModel street =
-                    new ConnectionPolicyModel(ConnectionPolicyModel.bounds(places, EACH));
+            ConnectionPolicyModel model =
+                    new ConnectionPolicyModel(ConnectionPolicyModel.limits(places, EACH));
             for (int k = 0; k < 2 * places; k++) {
-                if (street.clients.size() >= street.bounds.last()) {
-                    street.passes(0.2);
+                if (model.clients.size() >= model.limits.last()) {
+                    model.advance(0.2);
                 }
-                street.comes();
+                model.accept();
             }
-            street.passes(0.2);
-            assertTrue(street.clients.size() <= places, places + ": " + street.clients.size());
+            model.advance(0.2);
+            assertTrue(model.clients.size() <= places, places + ": " + model.clients.size());
             assertTrue(
-                    street.door.told().contains("new=" + street.clients.size()),
-                    street.door.told());
+                    model.policy.summary().contains("new=" + model.clients.size()),
+                    model.policy.summary());
         }
     }
 
     @Test
-    void whatIsPromisedIsHeldTo() {
+    void announcedKeepAliveIsHeldTo() {
         ConnectionLimits limits = new ConnectionLimits(8, 10, 2.2, 0, EACH, true, 2048, 1);
-        ConnectionPolicyModel street = new ConnectionPolicyModel(limits);
-        int i = street.comes();
-        street.asks(i);
-        assertEquals(2, street.door.promise(i));
+        ConnectionPolicyModel model = new ConnectionPolicyModel(limits);
+        int connection = model.accept();
+        model.exchange(connection);
+        assertEquals(2, model.policy.announcedKeepAliveSeconds(connection));
         for (int k = 0; k < 9; k++) {
-            street.opens(street.comes(), 0);
+            model.sendRequest(model.accept(), 0);
         }
-        street.passes(1.9);
-        assertTrue(
-                street.clients.containsKey(i),
-                "the crowd passes it by, though no other can give way");
+        model.advance(1.9);
+        assertTrue(model.clients.containsKey(connection), "not evicted, though no other can be");
     }
 
     @Test
-    void theLimitFollowsWhatIsSeen() {
+    void theIdleLimitFollowsObservedReuse() {
         IdleReuseEstimator reuse = new IdleReuseEstimator(2.2, 0, 8);
-        assertEquals(2.2, reuse.limit(0, 0), "a place that costs nothing is kept");
+        assertEquals(2.2, reuse.idleLimitSeconds(0, 0), "a place that costs nothing is kept");
         for (int k = 0; k < 400; k++) {
             // Half are used again within 0.1 s, half never are.
-            reuse.usedAfter(0.1, k / 100.0);
-            reuse.endedAfter(2.2, k / 100.0);
+            reuse.reusedAfter(0.1, k / 100.0);
+            reuse.closedAfter(2.2, k / 100.0);
         }
-        double limit = reuse.limit(0.5, 4);
+        double limit = reuse.idleLimitSeconds(0.5, 4);
         assertTrue(
                 limit >= 0.1 && limit <= 0.3, "worth its place as long as there is hope: " + limit);
-        assertEquals(0, reuse.limit(1e4, 4), "never at such a price");
+        assertEquals(0, reuse.idleLimitSeconds(1e4, 4), "never at such a price");
         for (int k = 0; k < 400; k++) {
-            reuse.usedAfter(2, 40 + k / 100.0);
+            reuse.reusedAfter(2, 40 + k / 100.0);
         }
-        assertEquals(2.2, reuse.limit(0.3, 44), "what was seen before is forgotten");
+        assertEquals(2.2, reuse.idleLimitSeconds(0.3, 44), "what was seen before is forgotten");
     }
 
     @Test
-    void theIntakeTakesNoMoreThanCanBeDecidedAndTheMostUrgentFirst() {
-        RequestQueue<Integer> intake = new RequestQueue<>(0.4);
-        assertTrue(intake.takes(), "nothing is known yet");
-        intake.decided(1, 0);
+    void theQueueTakesWhatCanBeDecidedAndTheEarliestDeadlineFirst() {
+        RequestQueue<Integer> requestQueue = new RequestQueue<>(0.4);
+        assertTrue(requestQueue.tryEnqueue(), "nothing is known yet");
+        requestQueue.decided(1, 0);
         for (int k = 0; k < 200; k++) {
-            assertTrue(intake.takes());
-            intake.decided(1, 0.001);
+            assertTrue(requestQueue.tryEnqueue());
+            requestQueue.decided(1, 0.001);
         }
-        assertEquals(50, intake.most(), 1, "an eighth of the contract time, at a millisecond each");
+        assertEquals(
+                50,
+                requestQueue.capacity(),
+                1,
+                "an eighth of the contract time, at a millisecond each");
         int taken = 0;
-        while (intake.takes()) {
+        while (requestQueue.tryEnqueue()) {
             taken++;
         }
-        assertEquals(intake.most(), taken);
+        assertEquals(requestQueue.capacity(), taken);
         List<Integer> ends = new ArrayList<>(IntStream.range(0, 60).boxed().toList());
         java.util.Collections.shuffle(ends, new Random(3));
-        ends.forEach(end -> intake.waits(end, end));
-        assertNull(intake.next());
-        assertTrue(intake.isLong());
-        intake.decided(10, 0.010);
+        ends.forEach(end -> requestQueue.holdBack(end, end));
+        assertNull(requestQueue.pollNext());
+        assertTrue(requestQueue.isBacklogged());
+        requestQueue.decided(10, 0.010);
         List<Integer> next = new ArrayList<>();
-        for (Integer each = intake.next(); each != null; each = intake.next()) {
+        for (Integer each = requestQueue.pollNext(); each != null; each = requestQueue.pollNext()) {
             next.add(each);
         }
         assertEquals(ends.stream().sorted(Comparator.naturalOrder()).limit(10).toList(), next);
-        assertEquals(50, intake.size());
-        assertFalse(intake.takes(), "none goes before those that wait");
+        assertEquals(50, requestQueue.heldBackCount());
+        assertFalse(requestQueue.tryEnqueue(), "none goes before those that wait");
     }
 
     @Test
-    void whatIsReadOfAConnectionThatHasGoneBringsNothingBack() {
-        ConnectionPolicyModel street =
+    void eventsOfAClosedConnectionChangeNothing() {
+        ConnectionPolicyModel model =
                 new ConnectionPolicyModel(
-                        ConnectionPolicyModel.bounds(8, ConnectionLimits.Sharing.CONNECTION));
-        int i = street.door.came(7, street.now);
-        street.door.gone(i, street.now);
-        street.door.headRead(i, street.now);
-        street.door.turnedAway(i, street.now);
-        // The street knows no client there, so that to close it would fail, and end all further
+                        ConnectionPolicyModel.limits(8, ConnectionLimits.Sharing.CONNECTION));
+        int connection = model.policy.accepted(7, model.now);
+        model.policy.closed(connection, model.now);
+        model.policy.headRead(connection, model.now);
+        model.policy.requestRejected(connection, model.now);
+        // The model knows no client there, so that to close it would fail, and end all further
         // sweeps.
-        assertDoesNotThrow(() -> street.door.sweep(street.now + 100));
+        assertDoesNotThrow(() -> model.policy.sweep(model.now + 100));
     }
 }
