--- a/src/test/java/lemondrift/proxy/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionLoad.java
@@ -15,14 +15,14 @@
 import lemondrift.lab.load.Load;
 
 /**
- * What an exchange and each kind of flood cost a proxy, for builds given as jars, in turns; run by
+ * What a request and each kind of flood cost a proxy, for builds given as jars, in turns; run by
  * hand, no part of CI. LoopbackFixture alone; everything is bounded in number. Delay counts from
  * when a request should have been sent.
  */
 final class ClientConnectionLoad {
     private static final int CONNECTIONS = 24;
-    private static final int TURNS = 4;
-    private static final double SECONDS = 4;
+    private static final int ROUNDS = 4;
+    private static final double ROUND_SECONDS = 4;
 
     /** One proxy of a build, with a backend and a discovery of this process. */
     private static final class Build {
@@ -39,8 +39,8 @@
                             + backend
                             + "\",\"locality\":\"a\",\"flavor\":\"m\",\"cell\":0,"
                             + "\"phase\":\"active\",\"size\":1.0,\"up_since_ms\":0}]}";
-            int discovery = answering(head -> head.contains("?") ? null : list);
-            String grade = "\"contractTime\":1500,\"expiry\":4000,\"benefit\":1,";
+            int discovery = startServer(head -> head.contains("?") ? null : list);
+            String classTerms = "\"contractTime\":1500,\"expiry\":4000,\"benefit\":1,";
             Path config = Files.createTempFile("door", ".json");
             Files.writeString(
                     config,
@@ -59,7 +59,7 @@
                             + "\"coldFrom\":0.3,\"cold\":8000,\"fallMultiple\":3,\"overloadFor\":2000},"
                             + "\"report\":{\"how\":\"inline\",\"names\":[\"queue\",\"util\"]},"
                             + "\"charges\":{\"probe\":0.001},\"serviceGrades\":[{\"name\":\"look\","
-                            + grade
+                            + classTerms
                             + "\"effect\":\"retryable\"}]}}");
             ProcessBuilder start =
                     new ProcessBuilder(
@@ -87,11 +87,11 @@
             Thread.sleep(500);
         }
 
-        double processor() {
+        double processorSeconds() {
             return process.info().totalCpuDuration().orElseThrow().toNanos() / 1e9;
         }
 
-        void end() throws InterruptedException {
+        void stop() throws InterruptedException {
             process.destroyForcibly().waitFor();
         }
     }
@@ -100,8 +100,8 @@
         String body(String head);
     }
 
-    private interface Event {
-        void play(int port, int number) throws IOException;
+    private interface FloodEvent {
+        void send(int port, int number) throws IOException;
     }
 
     private ClientConnectionLoad() {}
@@ -110,7 +110,7 @@
      * The port of a server on loopback that answers 200 with what the script says, or holds on
      * null.
      */
-    private static int answering(Script script) throws IOException {
+    private static int startServer(Script script) throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         daemon(
                 () -> {
@@ -163,15 +163,15 @@
     private static String read(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         byte[] buffer = new byte[4096];
-        int had = 0;
+        int length = 0;
         String text = "";
         while (!text.contains("\r\n\r\n")) {
-            int got = in.read(buffer, had, buffer.length - had);
-            if (got < 0) {
+            int count = in.read(buffer, length, buffer.length - length);
+            if (count < 0) {
                 return null;
             }
-            had += got;
-            text = new String(buffer, 0, had, StandardCharsets.ISO_8859_1);
+            length += count;
+            text = new String(buffer, 0, length, StandardCharsets.ISO_8859_1);
         }
         return text;
     }
@@ -189,42 +189,42 @@
     }
 
     /**
-     * Processor in microseconds an exchange, and delay in microseconds at the median and 99th
+     * Processor time in microseconds a request, and delay in microseconds at the median and 99th
      * percentile.
      */
     private static double[] load(Build build, double rate) throws Exception {
-        double before = build.processor();
+        double before = build.processorSeconds();
         Load.Result result =
                 Load.play(
                         new Load.Plan(
                                 new InetSocketAddress("127.0.0.1", build.port),
                                 rate,
-                                SECONDS,
+                                ROUND_SECONDS,
                                 0,
                                 CONNECTIONS,
                                 "look",
                                 4));
         return new double[] {
-            (build.processor() - before) / result.sent() * 1e6,
+            (build.processorSeconds() - before) / result.sent() * 1e6,
             result.latency().getValueAtPercentile(50),
             result.latency().getValueAtPercentile(99)
         };
     }
 
-    /** Processor in milliseconds for a thousand events of a kind. */
-    private static double flood(Build build, Event event) throws Exception {
-        double before = build.processor();
+    /** Processor time in milliseconds for a thousand events of a kind. */
+    private static double flood(Build build, FloodEvent event) throws Exception {
+        double before = build.processorSeconds();
         for (int i = 0; i < 2000; i++) {
-            event.play(build.port, i);
+            event.send(build.port, i);
         }
         Thread.sleep(300);
-        return (build.processor() - before) / 2 * 1e3;
+        return (build.processorSeconds() - before) / 2 * 1e3;
     }
 
-    private static void once(int port, String text, boolean answered) throws IOException {
+    private static void sendOnce(int port, String text, boolean readsResponse) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             write(socket, text);
-            if (answered) {
+            if (readsResponse) {
                 read(socket);
             }
         }
@@ -248,7 +248,7 @@
     }
 
     public static void main(String[] jars) throws Exception {
-        int backend = answering(head -> "body");
+        int backend = startServer(head -> "body");
         List<Build> builds = new ArrayList<>();
         for (String jar : jars) {
             builds.add(new Build(Path.of(jar), backend));
@@ -258,12 +258,12 @@
             load(build, 1500);
         }
         for (double rate : new double[] {300, 1500}) {
-            for (int turn = 0; turn < TURNS; turn++) {
+            for (int round = 0; round < ROUNDS; round++) {
                 for (int b = 0; b < builds.size(); b++) {
-                    double[] got = load(builds.get(b), rate);
+                    double[] costs = load(builds.get(b), rate);
                     System.out.printf(
                             "%s at %.0f/s: processor %.0f us, delay %.0f us, 99%% %.0f us%n",
-                            jars[b], rate, got[0], got[1], got[2]);
+                            jars[b], rate, costs[0], costs[1], costs[2]);
                 }
             }
         }
@@ -274,15 +274,16 @@
                         "no id",
                         "asks once",
                         "at once, 250 a time");
-        List<Event> events =
+        List<FloodEvent> events =
                 List.of(
                         (port, i) -> new Socket("127.0.0.1", port).close(),
-                        (port, i) -> once(port, "\u0001noise\r\n\r\n", true),
-                        (port, i) -> once(port, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", true),
-                        (port, i) -> once(port, look("f" + port + "-" + System.nanoTime()), true),
+                        (port, i) -> sendOnce(port, "\u0001noise\r\n\r\n", true),
+                        (port, i) -> sendOnce(port, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", true),
+                        (port, i) ->
+                                sendOnce(port, look("f" + port + "-" + System.nanoTime()), true),
                         (port, i) -> burst(port, i % 250 == 0 ? 250 : 0));
         for (int kind = 0; kind < events.size(); kind++) {
-            for (int turn = 0; turn < 2; turn++) {
+            for (int round = 0; round < 2; round++) {
                 for (int b = 0; b < builds.size(); b++) {
                     System.out.printf(
                             "%s, a thousand of '%s': processor %.0f ms%n",
@@ -291,7 +292,7 @@
             }
         }
         for (Build build : builds) {
-            build.end();
+            build.stop();
         }
     }
 }
--- a/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
@@ -32,22 +32,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The door's hard cases on loopback, with scripted clients. */
+/** Hard cases of client connections on loopback, with scripted clients. */
 class ClientConnectionsTest extends LoopbackFixture {
     private final List<Socket> clients = new ArrayList<>();
 
     @AfterEach
-    void leave() throws IOException {
+    void closeClients() throws IOException {
         for (Socket each : clients) {
             each.close();
         }
     }
 
-    private Socket connect(int window) throws IOException {
+    private Socket connect(int receiveBufferBytes) throws IOException {
         Socket client = new Socket();
         clients.add(client);
-        if (window > 0) {
-            client.setReceiveBufferSize(window);
+        if (receiveBufferBytes > 0) {
+            client.setReceiveBufferSize(receiveBufferBytes);
         }
         client.setSoTimeout(20_000);
         client.connect(new InetSocketAddress("127.0.0.1", proxy.address().getPort()));
@@ -62,29 +62,28 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static void say(Socket client, byte[] text) throws IOException {
+    private static void write(Socket client, byte[] text) throws IOException {
         client.getOutputStream().write(text);
     }
 
     @Test
-    void aRequestThatCrossesAClosingAnswerIsNeverServedByHalf() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        StandIn backend = backend(go);
+    void aRequestThatCrossesAClosingResponseIsNeverHalfServed() throws Exception {
+        CountDownLatch mayRespond = new CountDownLatch(1);
+        StandIn backend = backend(mayRespond);
         start(backend);
-        List<Socket> crossing = new ArrayList<>();
+        List<Socket> pipelining = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            crossing.add(connect(0));
-            say(crossing.get(i), look(2 * i));
-            say(crossing.get(i), look(2 * i + 1));
+            pipelining.add(connect(0));
+            write(pipelining.get(i), look(2 * i));
+            write(pipelining.get(i), look(2 * i + 1));
         }
         assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
         Thread drain = drains();
-        go.countDown();
-        for (Socket each : crossing) {
-            String answer = read(each);
-            assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("body"), answer);
-            assertEquals(
-                    -1, each.getInputStream().read(), "closed, with nothing begun for the second");
+        mayRespond.countDown();
+        for (Socket each : pipelining) {
+            String response = read(each);
+            assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("body"), response);
+            assertEquals(-1, each.getInputStream().read(), "closed, with no byte for the second");
         }
         drain.join();
         assertEquals(ProxyServer.Phase.STOPPED, proxy.phase());
@@ -98,11 +97,11 @@
     }
 
     @Test
-    void aRequestSentAheadInPiecesIsAnsweredInItsTurn() throws Exception {
+    void aPipelinedRequestInPiecesIsAnsweredInOrder() throws Exception {
         start(backend(OK));
         Socket client = connect(0);
         byte[] second = look(2);
-        say(client, look(1));
+        write(client, look(1));
         client.getOutputStream().write(second, 0, 30);
         assertTrue(read(client).startsWith("HTTP/1.1 200"));
         client.getOutputStream().write(second, 30, second.length - 30);
@@ -110,7 +109,7 @@
     }
 
     @Test
-    void oneThatSendsManyAheadHoldsNobodyUp() throws Exception {
+    void aClientThatPipelinesManyDelaysNoOther() throws Exception {
         start(backend(OK));
         Socket client = connect(0);
         byte[] health =
@@ -123,7 +122,7 @@
                 new Thread(
                         () -> {
                             try {
-                                say(client, ahead.toByteArray());
+                                write(client, ahead.toByteArray());
                             } catch (IOException e) {
                                 // It was closed, which fails the count below.
                             }
@@ -133,13 +132,13 @@
             assertEquals(200, order("x").statusCode());
         }
         for (int i = 0; i < 2000; i++) {
-            assertTrue(read(client).startsWith("HTTP/1.1 200"), "answer " + i);
+            assertTrue(read(client).startsWith("HTTP/1.1 200"), "response " + i);
         }
         writer.join();
     }
 
     @Test
-    void whatIsPromisedStandsInTheAnswer() throws Exception {
+    void announcedKeepAliveStandsInTheResponse() throws Exception {
         changed =
                 config -> {
                     ConnectionLimits usual = config.connectionLimits();
@@ -157,22 +156,22 @@
         start(backend(OK));
         Socket client = connect(0);
         for (int i = 0; i < 2; i++) {
-            say(client, look(i));
-            String answer = read(client);
-            assertTrue(answer.contains("\r\nKeep-Alive: timeout=5\r\n"), answer);
+            write(client, look(i));
+            String response = read(client);
+            assertTrue(response.contains("\r\nKeep-Alive: timeout=5\r\n"), response);
         }
     }
 
     @Test
-    void answersThatAreNotFetchedHoldNobodyUp() throws Exception {
+    void responsesThatAreNotReadDelayNoOther() throws Exception {
         start(backend(http("x".repeat(64 * 1024))));
         for (int i = 0; i < 8; i++) {
             Socket slow = connect(1024);
-            say(slow, look(i));
+            write(slow, look(i));
             assertEquals(
                     'H',
                     slow.getInputStream().read(),
-                    "the answer has come, and is fetched no further");
+                    "the response has come, and is read no further");
         }
         for (int i = 0; i < 20; i++) {
             assertEquals(200, order("x").statusCode());
@@ -180,38 +179,38 @@
     }
 
     @Test
-    void whoIsTurnedAwayAgainAndAgainIsClosed() throws Exception {
+    void repeatedRejectionsCloseTheConnection() throws Exception {
         start(backend(OK));
         Socket client = connect(0);
-        byte[] bad = "GET / HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-        int turnedAway = 0;
+        byte[] malformed = "GET / HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+        int rejections = 0;
         try {
-            for (String answer = ""; answer != null; turnedAway++) {
-                say(client, bad);
-                answer = read(client);
-                assertTrue(answer == null || answer.startsWith("HTTP/1.1 400"), answer);
+            for (String response = ""; response != null; rejections++) {
+                write(client, malformed);
+                response = read(client);
+                assertTrue(response == null || response.startsWith("HTTP/1.1 400"), response);
             }
         } catch (IOException e) {
             // The close crossed the next request.
         }
-        assertTrue(turnedAway >= 6 && turnedAway <= 7, "after " + turnedAway);
+        assertTrue(rejections >= 6 && rejections <= 7, "after " + rejections);
         assertEquals(200, order("x").statusCode());
     }
 
     @Test
-    void aDrainInTheMiddleOfAFloodAnswersWhatWasTaken() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        StandIn backend = backend(go);
+    void aDrainAmidManyConnectionsAnswersAcceptedRequests() throws Exception {
+        CountDownLatch mayRespond = new CountDownLatch(1);
+        StandIn backend = backend(mayRespond);
         start(backend);
-        Socket taken = connect(0);
-        say(taken, look(1));
+        Socket accepted = connect(0);
+        write(accepted, look(1));
         assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
         for (int i = 0; i < 60; i++) {
             connect(0);
         }
         Thread drain = drains();
-        go.countDown();
-        assertTrue(read(taken).startsWith("HTTP/1.1 200"));
+        mayRespond.countDown();
+        assertTrue(read(accepted).startsWith("HTTP/1.1 200"));
         drain.join();
         assertEquals(ProxyServer.Phase.STOPPED, proxy.phase());
     }
@@ -239,9 +238,9 @@
         return jar;
     }
 
-    /** Descriptors run out under the proxy, as it was told of more than it has. */
+    /** Descriptors run out under the proxy, as it is configured for more than it has. */
     @Test
-    void descriptorsThatRunOutLoseNobodyWhoWaits(@TempDir Path folder) throws Exception {
+    void exhaustedDescriptorsLoseNoClientThatWaits(@TempDir Path folder) throws Exception {
         String members = list(1, true, member(0, backend(OK).port(), "active"));
         StandIn list = backend(request -> request.contains("?") ? SILENCE : http(members));
         int port;
@@ -254,60 +253,69 @@
                         config(list.port(), false)
                                 .replace("127.0.0.1:0", "127.0.0.1:" + port)
                                 .replace("\"sockets\":64", "\"sockets\":1024"));
-        ProcessBuilder start =
-                new ProcessBuilder(
-                        "/bin/sh",
-                        "-c",
-                        "ulimit -n 100; exec \"$0\" \"$@\"",
-                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                        "-Xmx64m",
-                        "-XX:-MaxFDLimit",
-                        "-XX:TieredStopAtLevel=1",
-                        "-cp",
-                        jar(folder) + File.pathSeparator + System.getProperty("java.class.path"),
-                        "lemondrift.Main",
-                        "serve");
-        start.environment().put("PROXY_CONFIG", file.toString());
-        Process process =
-                start.redirectErrorStream(true)
-                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
-                        .start();
+        Process process = startWithFewDescriptors(folder, file);
         try {
-            Socket client = null;
-            for (int tries = 0; client == null && tries < 400; tries++) {
-                try {
-                    client = new Socket("127.0.0.1", port);
-                } catch (IOException e) {
-                    Thread.sleep(50);
-                }
-            }
-            assertNotNull(client, "it listens");
+            Socket client = connectWhenListening(port);
             clients.add(client);
             // It listens before it has heard the list, and sheds until then.
             String first = "";
             for (int tries = 0; !first.startsWith("HTTP/1.1 200") && tries < 400; tries++) {
-                say(client, look(1000 + tries));
+                write(client, look(1000 + tries));
                 first = read(client);
             }
             assertTrue(first.startsWith("HTTP/1.1 200"), first);
             for (int i = 0; i < 120; i++) {
                 clients.add(new Socket("127.0.0.1", port));
             }
-            // Those beyond its descriptors wait with the system until the silent ones have gone.
+            // Those beyond its descriptors wait in the kernel until the silent ones are closed.
             Socket last = clients.get(120);
             last.setSoTimeout(20_000);
-            say(last, look(1));
-            String answer = read(last);
+            write(last, look(1));
+            String response = read(last);
             assertTrue(
-                    answer.startsWith("HTTP/1.1 200") || answer.startsWith("HTTP/1.1 503"), answer);
+                    response.startsWith("HTTP/1.1 200") || response.startsWith("HTTP/1.1 503"),
+                    response);
             assertTrue(process.isAlive());
         } finally {
             process.destroyForcibly().waitFor();
         }
     }
 
+    private static Process startWithFewDescriptors(Path folder, Path config) throws Exception {
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        "/bin/sh",
+                        "-c",
+                        "ulimit -n 100; exec \"$0\" \"$@\"",
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx64m",
+                        "-XX:-MaxFDLimit",
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        jar(folder) + File.pathSeparator + System.getProperty("java.class.path"),
+                        "lemondrift.Main",
+                        "serve");
+        builder.environment().put("PROXY_CONFIG", config.toString());
+        return builder.redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start();
+    }
+
+    private static Socket connectWhenListening(int port) throws Exception {
+        Socket client = null;
+        for (int tries = 0; client == null && tries < 400; tries++) {
+            try {
+                client = new Socket("127.0.0.1", port);
+            } catch (IOException e) {
+                Thread.sleep(50);
+            }
+        }
+        assertNotNull(client, "it listens");
+        return client;
+    }
+
     @Test
-    void theDoorsFileIsReadOrRefusedInOneLine(@TempDir Path folder) throws Exception {
+    void theConnectionSettingsFileIsReadOrRefusedInOneLine(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("door.json");
         ConnectionLimits usual = ProxyConfig.read(config(1, false)).connectionLimits();
         Files.writeString(file, "{\"quiet\": 60, \"sharing\": \"tenant\", \"announces\": true}");
--- a/src/test/java/lemondrift/proxy/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/LongBodiesTest.java
@@ -30,7 +30,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Bodies that are longer than what is held, and peers that are slow with them. */
+/** Bodies that are longer than what is buffered, and peers that are slow with them. */
 class LongBodiesTest extends LoopbackFixture {
     private static byte[] bytes(int count) {
         byte[] bytes = new byte[count];
@@ -42,7 +42,7 @@
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    private static String length(byte[] body) {
+    private static String withLength(byte[] body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n" + text(body);
     }
 
@@ -59,7 +59,7 @@
         return all.append("0\r\nTrailer: x\r\n\r\n").toString();
     }
 
-    private Socket ask(String id) throws IOException {
+    private Socket sendGet(String id) throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort());
         client.setSoTimeout(20_000);
         client.getOutputStream()
@@ -71,45 +71,46 @@
         return client;
     }
 
-    private byte[] body(String id) throws Exception {
-        var answer =
+    private byte[] fetchBody(String id) throws Exception {
+        var response =
                 http.send(
                         request("look").setHeader("X-Trace-Id", id).build(),
                         java.net.http.HttpResponse.BodyHandlers.ofByteArray());
-        assertEquals(200, answer.statusCode());
-        return answer.body();
+        assertEquals(200, response.statusCode());
+        return response.body();
     }
 
     @Test
-    void longAnswersArePassedOnWholeHoweverTheyEnd() throws Exception {
-        byte[] long3 = bytes(3_000_000);
-        AtomicInteger asked = new AtomicInteger();
-        String[] answers = {
-            length(long3),
-            chunked(long3, 50_000),
-            chunked(long3, 7000),
+    void longResponsesAreRelayedWholeInAnyFraming() throws Exception {
+        byte[] body = bytes(3_000_000);
+        AtomicInteger requests = new AtomicInteger();
+        String[] responses = {
+            withLength(body),
+            chunked(body, 50_000),
+            chunked(body, 7000),
             OK,
-            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text(long3)
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text(body)
         };
-        StandIn backend = backend(request -> answers[asked.getAndIncrement() % answers.length]);
+        StandIn backend =
+                backend(request -> responses[requests.getAndIncrement() % responses.length]);
         start(backend);
-        for (int i = 0; i < answers.length; i++) {
-            byte[] got = body("long-" + i);
+        for (int i = 0; i < responses.length; i++) {
+            byte[] got = fetchBody("long-" + i);
             assertArrayEquals(
-                    i == 3 ? "body".getBytes(StandardCharsets.US_ASCII) : long3, got, "" + i);
+                    i == 3 ? "body".getBytes(StandardCharsets.US_ASCII) : body, got, "" + i);
         }
-        assertEquals(answers.length, backend.requests.size());
+        assertEquals(responses.length, backend.requests.size());
     }
 
     @Test
-    void oneThatBreaksInTheMiddleIsABreakAndNotSentAgain() throws Exception {
+    void aResponseThatBreaksMidwayClosesTheClientAndIsNotRetried() throws Exception {
         String half =
                 "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 300000\r\n\r\n"
                         + "x".repeat(100_000);
         StandIn one = backend(half);
         StandIn other = backend(half);
         start(one, other);
-        try (Socket client = ask("half")) {
+        try (Socket client = sendGet("half")) {
             byte[] all = client.getInputStream().readAllBytes();
             assertTrue(
                     text(all).startsWith("HTTP/1.1 200 OK\r\n") && all.length < 300_000,
@@ -119,13 +120,15 @@
         awaitReplies("look", "error", 1);
     }
 
-    private void awaitReplies(String grade, String kind, int count) throws Exception {
-        int ordinal = ProxyMetrics.Reply.valueOf(kind.toUpperCase(Locale.ROOT)).ordinal();
+    private void awaitReplies(String requestClass, String reply, int count) throws Exception {
+        int ordinal = ProxyMetrics.Reply.valueOf(reply.toUpperCase(Locale.ROOT)).ordinal();
         long[] counts = {};
         for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end; ) {
             var read = new CompletableFuture<long[]>();
             proxy.runOnIoThread(
-                    () -> read.complete(proxy.adminOperations().figures().replies().get(grade)));
+                    () ->
+                            read.complete(
+                                    proxy.adminOperations().figures().replies().get(requestClass)));
             counts = read.get();
             if (counts[ordinal] == count) {
                 break;
@@ -135,10 +138,10 @@
         assertEquals(count, Arrays.stream(counts).sum(), "counted once");
     }
 
-    /** A backend that writes as fast as it can, and counts what the system has taken of it. */
+    /** A backend that writes as fast as it can, and counts what the kernel took of it. */
     private static final class Flood implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        final AtomicInteger taken = new AtomicInteger();
+        final AtomicInteger writtenBytes = new AtomicInteger();
         final CountDownLatch left = new CountDownLatch(1);
 
         Flood(int total) throws IOException {
@@ -151,9 +154,9 @@
                             socket.getOutputStream()
                                     .write(head.getBytes(StandardCharsets.US_ASCII));
                             byte[] piece = new byte[65_536];
-                            while (taken.get() < total) {
+                            while (writtenBytes.get() < total) {
                                 socket.getOutputStream().write(piece);
-                                taken.addAndGet(piece.length);
+                                writtenBytes.addAndGet(piece.length);
                             }
                             socket.getInputStream().read();
                         } finally {
@@ -169,32 +172,32 @@
     }
 
     @Test
-    void whileTheClientDoesNotTakeNothingIsRead() throws Exception {
+    void aClientThatDoesNotReadStopsReadingOfTheBackend() throws Exception {
         int total = 512 * 65_536;
         try (Flood flood = new Flood(total)) {
             start(false, flood.server.getLocalPort());
-            try (Socket client = ask("slow")) {
+            try (Socket client = sendGet("slow")) {
                 InputStream in = client.getInputStream();
                 int head = 0;
                 while (head < 4) {
                     head = in.read() == "\r\n\r\n".charAt(head) ? head + 1 : 0;
                 }
                 int before = -1;
-                while (before != flood.taken.get()) {
-                    before = flood.taken.get();
+                while (before != flood.writtenBytes.get()) {
+                    before = flood.writtenBytes.get();
                     Thread.sleep(300);
                 }
-                assertTrue(before < total, "all of it would be held by somebody");
+                assertTrue(before < total, "all of it would be buffered");
                 assertEquals(total, in.readNBytes(total).length);
             }
         }
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleEndsIt() throws Exception {
+    void aClientThatClosesMidwayEndsTheResponse() throws Exception {
         try (Flood flood = new Flood(512 * 65_536)) {
             start(false, flood.server.getLocalPort());
-            try (Socket client = ask("leaves")) {
+            try (Socket client = sendGet("leaves")) {
                 assertEquals('H', client.getInputStream().read());
             }
             assertTrue(flood.left.await(20, TimeUnit.SECONDS));
@@ -202,8 +205,8 @@
     }
 
     @Test
-    void oneThatComesSlowlyAndNobodyKnowsHowLongIsPassedOnAsItComes() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void aSlowResponseOfUnknownLengthIsRelayedAsItComes() throws Exception {
+        CountDownLatch mayGoOn = new CountDownLatch(1);
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             daemon(
                     () -> {
@@ -211,7 +214,7 @@
                             read(socket);
                             socket.getOutputStream()
                                     .write(CHUNKS.getBytes(StandardCharsets.US_ASCII));
-                            go.await(20, TimeUnit.SECONDS);
+                            mayGoOn.await(20, TimeUnit.SECONDS);
                             String rest = "2\r\ndy\r\n0\r\n\r\n";
                             socket.getOutputStream()
                                     .write(rest.getBytes(StandardCharsets.US_ASCII));
@@ -219,13 +222,13 @@
                         }
                     });
             start(false, server.getLocalPort());
-            try (Socket client = ask("drip")) {
+            try (Socket client = sendGet("drip")) {
                 InputStream in = client.getInputStream();
                 StringBuilder got = new StringBuilder();
                 while (!got.toString().endsWith("bo")) {
                     got.append((char) in.read());
                 }
-                go.countDown();
+                mayGoOn.countDown();
                 while (!got.toString().endsWith("\r\n0\r\n\r\n")) {
                     got.append((char) in.read());
                 }
@@ -235,7 +238,7 @@
     }
 
     @Test
-    void whatIsSaidToBeEndlessIsSpoilt() throws Exception {
+    void aResponseOverTheLengthLimitFails() throws Exception {
         start(
                 backend(
                         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
@@ -243,31 +246,31 @@
         assertEquals(502, order("x").statusCode());
     }
 
-    /** A backend that notes a request's head and body, decoded, as they come. */
+    /** A backend that records a request's head and body, decoded, as they come. */
     private static final class Sink implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        final AtomicInteger came = new AtomicInteger();
+        final AtomicInteger bodyBytes = new AtomicInteger();
         final AtomicInteger requests = new AtomicInteger();
         final CountDownLatch left = new CountDownLatch(1);
         volatile String head = "";
 
-        /** Breaks off after so many bytes. */
-        Sink(int breaks) throws IOException {
+        /** Closes the connection after so many bytes. */
+        Sink(int maxBodyBytes) throws IOException {
             daemon(
                     () -> {
                         while (true) {
                             Socket socket = server.accept();
-                            daemon(() -> serve(socket, breaks));
+                            daemon(() -> serve(socket, maxBodyBytes));
                         }
                     });
         }
 
-        private void serve(Socket socket, int breaks) throws IOException {
+        private void serve(Socket socket, int maxBodyBytes) throws IOException {
             try (socket) {
                 InputStream in = socket.getInputStream();
                 while (true) {
-                    serve(in, breaks);
+                    serve(in, maxBodyBytes);
                     socket.getOutputStream().write(OK.getBytes(StandardCharsets.US_ASCII));
                 }
             } finally {
@@ -275,7 +278,7 @@
             }
         }
 
-        private void serve(InputStream in, int breaks) throws IOException {
+        private void serve(InputStream in, int maxBodyBytes) throws IOException {
             StringBuilder text = new StringBuilder();
             while (text.indexOf("\r\n\r\n") < 0) {
                 int c = in.read();
@@ -287,22 +290,25 @@
             head = text.toString();
             if (head.contains("chunked")) {
                 for (int size = line(in); size > 0; size = line(in)) {
-                    take(in, size, breaks);
+                    take(in, size, maxBodyBytes);
                     line(in);
                 }
                 line(in);
             } else {
                 int at = head.indexOf("Content-Length: ") + 16;
-                take(in, Integer.parseInt(head.substring(at, head.indexOf('\r', at))), breaks);
+                take(
+                        in,
+                        Integer.parseInt(head.substring(at, head.indexOf('\r', at))),
+                        maxBodyBytes);
             }
             requests.incrementAndGet();
         }
 
-        private void take(InputStream in, int count, int breaks) throws IOException {
+        private void take(InputStream in, int count, int maxBodyBytes) throws IOException {
             for (int got = 0; got < count; ) {
                 byte[] piece = in.readNBytes(Math.min(4096, count - got));
-                if (piece.length == 0 || came.addAndGet(piece.length) > breaks) {
-                    throw new IOException("broken off");
+                if (piece.length == 0 || bodyBytes.addAndGet(piece.length) > maxBodyBytes) {
+                    throw new IOException("closed midway");
                 }
                 body.writeBytes(piece);
                 got += piece.length;
@@ -327,9 +333,9 @@
         }
     }
 
-    private static final int NEVER = Integer.MAX_VALUE;
+    private static final int UNLIMITED = Integer.MAX_VALUE;
 
-    private Socket post(String id, String framing) throws IOException {
+    private Socket sendPost(String id, String framing) throws IOException {
         Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort());
         client.setSoTimeout(20_000);
         client.getOutputStream()
@@ -345,10 +351,10 @@
     }
 
     @Test
-    void longUploadsComeWholeWithAndWithoutALength() throws Exception {
+    void longRequestBodiesAreStreamedWholeInAnyFraming() throws Exception {
         byte[] body = bytes(3_000_000);
         for (boolean chunks : new boolean[] {false, true}) {
-            try (Sink sink = new Sink(NEVER)) {
+            try (Sink sink = new Sink(UNLIMITED)) {
                 start(false, sink.server.getLocalPort());
                 var publisher =
                         chunks
@@ -363,7 +369,7 @@
     }
 
     @Test
-    void whatIsHeldIsSentAgainWhereItNeverRan() throws Exception {
+    void aBufferedBodyIsRetriedWhereItNeverExecuted() throws Exception {
         StandIn full = backend(NEVER_RAN);
         StandIn sound = backend(OK);
         start(full, sound);
@@ -375,8 +381,8 @@
     }
 
     @Test
-    void whileNothingIsLetGoAnotherBackendCanHaveIt() throws Exception {
-        try (Sink sink = new Sink(NEVER)) {
+    void aStreamedBodyIsRetriedWhileAllOfItIsBuffered() throws Exception {
+        try (Sink sink = new Sink(UNLIMITED)) {
             StandIn closed = backend(OK);
             closed.server.close();
             start(false, closed.port(), sink.server.getLocalPort());
@@ -395,14 +401,15 @@
     }
 
     /**
-     * Longer than its contract time of 1.5 s: the time for the answer counts from the last byte.
+     * Longer than its latency objective of 1.5 s: the time for the response counts from the last
+     * byte.
      */
     @Test
-    void anUploadMayTakeItsTime() throws Exception {
-        try (Sink sink = new Sink(NEVER)) {
+    void aSlowRequestBodyIsNotTimedOut() throws Exception {
+        try (Sink sink = new Sink(UNLIMITED)) {
             start(false, sink.server.getLocalPort());
             byte[] body = bytes(1_000_000);
-            try (Socket client = post("slow", "Content-Length: " + body.length)) {
+            try (Socket client = sendPost("slow", "Content-Length: " + body.length)) {
                 for (int at = 0; at < body.length; at += 250_000) {
                     client.getOutputStream().write(body, at, 250_000);
                     Thread.sleep(600);
@@ -414,21 +421,21 @@
     }
 
     @Test
-    void aBackendThatBreaksOffIsAnsweredForAtOnceAndNoneHasARest() throws Exception {
+    void aBackendThatClosesMidBodyFailsTheRequestAtOnceWithoutARetry() throws Exception {
         try (Sink one = new Sink(400_000);
                 Sink other = new Sink(400_000)) {
             start(false, one.server.getLocalPort(), other.server.getLocalPort());
-            try (Socket client = post("broken", "Content-Length: 30000000")) {
+            try (Socket client = sendPost("broken", "Content-Length: 30000000")) {
                 try {
                     for (int i = 0; i < 300; i++) {
                         client.getOutputStream().write(new byte[100_000]);
                     }
                 } catch (IOException e) {
-                    // The answer is out, and what is still sent is read by nobody.
+                    // The response is out, and what is still sent is read by nobody.
                 }
                 assertEquals(
                         0,
-                        Math.min(one.came.get(), other.came.get()),
+                        Math.min(one.bodyBytes.get(), other.bodyBytes.get()),
                         "only one has had any of it");
             }
             awaitReplies("order", "overload", 1);
@@ -437,15 +444,15 @@
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleOfAnUploadEndsIt() throws Exception {
-        try (Sink sink = new Sink(NEVER)) {
+    void aClientThatClosesMidBodyEndsTheRequest() throws Exception {
+        try (Sink sink = new Sink(UNLIMITED)) {
             start(false, sink.server.getLocalPort());
-            try (Socket client = post("left", "Transfer-Encoding: chunked")) {
+            try (Socket client = sendPost("left", "Transfer-Encoding: chunked")) {
                 client.getOutputStream()
                         .write(
                                 ("f4240\r\n" + "x".repeat(500_000))
                                         .getBytes(StandardCharsets.US_ASCII));
-                while (sink.came.get() < 400_000) {
+                while (sink.bodyBytes.get() < 400_000) {
                     Thread.onSpinWait();
                 }
             }
@@ -456,15 +463,15 @@
     }
 
     @Test
-    void chunksWithoutEndAndChunksThatAreNoneAreTurnedAway() throws Exception {
-        try (Sink sink = new Sink(NEVER)) {
+    void endlessAndMalformedChunksAreRejected() throws Exception {
+        try (Sink sink = new Sink(UNLIMITED)) {
             start(false, sink.server.getLocalPort());
-            try (Socket client = post("odd", "Transfer-Encoding: chunked")) {
+            try (Socket client = sendPost("odd", "Transfer-Encoding: chunked")) {
                 client.getOutputStream().write("zz\r\n".getBytes(StandardCharsets.US_ASCII));
-                String answer = read(client);
-                assertTrue(answer == null || answer.startsWith("HTTP/1.1 400 "), answer);
+                String response = read(client);
+                assertTrue(response == null || response.startsWith("HTTP/1.1 400 "), response);
             }
-            try (Socket client = post("endless", "Transfer-Encoding: chunked")) {
+            try (Socket client = sendPost("endless", "Transfer-Encoding: chunked")) {
                 byte[] chunk =
                         ("40000\r\n" + "x".repeat(0x40000) + "\r\n")
                                 .getBytes(StandardCharsets.US_ASCII);
@@ -482,7 +489,7 @@
     }
 
     @Test
-    void withLittleMemoryMoreIsPassedOn() throws Exception {
+    void littleMemoryMakesShorterBodiesStreamed() throws Exception {
         changed =
                 config ->
                         ProxyConfig.read(
@@ -490,12 +497,12 @@
                                         .replace(
                                                 "\"sockets\":64",
                                                 "\"sockets\":64,\"memory_mb\":0.1"));
-        try (Sink sink = new Sink(NEVER)) {
+        try (Sink sink = new Sink(UNLIMITED)) {
             start(false, sink.server.getLocalPort());
             byte[] body = bytes(60_000);
-            try (Socket client = post("little", "Content-Length: " + body.length)) {
+            try (Socket client = sendPost("little", "Content-Length: " + body.length)) {
                 client.getOutputStream().write(body, 0, 30_000);
-                while (sink.came.get() < 8192) {
+                while (sink.bodyBytes.get() < 8192) {
                     Thread.onSpinWait();
                 }
                 client.getOutputStream().write(body, 30_000, 30_000);
@@ -505,9 +512,9 @@
         }
     }
 
-    /** The same bytes in any pieces are the same answer. */
+    /** The same bytes in any pieces are the same response. */
     @Property(tries = 300, seed = "48")
-    void howItIsCutDoesNotMatter(
+    void responsesReadTheSameHoweverTheyAreSplit(
             @ForAll @IntRange(min = 0, max = 3000) int length,
             @ForAll @IntRange(min = 1, max = 700) int chunk,
             @ForAll boolean chunks,
@@ -517,7 +524,8 @@
             throws IOException {
         byte[] body = bytes(length);
         byte[] all =
-                ("HTTP/1.1 100 Continue\r\n\r\n" + (chunks ? chunked(body, chunk) : length(body)))
+                ("HTTP/1.1 100 Continue\r\n\r\n"
+                                + (chunks ? chunked(body, chunk) : withLength(body)))
                         .getBytes(StandardCharsets.ISO_8859_1);
         Random random = new Random(seed);
         ResponseReader reader = new ResponseReader(1000, true);
