--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -12,7 +12,10 @@
         /** Whether no unread byte waits on a connection; looks at the socket. */
         boolean isSilent(int connection);
 
-        /** Closes a connection at once; {@link #closed} is called before this returns. */
+        /**
+         * Closes a connection at once; {@link ConnectionPolicy#closed} is called before this
+         * returns.
+         */
         void close(int connection, CloseReason reason);
     }
 
--- a/src/main/java/lemondrift/proxy/client/ClientConnection.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnection.java
@@ -163,6 +163,7 @@
             }
             return peeked.position() == 0;
         } catch (IOException e) {
+            // A broken connection has nothing to lose by a close.
             return true;
         }
     }
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -17,7 +17,7 @@
  * A request's body as it comes: buffered as long as the budget allows, else streamed piece by
  * piece, in chunks where its length is not known. I/O thread only.
  */
-public final class RequestBody implements StreamedRequestBody {
+final class RequestBody implements StreamedRequestBody {
     /** Hears what becomes of a body. */
     interface Listener {
         /** All of it has come and is buffered. */
--- a/src/main/java/lemondrift/proxy/client/package-info.java
+++ b/src/main/java/lemondrift/proxy/client/package-info.java
@@ -8,7 +8,8 @@
  *   <li>{@code ClientConnections} has the connections, each a {@code ClientConnection}; what is
  *       decided about them is decided by {@code lemondrift.connection}.
  *   <li>{@code RequestReader} reads requests, each body a {@code RequestBody}, and rejects those
- *       that {@code RequestValidator} does not accept (400) or that are too long (413).
+ *       that {@code RequestValidator} does not accept (400) or that are too long (413). A head that
+ *       can't be parsed is refused by Undertow before.
  *   <li>{@code RequestAdmission} queues requests for the balancer, sheds what can't be decided in
  *       time (503), and fails what the balancer leaves overdue (502).
  *   <li>{@code ResponseWriter} writes responses and counts them.
--- a/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -50,6 +50,11 @@
         policy.sweep(now);
     }
 
+    /** One where each connection is a source by itself. */
+    static ConnectionPolicyModel of(int places) {
+        return new ConnectionPolicyModel(limits(places, ConnectionLimits.Sharing.CONNECTION));
+    }
+
     static ConnectionLimits limits(int places, ConnectionLimits.Sharing sharing) {
         return new ConnectionLimits(
                 places, places + places / 10 + 1, 2.2, 2, sharing, false, 2048, 1);
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -3,14 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.Comparator;
 import java.util.List;
-import java.util.Random;
 import java.util.stream.IntStream;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -22,8 +19,6 @@
  * Connection decisions without sockets: hard cases, and generated histories beside a plain model.
  */
 class ConnectionPolicyTest {
-    private static final ConnectionLimits.Sharing EACH = ConnectionLimits.Sharing.CONNECTION;
-
     @Property(tries = 400, seed = "48")
     void rulesHoldForAnyHistory(
             @ForAll @IntRange(min = 1, max = 40) int places,
@@ -87,88 +82,48 @@
         assertTrue(model.clients.size() <= Math.max(model.limits.places(), open));
     }
 
-    /**
-     * The plain model of giving way: each time the source that holds the most for its weight, by a
-     * search.
-     */
-    @Property(tries = 300, seed = "48")
-    void evictionIsMaxMinFair(
-            @ForAll @Size(min = 1, max = 30) List<@IntRange(max = 5) Integer> holders,
-            @ForAll @IntRange(max = 40) int many,
-            @ForAll long seed) {
-        Random random = new Random(seed);
-        ClientSource[] sources = new ClientSource[6];
-        double[] weight = new double[6];
-        int[] held = new int[6];
-        for (int s = 0; s < 6; s++) {
-            sources[s] = new ClientSource();
-            sources[s].addCredit(random.nextInt(4), 0, 1);
-            weight[s] = sources[s].weight(0, 1);
-        }
-        FairEviction fairEviction = new FairEviction(holders.size(), 1);
-        for (int i = 0; i < holders.size(); i++) {
-            sources[holders.get(i)].connections++;
-            held[holders.get(i)]++;
-            fairEviction.addCandidate(i, sources[holders.get(i)]);
-        }
-        List<Integer> gave = new ArrayList<>();
-        fairEviction.evict(
-                many,
-                0,
-                i -> {
-                    gave.add(holders.get(i));
-                    return --sources[holders.get(i)].connections >= 0;
-                });
-        assertEquals(Math.min(many, holders.size()), gave.size());
-        for (int source : gave) {
-            double most =
-                    IntStream.range(0, 6).mapToDouble(s -> held[s] / weight[s]).max().orElse(0);
-            assertEquals(most, held[source] / weight[source], 1e-9);
-            held[source]--;
-        }
-    }
-
     @Test
     void clientsThatNeverReuseLeavePlacesToThoseThatDo() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(200, EACH));
-        int[] usual = IntStream.range(0, 20).map(i -> model.accept()).toArray();
-        int reused = 0;
-        int asked = 0;
-        int most = 0;
-        for (int turn = 0; turn < 200; turn++) {
-            // Six come every 0.1 s, ask once and stay; two of the usual ask every 0.1 s, again and
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(200);
+        int[] steady = IntStream.range(0, 20).map(i -> model.accept()).toArray();
+        int onOpenConnections = 0;
+        int requests = 0;
+        int maxConnections = 0;
+        for (int round = 0; round < 200; round++) {
+            // Six come every 0.1 s, ask once and stay; two of the steady ask every 0.1 s, again and
             // again.
             for (int k = 0; k < 6; k++) {
                 model.exchange(model.accept());
             }
             for (int k = 0; k < 2; k++) {
-                int j = (2 * turn + k) % usual.length;
-                asked += turn < 100 ? 0 : 1;
-                if (model.clients.containsKey(usual[j])) {
-                    reused += turn < 100 ? 0 : 1;
+                int client = (2 * round + k) % steady.length;
+                requests += round < 100 ? 0 : 1;
+                if (model.clients.containsKey(steady[client])) {
+                    onOpenConnections += round < 100 ? 0 : 1;
                 } else {
-                    usual[j] = model.accept();
+                    steady[client] = model.accept();
                 }
-                model.exchange(usual[j]);
+                model.exchange(steady[client]);
             }
             model.advance(0.1);
-            most = Math.max(most, model.clients.size());
+            maxConnections = Math.max(maxConnections, model.clients.size());
         }
         assertTrue(
-                most <= 80,
-                "at the most " + most + " of 200 places, where 152 would stand for 2.2 s");
+                maxConnections <= 80,
+                "at the most "
+                        + maxConnections
+                        + " of 200 places, where 152 would stand for 2.2 s");
         assertTrue(
-                reused > 0.5 * asked, "most that come again are kept: " + reused + " of " + asked);
+                onOpenConnections > 0.5 * requests,
+                "most that come again are kept: " + onOpenConnections + " of " + requests);
     }
 
     @Test
     void connectionsWithoutARequestAreEvicted() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(60, EACH));
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(60);
         int served = 0;
-        int tried = 0;
-        for (int turn = 0; turn < 100; turn++) {
+        int expected = 0;
+        for (int round = 0; round < 100; round++) {
             for (int k = 0; k < 9; k++) {
                 if (model.clients.size() >= model.limits.last()) {
                     continue;
@@ -180,16 +135,15 @@
                     served++;
                 }
             }
-            tried += 3;
+            expected += 3;
             model.advance(0.1);
         }
-        assertTrue(served > 0.9 * tried, served + " of " + tried);
+        assertTrue(served > 0.9 * expected, served + " of " + expected);
     }
 
     @Test
     void idleForLessThanTheLimitStaysOpen() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(100, EACH));
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(100);
         int connection = model.accept();
         for (int k = 0; k < 4; k++) {
             assertTrue(model.exchange(connection));
@@ -203,25 +157,27 @@
         ConnectionPolicyModel model =
                 new ConnectionPolicyModel(
                         ConnectionPolicyModel.limits(1000, ConnectionLimits.Sharing.ADDRESS));
-        for (int i = 0; i < 1000; i++) {
-            model.exchange(model.accept(i));
+        for (int address = 0; address < 1000; address++) {
+            model.exchange(model.accept(address));
         }
         model.advance(0.2);
-        for (int k = 0; k < 100; k++) {
-            for (int s = 0; s < 10; s++) {
-                int i = model.accept(100_000 + s);
+        for (int round = 0; round < 100; round++) {
+            for (int source = 0; source < 10; source++) {
+                int connection = model.accept(100_000 + source);
                 model.policy.evictExcess(model.now);
-                model.sendRequest(i, 0);
-                model.respond(i, 1);
+                model.sendRequest(connection, 0);
+                model.respond(connection, 1);
             }
             model.advance(0.02);
         }
-        long few =
+        long connectionsOfFew =
                 model.clients.values().stream().filter(client -> client.address >= 100_000).count();
         assertTrue(model.clients.size() <= 1000);
-        assertTrue(few <= 10 * 17, "no more than what they brought gives weight to: " + few);
-        for (int i = 0; i < 3000; i++) {
-            model.disconnect(model.accept(1_000_000 + i));
+        assertTrue(
+                connectionsOfFew <= 10 * 17,
+                "no more than their credit gives weight to: " + connectionsOfFew);
+        for (int address = 1_000_000; address < 1_003_000; address++) {
+            model.disconnect(model.accept(address));
         }
         assertTrue(
                 model.policy.sourceCount() <= 2 * model.limits.last(),
@@ -230,68 +186,61 @@
 
     @Test
     void aPauseOfTheProcessMakesNobodyOverdue() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
-        int fresh = model.accept();
-        int half = model.accept();
-        int kept = model.accept();
-        model.exchange(kept);
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
+        int withoutByte = model.accept();
+        int withPartialHead = model.accept();
+        int idle = model.accept();
+        model.exchange(idle);
         model.advance(0.5);
-        model.sendBytes(half, 10);
+        model.sendBytes(withPartialHead, 10);
         model.now += 3;
-        model.clients.get(fresh).hasUnreadBytes = true;
+        model.clients.get(withoutByte).hasUnreadBytes = true;
         model.policy.sweep(model.now);
-        assertTrue(model.clients.keySet().containsAll(List.of(fresh, half, kept)));
+        assertTrue(model.clients.keySet().containsAll(List.of(withoutByte, withPartialHead, idle)));
         model.advance(4);
-        assertTrue(model.clients.isEmpty(), "without anything more all have gone");
-        assertEquals(
-                2,
-                model.closedCount(CloseReason.SLOW_REQUEST),
-                "what they began is not gone on with");
+        assertTrue(model.clients.isEmpty(), "without another byte all are closed");
+        assertEquals(2, model.closedCount(CloseReason.SLOW_REQUEST), "both had begun a request");
     }
 
     @Test
     void unreadBytesAreLookedForBeforeAnyClose() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
-        int fresh = model.accept();
-        int kept = model.accept();
-        model.exchange(kept);
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
+        int withoutByte = model.accept();
+        int idle = model.accept();
+        model.exchange(idle);
         model.advance(1.7);
-        model.clients.get(fresh).hasUnreadBytes = true;
+        model.clients.get(withoutByte).hasUnreadBytes = true;
         model.advance(0.1);
-        model.clients.get(kept).hasUnreadBytes = true;
+        model.clients.get(idle).hasUnreadBytes = true;
         model.advance(0.6);
-        assertEquals(ConnectionState.READING_HEAD, model.policy.state(kept));
-        assertEquals(ConnectionState.READING_HEAD, model.policy.state(fresh));
+        assertEquals(ConnectionState.READING_HEAD, model.policy.state(idle));
+        assertEquals(ConnectionState.READING_HEAD, model.policy.state(withoutByte));
     }
 
     @Test
     void aByteEach90MillisecondsIsNoProgress() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
         int connection = model.accept();
-        double began = model.now;
+        double startedAt = model.now;
         for (int k = 0; k < 50 && model.clients.containsKey(connection); k++) {
             model.sendBytes(connection, 1);
             model.advance(0.09);
         }
         assertTrue(
-                model.now - began < model.limits.readTimeoutSeconds() + 0.5,
-                "ended after " + (model.now - began));
+                model.now - startedAt < model.limits.readTimeoutSeconds() + 0.5,
+                "ended after " + (model.now - startedAt));
         assertEquals(1, model.closedCount(CloseReason.SLOW_REQUEST));
-        int quick = model.accept();
+        int fast = model.accept();
         for (int k = 0; k < 100; k++) {
-            model.sendBytes(quick, 200);
+            model.sendBytes(fast, 200);
             model.advance(0.09);
         }
-        assertTrue(model.clients.containsKey(quick), "2.2 KiB a second is progress");
+        assertTrue(model.clients.containsKey(fast), "2.2 KiB a second is progress");
     }
 
     @Test
     void idleConnectionsAreEvictedWhenTheLimitFalls() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
         for (int i = 0; i < 4; i++) {
             assertTrue(model.exchange(model.accept()));
         }
@@ -312,11 +261,10 @@
 
     @Test
     void aHeadMayTakeTwoSecondsAndABodyPauseAsLong() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
         int slow = model.accept();
-        int half = model.accept();
-        model.sendBytes(half, 100);
+        int stalled = model.accept();
+        model.sendBytes(stalled, 100);
         for (int k = 0; k < 10; k++) {
             model.sendBytes(slow, 12);
             model.advance(0.2);
@@ -324,7 +272,7 @@
         assertTrue(model.clients.containsKey(slow));
         model.sendRequest(slow, 0);
         model.advance(0.9);
-        assertFalse(model.clients.containsKey(half), "half a request has a close within 3 s");
+        assertFalse(model.clients.containsKey(stalled), "half a request has a close within 3 s");
         int body = model.accept();
         model.policy.bytesReceived(body, 300, model.now);
         model.policy.headRead(body, model.now);
@@ -338,90 +286,88 @@
 
     @Test
     void aResponseThatIsNotTakenEndsTheConnection() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
         int slow = model.accept();
-        int quick = model.accept();
-        for (int i : new int[] {slow, quick}) {
-            model.sendRequest(i, 0);
-            model.policy.responseReady(i, model.now);
-            model.clients.get(i).state = ConnectionState.SENDING_RESPONSE;
+        int fast = model.accept();
+        for (int connection : new int[] {slow, fast}) {
+            model.sendRequest(connection, 0);
+            model.policy.responseReady(connection, model.now);
+            model.clients.get(connection).state = ConnectionState.SENDING_RESPONSE;
         }
         for (int second = 0; second < 10; second++) {
             for (int k = 0; k < 10; k++) {
-                model.policy.bytesSent(quick, 1000, model.now);
+                model.policy.bytesSent(fast, 1000, model.now);
                 if (model.clients.containsKey(slow) && k == 0) {
                     model.policy.bytesSent(slow, 1, model.now);
                 }
                 model.advance(0.1);
             }
         }
-        assertEquals(List.of(quick), List.copyOf(model.clients.keySet()));
+        assertEquals(List.of(fast), List.copyOf(model.clients.keySet()));
         assertEquals(1, model.closedCount(CloseReason.SLOW_READER));
     }
 
     @Test
     void repeatedRejectionsPauseReadingAndThenClose() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(20, EACH));
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
         int connection = model.accept();
-        double last = 0;
-        boolean keeps = true;
-        int times = 0;
-        for (; keeps && times < 50; times++) {
+        double lastPauseSeconds = 0;
+        boolean staysOpen = true;
+        int rejections = 0;
+        for (; staysOpen && rejections < 50; rejections++) {
             model.sendBytes(connection, 10);
             model.policy.headRead(connection, model.now);
             model.policy.requestRejected(connection, model.now);
-            keeps = model.policy.responseReady(connection, model.now);
-            double lingers = model.policy.readPauseSeconds(connection, model.now);
-            assertTrue(lingers >= last && lingers <= model.limits.maxReadPauseSeconds());
-            last = lingers;
-            model.now += lingers;
+            staysOpen = model.policy.responseReady(connection, model.now);
+            double pauseSeconds = model.policy.readPauseSeconds(connection, model.now);
+            assertTrue(
+                    pauseSeconds >= lastPauseSeconds
+                            && pauseSeconds <= model.limits.maxReadPauseSeconds());
+            lastPauseSeconds = pauseSeconds;
+            model.now += pauseSeconds;
             model.policy.responseSent(connection, -1, model.now);
             model.clients.get(connection).state = ConnectionState.IDLE;
         }
-        assertEquals(6, times);
-        assertTrue(last > 4 * model.limits.firstReadPauseSeconds());
+        assertEquals(6, rejections);
+        assertTrue(lastPauseSeconds > 4 * model.limits.firstReadPauseSeconds());
     }
 
     @Test
     void aDrainSpreadsClosesOverItsTime() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(300, EACH));
-        List<Integer> quiet = new ArrayList<>();
-        for (int k = 0; k < 40; k++) {
-            quiet.add(model.accept());
-            model.exchange(quiet.get(k));
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(300);
+        List<Integer> idle = new ArrayList<>();
+        for (int step = 0; step < 40; step++) {
+            idle.add(model.accept());
+            model.exchange(idle.get(step));
         }
-        int busy = model.accept();
-        model.sendRequest(busy, 0);
+        int awaitingResponse = model.accept();
+        model.sendRequest(awaitingResponse, 0);
         model.policy.drain(model.now, model.now + 0.5);
-        int[] left = new int[6];
-        for (int k = 0; k < 5; k++) {
-            left[k] = model.clients.size();
+        int[] open = new int[6];
+        for (int step = 0; step < 5; step++) {
+            open[step] = model.clients.size();
             for (int sweeps = 0; sweeps < 2; sweeps++) {
                 model.now += 0.05;
                 model.policy.sweep(model.now);
             }
         }
-        for (int k = 1; k < 5; k++) {
+        for (int step = 1; step < 5; step++) {
             assertTrue(
-                    left[k - 1] - left[k] >= 6 && left[k - 1] - left[k] <= 10,
-                    Arrays.toString(left));
+                    open[step - 1] - open[step] >= 6 && open[step - 1] - open[step] <= 10,
+                    Arrays.toString(open));
         }
         model.advance(0.2);
         assertEquals(
-                List.of(busy),
+                List.of(awaitingResponse),
                 List.copyOf(model.clients.keySet()),
                 "a connection with a request stays");
-        assertFalse(model.policy.responseReady(busy, model.now), "its answer closes");
+        assertFalse(model.policy.responseReady(awaitingResponse, model.now), "its answer closes");
     }
 
     @Test
     void connectionLimitsHold() {
         for (int places : new int[] {14, 129, 9806}) {
-            ConnectionPolicyModel model =
-                    new ConnectionPolicyModel(ConnectionPolicyModel.limits(places, EACH));
+            ConnectionPolicyModel model = ConnectionPolicyModel.of(places);
             for (int k = 0; k < 2 * places; k++) {
                 if (model.clients.size() >= model.limits.last()) {
                     model.advance(0.2);
@@ -438,7 +384,9 @@
 
     @Test
     void announcedKeepAliveIsHeldTo() {
-        ConnectionLimits limits = new ConnectionLimits(8, 10, 2.2, 0, EACH, true, 2048, 1);
+        ConnectionLimits limits =
+                new ConnectionLimits(
+                        8, 10, 2.2, 0, ConnectionLimits.Sharing.CONNECTION, true, 2048, 1);
         ConnectionPolicyModel model = new ConnectionPolicyModel(limits);
         int connection = model.accept();
         model.exchange(connection);
@@ -450,64 +398,9 @@
         assertTrue(model.clients.containsKey(connection), "not evicted, though no other can be");
     }
 
-    @Test
-    void theIdleLimitFollowsObservedReuse() {
-        IdleReuseEstimator reuse = new IdleReuseEstimator(2.2, 0, 8);
-        assertEquals(2.2, reuse.idleLimitSeconds(0, 0), "a place that costs nothing is kept");
-        for (int k = 0; k < 400; k++) {
-            // Half are used again within 0.1 s, half never are.
-            reuse.reusedAfter(0.1, k / 100.0);
-            reuse.closedAfter(2.2, k / 100.0);
-        }
-        double limit = reuse.idleLimitSeconds(0.5, 4);
-        assertTrue(
-                limit >= 0.1 && limit <= 0.3, "worth its place as long as there is hope: " + limit);
-        assertEquals(0, reuse.idleLimitSeconds(1e4, 4), "never at such a price");
-        for (int k = 0; k < 400; k++) {
-            reuse.reusedAfter(2, 40 + k / 100.0);
-        }
-        assertEquals(2.2, reuse.idleLimitSeconds(0.3, 44), "what was seen before is forgotten");
-    }
-
-    @Test
-    void theQueueTakesWhatCanBeDecidedAndTheEarliestDeadlineFirst() {
-        RequestQueue<Integer> requestQueue = new RequestQueue<>(0.4);
-        assertTrue(requestQueue.tryEnqueue(), "nothing is known yet");
-        requestQueue.decided(1, 0);
-        for (int k = 0; k < 200; k++) {
-            assertTrue(requestQueue.tryEnqueue());
-            requestQueue.decided(1, 0.001);
-        }
-        assertEquals(
-                50,
-                requestQueue.capacity(),
-                1,
-                "an eighth of the contract time, at a millisecond each");
-        int taken = 0;
-        while (requestQueue.tryEnqueue()) {
-            taken++;
-        }
-        assertEquals(requestQueue.capacity(), taken);
-        List<Integer> ends = new ArrayList<>(IntStream.range(0, 60).boxed().toList());
-        java.util.Collections.shuffle(ends, new Random(3));
-        ends.forEach(end -> requestQueue.holdBack(end, end));
-        assertNull(requestQueue.pollNext());
-        assertTrue(requestQueue.isBacklogged());
-        requestQueue.decided(10, 0.010);
-        List<Integer> next = new ArrayList<>();
-        for (Integer each = requestQueue.pollNext(); each != null; each = requestQueue.pollNext()) {
-            next.add(each);
-        }
-        assertEquals(ends.stream().sorted(Comparator.naturalOrder()).limit(10).toList(), next);
-        assertEquals(50, requestQueue.heldBackCount());
-        assertFalse(requestQueue.tryEnqueue(), "none goes before those that wait");
-    }
-
     @Test
     void eventsOfAClosedConnectionChangeNothing() {
-        ConnectionPolicyModel model =
-                new ConnectionPolicyModel(
-                        ConnectionPolicyModel.limits(8, ConnectionLimits.Sharing.CONNECTION));
+        ConnectionPolicyModel model = ConnectionPolicyModel.of(8);
         int connection = model.policy.accepted(7, model.now);
         model.policy.closed(connection, model.now);
         model.policy.headRead(connection, model.now);
--- /dev/null
+++ b/src/test/java/lemondrift/connection/RequestQueueTest.java
@@ -0,0 +1,55 @@
+package lemondrift.connection;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Random;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+/** The bound of the queue before the balancer. */
+class RequestQueueTest {
+    @Test
+    void theQueueTakesWhatCanBeDecidedAndTheEarliestDeadlineFirst() {
+        RequestQueue<Integer> requestQueue = new RequestQueue<>(0.4);
+        assertTrue(requestQueue.tryEnqueue(), "nothing is known yet");
+        requestQueue.decided(1, 0);
+        for (int k = 0; k < 200; k++) {
+            assertTrue(requestQueue.tryEnqueue());
+            requestQueue.decided(1, 0.001);
+        }
+        assertEquals(
+                50,
+                requestQueue.capacity(),
+                1,
+                "an eighth of the latency objective, at a millisecond each");
+        int queued = 0;
+        while (requestQueue.tryEnqueue()) {
+            queued++;
+        }
+        assertEquals(requestQueue.capacity(), queued);
+        List<Integer> deadlines = new ArrayList<>(IntStream.range(0, 60).boxed().toList());
+        Collections.shuffle(deadlines, new Random(3));
+        deadlines.forEach(deadline -> requestQueue.holdBack(deadline, deadline));
+        assertNull(requestQueue.pollNext());
+        assertTrue(requestQueue.isBacklogged());
+        requestQueue.decided(10, 0.010);
+        List<Integer> polledInOrder = new ArrayList<>();
+        for (Integer polled = requestQueue.pollNext();
+                polled != null;
+                polled = requestQueue.pollNext()) {
+            polledInOrder.add(polled);
+        }
+        assertEquals(
+                deadlines.stream().sorted(Comparator.naturalOrder()).limit(10).toList(),
+                polledInOrder);
+        assertEquals(50, requestQueue.heldBackCount());
+        assertFalse(requestQueue.tryEnqueue(), "none goes before those that wait");
+    }
+}
