--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -8,9 +8,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.events.ResponseRemainder;
-import lemondrift.proxy.events.StreamedRequestBody;
-import lemondrift.proxy.http.BodyRelay;
+import lemondrift.proxy.time.Durations;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.IoFuture;
@@ -19,137 +17,175 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One request on one connection and its answer, whole, or where it is long its beginning and then
- * piece by piece as it is asked for. It never tries again by itself. I/O thread only.
+ * One request on one connection and its response, buffered whole, or where it is long its beginning
+ * and then a {@link StreamedResponse}. It ends once: with a response, with a failure, or by {@link
+ * #abandon}. It never retries. I/O thread only.
  */
-public final class BackendCall implements ResponseRemainder {
-    /** What is to be sent; the upload, if any, follows in place of a body. */
-    record Request(Head head, byte[] body, StreamedRequestBody upload) {
-        Request(byte[] head) {
-            this(left -> head, new byte[0], null);
-        }
-    }
+public final class BackendCall {
+    /**
+     * The time limits of a call whose response may be streamed.
+     *
+     * @param connectSeconds how long connecting may take
+     * @param responseSeconds how long the whole call may take; where the body is streamed, how long
+     *     the response may take after its last byte
+     * @param streamAfterSeconds after how much of that a response of unknown length is streamed
+     */
+    record Timeouts(double connectSeconds, double responseSeconds, double streamAfterSeconds) {}
 
-    /** Makes a request's head once it can be written; so many seconds are left for its answer. */
-    interface Head {
-        byte[] within(double seconds);
+    private enum State {
+        /** Waits to be started, or for a connection; a place in the pool is reserved. */
+        CONNECTING,
+        /** Holds a connection: sends the request and reads the response, at the same time. */
+        CONNECTED,
+        /** Ended; whatever comes now changes nothing. */
+        DONE
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(BackendCall.class);
 
-    /** Stands for a head that is not made yet; it is never written. */
-    private static final ByteBuffer UNWRITTEN = ByteBuffer.allocate(1).asReadOnlyBuffer();
-
     private final ConnectionPool pool;
-    private final Head head;
+    private final RequestWriter request;
+    private final ResponseReader reader;
+    private final double responseTimeoutSeconds;
+    private final Runnable onSent;
+    private final Consumer<BackendResponse> onEnd;
 
-    /** The head, once it can be written, and the body. */
-    private final ByteBuffer[] request;
+    /** Whether anybody waits for the response. */
+    private BooleanSupplier isWanted = () -> true;
 
-    private final StreamedRequestBody streamedBody;
-    private BodyRelay uploading;
-    private boolean uploaded;
-    private final ResponseReader reader;
-    private final Consumer<BackendResponse> end;
-    private final Runnable written;
+    /** How long after the start a request may still be written, in seconds. */
+    private double sendWithinSeconds = Double.POSITIVE_INFINITY;
+
+    /** After how many seconds a response of unknown length is streamed; 0 for never. */
+    private double streamAfterSeconds;
 
-    /** Whether anybody waits for its answer. */
-    private BooleanSupplier wanted = () -> true;
+    private State state = State.CONNECTING;
 
+    /** Null while connecting. */
     private ConnectionPool.Link link;
+
+    /** Null until the connect has begun. */
     private IoFuture<StreamConnection> connect;
+
     private XnioExecutor.Key connectTimer;
-    private XnioExecutor.Key timer;
-    private XnioExecutor.Key passTimer;
-    private boolean done;
+    private XnioExecutor.Key responseTimer;
+    private XnioExecutor.Key streamTimer;
 
-    /** What has come of an answer that is passed on, and who is to hear of more. */
-    private PooledByteBuffer passing;
+    private double startedAt;
 
-    private Runnable more;
-    private double within = Double.POSITIVE_INFINITY;
-    private double endless;
-    private double began;
+    /** The buffer that a streamed response has taken over; null where there is none. */
+    private PooledByteBuffer streamedBuffer;
 
     private BackendCall(
             ConnectionPool pool,
-            Request request,
-            int most,
-            boolean mayPass,
-            Runnable written,
-            Consumer<BackendResponse> end) {
+            RequestWriter.Request request,
+            int maxBufferedBytes,
+            boolean mayStream,
+            double responseTimeoutSeconds,
+            Runnable onSent,
+            Consumer<BackendResponse> onEnd) {
         this.pool = pool;
-        head = request.head;
-        this.request = new ByteBuffer[] {UNWRITTEN, ByteBuffer.wrap(request.body)};
-        streamedBody = request.upload;
-        this.reader = new ResponseReader(most, mayPass);
-        this.written = written;
-        this.end = end;
+        this.request = new RequestWriter(this, pool.io, request);
+        this.reader = new ResponseReader(maxBufferedBytes, mayStream);
+        this.responseTimeoutSeconds = responseTimeoutSeconds;
+        this.onSent = onSent;
+        this.onEnd = onEnd;
     }
 
     /**
-     * A call to be started; end hears of its answer once, not after abandon. Null if there is no
-     * room.
+     * A call, to be started, whose response is buffered whole.
+     *
+     * @param maxBodyBytes a longer response is a failure
+     * @param connectTimeoutSeconds how long connecting may take
+     * @param timeoutSeconds how long the whole call may take
+     * @param onEnd hears of the response or the failure once, not after {@link #abandon}
+     * @return null if no connection is free and none may be opened
      */
     public static BackendCall make(
             ConnectionPool pool,
             byte[] request,
-            int most,
-            double connectTimeout,
-            double within,
-            Consumer<BackendResponse> end) {
-        BackendCall call = new BackendCall(pool, new Request(request), most, false, () -> {}, end);
-        return make(pool, call, connectTimeout, within);
+            int maxBodyBytes,
+            double connectTimeoutSeconds,
+            double timeoutSeconds,
+            Consumer<BackendResponse> onEnd) {
+        BackendCall call =
+                new BackendCall(
+                        pool,
+                        new RequestWriter.Request(request),
+                        maxBodyBytes,
+                        false,
+                        timeoutSeconds,
+                        () -> {},
+                        onEnd);
+        return call.reserve(connectTimeoutSeconds) ? call : null;
     }
 
     /**
-     * One whose answer may be passed on: when it is too long to be held, or nobody can say how long
-     * it will be and it has lasted so many seconds. Written hears that its last byte is with the
-     * system; where the request is an upload that takes its time, both spans count from then on.
-     * Nothing more of the request is sent once it is not wanted or its time is over.
+     * A call, to be started, whose response may be streamed: when it is too long to be buffered, or
+     * its length is unknown and it has lasted for some time. Nothing more of the request is sent
+     * once it is not wanted or its time is over.
+     *
+     * @param isWanted whether anybody waits for the response; asked before each write
+     * @param onSent hears once the last byte of the request is with the kernel
+     * @param onEnd hears of the response or the failure once, not after {@link #abandon}
+     * @return null if no connection is free and none may be opened
      */
-    static BackendCall passing(
+    static BackendCall makeStreaming(
             ConnectionPool pool,
-            Request request,
-            int most,
-            double connectTimeout,
-            double within,
-            double endless,
-            BooleanSupplier wanted,
-            Runnable written,
-            Consumer<BackendResponse> end) {
-        BackendCall call = new BackendCall(pool, request, most, true, written, end);
-        call.within = within;
-        call.wanted = wanted;
-        call.endless = endless;
-        return make(pool, call, connectTimeout, within);
+            RequestWriter.Request request,
+            int maxBufferedBytes,
+            Timeouts timeouts,
+            BooleanSupplier isWanted,
+            Runnable onSent,
+            Consumer<BackendResponse> onEnd) {
+        BackendCall call =
+                new BackendCall(
+                        pool,
+                        request,
+                        maxBufferedBytes,
+                        true,
+                        timeouts.responseSeconds,
+                        onSent,
+                        onEnd);
+        call.isWanted = isWanted;
+        call.sendWithinSeconds = timeouts.responseSeconds;
+        call.streamAfterSeconds = timeouts.streamAfterSeconds;
+        return call.reserve(timeouts.connectSeconds) ? call : null;
+    }
+
+    /** The bytes of a GET request without a body. */
+    public static byte[] get(String path, String host) {
+        return ("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
+                .getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static BackendCall make(
-            ConnectionPool pool, BackendCall call, double connectTimeout, double within) {
-        call.link = pool.rested();
-        if (call.link == null && !pool.reserve()) {
-            call.link = pool.idle();
-            if (call.link == null) {
-                return null;
+    /** Takes an idle connection or a place for a new one, and starts the timers. */
+    private boolean reserve(double connectTimeoutSeconds) {
+        link = pool.takeRested();
+        if (link == null && !pool.reserve()) {
+            link = pool.takeIdle();
+            if (link == null) {
+                return false;
             }
         }
-        call.began = pool.clock.now();
-        call.timer = call.streamedBody == null ? call.after(within) : null;
-        call.connectTimer = call.link == null ? call.after(connectTimeout) : null;
-        return call;
-    }
-
-    public static byte[] get(String path, String host) {
-        return ("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII);
+        startedAt = pool.clock.now();
+        if (!request.streamsBody()) {
+            responseTimer = startTimeout(responseTimeoutSeconds);
+        }
+        if (link == null) {
+            connectTimer = startTimeout(connectTimeoutSeconds);
+        } else {
+            state = State.CONNECTED;
+        }
+        return true;
     }
 
-    private XnioExecutor.Key after(double seconds) {
-        long nanos = (long) (Math.max(0, seconds) * 1e9);
-        return pool.io.executeAfter(() -> broken(true), nanos, TimeUnit.NANOSECONDS);
+    private XnioExecutor.Key startTimeout(double seconds) {
+        long nanos = Durations.toNanos(Math.max(0, seconds));
+        return pool.io.executeAfter(() -> endFailed(true), nanos, TimeUnit.NANOSECONDS);
     }
 
+    /** Sends the request, on the connection at hand or once one is established. */
     public void start() {
         if (link != null) {
             send();
@@ -158,309 +194,211 @@
         }
     }
 
-    /** Danger: whoever fails here and is told so would end once more with the timers. */
     private void connect() {
         try {
-            connect = pool.dial.open(pool.address, this::connected);
+            connect = pool.connector.open(pool.address, this::connected);
             connect.addNotifier(
-                    (future, nothing) -> {
+                    (future, unused) -> {
                         if (future.getStatus() == IoFuture.Status.FAILED) {
-                            broken(false);
+                            endConnectionBroken();
                         }
                     },
                     null);
         } catch (RuntimeException e) {
-            LOG.error("no connection begun", e);
-            unsent();
+            // Wide, as connectors may throw anything. Guards against a call that ends twice: a
+            // caller that saw the exception would end it too, and then the timers would.
+            LOG.error("connecting to {} failed", pool.address, e);
+            endNotSent();
         }
     }
 
     private void connected(StreamConnection connection) {
-        if (done) {
+        if (isDone()) {
             IoUtils.safeClose(connection);
             return;
         }
         link = pool.opened(connection);
+        state = State.CONNECTED;
         connectTimer.remove();
         send();
     }
 
     private void send() {
-        // Danger: its backend may have been told to drain for long while the connection came up.
+        // Guards against a backend that began to drain while the connection was established.
         if (pool.isRetired()) {
-            unsent();
+            endNotSent();
             return;
         }
-        // Danger: the time that was left before the connection came up is more than its client has
-        // now.
-        request[0] = ByteBuffer.wrap(head.within(began + within - pool.clock.now()));
+        // Guards against a stale time: less is left than before the connection was established.
+        request.makeHead(startedAt + responseTimeoutSeconds - pool.clock.now());
         link.connection.getSourceChannel().setReadListener(source -> read());
         link.connection.getSourceChannel().resumeReads();
-        link.connection.getSinkChannel().setWriteListener(sink -> write());
-        write();
+        request.start(link.connection.getSinkChannel());
     }
 
-    private void write() {
-        // Danger: its client may have left, or its time have passed, while it waited for a
-        // connection or for
-        // a backend that takes nothing. What has not come whole has not begun there.
-        if (!done && !isHanded() && (!wanted.getAsBoolean() || isLate())) {
-            unsent();
-            return;
-        }
-        var sink = link.connection.getSinkChannel();
-        try {
-            while (!done && !isHanded()) {
-                if (sink.write(request) == 0) {
-                    sink.resumeWrites();
-                    return;
-                }
-            }
-            sink.suspendWrites();
-            if (!done && streamedBody == null) {
-                written.run();
-            } else if (!done) {
-                upload();
-            }
-        } catch (IOException e) {
-            broken(false);
-        }
+    /** Whether the call has ended. */
+    boolean isDone() {
+        return state == State.DONE;
     }
 
-    private boolean isLate() {
-        return streamedBody == null && pool.clock.now() >= began + within;
-    }
-
-    /** Whether all but the upload, if there is one, is with the system. */
-    private boolean isHanded() {
-        return request[1].remaining() + request[0].remaining() == 0;
+    /** Whether the request is worth sending: somebody waits for the response and it has time. */
+    boolean isStillWanted() {
+        return isWanted.getAsBoolean() && !isLate();
     }
 
-    private void upload() {
-        // Danger: where no forward may be called off, one whose client left in the middle would
-        // stay out.
-        streamedBody.whenReleased(
-                () -> {
-                    if (!isSent()) {
-                        unsent();
-                    }
-                });
-        // Danger: a backend that takes nothing would keep its client for ever. The giver is the
-        // door's.
-        uploading =
-                new BodyRelay(
-                        streamedBody,
-                        link.connection.getSinkChannel(),
-                        pool.io,
-                        new BodyRelay.Patience(0, streamedBody.stallTimeoutSeconds()),
-                        () -> {},
-                        whole -> {
-                            if (!whole) {
-                                broken(false);
-                                return;
-                            }
-                            uploaded = true;
-                            began = pool.clock.now();
-                            timer = after(within);
-                            written.run();
-                        });
-        uploading.run();
+    private boolean isLate() {
+        return !request.streamsBody() && pool.clock.now() >= startedAt + sendWithinSeconds;
     }
 
-    /** Whether its last byte is with the system. */
-    private boolean isSent() {
-        return isHanded() && (streamedBody == null || uploaded);
+    /** The last byte of the request is with the kernel. */
+    void requestSent() {
+        if (request.streamsBody()) {
+            startedAt = pool.clock.now();
+            responseTimer = startTimeout(responseTimeoutSeconds);
+        }
+        onSent.run();
     }
 
-    /** When it began, or where it is an upload, when its last byte had gone. */
-    double began() {
-        return began;
+    /** The instant at which it was made, or at which the last byte of a streamed body had gone. */
+    double startedAt() {
+        return startedAt;
     }
 
     private void read() {
         PooledByteBuffer pooled = pool.buffers.allocate();
         try {
-            ByteBuffer buffer = pooled.getBuffer();
-            int got = 1;
-            while (!done && got > 0) {
-                got = link.connection.getSourceChannel().read(buffer.clear());
-                if (got > 0 && reader.read(buffer.flip())) {
-                    if (buffer.hasRemaining()) {
-                        pool.saidMore();
-                    }
-                    whole(buffer.hasRemaining());
-                } else if (got > 0 && reader.isLong()) {
-                    passing = pooled;
-                    begun();
-                } else if (got < 0 && reader.endsHere()) {
-                    whole(true);
-                } else if (got < 0) {
-                    broken(false);
+            int count = 1;
+            while (!isDone() && count > 0) {
+                count = link.connection.getSourceChannel().read(pooled.getBuffer().clear());
+                if (count > 0) {
+                    bytesRead(pooled);
+                } else if (count < 0) {
+                    connectionEnded();
                 }
             }
-            if (!done && reader.isEndless() && endless > 0 && passTimer == null && isSent()) {
-                double left = Math.max(0, began + endless - pool.clock.now());
-                passTimer =
-                        pool.io.executeAfter(this::pass, (long) (left * 1e9), TimeUnit.NANOSECONDS);
-            }
+            scheduleStreaming();
         } catch (IOException | RuntimeException e) {
-            // Danger: an answer that makes a library fail would leave its forward without an end.
-            broken(false);
+            // Wide: guards against an attempt without an end where a library fails on a response.
+            endConnectionBroken();
         } finally {
-            if (passing != pooled) {
+            if (streamedBuffer != pooled) {
                 pooled.close();
             }
         }
     }
 
-    /**
-     * Danger: who waited for the end of an answer that comes slowly would hear nothing until too
-     * late.
-     */
-    private void pass() {
-        if (!done) {
-            reader.pass();
-            passing = pool.buffers.allocate();
-            passing.getBuffer().limit(0);
-            begun();
-        }
-    }
-
-    /** From here on nothing but the sides themselves ends it. */
-    private void begun() {
-        finish();
-        link.connection.getSourceChannel().suspendReads();
-        end.accept(reader.begun(this));
-    }
-
-    /** The length of a long answer's body; -1 where nobody tells. */
-    @Override
-    public int declared() {
-        return reader.declared();
-    }
-
-    @Override
-    public ByteBuffer next() throws IOException {
-        ByteBuffer raw = passing.getBuffer();
-        for (int got = 1; got > 0; ) {
-            ByteBuffer piece = reader.piece(raw);
-            if (piece != null || reader.isWhole()) {
-                return piece;
-            }
-            got = link.connection.getSourceChannel().read(raw.clear());
-            raw.flip();
-            if (got < 0 && reader.endsHere()) {
-                reader.ended();
-            } else if (got < 0) {
-                throw new IOException("an answer that breaks off");
+    private void bytesRead(PooledByteBuffer pooled) throws IOException {
+        ByteBuffer buffer = pooled.getBuffer().flip();
+        if (reader.read(buffer)) {
+            boolean unexpectedBytes = buffer.hasRemaining();
+            if (unexpectedBytes) {
+                pool.sawUnexpectedBytes();
             }
+            endComplete(unexpectedBytes);
+        } else if (reader.isLong()) {
+            endStreamed(pooled);
         }
-        return null;
     }
 
-    @Override
-    public boolean isWhole() {
-        return reader.isWhole();
-    }
-
-    @Override
-    public void awaitMore(Runnable then) {
-        more = then;
-        link.connection
-                .getSourceChannel()
-                .setReadListener(
-                        source -> {
-                            source.suspendReads();
-                            more.run();
-                        });
-        link.connection.getSourceChannel().resumeReads();
-    }
-
-    /** What was passed on is whole. */
-    @Override
-    public void passed() {
-        boolean spent = passing.getBuffer().hasRemaining() || reader.closes() || !isSent();
-        release();
-        if (spent) {
-            link.close();
+    private void connectionEnded() {
+        if (reader.endsWithConnection()) {
+            endComplete(true);
         } else {
-            pool.back(link);
+            endConnectionBroken();
         }
     }
 
-    /** Nobody wants what is passed on any more. */
-    @Override
-    public void abandonResponse() {
-        release();
-        link.close();
+    /**
+     * Guards against a client that hears nothing until too late of a response that comes slowly.
+     */
+    private void scheduleStreaming() {
+        if (!isDone()
+                && reader.isLengthUnknown()
+                && streamAfterSeconds > 0
+                && streamTimer == null
+                && request.isSent()) {
+            double left = Math.max(0, startedAt + streamAfterSeconds - pool.clock.now());
+            streamTimer =
+                    pool.io.executeAfter(
+                            this::streamIncomplete, Durations.toNanos(left), TimeUnit.NANOSECONDS);
+        }
     }
 
-    private void release() {
-        if (passing != null) {
-            passing.close();
-            passing = null;
+    private void streamIncomplete() {
+        if (!isDone()) {
+            reader.forceStreaming();
+            PooledByteBuffer empty = pool.buffers.allocate();
+            empty.getBuffer().limit(0);
+            endStreamed(empty);
         }
     }
 
+    /** Hands over the beginning of the response, and the connection with what follows. */
+    private void endStreamed(PooledByteBuffer unread) {
+        streamedBuffer = unread;
+        finish();
+        link.connection.getSourceChannel().suspendReads();
+        onEnd.accept(reader.begun(new StreamedResponse(pool, link, request, reader, unread)));
+    }
+
     /**
-     * Danger: what lies beyond an answer, or is still to be sent, would be taken for the next
-     * exchange's.
+     * Guards against the next request on the connection that gets what lies beyond this response,
+     * or follows what was not sent of this request.
      */
-    private void whole(boolean spent) {
+    private void endComplete(boolean spent) {
         finish();
-        if (spent || !isSent() || reader.closes()) {
-            link.close();
-        } else {
-            pool.back(link);
-        }
-        end.accept(reader.answer());
+        pool.giveBack(link, !spent && request.isSent() && !reader.closesConnection());
+        onEnd.accept(reader.answer());
     }
 
-    private void broken(boolean timedOut) {
-        if (!done) {
+    /** The connection could not be established, broke, or brought what cannot be read. */
+    void endConnectionBroken() {
+        endFailed(false);
+    }
+
+    private void endFailed(boolean timedOut) {
+        if (!isDone()) {
             abandon();
-            // Danger: once the last byte is handed to the kernel it may have run, whatever is seen
-            // after.
-            end.accept(BackendResponse.broken(isSent(), timedOut));
+            onEnd.accept(BackendResponse.broken(request.isSent(), timedOut));
         }
     }
 
-    private void unsent() {
-        if (!done) {
+    /** The request is not going to be sent, through no fault of the backend. */
+    void endNotSent() {
+        if (!isDone()) {
             abandon();
-            end.accept(BackendResponse.unsent());
+            onEnd.accept(BackendResponse.unsent());
         }
     }
 
-    /** Gives the request up by closing its connection, so that no copy is left out. */
+    /** Gives the request up by closing its connection, so that no copy of it stays out. */
     public void abandon() {
-        if (done) {
+        if (isDone()) {
             return;
         }
+        boolean connecting = state == State.CONNECTING;
         finish();
-        if (link != null) {
+        if (!connecting) {
             link.close();
-        } else {
-            pool.released();
-            if (connect != null) {
-                connect.cancel();
-            }
+            return;
+        }
+        pool.releasePlace();
+        if (connect != null) {
+            connect.cancel();
         }
     }
 
     private void finish() {
-        done = true;
+        state = State.DONE;
+        remove(responseTimer);
+        request.stop();
+        remove(connectTimer);
+        remove(streamTimer);
+    }
+
+    private static void remove(XnioExecutor.Key timer) {
         if (timer != null) {
             timer.remove();
         }
-        if (uploading != null) {
-            uploading.stop();
-        }
-        if (connectTimer != null) {
-            connectTimer.remove();
-        }
-        if (passTimer != null) {
-            passTimer.remove();
-        }
     }
 }
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -13,9 +13,13 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
 
-/** A bounded pool of connections to one address; one request at a time on each. I/O thread only. */
+/**
+ * A bounded pool of connections to one address; one request at a time on each. The connection that
+ * has been idle longest is used first, and any byte that comes on an idle one closes it. I/O thread
+ * only.
+ */
 public final class ConnectionPool {
-    /** One connection. */
+    /** A connection of the pool, in use for one request or idle. */
     public static final class Link {
         public final StreamConnection connection;
         private double idleSince;
@@ -28,75 +32,103 @@
             IoUtils.safeClose(connection);
         }
 
-        /** How many bytes that nobody asked for have come, of one; below 0 where it has ended. */
-        private int looks() {
+        /** Reads a byte, which no idle connection should have, to see how it stands. */
+        private IdleState idleState() {
+            if (!connection.isOpen()) {
+                return IdleState.CLOSED;
+            }
             try {
-                return connection.isOpen()
-                        ? connection.getSourceChannel().read(ByteBuffer.allocate(1))
-                        : -1;
+                int count = connection.getSourceChannel().read(ByteBuffer.allocate(1));
+                return count > 0
+                        ? IdleState.UNEXPECTED_BYTES
+                        : count < 0 ? IdleState.CLOSED : IdleState.QUIET;
             } catch (IOException e) {
-                return -1;
+                return IdleState.CLOSED;
             }
         }
     }
 
+    /** What an idle connection shows when it is looked at. */
+    private enum IdleState {
+        /** Open and nothing has come: it can be used. */
+        QUIET,
+        /** Bytes have come that belong to no response. */
+        UNEXPECTED_BYTES,
+        /** The backend has closed it, or it is broken. */
+        CLOSED
+    }
+
     /**
-     * How many connections may be open over all pools that share it, and the idle ones, oldest
-     * first.
+     * What several pools share: how many connections may be open over all of them, their idle
+     * connections, and whether answered connections rest before they are used again.
      */
     public static final class Budget {
-        private int most;
+        private int maxConnections;
 
-        /** Until when connections rest. */
-        private double waryUntil = Double.NEGATIVE_INFINITY;
+        /** Until this instant connections rest after a response; see {@link Rest}. */
+        private double restsUntil = Double.NEGATIVE_INFINITY;
 
+        /** Idle longest first. */
         private final Set<Link> idle = new LinkedHashSet<>();
-        private int open;
 
-        public Budget(int most) {
-            this.most = most;
+        /** Places that are taken, by connections or by attempts to connect. */
+        private int reserved;
+
+        /** A budget of so many connections. */
+        public Budget(int maxConnections) {
+            this.maxConnections = maxConnections;
         }
 
-        /** Another bound; what stands idle beyond it is closed. */
-        void most(int other) {
-            most = other;
-            while (open > most && !idle.isEmpty()) {
-                idle.iterator().next().close();
+        /** Sets another bound; idle connections beyond it are closed. */
+        void setMaxConnections(int maxConnections) {
+            this.maxConnections = maxConnections;
+            while (reserved > maxConnections && !idle.isEmpty()) {
+                closeLongestIdle();
             }
         }
 
-        /**
-         * Danger: pools that stand idle would keep an exchange from the backend that was picked for
-         * it.
-         */
-        private boolean hasRoom() {
-            if (open >= most && !idle.isEmpty()) {
-                idle.iterator().next().close();
+        /** Guards against idle connections to other backends that keep the chosen one from use. */
+        private boolean makePlace() {
+            if (reserved >= maxConnections && !idle.isEmpty()) {
+                closeLongestIdle();
             }
-            return open < most;
+            return reserved < maxConnections;
+        }
+
+        private void closeLongestIdle() {
+            idle.iterator().next().close();
         }
     }
 
     /**
-     * For so many seconds a connection is not used again after an answer, while somebody has said
-     * more than his answer less than so many seconds ago.
+     * The quarantine of answered connections: for some seconds a connection is not used again,
+     * while a backend has sent more than its response not long ago.
+     *
+     * @param restSeconds how long a connection rests after a response
+     * @param memorySeconds how long after unexpected bytes connections still rest
      */
-    public record Rest(double seconds, double memory) {
+    public record Rest(double restSeconds, double memorySeconds) {
         public static final Rest NONE = new Rest(0, 0);
     }
 
     public final InetSocketAddress address;
     final XnioIoThread io;
-    final BackendConnector dial;
+    final BackendConnector connector;
     final ByteBufferPool buffers;
     final MonotonicClock clock;
     private final Budget budget;
-    private final int most;
+    private final int maxConnections;
     private final Rest rest;
+
+    /** Idle longest last. */
     private final Deque<Link> idle = new ArrayDeque<>();
-    private int open;
+
+    /** Places that are taken here, by connections or by attempts to connect. */
+    private int reserved;
+
     private boolean retired;
 
+    /** A pool of at most so many connections, all of which also count against the budget. */
     public ConnectionPool(
             InetSocketAddress address,
             XnioIoThread io,
@@ -104,81 +136,88 @@
             ByteBufferPool buffers,
             MonotonicClock clock,
             Budget budget,
-            int most,
+            int maxConnections,
             Rest rest) {
         this.address = address;
         this.io = io;
-        this.dial = connector;
+        this.connector = connector;
         this.buffers = buffers;
         this.clock = clock;
         this.budget = budget;
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.rest = rest;
     }
 
     /**
-     * The connection that has been idle longest, if it has rested; null if there is none. Danger:
-     * that a backend closes one right after its answer, or says something more there, is not heard
-     * of in time on the one used last, and another client would be given what it says.
+     * Takes the connection that has been idle longest, if it has rested; null if there is none.
+     * Guards against bytes or a close that follow a response late and would meet the next request.
      */
-    Link rested() {
+    Link takeRested() {
         double now = clock.now();
-        return idleSince(now < budget.waryUntil ? now - rest.seconds : now);
+        return takeIdleSince(now < budget.restsUntil ? now - rest.restSeconds : now);
     }
 
-    /** More has come than belongs to an answer. */
-    void saidMore() {
-        budget.waryUntil = clock.now() + rest.memory;
+    /** Takes the connection that has been idle longest, rested or not; null if there is none. */
+    Link takeIdle() {
+        return takeIdleSince(Double.POSITIVE_INFINITY);
     }
 
-    /**
-     * The one that has been idle longest, where there is no place for another; null if there is
-     * none.
-     */
-    Link idle() {
-        return idleSince(Double.POSITIVE_INFINITY);
-    }
-
-    private Link idleSince(double time) {
-        while (!idle.isEmpty() && idle.peekLast().idleSince <= time) {
+    private Link takeIdleSince(double instant) {
+        while (!idle.isEmpty() && idle.peekLast().idleSince <= instant) {
             Link link = idle.pollLast();
             budget.idle.remove(link);
-            int bytes = link.looks();
-            if (bytes == 0) {
+            IdleState state = link.idleState();
+            if (state == IdleState.QUIET) {
                 return link;
             }
-            ends(link, bytes);
+            closeIdle(link, state);
         }
         return null;
     }
 
-    /** Whether another connection may be opened; it counts from now on. */
+    /** A backend has sent more than its response: connections rest from now on. */
+    void sawUnexpectedBytes() {
+        budget.restsUntil = clock.now() + rest.memorySeconds;
+    }
+
+    /** Whether another connection may be opened; its place is taken from now on. */
     public boolean reserve() {
-        if (open >= most || !budget.hasRoom()) {
+        if (reserved >= maxConnections || !budget.makePlace()) {
             return false;
         }
-        open++;
-        budget.open++;
+        reserved++;
+        budget.reserved++;
         return true;
     }
 
-    /** A connection that was reserved is closed, or did not come up. */
-    void released() {
-        open--;
-        budget.open--;
+    /** Frees a reserved place: its connection is closed, or was not established. */
+    void releasePlace() {
+        reserved--;
+        budget.reserved--;
     }
 
+    /** Adds a connection that was established for a reserved place; it is in use. */
     public Link opened(StreamConnection connection) {
         Link link = new Link(connection);
         connection.setCloseListener(
                 closed -> {
-                    released();
+                    releasePlace();
                     idle.remove(link);
                     budget.idle.remove(link);
                 });
         return link;
     }
 
+    /** Takes back a connection after its request: closes it unless it can be used again. */
+    void giveBack(Link link, boolean reusable) {
+        if (reusable) {
+            back(link);
+        } else {
+            link.close();
+        }
+    }
+
+    /** Takes back a connection that can be used again; it is idle from now on. */
     public void back(Link link) {
         if (retired || !link.connection.isOpen()) {
             link.close();
@@ -188,34 +227,32 @@
         idle.addFirst(link);
         budget.idle.add(link);
         // Whatever comes now, its end or more bytes, makes it useless.
-        link.connection.getSourceChannel().setReadListener(source -> ends(link, link.looks()));
+        link.connection
+                .getSourceChannel()
+                .setReadListener(source -> closeIdle(link, link.idleState()));
         link.connection.getSourceChannel().resumeReads();
     }
 
-    private void ends(Link link, int bytes) {
-        if (bytes > 0) {
-            saidMore();
+    private void closeIdle(Link link, IdleState state) {
+        if (state == IdleState.UNEXPECTED_BYTES) {
+            sawUnexpectedBytes();
         }
         link.close();
     }
 
-    /**
-     * No more is sent here: idle connections are closed now, busy ones when their request has
-     * ended.
-     */
+    /** Sends nothing more here: idle connections close now, busy ones when their request ends. */
     public void retire() {
         retired = true;
         closeIdleSince(Double.POSITIVE_INFINITY);
     }
 
-    /** Whether nothing more is to be sent here. */
     boolean isRetired() {
         return retired;
     }
 
-    /** Closes what has stood idle since before a time. */
-    void closeIdleSince(double time) {
-        while (!idle.isEmpty() && idle.peekLast().idleSince <= time) {
+    /** Closes the connections that have been idle since this instant or longer. */
+    void closeIdleSince(double instant) {
+        while (!idle.isEmpty() && idle.peekLast().idleSince <= instant) {
             idle.pollLast().close();
         }
     }
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/backend/RequestHead.java
@@ -0,0 +1,70 @@
+package lemondrift.proxy.backend;
+
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.HeaderValues;
+import io.undertow.util.Methods;
+import java.nio.charset.StandardCharsets;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.events.StreamedRequestBody;
+import lemondrift.proxy.http.ProxyHeaders;
+
+/** Makes the head of a request when it can be written, as it states the time that is left then. */
+interface RequestHead {
+    /** The head's bytes, with so many seconds left for the response. */
+    byte[] bytes(double secondsLeft);
+
+    /**
+     * The head of a client's request as it came, but for the fields that belong to one connection
+     * and the time there is for the response. For a streamed body that time counts from its end.
+     */
+    static RequestHead of(PendingRequest pending) {
+        StreamedRequestBody streamedBody = pending.streamedBody();
+        return streamedBody == null
+                ? secondsLeft -> bytes(pending, secondsLeft)
+                : secondsLeft -> bytes(pending, streamedBody.responseTimeoutSeconds());
+    }
+
+    private static byte[] bytes(PendingRequest pending, double secondsLeft) {
+        HttpServerExchange client = pending.exchange();
+        String query = client.getQueryString();
+        StringBuilder head =
+                new StringBuilder(256)
+                        .append(client.getRequestMethod())
+                        .append(' ')
+                        .append(client.getRequestURI())
+                        .append(query.isEmpty() ? "" : "?")
+                        .append(query)
+                        .append(" HTTP/1.1\r\n");
+        appendEndToEndFields(head, client);
+        long millisLeft = Math.max(1, Math.round(secondsLeft * 1000));
+        head.append(ProxyHeaders.TIMEOUT).append(": ").append(millisLeft).append("\r\n");
+        appendFraming(head, pending);
+        return head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
+    }
+
+    private static void appendEndToEndFields(StringBuilder head, HttpServerExchange client) {
+        for (HeaderValues values : client.getRequestHeaders()) {
+            if (!ProxyHeaders.isEndToEnd(values.getHeaderName())) {
+                continue;
+            }
+            for (int index = 0; index < values.size(); index++) {
+                head.append(values.getHeaderName())
+                        .append(": ")
+                        .append(values.get(index))
+                        .append("\r\n");
+            }
+        }
+    }
+
+    private static void appendFraming(StringBuilder head, PendingRequest pending) {
+        HttpServerExchange client = pending.exchange();
+        StreamedRequestBody streamedBody = pending.streamedBody();
+        if (streamedBody != null && streamedBody.isChunked()) {
+            head.append("Transfer-Encoding: chunked\r\n");
+        } else if (streamedBody != null) {
+            head.append("Content-Length: ").append(client.getRequestContentLength()).append("\r\n");
+        } else if (pending.body().length > 0 || !client.getRequestMethod().equals(Methods.GET)) {
+            head.append("Content-Length: ").append(pending.body().length).append("\r\n");
+        }
+    }
+}
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -14,256 +14,314 @@
 import lemondrift.proxy.http.HttpFieldRules;
 
 /**
- * Reads one answer as it comes; what can't be read in one way only is an IOException.
- * UndertowClient does not do here: it takes any 1xx but 100 for the answer, the first of two
- * lengths for the length, and keeps what lies beyond an answer for the next one.
+ * Reads one HTTP/1.x response as it comes; what cannot be read in one way only is an IOException.
+ * UndertowClient is not strict enough: it takes any 1xx but 100 for the response, the first of two
+ * lengths for the length, and keeps what lies beyond a response for the next one.
  */
 public final class ResponseReader {
-    private static final Pattern CHUNK = Pattern.compile("([0-9A-Fa-f]{1,7})[ \\t]*(;.*)?");
-
+    /** What comes next of the response. */
     private enum Part {
-        STATUS,
+        STATUS_LINE,
         FIELDS,
-        BODY,
+        BODY_OF_KNOWN_LENGTH,
         CHUNK_SIZE,
         CHUNK,
         CHUNK_END,
         TRAILER,
-        TO_THE_END,
-        WHOLE
+        BODY_UNTIL_CLOSE,
+        /** Nothing: the response is complete. */
+        NOTHING
     }
 
-    /** Bytes of the longest body that is passed on; what is said to be longer is spoilt. */
-    private static final int LONGEST = 64 << 20;
+    /** A chunk's size in hexadecimal digits, and perhaps extensions. */
+    private static final Pattern CHUNK_SIZE_LINE =
+            Pattern.compile("([0-9A-Fa-f]{1,7})[ \\t]*(;.*)?");
+
+    /** Bytes of the longest body that is streamed; a longer one is an error. */
+    private static final int MAX_STREAMED_BYTES = 64 << 20;
+
+    /** Digits of the longest Content-Length that is read; a longer one is an error. */
+    private static final int MAX_LENGTH_DIGITS = 9;
+
+    /** Where the digits of the status begin and end in a status line. */
+    private static final int STATUS_START = 9;
 
-    private final int most;
-    private final boolean mayPass;
+    private static final int STATUS_END = 12;
+
+    private final int maxBufferedBytes;
+    private final boolean mayStream;
     private final StringBuilder line = new StringBuilder(80);
-    private final ByteArrayOutputStream body = new ByteArrayOutputStream(512);
-    private Part part = Part.STATUS;
+    private final ByteArrayOutputStream bufferedBody = new ByteArrayOutputStream(512);
+    private Part next = Part.STATUS_LINE;
     private HeaderMap headers = new HeaderMap();
-    private boolean old;
+    private boolean isHttp10;
     private int status;
-    private int inHeads;
-    private int inChunks;
-    private int left;
-    private int declared = -1;
-    private long came;
-    private boolean passed;
+
+    /** Bytes of all heads, those of 1xx responses too. */
+    private int headBytes;
+
+    /** Bytes of lines between chunks since the last chunk's size. */
+    private int chunkLineBytes;
+
+    /** Bytes left of the chunk, or of a body whose length is known. */
+    private int bytesLeft;
+
+    /** The Content-Length of the body; -1 where the head states none. */
+    private int contentLength = -1;
+
+    private long bodyBytes;
+    private boolean streamingForced;
 
     /**
-     * The most is that of a body that is held; heads, 1xx too, and lines between chunks have bounds
-     * of their own. A longer one, if it may be, is passed on in pieces.
+     * A reader of one response.
+     *
+     * @param maxBufferedBytes of a body that is buffered; heads and lines between chunks have a
+     *     bound of their own, {@link HttpFieldRules#MOST}
+     * @param mayStream whether a longer body of a 200 may be streamed; else it is an error
      */
-    public ResponseReader(int most, boolean mayPass) {
-        this.most = most;
-        this.mayPass = mayPass;
+    public ResponseReader(int maxBufferedBytes, boolean mayStream) {
+        this.maxBufferedBytes = maxBufferedBytes;
+        this.mayStream = mayStream;
     }
 
     /**
-     * Takes what has come; whether the answer is whole. What is left in the buffer then is not its
-     * own. It leaves the rest of one that is too long to be held.
+     * Buffers what has come; returns whether the response is complete. What is left in the source
+     * then does not belong to it. Stops, with the rest left in the source, where the body is too
+     * long to be buffered.
+     *
+     * @throws IOException where the response cannot be read, or not in one way only
      */
-    public boolean read(ByteBuffer from) throws IOException {
+    public boolean read(ByteBuffer source) throws IOException {
         while (!isLong()) {
-            ByteBuffer piece = piece(from);
+            ByteBuffer piece = piece(source);
             if (piece == null) {
-                return part == Part.WHOLE;
+                return isWhole();
             }
-            hold(piece);
+            buffer(piece);
         }
         return false;
     }
 
-    private void hold(ByteBuffer piece) throws IOException {
+    private void buffer(ByteBuffer piece) throws IOException {
         byte[] bytes = new byte[piece.remaining()];
         piece.get(bytes);
-        body.writeBytes(bytes);
+        bufferedBody.writeBytes(bytes);
         require(
-                body.size() <= most || (mayPass && status == BackendResponse.OK),
-                "over " + most + " bytes");
+                bufferedBody.size() <= maxBufferedBytes || isStreamable(),
+                "over " + maxBufferedBytes + " bytes");
+    }
+
+    private boolean isStreamable() {
+        return mayStream && status == BackendResponse.OK;
     }
 
     /**
-     * The next piece of the body out of what has come; null where more must come first, or it is
-     * whole.
+     * Takes the next piece of the body out of what has come; null where more must come first, or
+     * the response is complete.
+     *
+     * @throws IOException where the response cannot be read, or not in one way only
      */
-    public ByteBuffer piece(ByteBuffer from) throws IOException {
-        while (part != Part.WHOLE && from.hasRemaining()) {
-            if (part == Part.BODY || part == Part.CHUNK || part == Part.TO_THE_END) {
-                int count =
-                        part == Part.TO_THE_END
-                                ? from.remaining()
-                                : Math.min(left, from.remaining());
-                came += count;
-                require(came <= LONGEST, "over " + LONGEST + " bytes");
-                ByteBuffer piece = from.slice(from.position(), count);
-                from.position(from.position() + count);
-                left -= part == Part.TO_THE_END ? 0 : count;
-                if (left == 0 && part != Part.TO_THE_END) {
-                    part = part == Part.BODY ? Part.WHOLE : Part.CHUNK_END;
+    public ByteBuffer piece(ByteBuffer source) throws IOException {
+        while (next != Part.NOTHING && source.hasRemaining()) {
+            if (next == Part.BODY_OF_KNOWN_LENGTH || next == Part.CHUNK) {
+                ByteBuffer piece = slice(source, Math.min(bytesLeft, source.remaining()));
+                bytesLeft -= piece.remaining();
+                if (bytesLeft == 0) {
+                    next = next == Part.CHUNK ? Part.CHUNK_END : Part.NOTHING;
                 }
                 return piece;
             }
-            String text = line(from);
-            if (text != null) {
-                next(text);
+            if (next == Part.BODY_UNTIL_CLOSE) {
+                return slice(source, source.remaining());
+            }
+            String completeLine = line(source);
+            if (completeLine != null) {
+                parse(completeLine);
             }
         }
         return null;
     }
 
-    /** Whether it is too long to be held, so that it has to be passed on in pieces. */
+    private ByteBuffer slice(ByteBuffer source, int count) throws IOException {
+        bodyBytes += count;
+        require(bodyBytes <= MAX_STREAMED_BYTES, "over " + MAX_STREAMED_BYTES + " bytes");
+        ByteBuffer piece = source.slice(source.position(), count);
+        source.position(source.position() + count);
+        return piece;
+    }
+
+    /** Whether the body is too long to be buffered, or must be streamed for another reason. */
     public boolean isLong() {
-        return passed || declared > most || body.size() > most;
+        return streamingForced
+                || contentLength > maxBufferedBytes
+                || bufferedBody.size() > maxBufferedBytes;
     }
 
-    /** Whether nobody can say how long it will be; its head is in. */
-    boolean isEndless() {
+    /** Whether the head of a 200 is complete, its body is not, and its length is not known. */
+    boolean isLengthUnknown() {
         return status == BackendResponse.OK
-                && declared < 0
-                && part.compareTo(Part.FIELDS) > 0
-                && part != Part.WHOLE;
+                && contentLength < 0
+                && next != Part.STATUS_LINE
+                && next != Part.FIELDS
+                && next != Part.NOTHING;
     }
 
-    /** It is passed on whatever its length. */
-    void pass() {
-        passed = true;
+    /** From now on the body is streamed, however long it is. */
+    void forceStreaming() {
+        streamingForced = true;
     }
 
+    /** Whether the whole response has been read. */
     public boolean isWhole() {
-        return part == Part.WHOLE;
+        return next == Part.NOTHING;
     }
 
-    /** The connection's end, which has come, was the answer's. */
-    void ended() {
-        part = Part.WHOLE;
+    /** The Content-Length of the body; -1 where the head states none. */
+    int contentLength() {
+        return contentLength;
     }
 
-    /** The length that its head tells; -1 where it tells none. */
-    int declared() {
-        return declared;
+    /** Whether the end of the connection, if it came now, would be the end of the response. */
+    boolean endsWithConnection() {
+        return next == Part.BODY_UNTIL_CLOSE;
     }
 
-    /** Whether the connection's end, which has come, is the answer's. */
-    boolean endsHere() {
-        return part == Part.TO_THE_END;
+    /** The connection has ended, and the response with it. */
+    void connectionEnded() {
+        next = Part.NOTHING;
     }
 
-    /** Whether the connection is of no use after the answer. */
-    boolean closes() {
+    /** Whether the connection cannot be used again after the response. */
+    boolean closesConnection() {
         String connection = headers.getFirst(Headers.CONNECTION);
-        return connection == null ? old : !connection.equalsIgnoreCase("keep-alive");
+        return connection == null ? isHttp10 : !connection.equalsIgnoreCase("keep-alive");
     }
 
+    /** The response, buffered whole. */
     public BackendResponse answer() {
-        return new BackendResponse(status, headers, body.toByteArray(), true, false, null);
+        return begun(null);
     }
 
-    /** What of it was held, and whoever has the rest. */
-    public BackendResponse begun(ResponseRemainder rest) {
-        return new BackendResponse(status, headers, body.toByteArray(), true, false, rest);
+    /** The response with the beginning of its body, and who has the remainder. */
+    public BackendResponse begun(ResponseRemainder remainder) {
+        return new BackendResponse(
+                status, headers, bufferedBody.toByteArray(), true, false, remainder);
     }
 
     /** The next line without its end; null until it has come. */
-    private String line(ByteBuffer from) throws IOException {
-        while (from.hasRemaining()) {
-            char c = (char) (from.get() & 0xFF);
-            // Danger: lines without end between chunks would hold a connection as a head without
-            // end does.
-            boolean inHead = part == Part.STATUS || part == Part.FIELDS;
-            if ((inHead ? ++inHeads : ++inChunks) > HttpFieldRules.MOST) {
+    private String line(ByteBuffer source) throws IOException {
+        while (source.hasRemaining()) {
+            char c = (char) (source.get() & 0xFF);
+            // Guards against lines without an end, in the head or between chunks.
+            boolean inHead = next == Part.STATUS_LINE || next == Part.FIELDS;
+            int lineBytes = inHead ? ++headBytes : ++chunkLineBytes;
+            if (lineBytes > HttpFieldRules.MOST) {
                 throw new IOException("a head of over " + HttpFieldRules.MOST + " bytes");
             }
             if (c == '\n') {
                 int end = line.length() - 1;
                 require(end >= 0 && line.charAt(end) == '\r', line);
-                String text = line.substring(0, end);
+                String completeLine = line.substring(0, end);
                 line.setLength(0);
-                return text;
+                return completeLine;
             }
             line.append(c);
         }
         return null;
     }
 
-    private void next(String text) throws IOException {
-        switch (part) {
-            case STATUS -> {
-                old = text.startsWith("HTTP/1.0 ");
-                require(
-                        (old || text.startsWith("HTTP/1.1 "))
-                                && text.length() >= 12
-                                && HttpFieldRules.isValue(text)
-                                && (text.length() == 12 || text.charAt(12) == ' '),
-                        text);
-                status = HttpFieldRules.number(text.substring(9, 12), 3);
-                require(status >= 100 && status < 600, text);
-                part = Part.FIELDS;
-            }
+    private void parse(String completeLine) throws IOException {
+        switch (next) {
+            case STATUS_LINE -> parseStatus(completeLine);
             case FIELDS -> {
-                if (text.isEmpty()) {
-                    framing();
+                if (completeLine.isEmpty()) {
+                    chooseFraming();
                 } else {
-                    int colon = text.indexOf(':');
-                    String name = text.substring(0, Math.max(0, colon));
-                    require(HttpFieldRules.isToken(name) && HttpFieldRules.isValue(text), text);
-                    headers.add(new HttpString(name), text.substring(colon + 1).strip());
+                    parseField(completeLine);
                 }
             }
-            case CHUNK_SIZE -> {
-                Matcher size = CHUNK.matcher(text);
-                require(size.matches(), text);
-                left = Integer.parseInt(size.group(1), 16);
-                require(left <= LONGEST - came, text);
-                inChunks = 0;
-                part = left == 0 ? Part.TRAILER : Part.CHUNK;
-            }
+            case CHUNK_SIZE -> parseChunkSize(completeLine);
             case CHUNK_END -> {
-                require(text.isEmpty(), text);
-                part = Part.CHUNK_SIZE;
+                require(completeLine.isEmpty(), completeLine);
+                next = Part.CHUNK_SIZE;
             }
-            default -> part = text.isEmpty() ? Part.WHOLE : part;
+            default -> next = completeLine.isEmpty() ? Part.NOTHING : next;
         }
     }
 
+    private void parseStatus(String statusLine) throws IOException {
+        isHttp10 = statusLine.startsWith("HTTP/1.0 ");
+        require(
+                (isHttp10 || statusLine.startsWith("HTTP/1.1 "))
+                        && statusLine.length() >= STATUS_END
+                        && HttpFieldRules.isValue(statusLine)
+                        && (statusLine.length() == STATUS_END
+                                || statusLine.charAt(STATUS_END) == ' '),
+                statusLine);
+        status =
+                HttpFieldRules.number(
+                        statusLine.substring(STATUS_START, STATUS_END), STATUS_END - STATUS_START);
+        require(status >= 100 && status < 600, statusLine);
+        next = Part.FIELDS;
+    }
+
+    private void parseField(String field) throws IOException {
+        int colon = field.indexOf(':');
+        String name = field.substring(0, Math.max(0, colon));
+        require(HttpFieldRules.isToken(name) && HttpFieldRules.isValue(field), field);
+        headers.add(new HttpString(name), field.substring(colon + 1).strip());
+    }
+
+    private void parseChunkSize(String sizeLine) throws IOException {
+        Matcher size = CHUNK_SIZE_LINE.matcher(sizeLine);
+        require(size.matches(), sizeLine);
+        bytesLeft = Integer.parseInt(size.group(1), 16);
+        require(bytesLeft <= MAX_STREAMED_BYTES - bodyBytes, sizeLine);
+        chunkLineBytes = 0;
+        next = bytesLeft == 0 ? Part.TRAILER : Part.CHUNK;
+    }
+
     /**
-     * Danger: framing that can be read in two ways would pass a part for the whole, or the next
-     * answer's.
+     * Decides from a complete head where the body ends. Guards against framing that can be read in
+     * two ways, which would pass off a part as the whole, or the next response as part of this one.
      */
-    private void framing() throws IOException {
+    private void chooseFraming() throws IOException {
         HeaderValues codings = headers.get(Headers.TRANSFER_ENCODING);
         HeaderValues lengths = headers.get(Headers.CONTENT_LENGTH);
         if (status < 200) {
             require(status != 101, "an upgrade");
             headers = new HeaderMap();
-            part = Part.STATUS;
+            next = Part.STATUS_LINE;
         } else if (codings != null) {
             require(
                     lengths == null
                             && codings.size() == 1
                             && codings.getFirst().equalsIgnoreCase("chunked")
-                            && !old,
+                            && !isHttp10,
                     codings);
-            part = Part.CHUNK_SIZE;
+            next = Part.CHUNK_SIZE;
         } else if (lengths != null) {
-            // Danger: one of 3 GB is known to be too long here, and would come for as long as it is
-            // read.
-            declared = left = HttpFieldRules.number(lengths.getFirst(), 9);
-            boolean passes = mayPass && status == BackendResponse.OK;
-            require(lengths.size() == 1 && left >= 0 && left <= (passes ? LONGEST : most), lengths);
-            part = left == 0 ? Part.WHOLE : Part.BODY;
+            startBodyOfKnownLength(lengths);
         } else if (status == 204 || status == 304) {
-            part = Part.WHOLE;
+            next = Part.NOTHING;
         } else {
-            require(closes(), "an answer without a length");
-            part = Part.TO_THE_END;
+            require(closesConnection(), "a response without a length");
+            next = Part.BODY_UNTIL_CLOSE;
         }
     }
 
+    private void startBodyOfKnownLength(HeaderValues lengths) throws IOException {
+        contentLength = HttpFieldRules.number(lengths.getFirst(), MAX_LENGTH_DIGITS);
+        bytesLeft = contentLength;
+        // Guards against a body that is known to be too long and would be read to the bound.
+        int maxBytes = isStreamable() ? MAX_STREAMED_BYTES : maxBufferedBytes;
+        require(lengths.size() == 1 && bytesLeft >= 0 && bytesLeft <= maxBytes, lengths);
+        next = bytesLeft == 0 ? Part.NOTHING : Part.BODY_OF_KNOWN_LENGTH;
+    }
+
     private static void require(boolean holds, Object what) throws IOException {
         if (!holds) {
-            throw new IOException("an answer that can't be read: " + what);
+            throw new IOException("a response that cannot be read: " + what);
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/http/BodyChunks.java
+++ b/src/main/java/lemondrift/proxy/http/BodyChunks.java
@@ -3,14 +3,18 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A body that comes piece by piece. */
+/** A message body that is read piece by piece, without waiting. I/O thread only. */
 public interface BodyChunks {
-    /** The next one; null where it has to come first, or all have come. */
+    /**
+     * The next piece; null where none has come yet, or all have been given.
+     *
+     * @throws IOException where the side that gives the body broke off or sent what cannot be read
+     */
     ByteBuffer next() throws IOException;
 
-    /** Whether next has given all. */
+    /** Whether {@link #next} has given the whole body. */
     boolean isWhole();
 
-    /** Has somebody hear once that there may be more. */
+    /** Runs the action once there may be more to read. */
     void awaitMore(Runnable then);
 }
--- a/src/main/java/lemondrift/proxy/http/BodyRelay.java
+++ b/src/main/java/lemondrift/proxy/http/BodyRelay.java
@@ -9,116 +9,136 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Passes a body on as it comes: nothing is read of one side while the other does not take, so that
- * no more than one buffer is held. I/O thread only.
+ * Passes a body on from one side of the proxy to the other as it comes. Reads nothing while the
+ * other side takes nothing, so that no more than one buffer is held. I/O thread only.
  */
 public final class BodyRelay {
-    /** How many seconds either side may stand still; 0 where somebody else looks after it. */
-    public record Patience(double giver, double taker) {}
+    /**
+     * How long either side may stand still; 0 where another timeout covers that side.
+     *
+     * @param sourceSeconds how long no byte may come
+     * @param sinkSeconds how long no byte may be taken
+     */
+    public record Patience(double sourceSeconds, double sinkSeconds) {}
 
-    /** Pieces in a row. Danger: one quick pair would keep all others from the I/O thread. */
-    private static final int AT_A_TIME = 16;
+    /** Guards against one quick pair of connections that keeps all others from the I/O thread. */
+    private static final int MAX_PIECES_IN_A_ROW = 16;
 
-    private final BodyChunks from;
-    private final StreamSinkChannel to;
+    private final BodyChunks source;
+    private final StreamSinkChannel sink;
     private final XnioIoThread io;
-    private final Patience patience;
-    private final Runnable offered;
-    private final Consumer<Boolean> end;
+    private final Patience timeouts;
+    private final Runnable onPieceRead;
+    private final Consumer<Boolean> onEnd;
+
+    /** What was read and is not written whole; null where there is none. */
     private ByteBuffer piece;
-    private XnioExecutor.Key timer;
-    private boolean over;
 
-    /** Offered hears of each piece, end once whether all was passed on; neither does after stop. */
+    private XnioExecutor.Key stallTimer;
+    private boolean ended;
+
+    /**
+     * A relay, to be started by {@link #run}.
+     *
+     * @param onPieceRead runs after each attempt to read a piece
+     * @param onEnd hears once whether the whole body was passed on, not after {@link #stop}
+     */
     public BodyRelay(
-            BodyChunks from,
-            StreamSinkChannel to,
+            BodyChunks source,
+            StreamSinkChannel sink,
             XnioIoThread io,
-            Patience patience,
-            Runnable offered,
-            Consumer<Boolean> end) {
-        this.from = from;
-        this.to = to;
+            Patience timeouts,
+            Runnable onPieceRead,
+            Consumer<Boolean> onEnd) {
+        this.source = source;
+        this.sink = sink;
         this.io = io;
-        this.patience = patience;
-        this.offered = offered;
-        this.end = end;
-        to.getWriteSetter().set(sink -> run());
+        this.timeouts = timeouts;
+        this.onPieceRead = onPieceRead;
+        this.onEnd = onEnd;
+        sink.getWriteSetter().set(channel -> run());
     }
 
-    /** Does what can be done now and waits for whichever side it is that has to go on. */
+    /** Passes on what can be passed on now, then waits for the side that has to go on. */
     public void run() {
-        if (over) {
+        if (ended) {
             return;
         }
         stopTimer();
         try {
-            for (int i = 0; i < AT_A_TIME && !over; i++) {
-                if (piece != null && piece.hasRemaining()) {
-                    to.write(piece);
-                    if (piece.hasRemaining()) {
-                        awaitTaker();
-                        return;
-                    }
+            for (int count = 0; count < MAX_PIECES_IN_A_ROW && !ended; count++) {
+                if (!isPieceWritten()) {
+                    awaitSink();
+                    return;
                 }
-                to.suspendWrites();
-                piece = from.next();
-                offered.run();
-                if (piece == null && from.isWhole()) {
-                    finish(true);
-                } else if (piece == null && !over) {
-                    awaitGiver();
+                sink.suspendWrites();
+                piece = source.next();
+                onPieceRead.run();
+                if (piece == null && source.isWhole()) {
+                    end(true);
+                } else if (piece == null && !ended) {
+                    awaitSource();
                     return;
                 }
             }
-            if (!over) {
+            if (!ended) {
                 io.execute(this::run);
             }
         } catch (IOException | RuntimeException e) {
-            if (!over) {
-                finish(false);
+            // Wide, as either side's library may throw anything: whatever it is, the body broke
+            // off.
+            if (!ended) {
+                end(false);
             }
         }
     }
 
-    private void awaitTaker() {
-        to.resumeWrites();
-        startTimer(patience.taker);
+    /** Writes what the sink takes of the piece; whether nothing is left of it. */
+    private boolean isPieceWritten() throws IOException {
+        if (piece != null && piece.hasRemaining()) {
+            sink.write(piece);
+            return !piece.hasRemaining();
+        }
+        return true;
+    }
+
+    private void awaitSink() {
+        sink.resumeWrites();
+        startTimer(timeouts.sinkSeconds);
     }
 
-    private void awaitGiver() throws IOException {
-        // What the taker has not taken yet goes first.
-        if (to.flush()) {
-            startTimer(patience.giver);
-            from.awaitMore(this::run);
+    private void awaitSource() throws IOException {
+        // What the sink still buffers goes first.
+        if (sink.flush()) {
+            startTimer(timeouts.sourceSeconds);
+            source.awaitMore(this::run);
         } else {
-            awaitTaker();
+            awaitSink();
         }
     }
 
     private void startTimer(double seconds) {
         if (seconds > 0) {
-            timer =
-                    io.executeAfter(
-                            () -> finish(false), (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+            stallTimer =
+                    io.executeAfter(() -> end(false), (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void finish(boolean whole) {
+    private void end(boolean complete) {
         stop();
-        end.accept(whole);
+        onEnd.accept(complete);
     }
 
-    /** Nobody wants the rest. */
+    /** Passes on nothing more; nobody hears of it. */
     public void stop() {
-        over = true;
+        ended = true;
         stopTimer();
     }
 
     private void stopTimer() {
-        if (timer != null) {
-            timer.remove();
-            timer = null;
+        if (stallTimer != null) {
+            stallTimer.remove();
+            stallTimer = null;
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/http/ProxyHeaders.java
+++ b/src/main/java/lemondrift/proxy/http/ProxyHeaders.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 
 /**
- * The header fields of the protocol that the proxy itself reads or writes, and which fields it
- * passes on.
+ * The header fields of the protocol that the proxy itself reads or writes, with their names on the
+ * wire, and which fields it passes on.
  */
 public final class ProxyHeaders {
-    /** How many milliseconds the sender waits for the response. */
+    /** For how many milliseconds the sender waits for the response. */
     public static final HttpString TIMEOUT = new HttpString("X-Expires-In-Ms");
 
     /** A backend's load report. */
--- a/src/main/java/lemondrift/proxy/time/MonotonicClock.java
+++ b/src/main/java/lemondrift/proxy/time/MonotonicClock.java
@@ -1,17 +1,17 @@
 package lemondrift.proxy.time;
 
-/** The time in seconds, which never runs back. */
+/** Tells the time in seconds; never runs back. Tests replace it. */
 public interface MonotonicClock {
+    /** The time in seconds; of the system's clock, since the Unix epoch. */
     double now();
 
     /**
-     * Starts at the Unix time, which starts of backends are told in, and goes on by the monotonic
-     * clock.
+     * A clock that starts at the Unix time, in which the endpoint list states the starts of
+     * backends, and then follows the monotonic clock. Any thread may read it.
      */
     static MonotonicClock system() {
-        // Danger: a start must come out the same in every list, or it would seem a new one each
-        // time.
-        double origin = System.currentTimeMillis() / 1e3 - System.nanoTime() / 1e9;
-        return () -> origin + System.nanoTime() / 1e9;
+        // Guards against a backend's start that differs from list to list and so seems a new one.
+        double originSeconds = System.currentTimeMillis() / 1e3 - System.nanoTime() / 1e9;
+        return () -> originSeconds + System.nanoTime() / 1e9;
     }
 }
