--- a/src/main/java/lemondrift/proxy/config/ConfigFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConfigFile.java
@@ -14,23 +14,27 @@
 import java.util.concurrent.locks.LockSupport;
 import lemondrift.settings.InvalidSettingsException;
 
-/** The configuration's file as JSON, read once for all that needs it. */
+/** The configuration's file as JSON, with or without its initial endpoints. */
 public final class ConfigFile {
-    /**
-     * The list of before is passed over so many lines at a time, with so many nanoseconds in
-     * between.
-     */
-    private static final int LINES_AT_A_TIME = 64;
+    /** The environment variable that names the file. */
+    private static final String VARIABLE = "PROXY_CONFIG";
+
+    /** The key of the endpoint list known from before, which is most of the file. */
+    static final String INITIAL_ENDPOINTS = "known";
 
-    private static final long BETWEEN_PARTS = 500_000;
+    /** How many endpoints are skipped before other threads of the core have their turn. */
+    private static final int ENDPOINTS_PER_STEP = 64;
+
+    /** Nanoseconds between two such steps. */
+    private static final long STEP_PAUSE_NANOS = 500_000;
 
     private ConfigFile() {}
 
     private static Path path(Map<String, String> environment) {
-        if (environment.get("PROXY_CONFIG") == null) {
-            throw new InvalidSettingsException("PROXY_CONFIG is not set");
+        if (environment.get(VARIABLE) == null) {
+            throw new InvalidSettingsException(VARIABLE + " is not set");
         }
-        return Path.of(environment.get("PROXY_CONFIG"));
+        return Path.of(environment.get(VARIABLE));
     }
 
     /**
@@ -51,53 +55,54 @@
         }
     }
 
-    static InvalidSettingsException unusable(Exception why) {
+    static InvalidSettingsException unusable(Exception cause) {
         return new InvalidSettingsException(
-                "not the JSON object that is wanted: " + why.getMessage());
+                "not the JSON object that is wanted: " + cause.getMessage());
     }
 
     /**
-     * The same without the list of before, which holds at a start only. Danger: on a large fleet it
-     * is nearly all of the file, and who reads it while clients are served shares a core with those
-     * who owe answers.
+     * The file without the initial endpoints, which hold at a start only. Guards against requests
+     * that wait for the core while thousands of endpoints are read beside them.
+     *
+     * @throws InvalidSettingsException where it is no JSON object
      */
     public static JsonObject readWithoutKnown(Map<String, String> environment) throws IOException {
         try (Reader file = Files.newBufferedReader(path(environment));
                 JsonReader reader = new JsonReader(file)) {
-            JsonObject all = new JsonObject();
+            JsonObject config = new JsonObject();
             reader.beginObject();
             while (reader.hasNext()) {
-                String name = reader.nextName();
-                if (name.equals("known")) {
-                    skipList(reader);
+                String key = reader.nextName();
+                if (key.equals(INITIAL_ENDPOINTS)) {
+                    skipEndpointList(reader);
                 } else {
-                    all.add(name, element(reader));
+                    config.add(key, value(reader));
                 }
             }
             reader.endObject();
             if (reader.peek() != JsonToken.END_DOCUMENT) {
                 throw new IllegalStateException("more than one object");
             }
-            return all;
+            return config;
         } catch (JsonParseException | IllegalStateException e) {
             throw unusable(e);
         }
     }
 
-    private static JsonElement element(JsonReader reader) {
+    private static JsonElement value(JsonReader reader) {
         return JsonParser.parseReader(reader);
     }
 
-    private static void skipList(JsonReader reader) throws IOException {
+    private static void skipEndpointList(JsonReader reader) throws IOException {
         if (reader.peek() != JsonToken.BEGIN_OBJECT) {
             reader.skipValue();
             return;
         }
         reader.beginObject();
         while (reader.hasNext()) {
-            String unusedName = reader.nextName();
+            String unusedKey = reader.nextName();
             if (reader.peek() == JsonToken.BEGIN_ARRAY) {
-                skipLines(reader);
+                skipEndpoints(reader);
             } else {
                 reader.skipValue();
             }
@@ -105,12 +110,12 @@
         reader.endObject();
     }
 
-    private static void skipLines(JsonReader reader) throws IOException {
+    private static void skipEndpoints(JsonReader reader) throws IOException {
         reader.beginArray();
-        for (int line = 1; reader.hasNext(); line++) {
+        for (int skipped = 1; reader.hasNext(); skipped++) {
             reader.skipValue();
-            if (line % LINES_AT_A_TIME == 0) {
-                LockSupport.parkNanos(BETWEEN_PARTS);
+            if (skipped % ENDPOINTS_PER_STEP == 0) {
+                LockSupport.parkNanos(STEP_PAUSE_NANOS);
             }
         }
         reader.endArray();
--- a/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
@@ -1,133 +1,122 @@
 package lemondrift.proxy.config;
 
 import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParseException;
-import com.google.gson.JsonParser;
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.Locale;
-import java.util.Map;
+import java.util.OptionalDouble;
 import lemondrift.connection.ConnectionLimits;
 import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 import lemondrift.proxy.http.HttpFieldRules;
 import lemondrift.settings.InvalidSettingsException;
 
-/** Reads what a deployment may say of the door, in a file of its own; docs/door.md has the keys. */
+/**
+ * Reads the limits of clients' connections, from the file that PROXY_DOOR names; docs/door.md has
+ * the keys.
+ */
 public final class ConnectionSettingsFile {
-    /**
-     * The share of the proxy's connections that clients may have, and where no more are accepted.
-     */
-    private static final double SHARE = 0.6;
+    /** The share of the proxy's connections that clients may have. */
+    private static final double CLIENTS_SHARE = 0.6;
 
-    private static final double LAST = 0.66;
+    /** The share of the proxy's connections at which no more clients are accepted. */
+    private static final double ACCEPT_SHARE = 0.66;
 
-    /**
-     * Seconds that an answered connection may be quiet, and before which none is closed between
-     * requests.
-     */
-    private static final double QUIET = 2.2;
+    /** Seconds that an answered connection may be idle, where the file does not say. */
+    private static final double DEFAULT_IDLE_SECONDS = 2.2;
 
-    private static final double EARLIEST = 2;
+    /** Seconds before which no connection is closed between requests, where nothing is said. */
+    private static final double DEFAULT_MIN_IDLE_SECONDS = 2;
 
-    /** Bytes a second: the largest head takes eight seconds at the most. */
-    private static final double LEAST_RATE = HttpFieldRules.MOST / 8.0;
+    /** Seconds that the largest head may take at the least rate. */
+    private static final double LARGEST_HEAD_SECONDS = 8;
 
-    private ConnectionSettingsFile() {}
+    /** The least progress that a client must make, where the file does not say. */
+    private static final double DEFAULT_MIN_BYTES_PER_SECOND =
+            HttpFieldRules.MOST / LARGEST_HEAD_SECONDS;
+
+    private double idleSeconds;
+    private OptionalDouble minIdleSeconds = OptionalDouble.empty();
+    private double minBytesPerSecond;
+    private ConnectionLimits.Sharing sharing;
+    private boolean announcesTimeout;
+
+    private ConnectionSettingsFile(ConnectionLimits usual) {
+        idleSeconds = usual.quiet();
+        minBytesPerSecond = usual.leastRate();
+        sharing = usual.sharing();
+        announcesTimeout = usual.announces();
+    }
 
-    /** The door's bounds for so many connections, where no file says otherwise. */
+    /** The limits where no file says otherwise, for a proxy of so many connections. */
     static ConnectionLimits usual(int connections, Settings settings) {
-        double benefit =
+        double meanPriorityWeight =
                 settings.requestClasses().stream()
                         .mapToDouble(RequestClass::priorityWeight)
-                        .filter(each -> each > 0)
+                        .filter(weight -> weight > 0)
                         .average()
                         .orElse(1);
         return new ConnectionLimits(
-                (int) (SHARE * connections),
-                (int) (LAST * connections),
-                QUIET,
-                EARLIEST,
+                (int) (CLIENTS_SHARE * connections),
+                (int) (ACCEPT_SHARE * connections),
+                DEFAULT_IDLE_SECONDS,
+                DEFAULT_MIN_IDLE_SECONDS,
                 ConnectionLimits.Sharing.CONNECTION,
                 false,
-                LEAST_RATE,
-                benefit);
+                DEFAULT_MIN_BYTES_PER_SECOND,
+                meanPriorityWeight);
     }
 
-    /** The same with what a file says; what can't be used is one line that names file and key. */
+    /**
+     * The usual limits with what a file changes.
+     *
+     * @throws InvalidSettingsException where something cannot be used; one line with file and key
+     */
     public static ConnectionLimits read(Path file, ConnectionLimits usual) throws IOException {
-        double quiet = usual.quiet();
-        double earliest = -1;
-        double leastRate = usual.leastRate();
-        ConnectionLimits.Sharing sharing = usual.sharing();
-        boolean announces = usual.announces();
-        for (Map.Entry<String, JsonElement> each : object(file).entrySet()) {
-            JsonElement value = each.getValue();
-            try {
-                switch (each.getKey()) {
-                    case "quiet" -> quiet = seconds(value, 0.1, 3600);
-                    case "earliest" -> earliest = seconds(value, 0, 3600);
-                    case "leastRate" -> leastRate = seconds(value, 1, 1e9);
-                    case "sharing" -> sharing = sharing(value);
-                    case "announces" -> announces = bool(value);
-                    default ->
-                            throw new InvalidSettingsException(
-                                    "not a key; there are quiet, earliest, leastRate, sharing, "
-                                            + "announces");
-                }
-            } catch (InvalidSettingsException
-                    | IllegalStateException
-                    | UnsupportedOperationException e) {
-                throw new InvalidSettingsException(
-                        file + ": " + each.getKey() + ": " + e.getMessage());
-            }
-        }
-        if (earliest > quiet) {
-            throw new InvalidSettingsException(
-                    file + ": earliest: " + earliest + " is over quiet, " + quiet);
-        }
-        double first = earliest >= 0 ? earliest : usual.earliest() / usual.quiet() * quiet;
-        return new ConnectionLimits(
-                usual.places(),
-                usual.last(),
-                quiet,
-                first,
-                sharing,
-                announces,
-                leastRate,
-                usual.benefit());
+        ConnectionSettingsFile settings = new ConnectionSettingsFile(usual);
+        SettingsFile.readKeys(file, settings::readKey);
+        settings.requireMinIdleInRange(file);
+        return settings.limits(usual);
     }
 
-    static JsonObject object(Path file) throws IOException {
-        try {
-            return JsonParser.parseString(Files.readString(file)).getAsJsonObject();
-        } catch (JsonParseException | IllegalStateException e) {
-            throw new InvalidSettingsException(
-                    file + ": not the JSON object that is wanted: " + e.getMessage());
+    private void readKey(String key, JsonElement value) {
+        switch (key) {
+            case "quiet" -> idleSeconds = SettingsFile.number(value, 0.1, 3600);
+            case "earliest" ->
+                    minIdleSeconds = OptionalDouble.of(SettingsFile.number(value, 0, 3600));
+            case "leastRate" -> minBytesPerSecond = SettingsFile.number(value, 1, 1e9);
+            case "sharing" -> sharing = sharing(value);
+            case "announces" -> announcesTimeout = SettingsFile.bool(value);
+            default ->
+                    throw new InvalidSettingsException(
+                            "not a key; there are quiet, earliest, leastRate, sharing, "
+                                    + "announces");
         }
     }
 
-    static double seconds(JsonElement value, double least, double most) {
-        double number;
-        try {
-            number = value.getAsDouble();
-        } catch (NumberFormatException e) {
-            throw new InvalidSettingsException("not a number: " + value);
-        }
-        if (!(number >= least && number <= most)) {
-            throw new InvalidSettingsException(number + " is not from " + least + " to " + most);
+    private void requireMinIdleInRange(Path file) {
+        if (minIdleSeconds.isPresent() && minIdleSeconds.getAsDouble() > idleSeconds) {
+            throw new InvalidSettingsException(
+                    file
+                            + ": earliest: "
+                            + minIdleSeconds.getAsDouble()
+                            + " is over quiet, "
+                            + idleSeconds);
         }
-        return number;
     }
 
-    private static boolean bool(JsonElement value) {
-        if (!value.isJsonPrimitive() || !value.getAsJsonPrimitive().isBoolean()) {
-            throw new InvalidSettingsException("neither true nor false: " + value);
-        }
-        return value.getAsBoolean();
+    /** Where only the idle time is stated, the least idle time keeps its ratio to it. */
+    private ConnectionLimits limits(ConnectionLimits usual) {
+        return new ConnectionLimits(
+                usual.places(),
+                usual.last(),
+                idleSeconds,
+                minIdleSeconds.orElse(usual.earliest() / usual.quiet() * idleSeconds),
+                sharing,
+                announcesTimeout,
+                minBytesPerSecond,
+                usual.benefit());
     }
 
     private static ConnectionLimits.Sharing sharing(JsonElement value) {
--- a/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
@@ -7,85 +7,88 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
+import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 import lemondrift.settings.InvalidSettingsException;
 
-/** Reads what a deployment may say of telling other proxies; docs/peers.md has the keys. */
+/**
+ * Reads how a proxy exchanges load gossip, from the file that PROXY_PEERS names and the peers'
+ * addresses in the configuration; docs/peers.md has the keys. Durations are stated as multiples of
+ * the window, the shortest latency objective.
+ */
 final class GossipSettingsFile {
-    /**
-     * The pace of tellings and when a silent one is forgotten, as shares of the shortest contract
-     * time.
-     */
-    private static final double PACE = 0.02;
+    /** The least time between two messages to one peer, where the file does not say. */
+    private static final double DEFAULT_MIN_INTERVAL_WINDOWS = 0.02;
+
+    /** After how long what a silent peer reported no longer counts, where the file does not say. */
+    private static final double DEFAULT_EXPIRY_WINDOWS = 2;
 
-    private static final double FORGET = 2;
+    /** How many backends each proxy uses, where the file does not say. */
+    private static final int DEFAULT_SUBSET_SIZE = 12;
 
-    private static final int PART = 12;
+    private double minIntervalWindows = DEFAULT_MIN_INTERVAL_WINDOWS;
+    private double expiryWindows = DEFAULT_EXPIRY_WINDOWS;
+    private int subsetSize = DEFAULT_SUBSET_SIZE;
 
     private GossipSettingsFile() {}
 
     /**
-     * Null where the configuration forbids messages between proxies or names no addresses for them.
+     * Reads the file; null where the configuration forbids messages between proxies or does not say
+     * where this proxy and its peers are.
+     *
+     * @throws InvalidSettingsException where something cannot be used; one line with file and key
      */
-    public static GossipSettings read(Path file, Settings settings, JsonObject config)
-            throws IOException {
-        double pace = PACE;
-        double forget = FORGET;
-        int part = PART;
-        for (Map.Entry<String, JsonElement> each : ConnectionSettingsFile.object(file).entrySet()) {
-            try {
-                switch (each.getKey()) {
-                    case "pace" -> pace = ConnectionSettingsFile.seconds(each.getValue(), 0.001, 1);
-                    case "forget" ->
-                            forget = ConnectionSettingsFile.seconds(each.getValue(), 0.1, 100);
-                    case "part" ->
-                            part = (int) ConnectionSettingsFile.seconds(each.getValue(), 1, 1000);
-                    default ->
-                            throw new InvalidSettingsException(
-                                    "not a key; there are pace, forget, part");
-                }
-            } catch (InvalidSettingsException
-                    | IllegalStateException
-                    | UnsupportedOperationException e) {
-                throw new InvalidSettingsException(
-                        file + ": " + each.getKey() + ": " + e.getMessage());
-            }
-        }
-        double window =
+    static GossipSettings read(Path file, Settings settings, JsonObject config) throws IOException {
+        GossipSettingsFile gossip = new GossipSettingsFile();
+        SettingsFile.readKeys(file, gossip::readKey);
+        double windowSeconds =
                 settings.requestClasses().stream()
-                        .mapToDouble(g -> g.latencyObjectiveSeconds())
+                        .mapToDouble(RequestClass::latencyObjectiveSeconds)
                         .min()
                         .orElse(1);
-        return place(config, pace * window, forget * window, part);
+        return gossip.withAddresses(config, windowSeconds);
     }
 
-    private static GossipSettings place(JsonObject config, double pace, double forget, int part) {
+    private void readKey(String key, JsonElement value) {
+        switch (key) {
+            case "pace" -> minIntervalWindows = SettingsFile.number(value, 0.001, 1);
+            case "forget" -> expiryWindows = SettingsFile.number(value, 0.1, 100);
+            case "part" -> subsetSize = (int) SettingsFile.number(value, 1, 1000);
+            default ->
+                    throw new InvalidSettingsException("not a key; there are pace, forget, part");
+        }
+    }
+
+    private GossipSettings withAddresses(JsonObject config, double windowSeconds) {
         JsonObject settings =
                 config.has("settings") ? config.getAsJsonObject("settings") : new JsonObject();
-        boolean allowed =
-                settings.has("limits")
-                        && settings.getAsJsonObject("limits").has("mayTell")
-                        && settings.getAsJsonObject("limits").get("mayTell").getAsBoolean();
-        if (!allowed
+        if (!isAllowed(settings)
                 || !config.has("peer_listen")
                 || !config.has("peers")
                 || !settings.has("slotNo")) {
             return null;
         }
         List<InetSocketAddress> proxies = new ArrayList<>();
-        for (JsonElement each : config.getAsJsonArray("peers")) {
-            proxies.add(ProxyConfig.address("peers", each.getAsString()));
+        for (JsonElement address : config.getAsJsonArray("peers")) {
+            proxies.add(ProxyConfig.address("peers", address.getAsString()));
         }
         int self = settings.get("slotNo").getAsInt();
-        return self < 0 || self >= proxies.size()
-                ? null
-                : new GossipSettings(
-                        ProxyConfig.address("peer_listen", config.get("peer_listen").getAsString()),
-                        proxies,
-                        self,
-                        pace,
-                        forget,
-                        part);
+        if (self < 0 || self >= proxies.size()) {
+            return null;
+        }
+        String listen = config.get("peer_listen").getAsString();
+        return new GossipSettings(
+                ProxyConfig.address("peer_listen", listen),
+                proxies,
+                self,
+                minIntervalWindows * windowSeconds,
+                expiryWindows * windowSeconds,
+                subsetSize);
+    }
+
+    private static boolean isAllowed(JsonObject settings) {
+        return settings.has("limits")
+                && settings.getAsJsonObject("limits").has("mayTell")
+                && settings.getAsJsonObject("limits").get("mayTell").getAsBoolean();
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/config/JsonPairs.java
@@ -0,0 +1,38 @@
+package lemondrift.proxy.config;
+
+import com.google.gson.JsonArray;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import java.util.Map;
+
+/** Turns nested JSON into the path=value pairs that settings are read from. */
+final class JsonPairs {
+    private JsonPairs() {}
+
+    /**
+     * Adds the pairs of a value that stands under a path. A list of objects has its length under
+     * {@code .count} and each object under its place; any other list is its values, joined by
+     * commas; null adds nothing.
+     */
+    static void flatten(String path, JsonElement value, Map<String, String> pairs) {
+        String prefix = path.isEmpty() ? "" : path + ".";
+        if (value instanceof JsonObject object) {
+            object.entrySet()
+                    .forEach(entry -> flatten(prefix + entry.getKey(), entry.getValue(), pairs));
+        } else if (value instanceof JsonArray array
+                && !array.isEmpty()
+                && array.get(0).isJsonObject()) {
+            pairs.put(prefix + "count", String.valueOf(array.size()));
+            for (int place = 0; place < array.size(); place++) {
+                flatten(prefix + place, array.get(place), pairs);
+            }
+        } else if (value instanceof JsonArray array) {
+            pairs.put(
+                    path,
+                    String.join(
+                            ",", array.asList().stream().map(JsonElement::getAsString).toList()));
+        } else if (value.isJsonPrimitive()) {
+            pairs.put(path, value.getAsString());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
@@ -0,0 +1,241 @@
+package lemondrift.proxy.config;
+
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParseException;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.IntStream;
+import lemondrift.connection.ConnectionLimits;
+import lemondrift.model.Settings;
+import lemondrift.settings.InvalidSettingsException;
+import lemondrift.settings.SettingsReader;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Reads a {@link ProxyConfig} from the files that an environment names. What cannot be used is an
+ * {@link InvalidSettingsException} whose message is one line with the key, and with the file unless
+ * it is the configuration itself.
+ */
+final class ProxyConfigReader {
+    private static final Logger LOG = LoggerFactory.getLogger(ProxyConfigReader.class);
+
+    /** The settings file for clients' connections. */
+    private static final String CONNECTION_FILE = "PROXY_DOOR";
+
+    /** The settings file for load gossip. */
+    private static final String GOSSIP_FILE = "PROXY_PEERS";
+
+    /** The settings file for recovery; named by an empty text where there is none. */
+    private static final String RECOVERY_FILE = "PROXY_RECOVERY";
+
+    /** The settings file for settings evaluated in shadow. */
+    private static final String SHADOW_FILE = "PROXY_SHADOW";
+
+    /** The operators' address; takes the place of the configuration's. */
+    private static final String ADMIN_ADDRESS = "PROXY_ADMIN_ADDR";
+
+    /** Descriptors that the process may open, where the configuration does not say. */
+    private static final int DEFAULT_SOCKETS = 1024;
+
+    /** Memory of the process in MiB, where the configuration does not say. */
+    private static final int DEFAULT_MEMORY_MIB = 192;
+
+    /** After how long a backend closes an idle connection, where the settings do not say. */
+    private static final double DEFAULT_BACKEND_IDLE_MILLIS = 10_000;
+
+    /** How long connecting may take, where the settings do not say. */
+    private static final double DEFAULT_CONNECT_TIMEOUT_MILLIS = 250;
+
+    private ProxyConfigReader() {}
+
+    /** Reads all files that an environment names. */
+    static ProxyConfig read(Map<String, String> environment) throws IOException {
+        JsonObject json = ConfigFile.read(environment);
+        ProxyConfig config = read(json);
+        config =
+                config.withFiles(
+                        connectionLimits(environment, config),
+                        gossip(environment, config, json),
+                        recovery(environment, config));
+        return withAdminAndShadow(config, environment, json);
+    }
+
+    /**
+     * Reads the files again at SIGHUP. What holds from a start on stays as it runs. Guards against
+     * a file that has gone since the start and keeps the proxy from following its settings: what
+     * the next start would refuse is only logged.
+     */
+    static ProxyConfig readAgain(Map<String, String> environment, ProxyConfig running)
+            throws IOException {
+        JsonObject json = ConfigFile.readWithoutKnown(environment);
+        ProxyConfig config =
+                withAdminAndShadow(
+                        read(json)
+                                .withFiles(
+                                        running.connectionLimits(),
+                                        running.gossip(),
+                                        running.recovery()),
+                        environment,
+                        json);
+        try {
+            connectionLimits(environment, config);
+            gossip(environment, config, json);
+            recovery(environment, config);
+        } catch (IOException | RuntimeException e) {
+            // Wide, as whatever the readers throw would also keep the next start from serving.
+            LOG.warn("would keep the next start from serving: {}", e.toString().replace('\n', ' '));
+        }
+        return config;
+    }
+
+    private static ConnectionLimits connectionLimits(
+            Map<String, String> environment, ProxyConfig config) throws IOException {
+        String file = environment.get(CONNECTION_FILE);
+        return file == null
+                ? config.connectionLimits()
+                : ConnectionSettingsFile.read(Path.of(file), config.connectionLimits());
+    }
+
+    private static GossipSettings gossip(
+            Map<String, String> environment, ProxyConfig config, JsonObject json)
+            throws IOException {
+        String file = environment.get(GOSSIP_FILE);
+        return file == null
+                ? null
+                : GossipSettingsFile.read(Path.of(file), config.settings(), json);
+    }
+
+    private static RecoverySettings recovery(Map<String, String> environment, ProxyConfig config)
+            throws IOException {
+        String file = environment.get(RECOVERY_FILE);
+        return file == null || file.isEmpty()
+                ? null
+                : RecoverySettingsFile.read(Path.of(file), config.settings().windowSeconds());
+    }
+
+    private static ProxyConfig withAdminAndShadow(
+            ProxyConfig config, Map<String, String> environment, JsonObject json)
+            throws IOException {
+        String admin = environment.get(ADMIN_ADDRESS);
+        String shadowFile = environment.get(SHADOW_FILE);
+        ProxyConfig withAdmin =
+                admin == null ? config : config.withAdminAddress(address(ADMIN_ADDRESS, admin));
+        return shadowFile == null
+                ? withAdmin
+                : withAdmin.withShadow(ShadowSettingsFile.read(Path.of(shadowFile), json));
+    }
+
+    /** Reads the configuration alone, from its text. */
+    static ProxyConfig read(String json) {
+        return read(ConfigFile.object(json));
+    }
+
+    private static ProxyConfig read(JsonObject json) {
+        try {
+            return readParts(json);
+        } catch (JsonParseException | IllegalStateException | UnsupportedOperationException e) {
+            throw ConfigFile.unusable(e);
+        }
+    }
+
+    private static ProxyConfig readParts(JsonObject json) {
+        Map<String, String> pairs = pairsWithoutEndpoints(json);
+        SettingsReader config = new SettingsReader(pairs);
+        Map<String, String> settingsPairs = new HashMap<>();
+        JsonPairs.flatten(
+                "", json.has("settings") ? json.get("settings") : new JsonObject(), settingsPairs);
+        SettingsReader settingsReader = new SettingsReader(settingsPairs);
+        int sockets = (int) config.number("limits.sockets", DEFAULT_SOCKETS);
+        Settings settings = settingsReader.settings();
+        return new ProxyConfig(
+                config.text("name", "proxy"),
+                address("listen", config.text("listen", null)),
+                json.has("admin_addr")
+                        ? address("admin_addr", config.text("admin_addr", null))
+                        : null,
+                address("discovery", config.text("discovery", null)),
+                seed(config.text("seed", "0")),
+                sockets,
+                (long) (config.number("limits.memory_mb", DEFAULT_MEMORY_MIB) * (1 << 20)),
+                settings,
+                requestClassNames(settingsPairs),
+                names(settingsPairs, "realms"),
+                settingsReader.list("localities"),
+                settingsReader.list("report.names"),
+                settingsReader.number("limits.connIdle", DEFAULT_BACKEND_IDLE_MILLIS) / 1000,
+                settingsReader.number("limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT_MILLIS)
+                        / 1000,
+                initialEndpoints(json),
+                pairs,
+                ConnectionSettingsFile.usual(ProxyConfig.maxConnections(sockets), settings),
+                null,
+                null,
+                null);
+    }
+
+    /** Guards against thousands of endpoints that take longer than all else of a start. */
+    private static Map<String, String> pairsWithoutEndpoints(JsonObject json) {
+        Map<String, String> pairs = new HashMap<>();
+        for (Map.Entry<String, JsonElement> entry : json.entrySet()) {
+            if (!entry.getKey().equals(ConfigFile.INITIAL_ENDPOINTS)) {
+                JsonPairs.flatten(entry.getKey(), entry.getValue(), pairs);
+            }
+        }
+        return pairs;
+    }
+
+    /** Guards against a proxy that polls its list and, knowing none, would never start to. */
+    private static JsonObject initialEndpoints(JsonObject json) {
+        return json.has(ConfigFile.INITIAL_ENDPOINTS)
+                ? json.getAsJsonObject(ConfigFile.INITIAL_ENDPOINTS)
+                : ProxyConfig.noEndpoints();
+    }
+
+    private static List<String> requestClassNames(Map<String, String> settingsPairs) {
+        List<String> names = names(settingsPairs, "serviceGrades");
+        for (int place = 0; place < names.size(); place++) {
+            String name = names.get(place);
+            String prefix = "setting serviceGrades." + place + ".name: ";
+            if (name == null || name.isEmpty()) {
+                throw new InvalidSettingsException(prefix + "missing");
+            }
+            // Guards against two classes of one name, of which a request could mean either.
+            if (names.indexOf(name) < place) {
+                throw new InvalidSettingsException(prefix + name + " is there twice");
+            }
+        }
+        return names;
+    }
+
+    private static List<String> names(Map<String, String> settingsPairs, String list) {
+        int count = Integer.parseInt(settingsPairs.getOrDefault(list + ".count", "0"));
+        return IntStream.range(0, count)
+                .mapToObj(place -> settingsPairs.get(list + "." + place + ".name"))
+                .toList();
+    }
+
+    /** The address that a text of host and port is; what names it in the error. */
+    static InetSocketAddress address(String what, String text) {
+        int colon = text.lastIndexOf(':');
+        try {
+            int port = Integer.parseInt(text.substring(colon + 1));
+            return new InetSocketAddress(text.substring(0, colon), port);
+        } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
+            throw new InvalidSettingsException(what + ": not host:port: " + text);
+        }
+    }
+
+    private static long seed(String hex) {
+        try {
+            return Long.parseUnsignedLong(hex, 16);
+        } catch (NumberFormatException e) {
+            throw new InvalidSettingsException("seed: not a hexadecimal number: " + hex);
+        }
+    }
+}
--- a/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -3,60 +3,84 @@
 import com.google.gson.JsonElement;
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.Map;
 import lemondrift.recovery.PeerPollBackoff;
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * Reads what a deployment may say of a proxy's way back after its start; docs/recovery.md has the
- * keys.
+ * Reads how a proxy recovers after its start, from the file that PROXY_RECOVERY names;
+ * docs/recovery.md has the keys. Durations but the snapshot interval are stated as multiples of the
+ * window, the shortest latency objective.
  */
 final class RecoverySettingsFile {
-    private static final double PERIOD = 5;
-    private static final int MOST = 255;
+    /** Seconds between two snapshots, where the file does not say. */
+    private static final double DEFAULT_SNAPSHOT_INTERVAL_SECONDS = 5;
 
-    private RecoverySettingsFile() {}
+    /** The most peers that may be polled at once, or responses that may be asked for. */
+    private static final int MAX_COUNT = 255;
 
-    /** Spans are given as shares of the shortest contract time, which is so many seconds. */
-    public static RecoverySettings read(Path file, double window) throws IOException {
+    private double pollIntervalWindows;
+    private double pollTimeoutWindows;
+    private double forgetAfterWindows;
+    private int peersPerPoll;
+    private int sufficientResponses;
+    private double snapshotIntervalSeconds = DEFAULT_SNAPSHOT_INTERVAL_SECONDS;
+
+    /** Null where no disk outlasts the process. */
+    private Path snapshotFolder;
+
+    private RecoverySettingsFile() {
         PeerPollBackoff usual = PeerPollBackoff.of(1);
-        double ask = usual.ask();
-        double bound = usual.bound();
-        double forget = usual.forget();
-        double period = PERIOD;
-        int fanout = usual.fanout();
-        int enough = usual.enough();
-        Path folder = null;
-        for (Map.Entry<String, JsonElement> each : ConnectionSettingsFile.object(file).entrySet()) {
-            JsonElement value = each.getValue();
-            try {
-                switch (each.getKey()) {
-                    case "ask" -> ask = ConnectionSettingsFile.seconds(value, 0.01, 10);
-                    case "bound" -> bound = ConnectionSettingsFile.seconds(value, 0.1, 100);
-                    case "forget" -> forget = ConnectionSettingsFile.seconds(value, 0.1, 1000);
-                    case "fanout" -> fanout = (int) ConnectionSettingsFile.seconds(value, 1, MOST);
-                    case "enough" -> enough = (int) ConnectionSettingsFile.seconds(value, 1, MOST);
-                    case "period" -> period = ConnectionSettingsFile.seconds(value, 0.1, 3600);
-                    case "folder" -> folder = Path.of(value.getAsString());
-                    default ->
-                            throw new InvalidSettingsException(
-                                    "not a key; there are ask, bound, forget, fanout, enough, "
-                                            + "folder, period");
-                }
-            } catch (InvalidSettingsException
-                    | IllegalStateException
-                    | UnsupportedOperationException e) {
-                throw new InvalidSettingsException(
-                        file + ": " + each.getKey() + ": " + e.getMessage());
-            }
-        }
-        if (forget < bound) {
+        pollIntervalWindows = usual.ask();
+        pollTimeoutWindows = usual.bound();
+        forgetAfterWindows = usual.forget();
+        peersPerPoll = usual.fanout();
+        sufficientResponses = usual.enough();
+    }
+
+    /**
+     * Reads the file.
+     *
+     * @throws InvalidSettingsException where something cannot be used; one line with file and key
+     */
+    static RecoverySettings read(Path file, double windowSeconds) throws IOException {
+        RecoverySettingsFile settings = new RecoverySettingsFile();
+        SettingsFile.readKeys(file, settings::readKey);
+        if (settings.forgetAfterWindows < settings.pollTimeoutWindows) {
             throw new InvalidSettingsException(
-                    file + ": forget: " + forget + " is under bound, " + bound);
+                    file
+                            + ": forget: "
+                            + settings.forgetAfterWindows
+                            + " is under bound, "
+                            + settings.pollTimeoutWindows);
         }
+        return settings.inSeconds(windowSeconds);
+    }
+
+    private void readKey(String key, JsonElement value) {
+        switch (key) {
+            case "ask" -> pollIntervalWindows = SettingsFile.number(value, 0.01, 10);
+            case "bound" -> pollTimeoutWindows = SettingsFile.number(value, 0.1, 100);
+            case "forget" -> forgetAfterWindows = SettingsFile.number(value, 0.1, 1000);
+            case "fanout" -> peersPerPoll = (int) SettingsFile.number(value, 1, MAX_COUNT);
+            case "enough" -> sufficientResponses = (int) SettingsFile.number(value, 1, MAX_COUNT);
+            case "period" -> snapshotIntervalSeconds = SettingsFile.number(value, 0.1, 3600);
+            case "folder" -> snapshotFolder = Path.of(value.getAsString());
+            default ->
+                    throw new InvalidSettingsException(
+                            "not a key; there are ask, bound, forget, fanout, enough, "
+                                    + "folder, period");
+        }
+    }
+
+    private RecoverySettings inSeconds(double windowSeconds) {
         return new RecoverySettings(
-                new PeerPollBackoff(ask * window, bound * window, forget * window, fanout, enough),
-                folder,
-                period);
+                new PeerPollBackoff(
+                        pollIntervalWindows * windowSeconds,
+                        pollTimeoutWindows * windowSeconds,
+                        forgetAfterWindows * windowSeconds,
+                        peersPerPoll,
+                        sufficientResponses),
+                snapshotFolder,
+                snapshotIntervalSeconds);
     }
 }
--- a/src/main/java/lemondrift/proxy/config/ShadowSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ShadowSettingsFile.java
@@ -10,24 +10,30 @@
 import lemondrift.settings.SettingsReader;
 
 /**
- * Reads the settings that are watched: what differs from the program's own; docs/migration.md has
- * them.
+ * Reads the settings that are evaluated in shadow, from the file that PROXY_SHADOW names: the
+ * proxy's own settings with what the file changes; docs/migration.md has them.
  */
 final class ShadowSettingsFile {
-    /** What clients, lists and answers say is read by the program's own settings. */
-    private static final String FIXED =
+    /** Keys by which requests, endpoint lists and responses are read, which the file must keep. */
+    private static final String UNCHANGEABLE_KEYS =
             "(localities|zone|report\\.names|(serviceGrades|realms)\\.(count|\\d+\\.name))";
 
     private ShadowSettingsFile() {}
 
-    public static Settings read(Path file, JsonObject whole) throws IOException {
+    /**
+     * Reads the file.
+     *
+     * @param config the proxy's own configuration
+     * @throws InvalidSettingsException where something cannot be used; one line with file and key
+     */
+    static Settings read(Path file, JsonObject config) throws IOException {
         Map<String, String> pairs = new HashMap<>();
-        ProxyConfig.flatten(
-                "", whole.has("settings") ? whole.get("settings") : new JsonObject(), pairs);
-        Map<String, String> own = Map.copyOf(pairs);
-        ProxyConfig.flatten("", ConnectionSettingsFile.object(file), pairs);
+        JsonPairs.flatten(
+                "", config.has("settings") ? config.get("settings") : new JsonObject(), pairs);
+        Map<String, String> ownPairs = Map.copyOf(pairs);
+        JsonPairs.flatten("", SettingsFile.object(file), pairs);
         for (String key : pairs.keySet()) {
-            if (key.matches(FIXED) && !pairs.get(key).equals(own.get(key))) {
+            if (key.matches(UNCHANGEABLE_KEYS) && !pairs.get(key).equals(ownPairs.get(key))) {
                 throw new InvalidSettingsException(
                         file + ": setting " + key + ": may not differ from the program's own");
             }
--- a/src/main/java/lemondrift/settings/RequestClassIndex.java
+++ b/src/main/java/lemondrift/settings/RequestClassIndex.java
@@ -9,108 +9,127 @@
 import lemondrift.model.RequestClass;
 
 /**
- * Under which index each named service grade stands. It keeps it over retunes as long as it is
- * named with the same effect, so that what is learnt of one is never held against another.
+ * The index under which each named request class stands. A class keeps its index over reloads as
+ * long as it is named with the same idempotency and deduplication scope, so that what is learnt of
+ * one class never counts for another. Immutable; any thread.
  */
 public final class RequestClassIndex {
-    /** By index; null where one stands for none any more. */
+    /** Stands for no index. */
+    private static final int NONE = -1;
+
+    /** By index; null where no class has the index any more. */
     private final List<String> names;
 
+    /** By index; null where no class has the index any more. */
     private final List<RequestClass> byIndex;
 
-    /**
-     * The index of each in the order of the file, and the indexes that stand for another one than
-     * before.
-     */
-    private final int[] index;
+    /** The index of each class in the order of the file. */
+    private final int[] indexByPlace;
 
-    private final List<Integer> reassigned = new ArrayList<>();
+    /** The indexes whose class is another one than before. */
+    private final List<Integer> reassigned;
 
-    /** The first ones, in the order of the file. */
+    /** The first classes; their indexes are their places in the file. */
     public RequestClassIndex(List<String> names, List<RequestClass> requestClasses) {
-        this(names, requestClasses, IntStream.range(0, names.size()).toArray(), names.size());
+        this(
+                names,
+                requestClasses,
+                IntStream.range(0, names.size()).toArray(),
+                names.size(),
+                new ArrayList<>());
     }
 
     private RequestClassIndex(
-            List<String> stated, List<RequestClass> requestClasses, int[] index, int size) {
-        this.index = index;
-        String[] named = new String[size];
-        for (int at = 0; at < index.length; at++) {
-            named[index[at]] = stated.get(at);
+            List<String> namesByPlace,
+            List<RequestClass> classesByPlace,
+            int[] indexByPlace,
+            int size,
+            List<Integer> reassigned) {
+        this.indexByPlace = indexByPlace;
+        this.reassigned = reassigned;
+        String[] namesByIndex = new String[size];
+        for (int place = 0; place < indexByPlace.length; place++) {
+            namesByIndex[indexByPlace[place]] = namesByPlace.get(place);
         }
-        names = Arrays.asList(named);
-        byIndex = byIndex(requestClasses, size);
+        names = Arrays.asList(namesByIndex);
+        byIndex = byIndex(classesByPlace, size);
     }
 
     /**
-     * The next ones. An index that was dropped before is given out again if nothing is open under
-     * it. Danger: one dropped just now may still be on its way to the decisions with an exchange.
+     * The index after a reload, of classes in the order of the new file. An index whose class was
+     * dropped in an earlier reload is assigned again if no request is open under it. Guards against
+     * a request that still is on its way to the decisions under a class dropped just now.
      */
     public RequestClassIndex reloaded(
-            List<String> stated, List<RequestClass> requestClasses, IntPredicate isOpen) {
-        int[] next =
-                IntStream.range(0, stated.size())
-                        .map(at -> kept(stated.get(at), requestClasses.get(at)))
+            List<String> namesByPlace, List<RequestClass> classesByPlace, IntPredicate isOpen) {
+        int[] nextIndexes =
+                IntStream.range(0, namesByPlace.size())
+                        .map(place -> keptIndex(namesByPlace.get(place), classesByPlace.get(place)))
                         .toArray();
-        List<Integer> fresh = new ArrayList<>();
+        List<Integer> newlyAssigned = new ArrayList<>();
         int size = names.size();
-        for (int at = 0; at < next.length; at++) {
-            if (next[at] < 0) {
-                next[at] =
-                        IntStream.range(0, names.size())
-                                .filter(
-                                        i ->
-                                                names.get(i) == null
-                                                        && !fresh.contains(i)
-                                                        && !isOpen.test(i))
-                                .findFirst()
-                                .orElse(-1);
-                next[at] = next[at] < 0 ? size++ : next[at];
-                fresh.add(next[at]);
+        for (int place = 0; place < nextIndexes.length; place++) {
+            if (nextIndexes[place] == NONE) {
+                int free = freeIndex(newlyAssigned, isOpen);
+                nextIndexes[place] = free == NONE ? size++ : free;
+                newlyAssigned.add(nextIndexes[place]);
             }
         }
-        RequestClassIndex grown = new RequestClassIndex(stated, requestClasses, next, size);
-        grown.reassigned.addAll(fresh);
-        return grown;
+        return new RequestClassIndex(
+                namesByPlace, classesByPlace, nextIndexes, size, newlyAssigned);
+    }
+
+    /** The index that a class keeps; NONE where it is new or not the same any more. */
+    private int keptIndex(String name, RequestClass requestClass) {
+        int index = indexOf(name);
+        RequestClass previous = index == NONE ? null : byIndex.get(index);
+        boolean isSame =
+                previous != null
+                        && previous.idempotency() == requestClass.idempotency()
+                        && previous.deduplicationScope() == requestClass.deduplicationScope();
+        return isSame ? index : NONE;
     }
 
-    private int kept(String name, RequestClass requestClass) {
-        RequestClass old = indexOf(name) < 0 ? null : byIndex.get(indexOf(name));
-        boolean same =
-                old != null
-                        && old.idempotency() == requestClass.idempotency()
-                        && old.deduplicationScope() == requestClass.deduplicationScope();
-        return same ? indexOf(name) : -1;
+    private int freeIndex(List<Integer> newlyAssigned, IntPredicate isOpen) {
+        return IntStream.range(0, names.size())
+                .filter(
+                        index ->
+                                names.get(index) == null
+                                        && !newlyAssigned.contains(index)
+                                        && !isOpen.test(index))
+                .findFirst()
+                .orElse(NONE);
     }
 
-    /** Those that are named now. */
+    /** The names that are in use now. */
     public List<String> names() {
         return names.stream().filter(Objects::nonNull).toList();
     }
 
-    /** -1 where none is named so. */
+    /** The index of a name; -1 where no class has it. */
     public int indexOf(String name) {
         return names.indexOf(name);
     }
 
+    /** The classes by index; null where no class has the index any more. */
     public List<RequestClass> byIndex() {
         return byIndex;
     }
 
-    /** Others that are stated for the same names in the same order, each under its index. */
-    public List<RequestClass> byIndex(List<RequestClass> stated) {
-        return byIndex(stated, names.size());
+    /** Other classes of the same names in the same order, each under its index. */
+    public List<RequestClass> byIndex(List<RequestClass> classesByPlace) {
+        return byIndex(classesByPlace, names.size());
     }
 
-    private List<RequestClass> byIndex(List<RequestClass> stated, int size) {
-        RequestClass[] all = new RequestClass[size];
-        for (int at = 0; at < index.length; at++) {
-            all[index[at]] = stated.get(at);
+    private List<RequestClass> byIndex(List<RequestClass> classesByPlace, int size) {
+        RequestClass[] classes = new RequestClass[size];
+        for (int place = 0; place < indexByPlace.length; place++) {
+            classes[indexByPlace[place]] = classesByPlace.get(place);
         }
-        return Arrays.asList(all);
+        return Arrays.asList(classes);
     }
 
-    /** The indexes that stand for another one than before. */
+    /** The indexes whose class is another one than before the last reload. */
     public List<Integer> reassigned() {
         return reassigned;
     }
--- a/src/main/java/lemondrift/settings/SettingsReader.java
+++ b/src/main/java/lemondrift/settings/SettingsReader.java
@@ -10,74 +10,158 @@
 import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 
-/** Turns path=value pairs, as both doors have them, into Settings; unknown keys are passed over. */
+/**
+ * Reads {@link Settings} from path=value pairs, as the proxy and the simulator have them, and maps
+ * the operators' keys to the terms of the code. Durations are stated in milliseconds. Unknown keys
+ * are ignored; what cannot be used is an {@link InvalidSettingsException} that names the key.
+ */
 public final class SettingsReader {
-    private static final double LEAST = 1e-9;
-    private static final double MOST = 1e9;
+    /** The least value where a number has to be above 0. */
+    private static final double MIN_POSITIVE = 1e-9;
+
+    /** The largest value where a number has to be bounded. */
+    private static final double MAX_BOUNDED = 1e9;
+
+    /** Within how long a polled endpoint list is polled again, where the settings do not say. */
+    private static final double DEFAULT_POLL_WITHIN_MILLIS = 10_000;
+
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private final Map<String, String> pairs;
 
+    /** A reader of pairs of path and value. */
     public SettingsReader(Map<String, String> pairs) {
         this.pairs = pairs;
     }
 
-    /** Reads one pair a line. */
+    /**
+     * Reads settings from a text of one path=value pair a line.
+     *
+     * @throws InvalidSettingsException where something cannot be used
+     */
     public static Settings read(String text) {
         Map<String, String> pairs = new HashMap<>();
         for (String line : text.split("\n")) {
-            int at = line.indexOf('=');
-            if (at > 0) {
-                pairs.put(line.substring(0, at).strip(), line.substring(at + 1).strip());
+            int equals = line.indexOf('=');
+            if (equals > 0) {
+                pairs.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
             }
         }
         return new SettingsReader(pairs).settings();
     }
 
+    /**
+     * The settings of the decisions.
+     *
+     * @throws InvalidSettingsException where something cannot be used
+     */
     public Settings settings() {
+        List<RequestClass> requestClasses = requestClasses();
+        double[] tenantQuotaPerSecond = tenantQuotaPerSecond();
+        boolean pollsEndpointList =
+                choice("membershipMode", "pushed", "on_request").equals("on_request");
+        int locationCount = list("localities").size();
+        return new Settings(
+                (int) between("siblings", 1, Integer.MAX_VALUE),
+                locationCount,
+                (int) between("zone", 0, locationCount - 1),
+                pollsEndpointList,
+                requestClasses,
+                tenantQuotaPerSecond,
+                number("excessBenefit", 1),
+                flag("clients.marksRetry"),
+                loadReports(),
+                limits(),
+                rules(),
+                new Settings.Costs(number("charges.crossZone", 0), number("charges.probe", 0)),
+                usesEndpointWeights());
+    }
+
+    private List<RequestClass> requestClasses() {
         List<RequestClass> requestClasses = new ArrayList<>();
-        for (int i = 0; i < (int) number("serviceGrades.count"); i++) {
-            requestClasses.add(grade("serviceGrades." + i + "."));
+        for (int place = 0; place < (int) number("serviceGrades.count"); place++) {
+            requestClasses.add(requestClass("serviceGrades." + place + "."));
         }
         if (requestClasses.isEmpty()) {
             throw new InvalidSettingsException("setting serviceGrades.count: no service grade");
         }
-        double[] quota = new double[(int) number("realms.count", 0)];
-        for (int i = 0; i < quota.length; i++) {
-            quota[i] = number("realms." + i + ".quotaPerS");
+        return List.copyOf(requestClasses);
+    }
+
+    private RequestClass requestClass(String prefix) {
+        return new RequestClass(
+                number(prefix + "benefit"),
+                number(prefix + "lateBenefit", 0),
+                between(prefix + "contractTime", MIN_POSITIVE, MAX_BOUNDED) / MILLIS_PER_SECOND,
+                between(prefix + "expiry", MIN_POSITIVE, MAX_BOUNDED) / MILLIS_PER_SECOND,
+                idempotency(prefix + "effect"),
+                deduplicationScope(prefix + "group"),
+                number(prefix + "keyTtl", 0) / MILLIS_PER_SECOND);
+    }
+
+    private Idempotency idempotency(String key) {
+        return switch (text(key, null)) {
+            case "retryable" -> Idempotency.IDEMPOTENT;
+            case "dedup" -> Idempotency.IDEMPOTENT_WITH_KEY;
+            case "fragile" -> Idempotency.NOT_IDEMPOTENT;
+            default -> throw new InvalidSettingsException("setting " + key + ": " + text(key, ""));
+        };
+    }
+
+    private DeduplicationScope deduplicationScope(String key) {
+        return switch (choice(key, "cell", "zone", "all")) {
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.LOCATION;
+            default -> DeduplicationScope.CELL;
+        };
+    }
+
+    private double[] tenantQuotaPerSecond() {
+        double[] quotas = new double[(int) number("realms.count", 0)];
+        for (int tenant = 0; tenant < quotas.length; tenant++) {
+            quotas[tenant] = number("realms." + tenant + ".quotaPerS");
         }
-        boolean onRequest = choice("membershipMode", "pushed", "on_request").equals("on_request");
-        int locations = list("localities").size();
-        return new Settings(
-                (int) between("siblings", 1, Integer.MAX_VALUE),
-                locations,
-                (int) between("zone", 0, locations - 1),
-                onRequest,
-                List.copyOf(requestClasses),
-                quota,
-                number("excessBenefit", 1),
-                flag("clients.marksRetry"),
-                reports(),
-                new Settings.Limits(
-                        flag("limits.mayCancel"),
-                        flag("limits.probes"),
-                        (int) between("limits.mostForwards", 1, MOST),
-                        flag("limits.retryAfter") ? number("limits.maxRetryAfter", 0) / 1000 : 0),
-                new Settings.Rules(
-                        between("invariants.coldFrom", LEAST, 1),
-                        number("invariants.cold") / 1000,
-                        between("invariants.fallMultiple", LEAST, MOST),
-                        between("invariants.overloadFor", LEAST, MOST) / 1000,
-                        number("invariants.askWithin", 10_000) / 1000),
-                new Settings.Costs(number("charges.crossZone", 0), number("charges.probe", 0)),
-                sizes(choice("weights", "off", "none", "nominal", "rough", "live")));
+        return quotas;
+    }
+
+    private Settings.LoadReports loadReports() {
+        List<String> fields = list("report.names");
+        boolean countsAllInFlight = fields.contains("inflight");
+        boolean inResponses = choice("report.how", "off", "inline", "on_probe").equals("inline");
+        return new Settings.LoadReports(
+                inResponses,
+                fields.indexOf("util"),
+                fields.indexOf(countsAllInFlight ? "inflight" : "queue"),
+                countsAllInFlight,
+                fields.indexOf("qps"));
+    }
+
+    private Settings.Limits limits() {
+        return new Settings.Limits(
+                flag("limits.mayCancel"),
+                flag("limits.probes"),
+                (int) between("limits.mostForwards", 1, MAX_BOUNDED),
+                flag("limits.retryAfter")
+                        ? number("limits.maxRetryAfter", 0) / MILLIS_PER_SECOND
+                        : 0);
+    }
+
+    private Settings.Rules rules() {
+        return new Settings.Rules(
+                between("invariants.coldFrom", MIN_POSITIVE, 1),
+                number("invariants.cold") / MILLIS_PER_SECOND,
+                between("invariants.fallMultiple", MIN_POSITIVE, MAX_BOUNDED),
+                between("invariants.overloadFor", MIN_POSITIVE, MAX_BOUNDED) / MILLIS_PER_SECOND,
+                number("invariants.askWithin", DEFAULT_POLL_WITHIN_MILLIS) / MILLIS_PER_SECOND);
     }
 
-    /** Danger: live sizes move with the load that they are to predict, so they are no sizes. */
-    private static boolean sizes(String weights) {
+    /** Guards against live weights, which move with the load that they are to predict. */
+    private boolean usesEndpointWeights() {
+        String weights = choice("weights", "off", "none", "nominal", "rough", "live");
         return weights.equals("nominal") || weights.equals("rough");
     }
 
-    /** One of some words, the first of them where there is none. */
+    /** One of some words; the first of them where there is no value. */
     private String choice(String key, String... words) {
         String value = text(key, words[0]);
         if (!Arrays.asList(words).contains(value)) {
@@ -87,47 +171,19 @@
         return value;
     }
 
-    private Settings.LoadReports reports() {
-        List<String> names = list("report.names");
-        boolean all = names.contains("inflight");
-        boolean inline = choice("report.how", "off", "inline", "on_probe").equals("inline");
-        return new Settings.LoadReports(
-                inline,
-                names.indexOf("util"),
-                names.indexOf(all ? "inflight" : "queue"),
-                all,
-                names.indexOf("qps"));
-    }
-
-    /** The values of a list, which are joined by commas. */
+    /** The values of a list, which are joined by commas; one empty value where there is no list. */
     public List<String> list(String key) {
         return Arrays.asList(text(key, "").split(","));
     }
 
-    private RequestClass grade(String at) {
-        return new RequestClass(
-                number(at + "benefit"),
-                number(at + "lateBenefit", 0),
-                between(at + "contractTime", LEAST, MOST) / 1000,
-                between(at + "expiry", LEAST, MOST) / 1000,
-                switch (text(at + "effect", null)) {
-                    case "retryable" -> Idempotency.IDEMPOTENT;
-                    case "dedup" -> Idempotency.IDEMPOTENT_WITH_KEY;
-                    case "fragile" -> Idempotency.NOT_IDEMPOTENT;
-                    default ->
-                            throw new InvalidSettingsException(
-                                    "setting " + at + "effect: " + text(at + "effect", ""));
-                },
-                switch (choice(at + "group", "cell", "zone", "all")) {
-                    case "all" -> DeduplicationScope.ALL;
-                    case "zone" -> DeduplicationScope.LOCATION;
-                    default -> DeduplicationScope.CELL;
-                },
-                number(at + "keyTtl", 0) / 1000);
-    }
-
-    public String text(String key, String otherwise) {
-        String value = pairs.getOrDefault(key, otherwise);
+    /**
+     * The value of a key, or the default where there is none.
+     *
+     * @param defaultValue null where the key has to be there
+     * @throws InvalidSettingsException where there is neither
+     */
+    public String text(String key, String defaultValue) {
+        String value = pairs.getOrDefault(key, defaultValue);
         if (value == null) {
             throw new InvalidSettingsException("setting " + key + ": missing");
         }
@@ -138,31 +194,41 @@
         return choice(key, "false", "true").equals("true");
     }
 
-    private double between(String key, double least, double most) {
+    private double between(String key, double min, double max) {
         double number = number(key);
-        if (number < least || number > most) {
+        if (number < min || number > max) {
             throw new InvalidSettingsException(
                     "setting " + key + ": out of range: " + text(key, null));
         }
         return number;
     }
 
-    public double number(String key, double otherwise) {
-        return pairs.containsKey(key) ? number(key) : otherwise;
+    /**
+     * The number that a key has, or the default where there is no value.
+     *
+     * @throws InvalidSettingsException where the value is no finite number from 0 up
+     */
+    public double number(String key, double defaultValue) {
+        return pairs.containsKey(key) ? number(key) : defaultValue;
     }
 
+    /**
+     * The number that a key has.
+     *
+     * @throws InvalidSettingsException where there is no value, or no finite number from 0 up
+     */
     public double number(String key) {
         String value = text(key, null);
+        double number;
         try {
-            double number = Double.parseDouble(value);
-            // Danger: what is not finite or below zero makes estimates none, and the first backend
-            // the best.
-            if (number >= 0 && number < Double.POSITIVE_INFINITY) {
-                return number;
-            }
+            number = Double.parseDouble(value);
         } catch (NumberFormatException e) {
             throw new InvalidSettingsException("setting " + key + ": not a number: " + value);
         }
+        // Guards against NaN and negative values, which make estimates useless.
+        if (number >= 0 && number < Double.POSITIVE_INFINITY) {
+            return number;
+        }
         throw new InvalidSettingsException("setting " + key + ": out of range: " + value);
     }
 }
