--- a/src/test/java/lemondrift/proxy/AsyncLogTest.java
+++ b/src/test/java/lemondrift/proxy/logging/AsyncLogTest.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.logging;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -9,7 +9,6 @@
 import java.io.PrintStream;
 import java.util.concurrent.CountDownLatch;
 import java.util.stream.IntStream;
-import lemondrift.proxy.logging.AsyncLog;
 import org.junit.jupiter.api.Test;
 
 /** The log beside a reader that takes nothing for a while. */
