--- a/src/main/java/lemondrift/proxy/admin/AdminOperations.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminOperations.java
@@ -7,17 +7,18 @@
     /** Whether this process can serve. */
     boolean isReady();
 
+    /** The metrics as they stand. */
     ProxyMetrics.Figures figures();
 
-    /** How far it is on its way back after its start, as JSON; null where it asks nobody. */
+    /** How far the recovery after the start is, as JSON; null where the proxy polls no peers. */
     String recovery();
 
-    /** How the thread that decides keeps up, as JSON. */
+    /** How the decision loop keeps up, as JSON. */
     String loop();
 
-    /** Sends clients away; false where it can't. */
+    /** Takes the proxy out of service; false where it cannot be. */
     boolean quiesce();
 
-    /** Takes clients again; false where it can't. */
+    /** Takes the proxy back into service; false where it cannot be. */
     boolean resume();
 }
--- a/src/main/java/lemondrift/proxy/admin/AdminServer.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminServer.java
@@ -26,169 +26,194 @@
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
+import org.xnio.XnioExecutor;
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The operators' address: fixed calls, one to a connection. It never waits for another thread. Its
- * places and buffers are its own. Danger: with the clients' own, a crowd of theirs would keep
- * operators out.
+ * The operators' address: fixed calls, one to a connection; never waits for another thread. Its
+ * connections and buffers are its own, which guards against clients that keep operators out.
  */
 public final class AdminServer {
     private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
 
-    /** How many calls may be open, and how many seconds one may take. */
-    private static final int PLACES = 16;
+    /** How many connections may be open. */
+    private static final int MAX_CONNECTIONS = 16;
 
-    private static final double LONGEST = 2;
+    /** How many connections may wait to be accepted. */
+    private static final int BACKLOG = 4 * MAX_CONNECTIONS;
 
-    /** Bytes of a head, and of a buffer. */
-    private static final int HEAD = 4 * 1024;
+    /** How long a call may take from its connect on. */
+    private static final long CALL_TIMEOUT_SECONDS = 2;
+
+    /** Bytes of the largest head, and of a buffer. */
+    private static final int MAX_HEAD_BYTES = 4 * 1024;
+
+    private static final String HEALTH = "/admin/health";
+    private static final String STATS = "/admin/stats";
+    private static final String RECOVERY = "/admin/recovery";
+    private static final String LOOP = "/admin/loop";
+    private static final String QUIESCE = "/admin/quiesce";
+    private static final String RESUME = "/admin/resume";
 
     private final XnioWorker worker;
     private final HttpOpenListener http;
     private final AcceptingChannel<StreamConnection> server;
 
-    /** Whoever connected first is first. */
-    private final Set<StreamConnection> open = new LinkedHashSet<>();
+    /** The oldest first. */
+    private final Set<StreamConnection> connections = new LinkedHashSet<>();
 
-    /** Null until there is something to operate. */
-    private AdminOperations operated;
+    /** Null until there is a proxy to operate. */
+    private AdminOperations operations;
 
+    /**
+     * Listens at an address from now on.
+     *
+     * @throws IOException where the address cannot be bound
+     */
     public AdminServer(InetSocketAddress address, XnioWorker worker) throws IOException {
         this.worker = worker;
-        ByteBufferPool buffers = new DefaultByteBufferPool(true, HEAD, PLACES, 0);
+        ByteBufferPool buffers =
+                new DefaultByteBufferPool(true, MAX_HEAD_BYTES, MAX_CONNECTIONS, 0);
         http =
                 new HttpOpenListener(
                         buffers,
                         OptionMap.builder()
-                                .set(UndertowOptions.MAX_HEADER_SIZE, HEAD)
+                                .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEAD_BYTES)
                                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
                                 .getMap());
         http.setRootHandler(this::handle);
         server =
                 worker.createStreamConnectionServer(
                         address,
-                        ChannelListeners.openListenerAdapter(this::came),
+                        ChannelListeners.openListenerAdapter(this::accepted),
                         OptionMap.builder()
                                 .set(Options.TCP_NODELAY, true)
                                 .set(Options.REUSE_ADDRESSES, true)
-                                .set(Options.BACKLOG, 4 * PLACES)
+                                .set(Options.BACKLOG, BACKLOG)
                                 .getMap());
         server.resumeAccepts();
-        LOG.info("operators call at {}", address());
+        LOG.info("admin server listens on {}", address());
     }
 
+    /** The address that is listened at. */
     public InetSocketAddress address() {
         return server.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** From now on there is something to operate. */
-    public void operates(AdminOperations it) {
-        worker.getIoThread().execute(() -> operated = it);
+    /** From now on there is a proxy to operate. Any thread. */
+    public void operates(AdminOperations proxy) {
+        worker.getIoThread().execute(() -> operations = proxy);
     }
 
-    private void came(StreamConnection connection) {
-        // Danger: callers that finish nothing would keep all others out.
-        if (open.size() >= PLACES) {
-            Iterator<StreamConnection> oldest = open.iterator();
-            IoUtils.safeClose(oldest.next());
+    private void accepted(StreamConnection connection) {
+        // Guards against callers that finish nothing and keep all others out.
+        if (connections.size() >= MAX_CONNECTIONS) {
+            Iterator<StreamConnection> oldestFirst = connections.iterator();
+            IoUtils.safeClose(oldestFirst.next());
         }
-        open.add(connection);
+        connections.add(connection);
         http.handleEvent(connection);
-        ChannelListener<? super StreamConnection> its = connection.getCloseListener();
-        var timer =
+        ChannelListener<? super StreamConnection> httpCloseListener = connection.getCloseListener();
+        XnioExecutor.Key timeout =
                 worker.getIoThread()
                         .executeAfter(
                                 () -> IoUtils.safeClose(connection),
-                                (long) (LONGEST * 1e9),
-                                TimeUnit.NANOSECONDS);
+                                CALL_TIMEOUT_SECONDS,
+                                TimeUnit.SECONDS);
         connection.setCloseListener(
                 closed -> {
-                    open.remove(connection);
-                    timer.remove();
-                    ChannelListeners.invokeChannelListener(closed, its);
+                    connections.remove(connection);
+                    timeout.remove();
+                    ChannelListeners.invokeChannelListener(closed, httpCloseListener);
                 });
         if (!connection.isOpen()) {
-            open.remove(connection);
-            timer.remove();
+            connections.remove(connection);
+            timeout.remove();
         }
     }
 
     private void handle(HttpServerExchange call) {
         call.setPersistent(false);
-        String path = call.getRequestPath();
-        boolean reads =
-                path.equals("/admin/health")
-                        || path.equals("/admin/stats")
-                        || path.equals("/admin/recovery")
-                        || path.equals("/admin/loop");
-        if (!reads && !path.equals("/admin/quiesce") && !path.equals("/admin/resume")) {
-            answer(call, StatusCodes.NOT_FOUND);
-            return;
-        }
-        HttpString method = reads ? Methods.GET : Methods.PUT;
-        if (!call.getRequestMethod().equals(method)) {
+        HttpString method = methodOf(call.getRequestPath());
+        if (method == null) {
+            sendStatus(call, StatusCodes.NOT_FOUND);
+        } else if (!call.getRequestMethod().equals(method)) {
             call.getResponseHeaders().put(Headers.ALLOW, method.toString());
-            answer(call, StatusCodes.METHOD_NOT_ALLOWED);
-            return;
+            sendStatus(call, StatusCodes.METHOD_NOT_ALLOWED);
+        } else {
+            answer(call);
         }
-        if (path.equals("/admin/stats")) {
-            ProxyMetrics.Figures figures =
-                    operated == null ? new ProxyMetrics().snapshot() : operated.figures();
-            call.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-            call.getResponseSender().send(json(figures));
-            return;
+    }
+
+    /** The method that a call takes; null where there is no such call. */
+    private static HttpString methodOf(String path) {
+        return switch (path) {
+            case HEALTH, STATS, RECOVERY, LOOP -> Methods.GET;
+            case QUIESCE, RESUME -> Methods.PUT;
+            default -> null;
+        };
+    }
+
+    private void answer(HttpServerExchange call) {
+        switch (call.getRequestPath()) {
+            case STATS ->
+                    sendJson(
+                            call,
+                            json(
+                                    operations == null
+                                            ? new ProxyMetrics().snapshot()
+                                            : operations.figures()));
+            case RECOVERY -> sendJson(call, operations == null ? null : operations.recovery());
+            case LOOP -> sendJson(call, operations == null ? null : operations.loop());
+            case HEALTH -> sendSuccess(call, operations != null && operations.isReady());
+            case QUIESCE -> sendSuccess(call, operations != null && operations.quiesce());
+            default -> sendSuccess(call, operations != null && operations.resume());
         }
-        if (path.equals("/admin/recovery") || path.equals("/admin/loop")) {
-            String told =
-                    operated == null
-                            ? null
-                            : path.equals("/admin/loop") ? operated.loop() : operated.recovery();
-            if (told == null) {
-                answer(call, StatusCodes.NOT_FOUND);
-                return;
-            }
-            call.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-            call.getResponseSender().send(told);
+    }
+
+    /** Sends JSON; 404 where there is none. */
+    private static void sendJson(HttpServerExchange call, String json) {
+        if (json == null) {
+            sendStatus(call, StatusCodes.NOT_FOUND);
             return;
         }
-        boolean yes =
-                operated != null
-                        && (reads
-                                ? operated.isReady()
-                                : path.equals("/admin/quiesce")
-                                        ? operated.quiesce()
-                                        : operated.resume());
-        answer(call, yes ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
+        call.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+        call.getResponseSender().send(json);
     }
 
-    private static void answer(HttpServerExchange call, int status) {
+    private static void sendSuccess(HttpServerExchange call, boolean success) {
+        sendStatus(call, success ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
+    }
+
+    private static void sendStatus(HttpServerExchange call, int status) {
         call.setStatusCode(status);
         call.getResponseSender().send(StatusCodes.getReason(status) + "\n");
     }
 
-    static String json(ProxyMetrics.Figures figures) {
-        JsonObject replies = new JsonObject();
-        figures.replies()
+    /** The metrics under the names that operators' tools read. */
+    static String json(ProxyMetrics.Figures metrics) {
+        JsonObject repliesByClass = new JsonObject();
+        metrics.replies()
                 .forEach(
-                        (grade, counts) -> {
-                            JsonObject own = new JsonObject();
-                            for (ProxyMetrics.Reply reply : ProxyMetrics.Reply.values()) {
-                                own.addProperty(
-                                        reply.name().toLowerCase(Locale.ROOT),
-                                        counts[reply.ordinal()]);
-                            }
-                            replies.add(grade, own);
-                        });
-        JsonObject all = new JsonObject();
-        all.add("replies", replies);
-        all.addProperty("concurrent", figures.concurrent());
-        all.addProperty("dispatches", figures.dispatches());
-        all.addProperty("targets", figures.targets());
-        all.addProperty("targets_disabled", figures.targetsDisabled());
-        all.addProperty("reload_success", figures.reloadSuccess());
-        all.addProperty("reload_failure", figures.reloadFailure());
-        return all.toString();
+                        (requestClass, counts) ->
+                                repliesByClass.add(requestClass, repliesJson(counts)));
+        JsonObject json = new JsonObject();
+        json.add("replies", repliesByClass);
+        json.addProperty("concurrent", metrics.concurrent());
+        json.addProperty("dispatches", metrics.dispatches());
+        json.addProperty("targets", metrics.targets());
+        json.addProperty("targets_disabled", metrics.targetsDisabled());
+        json.addProperty("reload_success", metrics.reloadSuccess());
+        json.addProperty("reload_failure", metrics.reloadFailure());
+        return json.toString();
+    }
+
+    private static JsonObject repliesJson(long[] counts) {
+        JsonObject replies = new JsonObject();
+        for (ProxyMetrics.Reply reply : ProxyMetrics.Reply.values()) {
+            replies.addProperty(reply.name().toLowerCase(Locale.ROOT), counts[reply.ordinal()]);
+        }
+        return replies;
     }
 }
--- a/src/main/java/lemondrift/proxy/logging/AsyncLog.java
+++ b/src/main/java/lemondrift/proxy/logging/AsyncLog.java
@@ -11,27 +11,34 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes lines of the log on a thread of its own, so that whoever reads them slowly, or not at all,
- * holds up nobody who owes an answer. What there is no room for is left out and counted.
+ * Writes the log's lines on a thread of its own. Guards against a reader of the log that is slow,
+ * or takes nothing, and holds up the threads that serve requests: lines for which the queue has no
+ * place are left out and counted. Any thread may write.
  */
 public final class AsyncLog extends OutputStream {
-    /** Lines that wait at the most. */
-    private static final int ROOM = 1024;
+    /** Lines that may wait to be written. */
+    private static final int MAX_QUEUED_LINES = 1024;
 
-    private final OutputStream to;
-    private final BlockingQueue<byte[]> waiting = new ArrayBlockingQueue<>(ROOM);
+    private final OutputStream sink;
+    private final BlockingQueue<byte[]> queuedLines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+
+    /** What has come of the line that is not complete. */
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(256);
-    private final AtomicLong leftOut = new AtomicLong();
+
+    private final AtomicLong droppedLines = new AtomicLong();
+
+    /** Whether a line that has left the queue is still being written. */
     private volatile boolean writing;
 
-    public AsyncLog(OutputStream to) {
-        this.to = to;
-        Thread writer = new Thread(this::run, "log");
+    /** A log that writes to a sink; starts its thread. */
+    public AsyncLog(OutputStream sink) {
+        this.sink = sink;
+        Thread writer = new Thread(this::writeQueuedLines, "log");
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** Has the log's lines go through one from now on. */
+    /** Has all that is written to standard error go through a new log from now on. */
     public static AsyncLog ofStandardError() {
         AsyncLog log = new AsyncLog(System.err);
         System.setErr(new PrintStream(log, true));
@@ -42,7 +49,7 @@
     public synchronized void write(int b) {
         line.write(b);
         if (b == '\n') {
-            ends();
+            queueLine();
         }
     }
 
@@ -50,42 +57,42 @@
     public synchronized void write(byte[] bytes, int offset, int length) {
         line.write(bytes, offset, length);
         if (length > 0 && bytes[offset + length - 1] == '\n') {
-            ends();
+            queueLine();
         }
     }
 
-    private void ends() {
-        if (!waiting.offer(line.toByteArray())) {
-            leftOut.incrementAndGet();
+    private void queueLine() {
+        if (!queuedLines.offer(line.toByteArray())) {
+            droppedLines.incrementAndGet();
         }
         line.reset();
     }
 
-    private void run() {
+    private void writeQueuedLines() {
         try {
             while (true) {
-                byte[] next = waiting.take();
+                byte[] next = queuedLines.take();
                 writing = true;
-                long missing = leftOut.getAndSet(0);
-                if (missing > 0) {
-                    to.write(
-                            ("log lines left out: " + missing + "\n")
+                long dropped = droppedLines.getAndSet(0);
+                if (dropped > 0) {
+                    sink.write(
+                            ("log lines left out: " + dropped + "\n")
                                     .getBytes(StandardCharsets.UTF_8));
                 }
-                to.write(next);
-                to.flush();
+                sink.write(next);
+                sink.flush();
                 writing = false;
             }
         } catch (IOException | InterruptedException e) {
-            // Nobody can be told of it.
+            // The log itself is broken, so there is nowhere to report it.
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits until all has been written, so many seconds at the most. */
-    public void drain(double seconds) {
-        long until = System.nanoTime() + (long) (seconds * 1e9);
-        while ((writing || !waiting.isEmpty()) && System.nanoTime() < until) {
+    /** Waits until all queued lines have been written, for so many seconds at the most. */
+    public void drain(double timeoutSeconds) {
+        long deadlineNanos = System.nanoTime() + (long) (timeoutSeconds * 1e9);
+        while ((writing || !queuedLines.isEmpty()) && System.nanoTime() < deadlineNanos) {
             try {
                 TimeUnit.MILLISECONDS.sleep(1);
             } catch (InterruptedException e) {
--- a/src/main/java/lemondrift/proxy/logging/FailureLog.java
+++ b/src/main/java/lemondrift/proxy/logging/FailureLog.java
@@ -6,31 +6,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Says in the log why requests are not served, a few a second; the rest are counted. I/O thread
- * only.
+ * Logs why requests are rejected or failed: a line for each of the first few of a second, and how
+ * many more there were. I/O thread only.
  */
 public final class FailureLog {
     private static final Logger LOG = LoggerFactory.getLogger(FailureLog.class);
 
-    /** So many requests have a line of their own in one second. */
-    private static final int MOST = 5;
+    /** How many requests of one second have a line each. */
+    private static final int MAX_LINES_PER_SECOND = 5;
+
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private final ProxyMetrics metrics;
-    private double secondBegan = Double.NEGATIVE_INFINITY;
-    private int inThisSecond;
+    private double secondStartedAt = Double.NEGATIVE_INFINITY;
+    private int requestsInSecond;
 
+    /** A log without lines yet; the metrics tell how many requests failed overdue. */
     public FailureLog(ProxyMetrics metrics) {
         this.metrics = metrics;
     }
 
-    /** A request is rejected, which promises that a retry is harmless, or failed. */
+    /**
+     * A request ends without a backend's response.
+     *
+     * @param trace the id by which its client knows it
+     * @param rejected whether no backend may have executed it, so that a retry is harmless; else it
+     *     failed
+     * @param now the instant, in seconds
+     */
     public void notServed(
             Request request, String trace, String requestClass, boolean rejected, double now) {
-        if (now >= secondBegan + 1) {
-            endsSecond();
-            secondBegan = now;
+        if (now >= secondStartedAt + 1) {
+            endSecond();
+            secondStartedAt = now;
         }
-        if (++inThisSecond <= MOST) {
+        if (++requestsInSecond <= MAX_LINES_PER_SECOND) {
             LOG.info(
                     "not served trace="
                             + trace
@@ -47,17 +57,17 @@
         }
     }
 
-    private void endsSecond() {
-        if (inThisSecond > MOST) {
+    private void endSecond() {
+        if (requestsInSecond > MAX_LINES_PER_SECOND) {
             LOG.info(
                     "not served, and not logged: {} requests; overdue so far: {}",
-                    inThisSecond - MOST,
+                    requestsInSecond - MAX_LINES_PER_SECOND,
                     metrics.overdueRequestCount());
         }
-        inThisSecond = 0;
+        requestsInSecond = 0;
     }
 
     private static long milliseconds(double seconds) {
-        return Math.round(seconds * 1000);
+        return Math.round(seconds * MILLIS_PER_SECOND);
     }
 }
--- a/src/test/java/lemondrift/proxy/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/AdminServerTest.java
@@ -54,25 +54,28 @@
         to.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The whole answer, whose connection closes with it. */
+    /** The whole response, whose connection closes with it. */
     private String call(String method, String path) throws IOException {
         try (Socket caller = caller()) {
             write(caller, method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
-            var all = new ByteArrayOutputStream();
-            caller.getInputStream().transferTo(all);
-            return all.toString(StandardCharsets.US_ASCII);
+            var response = new ByteArrayOutputStream();
+            caller.getInputStream().transferTo(response);
+            return response.toString(StandardCharsets.US_ASCII);
         }
     }
 
     private JsonObject stats() throws IOException {
-        String answer = call("GET", "/admin/stats");
-        assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
-        return JsonParser.parseString(answer.substring(answer.indexOf("\r\n\r\n")))
+        String response = call("GET", "/admin/stats");
+        assertTrue(response.startsWith("HTTP/1.1 200 "), response);
+        return JsonParser.parseString(response.substring(response.indexOf("\r\n\r\n")))
                 .getAsJsonObject();
     }
 
-    private int reply(String grade, String kind) throws IOException {
-        return stats().getAsJsonObject("replies").getAsJsonObject(grade).get(kind).getAsInt();
+    private int reply(String requestClass, String outcome) throws IOException {
+        return stats().getAsJsonObject("replies")
+                .getAsJsonObject(requestClass)
+                .get(outcome)
+                .getAsInt();
     }
 
     private int healthz() throws Exception {
@@ -83,7 +86,7 @@
     }
 
     @Test
-    void beforeThereIsAProxyTheAnswerIsNoAndTheFiguresAreNone() throws Exception {
+    void withoutAProxyCallsAreUnavailableAndMetricsAreZero() throws Exception {
         listen();
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503 "));
         assertTrue(call("PUT", "/admin/quiesce").startsWith("HTTP/1.1 503 "));
@@ -91,7 +94,7 @@
     }
 
     @Test
-    void whatIsNoCallIsTurnedDown() throws Exception {
+    void unknownCallsAreRefused() throws Exception {
         operate(backend(OK));
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200 "));
         assertTrue(call("GET", "/admin/nothing").startsWith("HTTP/1.1 404 "));
@@ -106,7 +109,7 @@
     }
 
     @Test
-    void callersThatFinishNothingKeepNobodyOut() throws Exception {
+    void stalledCallersKeepNobodyOut() throws Exception {
         operate(backend(OK));
         List<Socket> stuck = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -121,20 +124,20 @@
     }
 
     @Test
-    void aFullHouseOfClientsKeepsNoOperatorOut() throws Exception {
+    void clientsAtTheirLimitKeepNoOperatorOut() throws Exception {
         operate(backend(OK));
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
-            crowd.add(new Socket("127.0.0.1", proxy.address().getPort()));
+            clients.add(new Socket("127.0.0.1", proxy.address().getPort()));
         }
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200 "));
-        for (Socket each : crowd) {
+        for (Socket each : clients) {
             each.close();
         }
     }
 
     @Test
-    void figuresAreOfWhatWasDone() throws Exception {
+    void metricsCountWhatWasDone() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         operate(
                 backend(
@@ -149,7 +152,7 @@
         JsonObject stats = stats();
         assertEquals(1, reply("look", "success"));
         assertEquals(1, reply("order", "success"));
-        assertEquals(2, reply("order", "error"), "what was turned away counts under its grade");
+        assertEquals(2, reply("order", "error"), "a rejected request counts under its class");
         assertEquals(3, stats.get("dispatches").getAsInt());
         assertEquals(0, stats.get("concurrent").getAsInt());
         assertEquals(1, stats.get("targets").getAsInt());
@@ -212,7 +215,7 @@
     }
 
     @Test
-    void clientsAreSentAwayAndTakenAgain() throws Exception {
+    void quiesceSendsClientsAwayAndResumeTakesThemBack() throws Exception {
         operate(backend(OK));
         List<Socket> stay = new ArrayList<>();
         assertFalse(askAndStay(1, stay).contains("Connection: close"));
@@ -220,12 +223,13 @@
         assertEquals(503, healthz());
         assertTrue(
                 call("PUT", "/admin/quiesce").startsWith("HTTP/1.1 200 "),
-                "said twice is as said once");
+                "quiescing twice is as once");
         assertTrue(
-                askAndStay(2, stay).contains("Connection: close"), "who comes is served, and goes");
+                askAndStay(2, stay).contains("Connection: close"),
+                "a new connection is served and closed");
         Socket late = new Socket("127.0.0.1", proxy.address().getPort());
-        assertEquals(-1, stay.get(0).getInputStream().read(), "one without a word is closed");
-        assertEquals(-1, late.getInputStream().read(), "one that comes and says nothing too");
+        assertEquals(-1, stay.get(0).getInputStream().read(), "an idle connection is closed");
+        assertEquals(-1, late.getInputStream().read(), "a new connection without a request too");
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 200 "));
         assertEquals(200, healthz());
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 200 "));
@@ -243,6 +247,6 @@
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503 "));
         assertTrue(
                 call("PUT", "/admin/resume").startsWith("HTTP/1.1 503 "),
-                "who has stopped stays so");
+                "a stopped proxy stays stopped");
     }
 }
--- a/src/test/java/lemondrift/proxy/ConfigFileTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigFileTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The configuration's file, with and without the list of before. */
+/** The configuration's file, with and without its initial endpoints. */
 class ConfigFileTest {
     @TempDir Path folder;
 
-    private Map<String, String> file(String text) throws Exception {
+    private Map<String, String> environment(String text) throws Exception {
         return Map.of("PROXY_CONFIG", Files.writeString(folder.resolve("c.json"), text).toString());
     }
 
@@ -32,27 +32,31 @@
                 "{\"known\":[1,{}]}",
                 "{\"a\":[1],\"known\":{\"revision\":4,\"members\":7,\"complete\":true},\"b\":\"x\"}"
             })
-    void allButTheListOfBeforeIsTheSame(String text) throws Exception {
-        JsonObject all = ConfigFile.read(file(text));
-        all.remove("known");
-        assertEquals(all, ConfigFile.readWithoutKnown(file(text)));
+    void readingWithoutInitialEndpointsKeepsAllElse(String text) throws Exception {
+        JsonObject config = ConfigFile.read(environment(text));
+        config.remove("known");
+        assertEquals(config, ConfigFile.readWithoutKnown(environment(text)));
     }
 
     @Test
-    void thousandsOfLinesArePassedOver() throws Exception {
-        String known =
+    void thousandsOfInitialEndpointsAreSkipped() throws Exception {
+        String endpointList =
                 LoopbackFixture.list(
                         1,
                         true,
                         IntStream.range(0, 3200)
-                                .mapToObj(i -> LoopbackFixture.member(i, 1 + i, "active"))
+                                .mapToObj(
+                                        backend ->
+                                                LoopbackFixture.member(
+                                                        backend, 1 + backend, "active"))
                                 .toArray(String[]::new));
         JsonObject read =
-                ConfigFile.readWithoutKnown(file("{\"known\":" + known + ",\"name\":\"n\"}"));
+                ConfigFile.readWithoutKnown(
+                        environment("{\"known\":" + endpointList + ",\"name\":\"n\"}"));
         assertEquals("{\"name\":\"n\"}", read.toString());
     }
 
-    /** Danger: a file that is cut off in the list of before may lack anything that follows. */
+    /** Guards against a file cut off in its initial endpoints, which lacks all that follows. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -64,8 +68,8 @@
                 "{\"a\":1} {}",
                 "{\"known\":{\"members\":[1,2]},"
             })
-    void whatIsCutOffIsRefused(String text) throws Exception {
-        Map<String, String> environment = file(text);
+    void aFileThatIsCutOffIsRefused(String text) throws Exception {
+        Map<String, String> environment = environment(text);
         assertThrows(Exception.class, () -> ConfigFile.readWithoutKnown(environment));
         assertThrows(InvalidSettingsException.class, () -> ConfigFile.read(Map.of()));
     }
--- a/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
+++ b/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
@@ -16,59 +16,62 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The watching mode in the program, on loopback. */
+/** Settings evaluated in shadow, in a proxy on loopback. */
 class ShadowSettingsFileTest extends LoopbackFixture {
     @TempDir Path folder;
 
-    private Map<String, String> files(String shadow) throws Exception {
+    private Map<String, String> environment(String shadowSettings) throws Exception {
         Path config = folder.resolve("config.json");
-        Path other = folder.resolve("shadow.json");
+        Path shadowFile = folder.resolve("shadow.json");
         Files.writeString(config, config(1, false));
-        Files.writeString(other, shadow);
-        return Map.of("PROXY_CONFIG", config.toString(), "PROXY_SHADOW", other.toString());
+        Files.writeString(shadowFile, shadowSettings);
+        return Map.of("PROXY_CONFIG", config.toString(), "PROXY_SHADOW", shadowFile.toString());
     }
 
-    private String check(String shadow, int code) throws Exception {
-        ByteArrayOutputStream err = new ByteArrayOutputStream();
-        assertEquals(code, ProxyLauncher.check(files(shadow), new PrintStream(err)));
-        assertEquals(code, err.toString(UTF_8).lines().count(), err.toString(UTF_8));
-        return err.toString(UTF_8);
+    private String check(String shadowSettings, int exitCode) throws Exception {
+        ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
+        assertEquals(
+                exitCode,
+                ProxyLauncher.check(environment(shadowSettings), new PrintStream(errorOutput)));
+        assertEquals(
+                exitCode, errorOutput.toString(UTF_8).lines().count(), errorOutput.toString(UTF_8));
+        return errorOutput.toString(UTF_8);
     }
 
     @Test
-    void whatIsWatchedIsCountedAndNotDone() throws Exception {
-        StandIn full = backend(NEVER_RAN);
-        ProxyConfig watched = ProxyConfig.read(files("{\"limits\":{\"mostForwards\":1}}"));
-        changed = config -> config.withShadow(watched.shadow());
-        start(full, backend(OK));
+    void shadowDecisionsAreCountedAndNotCarriedOut() throws Exception {
+        StandIn overloaded = backend(NEVER_RAN);
+        ProxyConfig withShadow = ProxyConfig.read(environment("{\"limits\":{\"mostForwards\":1}}"));
+        changed = config -> config.withShadow(withShadow.shadow());
+        start(overloaded, backend(OK));
         for (int i = 0; i < 6; i++) {
             assertEquals(200, order("x").statusCode(), "sent again as before");
         }
         proxy.drain();
         ShadowEvaluator shadow = proxy.shadow();
-        assertTrue(full.requests.size() > 0);
+        assertTrue(overloaded.requests.size() > 0);
         assertEquals(
-                full.requests.size(),
+                overloaded.requests.size(),
                 shadow.count(ShadowEvaluator.Kind.NOT_SEND_AGAIN),
                 shadow.summary());
-        assertEquals(6 + full.requests.size(), shadow.decisions(), shadow.summary());
+        assertEquals(6 + overloaded.requests.size(), shadow.decisions(), shadow.summary());
     }
 
     @Test
-    void nobodyWatchesWhereNoFileIsNamed() throws Exception {
+    void withoutAFileNothingIsEvaluatedInShadow() throws Exception {
         start(backend(OK));
         assertEquals(200, order("x").statusCode());
         assertNull(proxy.shadow());
     }
 
     @Test
-    void whatCannotBeWatchedIsOneLineThatNamesFileAndKey() throws Exception {
+    void unusableShadowSettingsAreOneLineWithFileAndKey() throws Exception {
         check("{\"weights\":\"nominal\",\"siblings\":70}", 0);
         check("[]", 1);
-        for (String bad :
+        for (String badSetting :
                 new String[] {"weights\":\"heavy\"", "siblings\":-1", "localities\":[\"b\"]"}) {
-            String line = check("{\"" + bad + "}", 1);
-            String key = bad.substring(0, bad.indexOf('"'));
+            String line = check("{\"" + badSetting + "}", 1);
+            String key = badSetting.substring(0, badSetting.indexOf('"'));
             assertTrue(line.contains("shadow.json: setting " + key + ": "), line);
         }
     }
--- a/src/test/java/lemondrift/proxy/logging/AsyncLogTest.java
+++ b/src/test/java/lemondrift/proxy/logging/AsyncLogTest.java
@@ -7,53 +7,51 @@
 import java.io.ByteArrayOutputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
+import java.util.Arrays;
 import java.util.concurrent.CountDownLatch;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
 /** The log beside a reader that takes nothing for a while. */
 class AsyncLogTest {
-    private static final int MANY = 3000;
+    private static final int LINE_COUNT = 3000;
 
-    /** Danger: whoever logs owes answers, and would wait for a reader that has stopped. */
+    /** Guards against threads that serve requests and wait for a stopped reader of the log. */
     @Test
-    void whoLogsWaitsForNoReaderAndWhatIsLeftOutIsCounted() throws Exception {
-        CountDownLatch reads = new CountDownLatch(1);
-        ByteArrayOutputStream read = new ByteArrayOutputStream();
+    void loggingDoesNotWaitForAReaderAndDroppedLinesAreCounted() throws Exception {
+        CountDownLatch readerGoesOn = new CountDownLatch(1);
+        ByteArrayOutputStream written = new ByteArrayOutputStream();
         AsyncLog log =
                 new AsyncLog(
                         new OutputStream() {
                             @Override
                             public void write(int b) {
                                 try {
-                                    reads.await();
+                                    readerGoesOn.await();
                                 } catch (InterruptedException e) {
                                     Thread.currentThread().interrupt();
                                 }
-                                read.write(b);
+                                written.write(b);
                             }
                         });
         PrintStream out = new PrintStream(log, true);
         // Returns, or the test never ends.
-        IntStream.range(0, MANY).forEach(i -> out.println("line " + i));
-        reads.countDown();
+        IntStream.range(0, LINE_COUNT).forEach(i -> out.println("line " + i));
+        readerGoesOn.countDown();
         log.drain(10);
         out.println("last");
         log.drain(10);
-        String[] lines = read.toString(UTF_8).split("\n");
+        String[] lines = written.toString(UTF_8).split("\n");
         assertEquals("line 0", lines[0]);
         assertEquals("last", lines[lines.length - 1]);
-        int whole =
-                (int)
-                        java.util.Arrays.stream(lines)
-                                .filter(each -> each.startsWith("line "))
-                                .count();
-        int leftOut =
-                java.util.Arrays.stream(lines)
-                        .filter(each -> each.startsWith("log lines left out: "))
-                        .mapToInt(each -> Integer.parseInt(each.replaceAll("\\D", "")))
+        int loggedLines =
+                (int) Arrays.stream(lines).filter(line -> line.startsWith("line ")).count();
+        int droppedLines =
+                Arrays.stream(lines)
+                        .filter(line -> line.startsWith("log lines left out: "))
+                        .mapToInt(line -> Integer.parseInt(line.replaceAll("\\D", "")))
                         .sum();
-        assertEquals(MANY, whole + leftOut);
-        assertTrue(leftOut > 0);
+        assertEquals(LINE_COUNT, loggedLines + droppedLines);
+        assertTrue(droppedLines > 0);
     }
 }
--- a/src/test/java/lemondrift/settings/RequestClassIndexTest.java
+++ b/src/test/java/lemondrift/settings/RequestClassIndexTest.java
@@ -19,79 +19,91 @@
 import org.junit.jupiter.api.Test;
 
 class RequestClassIndexTest {
-    private static RequestClass grade(Idempotency effect, double benefit) {
-        return new RequestClass(benefit, 0, 1, 2, effect, DeduplicationScope.ALL, 0);
+    private static RequestClass requestClass(Idempotency idempotency, double priorityWeight) {
+        return new RequestClass(priorityWeight, 0, 1, 2, idempotency, DeduplicationScope.ALL, 0);
     }
 
-    private static final RequestClass PURE = grade(Idempotency.IDEMPOTENT, 1);
-    private static final RequestClass ONCE = grade(Idempotency.NOT_IDEMPOTENT, 2);
+    private static final RequestClass IDEMPOTENT = requestClass(Idempotency.IDEMPOTENT, 1);
+    private static final RequestClass NOT_IDEMPOTENT = requestClass(Idempotency.NOT_IDEMPOTENT, 2);
 
-    private static RequestClassIndex retuned(RequestClassIndex old, boolean open, String... names) {
-        return old.reloaded(List.of(names), Collections.nCopies(names.length, PURE), i -> open);
+    private static RequestClassIndex reloaded(
+            RequestClassIndex previous, boolean open, String... names) {
+        return previous.reloaded(
+                List.of(names), Collections.nCopies(names.length, IDEMPOTENT), i -> open);
     }
 
     @Test
     void aClassKeepsItsIndexWhereverItStands() {
-        RequestClassIndex first = new RequestClassIndex(List.of("a", "b"), List.of(PURE, PURE));
+        RequestClassIndex first =
+                new RequestClassIndex(List.of("a", "b"), List.of(IDEMPOTENT, IDEMPOTENT));
         RequestClassIndex next =
                 first.reloaded(
                         List.of("c", "b"),
-                        List.of(PURE, grade(Idempotency.IDEMPOTENT, 7)),
+                        List.of(IDEMPOTENT, requestClass(Idempotency.IDEMPOTENT, 7)),
                         i -> false);
         assertEquals(1, next.indexOf("b"));
         assertEquals(
-                7, next.byIndex().get(1).priorityWeight(), "what comes has what is stated now");
+                7,
+                next.byIndex().get(1).priorityWeight(),
+                "requests come under what is stated now");
         assertEquals(2, next.indexOf("c"), "an index dropped just now may still be on its way");
         assertEquals(-1, next.indexOf("a"));
         assertNull(next.byIndex().get(0));
         assertEquals(List.of(2), next.reassigned());
         assertEquals(List.of("b", "c"), next.names());
-        assertEquals(0, retuned(next, false, "b", "c", "d").indexOf("d"), "given out again later");
-        assertEquals(3, retuned(next, true, "b", "c", "d").indexOf("d"), "not while it is open");
+        assertEquals(0, reloaded(next, false, "b", "c", "d").indexOf("d"), "assigned again later");
+        assertEquals(3, reloaded(next, true, "b", "c", "d").indexOf("d"), "not while it is open");
     }
 
     @Test
-    void anotherEffectIsAnotherClass() {
+    void anotherIdempotencyIsAnotherClass() {
         RequestClassIndex next =
-                new RequestClassIndex(List.of("a"), List.of(PURE))
-                        .reloaded(List.of("a"), List.of(ONCE), i -> false);
+                new RequestClassIndex(List.of("a"), List.of(IDEMPOTENT))
+                        .reloaded(List.of("a"), List.of(NOT_IDEMPOTENT), i -> false);
         assertEquals(1, next.indexOf("a"));
         assertNull(next.byIndex().get(0));
     }
 
     @Test
-    void othersOfTheSameNamesStandUnderTheSameIndexes() {
+    void otherClassesOfTheSameNamesStandUnderTheSameIndexes() {
         RequestClassIndex next =
-                new RequestClassIndex(List.of("a", "b"), List.of(PURE, PURE))
-                        .reloaded(List.of("b"), List.of(PURE), i -> false);
-        assertEquals(Stream.of(null, ONCE).toList(), next.byIndex(List.of(ONCE)));
+                new RequestClassIndex(List.of("a", "b"), List.of(IDEMPOTENT, IDEMPOTENT))
+                        .reloaded(List.of("b"), List.of(IDEMPOTENT), i -> false);
+        assertEquals(
+                Stream.of(null, NOT_IDEMPOTENT).toList(), next.byIndex(List.of(NOT_IDEMPOTENT)));
     }
 
     /**
-     * Any retunes in a row: each name has one index, its own, and there are no more than are
+     * Any reloads in a row: each name has one index, its own, and there are no more than are
      * needed.
      */
     @Property(tries = 200, seed = "48")
     void indexesAreBoundedAndTellNamesApart(
             @ForAll @Size(min = 1, max = 40)
                     List<@Size(min = 1, max = 5) @UniqueElements List<@IntRange(max = 7) Integer>>
-                            retunes) {
-        RequestClassIndex requestClasses = new RequestClassIndex(List.of("0"), List.of(PURE));
-        for (List<Integer> each : retunes) {
-            RequestClassIndex old = requestClasses;
+                            reloads) {
+        RequestClassIndex requestClasses = new RequestClassIndex(List.of("0"), List.of(IDEMPOTENT));
+        for (List<Integer> each : reloads) {
+            RequestClassIndex previous = requestClasses;
             requestClasses =
-                    retuned(old, false, each.stream().map(String::valueOf).toArray(String[]::new));
+                    reloaded(
+                            previous,
+                            false,
+                            each.stream().map(String::valueOf).toArray(String[]::new));
             for (int name : each) {
-                int at = requestClasses.indexOf("" + name);
-                assertNotNull(requestClasses.byIndex().get(at));
+                int index = requestClasses.indexOf("" + name);
+                assertNotNull(requestClasses.byIndex().get(index));
                 assertTrue(
-                        old.indexOf("" + name) < 0
-                                ? requestClasses.reassigned().contains(at)
-                                : at == old.indexOf("" + name)
-                                        && !requestClasses.reassigned().contains(at));
+                        previous.indexOf("" + name) < 0
+                                ? requestClasses.reassigned().contains(index)
+                                : index == previous.indexOf("" + name)
+                                        && !requestClasses.reassigned().contains(index));
             }
             assertEquals(
-                    each.size(), requestClasses.byIndex().stream().filter(g -> g != null).count());
+                    each.size(),
+                    requestClasses.byIndex().stream()
+                            .filter(requestClass -> requestClass != null)
+                            .count());
         }
         assertTrue(requestClasses.byIndex().size() <= 10, "two files' classes at the most");
     }
--- a/src/test/java/lemondrift/settings/SettingsReaderTest.java
+++ b/src/test/java/lemondrift/settings/SettingsReaderTest.java
@@ -7,9 +7,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a deployment states, and what can't be used of it. */
+/** The settings that a deployment states, and values that cannot be used. */
 class SettingsReaderTest {
-    private static final String TEXT =
+    private static final String VALID =
             "siblings=3\n"
                     + "zone=0\n"
                     + "limits.mostForwards=5\n"
@@ -24,17 +24,17 @@
                     + "serviceGrades.0.effect=retryable\n";
 
     @Test
-    void sizesHoldOnlyWhereTheSettingsSaySo() {
-        assertFalse(SettingsReader.read(TEXT).usesEndpointWeights());
+    void endpointWeightsAreUsedOnlyWhereTheSettingsSaySo() {
+        assertFalse(SettingsReader.read(VALID).usesEndpointWeights());
         for (String weights : "off none live nominal rough".split(" ")) {
-            String text = TEXT + "weights=" + weights + "\n";
+            String text = VALID + "weights=" + weights + "\n";
             assertEquals(
                     weights.length() > 4, SettingsReader.read(text).usesEndpointWeights(), weights);
         }
     }
 
     @Test
-    void whatCannotBeUsedIsNamed() {
+    void unusableKeysAreNamed() {
         for (String line :
                 ("charges.crossZone=NaN charges.crossZone=-0.1 charges.probe=much"
                      + " charges.probe=Infinity weights=heavy membershipMode=sometimes"
@@ -45,7 +45,7 @@
             InvalidSettingsException e =
                     assertThrows(
                             InvalidSettingsException.class,
-                            () -> SettingsReader.read(TEXT + line + "\n"),
+                            () -> SettingsReader.read(VALID + line + "\n"),
                             line);
             String key = line.substring(0, line.indexOf('='));
             assertTrue(e.getMessage().startsWith("setting " + key + ": "), e.getMessage());
