--- a/src/main/java/lemondrift/Main.java
+++ b/src/main/java/lemondrift/Main.java
@@ -5,8 +5,8 @@
 import lemondrift.simulator.SimulatorAdapter;
 
 /**
- * Dispatches serve, check and drill at once: a proxy starts without the library of the other
- * commands.
+ * Dispatches serve, check and drill (the simulator's adapter) itself, so that a proxy starts
+ * without loading the command line library that the other commands use.
  */
 public final class Main {
     private Main() {}
@@ -15,9 +15,9 @@
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
             case "serve" -> {
-                int code = ProxyLauncher.run(System.getenv(), System.err);
-                if (code != 0) {
-                    Runtime.getRuntime().halt(code);
+                int exitCode = ProxyLauncher.run(System.getenv(), System.err);
+                if (exitCode != 0) {
+                    Runtime.getRuntime().halt(exitCode);
                 }
             }
             case "check" -> System.exit(ProxyLauncher.check(System.getenv(), System.err));
--- a/src/main/java/lemondrift/hotrestart/ResourceSplit.java
+++ b/src/main/java/lemondrift/hotrestart/ResourceSplit.java
@@ -1,30 +1,36 @@
 package lemondrift.hotrestart;
 
 /**
- * Which part of what the platform gives a proxy one of its processes may use. During an upgrade
- * there are two of them, and the platform counts them as one. No I/O.
+ * How many processes of one proxy share what the platform gives it: during an upgrade there are
+ * two, and the platform counts them as one. Not thread-safe.
  */
 public final class ResourceSplit {
     /** What this process is beside others of the same proxy. */
     public enum State {
-        /** It serves, and nobody is to follow it. */
+        /** It serves, and no other process waits to follow it. */
         ALONE,
-        /** It serves, and one that is to follow it runs. */
+        /** It serves, and another process waits to follow it. */
         FOLLOWED,
-        /** Another one serves still; or it is not known whether one does. */
+        /** Another one serves, or it is not known whether one does. */
         BESIDE
     }
 
     private State state = State.BESIDE;
 
     /**
-     * A look has shown whether this process is the one that serves, and whether one waits to follow
-     * it; says whether that changes anything. One whose predecessor has ended serves; one whose
-     * successor has ended is alone again.
+     * Follows what was seen of the processes.
+     *
+     * @param serving whether this process is the one that serves
+     * @param followerWaits whether another one waits to follow it; matters only if this one serves
+     * @return whether the state has changed
      */
-    public boolean looked(boolean serves, boolean waits) {
+    public boolean observed(boolean serving, boolean followerWaits) {
         State before = state;
-        state = !serves ? State.BESIDE : waits ? State.FOLLOWED : State.ALONE;
+        if (!serving) {
+            state = State.BESIDE;
+        } else {
+            state = followerWaits ? State.FOLLOWED : State.ALONE;
+        }
         return state != before;
     }
 
@@ -33,9 +39,10 @@
     }
 
     /**
-     * Among how many processes all is shared. Danger: one that takes all at once would do so twice.
+     * Among how many processes the resources are divided, 1 or 2. Guards against two processes that
+     * each use all: only one that is known to be alone does.
      */
-    public int processes() {
+    public int processCount() {
         return state == State.ALONE ? 1 : 2;
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/ConfigReload.java
@@ -0,0 +1,90 @@
+package lemondrift.proxy;
+
+import java.util.List;
+import lemondrift.metrics.ProxyMetrics;
+import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.discovery.EndpointListWatch;
+import lemondrift.proxy.loop.DecisionLoop;
+import lemondrift.proxy.time.MonotonicClock;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.xnio.XnioIoThread;
+
+/**
+ * The configuration that holds now, and what the proxy does at SIGHUP: the decisions follow the new
+ * settings, and the endpoint list is watched at the new discovery address. Clients, requests,
+ * connections to backends and what the decisions know live on; other keys hold from the next start.
+ *
+ * <p>Written on the thread that handles the signal, one reload at a time; read on any thread.
+ */
+final class ConfigReload {
+    private static final Logger LOG = LoggerFactory.getLogger(ConfigReload.class);
+
+    private final MonotonicClock clock;
+    private final XnioIoThread ioThread;
+    private final DecisionLoop decisionLoop;
+    private final EndpointListWatch endpointListWatch;
+    private final ProxyMetrics metrics;
+    private volatile ProxyConfig current;
+
+    /** Until when a request that came under an earlier configuration may be open. */
+    private volatile double previousRequestDeadline;
+
+    ConfigReload(
+            ProxyConfig initial,
+            MonotonicClock clock,
+            XnioIoThread ioThread,
+            DecisionLoop decisionLoop,
+            EndpointListWatch endpointListWatch,
+            ProxyMetrics metrics) {
+        current = initial;
+        this.clock = clock;
+        this.ioThread = ioThread;
+        this.decisionLoop = decisionLoop;
+        this.endpointListWatch = endpointListWatch;
+        this.metrics = metrics;
+    }
+
+    ProxyConfig current() {
+        return current;
+    }
+
+    /**
+     * When the last request that comes until now times out, under whichever configuration it came.
+     */
+    double requestDeadline(double now) {
+        return Math.max(now + current.longestTimeoutSeconds(), previousRequestDeadline);
+    }
+
+    /**
+     * Applies a new configuration.
+     *
+     * @throws lemondrift.settings.InvalidSettingsException where it lacks a key that the current
+     *     one states; nothing is changed then
+     */
+    void apply(ProxyConfig next) {
+        next.requireAllOf(current);
+        LOG.info(
+                "configuration read again, discovery at {}, classes {}",
+                next.discovery(),
+                next.requestClassNames());
+        List<String> keysAppliedAtStart = next.keysAppliedAtStart(current);
+        if (!keysAppliedAtStart.isEmpty()) {
+            LOG.warn("holds from the next start only: {}", keysAppliedAtStart);
+        }
+        previousRequestDeadline =
+                Math.max(previousRequestDeadline, clock.now() + current.longestTimeoutSeconds());
+        current = next.withoutInitialEndpoints();
+        decisionLoop.reload(next.settings(), next.requestClassNames(), next.shadow());
+        ioThread.execute(
+                () -> {
+                    metrics.configurationReloaded(true);
+                    endpointListWatch.moveTo(next.discovery());
+                });
+    }
+
+    /** Counts a new configuration that could not be used. */
+    void failed() {
+        ioThread.execute(() -> metrics.configurationReloaded(false));
+    }
+}
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/IoThreadActions.java
@@ -0,0 +1,148 @@
+package lemondrift.proxy;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import lemondrift.gossip.LoadGossip;
+import lemondrift.metrics.ProxyMetrics;
+import lemondrift.model.Attempt;
+import lemondrift.model.Decision;
+import lemondrift.model.Settings;
+import lemondrift.proxy.backend.BackendClient;
+import lemondrift.proxy.client.ClientListener;
+import lemondrift.proxy.discovery.EndpointListWatch;
+import lemondrift.proxy.events.BackendResponse;
+import lemondrift.proxy.events.PendingRequest;
+import lemondrift.proxy.events.ProxyActions;
+import lemondrift.proxy.gossip.GossipTransport;
+import lemondrift.proxy.loop.DecisionLoop;
+import lemondrift.settings.RequestClassIndex;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.xnio.XnioIoThread;
+
+/**
+ * Carries the decision loop's actions to the I/O thread, all of one flush at once: each wake of
+ * that thread costs a context switch. Called on the decision loop's thread only.
+ */
+final class IoThreadActions implements ProxyActions {
+    private static final Logger LOG = LoggerFactory.getLogger(IoThreadActions.class);
+
+    private final XnioIoThread ioThread;
+    private final ProxyMetrics metrics;
+    private DecisionLoop decisionLoop;
+    private ClientListener clientListener;
+    private BackendClient backendClient;
+    private EndpointListWatch endpointListWatch;
+    private GossipTransport gossipTransport;
+
+    /** Actions since the last flush, in order. */
+    private List<Runnable> pendingActions = new ArrayList<>();
+
+    IoThreadActions(XnioIoThread ioThread, ProxyMetrics metrics) {
+        this.ioThread = ioThread;
+        this.metrics = metrics;
+    }
+
+    /**
+     * Sets what the actions are carried out on, which itself needs the decision loop; before that
+     * starts.
+     *
+     * @param gossipTransport null where no gossip is sent
+     */
+    void connect(
+            DecisionLoop decisionLoop,
+            ClientListener clientListener,
+            BackendClient backendClient,
+            EndpointListWatch endpointListWatch,
+            GossipTransport gossipTransport) {
+        this.decisionLoop = decisionLoop;
+        this.clientListener = clientListener;
+        this.backendClient = backendClient;
+        this.endpointListWatch = endpointListWatch;
+        this.gossipTransport = gossipTransport;
+    }
+
+    @Override
+    public void send(Attempt attempt, PendingRequest pending, InetSocketAddress address) {
+        pendingActions.add(() -> backendClient.send(attempt, pending, address));
+    }
+
+    @Override
+    public void cancel(Attempt attempt) {
+        pendingActions.add(() -> backendClient.cancel(attempt));
+    }
+
+    @Override
+    public void probe(int backend, InetSocketAddress address) {
+        pendingActions.add(() -> backendClient.probe(backend, address));
+    }
+
+    @Override
+    public void requestEndpointList(Decision.EndpointListCall call) {
+        pendingActions.add(() -> endpointListWatch.listRequested(call));
+    }
+
+    @Override
+    public void deliver(PendingRequest pending, BackendResponse response) {
+        pendingActions.add(() -> clientListener.deliver(pending, response));
+    }
+
+    @Override
+    public void discard(BackendResponse response) {
+        pendingActions.add(() -> response.remainder().abandonResponse());
+    }
+
+    @Override
+    public void fail(PendingRequest pending, boolean rejected, double retryAfterSeconds) {
+        pendingActions.add(
+                () -> clientListener.failRequest(pending.exchange(), rejected, retryAfterSeconds));
+    }
+
+    @Override
+    public void retirePool(int backend) {
+        pendingActions.add(() -> backendClient.retirePool(backend));
+    }
+
+    @Override
+    public void requestsDecided(int requests, double seconds) {
+        pendingActions.add(() -> clientListener.requestsDecided(requests, seconds));
+    }
+
+    @Override
+    public void backendsCounted(int listed, int disabled) {
+        pendingActions.add(() -> metrics.backendsCounted(listed, disabled));
+    }
+
+    @Override
+    public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
+        pendingActions.add(
+                () -> {
+                    clientListener.settingsChanged(requestClasses, settings);
+                    decisionLoop.settingsApplied(clientListener.classesInUse());
+                });
+    }
+
+    @Override
+    public void sendGossip(LoadGossip.Message message) {
+        pendingActions.add(() -> gossipTransport.send(message));
+    }
+
+    @Override
+    public void flush() {
+        if (!pendingActions.isEmpty()) {
+            List<Runnable> actions = pendingActions;
+            pendingActions = new ArrayList<>();
+            ioThread.execute(() -> actions.forEach(IoThreadActions::perform));
+        }
+    }
+
+    /** Guards against one failing action keeping those after it from being carried out. */
+    private static void perform(Runnable action) {
+        try {
+            action.run();
+        } catch (RuntimeException e) {
+            LOG.error("action of the decision loop failed on the I/O thread", e);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/lemondrift/proxy/OperatorControl.java
@@ -0,0 +1,79 @@
+package lemondrift.proxy;
+
+import lemondrift.metrics.ProxyMetrics;
+import lemondrift.proxy.admin.AdminOperations;
+import lemondrift.proxy.client.ClientListener;
+import lemondrift.proxy.loop.DecisionLoop;
+import lemondrift.proxy.time.MonotonicClock;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** What operators may read and ask for at the admin address. I/O thread only. */
+final class OperatorControl implements AdminOperations {
+    private static final Logger LOG = LoggerFactory.getLogger(OperatorControl.class);
+
+    /**
+     * Seconds in which a quiesced proxy closes its clients' connections. Guards against a request
+     * of a late client at a time when operators take the proxy to be empty.
+     */
+    private static final double QUIESCE_SECONDS = 1.6;
+
+    private final ProxyServer proxyServer;
+    private final MonotonicClock clock;
+    private final ClientListener clientListener;
+    private final DecisionLoop decisionLoop;
+    private final ProxyMetrics metrics;
+
+    OperatorControl(
+            ProxyServer proxyServer,
+            MonotonicClock clock,
+            ClientListener clientListener,
+            DecisionLoop decisionLoop,
+            ProxyMetrics metrics) {
+        this.proxyServer = proxyServer;
+        this.clock = clock;
+        this.clientListener = clientListener;
+        this.decisionLoop = decisionLoop;
+        this.metrics = metrics;
+    }
+
+    @Override
+    public boolean isReady() {
+        return proxyServer.phase() == ProxyServer.Phase.SERVING;
+    }
+
+    @Override
+    public ProxyMetrics.Figures figures() {
+        return metrics.snapshot();
+    }
+
+    @Override
+    public String recovery() {
+        return decisionLoop.recoveryCoordinator() == null
+                ? null
+                : decisionLoop.recoveryCoordinator().statusJson(clock.now());
+    }
+
+    @Override
+    public String loop() {
+        return decisionLoop.metricsJson();
+    }
+
+    @Override
+    public boolean quiesce() {
+        if (isReady() && !clientListener.isDraining()) {
+            LOG.info("sends clients away");
+            clientListener.drain(clock.now() + QUIESCE_SECONDS, Double.POSITIVE_INFINITY);
+        }
+        return isReady();
+    }
+
+    @Override
+    public boolean resume() {
+        if (isReady() && clientListener.isDraining()) {
+            LOG.info("takes clients again");
+            clientListener.resume();
+        }
+        return isReady();
+    }
+}
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -6,17 +6,9 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
 import lemondrift.balancer.LoadBalancer;
-import lemondrift.gossip.LoadGossip;
 import lemondrift.metrics.ProxyMetrics;
-import lemondrift.model.Attempt;
-import lemondrift.model.Decision;
-import lemondrift.model.Settings;
 import lemondrift.proxy.admin.AdminOperations;
 import lemondrift.proxy.backend.BackendClient;
 import lemondrift.proxy.backend.BackendConnector;
@@ -25,9 +17,6 @@
 import lemondrift.proxy.discovery.BackendDirectory;
 import lemondrift.proxy.discovery.EndpointListBuilder;
 import lemondrift.proxy.discovery.EndpointListWatch;
-import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.events.PendingRequest;
-import lemondrift.proxy.events.ProxyActions;
 import lemondrift.proxy.gossip.GossipTransport;
 import lemondrift.proxy.lifecycle.TakeoverLock;
 import lemondrift.proxy.loop.DecisionLoop;
@@ -41,13 +30,12 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import org.xnio.Xnio;
-import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** The program: one real proxy, from its start to its exit. */
+/** One proxy, from its start to its exit: composes the rooms and owns the phase. */
 public final class ProxyServer {
-    /** What the program is doing; it only goes forward. */
+    /** What the proxy is doing; it only goes forward. */
     enum Phase {
         STARTING,
         SERVING,
@@ -56,29 +44,15 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(ProxyServer.class);
-    private static final int BUFFER = 8 * 1024;
-    private static final int MOST_BUFFERS = 512;
 
-    /**
-     * Seconds in which new clients may still come after a drain has begun; by how much later than
-     * the longest expiry its last answers are out, and until when they may be fetched; and between
-     * two looks at whether all is answered. A platform that grants an expiry and 0.7 s has its end
-     * before it kills.
-     */
-    private static final double STRAGGLERS = 0.55;
-
-    private static final double ANSWERS = 0.5;
-    private static final double FETCHED = 0.6;
-    private static final double DRAIN_LOOKS = 0.01;
+    /** Size of a pooled buffer, in bytes. */
+    private static final int BUFFER_BYTES = 8 * 1024;
 
-    /**
-     * Seconds in which clients are sent away. Danger: whoever is still here later may bring one
-     * more request, at a time when operators take the proxy to be empty.
-     */
-    private static final double SENT_AWAY = 1.6;
+    /** How many buffers the pool keeps. */
+    private static final int MAX_POOLED_BUFFERS = 512;
 
-    /** Seconds between two looks for another process. A start takes several times as long. */
-    private static final double LOOKS = 0.25;
+    /** How many buffers each thread keeps for itself. */
+    private static final int BUFFERS_PER_THREAD = 8;
 
     private static final OptionMap NO_DELAY = OptionMap.create(Options.TCP_NODELAY, true);
 
@@ -87,49 +61,54 @@
     private final XnioWorker worker;
     private final DecisionLoop decisionLoop;
     private final ClientListener clientListener;
-    private final EndpointListWatch watch;
+    private final EndpointListWatch endpointListWatch;
     private final BackendClient backendClient;
-    private volatile ProxyConfig config;
+    private final ConfigReload configReload;
+    private final ResourceSharing resourceSharing;
 
-    /** Until when what came under an earlier configuration may be open. */
-    private volatile double formerExpiry;
-
-    /** The list from before; null once the decisions have been told of it. */
-    private JsonObject known;
-
-    /** Null where the other proxies are told nothing. */
+    /** Null where no gossip is exchanged. */
     private final GossipTransport gossipTransport;
 
+    /** The endpoint list of the configuration; null once the decisions have it. */
+    private JsonObject initialEndpoints;
+
     private volatile Phase phase = Phase.STARTING;
 
     public ProxyServer(ProxyConfig config) throws IOException {
         this(config, worker(), null);
     }
 
-    /** The one that serves, on a worker that may stand already. */
+    /** One on a worker that may exist already. */
     public ProxyServer(ProxyConfig config, XnioWorker worker) {
         this(config, worker, null);
     }
 
-    /** Its backends' connections are opened by dial, or where that is null on sockets. */
-    public ProxyServer(ProxyConfig told, XnioWorker worker, BackendConnector connector) {
-        ProxyConfig config = told.withoutInitialEndpoints();
-        known = told.initialEndpoints();
+    /**
+     * One whose connections to backends are opened by a connector, as for a warm-up or a test.
+     *
+     * @param connector null for sockets; with another one neither gossip nor shadow is at work
+     */
+    public ProxyServer(ProxyConfig fullConfig, XnioWorker worker, BackendConnector connector) {
+        ProxyConfig config = fullConfig.withoutInitialEndpoints();
+        initialEndpoints = fullConfig.initialEndpoints();
         this.worker = worker;
-        XnioIoThread io = worker.getIoThread();
-        BackendConnector sockets = (to, opened) -> io.openStreamConnection(to, opened, NO_DELAY);
-        ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER, MOST_BUFFERS, 8);
-        this.config = config;
+        XnioIoThread ioThread = worker.getIoThread();
+        BackendConnector sockets =
+                (address, opened) -> ioThread.openStreamConnection(address, opened, NO_DELAY);
+        ByteBufferPool buffers =
+                new DefaultByteBufferPool(
+                        true, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
         RequestClassIndex requestClasses =
                 new RequestClassIndex(
                         config.requestClassNames(), config.settings().requestClasses());
         LoadBalancer balancer = new LoadBalancer(config.settings(), config.seed());
+        IoThreadActions actions = new IoThreadActions(ioThread, metrics);
         decisionLoop =
                 new DecisionLoop(
                         balancer,
                         new BackendDirectory(config.locations()),
                         clock,
-                        new Sockets(io),
+                        actions,
                         requestClasses,
                         config.settings());
         if (config.shadow() != null && connector == null) {
@@ -138,37 +117,48 @@
         clientListener =
                 new ClientListener(
                         config, requestClasses, clock, worker, buffers, decisionLoop, metrics);
-        watch = new EndpointListWatch(config, clock, io, sockets, buffers, decisionLoop);
+        endpointListWatch =
+                new EndpointListWatch(config, clock, ioThread, sockets, buffers, decisionLoop);
         backendClient =
                 new BackendClient(
                         config,
                         clock,
-                        io,
+                        ioThread,
                         connector == null ? sockets : connector,
                         buffers,
                         decisionLoop,
                         metrics,
                         clientListener::isClientWaiting);
-        gossipTransport =
-                config.gossip() == null || connector != null || !balancer.wantsGossip()
-                        ? null
-                        : new GossipTransport(config.gossip(), decisionLoop);
-        if (gossipTransport != null) {
-            if (config.recovery() == null) {
-                decisionLoop.enableGossip(config.gossip());
-            } else {
-                decisionLoop.enableGossip(
-                        config.gossip(),
-                        new RecoveryCoordinator(
-                                config.recovery(),
-                                config.name(),
-                                config.gossip().self(),
-                                config.gossip().proxies().size(),
-                                clock.now()));
-            }
+        boolean gossips = config.gossip() != null && connector == null && balancer.wantsGossip();
+        gossipTransport = gossips ? new GossipTransport(config.gossip(), decisionLoop) : null;
+        if (gossips) {
+            enableGossip(config);
+        }
+        actions.connect(
+                decisionLoop, clientListener, backendClient, endpointListWatch, gossipTransport);
+        configReload =
+                new ConfigReload(config, clock, ioThread, decisionLoop, endpointListWatch, metrics);
+        resourceSharing =
+                new ResourceSharing(
+                        worker, configReload, clientListener, backendClient, decisionLoop);
+    }
+
+    private void enableGossip(ProxyConfig config) {
+        if (config.recovery() == null) {
+            decisionLoop.enableGossip(config.gossip());
+            return;
         }
+        decisionLoop.enableGossip(
+                config.gossip(),
+                new RecoveryCoordinator(
+                        config.recovery(),
+                        config.name(),
+                        config.gossip().self(),
+                        config.gossip().proxies().size(),
+                        clock.now()));
     }
 
+    /** A worker with one I/O thread and one task thread, as a proxy has a part of a core. */
     public static XnioWorker worker() throws IOException {
         return Xnio.getInstance()
                 .createWorker(
@@ -186,199 +176,114 @@
     }
 
     /**
-     * On a listening socket that the process was given, or where that is null on one of its own.
+     * Starts to serve, and returns when clients are accepted. Waits a bounded time for the first
+     * endpoint list.
+     *
+     * @param inheritedSocket a listening socket that the process was given, or null to open one
+     * @throws IOException where it can't listen
      */
-    public void serve(ServerSocketChannel given) throws IOException {
+    public void serve(ServerSocketChannel inheritedSocket) throws IOException {
         if (gossipTransport != null) {
             gossipTransport.start(worker);
             clientListener.beforeEachRequest(gossipTransport::receive);
         }
-        decisionLoop.endpointListReceived(EndpointListBuilder.of(known), true, () -> {});
-        known = null;
+        decisionLoop.endpointListReceived(EndpointListBuilder.of(initialEndpoints), true, () -> {});
+        initialEndpoints = null;
         decisionLoop.start();
-        worker.getIoThread().execute(watch::start);
-        watch.awaitFirst();
-        if (given == null) {
+        worker.getIoThread().execute(endpointListWatch::start);
+        endpointListWatch.awaitFirst();
+        if (inheritedSocket == null) {
             clientListener.listen();
         } else {
-            clientListener.listen(given);
+            clientListener.listen(inheritedSocket);
         }
         enter(Phase.SERVING);
         LOG.info("serving");
     }
 
     /**
-     * Follows a new configuration, from now on or, what can't change while clients are served, not
-     * before the next start. One that is short of something is not followed at all.
+     * What SIGHUP does once the new configuration is read, see {@link ConfigReload}.
+     *
+     * @throws lemondrift.settings.InvalidSettingsException where it lacks what the running one has;
+     *     nothing is changed then
      */
     public void reload(ProxyConfig next) {
-        next.requireAllOf(config);
-        LOG.info(
-                "configuration read again, discovery at {}, classes {}",
-                next.discovery(),
-                next.requestClassNames());
-        List<String> later = next.keysAppliedAtStart(config);
-        if (!later.isEmpty()) {
-            LOG.warn("holds from the next start only: {}", later);
-        }
-        formerExpiry = Math.max(formerExpiry, clock.now() + config.longestTimeoutSeconds());
-        config = next.withoutInitialEndpoints();
-        decisionLoop.reload(next.settings(), next.requestClassNames(), next.shadow());
-        worker.getIoThread()
-                .execute(
-                        () -> {
-                            metrics.configurationReloaded(true);
-                            watch.moveTo(next.discovery());
-                        });
+        configReload.apply(next);
     }
 
-    /** What it goes by now. */
+    /** The configuration that holds now. */
     public ProxyConfig config() {
-        return config;
+        return configReload.current();
     }
 
-    /** A new configuration can't be used. */
+    /** Counts a new configuration that could not be used; the running one stays. */
     public void reloadFailed() {
-        worker.getIoThread().execute(() -> metrics.configurationReloaded(false));
+        configReload.failed();
     }
 
-    /** What operators may ask of it. */
+    /** What operators may ask of it, on the I/O thread. */
     public AdminOperations adminOperations() {
-        return new AdminOperations() {
-            @Override
-            public boolean isReady() {
-                return phase == Phase.SERVING;
-            }
-
-            @Override
-            public ProxyMetrics.Figures figures() {
-                return metrics.snapshot();
-            }
-
-            @Override
-            public String recovery() {
-                return decisionLoop.recoveryCoordinator() == null
-                        ? null
-                        : decisionLoop.recoveryCoordinator().statusJson(clock.now());
-            }
-
-            @Override
-            public String loop() {
-                return decisionLoop.metricsJson();
-            }
-
-            @Override
-            public boolean quiesce() {
-                if (phase == Phase.SERVING && !clientListener.isDraining()) {
-                    LOG.info("sends clients away");
-                    clientListener.drain(clock.now() + SENT_AWAY, Double.POSITIVE_INFINITY);
-                }
-                return phase == Phase.SERVING;
-            }
-
-            @Override
-            public boolean resume() {
-                if (phase == Phase.SERVING && clientListener.isDraining()) {
-                    LOG.info("takes clients again");
-                    clientListener.resume();
-                }
-                return phase == Phase.SERVING;
-            }
-        };
+        return new OperatorControl(this, clock, clientListener, decisionLoop, metrics);
     }
 
     /**
-     * Decides and forwards without a listener or discovery, on the list and the connections it is
-     * given.
+     * Decides and forwards without a listener or discovery, on the endpoint list and the
+     * connections it is given.
      */
-    public void startWithoutListener(JsonObject list) {
+    public void startWithoutListener(JsonObject endpointList) {
         decisionLoop.start();
-        decisionLoop.endpointListReceived(EndpointListBuilder.of(list), false, () -> {});
+        decisionLoop.endpointListReceived(EndpointListBuilder.of(endpointList), false, () -> {});
     }
 
     public void accept(StreamConnection connection) {
         clientListener.accepted(connection);
     }
 
-    /** So many processes share what the platform gives this proxy. */
+    /** Divides what the platform gives this proxy among so many processes. */
     void setProcessCount(int processes) {
-        double share = config.connectionShare(processes);
-        worker.getIoThread()
-                .execute(
-                        () -> {
-                            clientListener.setResourceShare(share, processes);
-                            backendClient.setResourceShare(share);
-                        });
-        decisionLoop.setProcessCount(processes);
+        resourceSharing.setProcessCount(processes);
     }
 
-    /** Looks from time to time who else is there, and keeps to its part. Before serving. */
+    /** Keeps to its share while another process of this proxy lives. Before serving. */
     public void watchOtherProcesses(TakeoverLock takeoverLock) {
-        takeoverLock.look();
-        setProcessCount(takeoverLock.processes());
-        worker.getIoThread()
-                .executeAtInterval(
-                        () ->
-                                worker.execute(
-                                        () -> {
-                                            if (takeoverLock.look()) {
-                                                setProcessCount(takeoverLock.processes());
-                                            }
-                                        }),
-                        (long) (LOOKS * 1e9),
-                        TimeUnit.NANOSECONDS);
+        resourceSharing.watch(takeoverLock);
     }
 
-    /** Takes clients as long as they come, answers all that was taken, and returns. */
+    /**
+     * What SIGTERM does, see {@link GracefulShutdown}: accepts clients for a while, answers all
+     * that was accepted, stops the threads and returns.
+     */
     public void drain() throws InterruptedException {
-        double began = clock.now();
-        double last = Math.max(began + config.longestTimeoutSeconds(), formerExpiry);
-        clientListener.closeInheritedSocket();
-        clientListener.drain(began + STRAGGLERS, last + ANSWERS);
+        double now = clock.now();
+        GracefulShutdown shutdown =
+                new GracefulShutdown(
+                        clock,
+                        worker.getIoThread(),
+                        clientListener,
+                        decisionLoop,
+                        now,
+                        configReload.requestDeadline(now));
+        shutdown.begin();
         enter(Phase.DRAINING);
         LOG.info("draining");
-        CountDownLatch drained = new CountDownLatch(1);
-        XnioExecutor.Key looks =
-                worker.getIoThread()
-                        .executeAtInterval(
-                                () -> {
-                                    // Danger: between a look and an end elsewhere one more request
-                                    // could be read and lost.
-                                    if (clock.now() >= began + STRAGGLERS
-                                            && clientListener.isDrained()) {
-                                        clientListener.close();
-                                        drained.countDown();
-                                    }
-                                },
-                                (long) (DRAIN_LOOKS * 1e9),
-                                TimeUnit.NANOSECONDS);
-        if (!await(drained, last + ANSWERS)) {
-            decisionLoop.failOpenRequests();
-            await(drained, last + FETCHED);
-        }
-        looks.remove();
+        shutdown.awaitResponses();
         close();
         enter(Phase.STOPPED);
         LOG.info("stopped");
     }
 
-    private boolean await(CountDownLatch latch, double until) throws InterruptedException {
-        return latch.await((long) (Math.max(0, until - clock.now()) * 1e9), TimeUnit.NANOSECONDS);
-    }
-
-    /**
-     * Danger: a signal may come while the start is still at work, and a phase must not come back.
-     */
+    /** Guards against a signal during the start, after which the phase must not go back. */
     private synchronized void enter(Phase next) {
         phase = next.compareTo(phase) > 0 ? next : phase;
     }
 
+    /** Stops all threads, whatever is open. */
     public void close() {
         clientListener.close();
         worker.getIoThread()
                 .execute(
                         () -> {
-                            watch.stop();
+                            endpointListWatch.stop();
                             backendClient.stop();
                             if (gossipTransport != null) {
                                 gossipTransport.stop();
@@ -391,44 +296,44 @@
         worker.shutdown();
     }
 
-    /** What is I/O's own is to be seen there only. */
+    /** Runs a task where the state of clients and backends' connections may be read. */
     void runOnIoThread(Runnable task) {
         worker.getIoThread().execute(task);
     }
 
-    /** The same for the owner's. */
+    /** Runs a task where the state of the decisions may be read. */
     void runOnLoop(Runnable task) {
         decisionLoop.runOnLoop(task);
     }
 
-    /** How much is in hand. */
+    /** How many of each are in flight. */
     record InFlight(int connections, int requests, int calls, int backendReferences) {}
 
-    /** What the I/O thread has in hand and then what the owner has. */
+    /** What is in flight on the I/O thread and, a moment later, in the decision loop. */
     CompletableFuture<InFlight> inFlight() {
-        CompletableFuture<InFlight> told = new CompletableFuture<>();
+        CompletableFuture<InFlight> result = new CompletableFuture<>();
         runOnIoThread(
                 () -> {
-                    int visitors = clientListener.openConnectionCount();
+                    int connections = clientListener.openConnectionCount();
                     int calls = backendClient.callsInFlight();
                     runOnLoop(
                             () ->
-                                    told.complete(
+                                    result.complete(
                                             new InFlight(
-                                                    visitors,
+                                                    connections,
                                                     decisionLoop.openRequestCount(),
                                                     calls,
                                                     decisionLoop.backendReferenceCount())));
                 });
-        return told;
+        return result;
     }
 
-    /** How many indexes classes have taken up. */
+    /** How many request classes have an index. */
     int classesKnown() {
         return clientListener.classesKnown();
     }
 
-    /** What watching has counted; null where nobody watches. Once the owner has stopped. */
+    /** The shadow's figures, once the loop has stopped; null where there is no shadow. */
     ShadowEvaluator shadow() {
         return decisionLoop.shadow();
     }
@@ -440,99 +345,4 @@
     Phase phase() {
         return phase;
     }
-
-    /**
-     * Carries the wishes of the owner to the I/O thread, many at once: each wake of it costs a
-     * switch.
-     */
-    private final class Sockets implements ProxyActions {
-        private final XnioIoThread io;
-        private List<Runnable> wishes = new ArrayList<>();
-
-        Sockets(XnioIoThread io) {
-            this.io = io;
-        }
-
-        @Override
-        public void send(Attempt attempt, PendingRequest pending, InetSocketAddress to) {
-            wishes.add(() -> backendClient.send(attempt, pending, to));
-        }
-
-        @Override
-        public void cancel(Attempt attempt) {
-            wishes.add(() -> backendClient.cancel(attempt));
-        }
-
-        @Override
-        public void probe(int backend, InetSocketAddress to) {
-            wishes.add(() -> backendClient.probe(backend, to));
-        }
-
-        @Override
-        public void requestEndpointList(Decision.EndpointListCall call) {
-            wishes.add(() -> watch.listRequested(call));
-        }
-
-        @Override
-        public void deliver(PendingRequest pending, BackendResponse response) {
-            wishes.add(() -> clientListener.deliver(pending, response));
-        }
-
-        @Override
-        public void discard(BackendResponse response) {
-            wishes.add(() -> response.remainder().abandonResponse());
-        }
-
-        @Override
-        public void fail(PendingRequest pending, boolean shed, double retryAfter) {
-            wishes.add(() -> clientListener.failRequest(pending.exchange(), shed, retryAfter));
-        }
-
-        @Override
-        public void retirePool(int backend) {
-            wishes.add(() -> backendClient.retirePool(backend));
-        }
-
-        @Override
-        public void requestsDecided(int exchanges, double seconds) {
-            wishes.add(() -> clientListener.requestsDecided(exchanges, seconds));
-        }
-
-        @Override
-        public void backendsCounted(int listed, int disabled) {
-            wishes.add(() -> metrics.backendsCounted(listed, disabled));
-        }
-
-        @Override
-        public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
-            wishes.add(
-                    () -> {
-                        clientListener.settingsChanged(requestClasses, settings);
-                        decisionLoop.settingsApplied(clientListener.classesInUse());
-                    });
-        }
-
-        @Override
-        public void sendGossip(LoadGossip.Message telling) {
-            wishes.add(() -> gossipTransport.send(telling));
-        }
-
-        @Override
-        public void flush() {
-            if (!wishes.isEmpty()) {
-                List<Runnable> all = wishes;
-                wishes = new ArrayList<>();
-                io.execute(() -> all.forEach(this::act));
-            }
-        }
-
-        /** Danger: one that fails must not keep the others from being done. */
-        private void act(Runnable wish) {
-            try {
-                wish.run();
-            } catch (RuntimeException e) {
-                LOG.error("not done", e);
-            }
-        }
-    }
 }
--- a/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
@@ -5,8 +5,6 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
 import java.util.Map;
-import java.util.concurrent.atomic.AtomicBoolean;
-import java.util.concurrent.atomic.AtomicReference;
 import lemondrift.proxy.ProxyServer;
 import lemondrift.proxy.admin.AdminServer;
 import lemondrift.proxy.config.ProxyConfig;
@@ -16,115 +14,141 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioWorker;
 
-/** Starts the real proxy from its environment and ends it on SIGTERM. */
+/** Starts the proxy from its environment; handles SIGTERM and SIGHUP. */
 public final class ProxyLauncher {
     private static final Logger LOG = LoggerFactory.getLogger(ProxyLauncher.class);
 
+    /** Names the descriptor of a listening socket that the platform holds. */
+    private static final String INHERITED_SOCKET_VARIABLE = "PROXY_INHERITED_FD";
+
     /** Seconds that the log's last lines may take at the end. */
-    private static final double LAST_LINES = 0.05;
+    private static final double LOG_DRAIN_SECONDS = 0.05;
+
+    private final Map<String, String> environment;
+
+    /** Null until the start has come that far. */
+    private volatile ProxyServer proxyServer;
 
-    private ProxyLauncher() {}
+    /** Whether a SIGHUP has come. */
+    private volatile boolean hungUp;
+
+    private ProxyLauncher(Map<String, String> environment) {
+        this.environment = environment;
+    }
 
     /** Returns an exit code where the proxy can't start, else 0, and the proxy runs on. */
     public static int run(Map<String, String> environment, PrintStream err) {
-        return start(environment, err, true);
+        configureLibraries();
+        try {
+            new ProxyLauncher(environment).start();
+            return 0;
+        } catch (IOException | RuntimeException e) {
+            return failed(e, err);
+        }
     }
 
-    /** Says whether a proxy can be made of the configuration; opens no socket. */
+    /**
+     * Returns 0 where a proxy can be made of the configuration, else 1 and a line that says why;
+     * opens no socket.
+     */
     public static int check(Map<String, String> environment, PrintStream err) {
-        return start(environment, err, false);
-    }
-
-    private static int start(Map<String, String> environment, PrintStream err, boolean serving) {
-        System.setProperty("org.jboss.logging.provider", "slf4j");
-        // XNIO offers its figures as management beans where it can; to set that up is a third of
-        // the start.
-        System.setProperty("javax.management.builder.initial", "none");
+        configureLibraries();
         try {
             ProxyConfig config = ProxyConfig.read(environment);
-            AtomicReference<ProxyServer> proxy = new AtomicReference<>();
-            AtomicBoolean hungUp = new AtomicBoolean();
-            if (serving) {
-                // Danger: a reader of the log that stops would stop whoever logs, and with them all
-                // answers.
-                AsyncLog log = AsyncLog.ofStandardError();
-                // Danger: a signal that comes before there is a proxy would end the program, as a
-                // crash does.
-                Runtime.getRuntime()
-                        .addShutdownHook(new Thread(() -> end(proxy.get(), log), "drain"));
-                onHangUp(
-                        () -> {
-                            hungUp.set(true);
-                            reload(proxy.get(), environment);
-                        });
-            }
-            ServerSocketChannel given = given(environment.get("PROXY_INHERITED_FD"));
-            XnioWorker worker = serving ? ProxyServer.worker() : null;
-            TakeoverLock takeoverLock =
-                    given == null ? null : meeting(environment.get("TMPDIR"), config.name());
-            // Before the rehearsal, so that who asks meanwhile hears that it is not ready.
-            AdminServer adminServer =
-                    serving && config.admin() != null
-                            ? new AdminServer(config.admin(), worker)
-                            : null;
-            rehearse(config);
-            if (serving) {
-                proxy.set(new ProxyServer(config, worker));
-                if (takeoverLock != null) {
-                    proxy.get().watchOtherProcesses(takeoverLock);
-                }
-                LOG.info("{} starts, listens on {}", config.name(), config.listen());
-                proxy.get().serve(given);
-                if (adminServer != null) {
-                    adminServer.operates(proxy.get().adminOperations());
-                }
-                if (hungUp.get()) {
-                    // The file may have been replaced after it was read for this start.
-                    reload(proxy.get(), environment);
-                }
+            if (inheritedSocket(environment) != null) {
+                takeoverLock(environment, config);
             }
+            warmUp(config);
             return 0;
         } catch (IOException | RuntimeException e) {
-            err.println("lemondrift serve: " + e.toString().replace('\n', ' '));
-            return 1;
+            return failed(e, err);
         }
     }
 
-    /** Others are to know of this process as soon as it starts, so that they make room. */
-    private static TakeoverLock meeting(String folder, String name) {
-        TakeoverLock takeoverLock =
-                new TakeoverLock(Path.of(folder == null ? "/tmp" : folder), name);
-        takeoverLock.look();
-        return takeoverLock;
+    private static void configureLibraries() {
+        System.setProperty("org.jboss.logging.provider", "slf4j");
+        // XNIO offers its figures as management beans where it can; to set that up is a third of
+        // the start.
+        System.setProperty("javax.management.builder.initial", "none");
     }
 
-    /** The listening socket that the platform holds; null where it holds none. */
-    private static ServerSocketChannel given(String descriptor) throws IOException {
-        if (descriptor == null) {
-            return null;
+    /** Wide by intent: whatever keeps the proxy from starting is one line and an exit code. */
+    private static int failed(Exception cause, PrintStream err) {
+        err.println("lemondrift serve: " + cause.toString().replace('\n', ' '));
+        return 1;
+    }
+
+    private void start() throws IOException {
+        ProxyConfig config = ProxyConfig.read(environment);
+        handleSignals();
+        ServerSocketChannel inheritedSocket = inheritedSocket(environment);
+        XnioWorker worker = ProxyServer.worker();
+        TakeoverLock takeoverLock =
+                inheritedSocket == null ? null : takeoverLock(environment, config);
+        // Before the warm-up, so that who asks meanwhile hears that the proxy is not ready.
+        AdminServer adminServer =
+                config.admin() == null ? null : new AdminServer(config.admin(), worker);
+        warmUp(config);
+        ProxyServer server = new ProxyServer(config, worker);
+        proxyServer = server;
+        if (takeoverLock != null) {
+            server.watchOtherProcesses(takeoverLock);
         }
-        // The JDK knows the way for this descriptor only.
-        if (!descriptor.equals("0")
-                || !(System.inheritedChannel() instanceof ServerSocketChannel socket)) {
-            throw new InvalidSettingsException(
-                    "PROXY_INHERITED_FD: descriptor " + descriptor + " is no listening socket");
+        LOG.info("{} starts, listens on {}", config.name(), config.listen());
+        server.serve(inheritedSocket);
+        if (adminServer != null) {
+            adminServer.operates(server.adminOperations());
         }
-        return socket;
+        if (hungUp) {
+            // The file may have been replaced after it was read for this start.
+            reload();
+        }
+    }
+
+    /** Guards against a signal before there is a proxy, which would end the process as a crash. */
+    private void handleSignals() {
+        // Asynchronous, as a stopped reader of the log would stop each thread that logs.
+        AsyncLog log = AsyncLog.ofStandardError();
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> onTerminate(log), "drain"));
+        HangUpSignal.handleWith(
+                () -> {
+                    hungUp = true;
+                    reload();
+                });
+    }
+
+    /**
+     * SIGTERM: answers what was accepted, writes the log's last lines and exits with 0. Runs as the
+     * JVM's shutdown hook.
+     */
+    private void onTerminate(AsyncLog log) {
+        try {
+            if (proxyServer != null) {
+                proxyServer.drain();
+            }
+        } catch (InterruptedException | RuntimeException e) {
+            // Wide, as the process ends with 0 whatever failed on the way.
+            Thread.currentThread().interrupt();
+        }
+        log.drain(LOG_DRAIN_SECONDS);
+        // A JVM that a signal ends would exit with 143, which a platform takes for a crash.
+        Runtime.getRuntime().halt(0);
     }
 
     /**
-     * Danger: two hang-ups in a row have a thread each, and the older file must not be followed
-     * last. An archive that was replaced under a running program may lack a class; that is a failed
-     * reload too.
+     * SIGHUP: reads the configuration again and applies it; one that can't be used changes nothing
+     * and leaves a line in the log. Nothing is done before there is a proxy. Synchronized to guard
+     * against two signals in a row, each on its thread, of which the older file is applied last.
      */
-    private static synchronized void reload(
-            ProxyServer proxyServer, Map<String, String> environment) {
+    private synchronized void reload() {
         if (proxyServer == null) {
             return;
         }
         try {
             proxyServer.reload(ProxyConfig.readAgain(environment, proxyServer.config()));
         } catch (IOException | RuntimeException | LinkageError e) {
+            // Wide, as the proxy serves on whatever the file holds; LinkageError where the archive
+            // was replaced under the running program and lacks a class.
             proxyServer.reloadFailed();
             LOG.warn(
                     "new configuration not used, the old one stays: {}",
@@ -132,47 +156,47 @@
         }
     }
 
-    /** Danger: a JVM ends on a hang-up that nobody takes. The compiler bars sun.misc by name. */
-    private static void onHangUp(Runnable then) {
-        try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object take =
-                    java.lang.reflect.Proxy.newProxyInstance(
-                            ProxyLauncher.class.getClassLoader(),
-                            new Class<?>[] {handler},
-                            (self, method, arguments) -> {
-                                then.run();
-                                return null;
-                            });
-            signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), take);
-        } catch (ReflectiveOperationException | RuntimeException e) {
-            LOG.warn("a hang-up will end this program: {}", e.toString());
+    /** Tells other processes of this proxy at once that this one starts, so that they make room. */
+    private static TakeoverLock takeoverLock(Map<String, String> environment, ProxyConfig config) {
+        String folder = environment.get("TMPDIR");
+        TakeoverLock takeoverLock =
+                new TakeoverLock(Path.of(folder == null ? "/tmp" : folder), config.name());
+        takeoverLock.refresh();
+        return takeoverLock;
+    }
+
+    /**
+     * The listening socket that the platform holds for this proxy; null where it holds none.
+     *
+     * @throws InvalidSettingsException where the descriptor is another one than the JDK can take
+     *     over, or no listening socket
+     */
+    private static ServerSocketChannel inheritedSocket(Map<String, String> environment)
+            throws IOException {
+        String descriptor = environment.get(INHERITED_SOCKET_VARIABLE);
+        if (descriptor == null) {
+            return null;
         }
+        // The JDK takes over this descriptor only.
+        if (!descriptor.equals("0")
+                || !(System.inheritedChannel() instanceof ServerSocketChannel socket)) {
+            throw new InvalidSettingsException(
+                    INHERITED_SOCKET_VARIABLE
+                            + ": descriptor "
+                            + descriptor
+                            + " is no listening socket");
+        }
+        return socket;
     }
 
-    /** Danger: a proxy that can't rehearse can still serve. */
-    private static void rehearse(ProxyConfig config) {
+    /** Guards against a failed warm-up keeping the proxy from serving, which it can without. */
+    private static void warmUp(ProxyConfig config) {
         try {
             Warmup.play(config);
         } catch (IOException | RuntimeException e) {
-            LOG.warn("not rehearsed: {}", e.toString());
+            LOG.warn("warm-up failed: {}", e.toString());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
-
-    private static void end(ProxyServer proxyServer, AsyncLog log) {
-        try {
-            if (proxyServer != null) {
-                proxyServer.drain();
-            }
-        } catch (InterruptedException | RuntimeException e) {
-            Thread.currentThread().interrupt();
-        }
-        log.drain(LAST_LINES);
-        // A JVM that a signal ends would exit with 143, which a platform takes for a crash.
-        Runtime.getRuntime().halt(0);
-    }
 }
--- a/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
@@ -12,73 +12,91 @@
 import org.xnio.IoUtils;
 
 /**
- * Where two processes of one proxy find out about one another: two files that they lock. The system
- * lets go of a lock however its process ends, so that nothing here can be stale. Its looks are for
- * a thread that may wait.
+ * Shows processes of one proxy each other through two locked files: who holds the first one serves,
+ * who holds the second one waits to follow. The system releases a lock however its process ends, so
+ * that none can be stale. Not thread-safe, and a look blocks on the file system.
  */
 public final class TakeoverLock {
     private static final Logger LOG = LoggerFactory.getLogger(TakeoverLock.class);
 
-    private final Path serving;
-    private final Path waiting;
-    private final ResourceSplit succession = new ResourceSplit();
-    private FileChannel servingFile;
-    private FileChannel waitingFile;
-    private FileLock serves;
-    private FileLock waits;
-    private boolean failed;
-
-    /** In a folder that both have, under a name that is the proxy's. */
-    public TakeoverLock(Path folder, String name) {
-        String plain = name.replaceAll("[^A-Za-z0-9._-]", "_");
-        serving = folder.resolve("lemondrift-" + plain + ".serving");
-        waiting = folder.resolve("lemondrift-" + plain + ".waiting");
+    private final Path servingFile;
+    private final Path waitingFile;
+    private final ResourceSplit resourceSplit = new ResourceSplit();
+
+    /** Null until it is opened. */
+    private FileChannel servingChannel;
+
+    /** Null until it is opened. */
+    private FileChannel waitingChannel;
+
+    /** Null while this process doesn't hold it. */
+    private FileLock servingLock;
+
+    /** Null while this process doesn't hold it. */
+    private FileLock waitingLock;
+
+    private boolean failureLogged;
+
+    /**
+     * A lock in a folder that all processes of the proxy use, under the proxy's name; characters
+     * that a file name may not have are replaced.
+     */
+    public TakeoverLock(Path folder, String proxyName) {
+        String fileName = proxyName.replaceAll("[^A-Za-z0-9._-]", "_");
+        servingFile = folder.resolve("lemondrift-" + fileName + ".serving");
+        waitingFile = folder.resolve("lemondrift-" + fileName + ".waiting");
     }
 
-    /** Among how many processes all is shared now. */
-    public int processes() {
-        return succession.processes();
+    /** Among how many processes the proxy's resources are divided, as of the last look. */
+    public int processCount() {
+        return resourceSplit.processCount();
     }
 
     /**
-     * Looks who is there; whether that has changed anything. Where it can't see, it does as with
-     * another.
+     * Looks which processes live, and takes the locks that are free for this one. Where the files
+     * can't be locked, another process is assumed to live.
+     *
+     * @return whether what this process is beside others has changed
      */
-    public boolean look() {
+    public boolean refresh() {
         try {
-            if (serves == null) {
-                servingFile = servingFile == null ? open(serving) : servingFile;
-                serves = lock(servingFile);
-            }
-            if (serves == null && waits == null) {
-                waitingFile = waitingFile == null ? open(waiting) : waitingFile;
-                waits = lock(waitingFile);
-            } else if (serves != null && waits != null) {
-                waits.release();
-                waits = null;
-            }
-            boolean changed = succession.looked(serves != null, serves != null && isFollowed());
+            acquireFreeLocks();
+            boolean serving = servingLock != null;
+            boolean changed = resourceSplit.observed(serving, serving && isFollowed());
             if (changed) {
-                LOG.info("of the processes of this proxy this one is {}", succession.state());
+                LOG.info("of the processes of this proxy this one is {}", resourceSplit.state());
             }
             return changed;
         } catch (IOException e) {
-            if (!failed) {
+            if (!failureLogged) {
                 LOG.warn(
                         "not known whether another process serves, half of all is used: {}",
                         e.toString());
             }
-            failed = true;
-            return succession.looked(false, false);
+            failureLogged = true;
+            return resourceSplit.observed(false, false);
+        }
+    }
+
+    private void acquireFreeLocks() throws IOException {
+        if (servingLock == null) {
+            servingChannel = servingChannel == null ? open(servingFile) : servingChannel;
+            servingLock = tryLock(servingChannel);
+        }
+        if (servingLock == null && waitingLock == null) {
+            waitingChannel = waitingChannel == null ? open(waitingFile) : waitingChannel;
+            waitingLock = tryLock(waitingChannel);
+        } else if (servingLock != null && waitingLock != null) {
+            waitingLock.release();
+            waitingLock = null;
         }
     }
 
     private boolean isFollowed() throws IOException {
-        // Danger: the system lets go of all a process has locked of a file when it closes that file
-        // once; of
-        // this one it has nothing locked.
-        waitingFile = waitingFile == null ? open(waiting) : waitingFile;
-        FileLock free = lock(waitingFile);
+        // Guards against the system releasing all locks of a process on a file when one of its
+        // channels is closed: this process holds none on this file.
+        waitingChannel = waitingChannel == null ? open(waitingFile) : waitingChannel;
+        FileLock free = tryLock(waitingChannel);
         if (free != null) {
             free.release();
         }
@@ -89,17 +107,18 @@
         return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    /** Null where somebody else has it. */
-    private static FileLock lock(FileChannel file) throws IOException {
+    /** Null where another process, or another lock of this one, holds it. */
+    private static FileLock tryLock(FileChannel channel) throws IOException {
         try {
-            return file.tryLock();
+            return channel.tryLock();
         } catch (OverlappingFileLockException e) {
             return null;
         }
     }
 
-    public void leave() {
-        IoUtils.safeClose(servingFile);
-        IoUtils.safeClose(waitingFile);
+    /** Releases both locks. */
+    public void close() {
+        IoUtils.safeClose(servingChannel);
+        IoUtils.safeClose(waitingChannel);
     }
 }
--- a/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
@@ -24,64 +24,88 @@
 import org.xnio.XnioWorker;
 
 /**
- * Plays made-up exchanges through a proxy of its own before the real one serves, over pipes, so
- * that no socket is opened. Danger: code that has not run yet takes ten times the processor; with a
- * part of a core the first exchanges would be late, and their clients' further tries more than it
- * can ever take.
+ * Plays made-up requests through a proxy of its own before the real one serves, over pipes, so that
+ * no socket is opened. Code that has not run yet takes ten times the processor; without a warm-up
+ * the first requests would be late, and their clients' retries more than a part of a core can take.
+ *
+ * <p>The caller's thread waits; clients and backends live on the warm-up's own I/O thread.
  */
 public final class Warmup {
     private static final Logger LOG = LoggerFactory.getLogger(Warmup.class);
+
+    /** How many clients send, one request at a time each. */
     private static final int CLIENTS = 6;
+
+    /** How many backends respond. */
     private static final int BACKENDS = 4;
-    private static final int EXCHANGES = 120;
 
-    /** Seconds that it may take at the most, and that the last answers may. */
-    private static final double MOST = 1.5;
+    /** How many requests are played where there is time for all. */
+    private static final int REQUESTS = 120;
+
+    /** Seconds that the requests may take. */
+    private static final double MAX_SECONDS = 1.5;
+
+    /** Seconds that the responses to the last requests may take after that. */
+    private static final double LAST_RESPONSES_SECONDS = 0.5;
 
-    private static final double LAST = 0.5;
+    /** Longest message of either side, in bytes. */
+    private static final int MAX_MESSAGE_BYTES = 4096;
 
     private final ProxyConfig config;
     private final XnioWorker worker;
-    private final CountDownLatch left = new CountDownLatch(EXCHANGES);
-    private final CountDownLatch quiet = new CountDownLatch(CLIENTS);
+    private final CountDownLatch requestsLeft = new CountDownLatch(REQUESTS);
+
+    /** Counts the clients whose last response has come. */
+    private final CountDownLatch clientsBusy = new CountDownLatch(CLIENTS);
+
+    /** Whether clients are to send nothing more. */
     private volatile boolean over;
-    private long sent;
-    private long told;
+
+    /** I/O thread only. */
+    private long requestsSent;
+
+    /** I/O thread only. */
+    private long responsesSent;
 
     private Warmup(ProxyConfig config, XnioWorker worker) {
         this.config = config;
         this.worker = worker;
     }
 
-    /** Says whether all that was asked had its answer. */
+    /**
+     * Warms the code up and returns when that is over, after two seconds at the latest.
+     *
+     * @return whether every request that was sent had its response
+     */
     public static boolean play(ProxyConfig config) throws IOException, InterruptedException {
         XnioWorker worker = ProxyServer.worker();
-        Warmup rehearsal = new Warmup(config, worker);
-        ProxyServer proxyServer = new ProxyServer(config, worker, rehearsal::dial);
-        proxyServer.startWithoutListener(rehearsal.list());
+        Warmup warmup = new Warmup(config, worker);
+        ProxyServer proxyServer = new ProxyServer(config, worker, warmup::connectBackend);
+        proxyServer.startWithoutListener(warmup.endpointList());
         worker.getIoThread()
                 .execute(
                         () -> {
-                            for (int i = 0; i < CLIENTS; i++) {
-                                rehearsal.client(proxyServer);
+                            for (int client = 0; client < CLIENTS; client++) {
+                                warmup.startClient(proxyServer);
                             }
                         });
-        rehearsal.left.await((long) (MOST * 1e3), TimeUnit.MILLISECONDS);
-        // Danger: forwards that are begun while the threads end would each leave a trace in the
-        // log.
-        rehearsal.over = true;
-        boolean quiet = rehearsal.quiet.await((long) (LAST * 1e3), TimeUnit.MILLISECONDS);
+        warmup.requestsLeft.await((long) (MAX_SECONDS * 1e3), TimeUnit.MILLISECONDS);
+        // Guards against a log line for each attempt that begins while the threads end.
+        warmup.over = true;
+        boolean quiet =
+                warmup.clientsBusy.await(
+                        (long) (LAST_RESPONSES_SECONDS * 1e3), TimeUnit.MILLISECONDS);
         proxyServer.close();
-        LOG.info("rehearsed, {} exchanges", EXCHANGES - rehearsal.left.getCount());
+        LOG.info("warmed up, {} requests", REQUESTS - warmup.requestsLeft.getCount());
         return quiet;
     }
 
-    private JsonObject list() {
+    private JsonObject endpointList() {
         JsonArray members = new JsonArray();
-        for (int i = 0; i < BACKENDS; i++) {
+        for (int backend = 0; backend < BACKENDS; backend++) {
             JsonObject member = new JsonObject();
-            member.addProperty("id", "rehearsed-" + i);
-            member.addProperty("host_port", "127.0.0.1:" + (i + 1));
+            member.addProperty("id", "warm-up-" + backend);
+            member.addProperty("host_port", "127.0.0.1:" + (backend + 1));
             member.addProperty("phase", "active");
             member.addProperty("locality", config.locations().get(0));
             members.add(member);
@@ -92,13 +116,13 @@
         return list;
     }
 
-    private IoFuture<StreamConnection> dial(
-            InetSocketAddress to, ChannelListener<StreamConnection> opened) {
+    private IoFuture<StreamConnection> connectBackend(
+            InetSocketAddress address, ChannelListener<StreamConnection> opened) {
         FutureResult<StreamConnection> result = new FutureResult<>();
         try {
             ChannelPipe<StreamConnection, StreamConnection> pipe =
                     worker.createFullDuplexPipeConnection();
-            talk(pipe.getRightSide(), request -> answer());
+            replyToEachMessage(pipe.getRightSide(), request -> response());
             result.setResult(pipe.getLeftSide());
             opened.handleEvent(pipe.getLeftSide());
         } catch (IOException e) {
@@ -107,14 +131,12 @@
         return result.getIoFuture();
     }
 
-    /**
-     * Danger: the same report each time would be taken for an old one, and nobody would be asked.
-     */
-    private String answer() {
-        double load = 0.1 + ++told % 1000 / 1e4;
+    /** Each with another load, as a report that repeats is taken for an old one. */
+    private String response() {
+        double load = 0.1 + ++responsesSent % 1000 / 1e4;
         String report =
                 config.loadReportFields().stream()
-                        .map(name -> name + "=" + load)
+                        .map(field -> field + "=" + load)
                         .collect(Collectors.joining(", ", "TEXT ", ""));
         return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: "
                 + report
@@ -124,16 +146,16 @@
                 + report;
     }
 
-    private void client(ProxyServer proxyServer) {
+    private void startClient(ProxyServer proxyServer) {
         try {
             ChannelPipe<StreamConnection, StreamConnection> pipe =
                     worker.createFullDuplexPipeConnection();
-            talk(
+            replyToEachMessage(
                     pipe.getLeftSide(),
-                    answer -> {
-                        left.countDown();
+                    response -> {
+                        requestsLeft.countDown();
                         if (over) {
-                            quiet.countDown();
+                            clientsBusy.countDown();
                             return null;
                         }
                         return request();
@@ -141,49 +163,45 @@
             write(pipe.getLeftSide(), request());
             proxyServer.accept(pipe.getRightSide());
         } catch (IOException e) {
-            left.countDown();
+            requestsLeft.countDown();
         }
     }
 
     private String request() {
-        int requestClass = (int) (++sent % config.requestClassNames().size());
+        int requestClass = (int) (++requestsSent % config.requestClassNames().size());
         String tenant = config.tenantNames().isEmpty() ? "" : config.tenantNames().get(0);
-        boolean pure =
+        boolean idempotent =
                 config.settings().requestClasses().get(requestClass).idempotency()
                         == Idempotency.IDEMPOTENT;
-        return (pure ? "GET" : "POST")
-                + " /rehearsal HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
-                + sent
+        return (idempotent ? "GET" : "POST")
+                + " /warm-up HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
+                + requestsSent
                 + "\r\nX-Qos: "
                 + config.requestClassNames().get(requestClass)
                 + "\r\nX-Customer: "
                 + tenant
                 + "\r\nX-Expires-In-Ms: 5000\r\n"
-                + (pure ? "\r\n" : "Content-Length: 1\r\n\r\nx");
+                + (idempotent ? "\r\n" : "Content-Length: 1\r\n\r\nx");
     }
 
     /**
-     * Answers what comes, a message at a time, as both sides send no more than one at once; null is
-     * none.
+     * Replies to what is read, a message at a time: neither side sends a second one before the
+     * reply.
+     *
+     * @param reply the reply to a message, or null for none
      */
-    private static void talk(StreamConnection connection, Function<String, String> script) {
-        ByteBuffer buffer = ByteBuffer.allocate(4096);
+    private static void replyToEachMessage(
+            StreamConnection connection, Function<String, String> reply) {
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_MESSAGE_BYTES);
         connection
                 .getSourceChannel()
                 .setReadListener(
                         source -> {
                             try {
-                                int got = source.read(buffer.clear());
-                                if (got > 0) {
-                                    write(
-                                            connection,
-                                            script.apply(
-                                                    new String(
-                                                            buffer.array(),
-                                                            0,
-                                                            got,
-                                                            StandardCharsets.ISO_8859_1)));
-                                } else if (got < 0) {
+                                int length = source.read(buffer.clear());
+                                if (length > 0) {
+                                    write(connection, reply.apply(text(buffer, length)));
+                                } else if (length < 0) {
                                     IoUtils.safeClose(connection);
                                 }
                             } catch (IOException e) {
@@ -193,12 +211,17 @@
         connection.getSourceChannel().resumeReads();
     }
 
-    private static void write(StreamConnection connection, String text) throws IOException {
-        if (text == null) {
+    private static String text(ByteBuffer buffer, int length) {
+        return new String(buffer.array(), 0, length, StandardCharsets.ISO_8859_1);
+    }
+
+    /** Writes a message; nothing where it is null. */
+    private static void write(StreamConnection connection, String message) throws IOException {
+        if (message == null) {
             return;
         }
         connection
                 .getSinkChannel()
-                .write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
+                .write(ByteBuffer.wrap(message.getBytes(StandardCharsets.ISO_8859_1)));
     }
 }
--- a/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
+++ b/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
@@ -10,23 +10,23 @@
     @Test
     void halfIsUsedUntilItIsSureThatNobodyElseHasTheRest() {
         ResourceSplit one = new ResourceSplit();
-        assertEquals(2, one.processes(), "nobody has looked yet");
-        assertTrue(one.looked(true, false));
-        assertEquals(1, one.processes());
-        assertFalse(one.looked(true, false));
-        assertTrue(one.looked(true, true));
+        assertEquals(2, one.processCount(), "nobody has looked yet");
+        assertTrue(one.observed(true, false));
+        assertEquals(1, one.processCount());
+        assertFalse(one.observed(true, false));
+        assertTrue(one.observed(true, true));
         assertEquals(ResourceSplit.State.FOLLOWED, one.state());
-        assertEquals(2, one.processes());
-        assertTrue(one.looked(true, false), "the successor did not live");
-        assertEquals(1, one.processes());
+        assertEquals(2, one.processCount());
+        assertTrue(one.observed(true, false), "the successor did not live");
+        assertEquals(1, one.processCount());
     }
 
     @Test
     void aSuccessorHasAllOnceThePredecessorHasEnded() {
         ResourceSplit next = new ResourceSplit();
-        assertFalse(next.looked(false, true));
-        assertEquals(2, next.processes());
-        assertTrue(next.looked(true, false));
-        assertEquals(1, next.processes());
+        assertFalse(next.observed(false, true));
+        assertEquals(2, next.processCount());
+        assertTrue(next.observed(true, false));
+        assertEquals(1, next.processCount());
     }
 }
--- a/src/test/java/lemondrift/proxy/ShutdownTest.java
+++ b/src/test/java/lemondrift/proxy/ShutdownTest.java
@@ -24,15 +24,15 @@
     private static final int CLIENTS = 8;
 
     /** Nanoseconds after SIGTERM in which clients still open connections. */
-    private static final long STRAGGLE = 350_000_000L;
+    private static final long CONNECT_NANOS = 350_000_000L;
 
     private final ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger answered = new AtomicInteger();
-    private final AtomicInteger asked = new AtomicInteger();
-    private volatile long told = Long.MAX_VALUE;
+    private final AtomicInteger responses = new AtomicInteger();
+    private final AtomicInteger sent = new AtomicInteger();
+    private volatile long signalledAt = Long.MAX_VALUE;
     private int port;
 
-    private Path file(Path folder, StandIn agent) throws IOException {
+    private Path configFile(Path folder, StandIn agent) throws IOException {
         port = freePort();
         return Files.writeString(
                 folder.resolve("config.json"),
@@ -45,41 +45,41 @@
     }
 
     /**
-     * Asks again and again, on each connection for as long as it is there, until no more may be
+     * Sends again and again, on each connection for as long as it is there, until no more may be
      * opened.
      */
-    private void client(int number) throws Exception {
-        while (System.nanoTime() - told < STRAGGLE) {
+    private void runClient(int number) throws Exception {
+        while (System.nanoTime() - signalledAt < CONNECT_NANOS) {
             try (Socket client = new Socket("127.0.0.1", port)) {
                 client.setSoTimeout(20_000);
                 boolean closes = false;
                 for (int i = 0; !closes; i++) {
-                    String trace = number + "-" + asked.incrementAndGet();
-                    String answer = ask(client, trace);
-                    if (answer == null && i == 0) {
+                    String trace = number + "-" + sent.incrementAndGet();
+                    String response = exchange(client, trace);
+                    if (response == null && i == 0) {
                         lost.add(trace + " on a new connection");
-                    } else if (answer == null) {
+                    } else if (response == null) {
                         // Closed between requests, and nothing was read of this one: it goes
                         // elsewhere.
                         break;
-                    } else if (!answer.matches("(?s)HTTP/1.1 (200|502|503) .*")) {
-                        lost.add(trace + ": " + answer);
+                    } else if (!response.matches("(?s)HTTP/1.1 (200|502|503) .*")) {
+                        lost.add(trace + ": " + response);
                     }
-                    answered.incrementAndGet();
+                    responses.incrementAndGet();
                     closes =
-                            answer == null
-                                    || answer.toLowerCase(Locale.ROOT)
+                            response == null
+                                    || response.toLowerCase(Locale.ROOT)
                                             .contains("connection: close");
                 }
             } catch (IOException e) {
                 // Refused: the process has ended.
-                assertTrue(System.nanoTime() > told, e.toString());
+                assertTrue(System.nanoTime() > signalledAt, e.toString());
                 return;
             }
         }
     }
 
-    private static String ask(Socket client, String trace) {
+    private static String exchange(Socket client, String trace) {
         try {
             client.getOutputStream()
                     .write(
@@ -106,19 +106,19 @@
                 request -> request.contains("?") ? SILENCE : http(list(1, true, members)));
     }
 
-    private void ends(Process child) throws Exception {
+    private void assertEnds(Process child) throws Exception {
         assertTrue(child.waitFor(10, TimeUnit.SECONDS), "it ends");
         assertEquals(0, child.exitValue());
     }
 
     /**
-     * Clients ask at every answer while half of the backends hang; the signal comes twice, and a
-     * hang-up.
+     * Clients send after every response while half of the backends hang; the signal comes twice,
+     * and a hang-up.
      */
     @Test
-    void underLoadNothingIsLost(@TempDir Path folder) throws Exception {
+    void underLoadNoRequestIsLost(@TempDir Path folder) throws Exception {
         StandIn agent = agent(backend(OK), backend(OK), backend(SILENCE), backend(SILENCE));
-        Process child = process(file(folder, agent));
+        Process child = process(configFile(folder, agent));
         try {
             BufferedReader log = child.inputReader();
             awaitLine(log, "serving");
@@ -130,7 +130,7 @@
                         new Thread(
                                 () -> {
                                     try {
-                                        client(number);
+                                        runClient(number);
                                     } catch (Exception | AssertionError e) {
                                         lost.add(e.toString());
                                     }
@@ -138,17 +138,17 @@
                 thread.start();
                 clients.add(thread);
             }
-            while (answered.get() < 50) {
+            while (responses.get() < 50) {
                 Thread.onSpinWait();
             }
-            told = System.nanoTime();
+            signalledAt = System.nanoTime();
             signal(child, "TERM");
             signal(child, "HUP");
             signal(child, "TERM");
-            for (Thread each : clients) {
-                each.join();
+            for (Thread thread : clients) {
+                thread.join();
             }
-            ends(child);
+            assertEnds(child);
             assertEquals(List.of(), List.copyOf(lost));
         } finally {
             child.destroyForcibly();
@@ -156,15 +156,15 @@
     }
 
     @Test
-    void atEachStepOfTheStartItIsNoCrash(@TempDir Path folder) throws Exception {
+    void atEachStepOfTheStartItExitsWithoutACrash(@TempDir Path folder) throws Exception {
         StandIn agent = agent();
-        for (String line : List.of("rehearsed-0", "rehearsed, ", "starts, listens on", "serving")) {
-            Process child = process(file(folder, agent));
+        for (String line : List.of("warm-up-0", "warmed up, ", "starts, listens on", "serving")) {
+            Process child = process(configFile(folder, agent));
             try {
                 awaitLine(child.inputReader(), line);
                 signal(child, "TERM");
                 child.inputReader().lines().forEach(each -> {});
-                ends(child);
+                assertEnds(child);
             } finally {
                 child.destroyForcibly();
             }
@@ -172,15 +172,15 @@
     }
 
     @Test
-    void whileDiscoveryIsSilentItEndsAllTheSame(@TempDir Path folder) throws Exception {
+    void whileDiscoveryIsSilentItExitsAllTheSame(@TempDir Path folder) throws Exception {
         StandIn agent = new StandIn(request -> SILENCE);
-        Process child = process(file(folder, agent));
+        Process child = process(configFile(folder, agent));
         try {
             awaitLine(child.inputReader(), "serving");
             assertNotNull(agent.requests.poll(10, TimeUnit.SECONDS));
             signal(child, "TERM");
             child.inputReader().lines().forEach(each -> {});
-            ends(child);
+            assertEnds(child);
         } finally {
             child.destroyForcibly();
         }
--- a/src/test/java/lemondrift/proxy/TakeoverLockTest.java
+++ b/src/test/java/lemondrift/proxy/TakeoverLockTest.java
@@ -11,34 +11,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Processes of one proxy that find out about one another. */
+/** Processes of one proxy that find each other through the locked files. */
 class TakeoverLockTest {
-    /** Another process, which says a line when it has looked and then stays. */
-    public static final class Other {
-        private Other() {}
+    /** Another process, which says a line when it has looked, and then lives on. */
+    public static final class OtherProcess {
+        private OtherProcess() {}
 
         public static void main(String[] args) throws IOException {
             TakeoverLock takeoverLock = new TakeoverLock(Path.of(args[0]), "n/0");
-            takeoverLock.look();
-            System.out.println(takeoverLock.processes());
+            takeoverLock.refresh();
+            System.out.println(takeoverLock.processCount());
             System.in.read();
         }
     }
 
-    private static Process other(Path folder) throws IOException {
+    private static Process startOther(Path folder) throws IOException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         return new ProcessBuilder(
                         java,
                         "-Xmx32m",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Other.class.getName(),
+                        OtherProcess.class.getName(),
                         folder.toString())
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
     }
 
-    private static int said(Process process) throws IOException {
+    private static int reportedCount(Process process) throws IOException {
         for (String line; (line = process.inputReader().readLine()) != null; ) {
             if (line.length() == 1) {
                 return Integer.parseInt(line);
@@ -48,51 +48,51 @@
     }
 
     @Test
-    void aSuccessorMakesThemTwoAndAnEndMakesThemOne(@TempDir Path folder) throws Exception {
+    void aFollowerMakesThemTwoAndItsEndMakesThemOne(@TempDir Path folder) throws Exception {
         TakeoverLock own = new TakeoverLock(folder, "n/0");
-        assertTrue(own.look());
-        assertEquals(1, own.processes());
-        Process next = other(folder);
-        assertEquals(2, said(next), "it knows that somebody serves");
-        assertTrue(own.look());
-        assertEquals(2, own.processes());
-        next.destroyForcibly().waitFor();
-        assertTrue(own.look(), "killed outright it has left nothing behind");
-        assertEquals(1, own.processes());
-        own.leave();
+        assertTrue(own.refresh());
+        assertEquals(1, own.processCount());
+        Process follower = startOther(folder);
+        assertEquals(2, reportedCount(follower), "it sees that another one serves");
+        assertTrue(own.refresh());
+        assertEquals(2, own.processCount());
+        follower.destroyForcibly().waitFor();
+        assertTrue(own.refresh(), "killed outright it has left nothing behind");
+        assertEquals(1, own.processCount());
+        own.close();
     }
 
     @Test
-    void aPredecessorThatIsKilledLeavesAll(@TempDir Path folder) throws Exception {
-        Process old = other(folder);
-        assertEquals(1, said(old));
+    void aServingProcessThatIsKilledLeavesAllToTheOther(@TempDir Path folder) throws Exception {
+        Process serving = startOther(folder);
+        assertEquals(1, reportedCount(serving));
         TakeoverLock own = new TakeoverLock(folder, "n/0");
-        own.look();
-        assertEquals(2, own.processes());
-        own.look();
-        assertEquals(2, own.processes());
-        old.destroyForcibly().waitFor();
-        assertTrue(own.look());
-        assertEquals(1, own.processes());
-        own.leave();
+        own.refresh();
+        assertEquals(2, own.processCount());
+        own.refresh();
+        assertEquals(2, own.processCount());
+        serving.destroyForcibly().waitFor();
+        assertTrue(own.refresh());
+        assertEquals(1, own.processCount());
+        own.close();
     }
 
     @Test
-    void oneOfAnotherNameIsAnotherProxy(@TempDir Path folder) throws Exception {
-        Process other = other(folder);
-        said(other);
+    void aProcessOfAnotherNameIsAnotherProxy(@TempDir Path folder) throws Exception {
+        Process other = startOther(folder);
+        reportedCount(other);
         TakeoverLock own = new TakeoverLock(folder, "n/1");
-        own.look();
-        assertEquals(1, own.processes());
-        own.leave();
+        own.refresh();
+        assertEquals(1, own.processCount());
+        own.close();
         other.destroyForcibly().waitFor();
     }
 
     @Test
-    void whereNothingCanBeSeenHalfIsUsed(@TempDir Path folder) throws Exception {
+    void whereTheFilesCannotBeLockedHalfIsUsed(@TempDir Path folder) throws Exception {
         TakeoverLock own = new TakeoverLock(Files.createFile(folder.resolve("no-folder")), "n/0");
-        own.look();
-        assertEquals(2, own.processes());
+        own.refresh();
+        assertEquals(2, own.processCount());
     }
 
     @Test
@@ -102,12 +102,12 @@
                     ProxyConfig.read(
                             new LoopbackFixture() {}.config(1, false)
                                     .replace("\"sockets\":64", "\"sockets\":" + sockets));
-            double each =
+            double perProcess =
                     40
                             + config.connectionShare(2)
                                     * (config.connectionLimits().last()
                                             + 0.33 * config.maxConnections());
-            assertTrue(2 * each <= sockets, "two hold " + 2 * each);
+            assertTrue(2 * perProcess <= sockets, "two hold " + 2 * perProcess);
             assertEquals(1, config.connectionShare(1));
         }
     }
--- a/src/test/java/lemondrift/proxy/UpgradeTest.java
+++ b/src/test/java/lemondrift/proxy/UpgradeTest.java
@@ -27,59 +27,61 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two proxies that accept on one listening socket, which both were given. */
+/** Two proxies that accept on one listening socket, which both inherited. */
 class UpgradeTest extends LoopbackFixture {
-    private ServerSocketChannel given;
+    private ServerSocketChannel sharedSocket;
     private String[] members;
-    private int ids;
+    private int requestCount;
 
     private ProxyServer serve() throws Exception {
-        // Whoever waits in the queue is asked for at once, so the list has to be known.
-        String known = "{\"known\":" + list(1, true, members) + ",";
-        ProxyServer next =
+        // Clients that wait are served at once, so the endpoint list has to be known.
+        String initialEndpoints = "{\"known\":" + list(1, true, members) + ",";
+        ProxyServer follower =
                 new ProxyServer(
-                        ProxyConfig.read(known + config(discovery.port(), false).substring(1)));
-        next.serve(given);
+                        ProxyConfig.read(
+                                initialEndpoints + config(discovery.port(), false).substring(1)));
+        follower.serve(sharedSocket);
         awaitWatch("from=1");
-        return next;
+        return follower;
     }
 
-    private ProxyServer first(StandIn... backends) throws Exception {
+    private ProxyServer startFirst(StandIn... backends) throws Exception {
         start(backends);
         proxy.drain();
         members =
                 IntStream.range(0, backends.length)
                         .mapToObj(i -> member(i, backends[i].port(), "active"))
                         .toArray(String[]::new);
-        given =
+        sharedSocket =
                 ServerSocketChannel.open()
                         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return serve();
     }
 
-    private Socket ask(String grade) throws IOException {
-        Socket client = new Socket(InetAddress.getLoopbackAddress(), given.socket().getLocalPort());
+    private Socket sendRequest(String requestClass) throws IOException {
+        Socket client =
+                new Socket(InetAddress.getLoopbackAddress(), sharedSocket.socket().getLocalPort());
         client.getOutputStream()
                 .write(
                         ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: up-"
-                                        + ++ids
+                                        + ++requestCount
                                         + "\r\nX-Qos: "
-                                        + grade
+                                        + requestClass
                                         + "\r\nX-Expires-In-Ms: 4000\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII));
         return client;
     }
 
-    private void served(int times) throws IOException {
-        for (int i = 0; i < times; i++) {
-            try (Socket client = ask("look")) {
+    private void assertServed(int requests) throws IOException {
+        for (int i = 0; i < requests; i++) {
+            try (Socket client = sendRequest("look")) {
                 assertTrue(read(client).startsWith("HTTP/1.1 200 "));
             }
         }
     }
 
     @Test
-    void theNewOneTakesOverAndNothingIsLost() throws Exception {
+    void theNewProcessTakesOverAndNoRequestIsLost() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         AtomicBoolean asked = new AtomicBoolean();
         StandIn slow =
@@ -93,58 +95,66 @@
                                 return CLOSE;
                             }
                         });
-        ProxyServer old = first(slow);
-        Socket open = ask("look");
+        ProxyServer serving = startFirst(slow);
+        Socket openRequest = sendRequest("look");
         assertNotNull(slow.requests.poll(5, TimeUnit.SECONDS));
-        ProxyServer next = serve();
+        ProxyServer follower = serve();
         Thread drain =
                 new Thread(
                         () -> {
                             try {
-                                old.drain();
+                                serving.drain();
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
         drain.start();
-        while (old.phase() == ProxyServer.Phase.SERVING) {
+        while (serving.phase() == ProxyServer.Phase.SERVING) {
             Thread.onSpinWait();
         }
-        served(20);
+        assertServed(20);
         go.countDown();
-        String last = read(open);
+        String response = read(openRequest);
         assertTrue(
-                last.startsWith("HTTP/1.1 200 ") && last.contains("Connection: close\r\n"), last);
+                response.startsWith("HTTP/1.1 200 ") && response.contains("Connection: close\r\n"),
+                response);
         drain.join();
-        assertTrue(given.isOpen(), "the platform's socket is not the old one's to close");
-        served(20);
-        next.drain();
-        assertTrue(given.isOpen());
+        assertTrue(
+                sharedSocket.isOpen(),
+                "the platform's socket is not closed with the process that leaves");
+        assertServed(20);
+        follower.drain();
+        assertTrue(sharedSocket.isOpen());
     }
 
     @Test
-    void withTheSocketNobodyIsRefusedBetweenTwoProcesses() throws Exception {
-        ProxyServer old = first(backend(OK));
-        served(3);
-        old.drain();
-        Socket waits = ask("look");
-        ProxyServer next = serve();
-        assertTrue(read(waits).startsWith("HTTP/1.1 200 "), "who came between waits in the queue");
-        next.drain();
+    void withAnInheritedSocketNoClientIsRefusedBetweenTwoProcesses() throws Exception {
+        ProxyServer serving = startFirst(backend(OK));
+        assertServed(3);
+        serving.drain();
+        Socket waiting = sendRequest("look");
+        ProxyServer follower = serve();
+        assertTrue(
+                read(waiting).startsWith("HTTP/1.1 200 "),
+                "who came between the two waits to be accepted");
+        follower.drain();
     }
 
     @Test
-    void noMoreAreTakenThanThereArePlacesAndTheRestWait() throws Exception {
-        ProxyServer only = first(backend(OK));
+    void noMoreClientsAreAcceptedThanThereArePlacesAndTheRestWait() throws Exception {
+        ProxyServer only = startFirst(backend(OK));
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            silent.add(new Socket(InetAddress.getLoopbackAddress(), given.socket().getLocalPort()));
+            silent.add(
+                    new Socket(
+                            InetAddress.getLoopbackAddress(),
+                            sharedSocket.socket().getLocalPort()));
         }
-        served(3);
-        for (Socket each : silent) {
-            each.close();
+        assertServed(3);
+        for (Socket client : silent) {
+            client.close();
         }
-        served(3);
+        assertServed(3);
         only.drain();
     }
 
--- a/src/test/java/lemondrift/proxy/WarmupTest.java
+++ b/src/test/java/lemondrift/proxy/WarmupTest.java
@@ -6,10 +6,10 @@
 import lemondrift.proxy.lifecycle.Warmup;
 import org.junit.jupiter.api.Test;
 
-/** The rehearsal before a start. */
+/** The warm-up before a start. */
 class WarmupTest {
     @Test
-    void nothingIsLeftInHandWhenItEnds() throws Exception {
+    void nothingIsInFlightWhenItEnds() throws Exception {
         assertTrue(Warmup.play(ProxyConfig.read(new LoopbackFixture() {}.config(1, false))));
     }
 }
