--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -15,189 +15,219 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out a proxy's way back to service. Owner's thread only, but where it says otherwise. */
+/**
+ * Carries out a proxy's recovery after its start. Decision loop's thread only, but where it says
+ * otherwise.
+ */
 public final class RecoveryCoordinator implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RecoveryCoordinator.class);
 
-    /** Who is to know that another proxy has started anew. */
+    /** Hears that a peer has restarted. */
     public interface PeerRestartListener {
-        void peerRestarted(int proxy, long start);
+        void peerRestarted(int proxy, long startNumber);
     }
 
-    private record Said(int from, PeerStatus hello) {}
+    private record ReceivedStatus(int from, PeerStatus status) {}
 
-    private final Queue<Said> said = new ConcurrentLinkedQueue<>();
+    private final Queue<ReceivedStatus> received = new ConcurrentLinkedQueue<>();
 
     /** Null where no disk lasts. */
-    private final SnapshotStore keeper;
+    private final SnapshotStore snapshotStore;
 
+    /** What is used of the former self's snapshot. */
     private final Snapshot.Trusted trusted;
-    private final double period;
-    private double keepAt;
 
-    /** A value, so that any thread may look at it. */
-    private volatile RecoveryState recovery;
+    private final double snapshotIntervalSeconds;
+    private double nextSnapshotAt;
 
-    private volatile RecoveryState.Lesson lesson;
-    private volatile double judgedAt;
-    private boolean told;
+    /** A value, so that any thread may read it. */
+    private volatile RecoveryState state;
+
+    /** What peers have measured; null where none has, and once it is settled as it was last. */
+    private volatile RecoveryState.Lesson peerEstimate;
+
+    /** When the phase changed last. */
+    private volatile double phaseSince;
+
+    /** Whether the decisions have been given a first service time, if there was one. */
+    private boolean seeded;
 
     /**
-     * Of a proxy by its name and number. Before it returns, the start number is kept where a disk
-     * lasts. Danger: one that others have heard and that is not kept could be taken a second time.
+     * The recovery of a proxy, which begins now. Before it returns, the start number is on disk
+     * where one lasts. Guards against a number that peers have seen being used a second time.
      */
     public RecoveryCoordinator(
-            RecoverySettings settings, String name, int self, int proxies, double now) {
-        period = settings.snapshotIntervalSeconds();
-        keeper =
+            RecoverySettings settings, String proxyName, int self, int proxyCount, double now) {
+        snapshotIntervalSeconds = settings.snapshotIntervalSeconds();
+        snapshotStore =
                 settings.snapshotFolder() == null
                         ? null
-                        : new SnapshotStore(settings.snapshotFolder(), name);
-        trusted = keeper == null ? Snapshot.Trusted.NOTHING : keeper.trusted();
-        // Danger: a wall clock that went back would give a number that was had before.
-        long start = Math.max(trusted.above() + 1, System.currentTimeMillis());
-        recovery = RecoveryState.begins(settings.polling(), self, proxies, start, now);
-        judgedAt = now;
-        keepAt = now + period;
-        if (keeper != null) {
-            keeper.keepNow(start, trusted.work(), trusted.work() > 0 ? trusted.answers() : 0);
+                        : new SnapshotStore(settings.snapshotFolder(), proxyName);
+        trusted = snapshotStore == null ? Snapshot.Trusted.NOTHING : snapshotStore.readTrusted();
+        // Guards against a wall clock that went back, which would repeat a number.
+        long startNumber = Math.max(trusted.previousStart() + 1, System.currentTimeMillis());
+        state = RecoveryState.begins(settings.polling(), self, proxyCount, startNumber, now);
+        phaseSince = now;
+        nextSnapshotAt = now + snapshotIntervalSeconds;
+        if (snapshotStore != null) {
+            snapshotStore.writeNow(
+                    startNumber, trusted.serviceTimeSeconds(), trustedSamplesWithServiceTime());
         }
         LOG.info(
                 "recovery begins start={} snapshot=\"{}\" work={} answers={}",
-                start,
-                trusted.why(),
-                trusted.work(),
-                trusted.answers());
+                startNumber,
+                trusted.reason(),
+                trusted.serviceTimeSeconds(),
+                trusted.samples());
+    }
+
+    private int trustedSamplesWithServiceTime() {
+        return trusted.serviceTimeSeconds() > 0 ? trusted.samples() : 0;
     }
 
-    /** Whether a datagram is for this, and no telling. Any thread. */
+    /** Whether a datagram is a peer's status, not gossip. Any thread. */
     public static boolean isRecoveryDatagram(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == PeerStatus.KIND;
     }
 
-    /** Any thread. */
+    /** Queues a peer's status until the next advance; drops one that can't be read. Any thread. */
     public void received(int from, byte[] datagram) {
-        PeerStatus hello = PeerStatus.of(datagram);
-        if (hello != null) {
-            said.add(new Said(from, hello));
+        PeerStatus status = PeerStatus.of(datagram);
+        if (status != null) {
+            received.add(new ReceivedStatus(from, status));
         }
     }
 
     public long startNumber() {
-        return recovery.start();
+        return state.startNumber();
     }
 
+    /** When to advance at the latest, in seconds of the clock; infinite once it is settled. */
     public double wakeAt() {
-        return recovery.wakeAt();
+        return state.wakeAt();
     }
 
-    /** Follows what has come, learns for the decisions, and says what is due to others. */
+    /**
+     * Follows what peers have sent, passes what they have measured to the decisions, polls where
+     * that is due, and stores a snapshot from time to time.
+     *
+     * @param listener hears of each peer that has restarted
+     * @param sender sends what goes to peers
+     */
     public void advance(
             double now,
             LoadBalancer balancer,
-            PeerRestartListener anew,
-            Consumer<LoadGossip.Message> tell) {
-        boolean settled = recovery.isSettled();
-        if (!settled) {
+            PeerRestartListener listener,
+            Consumer<LoadGossip.Message> sender) {
+        boolean wasSettled = state.isSettled();
+        if (!wasSettled) {
             ServiceTime measured = balancer.measuredServiceTime();
-            recovery = recovery.found(measured.seconds(), (int) measured.samples());
-        }
-        for (Said next = said.poll(); next != null; next = said.poll()) {
-            RecoveryState.Step step = recovery.heard(next.from, next.hello, now);
-            if (step.anew()) {
-                anew.peerRestarted(next.from, next.hello.start());
-            }
-            follows(step, now, tell);
+            state = state.found(measured.seconds(), (int) measured.samples());
         }
-        follows(recovery.wake(now), now, tell);
-        if (!recovery.isSettled()) {
-            learns(balancer, now);
-        } else if (!settled) {
+        processReceived(now, listener, sender);
+        apply(state.wake(now), now, sender);
+        if (!state.isSettled()) {
+            seedDecisions(balancer, now);
+        } else if (!wasSettled) {
             LOG.info(
                     "recovery settled standing={} after={} work={} answers={} asked={}",
-                    recovery.standing(),
-                    seconds(now - recovery.began()),
-                    recovery.work(),
-                    recovery.answers(),
-                    recovery.asked());
+                    state.phase(),
+                    formatSeconds(now - state.startedAt()),
+                    state.serviceTimeSeconds(),
+                    state.samples(),
+                    state.pollRounds());
         }
-        if (keeper != null && now >= keepAt) {
-            ServiceTime measured = balancer.measuredServiceTime();
-            // Danger: all proxies writing in step would have one disk of a machine stand still for
-            // all.
-            keepAt = now + period * (0.5 + Math.random());
-            keeper.keep(
-                    recovery.start(),
-                    measured.seconds(),
-                    (int) Math.min(measured.samples(), Short.MAX_VALUE));
+        if (snapshotStore != null && now >= nextSnapshotAt) {
+            storeSnapshot(now, balancer);
         }
     }
 
-    private void learns(LoadBalancer balancer, double now) {
-        RecoveryState.Lesson its = recovery.lesson(now);
-        if (its != null) {
-            balancer.seedServiceTime(its.work(), its.answers());
-        } else if (!told && trusted.work() > 0) {
-            balancer.seedServiceTime(trusted.work(), trusted.answers());
+    private void processReceived(
+            double now, PeerRestartListener listener, Consumer<LoadGossip.Message> sender) {
+        for (ReceivedStatus next = received.poll(); next != null; next = received.poll()) {
+            RecoveryState.Step step = state.heard(next.from, next.status, now);
+            if (step.anew()) {
+                listener.peerRestarted(next.from, next.status.start());
+            }
+            apply(step, now, sender);
         }
-        told = true;
-        lesson = its;
     }
 
-    private void follows(RecoveryState.Step step, double now, Consumer<LoadGossip.Message> tell) {
-        if (step.next().standing() != recovery.standing()) {
-            judgedAt = now;
+    private void apply(RecoveryState.Step step, double now, Consumer<LoadGossip.Message> sender) {
+        RecoveryState next = step.next();
+        if (next.phase() != state.phase()) {
+            phaseSince = now;
             LOG.info(
                     "recovery standing={} was={} after={} heard={}",
-                    step.next().standing(),
-                    recovery.standing(),
-                    seconds(now - recovery.began()),
-                    step.next().heard().size());
+                    next.phase(),
+                    state.phase(),
+                    formatSeconds(now - state.startedAt()),
+                    next.observations().size());
         }
-        recovery = step.next();
-        step.sent()
-                .forEach(
-                        each ->
-                                tell.accept(
-                                        new LoadGossip.Message(each.to(), each.hello().encoded())));
+        state = next;
+        for (RecoveryState.Sent each : step.sent()) {
+            sender.accept(new LoadGossip.Message(each.to(), each.hello().encoded()));
+        }
+    }
+
+    /** Seeds the decisions' service time from peers, or at first from the snapshot. */
+    private void seedDecisions(LoadBalancer balancer, double now) {
+        RecoveryState.Lesson current = state.lesson(now);
+        if (current != null) {
+            balancer.seedServiceTime(current.work(), current.answers());
+        } else if (!seeded && trusted.serviceTimeSeconds() > 0) {
+            balancer.seedServiceTime(trusted.serviceTimeSeconds(), trusted.samples());
+        }
+        seeded = true;
+        peerEstimate = current;
+    }
+
+    private void storeSnapshot(double now, LoadBalancer balancer) {
+        ServiceTime measured = balancer.measuredServiceTime();
+        // Jitter guards against all proxies of a machine writing at once to its one disk.
+        nextSnapshotAt = now + snapshotIntervalSeconds * (0.5 + Math.random());
+        snapshotStore.writeSoon(
+                state.startNumber(),
+                measured.seconds(),
+                (int) Math.min(measured.samples(), Short.MAX_VALUE));
     }
 
-    private static String seconds(double span) {
-        return String.format(Locale.ROOT, "%.2fs", span);
+    private static String formatSeconds(double seconds) {
+        return String.format(Locale.ROOT, "%.2fs", seconds);
     }
 
-    /** For people, as JSON. Any thread. */
+    /** Phase, samples and snapshot as JSON, for operators. Any thread. */
     public String statusJson(double now) {
-        RecoveryState its = recovery;
-        RecoveryState.Lesson learned = lesson;
-        JsonObject all = new JsonObject();
-        all.addProperty("start", its.start());
-        all.addProperty("up", now - its.began());
-        all.addProperty("standing", its.standing().name().toLowerCase(Locale.ROOT));
-        all.addProperty("for", now - judgedAt);
-        all.addProperty("settled", its.isSettled());
-        all.addProperty("work", its.work());
-        all.addProperty("answers", its.answers());
-        all.addProperty("asked", its.asked());
-        all.addProperty("heard", its.heard().size());
-        all.addProperty("snapshot", trusted.why());
-        if (learned != null) {
-            all.addProperty("learned", learned.work());
-            all.addProperty("from_answers", learned.answers());
+        RecoveryState current = state;
+        RecoveryState.Lesson estimate = peerEstimate;
+        JsonObject json = new JsonObject();
+        json.addProperty("start", current.startNumber());
+        json.addProperty("up", now - current.startedAt());
+        json.addProperty("standing", current.phase().name().toLowerCase(Locale.ROOT));
+        json.addProperty("for", now - phaseSince);
+        json.addProperty("settled", current.isSettled());
+        json.addProperty("work", current.serviceTimeSeconds());
+        json.addProperty("answers", current.samples());
+        json.addProperty("asked", current.pollRounds());
+        json.addProperty("heard", current.observations().size());
+        json.addProperty("snapshot", trusted.reason());
+        if (estimate != null) {
+            json.addProperty("learned", estimate.work());
+            json.addProperty("from_answers", estimate.answers());
         }
-        return all.toString();
+        return json.toString();
     }
 
-    /** Any thread, once the owner's has ended. */
+    /** Stores a last snapshot. Any thread, once the decision loop has ended. */
     @Override
     public void close() {
-        if (keeper != null) {
-            boolean any = recovery.answers() > 0;
-            keeper.keep(
-                    recovery.start(),
-                    any ? recovery.work() : trusted.work(),
-                    any ? recovery.answers() : trusted.work() > 0 ? trusted.answers() : 0);
-            keeper.close();
+        if (snapshotStore != null) {
+            boolean measured = state.samples() > 0;
+            snapshotStore.writeSoon(
+                    state.startNumber(),
+                    measured ? state.serviceTimeSeconds() : trusted.serviceTimeSeconds(),
+                    measured ? state.samples() : trustedSamplesWithServiceTime());
+            snapshotStore.close();
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy.recovery;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -14,76 +15,118 @@
 import lemondrift.recovery.Snapshot;
 
 /**
- * A snapshot in a file, and the one before it in another: a head with version, length and sum, then
- * CBOR.
+ * A snapshot in a file, and the one before it in another: a header with magic bytes, version, body
+ * length and CRC-32C of the body, then the body as CBOR.
  */
 public final class SnapshotFile {
-    public static final int VERSION = 1;
+    /** The one version of the format that is read and written. */
+    static final int VERSION = 1;
+
     private static final byte[] MAGIC = "LDSN".getBytes(StandardCharsets.US_ASCII);
-    private static final int HEAD = MAGIC.length + Short.BYTES + 2 * Integer.BYTES;
-    private static final int MOST = 64 * 1024;
+
+    /** Length of the header, in bytes. */
+    private static final int HEADER_BYTES = MAGIC.length + Short.BYTES + 2 * Integer.BYTES;
+
+    /** A longer file is no snapshot, and is not read. */
+    private static final int MAX_FILE_BYTES = 64 * 1024;
+
     private static final CBORMapper CBOR = new CBORMapper();
 
     private SnapshotFile() {}
 
+    /** A snapshot under the names, and in the order, in which it is stored. */
+    private record StoredSnapshot(
+            @JsonProperty("name") String proxyName,
+            @JsonProperty("boot") String boot,
+            @JsonProperty("start") long startNumber,
+            @JsonProperty("at") double writtenAt,
+            @JsonProperty("work") double serviceTimeSeconds,
+            @JsonProperty("answers") int samples) {
+        private static StoredSnapshot of(Snapshot snapshot) {
+            return new StoredSnapshot(
+                    snapshot.name(),
+                    snapshot.boot(),
+                    snapshot.start(),
+                    snapshot.at(),
+                    snapshot.work(),
+                    snapshot.answers());
+        }
+
+        private Snapshot snapshot() {
+            return new Snapshot(
+                    proxyName, boot, startNumber, writtenAt, serviceTimeSeconds, samples);
+        }
+    }
+
     static byte[] encoded(Snapshot snapshot) throws IOException {
-        byte[] body = CBOR.writeValueAsBytes(snapshot);
-        return ByteBuffer.allocate(HEAD + body.length)
+        byte[] body = CBOR.writeValueAsBytes(StoredSnapshot.of(snapshot));
+        return ByteBuffer.allocate(HEADER_BYTES + body.length)
                 .put(MAGIC)
                 .putShort((short) VERSION)
                 .putInt(body.length)
-                .putInt(sum(body))
+                .putInt(checksum(body))
                 .put(body)
                 .array();
     }
 
-    private static int sum(byte[] body) {
-        CRC32C sum = new CRC32C();
-        sum.update(body);
-        return (int) sum.getValue();
+    private static int checksum(byte[] body) {
+        CRC32C crc = new CRC32C();
+        crc.update(body);
+        return (int) crc.getValue();
     }
 
-    /** Throws IOException, with why, where it is torn, flipped, foreign or of another version. */
+    /**
+     * Reads a snapshot.
+     *
+     * @throws IOException with the reason, where the file can't be read, is torn, changed or
+     *     foreign, is of another version or has values out of range
+     */
     public static Snapshot read(Path file) throws IOException {
-        if (Files.size(file) > MOST) {
+        if (Files.size(file) > MAX_FILE_BYTES) {
             throw new IOException(file + ": longer than a snapshot may be");
         }
-        byte[] all = Files.readAllBytes(file);
-        ByteBuffer in = ByteBuffer.wrap(all);
-        if (all.length < HEAD || !Arrays.equals(all, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
+        byte[] content = Files.readAllBytes(file);
+        if (content.length < HEADER_BYTES
+                || !Arrays.equals(content, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
             throw new IOException(file + ": not a snapshot");
         }
+        ByteBuffer in = ByteBuffer.wrap(content);
         in.position(MAGIC.length);
         int version = in.getShort();
-        int length = in.getInt();
-        int sum = in.getInt();
+        int bodyLength = in.getInt();
+        int checksum = in.getInt();
         if (version != VERSION) {
             throw new IOException(
                     file + ": of version " + version + ", and this program reads " + VERSION);
         }
         byte[] body = new byte[in.remaining()];
         in.get(body);
-        if (length != body.length || sum != sum(body)) {
+        if (bodyLength != body.length || checksum != checksum(body)) {
             throw new IOException(
-                    file + ": torn or changed: " + body.length + " bytes of " + length);
+                    file + ": torn or changed: " + body.length + " bytes of " + bodyLength);
+        }
+        try {
+            return CBOR.readValue(body, StoredSnapshot.class).snapshot();
+        } catch (IllegalArgumentException e) {
+            throw new IOException(file + ": " + e.getMessage(), e);
         }
-        return CBOR.readValue(body, Snapshot.class);
     }
 
-    /** The older generation's place. */
-    public static Path before(Path file) {
+    /** Where the snapshot before the one in a file is kept. */
+    static Path previous(Path file) {
         return file.resolveSibling(file.getFileName() + ".1");
     }
 
     /**
-     * Danger: power may fail between any two steps. Whatever is there under either name is whole:
-     * the new one is synced before it gets its name, and the older one keeps its own until then.
+     * Writes a snapshot, and keeps the one before. Guards against a power failure between any two
+     * steps: the new file is synced before it gets its name, and the one before keeps its own until
+     * then, so what is there under either name is whole.
      */
     static void write(Path file, Snapshot snapshot) throws IOException {
-        Path fresh = file.resolveSibling(file.getFileName() + ".new");
+        Path unfinished = file.resolveSibling(file.getFileName() + ".new");
         try (FileChannel out =
                 FileChannel.open(
-                        fresh,
+                        unfinished,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -94,9 +137,9 @@
             out.force(true);
         }
         if (Files.exists(file)) {
-            Files.move(file, before(file), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(file, previous(file), StandardCopyOption.ATOMIC_MOVE);
         }
-        Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(unfinished, file, StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent())) {
             folder.force(true);
         }
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
@@ -13,57 +13,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a proxy's snapshots in a folder, on a thread of its own. A disk that fails costs no
- * exchange.
+ * Stores a proxy's snapshots in a folder, on a thread of its own. A disk that fails leaves a line
+ * in the log and costs no request.
  */
 final class SnapshotStore implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(SnapshotStore.class);
-    private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
+
+    /** Linux tells one run of the machine from the next here. */
+    private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
+
+    /** Seconds that the last write may take at the end. */
+    private static final long CLOSE_SECONDS = 1;
 
     private final Path file;
-    private final String name;
+    private final String proxyName;
+
+    /** Empty where the machine does not tell. */
     private final String boot;
-    private final ExecutorService thread =
+
+    private final ExecutorService writer =
             Executors.newSingleThreadExecutor(
                     task -> {
-                        Thread its = new Thread(task, "keeper");
-                        its.setDaemon(true);
-                        return its;
+                        Thread thread = new Thread(task, "keeper");
+                        thread.setDaemon(true);
+                        return thread;
                     });
+
+    /** Whether the last write failed. */
     private volatile boolean failed;
 
-    SnapshotStore(Path folder, String name) {
-        file = folder.resolve(name + ".snap");
-        this.name = name;
-        boot = boot();
+    SnapshotStore(Path folder, String proxyName) {
+        file = folder.resolve(proxyName + ".snap");
+        this.proxyName = proxyName;
+        boot = readBoot();
     }
 
-    /** What tells one run of the machine from the next; empty where it does not say. */
-    private static String boot() {
+    private static String readBoot() {
         try {
-            return Files.readString(BOOT).strip();
+            return Files.readString(BOOT_ID_FILE).strip();
         } catch (IOException | SecurityException e) {
             return "";
         }
     }
 
-    private static double wall() {
+    private static double wallSeconds() {
         return System.currentTimeMillis() / 1e3;
     }
 
-    /**
-     * What is believed of the newest snapshot that can be read; any other is set aside with a line.
-     */
-    Snapshot.Trusted trusted() {
-        for (Path each : List.of(file, SnapshotFile.before(file))) {
-            if (!Files.exists(each)) {
+    /** What is used of the newest snapshot that can be read; any other is set aside. */
+    Snapshot.Trusted readTrusted() {
+        for (Path candidate : List.of(file, SnapshotFile.previous(file))) {
+            if (!Files.exists(candidate)) {
                 continue;
             }
             try {
-                return SnapshotFile.read(each).trusted(name, boot, wall());
+                return SnapshotFile.read(candidate).trusted(proxyName, boot, wallSeconds());
             } catch (IOException | RuntimeException e) {
+                // Wide, as whatever a file holds must not keep the proxy from starting.
                 LOG.warn("recovery snapshot set aside: {}", e.toString().replace('\n', ' '));
-                setAside(each);
+                setAside(candidate);
             }
         }
         return Snapshot.Trusted.NOTHING;
@@ -80,32 +88,50 @@
         }
     }
 
-    /** Writes before it returns; says whether that went well. */
-    boolean keepNow(long start, double work, int answers) {
+    /**
+     * Writes a snapshot before it returns.
+     *
+     * @return whether it was written
+     */
+    boolean writeNow(long startNumber, double serviceTimeSeconds, int samples) {
         try {
-            SnapshotFile.write(file, new Snapshot(name, boot, start, wall(), work, answers));
+            Snapshot snapshot =
+                    new Snapshot(
+                            proxyName,
+                            boot,
+                            startNumber,
+                            wallSeconds(),
+                            serviceTimeSeconds,
+                            samples);
+            SnapshotFile.write(file, snapshot);
             failed = false;
             return true;
         } catch (IOException | RuntimeException e) {
-            // Danger: a full disk would fill the log as well.
-            if (!failed) {
-                LOG.warn("recovery snapshot not kept, {}", e.toString());
-            }
-            failed = true;
+            // Wide, as the proxy serves on without a snapshot.
+            logFirstFailure(e);
             return false;
         }
     }
 
-    /** Writes soon. Danger: the owner's thread must not wait for a disk. */
-    void keep(long start, double work, int answers) {
-        thread.execute(() -> keepNow(start, work, answers));
+    /** Guards against a full disk filling the log as well. */
+    private void logFirstFailure(Exception cause) {
+        if (!failed) {
+            LOG.warn("recovery snapshot not kept, {}", cause.toString());
+        }
+        failed = true;
+    }
+
+    /** Has a snapshot written soon, as the decision loop's thread must not wait for a disk. */
+    void writeSoon(long startNumber, double serviceTimeSeconds, int samples) {
+        writer.execute(() -> writeNow(startNumber, serviceTimeSeconds, samples));
     }
 
+    /** Waits a bounded time until what is to be written is. */
     @Override
     public void close() {
-        thread.shutdown();
+        writer.shutdown();
         try {
-            thread.awaitTermination(1, TimeUnit.SECONDS);
+            writer.awaitTermination(CLOSE_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/lemondrift/recovery/PeerObservation.java
+++ b/src/main/java/lemondrift/recovery/PeerObservation.java
@@ -1,10 +1,18 @@
 package lemondrift.recovery;
 
-/** The latest word of another proxy, and when it came. */
-public record PeerObservation(PeerStatus hello, double at) {
-    /** Whether it was said by an earlier self of the same proxy, or before this by the same one. */
-    boolean isAfter(PeerStatus other) {
-        return other.start() < hello.start()
-                || (other.start() == hello.start() && other.up() < hello.up());
+/**
+ * The latest status of a peer.
+ *
+ * @param status what it said of itself
+ * @param receivedAt when that came, in seconds of the proxy's clock
+ */
+public record PeerObservation(PeerStatus status, double receivedAt) {
+    /**
+     * Whether another status is of an earlier start of the peer, or an earlier one of this start.
+     */
+    boolean isNewerThan(PeerStatus other) {
+        return other.start() < status.start()
+                || (other.start() == status.start()
+                        && other.uptimeSeconds() < status.uptimeSeconds());
     }
 }
--- a/src/main/java/lemondrift/recovery/PeerPollBackoff.java
+++ b/src/main/java/lemondrift/recovery/PeerPollBackoff.java
@@ -1,23 +1,45 @@
 package lemondrift.recovery;
 
 /**
- * How a proxy that has started asks the others.
+ * How a proxy that has started polls its peers.
  *
- * @param ask seconds until it asks again, growing by as much each time
- * @param bound seconds after which it goes by who has answered
- * @param forget seconds after which what was heard counts no more
- * @param fanout how many it asks at a time
- * @param enough own answers by which it knows for itself
+ * @param ask seconds from the first poll to the second; each further interval is longer by as much
+ * @param bound seconds after the start when it goes by whoever has answered
+ * @param forget seconds after which a peer's status no longer counts; at least bound
+ * @param fanout how many peers it polls at a time
+ * @param enough from so many samples of its own it polls no more
  */
 public record PeerPollBackoff(double ask, double bound, double forget, int fanout, int enough) {
-    /** The usual one where the shortest contract time is so many seconds. */
-    public static PeerPollBackoff of(double window) {
-        return new PeerPollBackoff(0.1 * window, window, 8 * window, 6, 8);
+    /** First interval, as a share of the shortest latency objective. */
+    private static final double DEFAULT_INTERVAL_SHARE = 0.1;
+
+    /** Expiry of a status, in shortest latency objectives. */
+    private static final double DEFAULT_EXPIRY_FACTOR = 8;
+
+    /** Peers polled at a time. */
+    private static final int DEFAULT_FANOUT = 6;
+
+    /** Own samples after which nobody is polled. */
+    private static final int DEFAULT_SETTLED_SAMPLES = 8;
+
+    /** The default for a shortest latency objective of so many seconds. */
+    public static PeerPollBackoff of(double windowSeconds) {
+        return new PeerPollBackoff(
+                DEFAULT_INTERVAL_SHARE * windowSeconds,
+                windowSeconds,
+                DEFAULT_EXPIRY_FACTOR * windowSeconds,
+                DEFAULT_FANOUT,
+                DEFAULT_SETTLED_SAMPLES);
     }
 
+    /**
+     * Checks the ranges.
+     *
+     * @throws IllegalArgumentException where one is not positive, or forget is under bound
+     */
     public PeerPollBackoff {
         if (!(ask > 0) || !(bound > 0) || !(forget >= bound) || fanout < 1 || enough < 1) {
-            throw new IllegalArgumentException("a pace that cannot be");
+            throw new IllegalArgumentException("intervals of polling out of range");
         }
     }
 }
--- a/src/main/java/lemondrift/recovery/PeerStatus.java
+++ b/src/main/java/lemondrift/recovery/PeerStatus.java
@@ -3,47 +3,66 @@
 import java.nio.ByteBuffer;
 
 /**
- * What a proxy says of itself to another one, in a datagram of 28 bytes. What it tells of an
- * exchange's work it has found itself: what is borrowed is never passed on, so that ten who repeat
- * one source don't count.
+ * What a proxy says of itself to a peer, in a datagram of 28 bytes. It reports only what it has
+ * measured itself, never what peers have told it, so that ten that repeat one source don't count.
  *
  * @param start the sender's start number, which rises with each start
- * @param to the start number of whom it is for, 0 where that is not known
- * @param asks whether it is to be answered
- * @param up seconds since the sender's start
- * @param work mean work of an exchange in seconds, as the sender's own answers show; 0 where there
- *     are none
- * @param answers of how many answers that is the mean, 255 at the most
- * @param settled whether the sender goes by what it has found itself
+ * @param recipientStart the start number of the proxy that it is for, 0 where that is not known
+ * @param wantsReply whether the recipient is to reply with its own status
+ * @param uptimeSeconds seconds since the sender's start
+ * @param serviceTimeSeconds mean service time that the sender has measured, 0 without samples
+ * @param samples from how many responses that is the mean; at most 255 are told
+ * @param settled whether the sender has samples enough of its own
  */
 public record PeerStatus(
-        long start, long to, boolean asks, float up, float work, int answers, boolean settled) {
+        long start,
+        long recipientStart,
+        boolean wantsReply,
+        float uptimeSeconds,
+        float serviceTimeSeconds,
+        int samples,
+        boolean settled) {
+    /** First byte of the datagram; gossip has another one. */
     public static final byte KIND = 3;
+
+    /** Second byte of the datagram. */
     public static final byte VERSION = 1;
+
+    /** Length of the datagram, in bytes. */
     private static final int LENGTH = 28;
-    private static final int ASKS = 1;
-    private static final int SETTLED = 2;
-    private static final int MOST_ANSWERS = 255;
 
+    /** Bit of the flags for wantsReply. */
+    private static final int WANTS_REPLY_FLAG = 1;
+
+    /** Bit of the flags for settled. */
+    private static final int SETTLED_FLAG = 2;
+
+    /** What one byte holds. */
+    private static final int MAX_SAMPLES = 255;
+
+    /** Limits the samples to what the datagram can hold. */
     public PeerStatus {
-        answers = Math.min(MOST_ANSWERS, answers);
+        samples = Math.min(MAX_SAMPLES, samples);
     }
 
+    /** The datagram. */
     public byte[] encoded() {
+        int flags = (wantsReply ? WANTS_REPLY_FLAG : 0) + (settled ? SETTLED_FLAG : 0);
         return ByteBuffer.allocate(LENGTH)
                 .put(KIND)
                 .put(VERSION)
-                .put((byte) ((asks ? ASKS : 0) + (settled ? SETTLED : 0)))
-                .put((byte) answers)
+                .put((byte) flags)
+                .put((byte) samples)
                 .putLong(start)
-                .putLong(to)
-                .putFloat(up)
-                .putFloat(work)
+                .putLong(recipientStart)
+                .putFloat(uptimeSeconds)
+                .putFloat(serviceTimeSeconds)
                 .array();
     }
 
     /**
-     * Null where it can't be read: cut, of another kind or version, or with figures that can't be.
+     * The status in a datagram; null where that is cut, of another kind or version, or has values
+     * out of range.
      */
     public static PeerStatus of(byte[] datagram) {
         if (datagram.length != LENGTH || datagram[0] != KIND || datagram[1] != VERSION) {
@@ -51,23 +70,27 @@
         }
         ByteBuffer in = ByteBuffer.wrap(datagram, 2, LENGTH - 2);
         int flags = in.get();
-        int answers = in.get() & 0xff;
-        PeerStatus hello =
+        int samples = in.get() & 0xff;
+        PeerStatus status =
                 new PeerStatus(
                         in.getLong(),
                         in.getLong(),
-                        (flags & ASKS) != 0,
+                        (flags & WANTS_REPLY_FLAG) != 0,
                         in.getFloat(),
                         in.getFloat(),
-                        answers,
-                        (flags & SETTLED) != 0);
-        boolean can =
-                hello.start > 0
-                        && hello.up >= 0
-                        && hello.up < Float.POSITIVE_INFINITY
-                        && (answers == 0
-                                ? hello.work == 0
-                                : hello.work > 0 && hello.work < Float.POSITIVE_INFINITY);
-        return can ? hello : null;
+                        samples,
+                        (flags & SETTLED_FLAG) != 0);
+        return status.isInRange() ? status : null;
+    }
+
+    private boolean isInRange() {
+        boolean serviceTimeInRange =
+                samples == 0
+                        ? serviceTimeSeconds == 0
+                        : serviceTimeSeconds > 0 && serviceTimeSeconds < Float.POSITIVE_INFINITY;
+        return start > 0
+                && uptimeSeconds >= 0
+                && uptimeSeconds < Float.POSITIVE_INFINITY
+                && serviceTimeInRange;
     }
 }
--- a/src/main/java/lemondrift/recovery/RecoveryPhase.java
+++ b/src/main/java/lemondrift/recovery/RecoveryPhase.java
@@ -1,15 +1,15 @@
 package lemondrift.recovery;
 
-/** What a proxy that has started is among the others of its bank, as far as they have answered. */
+/** What a proxy that has started is among its peers, as far as they have answered. */
 public enum RecoveryPhase {
-    /** Nobody has answered yet, and it is too early to say that nobody will. */
+    /** None has answered yet, and it is too early to say that none will. */
     UNKNOWN,
-    /** The others were there before, and can be learned from. */
+    /** It alone is new: most that answer were there before, and can be learned from. */
     ALONE,
-    /** Of those that answer many have just started too. */
+    /** Many of those that answer have just started too. */
     AMONG_SOME,
-    /** All that answer have just started, as after a power loss: nobody knows anything. */
+    /** All that answer have just started, as after a power loss: none has measured anything. */
     ALL_NEW,
-    /** Nobody answers. Danger: that is no sign that the others are gone, nor that they are new. */
+    /** None answers; that does not show that the others are gone, nor that they are new. */
     CUT_OFF
 }
--- a/src/main/java/lemondrift/recovery/RecoveryState.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -8,58 +8,75 @@
 import java.util.stream.Stream;
 
 /**
- * A proxy's way back after its start: it asks others what they are and what an exchange's work is,
- * until it has found that itself. A value; each event gives another one. Times are in seconds of
- * one clock.
+ * A proxy's recovery after its start: it polls its peers for their phase and for the service time
+ * of a request, until it has measured that itself. A value; each event gives another one. Times are
+ * in seconds of one clock.
  *
- * @param pace how it asks
+ * @param backoff how it polls
  * @param self its number among the proxies
- * @param proxies how many there are
- * @param start its start number
- * @param began when it started
- * @param work mean work of an exchange as own answers show, 0 where there are none
- * @param answers how many these are
- * @param heard the latest word of each other one that has said any
- * @param standing what it is among them; it holds once it goes by what it has found itself
- * @param asked how often it has asked
- * @param askAt when it asks next
+ * @param proxyCount how many proxies there are
+ * @param startNumber its own, which rises with each start
+ * @param startedAt when it started
+ * @param serviceTimeSeconds mean service time from its own samples, 0 without any
+ * @param samples how many these are
+ * @param observations the latest status of each peer that has sent one, by its number
+ * @param phase what it is among them; fixed once it is settled
+ * @param pollRounds how often it has polled
+ * @param nextPollAt when it polls next
  */
 public record RecoveryState(
-        PeerPollBackoff pace,
+        PeerPollBackoff backoff,
         int self,
-        int proxies,
-        long start,
-        double began,
-        double work,
-        int answers,
-        SortedMap<Integer, PeerObservation> heard,
-        RecoveryPhase standing,
-        int asked,
-        double askAt) {
-    /**
-     * Of those that answer, one in so many may be new and this one still counts as alone in that.
-     */
-    private static final int FEW = 4;
+        int proxyCount,
+        long startNumber,
+        double startedAt,
+        double serviceTimeSeconds,
+        int samples,
+        SortedMap<Integer, PeerObservation> observations,
+        RecoveryPhase phase,
+        int pollRounds,
+        double nextPollAt) {
+    /** It counts as the only new one while at most one peer in so many is new. */
+    private static final int PEERS_PER_NEW_ONE = 4;
+
+    /** As how many samples those of one peer count at the most. */
+    private static final int MAX_SAMPLES_OF_ONE_PEER = 8;
 
-    /** As how many answers those of one other proxy count at the most. */
-    private static final int MOST_OF_ONE = 8;
+    /** In place of the recipient's start number where that is not known. */
+    private static final long ANY_START = 0;
 
-    /** What goes to another proxy. */
+    /**
+     * What goes to a peer.
+     *
+     * @param to the peer's number
+     */
     public record Sent(int to, PeerStatus hello) {}
 
-    /** What comes of an event; whether another proxy was heard to have started anew. */
+    /**
+     * What comes of an event.
+     *
+     * @param next the state after it
+     * @param sent what is to be sent
+     * @param anew whether it shows that the peer has restarted
+     */
     public record Step(RecoveryState next, List<Sent> sent, boolean anew) {}
 
-    /** What others have found the work of an exchange to be, from so many answers. */
+    /**
+     * What peers have measured.
+     *
+     * @param work mean service time, in seconds
+     * @param answers as how many samples it counts
+     */
     public record Lesson(double work, int answers) {}
 
+    /** The state at the start of a proxy, which polls at once. */
     public static RecoveryState begins(
-            PeerPollBackoff pace, int self, int proxies, long start, double now) {
+            PeerPollBackoff backoff, int self, int proxyCount, long startNumber, double now) {
         return new RecoveryState(
-                pace,
+                backoff,
                 self,
-                proxies,
-                start,
+                proxyCount,
+                startNumber,
                 now,
                 0,
                 0,
@@ -70,139 +87,172 @@
     }
 
     private RecoveryState with(
-            SortedMap<Integer, PeerObservation> heard,
-            RecoveryPhase standing,
-            int asked,
-            double askAt) {
+            SortedMap<Integer, PeerObservation> observations,
+            RecoveryPhase phase,
+            int pollRounds,
+            double nextPollAt) {
         return new RecoveryState(
-                pace, self, proxies, start, began, work, answers, heard, standing, asked, askAt);
+                backoff,
+                self,
+                proxyCount,
+                startNumber,
+                startedAt,
+                serviceTimeSeconds,
+                samples,
+                observations,
+                phase,
+                pollRounds,
+                nextPollAt);
     }
 
-    /** Whether it has found enough to go by that, and asks nobody any more. */
+    /** Whether it has samples enough of its own, and polls no more. */
     public boolean isSettled() {
-        return answers >= pace.enough();
+        return samples >= backoff.enough();
     }
 
-    /** Its own answers show this mean work of an exchange. */
-    public RecoveryState found(double work, int answers) {
-        return isSettled()
-                ? this
-                : new RecoveryState(
-                        pace,
-                        self,
-                        proxies,
-                        start,
-                        began,
-                        work,
-                        answers,
-                        heard,
-                        standing,
-                        asked,
-                        answers >= pace.enough() ? Double.POSITIVE_INFINITY : askAt);
+    /** The state with the mean service time that its own samples show; the same once settled. */
+    public RecoveryState found(double serviceTimeSeconds, int samples) {
+        if (isSettled()) {
+            return this;
+        }
+        return new RecoveryState(
+                backoff,
+                self,
+                proxyCount,
+                startNumber,
+                startedAt,
+                serviceTimeSeconds,
+                samples,
+                observations,
+                phase,
+                pollRounds,
+                samples >= backoff.enough() ? Double.POSITIVE_INFINITY : nextPollAt);
     }
 
     /**
-     * Another proxy's word has come. Danger: datagrams come late, twice and out of order, also from
-     * before one of both has started again; what an earlier self has said, or was meant for one,
-     * changes nothing.
+     * A peer's status has come. Guards against datagrams that come late, twice, out of order or
+     * from before one of both has restarted: such a one changes nothing. A lower start number, as
+     * of a peer whose wall clock went back, counts once the higher one has expired.
      */
-    public Step heard(int from, PeerStatus hello, double now) {
-        PeerObservation before = heard.get(from);
-        boolean known = before != null && now - before.at() <= pace.forget();
-        // Danger: a wall clock that went back gives a lower start number; silence makes room for
-        // it.
-        if (from == self
-                || from < 0
-                || from >= proxies
-                || (hello.to() != 0 && hello.to() != start)
-                || (known && before.isAfter(hello))) {
+    public Step heard(int from, PeerStatus status, double now) {
+        PeerObservation before = observations.get(from);
+        boolean current = before != null && isCurrent(before, now);
+        boolean fromPeer = from != self && from >= 0 && from < proxyCount;
+        boolean forThisStart =
+                status.recipientStart() == ANY_START || status.recipientStart() == startNumber;
+        if (!fromPeer || !forThisStart || (current && before.isNewerThan(status))) {
             return new Step(this, List.of(), false);
         }
-        SortedMap<Integer, PeerObservation> all = new TreeMap<>(heard);
-        all.put(from, new PeerObservation(hello, now));
-        boolean anew =
+        SortedMap<Integer, PeerObservation> updated = new TreeMap<>(observations);
+        updated.put(from, new PeerObservation(status, now));
+        boolean restarted =
                 before == null
-                        ? hello.up() <= pace.forget()
-                        : before.hello().start() != hello.start();
-        RecoveryState next = with(all, standing, asked, askAt).judged(now);
-        return new Step(
-                next,
-                hello.asks()
-                        ? List.of(new Sent(from, next.says(hello.start(), false, now)))
-                        : List.of(),
-                anew);
+                        ? status.uptimeSeconds() <= backoff.forget()
+                        : before.status().start() != status.start();
+        RecoveryState next = with(updated, phase, pollRounds, nextPollAt).judged(now);
+        List<Sent> replies =
+                status.wantsReply()
+                        ? List.of(new Sent(from, next.ownStatus(status.start(), false, now)))
+                        : List.of();
+        return new Step(next, replies, restarted);
     }
 
-    /** Asks the next few others where that is due. */
+    /** Polls the next few peers where that is due; each interval is longer than the one before. */
     public Step wake(double now) {
-        if (now < askAt || proxies < 2) {
+        if (now < nextPollAt || proxyCount < 2) {
             return new Step(judged(now), List.of(), false);
         }
-        List<Sent> sent = new ArrayList<>();
-        for (int i = 0; i < Math.min(pace.fanout(), proxies - 1); i++) {
-            int to = (self + 1 + (asked * pace.fanout() + i) % (proxies - 1)) % proxies;
-            PeerObservation its = heard.get(to);
-            boolean known = its != null && now - its.at() <= pace.forget();
-            sent.add(new Sent(to, says(known ? its.hello().start() : 0, true, now)));
+        int peerCount = proxyCount - 1;
+        List<Sent> polls = new ArrayList<>();
+        for (int i = 0; i < Math.min(backoff.fanout(), peerCount); i++) {
+            int to = (self + 1 + (pollRounds * backoff.fanout() + i) % peerCount) % proxyCount;
+            PeerObservation observation = observations.get(to);
+            long recipientStart =
+                    observation != null && isCurrent(observation, now)
+                            ? observation.status().start()
+                            : ANY_START;
+            polls.add(new Sent(to, ownStatus(recipientStart, true, now)));
         }
-        double again = Math.min(pace.forget(), pace.ask() * (1 + asked));
-        return new Step(with(heard, standing, asked + 1, now + again).judged(now), sent, false);
+        double interval = Math.min(backoff.forget(), backoff.ask() * (1 + pollRounds));
+        RecoveryState next = with(observations, phase, pollRounds + 1, now + interval).judged(now);
+        return new Step(next, polls, false);
     }
 
-    /** When to wake it; infinite where it asks nobody any more. */
+    /** When to wake it; infinite once it polls no more. */
     public double wakeAt() {
-        return isSettled() ? Double.POSITIVE_INFINITY : askAt;
+        return isSettled() ? Double.POSITIVE_INFINITY : nextPollAt;
     }
 
-    private PeerStatus says(long to, boolean asks, double now) {
+    private PeerStatus ownStatus(long recipientStart, boolean wantsReply, double now) {
         return new PeerStatus(
-                start, to, asks, (float) (now - began), (float) work, answers, isSettled());
+                startNumber,
+                recipientStart,
+                wantsReply,
+                (float) (now - startedAt),
+                (float) serviceTimeSeconds,
+                samples,
+                isSettled());
     }
 
-    /** What was heard lately enough to count. */
-    private Stream<PeerStatus> lately(double now) {
-        return heard.values().stream()
-                .filter(each -> now - each.at() <= pace.forget())
-                .map(PeerObservation::hello);
+    private boolean isCurrent(PeerObservation observation, double now) {
+        return now - observation.receivedAt() <= backoff.forget();
     }
 
-    /** What it is among the others, by who has answered; it is corrected as long as it asks. */
+    private Stream<PeerStatus> currentStatuses(double now) {
+        return observations.values().stream()
+                .filter(observation -> isCurrent(observation, now))
+                .map(PeerObservation::status);
+    }
+
+    /** With the phase that the answers show, which is corrected until it is settled. */
     private RecoveryState judged(double now) {
         if (isSettled()) {
             return this;
         }
-        long all = lately(now).count();
-        long settled = lately(now).filter(PeerStatus::settled).count();
-        boolean early = now - began < pace.bound() && all < proxies - 1;
-        RecoveryPhase its =
-                early && settled == 0
-                        ? RecoveryPhase.UNKNOWN
-                        : all == 0
-                                ? RecoveryPhase.CUT_OFF
-                                : settled == 0
-                                        ? RecoveryPhase.ALL_NEW
-                                        : (all - settled) * FEW <= all
-                                                ? RecoveryPhase.ALONE
-                                                : RecoveryPhase.AMONG_SOME;
-        return its == standing ? this : with(heard, its, asked, askAt);
+        RecoveryPhase judged = judgedPhase(now);
+        return judged == phase ? this : with(observations, judged, pollRounds, nextPollAt);
+    }
+
+    private RecoveryPhase judgedPhase(double now) {
+        long answered = currentStatuses(now).count();
+        long settled = currentStatuses(now).filter(PeerStatus::settled).count();
+        boolean early = now - startedAt < backoff.bound() && answered < proxyCount - 1;
+        if (early && settled == 0) {
+            return RecoveryPhase.UNKNOWN;
+        }
+        if (answered == 0) {
+            return RecoveryPhase.CUT_OFF;
+        }
+        if (settled == 0) {
+            return RecoveryPhase.ALL_NEW;
+        }
+        return (answered - settled) * PEERS_PER_NEW_ONE <= answered
+                ? RecoveryPhase.ALONE
+                : RecoveryPhase.AMONG_SOME;
     }
 
     /**
-     * What others have found, of those that have settled where there are any; null where nobody has
-     * found anything. Danger: too little would have a cold backend pushed over, so of two the
-     * larger counts and of more the upper one in the middle, which no single one moves.
+     * The service time that peers have measured, of the settled ones where there are any; null
+     * where none has measured anything. It is the upper median, of two the larger: a single peer
+     * can't move it far, and too short a time would overload a backend in slow start.
      */
     public Lesson lesson(double now) {
-        boolean settled = lately(now).anyMatch(PeerStatus::settled);
-        List<PeerStatus> all =
-                lately(now)
-                        .filter(each -> each.answers() > 0 && (!settled || each.settled()))
-                        .sorted((a, b) -> Float.compare(a.work(), b.work()))
+        boolean anySettled = currentStatuses(now).anyMatch(PeerStatus::settled);
+        List<PeerStatus> measured =
+                currentStatuses(now)
+                        .filter(status -> status.samples() > 0 && (!anySettled || status.settled()))
+                        .sorted(
+                                (a, b) ->
+                                        Float.compare(
+                                                a.serviceTimeSeconds(), b.serviceTimeSeconds()))
                         .toList();
-        return all.isEmpty()
-                ? null
-                : new Lesson(
-                        all.get(all.size() / 2).work(),
-                        all.stream().mapToInt(each -> Math.min(MOST_OF_ONE, each.answers())).sum());
+        if (measured.isEmpty()) {
+            return null;
+        }
+        int samples =
+                measured.stream()
+                        .mapToInt(status -> Math.min(MAX_SAMPLES_OF_ONE_PEER, status.samples()))
+                        .sum();
+        return new Lesson(measured.get(measured.size() / 2).serviceTimeSeconds(), samples);
     }
 }
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -22,17 +22,17 @@
 class RecoveryExplorationTest {
     private static final int PROXIES = 3;
     private static final int TICKS = 5;
-    private static final int MOST = 600_000;
-    private static final int FAIR = 12;
-    private static final int EVERY = 97;
-    private static final PeerPollBackoff PACE = new PeerPollBackoff(1, 1, 2, 1, 2);
+    private static final int MAX_STATES = 600_000;
+    private static final int FAIR_ROUNDS = 12;
+    private static final int PLAYED_TO_THE_END_EVERY = 97;
+    private static final PeerPollBackoff BACKOFF = new PeerPollBackoff(1, 1, 2, 1, 2);
 
-    private record Message(int from, int to, PeerStatus hello) {}
+    private record Message(int from, int to, PeerStatus status) {}
 
-    /** All there is at one time, and what may still go wrong. */
-    private record All(
+    /** World there is at one time, and what may still go wrong. */
+    private record World(
             List<RecoveryState> proxies,
-            Map<Message, Integer> under,
+            Map<Message, Integer> underWay,
             int now,
             int starts,
             int repeats,
@@ -45,8 +45,8 @@
             return one.lesson(now);
         }
 
-        RecoveryState.Step heard(RecoveryState one, int from, PeerStatus hello, double now) {
-            return one.heard(from, hello, now);
+        RecoveryState.Step heard(RecoveryState one, int from, PeerStatus status, double now) {
+            return one.heard(from, status, now);
         }
 
         RecoveryState.Step wake(RecoveryState one, double now) {
@@ -58,46 +58,48 @@
     private String broken;
     private int seen;
 
-    private void must(boolean holds, String promise, All at) {
-        broken = broken == null && !holds ? promise + " at " + at : broken;
+    private void check(boolean holds, String invariant, World at) {
+        broken = broken == null && !holds ? invariant + " at " + at : broken;
     }
 
-    private All with(All at, int p, RecoveryState.Step step, Map<Message, Integer> under) {
+    private World with(World at, int p, RecoveryState.Step step, Map<Message, Integer> underWay) {
         List<RecoveryState> all = new ArrayList<>(at.proxies);
         all.set(p, step.next());
         for (RecoveryState.Sent each : step.sent()) {
-            PeerStatus its = each.hello();
-            must(
-                    its.answers() == step.next().answers()
-                            && (its.answers() == 0 || its.work() == its.start()),
+            PeerStatus status = each.hello();
+            check(
+                    status.samples() == step.next().samples()
+                            && (status.samples() == 0
+                                    || status.serviceTimeSeconds() == status.start()),
                     "a proxy tells only what it has found itself",
                     at);
-            under.merge(new Message(p, each.to(), its), 1, Integer::sum);
+            underWay.merge(new Message(p, each.to(), status), 1, Integer::sum);
         }
-        return new All(all, under, at.now, at.starts, at.repeats, at.answers, at.next);
+        return new World(all, underWay, at.now, at.starts, at.repeats, at.answers, at.next);
     }
 
-    private All deliver(All at, Message message, boolean again) {
-        Map<Message, Integer> under = new HashMap<>(at.under);
+    private World deliver(World at, Message message, boolean again) {
+        Map<Message, Integer> underWay = new HashMap<>(at.underWay);
         if (!again) {
-            under.computeIfPresent(message, (m, n) -> n > 1 ? n - 1 : null);
+            underWay.computeIfPresent(message, (m, n) -> n > 1 ? n - 1 : null);
         }
         RecoveryState one = at.proxies.get(message.to);
-        PeerObservation before = one.heard().get(message.from);
-        RecoveryState.Step step = core.heard(one, message.from, message.hello, at.now);
+        PeerObservation before = one.observations().get(message.from);
+        RecoveryState.Step step = core.heard(one, message.from, message.status, at.now);
         boolean former =
                 (before != null
-                                && at.now - before.at() <= PACE.forget()
-                                && message.hello.start() < before.hello().start())
-                        || (message.hello.to() != 0 && message.hello.to() != one.start());
-        must(
+                                && at.now - before.receivedAt() <= BACKOFF.forget()
+                                && message.status.start() < before.status().start())
+                        || (message.status.recipientStart() != 0
+                                && message.status.recipientStart() != one.startNumber());
+        check(
                 !former || (step.next().equals(one) && step.sent().isEmpty()),
                 "a former self changes nothing",
                 at);
-        All then = with(at, message.to, step, under);
-        return new All(
+        World then = with(at, message.to, step, underWay);
+        return new World(
                 then.proxies,
-                then.under,
+                then.underWay,
                 at.now,
                 at.starts,
                 at.repeats - (again ? 1 : 0),
@@ -106,11 +108,11 @@
     }
 
     /** Time goes on for all, and who is due asks. */
-    private All tick(All at) {
-        All then =
-                new All(
+    private World tick(World at) {
+        World then =
+                new World(
                         at.proxies,
-                        at.under,
+                        at.underWay,
                         at.now + 1,
                         at.starts,
                         at.repeats,
@@ -122,27 +124,28 @@
                             then,
                             p,
                             core.wake(then.proxies.get(p), then.now),
-                            new HashMap<>(then.under));
+                            new HashMap<>(then.underWay));
         }
         return then;
     }
 
-    private All finds(All at, int p) {
+    private World measures(World at, int p) {
         RecoveryState one = at.proxies.get(p);
         List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, one.found((double) one.start(), one.answers() + 1));
-        return new All(all, at.under, at.now, at.starts, at.repeats, at.answers - 1, at.next);
+        all.set(p, one.found((double) one.startNumber(), one.samples() + 1));
+        return new World(all, at.underWay, at.now, at.starts, at.repeats, at.answers - 1, at.next);
     }
 
-    private All startsAnew(All at, int p) {
+    private World restarts(World at, int p) {
         List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, RecoveryState.begins(PACE, p, PROXIES, at.next, at.now));
-        return new All(all, at.under, at.now, at.starts - 1, at.repeats, at.answers, at.next + 1);
+        all.set(p, RecoveryState.begins(BACKOFF, p, PROXIES, at.next, at.now));
+        return new World(
+                all, at.underWay, at.now, at.starts - 1, at.repeats, at.answers, at.next + 1);
     }
 
-    private List<All> after(All at) {
-        List<All> all = new ArrayList<>();
-        for (Message each : at.under.keySet()) {
+    private List<World> successors(World at) {
+        List<World> all = new ArrayList<>();
+        for (Message each : at.underWay.keySet()) {
             all.add(deliver(at, each, false));
             if (at.repeats > 0) {
                 all.add(deliver(at, each, true));
@@ -150,10 +153,10 @@
         }
         for (int p = 0; p < PROXIES; p++) {
             if (at.answers > 0 && !at.proxies.get(p).isSettled()) {
-                all.add(finds(at, p));
+                all.add(measures(at, p));
             }
             if (at.starts > 0) {
-                all.add(startsAnew(at, p));
+                all.add(restarts(at, p));
             }
         }
         if (at.now < TICKS) {
@@ -162,83 +165,82 @@
         return all;
     }
 
-    private void promises(All at) {
+    private void checkInvariants(World at) {
         for (RecoveryState one : at.proxies) {
             List<PeerStatus> fresh =
-                    one.heard().values().stream()
-                            .filter(each -> at.now - each.at() <= PACE.forget())
-                            .map(PeerObservation::hello)
+                    one.observations().values().stream()
+                            .filter(each -> at.now - each.receivedAt() <= BACKOFF.forget())
+                            .map(PeerObservation::status)
                             .toList();
             RecoveryState.Lesson lesson = core.lesson(one, at.now);
-            must(
+            check(
                     lesson == null
                             || fresh.stream()
                                     .anyMatch(
                                             each ->
-                                                    each.work() == lesson.work()
-                                                            && each.answers() > 0),
+                                                    each.serviceTimeSeconds() == lesson.work()
+                                                            && each.samples() > 0),
                     "no figure is believed past its age or made up",
                     at);
             // What it is among them was judged when something last happened to it, one tick ago at
             // the most.
-            if (!one.isSettled() && one.askAt() > at.now) {
+            if (!one.isSettled() && one.nextPollAt() > at.now) {
                 boolean any =
-                        one.heard().values().stream()
-                                .anyMatch(each -> at.now - each.at() <= PACE.forget() + 1);
+                        one.observations().values().stream()
+                                .anyMatch(
+                                        each -> at.now - each.receivedAt() <= BACKOFF.forget() + 1);
                 boolean warm =
-                        one.heard().values().stream().anyMatch(each -> each.hello().settled());
-                must(
-                        one.standing() != RecoveryPhase.ALL_NEW || any,
-                        "not heard is not all new",
-                        at);
-                must(
-                        one.standing() != RecoveryPhase.ALONE || warm,
+                        one.observations().values().stream()
+                                .anyMatch(each -> each.status().settled());
+                check(one.phase() != RecoveryPhase.ALL_NEW || any, "not heard is not all new", at);
+                check(
+                        one.phase() != RecoveryPhase.ALONE || warm,
                         "alone only beside one that knows",
                         at);
             }
         }
     }
 
-    /** Danger: a history without further faults that does not end with all of them back at work. */
-    private void ends(All from) {
-        All at = from;
-        for (int i = 0; i < FAIR; i++) {
-            for (int n = 0; n < 200 && !at.under.isEmpty(); n++) {
-                at = deliver(at, at.under.keySet().iterator().next(), false);
+    /** Guards against a history without further faults that does not end with all recovered. */
+    private void playToTheEnd(World from) {
+        World at = from;
+        for (int i = 0; i < FAIR_ROUNDS; i++) {
+            for (int n = 0; n < 200 && !at.underWay.isEmpty(); n++) {
+                at = deliver(at, at.underWay.keySet().iterator().next(), false);
             }
-            for (int p = 0; p < PROXIES - 1 && i > FAIR / 2; p++) {
-                at = at.proxies.get(p).isSettled() ? at : finds(at, p);
+            for (int p = 0; p < PROXIES - 1 && i > FAIR_ROUNDS / 2; p++) {
+                at = at.proxies.get(p).isSettled() ? at : measures(at, p);
             }
             at = tick(at);
         }
         RecoveryState last = at.proxies.get(PROXIES - 1);
-        must(
+        check(
                 at.proxies.stream().limit(PROXIES - 1).allMatch(RecoveryState::isSettled),
                 "who has answers settles",
                 at);
-        must(
+        check(
                 last.isSettled()
-                        || (last.standing() == RecoveryPhase.ALONE && last.lesson(at.now) != null),
+                        || (last.phase() == RecoveryPhase.ALONE && last.lesson(at.now) != null),
                 "one that has none is alone among them at last, and is taught",
                 at);
     }
 
-    /** The first promise that is broken; null where all hold to the bound. */
+    /** The first invariant that is broken; null where all hold to the bound. */
     private String explore() {
         List<RecoveryState> all = new ArrayList<>();
         for (int p = 0; p < PROXIES; p++) {
-            all.add(RecoveryState.begins(PACE, p, PROXIES, 1 + p, 0));
+            all.add(RecoveryState.begins(BACKOFF, p, PROXIES, 1 + p, 0));
         }
-        All first = new All(all, Map.of(), 0, 1, 1, 3, 1 + PROXIES);
-        Set<All> known = new HashSet<>(Set.of(first));
-        Deque<All> open = new ArrayDeque<>(known);
-        while (!open.isEmpty() && known.size() < MOST && broken == null) {
-            All at = open.remove();
-            promises(at);
-            if (++seen % EVERY == 0) {
-                ends(at);
+        World first = new World(all, Map.of(), 0, 1, 1, 3, 1 + PROXIES);
+        Set<World> known = new HashSet<>(Set.of(first));
+        Deque<World> open = new ArrayDeque<>(known);
+        while (!open.isEmpty() && known.size() < MAX_STATES && broken == null) {
+            World at = open.remove();
+            checkInvariants(at);
+            if (++seen % PLAYED_TO_THE_END_EVERY == 0) {
+                playToTheEnd(at);
             }
-            for (All each : after(at)) {
+            for (World each : successors(at)) {
                 if (known.add(each)) {
                     open.add(each);
                 }
@@ -248,56 +250,56 @@
     }
 
     @Test
-    void allPromisesHoldInEveryOrderOfEventsToTheBound() {
+    void allInvariantsHoldInEveryOrderOfEventsToTheBound() {
         assertNull(explore());
         assertTrue(seen > 5_000, seen + " states seen");
     }
 
-    private static void caught(String promise, Core mutant) {
-        RecoveryExplorationTest its = new RecoveryExplorationTest();
-        its.core = mutant;
-        String broken = its.explore();
-        assertTrue(broken != null && broken.startsWith(promise), "caught by: " + broken);
+    private static void assertCaught(String invariant, Core mutant) {
+        RecoveryExplorationTest exploration = new RecoveryExplorationTest();
+        exploration.core = mutant;
+        String broken = exploration.explore();
+        assertTrue(broken != null && broken.startsWith(invariant), "caught by: " + broken);
     }
 
     @Test
-    void oneThatHearsFormerSelvesIsCaught() {
-        caught(
+    void aMutantThatHearsEarlierStartsIsCaught() {
+        assertCaught(
                 "a former self",
                 new Core() {
                     @Override
                     RecoveryState.Step heard(
-                            RecoveryState one, int from, PeerStatus hello, double now) {
-                        PeerObservation before = one.heard().get(from);
+                            RecoveryState one, int from, PeerStatus status, double now) {
+                        PeerObservation before = one.observations().get(from);
                         long start =
                                 before == null
-                                        ? hello.start()
-                                        : Math.max(hello.start(), before.hello().start());
+                                        ? status.start()
+                                        : Math.max(status.start(), before.status().start());
                         return one.heard(
                                 from,
                                 new PeerStatus(
                                         start,
                                         0,
-                                        hello.asks(),
-                                        hello.up() + 9,
-                                        hello.work(),
-                                        hello.answers(),
-                                        hello.settled()),
+                                        status.wantsReply(),
+                                        status.uptimeSeconds() + 9,
+                                        status.serviceTimeSeconds(),
+                                        status.samples(),
+                                        status.settled()),
                                 now);
                     }
                 });
     }
 
     @Test
-    void oneThatPassesOnWhatItHasBorrowedIsCaught() {
-        caught(
+    void aMutantThatPassesOnWhatPeersMeasuredIsCaught() {
+        assertCaught(
                 "a proxy tells only",
                 new Core() {
                     @Override
                     RecoveryState.Step wake(RecoveryState one, double now) {
                         RecoveryState.Step step = one.wake(now);
-                        RecoveryState.Lesson its = one.lesson(now);
-                        return its == null || one.answers() > 0
+                        RecoveryState.Lesson estimate = one.lesson(now);
+                        return estimate == null || one.samples() > 0
                                 ? step
                                 : new RecoveryState.Step(
                                         step.next(),
@@ -307,12 +309,15 @@
                                                                 new RecoveryState.Sent(
                                                                         each.to(),
                                                                         new PeerStatus(
-                                                                                one.start(),
+                                                                                one.startNumber(),
                                                                                 0,
                                                                                 true,
-                                                                                each.hello().up(),
-                                                                                (float) its.work(),
-                                                                                its.answers(),
+                                                                                each.hello()
+                                                                                        .uptimeSeconds(),
+                                                                                (float)
+                                                                                        estimate
+                                                                                                .work(),
+                                                                                estimate.answers(),
                                                                                 false)))
                                                 .toList(),
                                         false);
@@ -321,41 +326,41 @@
     }
 
     @Test
-    void oneThatForgetsNothingIsCaught() {
-        caught(
+    void aMutantThatExpiresNothingIsCaught() {
+        assertCaught(
                 "no figure",
                 new Core() {
                     @Override
                     RecoveryState.Lesson lesson(RecoveryState one, double now) {
-                        return one.lesson(one.began());
+                        return one.lesson(one.startedAt());
                     }
                 });
     }
 
     @Test
-    void oneThatTakesSilenceForAllNewIsCaught() {
-        caught(
+    void aMutantThatTakesSilenceForAllNewIsCaught() {
+        assertCaught(
                 "not heard",
                 new Core() {
                     @Override
                     RecoveryState.Step wake(RecoveryState one, double now) {
                         RecoveryState.Step step = one.wake(now);
-                        RecoveryState its = step.next();
-                        return its.standing() != RecoveryPhase.CUT_OFF
+                        RecoveryState next = step.next();
+                        return next.phase() != RecoveryPhase.CUT_OFF
                                 ? step
                                 : new RecoveryState.Step(
                                         new RecoveryState(
-                                                its.pace(),
-                                                its.self(),
-                                                its.proxies(),
-                                                its.start(),
-                                                its.began(),
-                                                its.work(),
-                                                its.answers(),
-                                                new TreeMap<>(its.heard()),
+                                                next.backoff(),
+                                                next.self(),
+                                                next.proxyCount(),
+                                                next.startNumber(),
+                                                next.startedAt(),
+                                                next.serviceTimeSeconds(),
+                                                next.samples(),
+                                                new TreeMap<>(next.observations()),
                                                 RecoveryPhase.ALL_NEW,
-                                                its.asked(),
-                                                its.askAt()),
+                                                next.pollRounds(),
+                                                next.nextPollAt()),
                                         step.sent(),
                                         false);
                     }
@@ -363,14 +368,14 @@
     }
 
     @Test
-    void oneThatAnswersNobodyIsCaught() {
-        caught(
+    void aMutantThatRepliesToNobodyIsCaught() {
+        assertCaught(
                 "one that has none",
                 new Core() {
                     @Override
                     RecoveryState.Step heard(
-                            RecoveryState one, int from, PeerStatus hello, double now) {
-                        RecoveryState.Step step = one.heard(from, hello, now);
+                            RecoveryState one, int from, PeerStatus status, double now) {
+                        RecoveryState.Step step = one.heard(from, status, now);
                         return new RecoveryState.Step(step.next(), List.of(), step.anew());
                     }
                 });
--- a/src/test/java/lemondrift/recovery/RecoveryStateTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -17,25 +17,31 @@
 import org.junit.jupiter.api.Test;
 
 class RecoveryStateTest {
-    private static final PeerPollBackoff PACE = new PeerPollBackoff(1, 5, 20, 2, 3);
-
-    private static PeerStatus of(long start, float up, float work, int answers, boolean settled) {
-        return new PeerStatus(start, 0, false, up, work, answers, settled);
+    private static final PeerPollBackoff BACKOFF = new PeerPollBackoff(1, 5, 20, 2, 3);
+
+    private static PeerStatus status(
+            long startNumber,
+            float uptimeSeconds,
+            float serviceTimeSeconds,
+            int samples,
+            boolean settled) {
+        return new PeerStatus(
+                startNumber, 0, false, uptimeSeconds, serviceTimeSeconds, samples, settled);
     }
 
-    private static RecoveryState fresh(int proxies) {
-        return RecoveryState.begins(PACE, 0, proxies, 100, 0);
+    private static RecoveryState starting(int proxyCount) {
+        return RecoveryState.begins(BACKOFF, 0, proxyCount, 100, 0);
     }
 
-    private static RecoveryState hears(RecoveryState one, double now, PeerStatus... said) {
-        for (int i = 0; i < said.length; i++) {
-            one = one.heard(i + 1, said[i], now).next();
+    private static RecoveryState received(RecoveryState state, double now, PeerStatus... statuses) {
+        for (int i = 0; i < statuses.length; i++) {
+            state = state.heard(i + 1, statuses[i], now).next();
         }
-        return one;
+        return state;
     }
 
     @Test
-    void aDatagramThatIsCutForeignOfAnotherVersionOrAbsurdIsNone() {
+    void aDatagramThatIsCutForeignOfAnotherVersionOrOutOfRangeIsNotRead() {
         byte[] good = new PeerStatus(7, 9, true, 1.5f, 0.25f, 300, false).encoded();
         assertEquals(new PeerStatus(7, 9, true, 1.5f, 0.25f, 255, false), PeerStatus.of(good));
         IntStream.range(0, good.length)
@@ -46,162 +52,179 @@
             bad[change[0]] = (byte) change[1];
             assertNull(PeerStatus.of(bad), "byte " + change[0]);
         }
-        assertNull(PeerStatus.of(of(1, 1, 0, 5, false).encoded()), "answers that took no work");
+        assertNull(
+                PeerStatus.of(status(1, 1, 0, 5, false).encoded()), "samples without service time");
     }
 
     @Property(tries = 300, seed = "48")
-    void noBytesAtAllAreMoreThanNoWord(@ForAll @Size(28) byte[] any) {
-        any[0] = PeerStatus.KIND;
-        any[1] = PeerStatus.VERSION;
-        PeerStatus its = PeerStatus.of(any);
-        assertTrue(its == null || (its.up() >= 0 && its.work() >= 0 && its.start() > 0));
+    void anyBytesAreReadInRangeOrNotAtAll(@ForAll @Size(28) byte[] bytes) {
+        bytes[0] = PeerStatus.KIND;
+        bytes[1] = PeerStatus.VERSION;
+        PeerStatus status = PeerStatus.of(bytes);
+        assertTrue(
+                status == null
+                        || (status.uptimeSeconds() >= 0
+                                && status.serviceTimeSeconds() >= 0
+                                && status.start() > 0));
     }
 
     @Test
-    void whoAnswersSaysWhatOneIsAmongThem() {
-        assertEquals(RecoveryPhase.UNKNOWN, fresh(4).wake(1).next().standing());
-        assertEquals(RecoveryPhase.CUT_OFF, fresh(4).wake(5).next().standing(), "nobody answers");
-        PeerStatus warm = of(50, 99, 0.2f, 40, true);
-        PeerStatus newOne = of(101, 1, 0, 0, false);
-        assertEquals(RecoveryPhase.ALONE, hears(fresh(9), 1, warm).standing(), "at once");
+    void thePhaseFollowsFromWhoAnswers() {
+        assertEquals(RecoveryPhase.UNKNOWN, starting(4).wake(1).next().phase());
+        assertEquals(RecoveryPhase.CUT_OFF, starting(4).wake(5).next().phase(), "nobody answers");
+        PeerStatus warm = status(50, 99, 0.2f, 40, true);
+        PeerStatus newOne = status(101, 1, 0, 0, false);
+        assertEquals(RecoveryPhase.ALONE, received(starting(9), 1, warm).phase(), "at once");
         assertEquals(
-                RecoveryPhase.UNKNOWN, hears(fresh(4), 1, newOne).standing(), "others may be warm");
+                RecoveryPhase.UNKNOWN,
+                received(starting(4), 1, newOne).phase(),
+                "others may be warm");
         assertEquals(
                 RecoveryPhase.ALL_NEW,
-                hears(fresh(4), 1, newOne, newOne, newOne).standing(),
+                received(starting(4), 1, newOne, newOne, newOne).phase(),
                 "at once");
-        assertEquals(RecoveryPhase.AMONG_SOME, hears(fresh(4), 1, newOne, warm, newOne).standing());
-        RecoveryState late = hears(fresh(9), 1, newOne).wake(5).next();
-        assertEquals(RecoveryPhase.ALL_NEW, late.standing());
-        PeerStatus settled = of(101, 6, 0.2f, 3, true);
+        assertEquals(
+                RecoveryPhase.AMONG_SOME, received(starting(4), 1, newOne, warm, newOne).phase());
+        RecoveryState late = received(starting(9), 1, newOne).wake(5).next();
+        assertEquals(RecoveryPhase.ALL_NEW, late.phase());
+        PeerStatus settled = status(101, 6, 0.2f, 3, true);
         assertEquals(
                 RecoveryPhase.ALONE,
-                hears(late, 6, settled, warm).standing(),
+                received(late, 6, settled, warm).phase(),
                 "corrected by later answers");
         assertEquals(
                 RecoveryPhase.CUT_OFF,
-                hears(fresh(9), 1, warm).wake(22).next().standing(),
-                "forgotten");
+                received(starting(9), 1, warm).wake(22).next().phase(),
+                "expired");
     }
 
     @Test
-    void oneThatKnowsForItselfAsksNobodyAndKeepsItsStanding() {
-        RecoveryState one = hears(fresh(4), 1, of(50, 99, 0.2f, 40, true)).found(0.3, 3);
-        assertTrue(one.isSettled());
-        assertEquals(Double.POSITIVE_INFINITY, one.wakeAt());
-        assertEquals(List.of(), one.wake(40).sent());
-        assertEquals(RecoveryPhase.ALONE, one.wake(40).next().standing());
-        RecoveryState.Step asked =
-                one.heard(2, new PeerStatus(300, 100, true, 0.1f, 0, 0, false), 50);
+    void aSettledProxyPollsNobodyAndKeepsItsPhase() {
+        RecoveryState state =
+                received(starting(4), 1, status(50, 99, 0.2f, 40, true)).found(0.3, 3);
+        assertTrue(state.isSettled());
+        assertEquals(Double.POSITIVE_INFINITY, state.wakeAt());
+        assertEquals(List.of(), state.wake(40).sent());
+        assertEquals(RecoveryPhase.ALONE, state.wake(40).next().phase());
+        RecoveryState.Step reply =
+                state.heard(2, new PeerStatus(300, 100, true, 0.1f, 0, 0, false), 50);
         assertEquals(
                 List.of(
                         new RecoveryState.Sent(
                                 2, new PeerStatus(100, 300, false, 50, 0.3f, 3, true))),
-                asked.sent());
+                reply.sent());
     }
 
     @Test
-    void whatAFormerSelfHasSaidOrWasMeantForChangesNothing() {
-        RecoveryState one = hears(fresh(4), 1, of(200, 3, 0.2f, 4, false));
+    void aStatusFromOrForAnEarlierStartChangesNothing() {
+        RecoveryState state = received(starting(4), 1, status(200, 3, 0.2f, 4, false));
         assertSame(
-                one, one.heard(1, of(199, 9, 0.9f, 9, true), 2).next(), "its sender's former self");
-        assertSame(one, one.heard(1, of(200, 2, 0.9f, 9, true), 2).next(), "out of order");
+                state,
+                state.heard(1, status(199, 9, 0.9f, 9, true), 2).next(),
+                "of an earlier start of its sender");
+        assertSame(state, state.heard(1, status(200, 2, 0.9f, 9, true), 2).next(), "out of order");
         assertSame(
-                one,
-                one.heard(2, new PeerStatus(300, 99, true, 1, 0.9f, 9, true), 2).next(),
-                "its own");
-        assertSame(one, one.heard(0, of(300, 1, 0.9f, 9, true), 2).next(), "itself");
-        assertSame(one, one.heard(4, of(300, 1, 0.9f, 9, true), 2).next(), "nobody");
-        assertSame(one, one.heard(-1, of(300, 1, 0.9f, 9, true), 2).next(), "nobody");
-        assertTrue(one.heard(1, of(201, 0, 0, 0, false), 2).anew(), "a new self is");
-        assertFalse(one.heard(1, of(200, 4, 0.2f, 5, false), 2).anew());
+                state,
+                state.heard(2, new PeerStatus(300, 99, true, 1, 0.9f, 9, true), 2).next(),
+                "for an earlier start of its own");
+        assertSame(state, state.heard(0, status(300, 1, 0.9f, 9, true), 2).next(), "itself");
+        assertSame(state, state.heard(4, status(300, 1, 0.9f, 9, true), 2).next(), "nobody");
+        assertSame(state, state.heard(-1, status(300, 1, 0.9f, 9, true), 2).next(), "nobody");
+        assertTrue(state.heard(1, status(201, 0, 0, 0, false), 2).anew(), "a restart");
+        assertFalse(state.heard(1, status(200, 4, 0.2f, 5, false), 2).anew());
     }
 
-    /**
-     * Danger: a proxy whose wall clock went back an hour with the power would never be heard again.
-     */
+    /** Guards against ignoring a proxy whose wall clock went back with a power loss. */
     @Test
     void aLowerStartNumberIsHeardOnceTheHigherOneHasBeenSilent() {
-        RecoveryState one = hears(fresh(4), 1, of(200, 3, 0.2f, 4, true));
-        PeerStatus back = of(150, 1, 0, 0, false);
-        assertSame(one, one.heard(1, back, 15).next());
-        assertEquals(back, one.heard(1, back, 22).next().heard().get(1).hello());
+        RecoveryState state = received(starting(4), 1, status(200, 3, 0.2f, 4, true));
+        PeerStatus back = status(150, 1, 0, 0, false);
+        assertSame(state, state.heard(1, back, 15).next());
+        assertEquals(back, state.heard(1, back, 22).next().observations().get(1).status());
     }
 
     @Test
-    void newOnesTeachOnlyWhatTheyHaveFoundThemselves() {
-        RecoveryState a = fresh(2);
-        RecoveryState b = RecoveryState.begins(PACE, 1, 2, 101, 0);
+    void newProxiesReportOnlyWhatTheyHaveMeasuredThemselves() {
+        RecoveryState first = starting(2);
+        RecoveryState second = RecoveryState.begins(BACKOFF, 1, 2, 101, 0);
         for (double now = 0; now < 15; now++) {
-            RecoveryState.Step ask = a.wake(now);
-            a = ask.next();
-            for (RecoveryState.Sent each : ask.sent()) {
-                RecoveryState.Step answer = b.heard(0, each.hello(), now);
-                b = answer.next();
-                a = a.heard(1, answer.sent().get(0).hello(), now).next();
+            RecoveryState.Step poll = first.wake(now);
+            first = poll.next();
+            for (RecoveryState.Sent each : poll.sent()) {
+                RecoveryState.Step reply = second.heard(0, each.hello(), now);
+                second = reply.next();
+                first = first.heard(1, reply.sent().get(0).hello(), now).next();
             }
-            assertNull(a.lesson(now), "two that know nothing");
+            assertNull(first.lesson(now), "two without samples");
         }
-        RecoveryState taught = hears(a, 15, of(101, 15, 0.4f, 2, false));
-        assertEquals(new RecoveryState.Lesson(0.4f, 2), taught.lesson(15));
+        RecoveryState informed = received(first, 15, status(101, 15, 0.4f, 2, false));
+        assertEquals(new RecoveryState.Lesson(0.4f, 2), informed.lesson(15));
         assertTrue(
-                taught.wake(taught.wakeAt()).sent().stream()
-                        .allMatch(each -> each.hello().answers() == 0),
-                "what is borrowed is not passed on");
-        assertNull(taught.lesson(36), "past its age");
+                informed.wake(informed.wakeAt()).sent().stream()
+                        .allMatch(each -> each.hello().samples() == 0),
+                "what a peer measured is not passed on");
+        assertNull(informed.lesson(36), "expired");
     }
 
     @Test
-    void noSingleOneOfSeveralMovesTheLesson() {
-        PeerStatus[] all = {
-            of(1, 9, 0.2f, 40, true),
-            of(1, 9, 0.3f, 3, true),
-            of(1, 9, 1e-9f, 255, true),
-            of(1, 9, 0.0001f, 8, false)
+    void noSinglePeerOfSeveralMovesTheEstimate() {
+        PeerStatus[] statuses = {
+            status(1, 9, 0.2f, 40, true),
+            status(1, 9, 0.3f, 3, true),
+            status(1, 9, 1e-9f, 255, true),
+            status(1, 9, 0.0001f, 8, false)
         };
-        assertEquals(new RecoveryState.Lesson(0.2f, 19), hears(fresh(9), 1, all).lesson(1));
         assertEquals(
-                new RecoveryState.Lesson(0.3f, 11), hears(fresh(9), 1, all[0], all[1]).lesson(1));
+                new RecoveryState.Lesson(0.2f, 19), received(starting(9), 1, statuses).lesson(1));
+        assertEquals(
+                new RecoveryState.Lesson(0.3f, 11),
+                received(starting(9), 1, statuses[0], statuses[1]).lesson(1));
     }
 
     @Property(tries = 100, seed = "48")
-    void eachRoundAsksOthersInTurn(
-            @ForAll @IntRange(min = 2, max = 40) int proxies,
+    void eachRoundPollsOtherPeersInTurn(
+            @ForAll @IntRange(min = 2, max = 40) int proxyCount,
             @ForAll @IntRange(min = 0, max = 39) int self) {
-        RecoveryState one =
+        RecoveryState state =
                 RecoveryState.begins(
-                        new PeerPollBackoff(1, 5, 20, 3, 8), self % proxies, proxies, 1, 0);
-        boolean[] asked = new boolean[proxies];
-        for (int round = 0; round < proxies; round++) {
-            RecoveryState.Step step = one.wake(one.wakeAt());
+                        new PeerPollBackoff(1, 5, 20, 3, 8), self % proxyCount, proxyCount, 1, 0);
+        boolean[] polled = new boolean[proxyCount];
+        for (int round = 0; round < proxyCount; round++) {
+            RecoveryState.Step step = state.wake(state.wakeAt());
             assertEquals(
-                    Math.min(3, proxies - 1),
+                    Math.min(3, proxyCount - 1),
                     step.sent().stream().map(RecoveryState.Sent::to).distinct().count());
-            step.sent().forEach(each -> asked[each.to()] = true);
-            one = step.next();
+            step.sent().forEach(each -> polled[each.to()] = true);
+            state = step.next();
         }
-        for (int p = 0; p < proxies; p++) {
-            assertEquals(p != self % proxies, asked[p], "number " + p);
+        for (int proxy = 0; proxy < proxyCount; proxy++) {
+            assertEquals(proxy != self % proxyCount, polled[proxy], "number " + proxy);
         }
     }
 
     @Test
-    void ofASnapshotIsBelievedWhatItsAgeAndMachineAllow() {
-        Snapshot its = new Snapshot("n1", "boot-1", 77, 1000, 0.2, 40);
-        assertEquals(40, its.trusted("n1", "boot-1", 1010).answers());
+    void aSnapshotIsTrustedAsFarAsItsAgeAndMachineAllow() {
+        Snapshot snapshot = new Snapshot("n1", "boot-1", 77, 1000, 0.2, 40);
+        assertEquals(40, snapshot.trusted("n1", "boot-1", 1010).samples());
         assertEquals(
-                1, its.trusted("n1", "boot-2", 1010).answers(), "the machine has lost power too");
-        assertEquals(1, its.trusted("n1", "boot-1", 1000 + 25 * 3600).answers(), "over a day old");
+                1,
+                snapshot.trusted("n1", "boot-2", 1010).samples(),
+                "the machine has lost power too");
+        assertEquals(
+                1, snapshot.trusted("n1", "boot-1", 1000 + 25 * 3600).samples(), "over a day old");
         assertEquals(
                 1,
-                its.trusted("n1", "boot-1", 1000 - 3600).answers(),
+                snapshot.trusted("n1", "boot-1", 1000 - 3600).samples(),
                 "the clock went back an hour");
         assertEquals(
                 77,
-                its.trusted("n1", "boot-1", -5).above(),
+                snapshot.trusted("n1", "boot-1", -5).previousStart(),
                 "no clock takes the start number back");
-        assertEquals(0, its.trusted("n2", "boot-1", 1010).above(), "copied from another proxy");
-        assertEquals(0, its.trusted("n2", "boot-1", 1010).work());
+        assertEquals(
+                0,
+                snapshot.trusted("n2", "boot-1", 1010).previousStart(),
+                "copied from another proxy");
+        assertEquals(0, snapshot.trusted("n2", "boot-1", 1010).serviceTimeSeconds());
         assertThrows(IllegalArgumentException.class, () -> new Snapshot("n", "b", 1, 1, -1, 1));
         assertThrows(IllegalArgumentException.class, () -> new Snapshot("n", "b", 1, 1, 0, 1));
     }
