--- a/src/main/java/lemondrift/lab/Baseline.java
+++ b/src/main/java/lemondrift/lab/Baseline.java
@@ -26,12 +26,12 @@
         RANDOM,
         /** One after another. */
         ROUND_ROBIN,
-        /** The one with the fewest of this proxy's own forwards out. */
+        /** The one with the fewest of this proxy's own attempts out. */
         LEAST_OUTSTANDING,
         /** The one of two at random with the fewest out. */
         TWO_CHOICES,
         /**
-         * The least peak of fading answer times, by one more than the forwards out (Finagle's Peak
+         * The least peak of fading answer times, by one more than the attempts out (Finagle's Peak
          * EWMA).
          */
         PEAK_EWMA,
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Seconds over which a peak of answer times fades, and the forwards that an exchange may have.
+     * Seconds over which a peak of answer times fades, and the attempts that a request may have.
      */
     private static final double FADES = 5;
 
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -54,7 +54,7 @@
     /** The module's name among the policies. */
     public static final String MODULE = "module";
 
-    /** The names of the lab's grades. */
+    /** The names of the lab's request classes. */
     public static final List<String> GRADES = List.of("look", "order", "book");
 
     /**
@@ -112,19 +112,21 @@
     static {
         READ.put("service", RunResult::service);
         READ.put("in_time", RunResult::inTimeShare);
-        READ.put("unanswered", f -> f.unanswered);
-        READ.put("late", f -> f.late);
-        READ.put("shed", f -> f.shed);
-        READ.put("scrapped", f -> f.scrapped);
-        READ.put("fallen", f -> f.fallen);
-        READ.put("forwards_per_exchange", f -> (double) f.forwards / Math.max(1, f.taken));
-        READ.put("waste", f -> f.evenness.waste());
-        READ.put("fullest", f -> f.evenness.fullest());
-        READ.put("herd", f -> f.evenness.herd());
-        READ.put("longest_idle", f -> f.evenness.longestIdle());
-        READ.put("least_share", f -> f.evenness.least());
-        READ.put("most_share", f -> f.evenness.most());
-        READ.put("crashed", f -> f.crashed);
+        READ.put("unanswered", result -> result.unanswered);
+        READ.put("late", result -> result.late);
+        READ.put("shed", result -> result.rejected);
+        READ.put("scrapped", result -> result.failed);
+        READ.put("fallen", result -> result.overloadedColdBackends);
+        READ.put(
+                "forwards_per_exchange",
+                result -> (double) result.attempts / Math.max(1, result.accepted));
+        READ.put("waste", result -> result.evenness.waste());
+        READ.put("fullest", result -> result.evenness.fullest());
+        READ.put("herd", result -> result.evenness.herd());
+        READ.put("longest_idle", result -> result.evenness.longestIdle());
+        READ.put("least_share", result -> result.evenness.least());
+        READ.put("most_share", result -> result.evenness.most());
+        READ.put("crashed", result -> result.crashed);
         READ.put("of_bearable", RunResult::ofBearable);
         READ.put("back_after", RunResult::backAfter);
     }
@@ -132,13 +134,13 @@
     public static final List<String> FIGURES = List.copyOf(READ.keySet());
 
     /** A figure of a day by its name; a day that a broken rule has ended has not all of them. */
-    public static double value(String figure, RunResult f) {
-        return f.evenness == null ? Double.NaN : READ.get(figure).applyAsDouble(f);
+    public static double value(String figure, RunResult result) {
+        return result.evenness == null ? Double.NaN : READ.get(figure).applyAsDouble(result);
     }
 
     /**
-     * The settings that the lab's proxies are told; probe is what one costs, as a share of an
-     * exchange, and the contract time is in seconds.
+     * The settings that the lab's proxies are told; probe is what one costs, as a share of a
+     * request, and the latency objective is in seconds.
      */
     public static Settings settings(int proxies, int locations, double probe, double contract) {
         return new Settings(
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -18,7 +18,9 @@
 
 /** The decision module itself as a world's decider. */
 public final class ModuleUnderTest implements RoutingPolicy {
-    /** The least time between two tellings, and when what is told is forgotten, in windows. */
+    /**
+     * The least time between two gossip messages, and when what is told is forgotten, in windows.
+     */
     private static final double PACE = 0.02;
 
     private static final double FORGET = 2;
--- a/src/main/java/lemondrift/lab/fleet/BackendFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -230,10 +230,10 @@
                                 backend.errors,
                                 its.x.requestClass
                                                 == scenario.settings().requestClasses().size() - 1
-                                        ? backend.gradeErrors
+                                        ? backend.classErrors
                                         : 0);
         if (backend.fallsOver(its.work)) {
-            recorder.figures().fallen++;
+            recorder.figures().overloadedColdBackends++;
             recorder.ended(line.forward, AttemptOutcome.RESET);
             fallen.accept(line.backend);
         } else if (backend.isFull() || isCrowded(line.backend)) {
--- a/src/main/java/lemondrift/lab/fleet/ClientFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientFleet.java
@@ -28,7 +28,9 @@
     /** Doors that one request is tried at, where each refuses. */
     private static final int MOST_DOORS = 5;
 
-    /** A client asks again after this share of the contract time where it is told nothing else. */
+    /**
+     * A client asks again after this share of the latency objective where it is told nothing else.
+     */
     private static final double WAIT = 0.5;
 
     /** Seconds between two requests of those who stay with a door that is to close. */
@@ -173,18 +175,18 @@
             if (status.equals("200")) {
                 served();
             } else if (shed) {
-                want.figures.shed++;
-                want.figures.shedIn[recorder.second(scheduler.now())]++;
+                want.figures.rejected++;
+                want.figures.rejectedPerSecond[recorder.second(scheduler.now())]++;
                 String after = HttpConnection.field(head, "retry-after");
                 refused(after == null ? 0 : Double.parseDouble(after));
             } else {
-                want.figures.scrapped++;
+                want.figures.failed++;
                 wanting--;
             }
         }
 
         private void served() {
-            want.figures.delivered++;
+            want.figures.succeeded++;
             RequestClass requestClass = scenario.settings().requestClasses().get(want.grade);
             double durationSeconds = scheduler.now() - want.due;
             recorder.served(want.figures, durationSeconds);
@@ -193,8 +195,8 @@
             want.figures.late += inTime ? 0 : 1;
             double brought =
                     inTime ? requestClass.priorityWeight() : requestClass.latePriorityWeight();
-            want.figures.served += brought;
-            want.figures.servedIn[want.second] += brought;
+            want.figures.servedWeight += brought;
+            want.figures.servedWeightPerSecond[want.second] += brought;
             wanting--;
         }
 
@@ -260,7 +262,7 @@
             over = true;
             isOut(false);
             end.cancel();
-            // A forward may still be out for it.
+            // A attempt may still be out for it.
             scheduler.after(
                     2 * scenario.settings().requestClasses().get(want.grade).timeoutSeconds()
                             + OutcomeRecorder.SLACK,
--- a/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
+++ b/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
@@ -22,7 +22,7 @@
 
 /**
  * The way of datagrams from proxy to proxy, with the faults that fall on it. To all proxies each of
- * them has one address, a socket of the stand's: what comes there is for that proxy, and what a
+ * them has one address, a socket of the testbed's: what comes there is for that proxy, and what a
  * proxy hears of another comes from the other's. It has a thread of its own.
  */
 final class DatagramRelay implements AutoCloseable {
@@ -190,7 +190,7 @@
         byte[] datagram = new byte[random.nextInt(LONGEST_JUNK)];
         random.nextBytes(datagram);
         if (datagram.length > 0 && random.nextBoolean()) {
-            // The kind of a true telling, with whatever follows.
+            // The kind of a real gossip message, with whatever follows.
             datagram[0] = 2;
         }
         for (int to = 0; to < homes.length; to++) {
--- a/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
+++ b/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
@@ -81,8 +81,7 @@
             HttpConnection talk = waits;
             waits = null;
             end.cancel();
-            // Danger: a proxy that has started anew names a revision of the agent's that may be
-            // any.
+            // Guards against a revision that a restarted proxy names and this agent never had.
             int since = Math.min(from, told.size());
             later(talk, () -> answers(talk, false, told.subList(since, told.size())));
         }
--- a/src/main/java/lemondrift/lab/fleet/FleetRun.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetRun.java
@@ -58,28 +58,30 @@
     }
 
     /**
-     * Second by second: benefit served and borne, as shares, backends idle, and how many were shed.
+     * Second by second: priority weight served and borne, as shares, backends idle, and how many
+     * were rejected.
      */
-    public static String seconds(RunResult f) {
+    public static String seconds(RunResult result) {
         StringBuilder text = new StringBuilder();
-        for (int s = 0; s < f.wantedIn.length - 1; s++) {
-            double wanted = Math.max(Double.MIN_NORMAL, f.wantedIn[s]);
+        for (int s = 0; s < result.requestedWeightPerSecond.length - 1; s++) {
+            double wanted = Math.max(Double.MIN_NORMAL, result.requestedWeightPerSecond[s]);
             text.append(
                     String.format(
                             Locale.ROOT,
                             "  %4d s  served %.2f of %.2f  idle %.2f  shed %.0f%n",
                             s,
-                            f.servedIn[s] / wanted,
-                            f.borneIn[s] / wanted,
-                            f.idleIn[s],
-                            f.shedIn[s]));
+                            result.servedWeightPerSecond[s] / wanted,
+                            result.servableWeightPerSecond[s] / wanted,
+                            result.idleSharePerSecond[s],
+                            result.rejectedPerSecond[s]));
         }
         return text.toString();
     }
 
     /** One line of the table; its head where there are no figures. */
-    public static String row(String policy, String seed, RunResult f, int proxies, double lasts) {
-        if (f == null) {
+    public static String row(
+            String policy, String seed, RunResult result, int proxies, double lasts) {
+        if (result == null) {
             return String.format(
                     "  %-12s %5s %8s %8s %7s %7s %7s %7s %5s %6s %6s %6s %6s %6s %6s %6s %6s %7s"
                             + " %8s %6s %5s",
@@ -93,24 +95,24 @@
                         + " %6.2f %6.2f %6d %6d %6d %6.3f %6d %7.1f %8.0f %6.3f %5.0f",
                 policy,
                 seed,
-                f.inTimeShare(),
-                f.service(),
-                f.p50,
-                f.p99,
-                f.evenness.waste(),
-                f.evenness.fullest(),
-                f.evenness.herd(),
-                f.evenness.longestIdle(),
-                f.evenness.least(),
-                f.evenness.most(),
-                f.shed,
-                f.scrapped,
-                f.unanswered,
-                f.ofBearable(),
-                f.backAfter(),
-                f.messages / lasts / proxies,
-                f.told / lasts / proxies,
-                f.cpu,
-                f.memory);
+                result.inTimeShare(),
+                result.service(),
+                result.medianSeconds,
+                result.p99Seconds,
+                result.evenness.waste(),
+                result.evenness.fullest(),
+                result.evenness.herd(),
+                result.evenness.longestIdle(),
+                result.evenness.least(),
+                result.evenness.most(),
+                result.rejected,
+                result.failed,
+                result.unanswered,
+                result.ofBearable(),
+                result.backAfter(),
+                result.gossipMessages / lasts / proxies,
+                result.gossipBytes / lasts / proxies,
+                result.cpuShare,
+                result.memoryMegabytes);
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
@@ -490,10 +490,10 @@
     private void used(RunResult result, double lasts, double[] cpu, long[] sent, long[] bytes) {
         for (int p = 0; p < cpu.length; p++) {
             double now = processes.cpu(p);
-            result.cpu += (now < cpu[p] ? now : now - cpu[p]) / lasts / cpu.length;
-            result.memory = Math.max(result.memory, processes.memory(p));
-            result.messages += datagramRelay.sent(p) - sent[p];
-            result.told += datagramRelay.bytes(p) - bytes[p];
+            result.cpuShare += (now < cpu[p] ? now : now - cpu[p]) / lasts / cpu.length;
+            result.memoryMegabytes = Math.max(result.memoryMegabytes, processes.memory(p));
+            result.gossipMessages += datagramRelay.sent(p) - sent[p];
+            result.gossipBytes += datagramRelay.bytes(p) - bytes[p];
         }
     }
 
--- a/src/main/java/lemondrift/lab/fleet/HttpConnection.java
+++ b/src/main/java/lemondrift/lab/fleet/HttpConnection.java
@@ -80,7 +80,7 @@
         try {
             io.execute(() -> then.accept(null));
         } catch (RejectedExecutionException e) {
-            // The stand closes, and nobody waits for it any more.
+            // The testbed closes, and nobody waits for it any more.
         }
     }
 
--- a/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
+++ b/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
@@ -15,8 +15,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Hears what clients, backends and discovery of the stand have seen, and nothing that a proxy says
- * of itself. I/O thread only.
+ * Hears what clients, backends and discovery of the testbed have seen, and nothing that a proxy
+ * says of itself. I/O thread only.
  */
 final class OutcomeRecorder {
     /**
@@ -28,8 +28,7 @@
     private static final long LONGEST = 600_000_000;
 
     /**
-     * One exchange that a client has handed to a proxy, or to a backend where there is none
-     * between.
+     * One request that a client has handed to a proxy, or to a backend where there is none between.
      */
     static final class Asked {
         final Request x;
@@ -91,7 +90,10 @@
         began = now();
         evenness.begins(began);
         result = new RunResult(scenario);
-        bearable = new ServableOracle(scenario.settings().requestClasses(), result.wantedIn.length);
+        bearable =
+                new ServableOracle(
+                        scenario.settings().requestClasses(),
+                        result.requestedWeightPerSecond.length);
         latency = new Histogram(LONGEST, 3);
     }
 
@@ -110,45 +112,52 @@
 
     /** The second of the day that a time lies in. */
     int second(double at) {
-        return (int) Math.max(0, Math.min(result.wantedIn.length - 1, at - began));
+        return (int) Math.max(0, Math.min(result.requestedWeightPerSecond.length - 1, at - began));
     }
 
     /** A client wants something now; says in which second of the day that is. */
     int wants(int requestClass, double benefit) {
         int second = second(now());
-        result.wants++;
-        result.wanted += benefit;
-        result.wantedIn[second] += benefit;
+        result.clientRequests++;
+        result.requestedWeight += benefit;
+        result.requestedWeightPerSecond[second] += benefit;
         bearable.wants(second, requestClass);
         return second;
     }
 
-    /** The backends do the work of so many exchanges now. */
+    /** The backends do the work of so many requests now. */
     void bears(double exchanges) {
         bearable.bears(second(now()), exchanges);
     }
 
     /** The day is over, though clients may still wait. */
     RunResult ends() {
-        System.arraycopy(bearable.benefit(), 0, result.borneIn, 0, result.borneIn.length);
+        System.arraycopy(
+                bearable.benefit(),
+                0,
+                result.servableWeightPerSecond,
+                0,
+                result.servableWeightPerSecond.length);
         result.evenness = evenness.measure(now());
         System.arraycopy(
                 evenness.idleBySecond(),
                 0,
-                result.idleIn,
+                result.idleSharePerSecond,
                 0,
-                Math.min(result.idleIn.length, evenness.idleBySecond().length));
+                Math.min(result.idleSharePerSecond.length, evenness.idleBySecond().length));
         return result;
     }
 
     /** All that clients wanted in the day has ended. */
     RunResult served() {
-        result.p50 = latency.getValueAtPercentile(50) / 1e6;
-        result.p99 = latency.getValueAtPercentile(99) / 1e6;
+        result.medianSeconds = latency.getValueAtPercentile(50) / 1e6;
+        result.p99Seconds = latency.getValueAtPercentile(99) / 1e6;
         return result;
     }
 
-    /** Danger: a rule that was broken must not end the day, as the proxies' processes still run. */
+    /**
+     * Guards against a broken rule ending the run while proxies still run; the first one is kept.
+     */
     private void judged(Runnable call) {
         try {
             call.run();
@@ -167,7 +176,7 @@
                         scenario.settings().requestClasses().get(requestClass).timeoutSeconds());
         Asked its = new Asked(request, proxy, work);
         asked.put(trace, its);
-        result.taken++;
+        result.accepted++;
         judged(() -> referee.taken(proxy, request, now()));
         return its;
     }
@@ -180,7 +189,7 @@
     /** A request has come to a backend whole. */
     Attempt reached(Asked its, int backend) {
         Attempt attempt = new Attempt(its.x, backend, now(), 0, 0);
-        result.forwards++;
+        result.attempts++;
         evenness.sends(backend, now());
         // What has waited for a process that stood still comes late for nobody; it is judged for
         // nothing.
@@ -194,7 +203,7 @@
         if (outcome == AttemptOutcome.SUCCESS) {
             evenness.served(attempt.backend);
         } else {
-            result.failedAt[attempt.backend]++;
+            result.failedAttemptsByBackend[attempt.backend]++;
         }
         judged(() -> referee.ended(attempt, outcome, now()));
     }
--- a/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
@@ -141,7 +141,7 @@
         scheduler.at(
                 kill,
                 () -> {
-                    // Danger: by then another process may have its number.
+                    // Guards against killing the process that has taken its number since.
                     if (starts[p] == start) {
                         acts(() -> processes.kill(p));
                     }
--- a/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
@@ -24,7 +24,7 @@
  * woken by id, and none outlives this program.
  */
 public final class ProxyProcesses implements AutoCloseable {
-    /** Megabytes that one takes while it serves, and that the stand and the machine keep. */
+    /** Megabytes that one takes while it serves, and that the testbed and the machine keep. */
     private static final int EACH = 58;
 
     private static final int KEPT = 1024;
@@ -83,7 +83,7 @@
                             + free
                             + " MB are free");
         }
-        // Danger: a run that is interrupted would leave hundreds of processes behind.
+        // Guards against processes left behind by an interrupted run.
         Runtime.getRuntime().addShutdownHook(end);
     }
 
--- a/src/main/java/lemondrift/lab/fleet/SoakRun.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakRun.java
@@ -34,7 +34,7 @@
 
     private static final double CROWDED = 0.4;
 
-    /** One day as drawn; the crowd is how many loiter at each proxy. */
+    /** One day as drawn; the clients is how many loiter at each proxy. */
     public record Plan(long seed, Experiment experiment, int crowd) {
         /** One line on what is drawn. */
         public String about() {
@@ -274,8 +274,8 @@
             if (played.broken() != null) {
                 wrong.add(played.broken());
             }
-            if (played.figures().fallen > 0) {
-                wrong.add(played.figures().fallen + " cold backends pushed over");
+            if (played.figures().overloadedColdBackends > 0) {
+                wrong.add(played.figures().overloadedColdBackends + " cold backends pushed over");
             }
             wrong.addAll(stand.stop());
             return new Verdict(plan, played.figures(), wrong);
--- a/src/main/java/lemondrift/lab/load/Load.java
+++ b/src/main/java/lemondrift/lab/load/Load.java
@@ -36,7 +36,7 @@
      * @param rate requests a second, over 0
      * @param seconds for how long, over 0; the warm-up comes before and is left out
      * @param connections how many requests may be open at once, 1 to 4096
-     * @param grade the service grade that each names
+     * @param grade the request class that each names
      * @param timeout seconds after which a request has failed
      */
     public record Plan(
@@ -112,8 +112,8 @@
     private final long origin = System.nanoTime() + 20_000_000;
     private final Histogram latency = new Histogram(LONGEST, 2);
     private long sent;
-    private long delivered;
-    private long shed;
+    private long succeeded;
+    private long rejected;
     private long failed;
     private long behind;
 
@@ -137,7 +137,7 @@
             each.join();
         }
         return new Result(
-                load.latency, load.sent, load.delivered, load.shed, load.failed, load.behind);
+                load.latency, load.sent, load.succeeded, load.rejected, load.failed, load.behind);
     }
 
     /**
@@ -270,10 +270,10 @@
         sent++;
         behind += late > BEHIND ? 1 : 0;
         if (status == 200) {
-            delivered++;
+            succeeded++;
             latency.recordValue(Math.min(LONGEST, Math.max(1, (System.nanoTime() - due) / 1000)));
         } else if (status == 429 || status == 503) {
-            shed++;
+            rejected++;
         } else {
             failed++;
         }
--- a/src/main/java/lemondrift/lab/simulation/Backend.java
+++ b/src/main/java/lemondrift/lab/simulation/Backend.java
@@ -8,7 +8,7 @@
 
 /** A backend: cores, one queue before them, and what may go wrong with it. */
 public final class Backend {
-    /** One exchange that it holds; the end hears once how it went, unless it is dropped. */
+    /** One request that it holds; the end hears once how it went, unless it is dropped. */
     public static final class Job {
         private final double work;
         private final Ended ended;
@@ -26,7 +26,7 @@
         void ended(boolean ran);
     }
 
-    /** Seconds over which utilisation is a mean, and exchanges that may wait for each core. */
+    /** Seconds over which utilisation is a mean, and requests that may wait for each core. */
     private static final double MEAN = 0.1;
 
     private static final int MOST_WAITING = 20;
@@ -54,7 +54,7 @@
 
     public double slow = 1;
     public double errors;
-    public double gradeErrors;
+    public double classErrors;
 
     /**
      * Creates one that is warm and idle, with so many cores and the slow-start rules that it obeys.
@@ -137,7 +137,7 @@
         busyAt = scheduler.now();
     }
 
-    /** Takes an exchange whose work is so many seconds of a core of speed one. */
+    /** Takes a request whose work is so many seconds of a core of speed one. */
     public Job take(double work, Ended ended) {
         Job job = new Job(work, ended);
         waiting.add(job);
--- a/src/main/java/lemondrift/lab/simulation/BackendFault.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFault.java
@@ -25,7 +25,7 @@
         SLOW,
         /** A share of what they get is answered with an error at once. */
         ERRORS,
-        /** The same for the last grade alone. */
+        /** The same for the last request class alone. */
         GRADE,
         /**
          * They are replaced one after another within the time, each drained first, successors cold.
@@ -33,7 +33,7 @@
         DEPLOY,
         /** Traffic is so many times the usual. */
         BURST,
-        /** Exchanges cost so many times the usual. */
+        /** Requests cost so many times the usual. */
         HEAVY,
         /** Discovery says nothing; what changed is told when it is over. */
         SILENCE
--- a/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
@@ -30,7 +30,7 @@
     private final double delay;
     private final Host host;
 
-    /** By how much traffic and the work of an exchange are more than usual now. */
+    /** By how much traffic and the work of a request are more than usual now. */
     public double traffic = 1;
 
     public double heavy = 1;
@@ -118,8 +118,8 @@
                 scheduler.after(trouble.lasts(), () -> backend.errors -= trouble.strength());
             }
             case GRADE -> {
-                backend.gradeErrors += trouble.strength();
-                scheduler.after(trouble.lasts(), () -> backend.gradeErrors -= trouble.strength());
+                backend.classErrors += trouble.strength();
+                scheduler.after(trouble.lasts(), () -> backend.classErrors -= trouble.strength());
             }
             default -> throw new IllegalStateException(trouble.kind() + " falls on no backend");
         }
--- a/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
+++ b/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
@@ -13,7 +13,7 @@
     /** Who holds so many beyond its cores makes another's idleness a fault. */
     private static final int CROWDED = 3;
 
-    /** Sends are counted over this share of a contract time. */
+    /** Sends are counted over this share of a latency objective. */
     private static final double TOGETHER = 0.1;
 
     private final int cores;
@@ -34,7 +34,7 @@
     private int mostTogether;
     private double[] idleIn = {};
 
-    /** All are fit and hold nothing at first; the contract time is the shortest. */
+    /** All are fit and hold nothing at first; the latency objective is the shortest. */
     public LoadEvenness(int backends, int cores, double contractTime) {
         this.cores = cores;
         together = TOGETHER * contractTime;
@@ -129,7 +129,7 @@
         }
     }
 
-    /** An exchange was sent to a backend. */
+    /** An request was sent to a backend. */
     public void sends(int backend, double time) {
         passes(time);
         while (!sends.isEmpty() && sends.peek()[0] < time - together) {
@@ -164,11 +164,11 @@
     /**
      * The figures of a day.
      *
-     * @param waste share of backends that stand idle while as many exchanges wait elsewhere, over
+     * @param waste share of backends that stand idle while as many requests wait elsewhere, over
      *     time
      * @param idle share of backends that are fit and idle, over time
      * @param fullest what the fullest backend holds, over time
-     * @param herd most exchanges sent to one backend within a tenth of a contract time
+     * @param herd most requests sent to one backend within a tenth of a latency objective
      * @param longestIdle longest time, in seconds, that one stood idle while another held three or
      *     more beyond its cores
      * @param least served by the backend with the least, over the mean
--- a/src/main/java/lemondrift/lab/simulation/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -24,7 +24,7 @@
     /** How many events before a broken rule are told. */
     private static final int TOLD = 12;
 
-    /** A rule was broken; the message names rule, exchange, time and the events before. */
+    /** A rule was broken; the message names rule, request, time and the events before. */
     public static final class Broken extends RuntimeException {
         private static final long serialVersionUID = 1;
         public final int rule;
@@ -37,7 +37,7 @@
 
     private record Event(double at, String what, int proxy, long exchange, int backend) {}
 
-    /** What was seen of one exchange. */
+    /** What was seen of one request. */
     private static final class Seen {
         final List<Attempt> forwards = new ArrayList<>();
         final Map<Attempt, AttemptOutcome> outcomes = new HashMap<>();
@@ -207,7 +207,7 @@
                                 / settings.rules().slowStartSeconds();
         double bearable =
                 settings.rules().overloadFactor() * share * capacity[attempt.backend] * window;
-        // One exchange that is heavier than the window's budget by itself pushes nobody over.
+        // One request that is heavier than the window's budget by itself pushes nobody over.
         if (sent.size() > 1 && sent.stream().mapToDouble(Sent::work).sum() > bearable) {
             broken(
                     4,
@@ -229,7 +229,7 @@
         }
     }
 
-    /** A final answer; shed promises that a retry is harmless. */
+    /** A final answer; rejected promises that a retry is harmless. */
     public void answered(int proxy, Request request, boolean shed, double now) {
         saw(now, shed ? "shed" : "answered", proxy, request.id, -1);
         Seen seen = open.get(request);
@@ -284,7 +284,7 @@
         cold.get(backend).clear();
     }
 
-    /** How many exchanges it still knows; bounded by those that are open. */
+    /** How many requests it still knows; bounded by those that are open. */
     public int known() {
         return open.size();
     }
--- a/src/main/java/lemondrift/lab/simulation/RunResult.java
+++ b/src/main/java/lemondrift/lab/simulation/RunResult.java
@@ -1,46 +1,65 @@
 package lemondrift.lab.simulation;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** What came of a day. Benefit counts once for what a client wants, however often it asks. */
+/**
+ * What came of a day. Priority weight counts once for what a client wants, however often it asks.
+ */
 public final class RunResult {
-    /** The share of benefit that counts as served as usual, and over how many seconds. */
+    /** The share of priority weight that counts as served as usual, and over how many seconds. */
     private static final double USUAL = 0.95;
 
     private static final int BACK_OVER = 3;
 
-    /** Benefit that clients wanted, and that was answered within the contract time. */
-    public double wanted;
+    /** Priority weight that clients wanted, and that was answered within the latency objective. */
+    @JsonProperty("wanted")
+    public double requestedWeight;
 
-    public double served;
+    @JsonProperty("served")
+    public double servedWeight;
 
-    /** Exchanges that proxies took, and how they ended; forwards made, probes sent. */
-    public long taken;
+    /** Requests that proxies took, and how they ended; attempts made, probes sent. */
+    @JsonProperty("taken")
+    public long accepted;
+
+    @JsonProperty("delivered")
+    public long succeeded;
 
-    public long delivered;
     public long late;
-    public long shed;
-    public long scrapped;
+
+    @JsonProperty("shed")
+    public long rejected;
+
+    @JsonProperty("scrapped")
+    public long failed;
+
     public long unanswered;
-    public long forwards;
+
+    @JsonProperty("forwards")
+    public long attempts;
+
     public long probes;
 
     /**
-     * What clients want, how often they had it within the contract time, and whom a closed door
+     * What clients want, how often they had it within the latency objective, and whom a closed door
      * met.
      */
-    public long wants;
+    @JsonProperty("wants")
+    public long clientRequests;
 
     public long inTime;
     public long unreached;
 
     /** Bytes that proxies told one another, and in how many messages. */
-    public long told;
+    @JsonProperty("told")
+    public long gossipBytes;
 
-    public long messages;
+    @JsonProperty("messages")
+    public long gossipMessages;
 
     /** Processes that ended by themselves or did not drain. */
     public long crashed;
@@ -49,60 +68,73 @@
      * The share of a core and the megabytes that a process takes, the mean and the most, on
      * processes.
      */
-    public double cpu;
+    @JsonProperty("cpu")
+    public double cpuShare;
 
-    public double memory;
+    @JsonProperty("memory")
+    public double memoryMegabytes;
 
     /**
      * Seconds until a client has what it wants, counted from when it was due: median, 99th
      * percentile.
      */
-    public double p50;
+    @JsonProperty("p50")
+    public double medianSeconds;
 
-    public double p99;
+    @JsonProperty("p99")
+    public double p99Seconds;
 
     /** Cold backends that were pushed over and stayed down. */
-    public long fallen;
+    @JsonProperty("fallen")
+    public long overloadedColdBackends;
 
     /**
-     * Benefit wanted and served by the second in which it was wanted; forwards that failed, by
-     * backend.
+     * Priority weight wanted and served by the second in which it was wanted; attempts that failed,
+     * by backend.
      */
-    public final double[] wantedIn;
+    @JsonProperty("wantedIn")
+    public final double[] requestedWeightPerSecond;
 
-    public final double[] servedIn;
+    @JsonProperty("servedIn")
+    public final double[] servedWeightPerSecond;
 
     /**
-     * By second, on processes: exchanges shed, the share of backends fit and idle, benefit borne.
+     * By second, on processes: requests rejected, the share of backends fit and idle, priority
+     * weight borne.
      */
-    public final double[] shedIn;
+    @JsonProperty("shedIn")
+    public final double[] rejectedPerSecond;
+
+    @JsonProperty("idleIn")
+    public final double[] idleSharePerSecond;
 
-    public final double[] idleIn;
-    public final double[] borneIn;
+    @JsonProperty("borneIn")
+    public final double[] servableWeightPerSecond;
 
-    public final long[] failedAt;
+    @JsonProperty("failedAt")
+    public final long[] failedAttemptsByBackend;
 
     /** How evenly the backends were used; null while the day is played. */
     public LoadEvenness.Measure evenness;
 
     /** Creates one with all figures at zero. */
     public RunResult(Scenario scenario) {
-        wantedIn = new double[(int) Math.ceil(scenario.lasts()) + 1];
-        servedIn = new double[wantedIn.length];
-        shedIn = new double[wantedIn.length];
-        idleIn = new double[wantedIn.length];
-        borneIn = new double[wantedIn.length];
-        failedAt = new long[scenario.backends()];
+        requestedWeightPerSecond = new double[(int) Math.ceil(scenario.lasts()) + 1];
+        servedWeightPerSecond = new double[requestedWeightPerSecond.length];
+        rejectedPerSecond = new double[requestedWeightPerSecond.length];
+        idleSharePerSecond = new double[requestedWeightPerSecond.length];
+        servableWeightPerSecond = new double[requestedWeightPerSecond.length];
+        failedAttemptsByBackend = new long[scenario.backends()];
     }
 
-    /** The first second of the window of so many in which most benefit was lost. */
+    /** The first second of the window of so many in which most priority weight was lost. */
     public int worstWindow(int seconds) {
         int worst = 0;
         double most = -1;
-        for (int from = 0; from + seconds <= wantedIn.length; from++) {
+        for (int from = 0; from + seconds <= requestedWeightPerSecond.length; from++) {
             double lost = 0;
             for (int s = from; s < from + seconds; s++) {
-                lost += wantedIn[s] - servedIn[s];
+                lost += requestedWeightPerSecond[s] - servedWeightPerSecond[s];
             }
             if (lost > most) {
                 most = lost;
@@ -113,49 +145,50 @@
     }
 
     /**
-     * Seconds from the start of the day after which benefit is served as usual to its end: the end
-     * of the last few seconds of which under 95% was served; 0 where there are none.
+     * Seconds from the start of the day after which priority weight is served as usual to its end:
+     * the end of the last few seconds of which under 95% was served; 0 where there are none.
      */
     public int backAfter() {
         int back = 0;
-        for (int from = 0; from + BACK_OVER <= wantedIn.length - 1; from++) {
+        for (int from = 0; from + BACK_OVER <= requestedWeightPerSecond.length - 1; from++) {
             double wanted = 0;
             double served = 0;
             for (int s = from; s < from + BACK_OVER; s++) {
-                wanted += wantedIn[s];
-                served += servedIn[s];
+                wanted += requestedWeightPerSecond[s];
+                served += servedWeightPerSecond[s];
             }
             back = served < USUAL * wanted ? from + BACK_OVER : back;
         }
         return back;
     }
 
-    /** The backends at which most forwards failed, so many at the most, the worst first. */
+    /** The backends at which most attempts failed, so many at the most, the worst first. */
     public List<Integer> worstBackends(int most) {
-        return IntStream.range(0, failedAt.length)
+        return IntStream.range(0, failedAttemptsByBackend.length)
                 .boxed()
-                .filter(i -> failedAt[i] > 0)
-                .sorted(Comparator.comparing((Integer i) -> -failedAt[i]))
+                .filter(i -> failedAttemptsByBackend[i] > 0)
+                .sorted(Comparator.comparing((Integer i) -> -failedAttemptsByBackend[i]))
                 .limit(most)
                 .toList();
     }
 
-    /** The share of benefit answered in time, 0 to 1. */
+    /** The share of priority weight answered in time, 0 to 1. */
     public double service() {
-        return wanted == 0 ? 1 : served / wanted;
+        return requestedWeight == 0 ? 1 : servedWeight / requestedWeight;
     }
 
     /**
-     * Benefit answered in time, of what the backends could have borne; 1 where that is not known.
+     * Priority weight answered in time, of what the backends could have borne; 1 where that is not
+     * known.
      */
     public double ofBearable() {
-        double all = Arrays.stream(borneIn).sum();
-        return all == 0 ? 1 : served / all;
+        double all = Arrays.stream(servableWeightPerSecond).sum();
+        return all == 0 ? 1 : servedWeight / all;
     }
 
-    /** The share of what clients want that they had within the contract time, 0 to 1. */
+    /** The share of what clients want that they had within the latency objective, 0 to 1. */
     public double inTimeShare() {
-        return wants == 0 ? 1 : (double) inTime / wants;
+        return clientRequests == 0 ? 1 : (double) inTime / clientRequests;
     }
 
     @Override
@@ -164,16 +197,16 @@
                 "service %.4f, taken %d, delivered %d, late %d, shed %d, scrapped %d, unanswered"
                         + " %d, forwards %d, probes %d, fallen %d, told %d, waste %.4f, herd %d",
                 service(),
-                taken,
-                delivered,
+                accepted,
+                succeeded,
                 late,
-                shed,
-                scrapped,
+                rejected,
+                failed,
                 unanswered,
-                forwards,
+                attempts,
                 probes,
-                fallen,
-                told,
+                overloadedColdBackends,
+                gossipBytes,
                 evenness == null ? 0 : evenness.waste(),
                 evenness == null ? 0 : evenness.herd());
     }
--- a/src/main/java/lemondrift/lab/simulation/Scenario.java
+++ b/src/main/java/lemondrift/lab/simulation/Scenario.java
@@ -6,12 +6,12 @@
 /**
  * One day of a world.
  *
- * @param settings what the proxies are told, grades and rules among it; times in seconds
+ * @param settings what the proxies are told, request classes and rules among it; times in seconds
  * @param proxies how many instances decide, 1 or more; the settings' balancer count says the same
  * @param backends how many there are, 0 or more
  * @param cores of each backend, 1 or more
- * @param rate exchanges that clients ask for a second, over all proxies
- * @param work mean seconds of one core that an exchange takes; it is lognormal with the spread
+ * @param rate requests that clients ask for a second, over all proxies
+ * @param work mean seconds of one core that a request takes; it is lognormal with the spread
  * @param spread the standard deviation of the work's logarithm
  * @param tries how often a client asks at the most, 1 or more
  * @param way seconds from a proxy to a backend or back
--- a/src/main/java/lemondrift/lab/simulation/ServableOracle.java
+++ b/src/main/java/lemondrift/lab/simulation/ServableOracle.java
@@ -8,14 +8,14 @@
 
 /**
  * What backends could have served, second by second, by one who knows what they bear and gives what
- * they do to the exchanges of most benefit. Nothing waits for it and nothing is carried over, so
- * that a day may come to a little more: by what was asked again later.
+ * they do to the requests of most priority weight. Nothing waits for it and nothing is carried
+ * over, so that a day may come to a little more: by what was asked again later.
  */
 public final class ServableOracle {
     private final List<RequestClass> requestClasses;
     private final int[] byBenefit;
 
-    /** Exchanges wanted, by second and grade, and borne, by second. */
+    /** Requests wanted, by second and request class, and borne, by second. */
     private final double[][] wanted;
 
     private final double[] borne;
@@ -35,17 +35,17 @@
         borne = new double[seconds];
     }
 
-    /** One of a grade is wanted in a second. */
+    /** One of a request class is wanted in a second. */
     public void wants(int second, int requestClass) {
         wanted[second][requestClass]++;
     }
 
-    /** Backends do the work of so many more exchanges in a second. */
+    /** Backends do the work of so many more requests in a second. */
     public void bears(int second, double exchanges) {
         borne[second] += exchanges;
     }
 
-    /** The benefit that could have been served of what was wanted in each second. */
+    /** The priority weight that could have been served of what was wanted in each second. */
     public double[] benefit() {
         double[] benefit = new double[borne.length];
         Arrays.setAll(benefit, this::benefit);
--- a/src/main/java/lemondrift/lab/simulation/Simulation.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -126,7 +126,7 @@
 
     /** Plays the day to its end. Throws Referee.Broken at the first rule that is broken. */
     public RunResult play() {
-        // The first lists come with the start; a proxy that knows no backend would shed all.
+        // The first lists come with the start; a proxy that knows no backend would rejected all.
         List<EndpointUpdate> all = new ArrayList<>();
         for (int i = 0; i < backends.length; i++) {
             all.add(endpointUpdate(i, EndpointUpdate.State.READY));
@@ -164,7 +164,7 @@
         Backend backend = backends[i];
         return !backend.isUp() || backend.silent > 0
                 ? Double.POSITIVE_INFINITY
-                : backend.load() + (backend.errors + backend.gradeErrors) * scenario.cores();
+                : backend.load() + (backend.errors + backend.classErrors) * scenario.cores();
     }
 
     /** The figures counted so far. */
@@ -180,9 +180,9 @@
         }
         int classIndex = random.nextInt(settings.requestClasses().size());
         RequestClass requestClass = settings.requestClasses().get(classIndex);
-        result.wanted += requestClass.priorityWeight();
-        result.wants++;
-        result.wantedIn[(int) scheduler.now()] += requestClass.priorityWeight();
+        result.requestedWeight += requestClass.priorityWeight();
+        result.clientRequests++;
+        result.requestedWeightPerSecond[(int) scheduler.now()] += requestClass.priorityWeight();
         sendClientRequest(
                 new ClientRequest(
                         classIndex,
@@ -205,7 +205,7 @@
                         scheduler.now(),
                         requestClass.timeoutSeconds());
         openClientRequests.put(request, clientRequest);
-        result.taken++;
+        result.accepted++;
         referee.taken(proxy, request, scheduler.now());
         deadlines.put(
                 request, scheduler.at(request.deadline, () -> deadlinePassed(proxy, request)));
@@ -228,18 +228,18 @@
         deadlines.remove(request).cancel();
         RequestClass requestClass = settings.requestClasses().get(clientRequest.requestClass);
         if (delivered) {
-            result.delivered++;
+            result.succeeded++;
             boolean inTime = scheduler.now() <= clientRequest.objectiveAt;
             double brought =
                     inTime ? requestClass.priorityWeight() : requestClass.latePriorityWeight();
-            result.served += brought;
-            result.servedIn[clientRequest.second] += brought;
+            result.servedWeight += brought;
+            result.servedWeightPerSecond[clientRequest.second] += brought;
             result.late += inTime ? 0 : 1;
             result.inTime += inTime ? 1 : 0;
         } else {
-            result.shed += shed ? 1 : 0;
-            result.scrapped += shed ? 0 : 1;
-            // What was scrapped may have run: a careful client does not ask for it again.
+            result.rejected += shed ? 1 : 0;
+            result.failed += shed ? 0 : 1;
+            // What was failed may have run: a careful client does not ask for it again.
             if (shed && clientRequest.tries < scenario.tries()) {
                 scheduler.after(
                         retryAfter > 0
@@ -289,8 +289,8 @@
      */
     private double sendGossip(int proxy) {
         for (LoadGossip.Message each : policies[proxy].dueMessages(scheduler.now())) {
-            result.told += each.datagram().length;
-            result.messages++;
+            result.gossipBytes += each.datagram().length;
+            result.gossipMessages++;
             if (random.nextDouble() >= GOSSIP_LOSS_SHARE) {
                 scheduler.after(
                         GOSSIP_DELAY_SECONDS * (0.5 + random.nextDouble()),
@@ -313,7 +313,7 @@
                 scenario.work()
                         * faultInjector.heavy
                         * Math.exp(spread * normal.sample() - spread * spread / 2);
-        result.forwards++;
+        result.attempts++;
         referee.sent(proxy, attempt, work, scheduler.now());
         SentAttempt sent = new SentAttempt(proxy, work);
         inFlight.put(attempt, sent);
@@ -338,13 +338,13 @@
                         < Math.max(
                                 backend.errors,
                                 attempt.request.requestClass == settings.requestClasses().size() - 1
-                                        ? backend.gradeErrors
+                                        ? backend.classErrors
                                         : 0);
         if (!backend.isUp()) {
             respond(attempt, AttemptOutcome.CONNECT_FAILED);
         } else if (backend.fallsOver(sent.work)) {
             // It stays down for the day: nobody brings it back.
-            result.fallen++;
+            result.overloadedColdBackends++;
             faultInjector.dies(attempt.backend, true);
             respond(attempt, AttemptOutcome.CONNECT_FAILED);
         } else if (backend.isFull()) {
@@ -377,7 +377,7 @@
         sent.timeOut.cancel();
         referee.ended(attempt, outcome, scheduler.now());
         boolean wins = outcome == AttemptOutcome.SUCCESS && !attempt.request.completed;
-        result.failedAt[attempt.backend] +=
+        result.failedAttemptsByBackend[attempt.backend] +=
                 outcome == AttemptOutcome.SUCCESS || outcome == AttemptOutcome.CANCELLED ? 0 : 1;
         if (outcome == AttemptOutcome.SUCCESS) {
             evenness.served(attempt.backend);
--- a/src/main/java/org/xnio/nio/InheritedServer.java
+++ b/src/main/java/org/xnio/nio/InheritedServer.java
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Accepts no more, and lets go of the socket. Danger: XNIO closes at its end what is still
-     * registered, and with this socket the JDK leads standard output and error to nowhere.
+     * Accepts no more, and lets go of the socket. Guards against XNIO closing the inherited socket
+     * at its end, with which the JDK would lead standard output and error to nowhere.
      */
     public void stop() {
         stopped = true;
--- a/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
@@ -45,7 +45,7 @@
         RunResult last = null;
         for (int i = 0; i < TRIES; i++) {
             last = play(List.of());
-            if (last.delivered == last.wants && last.shed == 0) {
+            if (last.succeeded == last.clientRequests && last.rejected == 0) {
                 return;
             }
         }
@@ -55,7 +55,7 @@
     private static void allAreAnswered(RunResult day) {
         assertEquals(0, day.unanswered, day.toString());
         assertEquals(0, day.unreached, day.toString());
-        assertTrue(day.wants > 0 && day.delivered > 0, day.toString());
+        assertTrue(day.clientRequests > 0 && day.succeeded > 0, day.toString());
     }
 
     @Test
@@ -76,7 +76,7 @@
     void allDeafAndBack() throws Exception {
         RunResult day = play(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
         allAreAnswered(day);
-        assertTrue(day.messages > 0, "they go on telling");
+        assertTrue(day.gossipMessages > 0, "they go on telling");
         comesBack();
     }
 
@@ -88,7 +88,7 @@
                         List.of(),
                         fault(Kind.LATE, "all", "all", 0, 5, 1),
                         fault(Kind.KILL, "number 1", "all", 1, 0.5, 1));
-        assertEquals(0, day.fallen);
+        assertEquals(0, day.overloadedColdBackends);
         comesBack();
     }
 
@@ -105,7 +105,10 @@
                         List.of(new BackendFault(BackendFault.Kind.DEPLOY, 0.5, 3, 0.5, 1)),
                         fault(Kind.ROLL, "all", "all", 0.5, 4, 1),
                         cut(Fault.Channel.DISCOVERY, "30%", "all", 1, 2));
-        assertEquals(0, day.fallen, "no cold backend is pushed over by all of them together");
+        assertEquals(
+                0,
+                day.overloadedColdBackends,
+                "no cold backend is pushed over by all of them together");
         comesBack();
     }
 
@@ -129,7 +132,10 @@
             FleetTestbed.Played day =
                     direct.play(List.of(), List.of(fault(Kind.KILL, "all", "all", 0, 1, 1)), 1);
             assertNull(day.broken());
-            assertEquals(day.figures().wants, day.figures().delivered, day.figures().toString());
+            assertEquals(
+                    day.figures().clientRequests,
+                    day.figures().succeeded,
+                    day.figures().toString());
             assertEquals(List.of(), direct.stop());
         }
     }
--- a/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
+++ b/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
@@ -43,7 +43,10 @@
 
     private static RunResult play(List<BackendFault> troubles, Fault... faults) throws Exception {
         RunResult day = Fleets.play(stand, troubles, faults);
-        assertEquals(0, day.fallen, "no cold backend is pushed over by all of them together");
+        assertEquals(
+                0,
+                day.overloadedColdBackends,
+                "no cold backend is pushed over by all of them together");
         return day;
     }
 
@@ -55,8 +58,8 @@
         RunResult last = null;
         for (int i = 0; i < TRIES; i++) {
             last = play(List.of());
-            if (last.delivered == last.wants
-                    && last.shed == 0
+            if (last.succeeded == last.clientRequests
+                    && last.rejected == 0
                     && IntStream.range(0, Fleets.PROXIES).allMatch(p -> isSettled(log(p)))) {
                 return;
             }
--- a/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
@@ -118,8 +118,8 @@
             FleetTestbed.Played played = traffic.get();
             assertNull(played.broken());
             assertEquals(
-                    played.figures().wants,
-                    played.figures().delivered,
+                    played.figures().clientRequests,
+                    played.figures().succeeded,
                     played.figures().toString());
             assertEquals(List.of(), its.stop());
         }
--- a/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
+++ b/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
@@ -20,7 +20,7 @@
                 Fleets.launcher(Path.of("deploy/peers.json"), Path.of("deploy/recovery.json"));
         SoakRun.Verdict verdict = SoakRun.play(plan, launcher, line -> {});
         assertEquals(List.of(), verdict.wrong(), plan.about());
-        assertTrue(verdict.figures().delivered > 0, plan.about());
+        assertTrue(verdict.figures().succeeded > 0, plan.about());
     }
 
     @Test
--- a/src/test/java/lemondrift/lab/simulation/SimulationTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -83,21 +83,21 @@
         int worst = result.worstWindow(3);
         assertTrue(worst >= 7 && worst <= 9, "from " + worst);
         double lost = 0;
-        for (int s = 0; s < result.wantedIn.length; s++) {
-            lost += result.wantedIn[s] - result.servedIn[s];
+        for (int s = 0; s < result.requestedWeightPerSecond.length; s++) {
+            lost += result.requestedWeightPerSecond[s] - result.servedWeightPerSecond[s];
         }
-        assertEquals(result.wanted - result.served, lost, 1e-6);
+        assertEquals(result.requestedWeight - result.servedWeight, lost, 1e-6);
         assertEquals(2, result.worstBackends(2).size());
     }
 
     @Test
     void whereEveryBackendIsGoneAllIsAnsweredAtOnce() {
         RunResult none = Scenarios.play(Scenarios.of(2, 0, 1));
-        assertEquals(none.taken, none.shed);
+        assertEquals(none.accepted, none.rejected);
         RunResult gone =
                 Scenarios.play(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 4, 30, 1, 1)));
         assertEquals(0, gone.unanswered);
-        assertTrue(gone.shed > 0.5 * gone.taken, gone.toString());
+        assertTrue(gone.rejected > 0.5 * gone.accepted, gone.toString());
     }
 
     @Test
