--- a/src/main/java/lemondrift/model/EndpointUpdate.java
+++ b/src/main/java/lemondrift/model/EndpointUpdate.java
@@ -4,7 +4,7 @@
  * One backend as an endpoint list gives it.
  *
  * @param backend its index
- * @param newBackend whether another backend stood at the index before, so that nothing known of the
+ * @param newBackend whether the index did not stand for it before, so that nothing known of the
  *     index holds
  * @param location its zone
  * @param cell its cell, within the zone
