--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -4,17 +4,14 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.time.Durations;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
-import org.xnio.XnioExecutor;
 
 /**
  * One request on one connection and its response, buffered whole, or where it is long its beginning
@@ -22,16 +19,6 @@
  * #abandon}. It never retries. I/O thread only.
  */
 public final class BackendCall {
-    /**
-     * The time limits of a call whose response may be streamed.
-     *
-     * @param connectSeconds how long connecting may take
-     * @param responseSeconds how long the whole call may take; where the body is streamed, how long
-     *     the response may take after its last byte
-     * @param streamAfterSeconds after how much of that a response of unknown length is streamed
-     */
-    record Timeouts(double connectSeconds, double responseSeconds, double streamAfterSeconds) {}
-
     private enum State {
         /** Waits to be started, or for a connection; a place in the pool is reserved. */
         CONNECTING,
@@ -46,19 +33,13 @@
     private final ConnectionPool pool;
     private final RequestWriter request;
     private final ResponseReader reader;
-    private final double responseTimeoutSeconds;
-    private final Runnable onSent;
-    private final Consumer<BackendResponse> onEnd;
+    private final CallTimeouts timeouts;
 
     /** Whether anybody waits for the response. */
-    private BooleanSupplier isWanted = () -> true;
-
-    /** How long after the start a request may still be written, in seconds. */
-    private double sendWithinSeconds = Double.POSITIVE_INFINITY;
-
-    /** After how many seconds a response of unknown length is streamed; 0 for never. */
-    private double streamAfterSeconds;
+    private final BooleanSupplier isWanted;
 
+    private final Runnable onSent;
+    private final Consumer<BackendResponse> onEnd;
     private State state = State.CONNECTING;
 
     /** Null while connecting. */
@@ -67,27 +48,22 @@
     /** Null until the connect has begun. */
     private IoFuture<StreamConnection> connect;
 
-    private XnioExecutor.Key connectTimer;
-    private XnioExecutor.Key responseTimer;
-    private XnioExecutor.Key streamTimer;
-
-    private double startedAt;
-
     /** The buffer that a streamed response has taken over; null where there is none. */
     private PooledByteBuffer streamedBuffer;
 
     private BackendCall(
             ConnectionPool pool,
             RequestWriter.Request request,
-            int maxBufferedBytes,
-            boolean mayStream,
-            double responseTimeoutSeconds,
+            ResponseReader reader,
+            CallTimeouts timeouts,
+            BooleanSupplier isWanted,
             Runnable onSent,
             Consumer<BackendResponse> onEnd) {
         this.pool = pool;
         this.request = new RequestWriter(this, pool.io, request);
-        this.reader = new ResponseReader(maxBufferedBytes, mayStream);
-        this.responseTimeoutSeconds = responseTimeoutSeconds;
+        this.reader = reader;
+        this.timeouts = timeouts;
+        this.isWanted = isWanted;
         this.onSent = onSent;
         this.onEnd = onEnd;
     }
@@ -108,16 +84,24 @@
             double connectTimeoutSeconds,
             double timeoutSeconds,
             Consumer<BackendResponse> onEnd) {
+        CallTimeouts timeouts =
+                new CallTimeouts(
+                        pool.io,
+                        pool.clock,
+                        connectTimeoutSeconds,
+                        timeoutSeconds,
+                        Double.POSITIVE_INFINITY,
+                        0);
         BackendCall call =
                 new BackendCall(
                         pool,
                         new RequestWriter.Request(request),
-                        maxBodyBytes,
-                        false,
-                        timeoutSeconds,
+                        new ResponseReader(maxBodyBytes, false),
+                        timeouts,
+                        () -> true,
                         () -> {},
                         onEnd);
-        return call.reserve(connectTimeoutSeconds) ? call : null;
+        return call.reserve() ? call : null;
     }
 
     /**
@@ -134,7 +118,7 @@
             ConnectionPool pool,
             RequestWriter.Request request,
             int maxBufferedBytes,
-            Timeouts timeouts,
+            CallTimeouts timeouts,
             BooleanSupplier isWanted,
             Runnable onSent,
             Consumer<BackendResponse> onEnd) {
@@ -142,15 +126,12 @@
                 new BackendCall(
                         pool,
                         request,
-                        maxBufferedBytes,
-                        true,
-                        timeouts.responseSeconds,
+                        new ResponseReader(maxBufferedBytes, true),
+                        timeouts,
+                        isWanted,
                         onSent,
                         onEnd);
-        call.isWanted = isWanted;
-        call.sendWithinSeconds = timeouts.responseSeconds;
-        call.streamAfterSeconds = timeouts.streamAfterSeconds;
-        return call.reserve(timeouts.connectSeconds) ? call : null;
+        return call.reserve() ? call : null;
     }
 
     /** The bytes of a GET request without a body. */
@@ -160,7 +141,7 @@
     }
 
     /** Takes an idle connection or a place for a new one, and starts the timers. */
-    private boolean reserve(double connectTimeoutSeconds) {
+    private boolean reserve() {
         link = pool.takeRested();
         if (link == null && !pool.reserve()) {
             link = pool.takeIdle();
@@ -168,23 +149,13 @@
                 return false;
             }
         }
-        startedAt = pool.clock.now();
-        if (!request.streamsBody()) {
-            responseTimer = startTimeout(responseTimeoutSeconds);
-        }
-        if (link == null) {
-            connectTimer = startTimeout(connectTimeoutSeconds);
-        } else {
+        if (link != null) {
             state = State.CONNECTED;
         }
+        timeouts.start(request.streamsBody(), link == null, () -> endFailed(true));
         return true;
     }
 
-    private XnioExecutor.Key startTimeout(double seconds) {
-        long nanos = Durations.toNanos(Math.max(0, seconds));
-        return pool.io.executeAfter(() -> endFailed(true), nanos, TimeUnit.NANOSECONDS);
-    }
-
     /** Sends the request, on the connection at hand or once one is established. */
     public void start() {
         if (link != null) {
@@ -219,7 +190,7 @@
         }
         link = pool.opened(connection);
         state = State.CONNECTED;
-        connectTimer.remove();
+        timeouts.connected();
         send();
     }
 
@@ -230,7 +201,7 @@
             return;
         }
         // Guards against a stale time: less is left than before the connection was established.
-        request.makeHead(startedAt + responseTimeoutSeconds - pool.clock.now());
+        request.makeHead(timeouts.secondsLeft());
         link.connection.getSourceChannel().setReadListener(source -> read());
         link.connection.getSourceChannel().resumeReads();
         request.start(link.connection.getSinkChannel());
@@ -243,25 +214,20 @@
 
     /** Whether the request is worth sending: somebody waits for the response and it has time. */
     boolean isStillWanted() {
-        return isWanted.getAsBoolean() && !isLate();
-    }
-
-    private boolean isLate() {
-        return !request.streamsBody() && pool.clock.now() >= startedAt + sendWithinSeconds;
+        return isWanted.getAsBoolean() && (request.streamsBody() || !timeouts.isTooLateToSend());
     }
 
     /** The last byte of the request is with the kernel. */
     void requestSent() {
         if (request.streamsBody()) {
-            startedAt = pool.clock.now();
-            responseTimer = startTimeout(responseTimeoutSeconds);
+            timeouts.bodyStreamed();
         }
         onSent.run();
     }
 
     /** The instant at which it was made, or at which the last byte of a streamed body had gone. */
     double startedAt() {
-        return startedAt;
+        return timeouts.startedAt();
     }
 
     private void read() {
@@ -312,15 +278,8 @@
      * Guards against a client that hears nothing until too late of a response that comes slowly.
      */
     private void scheduleStreaming() {
-        if (!isDone()
-                && reader.isLengthUnknown()
-                && streamAfterSeconds > 0
-                && streamTimer == null
-                && request.isSent()) {
-            double left = Math.max(0, startedAt + streamAfterSeconds - pool.clock.now());
-            streamTimer =
-                    pool.io.executeAfter(
-                            this::streamIncomplete, Durations.toNanos(left), TimeUnit.NANOSECONDS);
+        if (!isDone() && reader.isLengthUnknown() && request.isSent()) {
+            timeouts.scheduleStreaming(this::streamIncomplete);
         }
     }
 
@@ -390,15 +349,7 @@
 
     private void finish() {
         state = State.DONE;
-        remove(responseTimer);
+        timeouts.stop();
         request.stop();
-        remove(connectTimer);
-        remove(streamTimer);
-    }
-
-    private static void remove(XnioExecutor.Key timer) {
-        if (timer != null) {
-            timer.remove();
-        }
     }
 }
--- a/src/main/java/lemondrift/proxy/backend/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -134,9 +134,12 @@
                         new RequestWriter.Request(
                                 RequestHead.of(pending), pending.body(), streamedBody),
                         MAX_BUFFERED_BYTES,
-                        new BackendCall.Timeouts(
+                        new CallTimeouts(
+                                io,
+                                clock,
                                 config.connectTimeoutSeconds(),
                                 responseSeconds,
+                                responseSeconds,
                                 STREAM_AFTER_SHARE * responseSeconds),
                         () -> isClientWaiting.test(pending),
                         metrics::attemptSent,
