--- a/src/main/java/lemondrift/proxy/backend/CallTimeouts.java
+++ b/src/main/java/lemondrift/proxy/backend/CallTimeouts.java
@@ -51,9 +51,7 @@
         this.streamAfterSeconds = streamAfterSeconds;
     }
 
-    /**
-     * The call starts: the response's time counts, unless the body is streamed, the connect's too.
-     */
+    /** The call starts: the time for its connect and, unless its body is streamed, its response. */
     void start(boolean streamsBody, boolean connecting, Runnable timeoutAction) {
         onTimeout = timeoutAction;
         startedAt = clock.now();
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -21,7 +21,10 @@
 public final class ConnectionPool {
     /** A connection of the pool, in use for one request or idle. */
     public static final class Link {
+        /** Its socket. */
         public final StreamConnection connection;
+
+        /** Since when it is idle; without meaning while it is in use. */
         private double idleSince;
 
         private Link(StreamConnection connection) {
@@ -108,10 +111,13 @@
      * @param memorySeconds how long after unexpected bytes connections still rest
      */
     public record Rest(double restSeconds, double memorySeconds) {
+        /** Connections are used again at once. */
         public static final Rest NONE = new Rest(0, 0);
     }
 
+    /** Where all its connections lead. */
     public final InetSocketAddress address;
+
     final XnioIoThread io;
     final BackendConnector connector;
     final ByteBufferPool buffers;
