--- a/src/main/java/lemondrift/Main.java
+++ b/src/main/java/lemondrift/Main.java
@@ -11,6 +11,10 @@
 public final class Main {
     private Main() {}
 
+    /**
+     * Runs the command that the arguments name. Exits with its code, but for serve, which returns
+     * once the proxy serves and lives until SIGTERM.
+     */
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
--- a/src/main/java/lemondrift/gossip/LoadGossip.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -1,286 +1,213 @@
 package lemondrift.gossip;
 
-import java.nio.ByteBuffer;
-import java.util.ArrayDeque;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Queue;
 import java.util.function.IntConsumer;
 import java.util.stream.IntStream;
 import java.util.zip.CRC32;
 
 /**
- * What the proxies of one bank have out, told in datagrams: each tells another the backends of its
- * exchanges that are out, as far as the other uses them (SubsetAssignment), whenever that has
- * changed, at a pace. So what a proxy tells does not grow with their number. A telling says how
- * things stand, not what happened, so that one which is lost or comes twice does no harm. Backends
- * go by a tag of their id. Times are in seconds.
+ * What the proxies of a fleet have in flight, told each other in datagrams: to each peer go the
+ * backends of the attempts in flight, as far as the peer uses them ({@link SubsetAssignment}),
+ * whenever that has changed, at a limited rate. So what a proxy sends does not grow with the number
+ * of proxies. A message says what is, not what happened: one that is lost or comes twice does no
+ * harm. Backends go by a tag of their id. Times are in seconds of one clock.
  */
 public final class LoadGossip {
-    public static final int MAX_DATAGRAM_BYTES = 256;
-    private static final byte KIND = 4;
+    /** A datagram's size limit, in bytes. */
+    public static final int MAX_DATAGRAM_BYTES = GossipDatagram.MAX_BYTES;
 
-    /** Of a number the low bits count, and the others are of the sender's start number. */
-    private static final int COUNT_BITS = 12;
+    /** For so many expiries a silent peer's start and sequence number are remembered. */
+    private static final double REMEMBERED_EXPIRIES = 2;
 
-    private static final int COUNTS = 1 << COUNT_BITS;
-    private static final int STARTS = 16;
-    private static final int NONE = -1;
+    /** An abandoned attempt counts as in flight for this share of the expiry. */
+    private static final double ABANDONED_SHARE = 0.125;
 
-    /**
-     * A former self, and how far one has counted, are remembered for so many times the span of a
-     * telling.
-     */
-    private static final double REMEMBERED = 2;
-
-    private static final int HEAD = 3;
-    private static final int TAG_BYTES = 3;
-    private static final int TAG_BITS = 24;
-    private static final int MOST = (MAX_DATAGRAM_BYTES - HEAD) / TAG_BYTES;
-
-    /** One that was given up counts as out for this share of the same span. */
-    private static final double LINGER = 0.125;
+    /** What has not changed is sent again after this share of the expiry. */
+    private static final double REPEAT_SHARE = 0.4;
 
     /**
-     * An unchanged telling is told again after this share of the span after which one is forgotten.
+     * What goes to one peer.
+     *
+     * @param to the peer's number
+     * @param datagram its bytes
      */
-    private static final double AGAIN = 0.4;
-
-    /** An exchange that was given up, and until when it counts. */
-    private record Lingering(int tag, double until) {}
-
-    /** What goes to one other proxy. */
     public record Message(int to, byte[] datagram) {}
 
-    /** One other proxy as last told, and what it was told last. */
-    private static final class Peer {
-        private int number;
-        private int told;
-        private int start = NONE;
-        private int former = NONE;
-        private int[] tags = {};
-        private double heardAt = Double.NEGATIVE_INFINITY;
-        private double toldAt = Double.NEGATIVE_INFINITY;
-        private boolean dirty;
-        private boolean knows;
-    }
-
-    /**
-     * Of how many gaps between two tellings the mean is; how many of them, and paces, are a
-     * silence.
-     */
-    private static final double LATELY = 32;
-
-    private static final double SILENCE = 12;
-    private static final double LEAST_SILENCE = 4;
-
-    private final Peer[] peers;
+    private final PeerState[] peers;
     private final int self;
-    private final int start;
-    private final double pace;
-    private final double forget;
-    private final IntConsumer changed;
+    private final int startBits;
+    private final double minIntervalSeconds;
+    private final double expirySeconds;
     private final SubsetAssignment subsets;
-    private final Map<Integer, Integer> others = new HashMap<>();
-    private final Map<Integer, Integer> own = new HashMap<>();
-
-    /** When another was last heard, and the mean time between two tellings. */
-    private double latestAt = Double.NEGATIVE_INFINITY;
+    private final IntConsumer peerLoadChanged;
+    private final PeerSilence silence;
 
-    private double gap;
+    /** What the peers have in flight. */
+    private final TagCounts peerAttempts = new TagCounts();
 
-    private final Queue<Lingering> lingering = new ArrayDeque<>();
+    /** What this proxy reports as in flight. */
+    private final TagCounts ownAttempts = new TagCounts();
 
-    /** How many linger, by tag. */
-    private final Map<Integer, Integer> lingeringByTag = new HashMap<>();
+    private final AbandonedAttempts abandoned = new AbandonedAttempts();
 
     /**
-     * The number of proxies, which of them this one is and its start number, the least seconds
-     * between two tellings to one, the seconds after which what one has told is forgotten, who uses
-     * which backends, and who hears of each tag of which the number out at the others has changed.
+     * The gossip of one proxy.
+     *
+     * @param proxies the number of proxies
+     * @param self this proxy's number among them
+     * @param startNumber its start number
+     * @param minIntervalSeconds the least time between two messages to one peer
+     * @param expirySeconds after this long without a message what a peer reported counts no more
+     * @param subsets who uses which backend
+     * @param peerLoadChanged hears each tag whose {@link #peerLoad} may have changed
      */
     public LoadGossip(
             int proxies,
             int self,
-            long start,
-            double pace,
-            double forget,
+            long startNumber,
+            double minIntervalSeconds,
+            double expirySeconds,
             SubsetAssignment subsets,
-            IntConsumer changed) {
-        peers = new Peer[proxies];
-        Arrays.setAll(peers, i -> new Peer());
+            IntConsumer peerLoadChanged) {
+        peers = new PeerState[proxies];
+        Arrays.setAll(peers, proxy -> new PeerState());
         this.self = self;
-        this.start = (int) (start % STARTS);
-        this.pace = pace;
-        this.forget = forget;
-        gap = forget;
+        startBits = GossipDatagram.startBits(startNumber);
+        this.minIntervalSeconds = minIntervalSeconds;
+        this.expirySeconds = expirySeconds;
         this.subsets = subsets;
-        this.changed = changed;
+        this.peerLoadChanged = peerLoadChanged;
+        silence = new PeerSilence(minIntervalSeconds, expirySeconds);
     }
 
+    /** The tag of a backend's id, the same at all proxies; two backends may share one. */
     public static int tag(String id) {
         CRC32 crc = new CRC32();
-        crc.update(id.getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        return (int) (crc.getValue() & (1 << TAG_BITS) - 1);
+        crc.update(id.getBytes(StandardCharsets.UTF_8));
+        return (int) (crc.getValue() & (1 << GossipDatagram.TAG_BITS) - 1);
     }
 
+    /** An attempt was sent to the backend of a tag. */
     public void attemptSent(int tag) {
-        own.merge(tag, 1, Integer::sum);
-        changes(tag);
+        ownAttempts.increment(tag);
+        reportChanged(tag);
     }
 
+    /** An attempt at the backend of a tag has ended. */
     public void attemptEnded(int tag) {
-        own.computeIfPresent(tag, (t, n) -> n > 1 ? n - 1 : null);
-        changes(tag);
+        ownAttempts.decrement(tag);
+        reportChanged(tag);
     }
 
     /**
-     * Nobody waits any more for an exchange that was sent to the backend of a tag; it counts as out
-     * for a while. Danger: the backend may be at work on it still, and where most are given up so,
-     * all look idle.
+     * The proxy waits no more for an attempt at the backend of a tag, which may still work on it;
+     * so it counts as in flight for a while.
      */
     public void attemptAbandoned(int tag, double now) {
-        lingering.add(new Lingering(tag, now + LINGER * forget));
-        lingeringByTag.merge(tag, 1, Integer::sum);
-        changed.accept(tag);
+        abandoned.add(tag, now + ABANDONED_SHARE * expirySeconds);
+        peerLoadChanged.accept(tag);
     }
 
-    private void lapse(double now) {
-        while (!lingering.isEmpty() && lingering.peek().until <= now) {
-            int tag = lingering.remove().tag;
-            lingeringByTag.computeIfPresent(tag, (t, n) -> n > 1 ? n - 1 : null);
-            attemptEnded(tag);
-            changed.accept(tag);
-        }
+    private void expireAbandoned(double now) {
+        abandoned.expire(
+                now,
+                tag -> {
+                    attemptEnded(tag);
+                    peerLoadChanged.accept(tag);
+                });
     }
 
-    private void changes(int tag) {
+    private void reportChanged(int tag) {
         for (int user : subsets.users(tag)) {
-            peers[user].dirty |= user != self;
+            if (user != self) {
+                peers[user].reportChanged();
+            }
         }
     }
 
     /**
-     * How many exchanges the others have out at a backend, and how many of its own it has given up
-     * there.
+     * How many attempts at a backend the peers have in flight, and how many of its own this proxy
+     * has abandoned there.
      */
     public int peerLoad(int tag) {
-        return others.getOrDefault(tag, 0) + lingeringByTag.getOrDefault(tag, 0);
+        return peerAttempts.get(tag) + abandoned.count(tag);
     }
 
-    /**
-     * How many of the others are heard. Danger: where none is any more, what they have out counts
-     * as nothing, and who went on by that would take all backends for idle; and until that is
-     * forgotten, by what they had out when they fell silent. So a silence of many times what is
-     * usual between two tellings is deafness.
-     */
+    /** How many peers were heard within the expiry; none where all have fallen silent. */
     public int livePeerCount(double now) {
-        boolean deaf = now - latestAt > Math.max(LEAST_SILENCE * pace, SILENCE * gap);
-        return deaf
+        return silence.isSilent(now)
                 ? 0
-                : (int) Arrays.stream(peers).filter(peer -> now - peer.heardAt <= forget).count();
+                : (int)
+                        Arrays.stream(peers)
+                                .filter(peer -> peer.wasReceivedWithin(expirySeconds, now))
+                                .count();
     }
 
     /**
-     * What another has told. Danger: datagrams come late, out of order, twice, cut, from a new
-     * start that counts from the beginning again, or from a former self after that; what can't be
-     * read or is older than what is held changes nothing.
+     * Takes over what a peer reports. Guards against datagrams that come late, out of order, twice,
+     * cut or from before a restart: what can't be read or is outdated changes nothing.
      */
     public void receive(int from, byte[] datagram, double now) {
-        Peer peer = from < 0 || from >= peers.length || from == self ? null : peers[from];
-        int length = datagram.length - HEAD;
-        if (peer == null || length < 0 || length % TAG_BYTES != 0 || datagram[0] != KIND) {
+        boolean fromPeer = from >= 0 && from < peers.length && from != self;
+        if (!fromPeer || !GossipDatagram.isReadable(datagram)) {
             return;
         }
-        ByteBuffer in = ByteBuffer.wrap(datagram, 1, datagram.length - 1);
-        int numbered = in.getShort() & 0xffff;
-        int start = numbered >> COUNT_BITS;
-        boolean known = now - peer.heardAt <= REMEMBERED * forget;
-        if (known
-                && (start == peer.former
-                        || (start == peer.start && !isAfter(numbered, peer.number)))) {
+        PeerState peer = peers[from];
+        int sequenceNumber = GossipDatagram.sequenceNumber(datagram);
+        boolean remembered = peer.wasReceivedWithin(REMEMBERED_EXPIRIES * expirySeconds, now);
+        if (remembered && peer.isOutdated(sequenceNumber)) {
             return;
         }
-        peer.former = known && start != peer.start ? peer.start : peer.former;
-        peer.start = start;
-        if (latestAt > Double.NEGATIVE_INFINITY) {
-            gap += (Math.min(forget, now - latestAt) - gap) / LATELY;
-        }
-        latestAt = now;
-        int[] before = peer.tags;
-        peer.tags = new int[length / TAG_BYTES];
-        Arrays.setAll(
-                peer.tags,
-                i -> (in.get() & 0xff) << 16 | (in.get() & 0xff) << 8 | (in.get() & 0xff));
-        peer.number = numbered;
-        peer.heardAt = now;
-        replace(before, peer.tags);
+        silence.received(now);
+        int[] tags = GossipDatagram.tags(datagram);
+        int[] before = peer.update(sequenceNumber, tags, remembered, now);
+        replacePeerAttempts(before, tags);
     }
 
     /**
-     * Another proxy has started anew, under a start number. Danger: what its former self had out
-     * would look busy until it is forgotten, and what that has told and still comes would be taken
-     * for the new one's.
+     * A peer has restarted. Guards against its former attempts making backends look busy until they
+     * expire, and against its former messages being taken for the new start's.
      */
-    public void peerRestarted(int proxy, long start) {
-        Peer peer = peers[proxy];
-        int[] before = peer.tags;
-        peer.tags = new int[0];
-        // Danger: two starts may share the bits that a telling has; then the new one must be heard.
-        boolean apart = peer.start != (int) (start % STARTS);
-        peer.former = apart ? peer.start : NONE;
-        peer.start = apart ? (int) (start % STARTS) : NONE;
-        peer.number = 0;
-        replace(before, peer.tags);
+    public void peerRestarted(int proxy, long startNumber) {
+        int[] before = peers[proxy].restart(GossipDatagram.startBits(startNumber));
+        replacePeerAttempts(before, new int[0]);
     }
 
-    /**
-     * Danger: what a proxy had out that was killed would keep its backends looking busy for good.
-     */
+    /** Drops what silent peers, as killed ones, have reported, and what has been abandoned long. */
     public void expireSilentPeers(double now) {
-        lapse(now);
-        for (Peer peer : peers) {
-            if (peer.tags.length > 0 && now - peer.heardAt > forget) {
-                int[] before = peer.tags;
-                peer.tags = new int[0];
-                replace(before, peer.tags);
+        expireAbandoned(now);
+        for (PeerState peer : peers) {
+            if (peer.hasReportedAny() && !peer.wasReceivedWithin(expirySeconds, now)) {
+                replacePeerAttempts(peer.clearTags(), new int[0]);
             }
         }
     }
 
-    /** Whether one number of a start comes after another, as they begin again after the last. */
-    private static boolean isAfter(int one, int other) {
-        int ahead = one - other & COUNTS - 1;
-        return ahead > 0 && ahead < COUNTS / 2;
-    }
-
-    private void replace(int[] before, int[] after) {
-        Arrays.stream(before)
-                .forEach(tag -> others.computeIfPresent(tag, (t, n) -> n > 1 ? n - 1 : null));
-        Arrays.stream(after).forEach(tag -> others.merge(tag, 1, Integer::sum));
-        Arrays.stream(before).forEach(changed);
-        Arrays.stream(after).forEach(changed);
+    private void replacePeerAttempts(int[] before, int[] after) {
+        Arrays.stream(before).forEach(peerAttempts::decrement);
+        Arrays.stream(after).forEach(peerAttempts::increment);
+        Arrays.stream(before).forEach(peerLoadChanged);
+        Arrays.stream(after).forEach(peerLoadChanged);
     }
 
-    /** When the next telling is due; infinite where nothing is to be told. */
+    /** When messages are due next, in seconds; infinite where nothing is to be sent. */
     public double nextSendAt() {
-        double lapses = lingering.isEmpty() ? Double.POSITIVE_INFINITY : lingering.peek().until;
+        double expiryAt = abandoned.nextExpiryAt();
         return Math.min(
-                lapses, Arrays.stream(peers).mapToDouble(this::nextSendAt).min().orElse(lapses));
+                expiryAt,
+                Arrays.stream(peers).mapToDouble(this::nextSendAt).min().orElse(expiryAt));
     }
 
-    private double nextSendAt(Peer peer) {
-        return peer.dirty
-                ? peer.toldAt + pace
-                : peer.knows ? peer.toldAt + AGAIN * forget : Double.POSITIVE_INFINITY;
+    private double nextSendAt(PeerState peer) {
+        return peer.nextSendAt(minIntervalSeconds, REPEAT_SHARE * expirySeconds);
     }
 
-    /** The tellings that are due, which count as told. What does not fit is left out. */
+    /** The messages that are due now, which count as sent; attempts that don't fit are left out. */
     public List<Message> dueMessages(double now) {
-        lapse(now);
+        expireAbandoned(now);
         List<Message> due = new ArrayList<>();
         for (int to = 0; to < peers.length; to++) {
             if (nextSendAt(peers[to]) <= now) {
@@ -292,24 +219,15 @@
 
     private Message message(int to, double now) {
         int[] tags =
-                own.entrySet().stream()
-                        .filter(each -> uses(to, each.getKey()))
+                ownAttempts.entries().stream()
+                        .filter(entry -> subsets.uses(to, entry.getKey()))
                         .flatMapToInt(
-                                each -> IntStream.generate(each::getKey).limit(each.getValue()))
-                        .limit(MOST)
+                                entry -> IntStream.generate(entry::getKey).limit(entry.getValue()))
+                        .limit(GossipDatagram.MAX_TAGS)
                         .toArray();
-        ByteBuffer out = ByteBuffer.allocate(HEAD + tags.length * TAG_BYTES);
-        out.put(KIND).putShort((short) (start << COUNT_BITS | (++peers[to].told & COUNTS - 1)));
-        for (int tag : tags) {
-            out.put((byte) (tag >> 16)).put((byte) (tag >> 8)).put((byte) tag);
-        }
-        peers[to].dirty = false;
-        peers[to].knows = tags.length > 0;
-        peers[to].toldAt = now;
-        return new Message(to, out.array());
-    }
-
-    private boolean uses(int proxy, int tag) {
-        return subsets.uses(proxy, tag);
+        PeerState peer = peers[to];
+        byte[] datagram = GossipDatagram.encoded(startBits, peer.nextCounter(), tags);
+        peer.sent(tags.length > 0, now);
+        return new Message(to, datagram);
     }
 }
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -11,65 +11,67 @@
 import lemondrift.model.EndpointUpdate;
 
 /**
- * Which proxies of a fleet use which backends. Each uses the subset of those with its least scores
- * (rendezvous hashing), and all reckon the same scores, so that each knows the others' subsets and
- * none need tell its own.
+ * Which proxies of a fleet use which backends. Each uses the backends with its least scores
+ * (rendezvous hashing); all compute the same scores, so each knows the others' subsets and none
+ * need send its own.
  *
- * <p>A change of one backend costs as many scores as there are proxies, whatever the number of
- * backends: for each proxy the best backends are kept in order, twice as many as its subset has,
- * and all are scored anew only when so many of those have gone that the subset itself would be
- * short.
+ * <p>A change of one backend costs one score for each proxy, whatever the number of backends: for
+ * each proxy twice as many backends as its subset has are kept in order, and all are scored again
+ * only when so many of those have gone that the subset itself would be short.
  */
 public final class SubsetAssignment {
-    /** For each backend of a subset so many of the next best are kept in order. */
+    /** So many ranked backends are kept for each place of a subset. */
     private static final int KEPT_PER_PLACE = 2;
 
-    /** A key is a score above the backend's id, so that sorting keys sorts by score. */
-    private static final int ID_BITS = 24;
-
-    private static final int SCORE_BITS = 39;
+    /** Low bits of a hash that a score drops, as a double has room for 53 of 64. */
+    private static final int DROPPED_HASH_BITS = 11;
 
     private static final int[] NOBODY = {};
 
     private final int proxies;
-    private final int width;
-    private final BestKeys[] best;
-    private final ActiveIds active = new ActiveIds();
+    private final int subsetSize;
+
+    /** The least keys of each proxy, by its number. */
+    private final RankedKeys[] ranked;
 
-    /** By backend id, as long as no list changes. */
-    private final Map<Integer, int[]> users = new HashMap<>();
+    /** The ids of all backends that may be used. */
+    private final IdSet active = new IdSet();
 
-    /** What is listed, by index. */
-    private final Map<Integer, Known> known = new HashMap<>();
+    /** The users of a backend by its id, until an id comes or goes. */
+    private final Map<Integer, int[]> cachedUsers = new HashMap<>();
 
-    /** The indexes that are ready, by backend id; two backends may have one id. */
-    private final Map<Integer, Set<Integer>> byId = new HashMap<>();
+    /** What is listed, by the backend's index. */
+    private final Map<Integer, Listed> listed = new HashMap<>();
+
+    /** The indexes of the backends that are ready, by id; two backends may have one id. */
+    private final Map<Integer, Set<Integer>> readyById = new HashMap<>();
 
     /**
-     * A line as it was told last, and its backend's id then; an index may stand for another one
-     * later.
+     * A backend as it was listed last.
+     *
+     * @param id its id then; its index may stand for another backend later
      */
-    private record Known(EndpointUpdate line, int id) {
+    private record Listed(EndpointUpdate update, int id) {
         private boolean isReady() {
-            return line.state() == EndpointUpdate.State.READY;
+            return update.state() == EndpointUpdate.State.READY;
         }
     }
 
-    /** The number of proxies, and how many backends each uses. */
-    public SubsetAssignment(int proxies, int width) {
+    /** The subsets of a number of proxies, each of so many backends. */
+    public SubsetAssignment(int proxies, int subsetSize) {
         this.proxies = proxies;
-        this.width = width;
-        best = new BestKeys[proxies];
-        Arrays.setAll(best, proxy -> new BestKeys(width * KEPT_PER_PLACE));
+        this.subsetSize = subsetSize;
+        ranked = new RankedKeys[proxies];
+        Arrays.setAll(ranked, proxy -> new RankedKeys(subsetSize * KEPT_PER_PLACE));
     }
 
-    /** The score of a backend id at a proxy, the same wherever it is reckoned; from 0 to 1. */
+    /** The score of a backend's id at a proxy, from 0 to 1; the same wherever it is computed. */
     public static double score(int proxy, int id) {
-        return (mixed(proxy, id) >>> 11) * 0x1p-53;
+        return (hash(proxy, id) >>> DROPPED_HASH_BITS) * 0x1p-53;
     }
 
     /** One step of SplitMix64 from the seed that the two numbers make. */
-    private static long mixed(int proxy, int id) {
+    private static long hash(int proxy, int id) {
         long z = ((long) proxy << Integer.SIZE | id) + 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
@@ -77,14 +79,14 @@
     }
 
     private static long key(int proxy, int id) {
-        return mixed(proxy, id) >>> (Long.SIZE - SCORE_BITS) << ID_BITS | id;
+        return RankedKeys.key(hash(proxy, id), id);
     }
 
-    /** The ids of all backends that may be used. */
+    /** Sets the ids of all backends that may be used. */
     public void listed(int[] ids) {
         Set<Integer> next = new HashSet<>();
         Arrays.stream(ids).forEach(next::add);
-        for (int id : active.all()) {
+        for (int id : active.toArray()) {
             if (!next.contains(id)) {
                 remove(id);
             }
@@ -93,96 +95,97 @@
     }
 
     /**
-     * Lines of a list as a proxy's decisions are to have them, with that proxy's scores, and with
-     * them each line told before of which another share of the proxies uses the backend now.
+     * Takes over updates of the endpoint list. Returns them with the scores and user shares of one
+     * proxy, and after them each backend listed before whose user share has changed by them.
      *
-     * @param whole whether nothing is listed but these lines
-     * @param id the backend id of an index
+     * @param whole whether nothing but these backends is listed
+     * @param idOf the id of the backend of an index
      */
     public List<EndpointUpdate> assigned(
-            int proxy, boolean whole, List<EndpointUpdate> updates, IntUnaryOperator id) {
-        Set<Integer> affected = backendsOfSubset(proxy);
+            int proxy, boolean whole, List<EndpointUpdate> updates, IntUnaryOperator idOf) {
+        Set<Integer> affected = subsetOf(proxy);
         if (whole) {
-            List.copyOf(known.keySet()).forEach(this::withdraw);
+            List.copyOf(listed.keySet()).forEach(this::withdraw);
         }
-        updates.forEach(update -> replace(update, id.applyAsInt(update.backend())));
-        List<EndpointUpdate> told = new ArrayList<>(updates.size() + width);
-        affected.addAll(backendsOfSubset(proxy));
+        updates.forEach(update -> replace(update, idOf.applyAsInt(update.backend())));
+        List<EndpointUpdate> assigned = new ArrayList<>(updates.size() + subsetSize);
+        affected.addAll(subsetOf(proxy));
         for (EndpointUpdate update : updates) {
             affected.remove(update.backend());
-            told.add(scored(proxy, update, id.applyAsInt(update.backend())));
+            assigned.add(withSubset(proxy, update, idOf.applyAsInt(update.backend())));
         }
-        affected.forEach(backend -> tellChange(proxy, backend, told));
-        return told;
+        affected.forEach(backend -> addIfShareChanged(proxy, backend, assigned));
+        return assigned;
     }
 
     private void replace(EndpointUpdate update, int id) {
         withdraw(update.backend());
         if (update.state() == EndpointUpdate.State.READY) {
-            byId.computeIfAbsent(id, none -> new HashSet<>()).add(update.backend());
+            readyById.computeIfAbsent(id, none -> new HashSet<>()).add(update.backend());
             add(id);
         }
         if (update.state() != EndpointUpdate.State.GONE) {
-            known.put(update.backend(), new Known(update.asKnownBackend(), id));
+            listed.put(update.backend(), new Listed(update.asKnownBackend(), id));
         }
     }
 
     private void withdraw(int backend) {
-        Known former = known.remove(backend);
+        Listed former = listed.remove(backend);
         if (former == null || !former.isReady()) {
             return;
         }
-        Set<Integer> same = byId.get(former.id);
-        same.remove(backend);
-        if (same.isEmpty()) {
-            byId.remove(former.id);
+        Set<Integer> sameId = readyById.get(former.id);
+        sameId.remove(backend);
+        if (sameId.isEmpty()) {
+            readyById.remove(former.id);
             remove(former.id);
         }
     }
 
-    private EndpointUpdate scored(int proxy, EndpointUpdate update, int id) {
+    private EndpointUpdate withSubset(int proxy, EndpointUpdate update, int id) {
         double score = score(proxy, id);
-        double used = used(proxy, id);
-        known.computeIfPresent(
+        double userShare = userShare(proxy, id);
+        listed.computeIfPresent(
                 update.backend(),
-                (backend, its) -> new Known(its.line.withSubset(score, used), its.id));
-        return update.withSubset(score, used);
+                (backend, last) -> new Listed(last.update.withSubset(score, userShare), last.id));
+        return update.withSubset(score, userShare);
     }
 
-    private void tellChange(int proxy, int backend, List<EndpointUpdate> told) {
-        Known its = known.get(backend);
-        if (its != null && its.line.userShare() != used(proxy, its.id)) {
-            told.add(scored(proxy, its.line, its.id));
+    private void addIfShareChanged(int proxy, int backend, List<EndpointUpdate> assigned) {
+        Listed last = listed.get(backend);
+        if (last != null && last.update.userShare() != userShare(proxy, last.id)) {
+            assigned.add(withSubset(proxy, last.update, last.id));
         }
     }
 
-    private Set<Integer> backendsOfSubset(int proxy) {
+    /** The indexes of the backends that a proxy uses. */
+    private Set<Integer> subsetOf(int proxy) {
         Set<Integer> backends = new HashSet<>();
-        for (int i = 0; i < subsetSize(proxy); i++) {
-            backends.addAll(byId.getOrDefault(best[proxy].id(i), Set.of()));
+        for (int rank = 0; rank < currentSubsetSize(proxy); rank++) {
+            backends.addAll(readyById.getOrDefault(ranked[proxy].id(rank), Set.of()));
         }
         return backends;
     }
 
-    /** The share of all proxies that use a backend; 0 where this one does not. */
-    private double used(int proxy, int id) {
+    /** The share of all proxies that use a backend, from 0 to 1; 0 where this one does not. */
+    private double userShare(int proxy, int id) {
         return uses(proxy, id) ? (double) users(id).length / proxies : 0;
     }
 
     /** Whether a proxy uses the backend of an id; nobody uses one that is not listed. */
     public boolean uses(int proxy, int id) {
-        int size = subsetSize(proxy);
-        return size > 0 && active.has(id) && key(proxy, id) <= best[proxy].keys[size - 1];
+        int size = currentSubsetSize(proxy);
+        return size > 0 && active.contains(id) && key(proxy, id) <= ranked[proxy].key(size - 1);
     }
 
-    private int subsetSize(int proxy) {
-        return Math.min(width, best[proxy].size);
+    private int currentSubsetSize(int proxy) {
+        return Math.min(subsetSize, ranked[proxy].size());
     }
 
-    /** The numbers of the proxies that use the backend of an id. */
+    /** The numbers of the proxies that use the backend of an id; not to be changed. */
     public int[] users(int id) {
-        int[] cached = users.get(id);
-        if (cached != null || !active.has(id)) {
+        int[] cached = cachedUsers.get(id);
+        if (cached != null || !active.contains(id)) {
             return cached == null ? NOBODY : cached;
         }
         int[] all = new int[proxies];
@@ -193,7 +196,7 @@
             }
         }
         int[] found = Arrays.copyOf(all, count);
-        users.put(id, found);
+        cachedUsers.put(id, found);
         return found;
     }
 
@@ -201,9 +204,9 @@
         if (!active.add(id)) {
             return;
         }
-        users.clear();
+        cachedUsers.clear();
         for (int proxy = 0; proxy < proxies; proxy++) {
-            best[proxy].add(key(proxy, id));
+            ranked[proxy].add(key(proxy, id));
         }
     }
 
@@ -211,101 +214,19 @@
         if (!active.remove(id)) {
             return;
         }
-        users.clear();
+        cachedUsers.clear();
         for (int proxy = 0; proxy < proxies; proxy++) {
-            best[proxy].remove(key(proxy, id));
-            if (best[proxy].size < width && best[proxy].leftOut) {
-                fill(proxy);
-            }
-        }
-    }
-
-    private void fill(int proxy) {
-        best[proxy].clear();
-        for (int i = 0; i < active.size; i++) {
-            best[proxy].add(key(proxy, active.ids[i]));
-        }
-    }
-
-    /** The least keys of one proxy, in order. */
-    private static final class BestKeys {
-        private final long[] keys;
-        private int size;
-
-        /** Whether there are others beyond those that are kept. */
-        private boolean leftOut;
-
-        private BestKeys(int most) {
-            keys = new long[most];
-        }
-
-        private void clear() {
-            size = 0;
-            leftOut = false;
-        }
-
-        private int id(int place) {
-            return (int) (keys[place] & (1 << ID_BITS) - 1);
-        }
-
-        private void add(long key) {
-            // Where some were left out, one that is behind all that are kept may be behind those as
-            // well.
-            boolean behind = size == 0 || key > keys[size - 1];
-            if (behind && (leftOut || size == keys.length)) {
-                leftOut = true;
-                return;
-            }
-            int place = -1 - Arrays.binarySearch(keys, 0, size, key);
-            leftOut |= size == keys.length;
-            size = Math.min(keys.length, size + 1);
-            System.arraycopy(keys, place, keys, place + 1, size - 1 - place);
-            keys[place] = key;
-        }
-
-        private void remove(long key) {
-            int place = Arrays.binarySearch(keys, 0, size, key);
-            if (place >= 0) {
-                size--;
-                System.arraycopy(keys, place + 1, keys, place, size - place);
+            ranked[proxy].remove(key(proxy, id));
+            if (ranked[proxy].size() < subsetSize && ranked[proxy].hasLeftOut()) {
+                rankAll(proxy);
             }
         }
     }
 
-    /** A set of ids that can be gone through without an object for each. */
-    private static final class ActiveIds {
-        private final Map<Integer, Integer> places = new HashMap<>();
-        private int[] ids = new int[16];
-        private int size;
-
-        private boolean has(int id) {
-            return places.containsKey(id);
-        }
-
-        private int[] all() {
-            return Arrays.copyOf(ids, size);
-        }
-
-        private boolean add(int id) {
-            if (places.putIfAbsent(id, size) != null) {
-                return false;
-            }
-            ids = size < ids.length ? ids : Arrays.copyOf(ids, 2 * size);
-            ids[size++] = id;
-            return true;
-        }
-
-        private boolean remove(int id) {
-            Integer place = places.remove(id);
-            if (place == null) {
-                return false;
-            }
-            int last = ids[--size];
-            if (last != id) {
-                ids[place] = last;
-                places.put(last, place);
-            }
-            return true;
+    private void rankAll(int proxy) {
+        ranked[proxy].clear();
+        for (int place = 0; place < active.size(); place++) {
+            ranked[proxy].add(key(proxy, active.get(place)));
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -14,9 +14,12 @@
 import lemondrift.proxy.config.GossipSettings;
 import lemondrift.proxy.discovery.BackendDirectory;
 
-/** What this proxy tells the others and hears of them. Owner's thread only, but for told. */
+/**
+ * What this proxy reports to its peers and hears of them, by the backends' indexes. Decision loop's
+ * thread only, but for {@link #received}.
+ */
 public final class GossipSession {
-    private record Told(int from, byte[] datagram) {}
+    private record ReceivedDatagram(int from, byte[] datagram) {}
 
     private final LoadBalancer balancer;
     private final BackendDirectory directory;
@@ -24,17 +27,19 @@
     private final SubsetAssignment subsets;
     private final LoadGossip gossip;
 
-    /** What has come and is not handled yet. */
-    private final Queue<Told> told = new ConcurrentLinkedQueue<>();
+    /** Datagrams that are not processed yet. */
+    private final Queue<ReceivedDatagram> received = new ConcurrentLinkedQueue<>();
 
-    private final Map<Integer, Integer> byTag = new HashMap<>();
+    /** The index of the ready backend of a tag. */
+    private final Map<Integer, Integer> backendByTag = new HashMap<>();
 
-    /** By index. */
+    /** The tag of a backend, by its index. */
     private int[] tags = {};
 
+    /** A session that begins now, under the proxy's start number. */
     public GossipSession(
             GossipSettings settings,
-            long start,
+            long startNumber,
             LoadBalancer balancer,
             BackendDirectory directory) {
         this.balancer = balancer;
@@ -45,30 +50,31 @@
                 new LoadGossip(
                         settings.proxies().size(),
                         self,
-                        start,
+                        startNumber,
                         settings.minIntervalSeconds(),
                         settings.expirySeconds(),
                         subsets,
-                        this::changed);
+                        this::reportPeerLoad);
     }
 
-    private void changed(int tag) {
-        Integer backend = byTag.get(tag);
+    private void reportPeerLoad(int tag) {
+        Integer backend = backendByTag.get(tag);
         if (backend != null) {
             balancer.peerLoadReported(backend, gossip.peerLoad(tag));
         }
     }
 
     /**
-     * Danger: the owner is not woken, as what others have out matters only when it decides. Any
-     * thread.
+     * Queues a datagram until the loop decides next; it is not woken, as what peers have in flight
+     * matters only then. Any thread.
      */
     public void received(int from, byte[] datagram) {
-        told.add(new Told(from, datagram));
+        received.add(new ReceivedDatagram(from, datagram));
     }
 
+    /** Passes on to the decisions what has come, and what has expired. */
     public void processReceived(double now) {
-        for (Told next = told.poll(); next != null; next = told.poll()) {
+        for (ReceivedDatagram next = received.poll(); next != null; next = received.poll()) {
             gossip.receive(next.from, next.datagram, now);
         }
         gossip.expireSilentPeers(now);
@@ -76,8 +82,8 @@
     }
 
     /**
-     * Tags changed lines of the list and adds this proxy's scores and whose subset changes with
-     * them.
+     * Tags the backends of changed endpoints, and adds this proxy's scores and the share of proxies
+     * that use each backend, also for other backends where that has changed.
      */
     public List<EndpointUpdate> withSubsets(List<EndpointUpdate> updates) {
         for (EndpointUpdate update : updates) {
@@ -85,27 +91,28 @@
             if (backend >= tags.length) {
                 tags = Arrays.copyOf(tags, Math.max(2 * tags.length, backend + 1));
             }
-            byTag.remove(tags[backend], backend);
+            backendByTag.remove(tags[backend], backend);
             tags[backend] = LoadGossip.tag(directory.id(backend));
             if (update.state() == EndpointUpdate.State.READY) {
-                byTag.put(tags[backend], backend);
+                backendByTag.put(tags[backend], backend);
             }
         }
         return subsets.assigned(self, false, updates, backend -> tags[backend]);
     }
 
-    /** The decisions have been told of a list. */
+    /** The decisions have applied these endpoints, and learn what peers have in flight there. */
     public void endpointsApplied(List<EndpointUpdate> updates) {
-        updates.forEach(
-                update ->
-                        balancer.peerLoadReported(
-                                update.backend(), gossip.peerLoad(tags[update.backend()])));
+        for (EndpointUpdate update : updates) {
+            int backend = update.backend();
+            balancer.peerLoadReported(backend, gossip.peerLoad(tags[backend]));
+        }
     }
 
     public void attemptSent(int backend) {
         gossip.attemptSent(tags[backend]);
     }
 
+    /** An attempt has ended; where the backend may still work on it, it counts for a while. */
     public void attemptEnded(int backend, AttemptOutcome outcome, double now) {
         if (outcome.mayStillRun) {
             gossip.attemptAbandoned(tags[backend], now);
@@ -114,15 +121,17 @@
         }
     }
 
-    /** Another proxy has started anew: what its former self had out is over. */
-    public void peerRestarted(int proxy, long start) {
-        gossip.peerRestarted(proxy, start);
+    /** A peer has restarted under a start number: its former attempts are over. */
+    public void peerRestarted(int proxy, long startNumber) {
+        gossip.peerRestarted(proxy, startNumber);
     }
 
+    /** When messages are due next, in seconds of the clock; infinite where none are. */
     public double nextSendAt() {
         return gossip.nextSendAt();
     }
 
+    /** The messages that are due now, which count as sent. */
     public List<LoadGossip.Message> dueMessages(double now) {
         return gossip.dueMessages(now);
     }
--- a/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
@@ -18,38 +18,51 @@
 import org.xnio.channels.MulticastMessageChannel;
 import org.xnio.channels.SocketAddressBuffer;
 
-/** Datagrams from and to the other proxies. I/O thread only, once it has begun. */
+/**
+ * Datagrams from and to the peers. I/O thread only, once it is started. A socket that fails leaves
+ * one line in the log, and the proxy serves on without gossip.
+ */
 public final class GossipTransport {
     private static final Logger LOG = LoggerFactory.getLogger(GossipTransport.class);
 
     private final GossipSettings settings;
     private final DecisionEvents decisionEvents;
-    private final Map<SocketAddress, Integer> numbers = new HashMap<>();
-    private final ByteBuffer buffer = ByteBuffer.allocate(LoadGossip.MAX_DATAGRAM_BYTES + 1);
+
+    /** The number of each proxy, by its address. */
+    private final Map<SocketAddress, Integer> proxyNumbers = new HashMap<>();
+
+    /** One byte more than a datagram may have, which shows one that is too long. */
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocate(LoadGossip.MAX_DATAGRAM_BYTES + 1);
+
     private final SocketAddressBuffer sender = new SocketAddressBuffer();
+
+    /** Null until it is started, and where the socket can't be opened. */
     private MulticastMessageChannel channel;
-    private XnioExecutor.Key timer;
-    private boolean failed;
 
+    /** Null until it is started, and where the socket can't be opened. */
+    private XnioExecutor.Key receiveTimer;
+
+    private boolean failureLogged;
+
+    /** A transport that passes what it receives to the decision loop. */
     public GossipTransport(GossipSettings settings, DecisionEvents decisionEvents) {
         this.settings = settings;
         this.decisionEvents = decisionEvents;
-        for (int i = 0; i < settings.proxies().size(); i++) {
-            numbers.put(settings.proxies().get(i), i);
+        for (int proxy = 0; proxy < settings.proxies().size(); proxy++) {
+            proxyNumbers.put(settings.proxies().get(proxy), proxy);
         }
     }
 
-    /** Danger: a proxy that can't hear the others can still serve. */
+    /** Opens the socket and reads it from time to time. */
     public void start(XnioWorker worker) {
         try {
             channel = worker.createUdpServer(settings.listen(), OptionMap.EMPTY);
         } catch (IOException e) {
-            warn(e);
+            logFirstFailure(e);
             return;
         }
-        // Danger: to be woken for each datagram takes more of a part of a core than all exchanges
-        // do.
-        timer =
+        // By a timer, as to be woken for each datagram costs more processor than all requests do.
+        receiveTimer =
                 worker.getIoThread()
                         .executeAtInterval(
                                 this::receive,
@@ -58,51 +71,55 @@
     }
 
     /**
-     * Reads all that has come; each exchange that arrives has this done first. Danger: a datagram
-     * from an unknown sender, or a longer one than any may be, is not from a proxy.
+     * Reads all that has come; also called before each request. Datagrams from an unknown address,
+     * or longer than any may be, are dropped.
      */
     public void receive() {
         if (channel == null) {
             return;
         }
         try {
-            for (int got = channel.receiveFrom(sender, buffer.clear());
-                    got > 0;
-                    got = channel.receiveFrom(sender, buffer.clear())) {
-                Integer from = numbers.get(sender.getSourceAddress());
-                if (from != null && got <= LoadGossip.MAX_DATAGRAM_BYTES) {
-                    byte[] datagram = new byte[got];
-                    buffer.flip().get(datagram);
+            for (int length = channel.receiveFrom(sender, receiveBuffer.clear());
+                    length > 0;
+                    length = channel.receiveFrom(sender, receiveBuffer.clear())) {
+                Integer from = proxyNumbers.get(sender.getSourceAddress());
+                if (from != null && length <= LoadGossip.MAX_DATAGRAM_BYTES) {
+                    byte[] datagram = new byte[length];
+                    receiveBuffer.flip().get(datagram);
                     decisionEvents.datagramReceived(from, datagram);
                 }
             }
         } catch (IOException | RuntimeException e) {
-            warn(e);
+            // Wide, as it runs before each request, which must not fail with it.
+            logFirstFailure(e);
         }
     }
 
-    public void send(LoadGossip.Message telling) {
+    /** Sends a message to a peer; one that can't be sent is lost, as a datagram may be. */
+    public void send(LoadGossip.Message message) {
         if (channel == null) {
             return;
         }
         try {
             channel.sendTo(
-                    settings.proxies().get(telling.to()), ByteBuffer.wrap(telling.datagram()));
+                    settings.proxies().get(message.to()), ByteBuffer.wrap(message.datagram()));
         } catch (IOException | RuntimeException e) {
-            warn(e);
+            // Wide, as NIO reports an address that is not resolved unchecked.
+            logFirstFailure(e);
         }
     }
 
-    private void warn(Exception e) {
-        if (!failed) {
-            LOG.warn("other proxies can't be told or heard: {}", e.toString());
+    private void logFirstFailure(Exception cause) {
+        if (!failureLogged) {
+            LOG.warn("other proxies can't be told or heard: {}", cause.toString());
         }
-        failed = true;
+        failureLogged = true;
     }
 
+    /** Closes the socket. */
     public void stop() {
-        if (timer != null) {
-            timer.remove();
+        if (receiveTimer != null) {
+            receiveTimer.remove();
         }
         IoUtils.safeClose(channel);
     }
--- a/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -22,47 +22,45 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 import org.junit.jupiter.api.Test;
 
-/** By which share of the proxies a backend is used, as each of them tells its decisions. */
+/** The subsets, and the share of the proxies that use a backend. */
 class SubsetAssignmentTest {
-    private static final int WIDTH = 12;
+    private static final int SUBSET_SIZE = 12;
 
-    private static EndpointUpdate line(int backend, EndpointUpdate.State state) {
+    private static EndpointUpdate update(int backend, EndpointUpdate.State state) {
         return new EndpointUpdate(backend, false, 0, 0, state, 0);
     }
 
-    private static List<EndpointUpdate> lines(int from, int to) {
+    private static List<EndpointUpdate> readyUpdates(int from, int to) {
         return IntStream.range(from, to)
-                .mapToObj(i -> line(i, EndpointUpdate.State.READY))
+                .mapToObj(i -> update(i, EndpointUpdate.State.READY))
                 .toList();
     }
 
-    private static EndpointUpdate of(List<EndpointUpdate> told, int backend) {
-        return told.stream()
+    private static EndpointUpdate lastOf(List<EndpointUpdate> updates, int backend) {
+        return updates.stream()
                 .filter(update -> update.backend() == backend)
                 .findFirst()
                 .orElseThrow();
     }
 
-    /**
-     * Danger: the sum over all proxies of what each may send to a cold one must not pass the whole.
-     */
+    /** Guards against all proxies together sending a backend in slow start more than it bears. */
     @Property(tries = 50, seed = "48")
-    void theUsersPartsOfABackendAreOneTogether(
+    void theSharesOfABackendsUsersAddUpToOne(
             @ForAll @IntRange(min = 2, max = 60) int proxies,
             @ForAll @IntRange(min = 1, max = 40) int backends) {
-        double[] sum = new double[backends];
-        for (int p = 0; p < proxies; p++) {
+        double[] shares = new double[backends];
+        for (int proxy = 0; proxy < proxies; proxy++) {
             for (EndpointUpdate update :
-                    new SubsetAssignment(proxies, WIDTH)
-                            .assigned(p, true, lines(0, backends), i -> i)) {
+                    new SubsetAssignment(proxies, SUBSET_SIZE)
+                            .assigned(proxy, true, readyUpdates(0, backends), i -> i)) {
                 // One that does not use it has the part that it had before parts were known.
-                sum[update.backend()] +=
+                shares[update.backend()] +=
                         update.userShare() > 0 ? 1 / (proxies * update.userShare()) : 0;
                 assertTrue(update.userShare() >= 0 && update.userShare() <= 1, update.toString());
             }
         }
-        for (double each : sum) {
-            assertTrue(each == 0 || Math.abs(each - 1) < 1e-9, "together " + each);
+        for (double share : shares) {
+            assertTrue(share == 0 || Math.abs(share - 1) < 1e-9, "together " + share);
         }
     }
 
@@ -70,11 +68,11 @@
     private static List<Integer> subset(int proxy, Set<Integer> ready) {
         return ready.stream()
                 .sorted(Comparator.comparing(id -> SubsetAssignment.score(proxy, id)))
-                .limit(WIDTH)
+                .limit(SUBSET_SIZE)
                 .toList();
     }
 
-    private static double used(int proxy, int proxies, int id, Set<Integer> ready) {
+    private static double userShare(int proxy, int proxies, int id, Set<Integer> ready) {
         return !subset(proxy, ready).contains(id)
                 ? 0
                 : (double)
@@ -85,25 +83,25 @@
     }
 
     /**
-     * Whatever changes, what was told last of each backend is what sorting all of them says, and no
+     * Whatever changes, the last update of each backend is what sorting all of them gives, and no
      * more.
      */
     @Property(tries = 40, seed = "48")
-    void whatIsToldOverManyChangesIsWhatSortingAllSays(@ForAll long seed) {
+    void updatesOverManyChangesAreWhatSortingAllGives(@ForAll long seed) {
         Random random = new Random(seed);
         int proxies = 1 + random.nextInt(8);
         int own = random.nextInt(proxies);
         int backends = 60;
-        SubsetAssignment subsets = new SubsetAssignment(proxies, WIDTH);
+        SubsetAssignment subsets = new SubsetAssignment(proxies, SUBSET_SIZE);
         TreeSet<Integer> ready = new TreeSet<>();
-        Map<Integer, EndpointUpdate> told = new HashMap<>();
+        Map<Integer, EndpointUpdate> lastUpdates = new HashMap<>();
         for (int step = 0; step < 25; step++) {
             boolean whole = random.nextInt(8) == 0;
             Map<Integer, EndpointUpdate> changes = new HashMap<>();
             for (int i = random.nextInt(whole ? 40 : 10); i > 0; i--) {
                 int backend = random.nextInt(backends);
                 changes.put(
-                        backend, line(backend, EndpointUpdate.State.values()[random.nextInt(3)]));
+                        backend, update(backend, EndpointUpdate.State.values()[random.nextInt(3)]));
             }
             if (whole) {
                 ready.clear();
@@ -116,21 +114,23 @@
                                     ready.add(update.backend());
                                 }
                             });
-            Map<Integer, EndpointUpdate> before = Map.copyOf(told);
-            List<EndpointUpdate> news =
+            Map<Integer, EndpointUpdate> before = Map.copyOf(lastUpdates);
+            List<EndpointUpdate> assigned =
                     subsets.assigned(own, whole, List.copyOf(changes.values()), i -> i);
-            news.forEach(update -> told.put(update.backend(), update));
+            assigned.forEach(update -> lastUpdates.put(update.backend(), update));
             for (int id : ready) {
                 assertEquals(
-                        used(own, proxies, id, ready), told.get(id).userShare(), "seed " + seed);
+                        userShare(own, proxies, id, ready),
+                        lastUpdates.get(id).userShare(),
+                        "seed " + seed);
                 assertEquals(
                         subset(own, ready).contains(id), subsets.uses(own, id), "seed " + seed);
             }
-            for (EndpointUpdate update : news) {
+            for (EndpointUpdate update : assigned) {
                 assertTrue(
                         changes.containsKey(update.backend())
                                 || before.get(update.backend()).userShare() != update.userShare(),
-                        seed + " says " + update);
+                        seed + " gives " + update);
             }
             int some = random.nextInt(backends);
             assertArrayEquals(
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Danger: proxies of two versions live side by side, and have to reckon the same scores. */
+    /** Guards against proxies of two versions side by side computing different scores. */
     @Test
     void scoresAreThoseOfSplitMix64() {
         new Random(1)
@@ -157,18 +157,15 @@
                         });
     }
 
-    /**
-     * Danger: what follows a list costs as much as it has lines, so that one change of thousands is
-     * one.
-     */
+    /** Guards against one change among thousands of backends costing more than one. */
     @Test
-    void aListTellsWhatItChangesAndNoMore() {
-        SubsetAssignment subsets = new SubsetAssignment(50, WIDTH);
-        List<EndpointUpdate> first = subsets.assigned(3, true, lines(0, 60), i -> i);
+    void aListUpdatesWhatItChangesAndNoMore() {
+        SubsetAssignment subsets = new SubsetAssignment(50, SUBSET_SIZE);
+        List<EndpointUpdate> first = subsets.assigned(3, true, readyUpdates(0, 60), i -> i);
         List<EndpointUpdate> gone =
                 new ArrayList<>(
                         IntStream.range(0, 40)
-                                .mapToObj(i -> line(i, EndpointUpdate.State.GONE))
+                                .mapToObj(i -> update(i, EndpointUpdate.State.GONE))
                                 .toList());
         List<EndpointUpdate> then = subsets.assigned(3, false, gone, i -> i);
         List<Integer> stay =
@@ -189,37 +186,39 @@
         assertEquals(
                 List.of(), subsets.assigned(3, false, List.of(), i -> i), "nothing has changed");
         assertEquals(
-                1, subsets.assigned(3, true, lines(47, 48), i -> i).size(), "a whole list is all");
-        SubsetAssignment large = new SubsetAssignment(100, WIDTH);
-        large.assigned(3, true, lines(0, 3200), i -> i);
-        List<EndpointUpdate> one = List.of(line(7, EndpointUpdate.State.GONE));
+                1,
+                subsets.assigned(3, true, readyUpdates(47, 48), i -> i).size(),
+                "a whole list is all");
+        SubsetAssignment large = new SubsetAssignment(100, SUBSET_SIZE);
+        large.assigned(3, true, readyUpdates(0, 3200), i -> i);
+        List<EndpointUpdate> one = List.of(update(7, EndpointUpdate.State.GONE));
         assertTrue(
-                large.assigned(3, false, one, i -> i).size() <= 1 + WIDTH, "one line of thousands");
+                large.assigned(3, false, one, i -> i).size() <= 1 + SUBSET_SIZE,
+                "one line of thousands");
     }
 
     @Test
-    void whoComesAndGoesWithinOneListIsGone() {
-        SubsetAssignment subsets = new SubsetAssignment(10, WIDTH);
-        EndpointUpdate comes = line(4, EndpointUpdate.State.READY);
-        EndpointUpdate goes = line(4, EndpointUpdate.State.GONE);
+    void aBackendThatComesAndGoesWithinOneListIsGone() {
+        SubsetAssignment subsets = new SubsetAssignment(10, SUBSET_SIZE);
+        EndpointUpdate comes = update(4, EndpointUpdate.State.READY);
+        EndpointUpdate goes = update(4, EndpointUpdate.State.GONE);
         subsets.assigned(0, false, List.of(comes, goes), i -> i);
         assertFalse(subsets.uses(0, 4));
-        List<EndpointUpdate> told = subsets.assigned(0, false, List.of(goes, comes), i -> i);
+        List<EndpointUpdate> assigned = subsets.assigned(0, false, List.of(goes, comes), i -> i);
         assertTrue(subsets.uses(0, 4));
-        assertEquals(EndpointUpdate.State.READY, told.get(told.size() - 1).state());
+        assertEquals(EndpointUpdate.State.READY, assigned.get(assigned.size() - 1).state());
     }
 
-    /**
-     * Danger: an index that passes on within one list would leave its former backend in the draw.
-     */
+    /** Guards against the former backend of a reassigned index staying in the subsets. */
     @Test
-    void anIndexThatPassesOnLeavesItsFormerBackendOut() {
+    void anIndexThatIsReassignedLeavesItsFormerBackendOut() {
         int[] ids = {500, 501, 502};
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
-        subsets.assigned(0, true, lines(0, 3), i -> ids[i]);
+        subsets.assigned(0, true, readyUpdates(0, 3), i -> ids[i]);
         ids[1] = 777;
-        EndpointUpdate fresh = new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0);
-        subsets.assigned(0, false, List.of(line(1, EndpointUpdate.State.GONE), fresh), i -> ids[i]);
+        EndpointUpdate newcomer = new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0);
+        subsets.assigned(
+                0, false, List.of(update(1, EndpointUpdate.State.GONE), newcomer), i -> ids[i]);
         int users =
                 Arrays.stream(new int[] {500, 502, 777}).map(id -> subsets.users(id).length).sum();
         assertEquals(10, users, "each proxy uses one of those that are there");
@@ -227,16 +226,17 @@
     }
 
     @Test
-    void whatIsToldAgainIsNoNewOne() {
+    void anUpdateThatIsRepeatedIsNoNewBackend() {
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
-        EndpointUpdate fresh = new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
-        assertTrue(of(subsets.assigned(0, false, List.of(fresh), i -> i), 4).newBackend());
+        EndpointUpdate newcomer = new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
+        assertTrue(lastOf(subsets.assigned(0, false, List.of(newcomer), i -> i), 4).newBackend());
         int lower =
                 IntStream.range(5, 1000)
                         .filter(i -> SubsetAssignment.score(0, i) < SubsetAssignment.score(0, 4))
                         .findFirst()
                         .orElseThrow();
-        EndpointUpdate again = of(subsets.assigned(0, false, lines(lower, lower + 1), i -> i), 4);
+        EndpointUpdate again =
+                lastOf(subsets.assigned(0, false, readyUpdates(lower, lower + 1), i -> i), 4);
         assertFalse(again.newBackend(), "its index stands for it already");
         assertEquals(12, again.startedAt());
         assertEquals(0, again.userShare(), "another has the least score now");
--- a/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
+++ b/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
@@ -9,24 +9,24 @@
 class ResourceSplitTest {
     @Test
     void halfIsUsedUntilItIsSureThatNobodyElseHasTheRest() {
-        ResourceSplit one = new ResourceSplit();
-        assertEquals(2, one.processCount(), "nobody has looked yet");
-        assertTrue(one.observed(true, false));
-        assertEquals(1, one.processCount());
-        assertFalse(one.observed(true, false));
-        assertTrue(one.observed(true, true));
-        assertEquals(ResourceSplit.State.FOLLOWED, one.state());
-        assertEquals(2, one.processCount());
-        assertTrue(one.observed(true, false), "the successor did not live");
-        assertEquals(1, one.processCount());
+        ResourceSplit split = new ResourceSplit();
+        assertEquals(2, split.processCount(), "nobody has looked yet");
+        assertTrue(split.observed(true, false));
+        assertEquals(1, split.processCount());
+        assertFalse(split.observed(true, false));
+        assertTrue(split.observed(true, true));
+        assertEquals(ResourceSplit.State.FOLLOWED, split.state());
+        assertEquals(2, split.processCount());
+        assertTrue(split.observed(true, false), "the follower has ended");
+        assertEquals(1, split.processCount());
     }
 
     @Test
-    void aSuccessorHasAllOnceThePredecessorHasEnded() {
-        ResourceSplit next = new ResourceSplit();
-        assertFalse(next.observed(false, true));
-        assertEquals(2, next.processCount());
-        assertTrue(next.observed(true, false));
-        assertEquals(1, next.processCount());
+    void aFollowerHasAllOnceTheServingProcessHasEnded() {
+        ResourceSplit follower = new ResourceSplit();
+        assertFalse(follower.observed(false, true));
+        assertEquals(2, follower.processCount());
+        assertTrue(follower.observed(true, false));
+        assertEquals(1, follower.processCount());
     }
 }
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -15,42 +15,51 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three proxies, every order of their messages, with losses, repeats and starts anew at every step,
- * breadth first to a bound. What never arrives is lost. What is found of an exchange's work is the
- * finder's start number, so that it is seen whose it is.
+ * Three proxies, every order of their messages, with losses, repeats and restarts at every step,
+ * breadth first to a bound. What never arrives is lost. The service time that a proxy measures is
+ * its start number, so that it is seen whose it is.
  */
 class RecoveryExplorationTest {
     private static final int PROXIES = 3;
+
+    /** Time ends after so many ticks. */
     private static final int TICKS = 5;
+
+    /** So many states are known at the most. */
     private static final int MAX_STATES = 600_000;
+
+    /** Ticks without faults in which a history is played to its end. */
     private static final int FAIR_ROUNDS = 12;
+
+    /** One state of so many is played to its end. */
     private static final int PLAYED_TO_THE_END_EVERY = 97;
+
     private static final PeerPollBackoff BACKOFF = new PeerPollBackoff(1, 1, 2, 1, 2);
 
     private record Message(int from, int to, PeerStatus status) {}
 
-    /** World there is at one time, and what may still go wrong. */
+    /** All there is at one time, and how much may still go wrong. */
     private record World(
             List<RecoveryState> proxies,
             Map<Message, Integer> underWay,
             int now,
             int starts,
             int repeats,
-            int answers,
-            int next) {}
+            int samples,
+            int nextStartNumber) {}
 
     /** The core, or one that is broken on purpose. */
     private static class Core {
-        RecoveryState.Lesson lesson(RecoveryState one, double now) {
-            return one.lesson(now);
+        RecoveryState.Lesson lesson(RecoveryState proxy, double now) {
+            return proxy.lesson(now);
         }
 
-        RecoveryState.Step heard(RecoveryState one, int from, PeerStatus status, double now) {
-            return one.heard(from, status, now);
+        RecoveryState.Step heard(RecoveryState proxy, int from, PeerStatus status, double now) {
+            return proxy.heard(from, status, now);
         }
 
-        RecoveryState.Step wake(RecoveryState one, double now) {
-            return one.wake(now);
+        RecoveryState.Step wake(RecoveryState proxy, double now) {
+            return proxy.wake(now);
         }
     }
 
@@ -71,11 +80,12 @@
                     status.samples() == step.next().samples()
                             && (status.samples() == 0
                                     || status.serviceTimeSeconds() == status.start()),
-                    "a proxy tells only what it has found itself",
+                    "a proxy reports only what it has measured itself",
                     at);
             underWay.merge(new Message(p, each.to(), status), 1, Integer::sum);
         }
-        return new World(all, underWay, at.now, at.starts, at.repeats, at.answers, at.next);
+        return new World(
+                all, underWay, at.now, at.starts, at.repeats, at.samples, at.nextStartNumber);
     }
 
     private World deliver(World at, Message message, boolean again) {
@@ -83,18 +93,18 @@
         if (!again) {
             underWay.computeIfPresent(message, (m, n) -> n > 1 ? n - 1 : null);
         }
-        RecoveryState one = at.proxies.get(message.to);
-        PeerObservation before = one.observations().get(message.from);
-        RecoveryState.Step step = core.heard(one, message.from, message.status, at.now);
+        RecoveryState proxy = at.proxies.get(message.to);
+        PeerObservation before = proxy.observations().get(message.from);
+        RecoveryState.Step step = core.heard(proxy, message.from, message.status, at.now);
         boolean former =
                 (before != null
                                 && at.now - before.receivedAt() <= BACKOFF.forget()
                                 && message.status.start() < before.status().start())
                         || (message.status.recipientStart() != 0
-                                && message.status.recipientStart() != one.startNumber());
+                                && message.status.recipientStart() != proxy.startNumber());
         check(
-                !former || (step.next().equals(one) && step.sent().isEmpty()),
-                "a former self changes nothing",
+                !former || (step.next().equals(proxy) && step.sent().isEmpty()),
+                "an earlier start changes nothing",
                 at);
         World then = with(at, message.to, step, underWay);
         return new World(
@@ -103,11 +113,11 @@
                 at.now,
                 at.starts,
                 at.repeats - (again ? 1 : 0),
-                at.answers,
-                at.next);
+                at.samples,
+                at.nextStartNumber);
     }
 
-    /** Time goes on for all, and who is due asks. */
+    /** Time goes on for all, and who is due polls. */
     private World tick(World at) {
         World then =
                 new World(
@@ -116,8 +126,8 @@
                         at.now + 1,
                         at.starts,
                         at.repeats,
-                        at.answers,
-                        at.next);
+                        at.samples,
+                        at.nextStartNumber);
         for (int p = 0; p < PROXIES; p++) {
             then =
                     with(
@@ -130,17 +140,30 @@
     }
 
     private World measures(World at, int p) {
-        RecoveryState one = at.proxies.get(p);
+        RecoveryState proxy = at.proxies.get(p);
         List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, one.found((double) one.startNumber(), one.samples() + 1));
-        return new World(all, at.underWay, at.now, at.starts, at.repeats, at.answers - 1, at.next);
+        all.set(p, proxy.found((double) proxy.startNumber(), proxy.samples() + 1));
+        return new World(
+                all,
+                at.underWay,
+                at.now,
+                at.starts,
+                at.repeats,
+                at.samples - 1,
+                at.nextStartNumber);
     }
 
     private World restarts(World at, int p) {
         List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, RecoveryState.begins(BACKOFF, p, PROXIES, at.next, at.now));
+        all.set(p, RecoveryState.begins(BACKOFF, p, PROXIES, at.nextStartNumber, at.now));
         return new World(
-                all, at.underWay, at.now, at.starts - 1, at.repeats, at.answers, at.next + 1);
+                all,
+                at.underWay,
+                at.now,
+                at.starts - 1,
+                at.repeats,
+                at.samples,
+                at.nextStartNumber + 1);
     }
 
     private List<World> successors(World at) {
@@ -152,7 +175,7 @@
             }
         }
         for (int p = 0; p < PROXIES; p++) {
-            if (at.answers > 0 && !at.proxies.get(p).isSettled()) {
+            if (at.samples > 0 && !at.proxies.get(p).isSettled()) {
                 all.add(measures(at, p));
             }
             if (at.starts > 0) {
@@ -166,13 +189,13 @@
     }
 
     private void checkInvariants(World at) {
-        for (RecoveryState one : at.proxies) {
+        for (RecoveryState proxy : at.proxies) {
             List<PeerStatus> fresh =
-                    one.observations().values().stream()
+                    proxy.observations().values().stream()
                             .filter(each -> at.now - each.receivedAt() <= BACKOFF.forget())
                             .map(PeerObservation::status)
                             .toList();
-            RecoveryState.Lesson lesson = core.lesson(one, at.now);
+            RecoveryState.Lesson lesson = core.lesson(proxy, at.now);
             check(
                     lesson == null
                             || fresh.stream()
@@ -180,21 +203,24 @@
                                             each ->
                                                     each.serviceTimeSeconds() == lesson.work()
                                                             && each.samples() > 0),
-                    "no figure is believed past its age or made up",
+                    "no figure is used past its age or made up",
                     at);
-            // What it is among them was judged when something last happened to it, one tick ago at
-            // the most.
-            if (!one.isSettled() && one.nextPollAt() > at.now) {
+            // The phase was judged when something last happened to the proxy, one tick ago at the
+            // most.
+            if (!proxy.isSettled() && proxy.nextPollAt() > at.now) {
                 boolean any =
-                        one.observations().values().stream()
+                        proxy.observations().values().stream()
                                 .anyMatch(
                                         each -> at.now - each.receivedAt() <= BACKOFF.forget() + 1);
                 boolean warm =
-                        one.observations().values().stream()
+                        proxy.observations().values().stream()
                                 .anyMatch(each -> each.status().settled());
-                check(one.phase() != RecoveryPhase.ALL_NEW || any, "not heard is not all new", at);
                 check(
-                        one.phase() != RecoveryPhase.ALONE || warm,
+                        proxy.phase() != RecoveryPhase.ALL_NEW || any,
+                        "not heard is not all new",
+                        at);
+                check(
+                        proxy.phase() != RecoveryPhase.ALONE || warm,
                         "alone only beside one that knows",
                         at);
             }
@@ -216,12 +242,12 @@
         RecoveryState last = at.proxies.get(PROXIES - 1);
         check(
                 at.proxies.stream().limit(PROXIES - 1).allMatch(RecoveryState::isSettled),
-                "who has answers settles",
+                "who has samples settles",
                 at);
         check(
                 last.isSettled()
                         || (last.phase() == RecoveryPhase.ALONE && last.lesson(at.now) != null),
-                "one that has none is alone among them at last, and is taught",
+                "one without samples is alone among them at last, and learns from them",
                 at);
     }
 
@@ -265,17 +291,17 @@
     @Test
     void aMutantThatHearsEarlierStartsIsCaught() {
         assertCaught(
-                "a former self",
+                "an earlier start",
                 new Core() {
                     @Override
                     RecoveryState.Step heard(
-                            RecoveryState one, int from, PeerStatus status, double now) {
-                        PeerObservation before = one.observations().get(from);
+                            RecoveryState proxy, int from, PeerStatus status, double now) {
+                        PeerObservation before = proxy.observations().get(from);
                         long start =
                                 before == null
                                         ? status.start()
                                         : Math.max(status.start(), before.status().start());
-                        return one.heard(
+                        return proxy.heard(
                                 from,
                                 new PeerStatus(
                                         start,
@@ -293,13 +319,13 @@
     @Test
     void aMutantThatPassesOnWhatPeersMeasuredIsCaught() {
         assertCaught(
-                "a proxy tells only",
+                "a proxy reports only",
                 new Core() {
                     @Override
-                    RecoveryState.Step wake(RecoveryState one, double now) {
-                        RecoveryState.Step step = one.wake(now);
-                        RecoveryState.Lesson estimate = one.lesson(now);
-                        return estimate == null || one.samples() > 0
+                    RecoveryState.Step wake(RecoveryState proxy, double now) {
+                        RecoveryState.Step step = proxy.wake(now);
+                        RecoveryState.Lesson estimate = proxy.lesson(now);
+                        return estimate == null || proxy.samples() > 0
                                 ? step
                                 : new RecoveryState.Step(
                                         step.next(),
@@ -309,7 +335,7 @@
                                                                 new RecoveryState.Sent(
                                                                         each.to(),
                                                                         new PeerStatus(
-                                                                                one.startNumber(),
+                                                                                proxy.startNumber(),
                                                                                 0,
                                                                                 true,
                                                                                 each.hello()
@@ -331,8 +357,8 @@
                 "no figure",
                 new Core() {
                     @Override
-                    RecoveryState.Lesson lesson(RecoveryState one, double now) {
-                        return one.lesson(one.startedAt());
+                    RecoveryState.Lesson lesson(RecoveryState proxy, double now) {
+                        return proxy.lesson(proxy.startedAt());
                     }
                 });
     }
@@ -343,8 +369,8 @@
                 "not heard",
                 new Core() {
                     @Override
-                    RecoveryState.Step wake(RecoveryState one, double now) {
-                        RecoveryState.Step step = one.wake(now);
+                    RecoveryState.Step wake(RecoveryState proxy, double now) {
+                        RecoveryState.Step step = proxy.wake(now);
                         RecoveryState next = step.next();
                         return next.phase() != RecoveryPhase.CUT_OFF
                                 ? step
@@ -370,12 +396,12 @@
     @Test
     void aMutantThatRepliesToNobodyIsCaught() {
         assertCaught(
-                "one that has none",
+                "one without samples",
                 new Core() {
                     @Override
                     RecoveryState.Step heard(
-                            RecoveryState one, int from, PeerStatus status, double now) {
-                        RecoveryState.Step step = one.heard(from, status, now);
+                            RecoveryState proxy, int from, PeerStatus status, double now) {
+                        RecoveryState.Step step = proxy.heard(from, status, now);
                         return new RecoveryState.Step(step.next(), List.of(), step.anew());
                     }
                 });
