--- a/src/main/java/lemondrift/cli/RecoveryCommand.java
+++ b/src/main/java/lemondrift/cli/RecoveryCommand.java
@@ -38,12 +38,12 @@
                             Locale.ROOT,
                             "name %s%nstart %d%nwritten %s%nboot %s%n"
                                     + "work %.4f s, of %d answers%n",
-                            its.name(),
-                            its.start(),
-                            Instant.ofEpochMilli((long) (its.at() * 1000)),
-                            its.boot().isEmpty() ? "not known" : its.boot(),
-                            its.work(),
-                            its.answers());
+                            its.proxyName(),
+                            its.startNumber(),
+                            Instant.ofEpochMilli((long) (its.writtenAt() * 1000)),
+                            its.bootId().isEmpty() ? "not known" : its.bootId(),
+                            its.serviceTimeSeconds(),
+                            its.samples());
             spec.commandLine().getOut().flush();
             return RootCommand.DONE;
         }
--- a/src/main/java/lemondrift/connection/ConnectionDeadlines.java
+++ b/src/main/java/lemondrift/connection/ConnectionDeadlines.java
@@ -55,7 +55,7 @@
         connections.deadlines[connection] =
                 Math.min(
                         now + timeoutSeconds,
-                        connections.deadlines[connection] + bytes / limits.leastRate());
+                        connections.deadlines[connection] + bytes / limits.minBytesPerSecond());
     }
 
     /** Why a connection is to be closed now; null if it may stay. */
@@ -72,7 +72,7 @@
 
     private CloseReason idleTooLong(int connection, double now) {
         double idleSeconds = connections.secondsInState(connection, now);
-        if (idleSeconds > limits.quiet()) {
+        if (idleSeconds > limits.maxIdleSeconds()) {
             return CloseReason.IDLE_TIMEOUT;
         }
         if (idleSeconds > keepAlive.idleLimitSeconds(connection)
--- a/src/main/java/lemondrift/connection/ConnectionLimits.java
+++ b/src/main/java/lemondrift/connection/ConnectionLimits.java
@@ -4,28 +4,28 @@
  * How many clients' connections there may be and how patient the proxy is with them. All times are
  * in seconds and are ratios to the longest idle time.
  *
- * @param places how many connections are to stay open, 1 or more
- * @param last how many there may be until some are evicted; places or more
- * @param quiet the longest idle time of an answered connection, in seconds over 0
- * @param earliest the idle time before which none is closed between requests unless there are too
- *     many, in seconds from 0 to quiet
+ * @param maxConnections how many connections are to stay open, 1 or more
+ * @param acceptLimit how many there may be until some are evicted; places or more
+ * @param maxIdleSeconds the longest idle time of an answered connection, in seconds over 0
+ * @param minIdleSeconds the idle time before which none is closed between requests unless there are
+ *     too many, in seconds from 0 to quiet
  * @param sharing what the places are shared among
- * @param announces whether responses announce for how long the connection stays open, which is then
- *     held to
- * @param leastRate bytes a second by which a request that comes, or a response that is taken, must
- *     make progress; over 0
- * @param benefit the priority weight of a usual request, over 0; what a request earns for its
- *     source is a ratio to it
+ * @param announcesKeepAlive whether responses announce for how long the connection stays open,
+ *     which is then held to
+ * @param minBytesPerSecond bytes a second by which a request that comes, or a response that is
+ *     taken, must make progress; over 0
+ * @param usualPriorityWeight the priority weight of a usual request, over 0; what a request earns
+ *     for its source is a ratio to it
  */
 public record ConnectionLimits(
-        int places,
-        int last,
-        double quiet,
-        double earliest,
+        int maxConnections,
+        int acceptLimit,
+        double maxIdleSeconds,
+        double minIdleSeconds,
         Sharing sharing,
-        boolean announces,
-        double leastRate,
-        double benefit) {
+        boolean announcesKeepAlive,
+        double minBytesPerSecond,
+        double usualPriorityWeight) {
     /** What counts as one source of connections. */
     public enum Sharing {
         /** Each connection by itself: behind a front proxy all clients have one address. */
@@ -45,12 +45,12 @@
      * @throws IllegalArgumentException if one is out of its range
      */
     public ConnectionLimits {
-        if (places < 1
-                || last < places
-                || !(quiet > 0)
-                || !(earliest >= 0 && earliest <= quiet)
-                || !(leastRate > 0)
-                || !(benefit > 0)
+        if (maxConnections < 1
+                || acceptLimit < maxConnections
+                || !(maxIdleSeconds > 0)
+                || !(minIdleSeconds >= 0 && minIdleSeconds <= maxIdleSeconds)
+                || !(minBytesPerSecond > 0)
+                || !(usualPriorityWeight > 0)
                 || sharing == null) {
             throw new IllegalArgumentException("bounds of the door that contradict each other");
         }
@@ -61,7 +61,7 @@
      * the 3 s, at the default idle time, within which a client that brings no request is closed.
      */
     double firstByteTimeoutSeconds() {
-        return 0.8 * quiet;
+        return 0.8 * maxIdleSeconds;
     }
 
     /**
@@ -69,12 +69,12 @@
      * at the most. Guards against cutting off slow clients midway.
      */
     double readTimeoutSeconds() {
-        return 1.1 * quiet;
+        return 1.1 * maxIdleSeconds;
     }
 
     /** The same for a client that takes its response: kernels take a lot, then nothing for long. */
     double writeTimeoutSeconds() {
-        return 4 * quiet;
+        return 4 * maxIdleSeconds;
     }
 
     /** How long a backend may give nothing of a response that it has begun. */
@@ -84,28 +84,28 @@
 
     /** How long a connection is not read after a rejected request, the first time. */
     double firstReadPauseSeconds() {
-        return quiet / 11;
+        return maxIdleSeconds / 11;
     }
 
     /** How long a connection is not read after a rejected request, at the most. */
     double maxReadPauseSeconds() {
-        return 0.45 * quiet;
+        return 0.45 * maxIdleSeconds;
     }
 
     /**
      * The age from which a connection without a byte may be evicted; twice that, a first request.
      */
     double evictionGraceSeconds() {
-        return quiet / 22;
+        return maxIdleSeconds / 22;
     }
 
     /** How often {@link ConnectionPolicy#sweep} is to be called at the least. */
     public double sweepIntervalSeconds() {
-        return quiet / 11;
+        return maxIdleSeconds / 11;
     }
 
     /** The half-life of what a source earned and cost, and of what was seen of idle times. */
     double halfLifeSeconds() {
-        return 4 * quiet;
+        return 4 * maxIdleSeconds;
     }
 }
--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -196,7 +196,7 @@
 
     /** The Keep-Alive timeout for the response in whole seconds; 0 where none is announced. */
     public int announcedKeepAliveSeconds(int connection) {
-        return connections.keepAliveAnnounced[connection] ? (int) limits.quiet() : 0;
+        return connections.keepAliveAnnounced[connection] ? (int) limits.maxIdleSeconds() : 0;
     }
 
     /**
@@ -227,7 +227,9 @@
         double time = pauseClock.runningTime(now);
         if (priorityWeight >= 0) {
             double credit =
-                    priorityWeight > 0 ? priorityWeight / limits.benefit() : UNSERVED_CREDIT;
+                    priorityWeight > 0
+                            ? priorityWeight / limits.usualPriorityWeight()
+                            : UNSERVED_CREDIT;
             connections.sources[connection].addCredit(credit, time, limits.halfLifeSeconds());
         }
         // What came before the response was out is the next request's beginning, unless its head is
--- a/src/main/java/lemondrift/connection/ConnectionState.java
+++ b/src/main/java/lemondrift/connection/ConnectionState.java
@@ -1,6 +1,8 @@
 package lemondrift.connection;
 
-/** What a client's connection is doing. docs/door.md draws how one state leads to another. */
+/**
+ * What a client's connection is doing. docs/connections.md draws how one state leads to another.
+ */
 public enum ConnectionState {
     /** The index is not in use. */
     FREE,
--- a/src/main/java/lemondrift/connection/ConnectionTable.java
+++ b/src/main/java/lemondrift/connection/ConnectionTable.java
@@ -48,9 +48,12 @@
     private int maxConnections;
 
     ConnectionTable(ConnectionLimits limits) {
-        configuredMaxConnections = limits.places();
-        maxConnections = limits.places();
-        int capacity = limits.last() + SPARE_INDEXES + limits.last() / CONNECTIONS_PER_SPARE_INDEX;
+        configuredMaxConnections = limits.maxConnections();
+        maxConnections = limits.maxConnections();
+        int capacity =
+                limits.acceptLimit()
+                        + SPARE_INDEXES
+                        + limits.acceptLimit() / CONNECTIONS_PER_SPARE_INDEX;
         sources = new ClientSource[capacity];
         sourceKeys = new long[capacity];
         closeReasons = new CloseReason[capacity];
--- a/src/main/java/lemondrift/connection/KeepAlivePolicy.java
+++ b/src/main/java/lemondrift/connection/KeepAlivePolicy.java
@@ -35,8 +35,10 @@
                 estimators,
                 group ->
                         new IdleReuseEstimator(
-                                limits.quiet(), limits.earliest(), limits.halfLifeSeconds()));
-        Arrays.fill(idleLimitSeconds, limits.quiet());
+                                limits.maxIdleSeconds(),
+                                limits.minIdleSeconds(),
+                                limits.halfLifeSeconds()));
+        Arrays.fill(idleLimitSeconds, limits.maxIdleSeconds());
     }
 
     private static int group(int responses) {
@@ -61,7 +63,7 @@
 
     /** Whether the response may announce for how long the connection stays open. */
     boolean mayAnnounce() {
-        return limits.announces() && pricePerSecond() < 1 / limits.quiet();
+        return limits.announcesKeepAlive() && pricePerSecond() < 1 / limits.maxIdleSeconds();
     }
 
     /** An idle connection was used again. */
@@ -81,7 +83,7 @@
         for (int group = 0; group < REUSE_GROUPS; group++) {
             idleLimitSeconds[group] =
                     Math.max(
-                            limits.earliest(),
+                            limits.minIdleSeconds(),
                             estimators[group].idleLimitSeconds(pricePerSecond(), now));
         }
     }
@@ -101,6 +103,6 @@
 
     /** What a place costs for a second, in connections that need not be opened again. */
     private double pricePerSecond() {
-        return Math.pow(unusedRatio(), PRICE_EXPONENT) / limits.quiet();
+        return Math.pow(unusedRatio(), PRICE_EXPONENT) / limits.maxIdleSeconds();
     }
 }
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -83,7 +83,7 @@
     }
 
     /** Sets the ids of all backends that may be used. */
-    public void listed(int[] ids) {
+    public void setActive(int[] ids) {
         Set<Integer> next = new HashSet<>();
         Arrays.stream(ids).forEach(next::add);
         for (int id : active.toArray()) {
@@ -101,7 +101,7 @@
      * @param whole whether nothing but these backends is listed
      * @param idOf the id of the backend of an index
      */
-    public List<EndpointUpdate> assigned(
+    public List<EndpointUpdate> withUserShares(
             int proxy, boolean whole, List<EndpointUpdate> updates, IntUnaryOperator idOf) {
         Set<Integer> affected = subsetOf(proxy);
         if (whole) {
--- a/src/main/java/lemondrift/gossip/package-info.java
+++ b/src/main/java/lemondrift/gossip/package-info.java
@@ -4,6 +4,6 @@
  * backend, all proxies compute alike ({@link lemondrift.gossip.SubsetAssignment}).
  *
  * <p>Decisions and datagrams as bytes, no I/O and no clock; the proxy calls it on the decision
- * loop's thread. docs/peers.md has the settings and the format of a datagram.
+ * loop's thread. docs/gossip.md has the settings and the format of a datagram.
  */
 package lemondrift.gossip;
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -67,8 +67,8 @@
     /** One that asks the others at its start what they have found. */
     public ModuleUnderTest recovering(Settings settings) {
         recovery =
-                RecoveryState.begins(
-                        PeerPollBackoff.of(settings.windowSeconds()),
+                RecoveryState.starting(
+                        PeerPollBackoff.forLatencyObjective(settings.windowSeconds()),
                         self,
                         settings.proxyCount(),
                         1 + self,
@@ -78,21 +78,23 @@
 
     private void says(RecoveryState.Step step, double now) {
         recovery = step.next();
-        step.sent()
+        step.messages()
                 .forEach(
                         each ->
                                 said.add(
-                                        new LoadGossip.Message(each.to(), each.hello().encoded())));
-        RecoveryState.Lesson lesson = recovery.isSettled() ? null : recovery.lesson(now);
+                                        new LoadGossip.Message(
+                                                each.to(), each.status().encoded())));
+        RecoveryState.PeerEstimate lesson =
+                recovery.isSettled() ? null : recovery.peerEstimate(now);
         if (lesson != null) {
-            balancer.seedServiceTime(lesson.work(), lesson.answers());
+            balancer.seedServiceTime(lesson.serviceTimeSeconds(), lesson.samples());
         }
     }
 
     private void hear(double now) {
         if (recovery != null) {
             recovery =
-                    recovery.found(
+                    recovery.withMeasured(
                             balancer.measuredServiceTime().seconds(),
                             (int) balancer.measuredServiceTime().samples());
         }
@@ -153,7 +155,7 @@
         }
         return sent(
                 balancer.endpointsListed(
-                        now, whole, false, subsets.assigned(self, whole, updates, i -> i)));
+                        now, whole, false, subsets.withUserShares(self, whole, updates, i -> i)));
     }
 
     @Override
@@ -189,10 +191,10 @@
         if (datagram[0] != PeerStatus.KIND) {
             gossip.receive(from, datagram, now);
         } else if (recovery != null) {
-            PeerStatus hello = PeerStatus.of(datagram);
-            RecoveryState.Step step = recovery.heard(from, hello, now);
-            if (step.anew()) {
-                gossip.peerRestarted(from, hello.start());
+            PeerStatus hello = PeerStatus.decode(datagram);
+            RecoveryState.Step step = recovery.statusReceived(from, hello, now);
+            if (step.peerRestarted()) {
+                gossip.peerRestarted(from, hello.startNumber());
             }
             says(step, now);
         }
--- a/src/main/java/lemondrift/metrics/ProxyMetrics.java
+++ b/src/main/java/lemondrift/metrics/ProxyMetrics.java
@@ -20,21 +20,21 @@
      * The counts at one moment.
      *
      * @param replies by name of the request class, and then by ordinal of {@link Reply}
-     * @param concurrent requests in flight
-     * @param dispatches attempts whose last byte was handed to the system
-     * @param targets backends listed
-     * @param targetsDisabled backends listed that are not usable
-     * @param reloadSuccess configurations reloaded
-     * @param reloadFailure configurations that could not be used
+     * @param requestsInFlight requests in flight
+     * @param attemptsSent attempts whose last byte was handed to the system
+     * @param backendsListed backends listed
+     * @param backendsDisabled backends listed that are not usable
+     * @param reloadsSucceeded configurations reloaded
+     * @param reloadsFailed configurations that could not be used
      */
-    public record Figures(
+    public record Snapshot(
             Map<String, long[]> replies,
-            long concurrent,
-            long dispatches,
-            long targets,
-            long targetsDisabled,
-            long reloadSuccess,
-            long reloadFailure) {}
+            long requestsInFlight,
+            long attemptsSent,
+            long backendsListed,
+            long backendsDisabled,
+            long reloadsSucceeded,
+            long reloadsFailed) {}
 
     /** By name of the request class, and then by ordinal of {@link Reply}. */
     private final Map<String, long[]> replyCounts = new LinkedHashMap<>();
@@ -106,10 +106,10 @@
     }
 
     /** A copy, which later counts do not change. */
-    public Figures snapshot() {
+    public Snapshot snapshot() {
         Map<String, long[]> replies = new LinkedHashMap<>();
         replyCounts.forEach((requestClass, counts) -> replies.put(requestClass, counts.clone()));
-        return new Figures(
+        return new Snapshot(
                 replies,
                 acceptedRequests - completedRequests,
                 attemptsSent,
--- a/src/main/java/lemondrift/model/Decision.java
+++ b/src/main/java/lemondrift/model/Decision.java
@@ -37,9 +37,6 @@
     /** Calls to be made for the endpoint list. */
     public final List<EndpointListCall> endpointListCalls = new ArrayList<>();
 
-    /** Texts for the other proxies; the balancer has none. */
-    public final List<String> peerTexts = new ArrayList<>();
-
     /** Lines for the log. */
     public final List<String> logMessages = new ArrayList<>();
 
@@ -53,7 +50,6 @@
         cancellations.clear();
         probes.clear();
         endpointListCalls.clear();
-        peerTexts.clear();
         logMessages.clear();
         wakeAt = Double.POSITIVE_INFINITY;
     }
--- a/src/main/java/lemondrift/proxy/ConfigReload.java
+++ b/src/main/java/lemondrift/proxy/ConfigReload.java
@@ -63,7 +63,7 @@
      *     one states; nothing is changed then
      */
     void apply(ProxyConfig next) {
-        next.requireAllOf(current);
+        next.requireAllKeysOf(current);
         LOG.info(
                 "configuration read again, discovery at {}, classes {}",
                 next.discovery(),
--- a/src/main/java/lemondrift/proxy/OperatorControl.java
+++ b/src/main/java/lemondrift/proxy/OperatorControl.java
@@ -43,19 +43,19 @@
     }
 
     @Override
-    public ProxyMetrics.Figures figures() {
+    public ProxyMetrics.Snapshot metrics() {
         return metrics.snapshot();
     }
 
     @Override
-    public String recovery() {
+    public String recoveryJson() {
         return decisionLoop.recoveryCoordinator() == null
                 ? null
                 : decisionLoop.recoveryCoordinator().statusJson(clock.now());
     }
 
     @Override
-    public String loop() {
+    public String loopJson() {
         return decisionLoop.metricsJson();
     }
 
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -314,7 +314,7 @@
         CompletableFuture<InFlight> result = new CompletableFuture<>();
         runOnIoThread(
                 () -> {
-                    int connections = clientListener.openConnectionCount();
+                    int connections = clientListener.openRequestCount();
                     int calls = backendClient.callsInFlight();
                     runOnLoop(
                             () ->
--- a/src/main/java/lemondrift/proxy/admin/AdminOperations.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminOperations.java
@@ -8,13 +8,13 @@
     boolean isReady();
 
     /** The metrics as they stand. */
-    ProxyMetrics.Figures figures();
+    ProxyMetrics.Snapshot metrics();
 
     /** How far the recovery after the start is, as JSON; null where the proxy polls no peers. */
-    String recovery();
+    String recoveryJson();
 
     /** How the decision loop keeps up, as JSON. */
-    String loop();
+    String loopJson();
 
     /** Takes the proxy out of service; false where it cannot be. */
     boolean quiesce();
--- a/src/main/java/lemondrift/proxy/admin/AdminServer.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminServer.java
@@ -102,7 +102,7 @@
     }
 
     /** From now on there is a proxy to operate. Any thread. */
-    public void operates(AdminOperations proxy) {
+    public void setOperations(AdminOperations proxy) {
         worker.getIoThread().execute(() -> operations = proxy);
     }
 
@@ -163,9 +163,9 @@
                             json(
                                     operations == null
                                             ? new ProxyMetrics().snapshot()
-                                            : operations.figures()));
-            case RECOVERY -> sendJson(call, operations == null ? null : operations.recovery());
-            case LOOP -> sendJson(call, operations == null ? null : operations.loop());
+                                            : operations.metrics()));
+            case RECOVERY -> sendJson(call, operations == null ? null : operations.recoveryJson());
+            case LOOP -> sendJson(call, operations == null ? null : operations.loopJson());
             case HEALTH -> sendSuccess(call, operations != null && operations.isReady());
             case QUIESCE -> sendSuccess(call, operations != null && operations.quiesce());
             default -> sendSuccess(call, operations != null && operations.resume());
@@ -192,7 +192,7 @@
     }
 
     /** The metrics under the names that operators' tools read. */
-    static String json(ProxyMetrics.Figures metrics) {
+    static String json(ProxyMetrics.Snapshot metrics) {
         JsonObject repliesByClass = new JsonObject();
         metrics.replies()
                 .forEach(
@@ -200,12 +200,12 @@
                                 repliesByClass.add(requestClass, repliesJson(counts)));
         JsonObject json = new JsonObject();
         json.add("replies", repliesByClass);
-        json.addProperty("concurrent", metrics.concurrent());
-        json.addProperty("dispatches", metrics.dispatches());
-        json.addProperty("targets", metrics.targets());
-        json.addProperty("targets_disabled", metrics.targetsDisabled());
-        json.addProperty("reload_success", metrics.reloadSuccess());
-        json.addProperty("reload_failure", metrics.reloadFailure());
+        json.addProperty("concurrent", metrics.requestsInFlight());
+        json.addProperty("dispatches", metrics.attemptsSent());
+        json.addProperty("targets", metrics.backendsListed());
+        json.addProperty("targets_disabled", metrics.backendsDisabled());
+        json.addProperty("reload_success", metrics.reloadsSucceeded());
+        json.addProperty("reload_failure", metrics.reloadsFailed());
         return json.toString();
     }
 
--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -43,7 +43,7 @@
     private State state = State.CONNECTING;
 
     /** Null while connecting. */
-    private ConnectionPool.Link link;
+    private ConnectionPool.PooledConnection link;
 
     /** Null until the connect has begun. */
     private IoFuture<StreamConnection> connect;
@@ -135,7 +135,7 @@
     }
 
     /** The bytes of a GET request without a body. */
-    public static byte[] get(String path, String host) {
+    public static byte[] getRequest(String path, String host) {
         return ("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
@@ -261,7 +261,7 @@
                 pool.sawUnexpectedBytes();
             }
             endComplete(unexpectedBytes);
-        } else if (reader.isLong()) {
+        } else if (reader.isTooLongToBuffer()) {
             endStreamed(pooled);
         }
     }
@@ -297,7 +297,8 @@
         streamedBuffer = unread;
         finish();
         link.connection.getSourceChannel().suspendReads();
-        onEnd.accept(reader.begun(new StreamedResponse(pool, link, request, reader, unread)));
+        onEnd.accept(
+                reader.streamedResponse(new StreamedResponse(pool, link, request, reader, unread)));
     }
 
     /**
@@ -307,7 +308,7 @@
     private void endComplete(boolean spent) {
         finish();
         pool.giveBack(link, !spent && request.isSent() && !reader.closesConnection());
-        onEnd.accept(reader.answer());
+        onEnd.accept(reader.bufferedResponse());
     }
 
     /** The connection could not be established, broke, or brought what cannot be read. */
@@ -318,7 +319,7 @@
     private void endFailed(boolean timedOut) {
         if (!isDone()) {
             abandon();
-            onEnd.accept(BackendResponse.broken(request.isSent(), timedOut));
+            onEnd.accept(BackendResponse.connectionFailed(request.isSent(), timedOut));
         }
     }
 
@@ -326,7 +327,7 @@
     void endNotSent() {
         if (!isDone()) {
             abandon();
-            onEnd.accept(BackendResponse.unsent());
+            onEnd.accept(BackendResponse.notSent());
         }
     }
 
--- a/src/main/java/lemondrift/proxy/backend/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -65,7 +65,7 @@
     private final DecisionEvents decisionEvents;
     private final ProxyMetrics metrics;
     private final Predicate<PendingRequest> isClientWaiting;
-    private final ConnectionPool.Budget budget;
+    private final ConnectionPool.ConnectionBudget budget;
     private final XnioExecutor.Key idleSweep;
     private final Map<Integer, ConnectionPool> poolsByBackend = new HashMap<>();
     private final Map<Attempt, BackendCall> callsByAttempt = new HashMap<>();
@@ -92,7 +92,9 @@
         this.buffers = buffers;
         this.decisionEvents = decisionEvents;
         this.metrics = metrics;
-        budget = new ConnectionPool.Budget((int) (BACKENDS_SHARE * config.maxConnections()));
+        budget =
+                new ConnectionPool.ConnectionBudget(
+                        (int) (BACKENDS_SHARE * config.maxConnections()));
         double maxIdleSeconds = IDLE_SHARE * config.backendIdleSeconds();
         idleSweep =
                 io.executeAtInterval(
@@ -185,7 +187,7 @@
         BackendCall call =
                 BackendCall.make(
                         pool(backend, to),
-                        BackendCall.get(path, "backend"),
+                        BackendCall.getRequest(path, "backend"),
                         MAX_BUFFERED_BYTES,
                         config.connectTimeoutSeconds(),
                         config.connectTimeoutSeconds(),
@@ -247,7 +249,7 @@
                 clock,
                 budget,
                 (int) (ONE_BACKEND_SHARE * BACKENDS_SHARE * config.maxConnections()),
-                new ConnectionPool.Rest(
+                new ConnectionPool.Quarantine(
                         REST_SHARE * config.connectTimeoutSeconds(), config.backendIdleSeconds()));
     }
 
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -20,14 +20,14 @@
  */
 public final class ConnectionPool {
     /** A connection of the pool, in use for one request or idle. */
-    public static final class Link {
+    public static final class PooledConnection {
         /** Its socket. */
         public final StreamConnection connection;
 
         /** Since when it is idle; without meaning while it is in use. */
         private double idleSince;
 
-        private Link(StreamConnection connection) {
+        private PooledConnection(StreamConnection connection) {
             this.connection = connection;
         }
 
@@ -65,20 +65,20 @@
      * What several pools share: how many connections may be open over all of them, their idle
      * connections, and whether answered connections rest before they are used again.
      */
-    public static final class Budget {
+    public static final class ConnectionBudget {
         private int maxConnections;
 
         /** Until this instant connections rest after a response; see {@link Rest}. */
         private double restsUntil = Double.NEGATIVE_INFINITY;
 
         /** Idle longest first. */
-        private final Set<Link> idle = new LinkedHashSet<>();
+        private final Set<PooledConnection> idle = new LinkedHashSet<>();
 
         /** Places that are taken, by connections or by attempts to connect. */
         private int reserved;
 
         /** A budget of so many connections. */
-        public Budget(int maxConnections) {
+        public ConnectionBudget(int maxConnections) {
             this.maxConnections = maxConnections;
         }
 
@@ -110,9 +110,9 @@
      * @param restSeconds how long a connection rests after a response
      * @param memorySeconds how long after unexpected bytes connections still rest
      */
-    public record Rest(double restSeconds, double memorySeconds) {
+    public record Quarantine(double restSeconds, double memorySeconds) {
         /** Connections are used again at once. */
-        public static final Rest NONE = new Rest(0, 0);
+        public static final Quarantine NONE = new Quarantine(0, 0);
     }
 
     /** Where all its connections lead. */
@@ -122,12 +122,12 @@
     final BackendConnector connector;
     final ByteBufferPool buffers;
     final MonotonicClock clock;
-    private final Budget budget;
+    private final ConnectionBudget budget;
     private final int maxConnections;
-    private final Rest rest;
+    private final Quarantine rest;
 
     /** Idle longest last. */
-    private final Deque<Link> idle = new ArrayDeque<>();
+    private final Deque<PooledConnection> idle = new ArrayDeque<>();
 
     /** Places that are taken here, by connections or by attempts to connect. */
     private int reserved;
@@ -141,9 +141,9 @@
             BackendConnector connector,
             ByteBufferPool buffers,
             MonotonicClock clock,
-            Budget budget,
+            ConnectionBudget budget,
             int maxConnections,
-            Rest rest) {
+            Quarantine rest) {
         this.address = address;
         this.io = io;
         this.connector = connector;
@@ -158,19 +158,19 @@
      * Takes the connection that has been idle longest, if it has rested; null if there is none.
      * Guards against bytes or a close that follow a response late and would meet the next request.
      */
-    Link takeRested() {
+    PooledConnection takeRested() {
         double now = clock.now();
         return takeIdleSince(now < budget.restsUntil ? now - rest.restSeconds : now);
     }
 
     /** Takes the connection that has been idle longest, rested or not; null if there is none. */
-    Link takeIdle() {
+    PooledConnection takeIdle() {
         return takeIdleSince(Double.POSITIVE_INFINITY);
     }
 
-    private Link takeIdleSince(double instant) {
+    private PooledConnection takeIdleSince(double instant) {
         while (!idle.isEmpty() && idle.peekLast().idleSince <= instant) {
-            Link link = idle.pollLast();
+            PooledConnection link = idle.pollLast();
             budget.idle.remove(link);
             IdleState state = link.idleState();
             if (state == IdleState.QUIET) {
@@ -203,8 +203,8 @@
     }
 
     /** Adds a connection that was established for a reserved place; it is in use. */
-    public Link opened(StreamConnection connection) {
-        Link link = new Link(connection);
+    public PooledConnection opened(StreamConnection connection) {
+        PooledConnection link = new PooledConnection(connection);
         connection.setCloseListener(
                 closed -> {
                     releasePlace();
@@ -215,16 +215,16 @@
     }
 
     /** Takes back a connection after its request: closes it unless it can be used again. */
-    void giveBack(Link link, boolean reusable) {
+    void giveBack(PooledConnection link, boolean reusable) {
         if (reusable) {
-            back(link);
+            giveBackReusable(link);
         } else {
             link.close();
         }
     }
 
     /** Takes back a connection that can be used again; it is idle from now on. */
-    public void back(Link link) {
+    public void giveBackReusable(PooledConnection link) {
         if (retired || !link.connection.isOpen()) {
             link.close();
             return;
@@ -239,7 +239,7 @@
         link.connection.getSourceChannel().resumeReads();
     }
 
-    private void closeIdle(Link link, IdleState state) {
+    private void closeIdle(PooledConnection link, IdleState state) {
         if (state == IdleState.UNEXPECTED_BYTES) {
             sawUnexpectedBytes();
         }
--- a/src/main/java/lemondrift/proxy/backend/RequestWriter.java
+++ b/src/main/java/lemondrift/proxy/backend/RequestWriter.java
@@ -120,7 +120,8 @@
                     }
                 });
         // Guards against a backend that takes nothing; the client's side has timeouts of its own.
-        BodyRelay.Patience patience = new BodyRelay.Patience(0, streamedBody.stallTimeoutSeconds());
+        BodyRelay.StallTimeouts patience =
+                new BodyRelay.StallTimeouts(0, streamedBody.stallTimeoutSeconds());
         bodyRelay = new BodyRelay(streamedBody, sink, io, patience, () -> {}, this::bodyRelayEnded);
         bodyRelay.run();
     }
--- a/src/main/java/lemondrift/proxy/backend/ResponseOutcome.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseOutcome.java
@@ -15,7 +15,7 @@
      */
     static AttemptOutcome of(BackendResponse response) {
         return switch (response.status()) {
-            case BackendResponse.UNSENT -> AttemptOutcome.NOT_SENT;
+            case BackendResponse.NOT_SENT -> AttemptOutcome.NOT_SENT;
             case 0 -> ofNoResponse(response);
             case BackendResponse.OK -> AttemptOutcome.SUCCESS;
             case 503, 504 ->
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -92,10 +92,10 @@
      * @throws IOException where the response cannot be read, or not in one way only
      */
     public boolean read(ByteBuffer source) throws IOException {
-        while (!isLong()) {
-            ByteBuffer piece = piece(source);
+        while (!isTooLongToBuffer()) {
+            ByteBuffer piece = nextPiece(source);
             if (piece == null) {
-                return isWhole();
+                return isComplete();
             }
             buffer(piece);
         }
@@ -121,7 +121,7 @@
      *
      * @throws IOException where the response cannot be read, or not in one way only
      */
-    public ByteBuffer piece(ByteBuffer source) throws IOException {
+    public ByteBuffer nextPiece(ByteBuffer source) throws IOException {
         while (next != Part.NOTHING && source.hasRemaining()) {
             if (next == Part.BODY_OF_KNOWN_LENGTH || next == Part.CHUNK) {
                 ByteBuffer piece = slice(source, Math.min(bytesLeft, source.remaining()));
@@ -151,7 +151,7 @@
     }
 
     /** Whether the body is too long to be buffered, or must be streamed for another reason. */
-    public boolean isLong() {
+    public boolean isTooLongToBuffer() {
         return streamingForced
                 || contentLength > maxBufferedBytes
                 || bufferedBody.size() > maxBufferedBytes;
@@ -172,7 +172,7 @@
     }
 
     /** Whether the whole response has been read. */
-    public boolean isWhole() {
+    public boolean isComplete() {
         return next == Part.NOTHING;
     }
 
@@ -198,12 +198,12 @@
     }
 
     /** The response, buffered whole. */
-    public BackendResponse answer() {
-        return begun(null);
+    public BackendResponse bufferedResponse() {
+        return streamedResponse(null);
     }
 
     /** The response with the beginning of its body, and who has the remainder. */
-    public BackendResponse begun(ResponseRemainder remainder) {
+    public BackendResponse streamedResponse(ResponseRemainder remainder) {
         return new BackendResponse(
                 status, headers, bufferedBody.toByteArray(), true, false, remainder);
     }
@@ -215,8 +215,8 @@
             // Guards against lines without an end, in the head or between chunks.
             boolean inHead = next == Part.STATUS_LINE || next == Part.FIELDS;
             int lineBytes = inHead ? ++headBytes : ++chunkLineBytes;
-            if (lineBytes > HttpFieldRules.MOST) {
-                throw new IOException("a head of over " + HttpFieldRules.MOST + " bytes");
+            if (lineBytes > HttpFieldRules.MAX_HEAD_BYTES) {
+                throw new IOException("a head of over " + HttpFieldRules.MAX_HEAD_BYTES + " bytes");
             }
             if (c == '\n') {
                 int end = line.length() - 1;
--- a/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
+++ b/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
@@ -13,7 +13,7 @@
  */
 final class StreamedResponse implements ResponseRemainder {
     private final ConnectionPool pool;
-    private final ConnectionPool.Link link;
+    private final ConnectionPool.PooledConnection link;
     private final RequestWriter request;
     private final ResponseReader reader;
 
@@ -22,7 +22,7 @@
 
     StreamedResponse(
             ConnectionPool pool,
-            ConnectionPool.Link link,
+            ConnectionPool.PooledConnection link,
             RequestWriter request,
             ResponseReader reader,
             PooledByteBuffer unread) {
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public int declared() {
+    public int declaredLength() {
         return reader.contentLength();
     }
 
@@ -43,8 +43,8 @@
         ByteBuffer buffer = unread.getBuffer();
         int count = 1;
         while (count > 0) {
-            ByteBuffer piece = reader.piece(buffer);
-            if (piece != null || reader.isWhole()) {
+            ByteBuffer piece = reader.nextPiece(buffer);
+            if (piece != null || reader.isComplete()) {
                 return piece;
             }
             count = link.connection.getSourceChannel().read(buffer.clear());
@@ -64,8 +64,8 @@
     }
 
     @Override
-    public boolean isWhole() {
-        return reader.isWhole();
+    public boolean isComplete() {
+        return reader.isComplete();
     }
 
     @Override
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void passed() {
+    public void fullyRelayed() {
         boolean reusable =
                 !unread.getBuffer().hasRemaining()
                         && !reader.closesConnection()
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -72,7 +72,7 @@
         policy = new ConnectionPolicy(limits, this, seed);
         context = new ClientConnection.Context(policy, clock, metrics, openRequestIds);
         sweepIntervalSeconds = limits.sweepIntervalSeconds();
-        maxConnections = limits.places();
+        maxConnections = limits.maxConnections();
         byIndex = new ClientConnection[policy.capacity()];
         // Guards against classes that are first needed, and can't be loaded, without descriptors.
         policy.sweep(clock.now());
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -113,7 +113,7 @@
         return new HttpOpenListener(
                 bufferPool,
                 OptionMap.builder()
-                        .set(UndertowOptions.MAX_HEADER_SIZE, HttpFieldRules.MOST)
+                        .set(UndertowOptions.MAX_HEADER_SIZE, HttpFieldRules.MAX_HEAD_BYTES)
                         .set(UndertowOptions.ALWAYS_SET_DATE, false)
                         .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                         .getMap());
@@ -132,7 +132,7 @@
         bufferBudget.setMaxTotalBytes(
                 (long) (BUFFERED_MEMORY_SHARE * config.memoryBytes() / processes));
         if (inheritedServer != null) {
-            inheritedServer.most((int) (share * config.connectionLimits().last()));
+            inheritedServer.most((int) (share * config.connectionLimits().acceptLimit()));
         }
     }
 
@@ -152,7 +152,7 @@
                 new InheritedServer(
                         inheritedSocket,
                         worker.getIoThread(),
-                        config.connectionLimits().last(),
+                        config.connectionLimits().acceptLimit(),
                         this::accepted);
         worker.getIoThread().execute(inheritedServer::listen);
     }
@@ -164,7 +164,7 @@
      */
     public void listen() throws IOException {
         // Guards against places that stay empty: XNIO accepts again only at the low mark or under.
-        int acceptLimit = config.connectionLimits().last();
+        int acceptLimit = config.connectionLimits().acceptLimit();
         server =
                 worker.createStreamConnectionServer(
                         config.listen(),
@@ -253,7 +253,7 @@
     }
 
     /** How many connections have a request open. */
-    public int openConnectionCount() {
+    public int openRequestCount() {
         return connections.openRequestCount();
     }
 
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public boolean isWhole() {
+    public boolean isComplete() {
         return allGiven && nextPieces.isEmpty();
     }
 
--- a/src/main/java/lemondrift/proxy/client/ResponseWriter.java
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -196,15 +196,15 @@
             response.remainder().abandonResponse();
             return;
         }
-        if (response.remainder().declared() >= 0) {
-            exchange.setResponseContentLength(response.remainder().declared());
+        if (response.remainder().declaredLength() >= 0) {
+            exchange.setResponseContentLength(response.remainder().declaredLength());
         }
         BodyRelay relay =
                 new BodyRelay(
                         new LongResponse(response),
                         exchange.getResponseChannel(),
                         ioThread,
-                        new BodyRelay.Patience(backendStallTimeoutSeconds, 0),
+                        new BodyRelay.StallTimeouts(backendStallTimeoutSeconds, 0),
                         connection::responseBytesAvailable,
                         whole -> {
                             connection.stopRelay = null;
@@ -220,7 +220,7 @@
 
     private void relayEnded(HttpServerExchange exchange, BackendResponse response, boolean whole) {
         if (whole) {
-            response.remainder().passed();
+            response.remainder().fullyRelayed();
             exchange.endExchange();
         } else {
             // A close the client can see: the length is short, or the last chunk is missing.
@@ -249,8 +249,8 @@
         }
 
         @Override
-        public boolean isWhole() {
-            return beginningGiven && response.remainder().isWhole();
+        public boolean isComplete() {
+            return beginningGiven && response.remainder().isComplete();
         }
 
         @Override
--- a/src/main/java/lemondrift/proxy/config/ConfigFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConfigFile.java
@@ -66,7 +66,8 @@
      *
      * @throws InvalidSettingsException where it is no JSON object
      */
-    public static JsonObject readWithoutKnown(Map<String, String> environment) throws IOException {
+    public static JsonObject readWithoutInitialEndpoints(Map<String, String> environment)
+            throws IOException {
         try (Reader file = Files.newBufferedReader(path(environment));
                 JsonReader reader = new JsonReader(file)) {
             JsonObject config = new JsonObject();
--- a/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
@@ -13,8 +13,8 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * Reads the limits of clients' connections, from the file that PROXY_DOOR names; docs/door.md has
- * the keys.
+ * Reads the limits of clients' connections, from the file that PROXY_DOOR names;
+ * docs/connections.md has the keys.
  */
 public final class ConnectionSettingsFile {
     /** The share of the proxy's connections that clients may have. */
@@ -34,7 +34,7 @@
 
     /** The least progress that a client must make, where the file does not say. */
     private static final double DEFAULT_MIN_BYTES_PER_SECOND =
-            HttpFieldRules.MOST / LARGEST_HEAD_SECONDS;
+            HttpFieldRules.MAX_HEAD_BYTES / LARGEST_HEAD_SECONDS;
 
     private double idleSeconds;
     private OptionalDouble minIdleSeconds = OptionalDouble.empty();
@@ -43,10 +43,10 @@
     private boolean announcesTimeout;
 
     private ConnectionSettingsFile(ConnectionLimits usual) {
-        idleSeconds = usual.quiet();
-        minBytesPerSecond = usual.leastRate();
+        idleSeconds = usual.maxIdleSeconds();
+        minBytesPerSecond = usual.minBytesPerSecond();
         sharing = usual.sharing();
-        announcesTimeout = usual.announces();
+        announcesTimeout = usual.announcesKeepAlive();
     }
 
     /** The limits where no file says otherwise, for a proxy of so many connections. */
@@ -109,14 +109,15 @@
     /** Where only the idle time is stated, the least idle time keeps its ratio to it. */
     private ConnectionLimits limits(ConnectionLimits usual) {
         return new ConnectionLimits(
-                usual.places(),
-                usual.last(),
+                usual.maxConnections(),
+                usual.acceptLimit(),
                 idleSeconds,
-                minIdleSeconds.orElse(usual.earliest() / usual.quiet() * idleSeconds),
+                minIdleSeconds.orElse(
+                        usual.minIdleSeconds() / usual.maxIdleSeconds() * idleSeconds),
                 sharing,
                 announcesTimeout,
                 minBytesPerSecond,
-                usual.benefit());
+                usual.usualPriorityWeight());
     }
 
     private static ConnectionLimits.Sharing sharing(JsonElement value) {
--- a/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
@@ -13,7 +13,7 @@
 
 /**
  * Reads how a proxy exchanges load gossip, from the file that PROXY_PEERS names and the peers'
- * addresses in the configuration; docs/peers.md has the keys. Durations are stated as multiples of
+ * addresses in the configuration; docs/gossip.md has the keys. Durations are stated as multiples of
  * the window, the shortest latency objective.
  */
 final class GossipSettingsFile {
--- a/src/main/java/lemondrift/proxy/config/ProxyConfig.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfig.java
@@ -127,7 +127,7 @@
      *
      * @throws InvalidSettingsException where one is missing
      */
-    public void requireAllOf(ProxyConfig running) {
+    public void requireAllKeysOf(ProxyConfig running) {
         new KeyComparison(statedKeys, running.statedKeys).requireAllKeys();
     }
 
@@ -142,7 +142,7 @@
     }
 
     /** A copy with other limits of clients' connections. */
-    public ProxyConfig with(ConnectionLimits otherLimits) {
+    public ProxyConfig withConnectionLimits(ConnectionLimits otherLimits) {
         return copy(admin, initialEndpoints, otherLimits, gossip, recovery, shadow);
     }
 
--- a/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
@@ -73,7 +73,7 @@
      */
     static ProxyConfig readAgain(Map<String, String> environment, ProxyConfig running)
             throws IOException {
-        JsonObject json = ConfigFile.readWithoutKnown(environment);
+        JsonObject json = ConfigFile.readWithoutInitialEndpoints(environment);
         ProxyConfig config =
                 withAdminAndShadow(
                         read(json)
--- a/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -29,12 +29,12 @@
     private Path snapshotFolder;
 
     private RecoverySettingsFile() {
-        PeerPollBackoff usual = PeerPollBackoff.of(1);
-        pollIntervalWindows = usual.ask();
-        pollTimeoutWindows = usual.bound();
-        forgetAfterWindows = usual.forget();
+        PeerPollBackoff usual = PeerPollBackoff.forLatencyObjective(1);
+        pollIntervalWindows = usual.intervalSeconds();
+        pollTimeoutWindows = usual.decisionTimeoutSeconds();
+        forgetAfterWindows = usual.expirySeconds();
         peersPerPoll = usual.fanout();
-        sufficientResponses = usual.enough();
+        sufficientResponses = usual.settledSamples();
     }
 
     /**
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -117,9 +117,9 @@
                 connector,
                 buffers,
                 clock,
-                new ConnectionPool.Budget(MAX_CONNECTIONS),
+                new ConnectionPool.ConnectionBudget(MAX_CONNECTIONS),
                 MAX_CONNECTIONS,
-                ConnectionPool.Rest.NONE);
+                ConnectionPool.Quarantine.NONE);
     }
 
     /** Starts to watch, unless the balancer polls: then it asks for the first call. */
@@ -192,7 +192,7 @@
         call =
                 BackendCall.make(
                         pool,
-                        BackendCall.get(path, pool.address.getHostString()),
+                        BackendCall.getRequest(path, pool.address.getHostString()),
                         MAX_LIST_BYTES,
                         RESPONSE_TIMEOUT_SECONDS,
                         full ? RESPONSE_TIMEOUT_SECONDS : holdSeconds + HOLD_SLACK_SECONDS,
--- a/src/main/java/lemondrift/proxy/events/BackendResponse.java
+++ b/src/main/java/lemondrift/proxy/events/BackendResponse.java
@@ -6,7 +6,7 @@
  * What came of one call to a backend.
  *
  * @param status the HTTP status; 0 where the connection failed before the response was complete,
- *     {@link #UNSENT} where the request was not sent whole through no fault of the backend
+ *     {@link #NOT_SENT} where the request was not sent whole through no fault of the backend
  * @param body the body, or its beginning where there is a remainder
  * @param requestSent whether the last byte of the request was handed to the system
  * @param timedOut whether the call ended because its time was over
@@ -23,19 +23,19 @@
     public static final int OK = 200;
 
     /** The status of a call that was given up before its request was sent whole. */
-    public static final int UNSENT = -1;
+    public static final int NOT_SENT = -1;
 
     /**
      * A call that was given up before its request was sent whole, through no fault of its backend.
      */
-    public static BackendResponse unsent() {
-        return new BackendResponse(UNSENT, new HeaderMap(), new byte[0], false, false, null);
+    public static BackendResponse notSent() {
+        return new BackendResponse(NOT_SENT, new HeaderMap(), new byte[0], false, false, null);
     }
 
     /**
      * A connection that failed, or a call whose time was over, before the response was complete.
      */
-    public static BackendResponse broken(boolean requestSent, boolean timedOut) {
+    public static BackendResponse connectionFailed(boolean requestSent, boolean timedOut) {
         return new BackendResponse(0, new HeaderMap(), new byte[0], requestSent, timedOut, null);
     }
 }
--- a/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
+++ b/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
@@ -5,10 +5,10 @@
 /** What follows of a response whose beginning has been delivered. I/O thread only. */
 public interface ResponseRemainder extends BodyChunks {
     /** The Content-Length of the whole body, in bytes; below 0 where the backend states none. */
-    int declared();
+    int declaredLength();
 
     /** All of it has been passed on to the client. */
-    void passed();
+    void fullyRelayed();
 
     /** Nobody wants the rest of it. */
     void abandonResponse();
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -97,7 +97,7 @@
                 backendByTag.put(tags[backend], backend);
             }
         }
-        return subsets.assigned(self, false, updates, backend -> tags[backend]);
+        return subsets.withUserShares(self, false, updates, backend -> tags[backend]);
     }
 
     /** The decisions have applied these endpoints, and learn what peers have in flight there. */
--- a/src/main/java/lemondrift/proxy/http/BodyChunks.java
+++ b/src/main/java/lemondrift/proxy/http/BodyChunks.java
@@ -13,7 +13,7 @@
     ByteBuffer next() throws IOException;
 
     /** Whether {@link #next} has given the whole body. */
-    boolean isWhole();
+    boolean isComplete();
 
     /** Runs the action once there may be more to read. */
     void awaitMore(Runnable then);
--- a/src/main/java/lemondrift/proxy/http/BodyRelay.java
+++ b/src/main/java/lemondrift/proxy/http/BodyRelay.java
@@ -19,7 +19,7 @@
      * @param sourceSeconds how long no byte may come
      * @param sinkSeconds how long no byte may be taken
      */
-    public record Patience(double sourceSeconds, double sinkSeconds) {}
+    public record StallTimeouts(double sourceSeconds, double sinkSeconds) {}
 
     /** Guards against one quick pair of connections that keeps all others from the I/O thread. */
     private static final int MAX_PIECES_IN_A_ROW = 16;
@@ -27,7 +27,7 @@
     private final BodyChunks source;
     private final StreamSinkChannel sink;
     private final XnioIoThread io;
-    private final Patience timeouts;
+    private final StallTimeouts timeouts;
     private final Runnable onPieceRead;
     private final Consumer<Boolean> onEnd;
 
@@ -47,7 +47,7 @@
             BodyChunks source,
             StreamSinkChannel sink,
             XnioIoThread io,
-            Patience timeouts,
+            StallTimeouts timeouts,
             Runnable onPieceRead,
             Consumer<Boolean> onEnd) {
         this.source = source;
@@ -74,7 +74,7 @@
                 sink.suspendWrites();
                 piece = source.next();
                 onPieceRead.run();
-                if (piece == null && source.isWhole()) {
+                if (piece == null && source.isComplete()) {
                     end(true);
                 } else if (piece == null && !ended) {
                     awaitSource();
--- a/src/main/java/lemondrift/proxy/http/HttpFieldRules.java
+++ b/src/main/java/lemondrift/proxy/http/HttpFieldRules.java
@@ -8,7 +8,7 @@
  */
 public final class HttpFieldRules {
     /** Bytes that a head may have. */
-    public static final int MOST = 16 * 1024;
+    public static final int MAX_HEAD_BYTES = 16 * 1024;
 
     /** The characters of a token, RFC 9110 section 5.6.2. */
     private static final BitSet TOKEN_CHARACTERS = new BitSet();
--- a/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
@@ -97,7 +97,7 @@
         LOG.info("{} starts, listens on {}", config.name(), config.listen());
         server.serve(inheritedSocket);
         if (adminServer != null) {
-            adminServer.operates(server.adminOperations());
+            adminServer.setOperations(server.adminOperations());
         }
         if (hungUp) {
             // The file may have been replaced after it was read for this start.
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -44,7 +44,7 @@
     private volatile RecoveryState state;
 
     /** What peers have measured; null where none has, and once it is settled as it was last. */
-    private volatile RecoveryState.Lesson peerEstimate;
+    private volatile RecoveryState.PeerEstimate peerEstimate;
 
     /** When the phase changed last. */
     private volatile double phaseSince;
@@ -66,7 +66,7 @@
         trusted = snapshotStore == null ? Snapshot.Trusted.NOTHING : snapshotStore.readTrusted();
         // Guards against a wall clock that went back, which would repeat a number.
         long startNumber = Math.max(trusted.previousStart() + 1, System.currentTimeMillis());
-        state = RecoveryState.begins(settings.polling(), self, proxyCount, startNumber, now);
+        state = RecoveryState.starting(settings.polling(), self, proxyCount, startNumber, now);
         phaseSince = now;
         nextSnapshotAt = now + snapshotIntervalSeconds;
         if (snapshotStore != null) {
@@ -92,7 +92,7 @@
 
     /** Queues a peer's status until the next advance; drops one that can't be read. Any thread. */
     public void received(int from, byte[] datagram) {
-        PeerStatus status = PeerStatus.of(datagram);
+        PeerStatus status = PeerStatus.decode(datagram);
         if (status != null) {
             received.add(new ReceivedStatus(from, status));
         }
@@ -122,7 +122,7 @@
         boolean wasSettled = state.isSettled();
         if (!wasSettled) {
             ServiceTime measured = balancer.measuredServiceTime();
-            state = state.found(measured.seconds(), (int) measured.samples());
+            state = state.withMeasured(measured.seconds(), (int) measured.samples());
         }
         processReceived(now, listener, sender);
         apply(state.wake(now), now, sender);
@@ -145,9 +145,9 @@
     private void processReceived(
             double now, PeerRestartListener listener, Consumer<LoadGossip.Message> sender) {
         for (ReceivedStatus next = received.poll(); next != null; next = received.poll()) {
-            RecoveryState.Step step = state.heard(next.from, next.status, now);
-            if (step.anew()) {
-                listener.peerRestarted(next.from, next.status.start());
+            RecoveryState.Step step = state.statusReceived(next.from, next.status, now);
+            if (step.peerRestarted()) {
+                listener.peerRestarted(next.from, next.status.startNumber());
             }
             apply(step, now, sender);
         }
@@ -165,16 +165,16 @@
                     next.observations().size());
         }
         state = next;
-        for (RecoveryState.Sent each : step.sent()) {
-            sender.accept(new LoadGossip.Message(each.to(), each.hello().encoded()));
+        for (RecoveryState.StatusMessage each : step.messages()) {
+            sender.accept(new LoadGossip.Message(each.to(), each.status().encoded()));
         }
     }
 
     /** Seeds the decisions' service time from peers, or at first from the snapshot. */
     private void seedDecisions(LoadBalancer balancer, double now) {
-        RecoveryState.Lesson current = state.lesson(now);
+        RecoveryState.PeerEstimate current = state.peerEstimate(now);
         if (current != null) {
-            balancer.seedServiceTime(current.work(), current.answers());
+            balancer.seedServiceTime(current.serviceTimeSeconds(), current.samples());
         } else if (!seeded && trusted.serviceTimeSeconds() > 0) {
             balancer.seedServiceTime(trusted.serviceTimeSeconds(), trusted.samples());
         }
@@ -199,7 +199,7 @@
     /** Phase, samples and snapshot as JSON, for operators. Any thread. */
     public String statusJson(double now) {
         RecoveryState current = state;
-        RecoveryState.Lesson estimate = peerEstimate;
+        RecoveryState.PeerEstimate estimate = peerEstimate;
         JsonObject json = new JsonObject();
         json.addProperty("start", current.startNumber());
         json.addProperty("up", now - current.startedAt());
@@ -212,8 +212,8 @@
         json.addProperty("heard", current.observations().size());
         json.addProperty("snapshot", trusted.reason());
         if (estimate != null) {
-            json.addProperty("learned", estimate.work());
-            json.addProperty("from_answers", estimate.answers());
+            json.addProperty("learned", estimate.serviceTimeSeconds());
+            json.addProperty("from_answers", estimate.samples());
         }
         return json.toString();
     }
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
@@ -44,12 +44,12 @@
             @JsonProperty("answers") int samples) {
         private static StoredSnapshot of(Snapshot snapshot) {
             return new StoredSnapshot(
-                    snapshot.name(),
-                    snapshot.boot(),
-                    snapshot.start(),
-                    snapshot.at(),
-                    snapshot.work(),
-                    snapshot.answers());
+                    snapshot.proxyName(),
+                    snapshot.bootId(),
+                    snapshot.startNumber(),
+                    snapshot.writtenAt(),
+                    snapshot.serviceTimeSeconds(),
+                    snapshot.samples());
         }
 
         private Snapshot snapshot() {
--- a/src/main/java/lemondrift/recovery/PeerObservation.java
+++ b/src/main/java/lemondrift/recovery/PeerObservation.java
@@ -11,8 +11,8 @@
      * Whether another status is of an earlier start of the peer, or an earlier one of this start.
      */
     boolean isNewerThan(PeerStatus other) {
-        return other.start() < status.start()
-                || (other.start() == status.start()
+        return other.startNumber() < status.startNumber()
+                || (other.startNumber() == status.startNumber()
                         && other.uptimeSeconds() < status.uptimeSeconds());
     }
 }
--- a/src/main/java/lemondrift/recovery/PeerPollBackoff.java
+++ b/src/main/java/lemondrift/recovery/PeerPollBackoff.java
@@ -3,13 +3,19 @@
 /**
  * How a proxy that has started polls its peers.
  *
- * @param ask seconds from the first poll to the second; each further interval is longer by as much
- * @param bound seconds after the start when it goes by whoever has answered
- * @param forget seconds after which a peer's status no longer counts; at least bound
+ * @param intervalSeconds seconds from the first poll to the second; each further interval is longer
+ *     by as much
+ * @param decisionTimeoutSeconds seconds after the start when it goes by whoever has answered
+ * @param expirySeconds seconds after which a peer's status no longer counts; at least bound
  * @param fanout how many peers it polls at a time
- * @param enough from so many samples of its own it polls no more
+ * @param settledSamples from so many samples of its own it polls no more
  */
-public record PeerPollBackoff(double ask, double bound, double forget, int fanout, int enough) {
+public record PeerPollBackoff(
+        double intervalSeconds,
+        double decisionTimeoutSeconds,
+        double expirySeconds,
+        int fanout,
+        int settledSamples) {
     /** First interval, as a share of the shortest latency objective. */
     private static final double DEFAULT_INTERVAL_SHARE = 0.1;
 
@@ -23,7 +29,7 @@
     private static final int DEFAULT_SETTLED_SAMPLES = 8;
 
     /** The default for a shortest latency objective of so many seconds. */
-    public static PeerPollBackoff of(double windowSeconds) {
+    public static PeerPollBackoff forLatencyObjective(double windowSeconds) {
         return new PeerPollBackoff(
                 DEFAULT_INTERVAL_SHARE * windowSeconds,
                 windowSeconds,
@@ -35,10 +41,15 @@
     /**
      * Checks the ranges.
      *
-     * @throws IllegalArgumentException where one is not positive, or forget is under bound
+     * @throws IllegalArgumentException where one is not positive, or expiry is under the decision
+     *     timeout
      */
     public PeerPollBackoff {
-        if (!(ask > 0) || !(bound > 0) || !(forget >= bound) || fanout < 1 || enough < 1) {
+        if (!(intervalSeconds > 0)
+                || !(decisionTimeoutSeconds > 0)
+                || !(expirySeconds >= decisionTimeoutSeconds)
+                || fanout < 1
+                || settledSamples < 1) {
             throw new IllegalArgumentException("intervals of polling out of range");
         }
     }
--- a/src/main/java/lemondrift/recovery/PeerStatus.java
+++ b/src/main/java/lemondrift/recovery/PeerStatus.java
@@ -6,7 +6,7 @@
  * What a proxy says of itself to a peer, in a datagram of 28 bytes. It reports only what it has
  * measured itself, never what peers have told it, so that ten that repeat one source don't count.
  *
- * @param start the sender's start number, which rises with each start
+ * @param startNumber the sender's start number, which rises with each start
  * @param recipientStart the start number of the proxy that it is for, 0 where that is not known
  * @param wantsReply whether the recipient is to reply with its own status
  * @param uptimeSeconds seconds since the sender's start
@@ -15,7 +15,7 @@
  * @param settled whether the sender has samples enough of its own
  */
 public record PeerStatus(
-        long start,
+        long startNumber,
         long recipientStart,
         boolean wantsReply,
         float uptimeSeconds,
@@ -53,7 +53,7 @@
                 .put(VERSION)
                 .put((byte) flags)
                 .put((byte) samples)
-                .putLong(start)
+                .putLong(startNumber)
                 .putLong(recipientStart)
                 .putFloat(uptimeSeconds)
                 .putFloat(serviceTimeSeconds)
@@ -64,7 +64,7 @@
      * The status in a datagram; null where that is cut, of another kind or version, or has values
      * out of range.
      */
-    public static PeerStatus of(byte[] datagram) {
+    public static PeerStatus decode(byte[] datagram) {
         if (datagram.length != LENGTH || datagram[0] != KIND || datagram[1] != VERSION) {
             return null;
         }
@@ -88,7 +88,7 @@
                 samples == 0
                         ? serviceTimeSeconds == 0
                         : serviceTimeSeconds > 0 && serviceTimeSeconds < Float.POSITIVE_INFINITY;
-        return start > 0
+        return startNumber > 0
                 && uptimeSeconds >= 0
                 && uptimeSeconds < Float.POSITIVE_INFINITY
                 && serviceTimeInRange;
--- a/src/main/java/lemondrift/recovery/RecoveryState.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -50,27 +50,27 @@
      *
      * @param to the peer's number
      */
-    public record Sent(int to, PeerStatus hello) {}
+    public record StatusMessage(int to, PeerStatus status) {}
 
     /**
      * What comes of an event.
      *
      * @param next the state after it
-     * @param sent what is to be sent
-     * @param anew whether it shows that the peer has restarted
+     * @param messages what is to be sent
+     * @param peerRestarted whether it shows that the peer has restarted
      */
-    public record Step(RecoveryState next, List<Sent> sent, boolean anew) {}
+    public record Step(RecoveryState next, List<StatusMessage> messages, boolean peerRestarted) {}
 
     /**
      * What peers have measured.
      *
-     * @param work mean service time, in seconds
-     * @param answers as how many samples it counts
+     * @param serviceTimeSeconds mean service time, in seconds
+     * @param samples as how many samples it counts
      */
-    public record Lesson(double work, int answers) {}
+    public record PeerEstimate(double serviceTimeSeconds, int samples) {}
 
     /** The state at the start of a proxy, which polls at once. */
-    public static RecoveryState begins(
+    public static RecoveryState starting(
             PeerPollBackoff backoff, int self, int proxyCount, long startNumber, double now) {
         return new RecoveryState(
                 backoff,
@@ -107,11 +107,11 @@
 
     /** Whether it has samples enough of its own, and polls no more. */
     public boolean isSettled() {
-        return samples >= backoff.enough();
+        return samples >= backoff.settledSamples();
     }
 
     /** The state with the mean service time that its own samples show; the same once settled. */
-    public RecoveryState found(double serviceTimeSeconds, int samples) {
+    public RecoveryState withMeasured(double serviceTimeSeconds, int samples) {
         if (isSettled()) {
             return this;
         }
@@ -126,7 +126,7 @@
                 observations,
                 phase,
                 pollRounds,
-                samples >= backoff.enough() ? Double.POSITIVE_INFINITY : nextPollAt);
+                samples >= backoff.settledSamples() ? Double.POSITIVE_INFINITY : nextPollAt);
     }
 
     /**
@@ -134,7 +134,7 @@
      * from before one of both has restarted: such a one changes nothing. A lower start number, as
      * of a peer whose wall clock went back, counts once the higher one has expired.
      */
-    public Step heard(int from, PeerStatus status, double now) {
+    public Step statusReceived(int from, PeerStatus status, double now) {
         PeerObservation before = observations.get(from);
         boolean current = before != null && isCurrent(before, now);
         boolean fromPeer = from != self && from >= 0 && from < proxyCount;
@@ -147,12 +147,14 @@
         updated.put(from, new PeerObservation(status, now));
         boolean restarted =
                 before == null
-                        ? status.uptimeSeconds() <= backoff.forget()
-                        : before.status().start() != status.start();
+                        ? status.uptimeSeconds() <= backoff.expirySeconds()
+                        : before.status().startNumber() != status.startNumber();
         RecoveryState next = with(updated, phase, pollRounds, nextPollAt).judged(now);
-        List<Sent> replies =
+        List<StatusMessage> replies =
                 status.wantsReply()
-                        ? List.of(new Sent(from, next.ownStatus(status.start(), false, now)))
+                        ? List.of(
+                                new StatusMessage(
+                                        from, next.ownStatus(status.startNumber(), false, now)))
                         : List.of();
         return new Step(next, replies, restarted);
     }
@@ -163,17 +165,18 @@
             return new Step(judged(now), List.of(), false);
         }
         int peerCount = proxyCount - 1;
-        List<Sent> polls = new ArrayList<>();
+        List<StatusMessage> polls = new ArrayList<>();
         for (int i = 0; i < Math.min(backoff.fanout(), peerCount); i++) {
             int to = (self + 1 + (pollRounds * backoff.fanout() + i) % peerCount) % proxyCount;
             PeerObservation observation = observations.get(to);
             long recipientStart =
                     observation != null && isCurrent(observation, now)
-                            ? observation.status().start()
+                            ? observation.status().startNumber()
                             : ANY_START;
-            polls.add(new Sent(to, ownStatus(recipientStart, true, now)));
+            polls.add(new StatusMessage(to, ownStatus(recipientStart, true, now)));
         }
-        double interval = Math.min(backoff.forget(), backoff.ask() * (1 + pollRounds));
+        double interval =
+                Math.min(backoff.expirySeconds(), backoff.intervalSeconds() * (1 + pollRounds));
         RecoveryState next = with(observations, phase, pollRounds + 1, now + interval).judged(now);
         return new Step(next, polls, false);
     }
@@ -195,7 +198,7 @@
     }
 
     private boolean isCurrent(PeerObservation observation, double now) {
-        return now - observation.receivedAt() <= backoff.forget();
+        return now - observation.receivedAt() <= backoff.expirySeconds();
     }
 
     private Stream<PeerStatus> currentStatuses(double now) {
@@ -216,7 +219,8 @@
     private RecoveryPhase judgedPhase(double now) {
         long answered = currentStatuses(now).count();
         long settled = currentStatuses(now).filter(PeerStatus::settled).count();
-        boolean early = now - startedAt < backoff.bound() && answered < proxyCount - 1;
+        boolean early =
+                now - startedAt < backoff.decisionTimeoutSeconds() && answered < proxyCount - 1;
         if (early && settled == 0) {
             return RecoveryPhase.UNKNOWN;
         }
@@ -236,7 +240,7 @@
      * where none has measured anything. It is the upper median, of two the larger: a single peer
      * can't move it far, and too short a time would overload a backend in slow start.
      */
-    public Lesson lesson(double now) {
+    public PeerEstimate peerEstimate(double now) {
         boolean anySettled = currentStatuses(now).anyMatch(PeerStatus::settled);
         List<PeerStatus> measured =
                 currentStatuses(now)
@@ -253,6 +257,6 @@
                 measured.stream()
                         .mapToInt(status -> Math.min(MAX_SAMPLES_OF_ONE_PEER, status.samples()))
                         .sum();
-        return new Lesson(measured.get(measured.size() / 2).serviceTimeSeconds(), samples);
+        return new PeerEstimate(measured.get(measured.size() / 2).serviceTimeSeconds(), samples);
     }
 }
--- a/src/main/java/lemondrift/recovery/Snapshot.java
+++ b/src/main/java/lemondrift/recovery/Snapshot.java
@@ -3,14 +3,20 @@
 /**
  * What a proxy stores for its next start, where a disk lasts.
  *
- * @param name the proxy's name; a snapshot of another proxy is not used
- * @param boot tells one run of the machine from the next, empty where that is not known
- * @param start the start number, which the next start has to pass
- * @param at when it was written, in seconds since 1970 by a wall clock that may be wrong
- * @param work mean service time in seconds, 0 without samples
- * @param answers from how many samples that is the mean
+ * @param proxyName the proxy's name; a snapshot of another proxy is not used
+ * @param bootId tells one run of the machine from the next, empty where that is not known
+ * @param startNumber the start number, which the next start has to pass
+ * @param writtenAt when it was written, in seconds since 1970 by a wall clock that may be wrong
+ * @param serviceTimeSeconds mean service time in seconds, 0 without samples
+ * @param samples from how many samples that is the mean
  */
-public record Snapshot(String name, String boot, long start, double at, double work, int answers) {
+public record Snapshot(
+        String proxyName,
+        String bootId,
+        long startNumber,
+        double writtenAt,
+        double serviceTimeSeconds,
+        int samples) {
     /** Seconds for which the service time counts with all its samples. */
     private static final double MAX_AGE_SECONDS = 24 * 3600;
 
@@ -23,13 +29,13 @@
      * @throws IllegalArgumentException where a value is missing or out of range
      */
     public Snapshot {
-        if (name == null
-                || boot == null
-                || start < 0
-                || !(work >= 0)
-                || work == Double.POSITIVE_INFINITY
-                || answers < 0
-                || (work == 0) != (answers == 0)) {
+        if (proxyName == null
+                || bootId == null
+                || startNumber < 0
+                || !(serviceTimeSeconds >= 0)
+                || serviceTimeSeconds == Double.POSITIVE_INFINITY
+                || samples < 0
+                || (serviceTimeSeconds == 0) != (samples == 0)) {
             throw new IllegalArgumentException("a value of the snapshot is out of range");
         }
     }
@@ -52,22 +58,22 @@
     /**
      * What a starting proxy uses of it.
      *
-     * @param proxyName the name of the proxy that starts
+     * @param startingProxy the name of the proxy that starts
      * @param currentBoot tells the current run of the machine, empty where that is not known
      * @param wallSeconds the wall clock, in seconds since 1970
      */
-    public Trusted trusted(String proxyName, String currentBoot, double wallSeconds) {
-        if (!name.equals(proxyName)) {
-            return new Trusted(0, 0, 0, "of another proxy, " + name);
+    public Trusted trusted(String startingProxy, String currentBoot, double wallSeconds) {
+        if (!proxyName.equals(startingProxy)) {
+            return new Trusted(0, 0, 0, "of another proxy, " + proxyName);
         }
-        double ageSeconds = wallSeconds - at;
-        boolean rebooted = boot.isEmpty() || !boot.equals(currentBoot);
+        double ageSeconds = wallSeconds - writtenAt;
+        boolean rebooted = bootId.isEmpty() || !bootId.equals(currentBoot);
         // Guards against a clock that has gone back: it tells no age, so any age is assumed.
         boolean old = !(ageSeconds >= 0 && ageSeconds <= MAX_AGE_SECONDS);
         return new Trusted(
-                start,
-                work,
-                old || rebooted ? Math.min(MAX_SAMPLES_WHERE_DOUBTED, answers) : answers,
+                startNumber,
+                serviceTimeSeconds,
+                old || rebooted ? Math.min(MAX_SAMPLES_WHERE_DOUBTED, samples) : samples,
                 reason(ageSeconds, old, rebooted));
     }
 
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -35,7 +35,7 @@
         PeerStatus hello =
                 new PeerStatus(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
         LandedBytes.assertHex("recovery-datagram.hex", hello.encoded());
-        assertEquals(hello, PeerStatus.of(LandedBytes.ofHex("recovery-datagram.hex")));
+        assertEquals(hello, PeerStatus.decode(LandedBytes.ofHex("recovery-datagram.hex")));
     }
 
     @Test
@@ -55,7 +55,7 @@
 
     private static LoadGossip holdings(int self) {
         SubsetAssignment subsets = new SubsetAssignment(2, 2);
-        subsets.listed(new int[] {LoadGossip.tag("backend-1"), LoadGossip.tag("backend-2")});
+        subsets.setActive(new int[] {LoadGossip.tag("backend-1"), LoadGossip.tag("backend-2")});
         return new LoadGossip(2, self, 1764756000123L, 0.01, 0.1, subsets, tag -> {});
     }
 
--- a/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -152,7 +152,8 @@
     }
 
     /**
-     * The deadline of a request, computed from all of its bytes as docs/door.md states the rule.
+     * The deadline of a request, computed from all of its bytes as docs/connections.md states the
+     * rule.
      */
     double deadline(Client client) {
         double deadline = client.enteredStateAt + limits.readTimeoutSeconds();
@@ -162,7 +163,7 @@
                 deadline =
                         Math.min(
                                 client.byteTimes.get(k) + limits.readTimeoutSeconds(),
-                                deadline + 1 / limits.leastRate());
+                                deadline + 1 / limits.minBytesPerSecond());
             }
         }
         return deadline;
@@ -180,7 +181,7 @@
                                 "no byte for too long");
                 case IDLE ->
                         assertTrue(
-                                client.enteredStateAt + limits.quiet() >= late,
+                                client.enteredStateAt + limits.maxIdleSeconds() >= late,
                                 "idle for too long");
                 case READING_HEAD ->
                         assertTrue(deadline(client) >= late, "no progress for too long");
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -33,7 +33,7 @@
                     connection < 0 ? ConnectionState.FREE : model.clients.get(connection).state;
             switch (step % 10) {
                 case 0, 1, 2 -> {
-                    if (model.clients.size() < model.limits.last()) {
+                    if (model.clients.size() < model.limits.acceptLimit()) {
                         model.accept(step / 10 % 7);
                     }
                 }
@@ -79,7 +79,7 @@
                                         client.state == ConnectionState.AWAITING_RESPONSE
                                                 || client.state == ConnectionState.READING_HEAD)
                         .count();
-        assertTrue(model.clients.size() <= Math.max(model.limits.places(), open));
+        assertTrue(model.clients.size() <= Math.max(model.limits.maxConnections(), open));
     }
 
     @Test
@@ -125,7 +125,7 @@
         int expected = 0;
         for (int round = 0; round < 100; round++) {
             for (int k = 0; k < 9; k++) {
-                if (model.clients.size() >= model.limits.last()) {
+                if (model.clients.size() >= model.limits.acceptLimit()) {
                     continue;
                 }
                 int connection = model.accept();
@@ -180,7 +180,7 @@
             model.disconnect(model.accept(address));
         }
         assertTrue(
-                model.policy.sourceCount() <= 2 * model.limits.last(),
+                model.policy.sourceCount() <= 2 * model.limits.acceptLimit(),
                 "memory for sources is bounded");
     }
 
@@ -369,7 +369,7 @@
         for (int places : new int[] {14, 129, 9806}) {
             ConnectionPolicyModel model = ConnectionPolicyModel.of(places);
             for (int k = 0; k < 2 * places; k++) {
-                if (model.clients.size() >= model.limits.last()) {
+                if (model.clients.size() >= model.limits.acceptLimit()) {
                     model.advance(0.2);
                 }
                 model.accept();
--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -34,7 +34,7 @@
 
     private static SubsetAssignment everyoneUsesAll(int proxies, int backends) {
         SubsetAssignment subsets = new SubsetAssignment(proxies, backends);
-        subsets.listed(IntStream.range(0, backends).toArray());
+        subsets.setActive(IntStream.range(0, backends).toArray());
         return subsets;
     }
 
@@ -118,7 +118,7 @@
             int messages = 0;
             int[] tags = IntStream.range(0, backends).map(i -> LoadGossip.tag("s-" + i)).toArray();
             SubsetAssignment subsets = new SubsetAssignment(proxies, 16);
-            subsets.listed(tags);
+            subsets.setActive(tags);
             for (int tag : tags) {
                 LoadGossip one = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> {});
                 one.attemptSent(tag);
--- a/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -52,7 +52,7 @@
         for (int proxy = 0; proxy < proxies; proxy++) {
             for (EndpointUpdate update :
                     new SubsetAssignment(proxies, SUBSET_SIZE)
-                            .assigned(proxy, true, readyUpdates(0, backends), i -> i)) {
+                            .withUserShares(proxy, true, readyUpdates(0, backends), i -> i)) {
                 // One that does not use it has the part that it had before parts were known.
                 shares[update.backend()] +=
                         update.userShare() > 0 ? 1 / (proxies * update.userShare()) : 0;
@@ -116,7 +116,7 @@
                             });
             Map<Integer, EndpointUpdate> before = Map.copyOf(lastUpdates);
             List<EndpointUpdate> assigned =
-                    subsets.assigned(own, whole, List.copyOf(changes.values()), i -> i);
+                    subsets.withUserShares(own, whole, List.copyOf(changes.values()), i -> i);
             assigned.forEach(update -> lastUpdates.put(update.backend(), update));
             for (int id : ready) {
                 assertEquals(
@@ -161,13 +161,13 @@
     @Test
     void aListUpdatesWhatItChangesAndNoMore() {
         SubsetAssignment subsets = new SubsetAssignment(50, SUBSET_SIZE);
-        List<EndpointUpdate> first = subsets.assigned(3, true, readyUpdates(0, 60), i -> i);
+        List<EndpointUpdate> first = subsets.withUserShares(3, true, readyUpdates(0, 60), i -> i);
         List<EndpointUpdate> gone =
                 new ArrayList<>(
                         IntStream.range(0, 40)
                                 .mapToObj(i -> update(i, EndpointUpdate.State.GONE))
                                 .toList());
-        List<EndpointUpdate> then = subsets.assigned(3, false, gone, i -> i);
+        List<EndpointUpdate> then = subsets.withUserShares(3, false, gone, i -> i);
         List<Integer> stay =
                 then.stream().map(EndpointUpdate::backend).filter(i -> i >= 40).toList();
         assertEquals(stay.size(), stay.stream().distinct().count());
@@ -184,16 +184,18 @@
                                 .sum(),
                 "twenty are used by more");
         assertEquals(
-                List.of(), subsets.assigned(3, false, List.of(), i -> i), "nothing has changed");
+                List.of(),
+                subsets.withUserShares(3, false, List.of(), i -> i),
+                "nothing has changed");
         assertEquals(
                 1,
-                subsets.assigned(3, true, readyUpdates(47, 48), i -> i).size(),
+                subsets.withUserShares(3, true, readyUpdates(47, 48), i -> i).size(),
                 "a whole list is all");
         SubsetAssignment large = new SubsetAssignment(100, SUBSET_SIZE);
-        large.assigned(3, true, readyUpdates(0, 3200), i -> i);
+        large.withUserShares(3, true, readyUpdates(0, 3200), i -> i);
         List<EndpointUpdate> one = List.of(update(7, EndpointUpdate.State.GONE));
         assertTrue(
-                large.assigned(3, false, one, i -> i).size() <= 1 + SUBSET_SIZE,
+                large.withUserShares(3, false, one, i -> i).size() <= 1 + SUBSET_SIZE,
                 "one line of thousands");
     }
 
@@ -202,9 +204,10 @@
         SubsetAssignment subsets = new SubsetAssignment(10, SUBSET_SIZE);
         EndpointUpdate comes = update(4, EndpointUpdate.State.READY);
         EndpointUpdate goes = update(4, EndpointUpdate.State.GONE);
-        subsets.assigned(0, false, List.of(comes, goes), i -> i);
+        subsets.withUserShares(0, false, List.of(comes, goes), i -> i);
         assertFalse(subsets.uses(0, 4));
-        List<EndpointUpdate> assigned = subsets.assigned(0, false, List.of(goes, comes), i -> i);
+        List<EndpointUpdate> assigned =
+                subsets.withUserShares(0, false, List.of(goes, comes), i -> i);
         assertTrue(subsets.uses(0, 4));
         assertEquals(EndpointUpdate.State.READY, assigned.get(assigned.size() - 1).state());
     }
@@ -214,10 +217,10 @@
     void anIndexThatIsReassignedLeavesItsFormerBackendOut() {
         int[] ids = {500, 501, 502};
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
-        subsets.assigned(0, true, readyUpdates(0, 3), i -> ids[i]);
+        subsets.withUserShares(0, true, readyUpdates(0, 3), i -> ids[i]);
         ids[1] = 777;
         EndpointUpdate newcomer = new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0);
-        subsets.assigned(
+        subsets.withUserShares(
                 0, false, List.of(update(1, EndpointUpdate.State.GONE), newcomer), i -> ids[i]);
         int users =
                 Arrays.stream(new int[] {500, 502, 777}).map(id -> subsets.users(id).length).sum();
@@ -229,14 +232,16 @@
     void anUpdateThatIsRepeatedIsNoNewBackend() {
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
         EndpointUpdate newcomer = new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
-        assertTrue(lastOf(subsets.assigned(0, false, List.of(newcomer), i -> i), 4).newBackend());
+        assertTrue(
+                lastOf(subsets.withUserShares(0, false, List.of(newcomer), i -> i), 4)
+                        .newBackend());
         int lower =
                 IntStream.range(5, 1000)
                         .filter(i -> SubsetAssignment.score(0, i) < SubsetAssignment.score(0, 4))
                         .findFirst()
                         .orElseThrow();
         EndpointUpdate again =
-                lastOf(subsets.assigned(0, false, readyUpdates(lower, lower + 1), i -> i), 4);
+                lastOf(subsets.withUserShares(0, false, readyUpdates(lower, lower + 1), i -> i), 4);
         assertFalse(again.newBackend(), "its index stands for it already");
         assertEquals(12, again.startedAt());
         assertEquals(0, again.userShare(), "another has the least score now");
--- a/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
@@ -40,11 +40,11 @@
                 inFlight--;
             }
         }
-        ProxyMetrics.Figures snapshot = metrics.snapshot();
-        assertEquals(inFlight, snapshot.concurrent());
+        ProxyMetrics.Snapshot snapshot = metrics.snapshot();
+        assertEquals(inFlight, snapshot.requestsInFlight());
         assertEquals(
                 answered, snapshot.replies().get("look")[ProxyMetrics.Reply.SUCCESS.ordinal()]);
-        assertEquals(accepted, answered + clientsLeft + snapshot.concurrent());
+        assertEquals(accepted, answered + clientsLeft + snapshot.requestsInFlight());
     }
 
     @Test
@@ -63,9 +63,9 @@
     void aSnapshotDoesNotChange() {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look"));
-        ProxyMetrics.Figures snapshot = metrics.snapshot();
+        ProxyMetrics.Snapshot snapshot = metrics.snapshot();
         metrics.replySent("look", ProxyMetrics.Reply.ERROR);
         metrics.requestAccepted();
-        assertEquals(0, snapshot.replies().get("look")[2] + snapshot.concurrent());
+        assertEquals(0, snapshot.replies().get("look")[2] + snapshot.requestsInFlight());
     }
 }
--- a/src/test/java/lemondrift/proxy/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/AdminServerTest.java
@@ -30,7 +30,7 @@
     private void operate(StandIn... backends) throws Exception {
         start(backends);
         listen();
-        adminServer.operates(proxy.adminOperations());
+        adminServer.setOperations(proxy.adminOperations());
     }
 
     private void listen() throws IOException {
--- a/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
@@ -142,16 +142,16 @@
         changed =
                 config -> {
                     ConnectionLimits usual = config.connectionLimits();
-                    return config.with(
+                    return config.withConnectionLimits(
                             new ConnectionLimits(
-                                    usual.places(),
-                                    usual.last(),
+                                    usual.maxConnections(),
+                                    usual.acceptLimit(),
                                     5,
                                     4,
                                     usual.sharing(),
                                     true,
-                                    usual.leastRate(),
-                                    usual.benefit()));
+                                    usual.minBytesPerSecond(),
+                                    usual.usualPriorityWeight()));
                 };
         start(backend(OK));
         Socket client = connect(0);
@@ -320,9 +320,12 @@
         ConnectionLimits usual = ProxyConfig.read(config(1, false)).connectionLimits();
         Files.writeString(file, "{\"quiet\": 60, \"sharing\": \"tenant\", \"announces\": true}");
         ConnectionLimits read = ConnectionSettingsFile.read(file, usual);
-        assertEquals(60, read.quiet());
+        assertEquals(60, read.maxIdleSeconds());
         assertEquals(ConnectionLimits.Sharing.TENANT, read.sharing());
-        assertEquals(usual.earliest() / usual.quiet(), read.earliest() / read.quiet(), 1e-9);
+        assertEquals(
+                usual.minIdleSeconds() / usual.maxIdleSeconds(),
+                read.minIdleSeconds() / read.maxIdleSeconds(),
+                1e-9);
         Path config = Files.writeString(folder.resolve("config.json"), config(1, false));
         for (String bad :
                 List.of(
--- a/src/test/java/lemondrift/proxy/ConfigFileTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigFileTest.java
@@ -35,7 +35,7 @@
     void readingWithoutInitialEndpointsKeepsAllElse(String text) throws Exception {
         JsonObject config = ConfigFile.read(environment(text));
         config.remove("known");
-        assertEquals(config, ConfigFile.readWithoutKnown(environment(text)));
+        assertEquals(config, ConfigFile.readWithoutInitialEndpoints(environment(text)));
     }
 
     @Test
@@ -51,7 +51,7 @@
                                                         backend, 1 + backend, "active"))
                                 .toArray(String[]::new));
         JsonObject read =
-                ConfigFile.readWithoutKnown(
+                ConfigFile.readWithoutInitialEndpoints(
                         environment("{\"known\":" + endpointList + ",\"name\":\"n\"}"));
         assertEquals("{\"name\":\"n\"}", read.toString());
     }
@@ -70,7 +70,7 @@
             })
     void aFileThatIsCutOffIsRefused(String text) throws Exception {
         Map<String, String> environment = environment(text);
-        assertThrows(Exception.class, () -> ConfigFile.readWithoutKnown(environment));
+        assertThrows(Exception.class, () -> ConfigFile.readWithoutInitialEndpoints(environment));
         assertThrows(InvalidSettingsException.class, () -> ConfigFile.read(Map.of()));
     }
 }
--- a/src/test/java/lemondrift/proxy/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/LongBodiesTest.java
@@ -128,7 +128,7 @@
             proxy.runOnIoThread(
                     () ->
                             read.complete(
-                                    proxy.adminOperations().figures().replies().get(requestClass)));
+                                    proxy.adminOperations().metrics().replies().get(requestClass)));
             counts = read.get();
             if (counts[ordinal] == count) {
                 break;
@@ -537,15 +537,15 @@
             at = next;
             if (!isLong) {
                 reader.read(piece);
-                isLong = reader.isLong();
+                isLong = reader.isTooLongToBuffer();
                 if (isLong) {
-                    got.writeBytes(reader.begun(null).body());
+                    got.writeBytes(reader.streamedResponse(null).body());
                 }
             }
             if (isLong) {
-                for (ByteBuffer part = reader.piece(piece);
+                for (ByteBuffer part = reader.nextPiece(piece);
                         part != null;
-                        part = reader.piece(piece)) {
+                        part = reader.nextPiece(piece)) {
                     byte[] bytes = new byte[part.remaining()];
                     part.get(bytes);
                     got.writeBytes(bytes);
@@ -554,7 +554,7 @@
             assertFalse(piece.hasRemaining());
         }
         assertEquals(length > 1000, isLong);
-        assertTrue(reader.isWhole());
-        assertArrayEquals(body, isLong ? got.toByteArray() : reader.answer().body());
+        assertTrue(reader.isComplete());
+        assertArrayEquals(body, isLong ? got.toByteArray() : reader.bufferedResponse().body());
     }
 }
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -404,7 +404,7 @@
     @Test
     void aFullBudgetClosesTheOldestIdleConnectionOfAnotherPool() throws Exception {
         XnioWorker worker = ProxyServer.worker();
-        ConnectionPool.Budget budget = new ConnectionPool.Budget(1);
+        ConnectionPool.ConnectionBudget budget = new ConnectionPool.ConnectionBudget(1);
         ConnectionPool one =
                 new ConnectionPool(
                         null,
@@ -414,7 +414,7 @@
                         () -> 0,
                         budget,
                         4,
-                        ConnectionPool.Rest.NONE);
+                        ConnectionPool.Quarantine.NONE);
         ConnectionPool other =
                 new ConnectionPool(
                         null,
@@ -424,12 +424,12 @@
                         () -> 0,
                         budget,
                         4,
-                        ConnectionPool.Rest.NONE);
+                        ConnectionPool.Quarantine.NONE);
         assertTrue(one.reserve());
-        ConnectionPool.Link link =
+        ConnectionPool.PooledConnection link =
                 one.opened(worker.createFullDuplexPipeConnection().getLeftSide());
         assertFalse(other.reserve(), "busy");
-        one.back(link);
+        one.giveBackReusable(link);
         assertTrue(other.reserve());
         assertFalse(link.connection.isOpen());
         worker.shutdown();
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -146,7 +146,8 @@
 
     private long concurrent() throws Exception {
         CompletableFuture<Long> told = new CompletableFuture<>();
-        proxy.runOnIoThread(() -> told.complete(proxy.adminOperations().figures().concurrent()));
+        proxy.runOnIoThread(
+                () -> told.complete(proxy.adminOperations().metrics().requestsInFlight()));
         return told.get(5, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/lemondrift/proxy/TakeoverLockTest.java
+++ b/src/test/java/lemondrift/proxy/TakeoverLockTest.java
@@ -105,7 +105,7 @@
             double perProcess =
                     40
                             + config.connectionShare(2)
-                                    * (config.connectionLimits().last()
+                                    * (config.connectionLimits().acceptLimit()
                                             + 0.33 * config.maxConnections());
             assertTrue(2 * perProcess <= sockets, "two hold " + 2 * perProcess);
             assertEquals(1, config.connectionShare(1));
--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -26,7 +26,7 @@
         }
 
         @Override
-        public ProxyMetrics.Figures figures() {
+        public ProxyMetrics.Snapshot metrics() {
             ProxyMetrics metrics = new ProxyMetrics();
             metrics.registerClasses(List.of("read", "write"));
             metrics.requestAccepted();
@@ -45,12 +45,12 @@
         }
 
         @Override
-        public String recovery() {
+        public String recoveryJson() {
             return null;
         }
 
         @Override
-        public String loop() {
+        public String loopJson() {
             EventLoopMetrics loopMetrics = new EventLoopMetrics();
             for (EventLoopMetrics.Kind kind : EventLoopMetrics.Kind.values()) {
                 loopMetrics.eventHandled(kind, 0.25);
@@ -81,7 +81,7 @@
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
             StringBuilder all = new StringBuilder();
             askAll(adminServer, all.append("before there is a proxy\n"));
-            adminServer.operates(new Known());
+            adminServer.setOperations(new Known());
             askAll(adminServer, all.append("with one\n"));
             LandedBytes.assertText("admin.txt", all.toString().replace("\r\n", "\n"));
         } finally {
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
@@ -29,7 +29,11 @@
 
     private static RecoveryCoordinator coordinator(Path folder, String proxyName) {
         return new RecoveryCoordinator(
-                new RecoverySettings(PeerPollBackoff.of(1), folder, 1), proxyName, 0, 3, 0);
+                new RecoverySettings(PeerPollBackoff.forLatencyObjective(1), folder, 1),
+                proxyName,
+                0,
+                3,
+                0);
     }
 
     private static long startNumber(RecoveryCoordinator coordinator) {
@@ -93,7 +97,7 @@
             assertEquals(8, store.readTrusted().previousStart(), "between its two renames");
             assertTrue(store.writeNow(9, 0, 0));
         }
-        assertEquals(9, SnapshotFile.read(file()).start());
+        assertEquals(9, SnapshotFile.read(file()).startNumber());
     }
 
     @Test
@@ -103,7 +107,9 @@
         try (RecoveryCoordinator coordinator = coordinator(folder, "n1")) {
             assertEquals(ahead + 1, startNumber(coordinator));
             assertEquals(
-                    ahead + 1, SnapshotFile.read(file()).start(), "stored before any datagram");
+                    ahead + 1,
+                    SnapshotFile.read(file()).startNumber(),
+                    "stored before any datagram");
         }
         try (RecoveryCoordinator coordinator = coordinator(folder, "n1")) {
             assertEquals(ahead + 2, startNumber(coordinator));
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -50,12 +50,12 @@
 
     /** The core, or one that is broken on purpose. */
     private static class Core {
-        RecoveryState.Lesson lesson(RecoveryState proxy, double now) {
-            return proxy.lesson(now);
+        RecoveryState.PeerEstimate lesson(RecoveryState proxy, double now) {
+            return proxy.peerEstimate(now);
         }
 
         RecoveryState.Step heard(RecoveryState proxy, int from, PeerStatus status, double now) {
-            return proxy.heard(from, status, now);
+            return proxy.statusReceived(from, status, now);
         }
 
         RecoveryState.Step wake(RecoveryState proxy, double now) {
@@ -74,12 +74,12 @@
     private World with(World at, int p, RecoveryState.Step step, Map<Message, Integer> underWay) {
         List<RecoveryState> all = new ArrayList<>(at.proxies);
         all.set(p, step.next());
-        for (RecoveryState.Sent each : step.sent()) {
-            PeerStatus status = each.hello();
+        for (RecoveryState.StatusMessage each : step.messages()) {
+            PeerStatus status = each.status();
             check(
                     status.samples() == step.next().samples()
                             && (status.samples() == 0
-                                    || status.serviceTimeSeconds() == status.start()),
+                                    || status.serviceTimeSeconds() == status.startNumber()),
                     "a proxy reports only what it has measured itself",
                     at);
             underWay.merge(new Message(p, each.to(), status), 1, Integer::sum);
@@ -98,12 +98,12 @@
         RecoveryState.Step step = core.heard(proxy, message.from, message.status, at.now);
         boolean former =
                 (before != null
-                                && at.now - before.receivedAt() <= BACKOFF.forget()
-                                && message.status.start() < before.status().start())
+                                && at.now - before.receivedAt() <= BACKOFF.expirySeconds()
+                                && message.status.startNumber() < before.status().startNumber())
                         || (message.status.recipientStart() != 0
                                 && message.status.recipientStart() != proxy.startNumber());
         check(
-                !former || (step.next().equals(proxy) && step.sent().isEmpty()),
+                !former || (step.next().equals(proxy) && step.messages().isEmpty()),
                 "an earlier start changes nothing",
                 at);
         World then = with(at, message.to, step, underWay);
@@ -142,7 +142,7 @@
     private World measures(World at, int p) {
         RecoveryState proxy = at.proxies.get(p);
         List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, proxy.found((double) proxy.startNumber(), proxy.samples() + 1));
+        all.set(p, proxy.withMeasured((double) proxy.startNumber(), proxy.samples() + 1));
         return new World(
                 all,
                 at.underWay,
@@ -155,7 +155,7 @@
 
     private World restarts(World at, int p) {
         List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, RecoveryState.begins(BACKOFF, p, PROXIES, at.nextStartNumber, at.now));
+        all.set(p, RecoveryState.starting(BACKOFF, p, PROXIES, at.nextStartNumber, at.now));
         return new World(
                 all,
                 at.underWay,
@@ -192,16 +192,17 @@
         for (RecoveryState proxy : at.proxies) {
             List<PeerStatus> fresh =
                     proxy.observations().values().stream()
-                            .filter(each -> at.now - each.receivedAt() <= BACKOFF.forget())
+                            .filter(each -> at.now - each.receivedAt() <= BACKOFF.expirySeconds())
                             .map(PeerObservation::status)
                             .toList();
-            RecoveryState.Lesson lesson = core.lesson(proxy, at.now);
+            RecoveryState.PeerEstimate lesson = core.lesson(proxy, at.now);
             check(
                     lesson == null
                             || fresh.stream()
                                     .anyMatch(
                                             each ->
-                                                    each.serviceTimeSeconds() == lesson.work()
+                                                    each.serviceTimeSeconds()
+                                                                    == lesson.serviceTimeSeconds()
                                                             && each.samples() > 0),
                     "no figure is used past its age or made up",
                     at);
@@ -211,7 +212,9 @@
                 boolean any =
                         proxy.observations().values().stream()
                                 .anyMatch(
-                                        each -> at.now - each.receivedAt() <= BACKOFF.forget() + 1);
+                                        each ->
+                                                at.now - each.receivedAt()
+                                                        <= BACKOFF.expirySeconds() + 1);
                 boolean warm =
                         proxy.observations().values().stream()
                                 .anyMatch(each -> each.status().settled());
@@ -246,7 +249,8 @@
                 at);
         check(
                 last.isSettled()
-                        || (last.phase() == RecoveryPhase.ALONE && last.lesson(at.now) != null),
+                        || (last.phase() == RecoveryPhase.ALONE
+                                && last.peerEstimate(at.now) != null),
                 "one without samples is alone among them at last, and learns from them",
                 at);
     }
@@ -255,7 +259,7 @@
     private String explore() {
         List<RecoveryState> all = new ArrayList<>();
         for (int p = 0; p < PROXIES; p++) {
-            all.add(RecoveryState.begins(BACKOFF, p, PROXIES, 1 + p, 0));
+            all.add(RecoveryState.starting(BACKOFF, p, PROXIES, 1 + p, 0));
         }
         World first = new World(all, Map.of(), 0, 1, 1, 3, 1 + PROXIES);
         Set<World> known = new HashSet<>(Set.of(first));
@@ -299,9 +303,11 @@
                         PeerObservation before = proxy.observations().get(from);
                         long start =
                                 before == null
-                                        ? status.start()
-                                        : Math.max(status.start(), before.status().start());
-                        return proxy.heard(
+                                        ? status.startNumber()
+                                        : Math.max(
+                                                status.startNumber(),
+                                                before.status().startNumber());
+                        return proxy.statusReceived(
                                 from,
                                 new PeerStatus(
                                         start,
@@ -316,6 +322,22 @@
                 });
     }
 
+    private static RecoveryState.StatusMessage passingOn(
+            RecoveryState proxy,
+            RecoveryState.StatusMessage message,
+            RecoveryState.PeerEstimate estimate) {
+        return new RecoveryState.StatusMessage(
+                message.to(),
+                new PeerStatus(
+                        proxy.startNumber(),
+                        0,
+                        true,
+                        message.status().uptimeSeconds(),
+                        (float) estimate.serviceTimeSeconds(),
+                        estimate.samples(),
+                        false));
+    }
+
     @Test
     void aMutantThatPassesOnWhatPeersMeasuredIsCaught() {
         assertCaught(
@@ -324,29 +346,15 @@
                     @Override
                     RecoveryState.Step wake(RecoveryState proxy, double now) {
                         RecoveryState.Step step = proxy.wake(now);
-                        RecoveryState.Lesson estimate = proxy.lesson(now);
-                        return estimate == null || proxy.samples() > 0
-                                ? step
-                                : new RecoveryState.Step(
-                                        step.next(),
-                                        step.sent().stream()
-                                                .map(
-                                                        each ->
-                                                                new RecoveryState.Sent(
-                                                                        each.to(),
-                                                                        new PeerStatus(
-                                                                                proxy.startNumber(),
-                                                                                0,
-                                                                                true,
-                                                                                each.hello()
-                                                                                        .uptimeSeconds(),
-                                                                                (float)
-                                                                                        estimate
-                                                                                                .work(),
-                                                                                estimate.answers(),
-                                                                                false)))
-                                                .toList(),
-                                        false);
+                        RecoveryState.PeerEstimate estimate = proxy.peerEstimate(now);
+                        if (estimate == null || proxy.samples() > 0) {
+                            return step;
+                        }
+                        List<RecoveryState.StatusMessage> messages =
+                                step.messages().stream()
+                                        .map(each -> passingOn(proxy, each, estimate))
+                                        .toList();
+                        return new RecoveryState.Step(step.next(), messages, step.peerRestarted());
                     }
                 });
     }
@@ -357,8 +365,8 @@
                 "no figure",
                 new Core() {
                     @Override
-                    RecoveryState.Lesson lesson(RecoveryState proxy, double now) {
-                        return proxy.lesson(proxy.startedAt());
+                    RecoveryState.PeerEstimate lesson(RecoveryState proxy, double now) {
+                        return proxy.peerEstimate(proxy.startedAt());
                     }
                 });
     }
@@ -387,7 +395,7 @@
                                                 RecoveryPhase.ALL_NEW,
                                                 next.pollRounds(),
                                                 next.nextPollAt()),
-                                        step.sent(),
+                                        step.messages(),
                                         false);
                     }
                 });
@@ -401,8 +409,8 @@
                     @Override
                     RecoveryState.Step heard(
                             RecoveryState proxy, int from, PeerStatus status, double now) {
-                        RecoveryState.Step step = proxy.heard(from, status, now);
-                        return new RecoveryState.Step(step.next(), List.of(), step.anew());
+                        RecoveryState.Step step = proxy.statusReceived(from, status, now);
+                        return new RecoveryState.Step(step.next(), List.of(), step.peerRestarted());
                     }
                 });
     }
--- a/src/test/java/lemondrift/recovery/RecoveryStateTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -30,12 +30,12 @@
     }
 
     private static RecoveryState starting(int proxyCount) {
-        return RecoveryState.begins(BACKOFF, 0, proxyCount, 100, 0);
+        return RecoveryState.starting(BACKOFF, 0, proxyCount, 100, 0);
     }
 
     private static RecoveryState received(RecoveryState state, double now, PeerStatus... statuses) {
         for (int i = 0; i < statuses.length; i++) {
-            state = state.heard(i + 1, statuses[i], now).next();
+            state = state.statusReceived(i + 1, statuses[i], now).next();
         }
         return state;
     }
@@ -43,29 +43,30 @@
     @Test
     void aDatagramThatIsCutForeignOfAnotherVersionOrOutOfRangeIsNotRead() {
         byte[] good = new PeerStatus(7, 9, true, 1.5f, 0.25f, 300, false).encoded();
-        assertEquals(new PeerStatus(7, 9, true, 1.5f, 0.25f, 255, false), PeerStatus.of(good));
+        assertEquals(new PeerStatus(7, 9, true, 1.5f, 0.25f, 255, false), PeerStatus.decode(good));
         IntStream.range(0, good.length)
-                .forEach(i -> assertNull(PeerStatus.of(Arrays.copyOf(good, i))));
-        assertNull(PeerStatus.of(Arrays.copyOf(good, good.length + 1)));
+                .forEach(i -> assertNull(PeerStatus.decode(Arrays.copyOf(good, i))));
+        assertNull(PeerStatus.decode(Arrays.copyOf(good, good.length + 1)));
         for (int[] change : new int[][] {{0, 2}, {1, 2}, {4, -1}, {20, 0xff}, {24, 0xff}}) {
             byte[] bad = good.clone();
             bad[change[0]] = (byte) change[1];
-            assertNull(PeerStatus.of(bad), "byte " + change[0]);
+            assertNull(PeerStatus.decode(bad), "byte " + change[0]);
         }
         assertNull(
-                PeerStatus.of(status(1, 1, 0, 5, false).encoded()), "samples without service time");
+                PeerStatus.decode(status(1, 1, 0, 5, false).encoded()),
+                "samples without service time");
     }
 
     @Property(tries = 300, seed = "48")
     void anyBytesAreReadInRangeOrNotAtAll(@ForAll @Size(28) byte[] bytes) {
         bytes[0] = PeerStatus.KIND;
         bytes[1] = PeerStatus.VERSION;
-        PeerStatus status = PeerStatus.of(bytes);
+        PeerStatus status = PeerStatus.decode(bytes);
         assertTrue(
                 status == null
                         || (status.uptimeSeconds() >= 0
                                 && status.serviceTimeSeconds() >= 0
-                                && status.start() > 0));
+                                && status.startNumber() > 0));
     }
 
     @Test
@@ -101,18 +102,18 @@
     @Test
     void aSettledProxyPollsNobodyAndKeepsItsPhase() {
         RecoveryState state =
-                received(starting(4), 1, status(50, 99, 0.2f, 40, true)).found(0.3, 3);
+                received(starting(4), 1, status(50, 99, 0.2f, 40, true)).withMeasured(0.3, 3);
         assertTrue(state.isSettled());
         assertEquals(Double.POSITIVE_INFINITY, state.wakeAt());
-        assertEquals(List.of(), state.wake(40).sent());
+        assertEquals(List.of(), state.wake(40).messages());
         assertEquals(RecoveryPhase.ALONE, state.wake(40).next().phase());
         RecoveryState.Step reply =
-                state.heard(2, new PeerStatus(300, 100, true, 0.1f, 0, 0, false), 50);
+                state.statusReceived(2, new PeerStatus(300, 100, true, 0.1f, 0, 0, false), 50);
         assertEquals(
                 List.of(
-                        new RecoveryState.Sent(
+                        new RecoveryState.StatusMessage(
                                 2, new PeerStatus(100, 300, false, 50, 0.3f, 3, true))),
-                reply.sent());
+                reply.messages());
     }
 
     @Test
@@ -120,18 +121,26 @@
         RecoveryState state = received(starting(4), 1, status(200, 3, 0.2f, 4, false));
         assertSame(
                 state,
-                state.heard(1, status(199, 9, 0.9f, 9, true), 2).next(),
+                state.statusReceived(1, status(199, 9, 0.9f, 9, true), 2).next(),
                 "of an earlier start of its sender");
-        assertSame(state, state.heard(1, status(200, 2, 0.9f, 9, true), 2).next(), "out of order");
         assertSame(
                 state,
-                state.heard(2, new PeerStatus(300, 99, true, 1, 0.9f, 9, true), 2).next(),
+                state.statusReceived(1, status(200, 2, 0.9f, 9, true), 2).next(),
+                "out of order");
+        assertSame(
+                state,
+                state.statusReceived(2, new PeerStatus(300, 99, true, 1, 0.9f, 9, true), 2).next(),
                 "for an earlier start of its own");
-        assertSame(state, state.heard(0, status(300, 1, 0.9f, 9, true), 2).next(), "itself");
-        assertSame(state, state.heard(4, status(300, 1, 0.9f, 9, true), 2).next(), "nobody");
-        assertSame(state, state.heard(-1, status(300, 1, 0.9f, 9, true), 2).next(), "nobody");
-        assertTrue(state.heard(1, status(201, 0, 0, 0, false), 2).anew(), "a restart");
-        assertFalse(state.heard(1, status(200, 4, 0.2f, 5, false), 2).anew());
+        assertSame(
+                state, state.statusReceived(0, status(300, 1, 0.9f, 9, true), 2).next(), "itself");
+        assertSame(
+                state, state.statusReceived(4, status(300, 1, 0.9f, 9, true), 2).next(), "nobody");
+        assertSame(
+                state, state.statusReceived(-1, status(300, 1, 0.9f, 9, true), 2).next(), "nobody");
+        assertTrue(
+                state.statusReceived(1, status(201, 0, 0, 0, false), 2).peerRestarted(),
+                "a restart");
+        assertFalse(state.statusReceived(1, status(200, 4, 0.2f, 5, false), 2).peerRestarted());
     }
 
     /** Guards against ignoring a proxy whose wall clock went back with a power loss. */
@@ -139,31 +148,31 @@
     void aLowerStartNumberIsHeardOnceTheHigherOneHasBeenSilent() {
         RecoveryState state = received(starting(4), 1, status(200, 3, 0.2f, 4, true));
         PeerStatus back = status(150, 1, 0, 0, false);
-        assertSame(state, state.heard(1, back, 15).next());
-        assertEquals(back, state.heard(1, back, 22).next().observations().get(1).status());
+        assertSame(state, state.statusReceived(1, back, 15).next());
+        assertEquals(back, state.statusReceived(1, back, 22).next().observations().get(1).status());
     }
 
     @Test
     void newProxiesReportOnlyWhatTheyHaveMeasuredThemselves() {
         RecoveryState first = starting(2);
-        RecoveryState second = RecoveryState.begins(BACKOFF, 1, 2, 101, 0);
+        RecoveryState second = RecoveryState.starting(BACKOFF, 1, 2, 101, 0);
         for (double now = 0; now < 15; now++) {
             RecoveryState.Step poll = first.wake(now);
             first = poll.next();
-            for (RecoveryState.Sent each : poll.sent()) {
-                RecoveryState.Step reply = second.heard(0, each.hello(), now);
+            for (RecoveryState.StatusMessage each : poll.messages()) {
+                RecoveryState.Step reply = second.statusReceived(0, each.status(), now);
                 second = reply.next();
-                first = first.heard(1, reply.sent().get(0).hello(), now).next();
+                first = first.statusReceived(1, reply.messages().get(0).status(), now).next();
             }
-            assertNull(first.lesson(now), "two without samples");
+            assertNull(first.peerEstimate(now), "two without samples");
         }
         RecoveryState informed = received(first, 15, status(101, 15, 0.4f, 2, false));
-        assertEquals(new RecoveryState.Lesson(0.4f, 2), informed.lesson(15));
+        assertEquals(new RecoveryState.PeerEstimate(0.4f, 2), informed.peerEstimate(15));
         assertTrue(
-                informed.wake(informed.wakeAt()).sent().stream()
-                        .allMatch(each -> each.hello().samples() == 0),
+                informed.wake(informed.wakeAt()).messages().stream()
+                        .allMatch(each -> each.status().samples() == 0),
                 "what a peer measured is not passed on");
-        assertNull(informed.lesson(36), "expired");
+        assertNull(informed.peerEstimate(36), "expired");
     }
 
     @Test
@@ -175,10 +184,11 @@
             status(1, 9, 0.0001f, 8, false)
         };
         assertEquals(
-                new RecoveryState.Lesson(0.2f, 19), received(starting(9), 1, statuses).lesson(1));
+                new RecoveryState.PeerEstimate(0.2f, 19),
+                received(starting(9), 1, statuses).peerEstimate(1));
         assertEquals(
-                new RecoveryState.Lesson(0.3f, 11),
-                received(starting(9), 1, statuses[0], statuses[1]).lesson(1));
+                new RecoveryState.PeerEstimate(0.3f, 11),
+                received(starting(9), 1, statuses[0], statuses[1]).peerEstimate(1));
     }
 
     @Property(tries = 100, seed = "48")
@@ -186,15 +196,18 @@
             @ForAll @IntRange(min = 2, max = 40) int proxyCount,
             @ForAll @IntRange(min = 0, max = 39) int self) {
         RecoveryState state =
-                RecoveryState.begins(
+                RecoveryState.starting(
                         new PeerPollBackoff(1, 5, 20, 3, 8), self % proxyCount, proxyCount, 1, 0);
         boolean[] polled = new boolean[proxyCount];
         for (int round = 0; round < proxyCount; round++) {
             RecoveryState.Step step = state.wake(state.wakeAt());
             assertEquals(
                     Math.min(3, proxyCount - 1),
-                    step.sent().stream().map(RecoveryState.Sent::to).distinct().count());
-            step.sent().forEach(each -> polled[each.to()] = true);
+                    step.messages().stream()
+                            .map(RecoveryState.StatusMessage::to)
+                            .distinct()
+                            .count());
+            step.messages().forEach(each -> polled[each.to()] = true);
             state = step.next();
         }
         for (int proxy = 0; proxy < proxyCount; proxy++) {
