--- a/src/main/java/lemondrift/proxy/GracefulShutdown.java
+++ b/src/main/java/lemondrift/proxy/GracefulShutdown.java
@@ -24,7 +24,7 @@
  * <p>Runs on the thread that handles the signal, which it blocks; the checks run on the I/O thread.
  */
 final class GracefulShutdown {
-    /** Seconds in which new clients may still come, as those in front learn of the drain late. */
+    /** Seconds in which new clients may still come, and in which quiet connections are closed. */
     private static final double ACCEPT_SECONDS = 0.55;
 
     /** Seconds from the request deadline until the last responses are written. */
--- a/src/main/java/lemondrift/recovery/Snapshot.java
+++ b/src/main/java/lemondrift/recovery/Snapshot.java
@@ -52,12 +52,12 @@
     /**
      * What a starting proxy uses of it.
      *
-     * @param proxyName the name of the proxy that starts
+     * @param startingProxy the name of the proxy that starts
      * @param currentBoot tells the current run of the machine, empty where that is not known
      * @param wallSeconds the wall clock, in seconds since 1970
      */
-    public Trusted trusted(String proxyName, String currentBoot, double wallSeconds) {
-        if (!name.equals(proxyName)) {
+    public Trusted trusted(String startingProxy, String currentBoot, double wallSeconds) {
+        if (!name.equals(startingProxy)) {
             return new Trusted(0, 0, 0, "of another proxy, " + name);
         }
         double ageSeconds = wallSeconds - at;
--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -146,22 +146,23 @@
         int proxies = 4;
         int backends = 5;
         LoadGossip[] all = new LoadGossip[proxies];
-        Arrays.setAll(all, i -> gossip(proxies, i, backends));
-        int[][] model = new int[proxies][backends];
+        Arrays.setAll(all, proxy -> gossip(proxies, proxy, backends));
+        int[][] inFlight = new int[proxies][backends];
         List<Undelivered> undelivered = new ArrayList<>();
         double now = 1;
         for (int step = 0; step < 100; step++, now += 0.002) {
-            int i = random.nextInt(proxies);
-            int b = random.nextInt(backends);
-            if (model[i][b] > 0 && random.nextBoolean()) {
-                model[i][b]--;
-                all[i].attemptEnded(b);
+            int proxy = random.nextInt(proxies);
+            int backend = random.nextInt(backends);
+            if (inFlight[proxy][backend] > 0 && random.nextBoolean()) {
+                inFlight[proxy][backend]--;
+                all[proxy].attemptEnded(backend);
             } else {
-                model[i][b]++;
-                all[i].attemptSent(b);
+                inFlight[proxy][backend]++;
+                all[proxy].attemptSent(backend);
             }
-            all[i].dueMessages(now)
-                    .forEach(message -> undelivered.add(new Undelivered(i, message)));
+            all[proxy]
+                    .dueMessages(now)
+                    .forEach(message -> undelivered.add(new Undelivered(proxy, message)));
             if (!undelivered.isEmpty() && random.nextInt(3) > 0) {
                 // Any of them, perhaps again, perhaps never: lost, late, twice.
                 Undelivered any = undelivered.get(random.nextInt(undelivered.size()));
@@ -171,16 +172,16 @@
         for (double end = now + EXPIRY_SECONDS + 0.01; now < end; now += 0.005) {
             arrive(all, now);
         }
-        for (int j = 0; j < proxies; j++) {
-            for (int b = 0; b < backends; b++) {
+        for (int receiver = 0; receiver < proxies; receiver++) {
+            for (int backend = 0; backend < backends; backend++) {
                 int expected = 0;
-                for (int i = 0; i < proxies; i++) {
-                    expected += i == j ? 0 : model[i][b];
+                for (int sender = 0; sender < proxies; sender++) {
+                    expected += sender == receiver ? 0 : inFlight[sender][backend];
                 }
                 assertEquals(
                         expected,
-                        all[j].peerLoad(b),
-                        "seed " + seed + ", proxy " + j + ", backend " + b);
+                        all[receiver].peerLoad(backend),
+                        "seed " + seed + ", proxy " + receiver + ", backend " + backend);
             }
         }
     }
