--- a/src/main/java/lemondrift/balancer/BackendTable.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -205,7 +205,7 @@
     }
 
     /** Whether a start of the backend is listed that nobody has acted on; true once for each. */
-    boolean takeStart(int backend) {
+    boolean consumeNewStart(int backend) {
         if (startedAt[backend] >= startSeenBefore[backend]) {
             startSeenBefore[backend] = Math.nextUp(startedAt[backend]);
             return true;
--- a/src/main/java/lemondrift/balancer/DecisionStage.java
+++ b/src/main/java/lemondrift/balancer/DecisionStage.java
@@ -7,30 +7,32 @@
 import lemondrift.model.Request;
 
 /**
- * One stage of the chain of decisions. A request goes outward until a stage ends it or makes an
- * attempt; the end of an attempt, and a local reply, come back inward.
+ * One stage of the chain of decisions. A request goes from the first stage, which has the
+ * deadlines, to the next ones until a stage ends it or makes an attempt; the end of an attempt, and
+ * a local reply, come back through the previous ones.
  */
 abstract class DecisionStage {
-    private DecisionStage inner;
-    private DecisionStage outer;
+    private DecisionStage previous;
+    private DecisionStage next;
 
     /** Puts a stage behind this one; returns that stage. */
-    final DecisionStage then(DecisionStage next) {
-        outer = next;
-        next.inner = this;
-        return next;
+    final DecisionStage then(DecisionStage following) {
+        next = following;
+        following.previous = this;
+        return following;
     }
 
     /** Passes the request on, keeps it, or ends it; it has no attempt in flight. */
     void offer(Request request, double now, Decision decision) {
-        outer.offer(request, now, decision);
+        next.offer(request, now, decision);
     }
 
     /**
-     * Whether a backend may be given the request now, as far as this stage and those inside it say.
+     * Whether a backend may be given the request now, as far as this stage and the previous ones
+     * say.
      */
     boolean mayTake(Request request, int backend, double now) {
-        return inner == null || inner.mayTake(request, backend, now);
+        return previous == null || previous.mayTake(request, backend, now);
     }
 
     /** Hears that an attempt has ended. */
@@ -40,7 +42,7 @@
             double durationSeconds,
             double now,
             Decision decision) {
-        inner.ended(attempt, outcome, durationSeconds, now, decision);
+        previous.ended(attempt, outcome, durationSeconds, now, decision);
     }
 
     /**
@@ -50,6 +52,6 @@
      */
     void replyLocally(
             Request request, FailureReason reason, double retryAfterSeconds, Decision decision) {
-        inner.replyLocally(request, reason, retryAfterSeconds, decision);
+        previous.replyLocally(request, reason, retryAfterSeconds, decision);
     }
 }
--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -57,7 +57,7 @@
     /** A client's request has come; it keeps the terms of its class that hold now. */
     public Decision requestArrived(double now, Request request) {
         if (request.terms == null) {
-            request.terms = backends.settings.termsFor(request.requestClass);
+            request.terms = backends.settings.termsFor(request.requestClassIndex);
         }
         return decide(now, () -> deadlines.arrived(request, now, decision));
     }
@@ -109,7 +109,7 @@
         outliers.backendsListed();
         slowStart.backendsListed();
         for (EndpointUpdate update : updates) {
-            if (backends.takeStart(update.backend())) {
+            if (backends.consumeNewStart(update.backend())) {
                 backendStarted(update.backend(), now);
             }
         }
--- a/src/main/java/lemondrift/balancer/OutlierDetection.java
+++ b/src/main/java/lemondrift/balancer/OutlierDetection.java
@@ -109,7 +109,7 @@
     boolean mayTake(Request request, int backend, double now) {
         return super.mayTake(request, backend, now)
                 && isUsable(ALL_CLASSES, backend, now)
-                && isUsable(1 + request.requestClass, backend, now);
+                && isUsable(1 + request.requestClassIndex, backend, now);
     }
 
     /** Not ejected, or on trial with nothing in flight. */
@@ -136,7 +136,7 @@
                                     + ((failed ? 1 : 0) - usualFailureShare) / USUAL_OUTCOMES);
             observe(ALL_CLASSES, attempt.backend, failed, now, decision);
             // Guards against a backend that fails one class while the others' successes hide it.
-            observe(1 + attempt.request.requestClass, attempt.backend, failed, now, decision);
+            observe(1 + attempt.request.requestClassIndex, attempt.backend, failed, now, decision);
         }
         super.ended(attempt, outcome, durationSeconds, now, decision);
     }
--- a/src/main/java/lemondrift/balancer/RequestDeadlines.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -80,7 +80,7 @@
     private boolean isClientRetry(Request request, double secondsLeft) {
         return backends.settings.clientsMarkRetries()
                 ? isMarkedRetry(request, secondsLeft)
-                : looksLikeRetry(request.requestClass, secondsLeft);
+                : looksLikeRetry(request.requestClassIndex, secondsLeft);
     }
 
     /**
@@ -88,9 +88,9 @@
      * Clients may stop waiting for a first try sooner than for the next, which then has its own.
      */
     private boolean isMarkedRetry(Request request, double secondsLeft) {
-        double usual = usualSecondsLeft[request.requestClass];
+        double usual = usualSecondsLeft[request.requestClassIndex];
         if (!request.markedRetry) {
-            usualSecondsLeft[request.requestClass] = secondsLeft;
+            usualSecondsLeft[request.requestClassIndex] = secondsLeft;
             return false;
         }
         return Math.abs(secondsLeft - usual) > TIME_LEFT_TOLERANCE * usual;
@@ -142,8 +142,8 @@
     @Override
     void replyLocally(
             Request request, FailureReason reason, double retryAfterSeconds, Decision decision) {
-        request.failureReason = reason;
         if (!request.completed) {
+            request.failureReason = reason;
             request.completed = true;
             boolean rejected = RetryPolicy.isClientRetryHarmless(request);
             double boundedSeconds =
--- a/src/main/java/lemondrift/balancer/package-info.java
+++ b/src/main/java/lemondrift/balancer/package-info.java
@@ -16,6 +16,10 @@
  *   <li>{@code BackendSelector}: the backend of the lowest estimated utilization.
  * </ol>
  *
+ * <p>The four rules that the code names: (1) one final answer to each request before its deadline,
+ * and nothing after it; (2) no effect twice; (3) nothing new to a backend that is draining or gone;
+ * (4) no backend in slow start is pushed over.
+ *
  * <p>Owns what is known of the backends and of the open requests. Does no I/O, starts no thread and
  * reads no clock: every call carries the time in seconds. All calls come from one thread, the
  * decision loop's. Randomness comes from {@code DeterministicRandom} alone, so that the same seed
--- a/src/main/java/lemondrift/connection/CloseReason.java
+++ b/src/main/java/lemondrift/connection/CloseReason.java
@@ -17,7 +17,7 @@
     /** Closed with its response, as the place was worth more than its expected reuse. */
     NOT_KEPT_ALIVE,
     /** Closed with its response, as too many of its requests in a row were rejected. */
-    REPEATEDLY_REJECTED,
+    REPEATEDLY_INVALID,
     /** The proxy drains. */
     DRAINING,
     /** The client or the network closed it. */
--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -187,7 +187,7 @@
             return CloseReason.DRAINING;
         }
         if (connections.rejectionsInRow[connection] >= MAX_REJECTIONS_IN_ROW) {
-            return CloseReason.REPEATEDLY_REJECTED;
+            return CloseReason.REPEATEDLY_INVALID;
         }
         return keepAlive.keepsOpen(connection, time)
                 ? CloseReason.CLIENT_CLOSED
@@ -244,7 +244,7 @@
     }
 
     /** A request is to be rejected; {@link #responseReady} follows, as with any response. */
-    public void requestRejected(int connection, double now) {
+    public void invalidRequest(int connection, double now) {
         if (connections.isIn(connection, ConnectionState.FREE)) {
             return;
         }
--- a/src/main/java/lemondrift/lab/Baseline.java
+++ b/src/main/java/lemondrift/lab/Baseline.java
@@ -78,7 +78,7 @@
                         request.deadline,
                         now
                                 + settings.requestClasses()
-                                        .get(request.requestClass)
+                                        .get(request.requestClassIndex)
                                         .latencyObjectiveSeconds());
         sends(now, request);
         return decision;
@@ -89,7 +89,9 @@
         if (to < 0) {
             boolean shed =
                     request.possiblyExecuted == null
-                            || settings.requestClasses().get(request.requestClass).idempotency()
+                            || settings.requestClasses()
+                                            .get(request.requestClassIndex)
+                                            .idempotency()
                                     == Idempotency.IDEMPOTENT;
             request.completed = true;
             decision.localReplies.add(new Decision.LocalReply(request, shed, 0));
@@ -162,7 +164,7 @@
                         : request.possiblyExecuted;
         if (!request.completed
                 && (outcome.neverExecuted
-                        || settings.requestClasses().get(request.requestClass).idempotency()
+                        || settings.requestClasses().get(request.requestClassIndex).idempotency()
                                 == Idempotency.IDEMPOTENT)) {
             sends(now, request);
         } else if (!request.completed) {
--- a/src/main/java/lemondrift/lab/fleet/BackendFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -228,7 +228,7 @@
                 random.nextDouble()
                         < Math.max(
                                 backend.errors,
-                                its.x.requestClass
+                                its.x.requestClassIndex
                                                 == scenario.settings().requestClasses().size() - 1
                                         ? backend.classErrors
                                         : 0);
--- a/src/main/java/lemondrift/lab/fleet/ClientFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientFleet.java
@@ -262,7 +262,7 @@
             over = true;
             isOut(false);
             end.cancel();
-            // A attempt may still be out for it.
+            // An attempt may still be out for it.
             scheduler.after(
                     2 * scenario.settings().requestClasses().get(want.grade).timeoutSeconds()
                             + OutcomeRecorder.SLACK,
--- a/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
+++ b/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
@@ -129,7 +129,7 @@
         }
     }
 
-    /** An request was sent to a backend. */
+    /** A request was sent to a backend. */
     public void sends(int backend, double time) {
         passes(time);
         while (!sends.isEmpty() && sends.peek()[0] < time - together) {
--- a/src/main/java/lemondrift/lab/simulation/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -178,7 +178,8 @@
     }
 
     private boolean mayRepeat(Attempt attempt, Attempt before, double now) {
-        RequestClass requestClass = settings.requestClasses().get(attempt.request.requestClass);
+        RequestClass requestClass =
+                settings.requestClasses().get(attempt.request.requestClassIndex);
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && now - before.sentAt < requestClass.idempotencyKeyTtlSeconds() + slack
@@ -239,7 +240,7 @@
         }
         seen.answered = true;
         seen.answeredAt = now;
-        RequestClass requestClass = settings.requestClasses().get(request.requestClass);
+        RequestClass requestClass = settings.requestClasses().get(request.requestClassIndex);
         boolean harmless =
                 requestClass.idempotency() == Idempotency.IDEMPOTENT
                         || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
--- a/src/main/java/lemondrift/lab/simulation/Simulation.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -126,7 +126,7 @@
 
     /** Plays the day to its end. Throws Referee.Broken at the first rule that is broken. */
     public RunResult play() {
-        // The first lists come with the start; a proxy that knows no backend would rejected all.
+        // The first lists come with the start; a proxy that knows no backend would reject all.
         List<EndpointUpdate> all = new ArrayList<>();
         for (int i = 0; i < backends.length; i++) {
             all.add(endpointUpdate(i, EndpointUpdate.State.READY));
@@ -337,7 +337,8 @@
                 random.nextDouble()
                         < Math.max(
                                 backend.errors,
-                                attempt.request.requestClass == settings.requestClasses().size() - 1
+                                attempt.request.requestClassIndex
+                                                == settings.requestClasses().size() - 1
                                         ? backend.classErrors
                                         : 0);
         if (!backend.isUp()) {
--- a/src/main/java/lemondrift/model/AttemptOutcome.java
+++ b/src/main/java/lemondrift/model/AttemptOutcome.java
@@ -10,7 +10,7 @@
     OVERLOADED(true, false),
     /** No answer within the attempt's timeout. */
     TIMED_OUT(false, true),
-    /** No connection was made. */
+    /** No connection was made, or it broke or timed out before the last byte of the request. */
     CONNECT_FAILED(true, false),
     /** The connection broke after the request was sent. */
     RESET(false, false),
--- a/src/main/java/lemondrift/model/FailureReason.java
+++ b/src/main/java/lemondrift/model/FailureReason.java
@@ -20,5 +20,7 @@
     /** The process shuts down. */
     SHUTDOWN,
     /** The decisions had not answered it by its deadline, so the client's side did. */
-    OVERDUE
+    OVERDUE,
+    /** A decision about it threw an exception, which the log has. */
+    INTERNAL_ERROR
 }
--- a/src/main/java/lemondrift/model/Request.java
+++ b/src/main/java/lemondrift/model/Request.java
@@ -11,7 +11,7 @@
     public final long id;
 
     /** The index of its request class. */
-    public final int requestClass;
+    public final int requestClassIndex;
 
     /** The index of its tenant. */
     public final int tenant;
@@ -88,7 +88,7 @@
             double secondsLeft,
             boolean markedRetry) {
         this.id = id;
-        this.requestClass = requestClass;
+        this.requestClassIndex = requestClass;
         this.tenant = tenant;
         this.arrivedAt = arrivedAt;
         this.deadline = arrivedAt + secondsLeft;
--- a/src/main/java/lemondrift/proxy/OperatorControl.java
+++ b/src/main/java/lemondrift/proxy/OperatorControl.java
@@ -62,7 +62,7 @@
     @Override
     public boolean quiesce() {
         if (isReady() && !clientListener.isDraining()) {
-            LOG.info("sends clients away");
+            LOG.info("quiesced at the admin address, clients are sent away");
             clientListener.drain(clock.now() + QUIESCE_SECONDS, Double.POSITIVE_INFINITY);
         }
         return isReady();
@@ -71,7 +71,7 @@
     @Override
     public boolean resume() {
         if (isReady() && clientListener.isDraining()) {
-            LOG.info("takes clients again");
+            LOG.info("resumed at the admin address");
             clientListener.resume();
         }
         return isReady();
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -33,7 +33,7 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** One proxy, from its start to its exit: composes the rooms and owns the phase. */
+/** One proxy, from its start to its exit: composes the packages and owns the phase. */
 public final class ProxyServer {
     /** What the proxy is doing; it only goes forward. */
     enum Phase {
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -68,7 +68,7 @@
     public static final class ConnectionBudget {
         private int maxConnections;
 
-        /** Until this instant connections rest after a response; see {@link Rest}. */
+        /** Until this instant connections rest after a response; see {@link Quarantine}. */
         private double restsUntil = Double.NEGATIVE_INFINITY;
 
         /** Idle longest first. */
@@ -124,7 +124,7 @@
     final MonotonicClock clock;
     private final ConnectionBudget budget;
     private final int maxConnections;
-    private final Quarantine rest;
+    private final Quarantine quarantine;
 
     /** Idle longest last. */
     private final Deque<PooledConnection> idle = new ArrayDeque<>();
@@ -143,7 +143,7 @@
             MonotonicClock clock,
             ConnectionBudget budget,
             int maxConnections,
-            Quarantine rest) {
+            Quarantine quarantine) {
         this.address = address;
         this.io = io;
         this.connector = connector;
@@ -151,7 +151,7 @@
         this.clock = clock;
         this.budget = budget;
         this.maxConnections = maxConnections;
-        this.rest = rest;
+        this.quarantine = quarantine;
     }
 
     /**
@@ -160,7 +160,7 @@
      */
     PooledConnection takeRested() {
         double now = clock.now();
-        return takeIdleSince(now < budget.restsUntil ? now - rest.restSeconds : now);
+        return takeIdleSince(now < budget.restsUntil ? now - quarantine.restSeconds : now);
     }
 
     /** Takes the connection that has been idle longest, rested or not; null if there is none. */
@@ -183,7 +183,7 @@
 
     /** A backend has sent more than its response: connections rest from now on. */
     void sawUnexpectedBytes() {
-        budget.restsUntil = clock.now() + rest.memorySeconds;
+        budget.restsUntil = clock.now() + quarantine.memorySeconds;
     }
 
     /** Whether another connection may be opened; its place is taken from now on. */
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -76,7 +76,7 @@
      * A reader of one response.
      *
      * @param maxBufferedBytes of a body that is buffered; heads and lines between chunks have a
-     *     bound of their own, {@link HttpFieldRules#MOST}
+     *     bound of their own, {@link HttpFieldRules#MAX_HEAD_BYTES}
      * @param mayStream whether a longer body of a 200 may be streamed; else it is an error
      */
     public ResponseReader(int maxBufferedBytes, boolean mayStream) {
--- a/src/main/java/lemondrift/proxy/client/ClientConnection.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnection.java
@@ -224,7 +224,7 @@
 
     void requestRejected() {
         if (!closed) {
-            policy.requestRejected(index, clock.now());
+            policy.invalidRequest(index, clock.now());
         }
     }
 
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -98,7 +98,7 @@
     Set<Integer> classesInUse() {
         return bySocket.values().stream()
                 .filter(each -> each.request != null)
-                .map(each -> each.request.requestClass)
+                .map(each -> each.request.requestClassIndex)
                 .collect(Collectors.toSet());
     }
 
--- a/src/main/java/lemondrift/proxy/client/RequestAdmission.java
+++ b/src/main/java/lemondrift/proxy/client/RequestAdmission.java
@@ -60,7 +60,8 @@
         }
         ShedThreshold shed =
                 requestQueue.isBacklogged()
-                        ? decisionEvents.shedThreshold(request.requestClass, decideBy - clock.now())
+                        ? decisionEvents.shedThreshold(
+                                request.requestClassIndex, decideBy - clock.now())
                         : null;
         if (shed == null) {
             requestQueue.holdBack(pending, decideBy);
--- a/src/main/java/lemondrift/proxy/client/RequestReader.java
+++ b/src/main/java/lemondrift/proxy/client/RequestReader.java
@@ -188,7 +188,7 @@
         Request request =
                 new Request(
                         bounded.id,
-                        bounded.requestClass,
+                        bounded.requestClassIndex,
                         bounded.tenant,
                         bounded.arrivedAt,
                         timeoutSeconds,
--- a/src/main/java/lemondrift/proxy/client/package-info.java
+++ b/src/main/java/lemondrift/proxy/client/package-info.java
@@ -4,7 +4,8 @@
  * otherwise.
  *
  * <ul>
- *   <li>{@code ClientListener} is the face to the other rooms, and has the sockets that accept.
+ *   <li>{@code ClientListener} is the facade for the other packages, and has the sockets that
+ *       accept.
  *   <li>{@code ClientConnections} has the connections, each a {@code ClientConnection}; what is
  *       decided about them is decided by {@code lemondrift.connection}.
  *   <li>{@code RequestReader} reads requests, each body a {@code RequestBody}, and rejects those
--- a/src/main/java/lemondrift/proxy/events/package-info.java
+++ b/src/main/java/lemondrift/proxy/events/package-info.java
@@ -4,6 +4,7 @@
  * through {@link lemondrift.proxy.events.ProxyActions}, which queues work for the I/O thread. The
  * rest are the values that pass between them.
  *
- * <p>Owns no state, so that the rooms on both sides depend on this package and not on each other.
+ * <p>Owns no state, so that the packages on both sides depend on this package and not on each
+ * other.
  */
 package lemondrift.proxy.events;
--- a/src/main/java/lemondrift/proxy/lifecycle/HangUpSignal.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/HangUpSignal.java
@@ -32,7 +32,7 @@
                     .invoke(null, hangUp, signalHandler);
         } catch (ReflectiveOperationException | RuntimeException e) {
             // Wide, as a JVM without these classes or permissions can still serve.
-            LOG.warn("a hang-up will end this program: {}", e.toString());
+            LOG.warn("SIGHUP handler not installed, SIGHUP will end the process: {}", e.toString());
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/logging/FailureLog.java
+++ b/src/main/java/lemondrift/proxy/logging/FailureLog.java
@@ -30,8 +30,8 @@
      * A request ends without a backend's response.
      *
      * @param trace the id by which its client knows it
-     * @param rejected whether no backend may have executed it, so that a retry is harmless; else it
-     *     failed
+     * @param rejected whether a retry of the client is harmless: no backend may have executed it,
+     *     or it is idempotent; else it failed
      * @param now the instant, in seconds
      */
     public void notServed(
--- a/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
@@ -66,7 +66,7 @@
 
     boolean hasOpenRequestOf(int requestClass) {
         return openRequests.keySet().stream()
-                .anyMatch(request -> request.requestClass == requestClass);
+                .anyMatch(request -> request.requestClassIndex == requestClass);
     }
 
     void opened(PendingRequest pending) {
@@ -138,6 +138,7 @@
             LOG.error("decision event {} of request {} failed", event.type(), request.id, cause);
         }
         if (request != null && !request.completed) {
+            request.failureReason = FailureReason.INTERNAL_ERROR;
             request.completed = true;
             fail(request, false, 0);
             shadow.clientLeft(request);
--- a/src/main/java/lemondrift/proxy/package-info.java
+++ b/src/main/java/lemondrift/proxy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The proxy as a program: {@link lemondrift.proxy.ProxyServer} composes the rooms below this
+ * The proxy as a program: {@link lemondrift.proxy.ProxyServer} composes the packages below this
  * package and owns the program's phase (STARTING, SERVING, DRAINING, STOPPED).
  *
  * <p>The other classes here each do one of its jobs: {@code GracefulShutdown} (SIGTERM), {@code
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -53,7 +53,7 @@
             this.request =
                     new Request(
                             request.id,
-                            request.requestClass,
+                            request.requestClassIndex,
                             request.tenant,
                             request.arrivedAt,
                             request.deadline - request.arrivedAt,
@@ -106,7 +106,7 @@
 
     /** A request has come; one of a class that these settings do not name is left out. */
     public void requestArrived(double now, Request request) {
-        if (settings.requestClasses().get(request.requestClass) == null) {
+        if (settings.requestClasses().get(request.requestClassIndex) == null) {
             return;
         }
         Copy copy = new Copy(request);
--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -212,7 +212,8 @@
                             previous ->
                                     assertTrue(
                                             mayRepeat(
-                                                    REQUEST_CLASSES[attempt.request.requestClass],
+                                                    REQUEST_CLASSES[
+                                                            attempt.request.requestClassIndex],
                                                     previous,
                                                     attempt),
                                             "rule 2: " + outcomes.get(previous)));
@@ -237,7 +238,7 @@
                                             outcomes.containsKey(attempt)
                                                     && outcomes.get(attempt).neverExecuted);
             assertTrue(
-                    !reply.rejected() || harmless || reply.request().requestClass == 0,
+                    !reply.rejected() || harmless || reply.request().requestClassIndex == 0,
                     "rule 2: rejected, may have been executed");
         }
     }
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -317,7 +317,7 @@
         for (; staysOpen && rejections < 50; rejections++) {
             model.sendBytes(connection, 10);
             model.policy.headRead(connection, model.now);
-            model.policy.requestRejected(connection, model.now);
+            model.policy.invalidRequest(connection, model.now);
             staysOpen = model.policy.responseReady(connection, model.now);
             double pauseSeconds = model.policy.readPauseSeconds(connection, model.now);
             assertTrue(
@@ -404,7 +404,7 @@
         int connection = model.policy.accepted(7, model.now);
         model.policy.closed(connection, model.now);
         model.policy.headRead(connection, model.now);
-        model.policy.requestRejected(connection, model.now);
+        model.policy.invalidRequest(connection, model.now);
         // The model knows no client there, so that to close it would fail, and end all further
         // sweeps.
         assertDoesNotThrow(() -> model.policy.sweep(model.now + 100));
--- a/src/test/java/lemondrift/lab/simulation/SimulationTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -216,7 +216,7 @@
                         if (outcome == AttemptOutcome.ERROR
                                 && scenario.settings()
                                                 .requestClasses()
-                                                .get(attempt.request.requestClass)
+                                                .get(attempt.request.requestClassIndex)
                                                 .idempotency()
                                         == Idempotency.NOT_IDEMPOTENT
                                 && again.put(attempt.request, attempt) == null) {
