--- a/src/main/java/lemondrift/connection/ConnectionLimits.java
+++ b/src/main/java/lemondrift/connection/ConnectionLimits.java
@@ -52,13 +52,14 @@
                 || !(minBytesPerSecond > 0)
                 || !(usualPriorityWeight > 0)
                 || sharing == null) {
-            throw new IllegalArgumentException("bounds of the door that contradict each other");
+            throw new IllegalArgumentException("the connection limits contradict each other");
         }
     }
 
     /**
-     * How long a new connection may take for its first byte. With the read timeout it stays under
-     * the 3 s, at the default idle time, within which a client that brings no request is closed.
+     * How long a new connection may take for its first byte. Under the 3 s, at the default idle
+     * time, within which a client that sends nothing is to be closed; the read timeout follows the
+     * first byte.
      */
     double firstByteTimeoutSeconds() {
         return 0.8 * maxIdleSeconds;
--- a/src/main/java/lemondrift/metrics/EventLoopMetrics.java
+++ b/src/main/java/lemondrift/metrics/EventLoopMetrics.java
@@ -84,17 +84,17 @@
 
     private String logLine(double now) {
         String line =
-                "lately_waited_ms="
+                "recent_wait_ms="
                         + milliseconds(recentWaitSeconds)
-                        + " lately_lasted_ms="
+                        + " recent_iteration_ms="
                         + milliseconds(recentIterationSeconds)
                         + " longest_wait_ms="
                         + milliseconds(longestWaitSeconds)
-                        + " of="
+                        + " longest_wait_event="
                         + longestWaitKind
-                        + " longest_turn_ms="
+                        + " longest_iteration_ms="
                         + milliseconds(longestIterationSeconds)
-                        + " of="
+                        + " longest_iteration_event="
                         + longestIterationKind
                         + " longest_queue="
                         + longestQueue;
--- a/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
@@ -111,7 +111,7 @@
 
     private void logFirstFailure(Exception cause) {
         if (!failureLogged) {
-            LOG.warn("other proxies can't be told or heard: {}", cause.toString());
+            LOG.warn("gossip can't be sent or received: {}", cause.toString());
         }
         failureLogged = true;
     }
--- a/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
@@ -64,7 +64,9 @@
             boolean serving = servingLock != null;
             boolean changed = resourceSplit.observed(serving, serving && isFollowed());
             if (changed) {
-                LOG.info("of the processes of this proxy this one is {}", resourceSplit.state());
+                LOG.info(
+                        "resource split among the processes of this proxy: {}",
+                        resourceSplit.state());
             }
             return changed;
         } catch (IOException e) {
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -74,7 +74,8 @@
                     startNumber, trusted.serviceTimeSeconds(), trustedSamplesWithServiceTime());
         }
         LOG.info(
-                "recovery begins start={} snapshot=\"{}\" work={} answers={}",
+                "recovery begins start_number={} snapshot=\"{}\" service_time_seconds={}"
+                        + " samples={}",
                 startNumber,
                 trusted.reason(),
                 trusted.serviceTimeSeconds(),
@@ -130,7 +131,8 @@
             seedDecisions(balancer, now);
         } else if (!wasSettled) {
             LOG.info(
-                    "recovery settled standing={} after={} work={} answers={} asked={}",
+                    "recovery settled phase={} after={} service_time_seconds={} samples={}"
+                            + " poll_rounds={}",
                     state.phase(),
                     formatSeconds(now - state.startedAt()),
                     state.serviceTimeSeconds(),
@@ -158,7 +160,7 @@
         if (next.phase() != state.phase()) {
             phaseSince = now;
             LOG.info(
-                    "recovery standing={} was={} after={} heard={}",
+                    "recovery phase={} previous={} after={} peers_heard={}",
                     next.phase(),
                     state.phase(),
                     formatSeconds(now - state.startedAt()),
--- a/src/main/java/lemondrift/recovery/RecoveryPhase.java
+++ b/src/main/java/lemondrift/recovery/RecoveryPhase.java
@@ -2,7 +2,7 @@
 
 /** What a proxy that has started is among its peers, as far as they have answered. */
 public enum RecoveryPhase {
-    /** None has answered yet, and it is too early to say that none will. */
+    /** It is too early to say: no settled peer has answered, and others may still do. */
     UNKNOWN,
     /** It alone is new: most that answer were there before, and can be learned from. */
     ALONE,
--- a/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
@@ -21,10 +21,10 @@
         assertTrue(
                 loopMetrics
                         .iterationEnded(0.06, 7, 10.5)
-                        .startsWith("lately_waited_ms=300 lately_lasted_ms=60"));
+                        .startsWith("recent_wait_ms=300 recent_iteration_ms=60"));
         loopMetrics.eventHandled(EventLoopMetrics.Kind.ARRIVAL, 0.2);
         assertNull(loopMetrics.iterationEnded(0.01, 0, 11), "at most one line a second");
-        assertTrue(loopMetrics.iterationEnded(0.01, 0, 11.6).startsWith("lately_waited_ms=200"));
+        assertTrue(loopMetrics.iterationEnded(0.01, 0, 11.6).startsWith("recent_wait_ms=200"));
         assertNull(loopMetrics.iterationEnded(0.01, 0, 13), "nothing long since the last line");
         JsonObject json = JsonParser.parseString(loopMetrics.json()).getAsJsonObject();
         assertEquals(0.3, json.get("longest_wait").getAsDouble());
