--- a/src/main/java/lemondrift/proxy/IoThreadActions.java
+++ b/src/main/java/lemondrift/proxy/IoThreadActions.java
@@ -94,9 +94,13 @@
     }
 
     @Override
-    public void fail(PendingRequest pending, boolean rejected, double retryAfterSeconds) {
-        pendingActions.add(
-                () -> clientListener.failRequest(pending.exchange(), rejected, retryAfterSeconds));
+    public void reject(PendingRequest pending, double retryAfterSeconds) {
+        pendingActions.add(() -> clientListener.reject(pending, retryAfterSeconds));
+    }
+
+    @Override
+    public void fail(PendingRequest pending) {
+        pendingActions.add(() -> clientListener.fail(pending));
     }
 
     @Override
--- a/src/main/java/lemondrift/proxy/backend/ResponseOutcome.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseOutcome.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy.backend;
 
+import io.undertow.util.StatusCodes;
 import lemondrift.model.AttemptOutcome;
 import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.http.ProxyHeaders;
@@ -14,23 +15,24 @@
      * says otherwise.
      */
     static AttemptOutcome of(BackendResponse response) {
+        return switch (response.completion()) {
+            case RECEIVED -> ofStatus(response);
+            case NOT_SENT -> AttemptOutcome.NOT_SENT;
+            case FAILED_BEFORE_SENT -> AttemptOutcome.CONNECT_FAILED;
+            case CONNECTION_BROKEN -> AttemptOutcome.RESET;
+            case TIMED_OUT -> AttemptOutcome.TIMED_OUT;
+        };
+    }
+
+    private static AttemptOutcome ofStatus(BackendResponse response) {
         return switch (response.status()) {
-            case BackendResponse.NOT_SENT -> AttemptOutcome.NOT_SENT;
-            case 0 -> ofNoResponse(response);
             case BackendResponse.OK -> AttemptOutcome.SUCCESS;
-            case 503, 504 ->
+            case StatusCodes.SERVICE_UNAVAILABLE, StatusCodes.GATEWAY_TIME_OUT ->
                     wasNeverExecuted(response) ? AttemptOutcome.OVERLOADED : AttemptOutcome.ERROR;
             default -> AttemptOutcome.ERROR;
         };
     }
 
-    private static AttemptOutcome ofNoResponse(BackendResponse response) {
-        if (!response.requestSent()) {
-            return AttemptOutcome.CONNECT_FAILED;
-        }
-        return response.timedOut() ? AttemptOutcome.TIMED_OUT : AttemptOutcome.RESET;
-    }
-
     private static boolean wasNeverExecuted(BackendResponse response) {
         return "1".equals(response.headers().getFirst(ProxyHeaders.NEVER_EXECUTED));
     }
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -204,8 +204,7 @@
 
     /** The response with the beginning of its body, and who has the remainder. */
     public BackendResponse streamedResponse(ResponseRemainder remainder) {
-        return new BackendResponse(
-                status, headers, bufferedBody.toByteArray(), true, false, remainder);
+        return BackendResponse.received(status, headers, bufferedBody.toByteArray(), remainder);
     }
 
     /** The next line without its end; null until it has come. */
--- a/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
+++ b/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
@@ -7,7 +7,7 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * What follows of a response whose beginning has been delivered: read from the backend's connection
+ * What follows of a response whose beginning has been passed on: read from the backend's connection
  * piece by piece as it is asked for. No timer of the call runs any more; only the two sides end it.
  * I/O thread only.
  */
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -3,7 +3,6 @@
 import io.undertow.Handlers;
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
-import io.undertow.server.HttpServerExchange;
 import io.undertow.server.protocol.http.HttpOpenListener;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -30,8 +29,8 @@
 
 /**
  * Accepts clients' connections, and is the face of the clients' side: requests go to {@link
- * DecisionEvents}, responses come back through {@link #deliver} and {@link #failRequest}. I/O
- * thread only, but for what says otherwise.
+ * DecisionEvents}, responses come back through {@link #deliver}, {@link #reject} and {@link #fail}.
+ * I/O thread only, but for what says otherwise.
  */
 public final class ClientListener {
     /** The most bytes of one request's body that are buffered. */
@@ -278,13 +277,16 @@
     }
 
     /**
-     * Ends a request that no backend serves, with 503 if it is rejected, which promises that a
-     * retry is harmless, else with 502.
+     * Ends a request that no backend serves with 503, which promises that a retry is harmless.
      *
-     * @param retryAfterSeconds for a rejected request, 0 to say nothing
+     * @param retryAfterSeconds 0 to send no Retry-After
      */
-    public void failRequest(
-            HttpServerExchange exchange, boolean rejected, double retryAfterSeconds) {
-        responses.fail(exchange, rejected, retryAfterSeconds);
+    public void reject(PendingRequest pending, double retryAfterSeconds) {
+        responses.reject(pending.exchange(), retryAfterSeconds);
+    }
+
+    /** Ends a request that no backend serves with 502, which promises nothing about a retry. */
+    public void fail(PendingRequest pending) {
+        responses.fail(pending.exchange());
     }
 }
--- a/src/main/java/lemondrift/proxy/client/RequestAdmission.java
+++ b/src/main/java/lemondrift/proxy/client/RequestAdmission.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy.client;
 
+import java.util.Optional;
 import lemondrift.connection.RequestQueue;
 import lemondrift.metrics.ProxyMetrics;
 import lemondrift.model.FailureReason;
@@ -58,16 +59,16 @@
             decisionEvents.requestArrived(pending);
             return;
         }
-        ShedThreshold shed =
+        Optional<ShedThreshold> shed =
                 requestQueue.isBacklogged()
                         ? decisionEvents.shedThreshold(
                                 request.requestClassIndex, decideBy - clock.now())
-                        : null;
-        if (shed == null) {
-            requestQueue.holdBack(pending, decideBy);
-        } else {
+                        : Optional.empty();
+        if (shed.isPresent()) {
             request.failureReason = FailureReason.WAIT_TOO_LONG;
-            responses.fail(pending.exchange(), true, shed.retryAfterSeconds());
+            responses.reject(pending.exchange(), shed.get().retryAfterSeconds());
+        } else {
+            requestQueue.holdBack(pending, decideBy);
         }
     }
 
@@ -89,7 +90,7 @@
         Request request = pending.request();
         request.failureReason = FailureReason.OVERDUE;
         metrics.overdueRequestFailed();
-        responses.fail(pending.exchange(), false, ResponseWriter.NO_RETRY_AFTER);
+        responses.fail(pending.exchange());
         decisionEvents.clientLeft(request);
     }
 }
--- a/src/main/java/lemondrift/proxy/client/ResponseWriter.java
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -25,8 +25,8 @@
 
 /** Writes responses to clients, the backends' and the proxy's own, and counts them. */
 final class ResponseWriter {
-    /** Stands for a failure without a Retry-After. */
-    static final double NO_RETRY_AFTER = 0;
+    /** Stands for a rejection without a Retry-After. */
+    private static final double NO_RETRY_AFTER = 0;
 
     private static final HttpString KEEP_ALIVE = new HttpString("Keep-Alive");
 
@@ -68,7 +68,7 @@
      */
     void rejectAndClose(HttpServerExchange exchange, int status) {
         exchange.setPersistent(false);
-        reject(
+        writeReason(
                 exchange,
                 status,
                 sent -> {
@@ -82,7 +82,8 @@
 
     /** Rejects with 400 what was read but can't be used, and reads no more for a while. */
     void rejectAndPause(HttpServerExchange exchange) {
-        reject(exchange, StatusCodes.BAD_REQUEST, sent -> afterReadPause(sent, sent::endExchange));
+        writeReason(
+                exchange, StatusCodes.BAD_REQUEST, sent -> afterReadPause(sent, sent::endExchange));
     }
 
     private void closeAfterPause(HttpServerExchange exchange) {
@@ -94,7 +95,8 @@
         ioThread.executeAfter(task, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     }
 
-    private void reject(
+    /** Writes a status with its reason as the body, and counts it once it is sent. */
+    private void writeReason(
             HttpServerExchange exchange, int status, Consumer<HttpServerExchange> whenSent) {
         if (isClientError(status)) {
             ClientConnection.of(exchange).requestRejected();
@@ -146,12 +148,27 @@
     }
 
     /**
-     * Ends a request that no backend serves: rejected is 503 and promises that a retry is harmless,
-     * else 502, which promises nothing.
+     * Ends a request that no backend serves with 503, which promises that a retry is harmless.
      *
-     * @param retryAfterSeconds for a rejected request, {@link #NO_RETRY_AFTER} to say nothing
+     * @param retryAfterSeconds 0 to send no Retry-After
      */
-    void fail(HttpServerExchange exchange, boolean rejected, double retryAfterSeconds) {
+    void reject(HttpServerExchange exchange, double retryAfterSeconds) {
+        logNotServed(exchange, true);
+        if (retryAfterSeconds > NO_RETRY_AFTER) {
+            double wholeMillis = Math.ceil(retryAfterSeconds * 1000);
+            exchange.getResponseHeaders()
+                    .put(Headers.RETRY_AFTER, String.valueOf(wholeMillis / 1000));
+        }
+        writeNotServed(exchange, StatusCodes.SERVICE_UNAVAILABLE);
+    }
+
+    /** Ends a request that no backend serves with 502, which promises nothing about a retry. */
+    void fail(HttpServerExchange exchange) {
+        logNotServed(exchange, false);
+        writeNotServed(exchange, StatusCodes.BAD_GATEWAY);
+    }
+
+    private void logNotServed(HttpServerExchange exchange, boolean rejected) {
         Request request = ClientConnection.of(exchange).request;
         if (request != null) {
             failureLog.notServed(
@@ -161,18 +178,15 @@
                     rejected,
                     clock.now());
         }
-        if (rejected && retryAfterSeconds > NO_RETRY_AFTER) {
-            double wholeMillis = Math.ceil(retryAfterSeconds * 1000);
-            exchange.getResponseHeaders()
-                    .put(Headers.RETRY_AFTER, String.valueOf(wholeMillis / 1000));
-        }
-        int status = rejected ? StatusCodes.SERVICE_UNAVAILABLE : StatusCodes.BAD_GATEWAY;
+    }
+
+    private void writeNotServed(HttpServerExchange exchange, int status) {
         if (exchange.isRequestComplete()) {
             writeEmpty(exchange, status);
         } else {
             // Undertow would hold a response without a body back until all of the request has come.
             exchange.setPersistent(false);
-            reject(exchange, status, this::closeAfterPause);
+            writeReason(exchange, status, this::closeAfterPause);
         }
     }
 
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -208,8 +208,11 @@
     private void callEnded(BackendResponse response) {
         call = null;
         state = State.IDLE;
-        if (response.status() != BackendResponse.OK) {
-            callFailed("status " + response.status());
+        if (!response.isSuccess()) {
+            callFailed(
+                    response.completion() == BackendResponse.Completion.RECEIVED
+                            ? "status " + response.status()
+                            : response.completion().toString());
             return;
         }
         state = State.PARSING;
--- a/src/main/java/lemondrift/proxy/events/DecisionEvents.java
+++ b/src/main/java/lemondrift/proxy/events/DecisionEvents.java
@@ -1,5 +1,6 @@
 package lemondrift.proxy.events;
 
+import java.util.Optional;
 import lemondrift.model.Attempt;
 import lemondrift.model.AttemptOutcome;
 import lemondrift.model.Request;
@@ -15,9 +16,9 @@
 
     /**
      * The threshold by which a request of this class with so many seconds left would be shed now;
-     * null where it would not be. Any thread.
+     * empty where it would not be. Any thread.
      */
-    ShedThreshold shedThreshold(int requestClass, double secondsLeft);
+    Optional<ShedThreshold> shedThreshold(int requestClass, double secondsLeft);
 
     /**
      * An attempt ended.
--- a/src/main/java/lemondrift/proxy/events/ProxyActions.java
+++ b/src/main/java/lemondrift/proxy/events/ProxyActions.java
@@ -28,16 +28,18 @@
     /** Passes a response on to the client. */
     void deliver(PendingRequest pending, BackendResponse response);
 
-    /** Drops the remainder of a response that is not delivered. */
+    /** Drops the remainder of a response that is not passed on. */
     void discard(BackendResponse response);
 
     /**
-     * Answers a request without a backend's response.
+     * Answers a request with 503, which promises that a retry is harmless.
      *
-     * @param rejected whether it is rejected (503: a retry is harmless) rather than failed (502)
      * @param retryAfterSeconds 0 where the client gets no Retry-After
      */
-    void fail(PendingRequest pending, boolean rejected, double retryAfterSeconds);
+    void reject(PendingRequest pending, double retryAfterSeconds);
+
+    /** Answers a request with 502, which promises nothing about a retry. */
+    void fail(PendingRequest pending);
 
     /** Closes idle connections to a backend that is no longer ready or has another address. */
     void retirePool(int backend);
--- a/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
+++ b/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
@@ -2,7 +2,7 @@
 
 import lemondrift.proxy.http.BodyChunks;
 
-/** What follows of a response whose beginning has been delivered. I/O thread only. */
+/** What follows of a response whose beginning has been passed on. I/O thread only. */
 public interface ResponseRemainder extends BodyChunks {
     /** The Content-Length of the whole body, in bytes; below 0 where the backend states none. */
     int declaredLength();
--- a/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
@@ -31,6 +31,9 @@
      */
     private static final double WAKE_AFTER_FAILURE_SECONDS = 1;
 
+    /** A rejection whose response has no Retry-After. */
+    private static final double NO_RETRY_AFTER = 0;
+
     private final LoadBalancer balancer;
     private final BackendDirectory directory;
     private final MonotonicClock clock;
@@ -84,7 +87,11 @@
             send(attempt);
         }
         for (Decision.LocalReply reply : decision.localReplies) {
-            fail(reply.request(), reply.rejected(), reply.retryAfterSeconds());
+            if (reply.rejected()) {
+                reject(reply.request(), reply.retryAfterSeconds());
+            } else {
+                fail(reply.request());
+            }
             release(reply.request());
         }
         for (int backend : decision.probes) {
@@ -140,7 +147,7 @@
         if (request != null && !request.completed) {
             request.failureReason = FailureReason.INTERNAL_ERROR;
             request.completed = true;
-            fail(request, false, 0);
+            fail(request);
             shadow.clientLeft(request);
         }
         wakeAt = Math.min(wakeAt, clock.now() + WAKE_AFTER_FAILURE_SECONDS);
@@ -155,16 +162,27 @@
             if (!request.completed) {
                 request.failureReason = FailureReason.SHUTDOWN;
                 execute(balancer.clientLeft(clock.now(), request));
-                fail(request, request.attemptCount == 0, 0);
+                if (request.attemptCount == 0) {
+                    reject(request, NO_RETRY_AFTER);
+                } else {
+                    fail(request);
+                }
                 release(request);
             }
         }
     }
 
-    private void fail(Request request, boolean rejected, double retryAfterSeconds) {
+    private void reject(Request request, double retryAfterSeconds) {
+        PendingRequest pending = openRequests.get(request);
+        if (pending != null) {
+            actions.reject(pending, retryAfterSeconds);
+        }
+    }
+
+    private void fail(Request request) {
         PendingRequest pending = openRequests.get(request);
         if (pending != null) {
-            actions.fail(pending, rejected, retryAfterSeconds);
+            actions.fail(pending);
         }
     }
 
--- a/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -1,6 +1,7 @@
 package lemondrift.proxy.loop;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import lemondrift.balancer.LoadBalancer;
 import lemondrift.model.Attempt;
@@ -130,7 +131,7 @@
 
     /** Returns at once, without an event. Any thread. */
     @Override
-    public ShedThreshold shedThreshold(int requestClass, double secondsLeft) {
+    public Optional<ShedThreshold> shedThreshold(int requestClass, double secondsLeft) {
         return shedThresholds.forRequest(requestClass, secondsLeft);
     }
 
--- a/src/main/java/lemondrift/proxy/loop/EventHandler.java
+++ b/src/main/java/lemondrift/proxy/loop/EventHandler.java
@@ -54,7 +54,7 @@
         return count;
     }
 
-    /** The first success is delivered; any other outcome may lead to a retry or a failure. */
+    /** The first success goes to the client; any other outcome may lead to a retry or a failure. */
     void attemptEnded(
             Attempt attempt,
             AttemptOutcome outcome,
--- a/src/main/java/lemondrift/proxy/loop/ShedThresholds.java
+++ b/src/main/java/lemondrift/proxy/loop/ShedThresholds.java
@@ -1,6 +1,7 @@
 package lemondrift.proxy.loop;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.IntStream;
 import lemondrift.balancer.LoadBalancer;
 import lemondrift.model.Settings;
@@ -24,14 +25,16 @@
     }
 
     /**
-     * The threshold that sheds a request with so many seconds left; null where it is not shed. Any
+     * The threshold that sheds a request with so many seconds left; empty where it is not shed. Any
      * thread.
      */
-    ShedThreshold forRequest(int requestClass, double secondsLeft) {
+    Optional<ShedThreshold> forRequest(int requestClass, double secondsLeft) {
         List<ShedThreshold> thresholds = byRequestClass;
-        ShedThreshold threshold =
-                requestClass < thresholds.size() ? thresholds.get(requestClass) : null;
-        return threshold != null && secondsLeft < threshold.minSecondsLeft() ? threshold : null;
+        if (requestClass >= thresholds.size()) {
+            return Optional.empty();
+        }
+        return Optional.ofNullable(thresholds.get(requestClass))
+                .filter(threshold -> secondsLeft < threshold.minSecondsLeft());
     }
 
     /** Asks the balancer anew. Decisions thread. */
--- a/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -57,7 +57,7 @@
                     new Settings.Rules(0.25, 8, 3, 2, 10),
                     new Settings.Costs(0, 0));
     private static final BackendResponse OK_RESPONSE =
-            new BackendResponse(BackendResponse.OK, null, new byte[0], true, false, null);
+            BackendResponse.received(BackendResponse.OK, null, new byte[0], null);
 
     private final LinkedBlockingQueue<byte[]> gossipDatagrams = new LinkedBlockingQueue<>();
     private final LinkedBlockingQueue<String> actions = new LinkedBlockingQueue<>();
@@ -239,8 +239,13 @@
     }
 
     @Override
-    public void fail(PendingRequest pending, boolean rejected, double retryAfterSeconds) {
-        actions.add((rejected ? "rejected " : "failed ") + pending.request().id);
+    public void reject(PendingRequest pending, double retryAfterSeconds) {
+        actions.add("rejected " + pending.request().id);
+    }
+
+    @Override
+    public void fail(PendingRequest pending) {
+        actions.add("failed " + pending.request().id);
     }
 
     @Override
