--- a/src/main/java/lemondrift/lab/fleet/BackendFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -3,315 +3,142 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
-import java.util.Set;
 import java.util.function.IntConsumer;
-import java.util.function.Supplier;
 import lemondrift.lab.simulation.Backend;
 import lemondrift.lab.simulation.Scenario;
-import lemondrift.lab.simulation.Scheduler;
-import lemondrift.model.Attempt;
-import lemondrift.model.AttemptOutcome;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.xnio.ChannelListeners;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
-import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The backends, all on one I/O thread. Each has one address for each segment of proxies, so that
- * the way there can fail for some of them alone.
+ * The backends, all on the testbed's I/O thread. Each listens at one address for each segment of
+ * proxies, so that the network between can fail for some proxies alone.
  */
-final class BackendFleet implements HttpConnection.Hearer, AutoCloseable {
-    /** What is known of one connection to a backend. */
-    private static final class Line {
-        final int segment;
-        final int backend;
-        Backend.Job job;
-        Attempt forward;
+final class BackendFleet implements AutoCloseable {
+    private static final OptionMap SERVER_OPTIONS =
+            OptionMap.builder()
+                    .set(Options.TCP_NODELAY, true)
+                    .set(Options.REUSE_ADDRESSES, true)
+                    .set(Options.BACKLOG, 1024)
+                    .getMap();
+
+    /** By the backend's number. */
+    final Backend[] backends;
 
-        Line(int segment, int backend) {
-            this.segment = segment;
-            this.backend = backend;
-        }
-    }
+    private final TestbedContext context;
 
-    /** What is asked under such an id is beside the day: answered at once and not judged. */
-    static final String ASIDE = "aside-";
+    /** The plan at the start, whose segments stay for all days. */
+    private final FaultPlan initialPlan;
 
-    private static final byte[] BODY = "done".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] NONE = {};
+    private final BackendRequestHandler requestHandler;
 
-    private final Scenario scenario;
-    private final Scheduler scheduler;
-    private final XnioWorker worker;
-    private final Supplier<FaultPlan> faults;
-    private final OutcomeRecorder recorder;
-    private final UniformRandomProvider random;
-    private final int mostConnections;
-    private final List<AcceptingChannel<StreamConnection>> servers = new ArrayList<>();
+    /** By segment and backend. */
     private final InetSocketAddress[][] addresses;
-    private final Map<HttpConnection, Line> lines = new HashMap<>();
-    final Backend[] backends;
 
-    /** What pushes a cold backend over; set by whoever plays the troubles. */
-    IntConsumer fallen = i -> {};
+    /** By segment and backend; closed while the backend's process is down. */
+    private final List<List<AcceptingChannel<StreamConnection>>> servers = new ArrayList<>();
 
-    BackendFleet(
-            Scenario scenario,
-            int segments,
-            int mostConnections,
-            Scheduler scheduler,
-            XnioWorker worker,
-            Supplier<FaultPlan> faults,
-            OutcomeRecorder recorder,
-            UniformRandomProvider random)
-            throws IOException {
-        this.scenario = scenario;
-        this.scheduler = scheduler;
-        this.worker = worker;
-        this.faults = faults;
-        this.recorder = recorder;
-        this.random = random;
-        this.mostConnections = mostConnections;
+    /**
+     * Starts all backends.
+     *
+     * @param maxConnections that a backend holds before it rejects requests; 0 is any number
+     * @throws IOException where an address cannot be bound
+     */
+    BackendFleet(TestbedContext context, int maxConnections) throws IOException {
+        this.context = context;
+        initialPlan = context.faultPlan();
+        Scenario scenario = context.scenario();
         backends = new Backend[scenario.backends()];
-        addresses = new InetSocketAddress[segments][backends.length];
-        for (int i = 0; i < backends.length; i++) {
-            backends[i] = new Backend(scheduler, scenario.cores(), scenario.settings().rules());
-            for (int s = 0; s < segments; s++) {
-                addresses[s][i] =
+        Arrays.setAll(
+                backends,
+                backend ->
+                        new Backend(
+                                context.scheduler(),
+                                scenario.cores(),
+                                scenario.settings().rules()));
+        requestHandler = new BackendRequestHandler(context, backends, maxConnections);
+        addresses = new InetSocketAddress[initialPlan.segmentCount()][backends.length];
+        for (int segment = 0; segment < addresses.length; segment++) {
+            servers.add(new ArrayList<>());
+            for (int backend = 0; backend < backends.length; backend++) {
+                int number = segment * backends.length + backend;
+                addresses[segment][backend] =
                         new InetSocketAddress(
-                                LoopbackAddresses.address(
-                                        LoopbackAddresses.BACKENDS, s * backends.length + i),
+                                LoopbackAddresses.address(LoopbackAddresses.Range.BACKENDS, number),
                                 0);
-                servers.add(null);
+                servers.get(segment).add(listen(segment, backend));
             }
-            listens(i);
         }
     }
 
-    /** How many seconds of work of one warm core all that are fit do in a second now. */
+    /** Opens one address of a backend, with the same port as before where it had one. */
+    private AcceptingChannel<StreamConnection> listen(int segment, int backend) throws IOException {
+        AcceptingChannel<StreamConnection> server =
+                HttpConnection.listen(
+                        context.worker(),
+                        addresses[segment][backend],
+                        SERVER_OPTIONS,
+                        stream -> requestHandler.accept(stream, segment, backend));
+        addresses[segment][backend] = server.getLocalAddress(InetSocketAddress.class);
+        return server;
+    }
+
+    /** Sets who is told of a cold backend that got more work than it bears. */
+    void setOverloadListener(IntConsumer listener) {
+        requestHandler.setOverloadListener(listener);
+    }
+
+    /** Seconds of work of one warm core that all fit backends do in a second now. */
     double capacity() {
         return Arrays.stream(backends)
                 .filter(Backend::isFit)
-                .mapToDouble(each -> scenario.cores() / each.slowness())
+                .mapToDouble(backend -> context.scenario().cores() / backend.slowness())
                 .sum();
     }
 
-    /** Where the proxies of a segment find a backend. */
-    InetSocketAddress address(int segment, int backend) {
-        return addresses[segment][backend];
+    /** Where a proxy finds a backend. */
+    InetSocketAddress addressForProxy(int proxy, int backend) {
+        return addresses[initialPlan.segmentOf(proxy)][backend];
     }
 
-    /** Opens a backend's addresses, the same as before where it had them. */
-    private void listens(int i) throws IOException {
-        for (int s = 0; s < addresses.length; s++) {
-            int segment = s;
-            AcceptingChannel<StreamConnection> server =
-                    worker.createStreamConnectionServer(
-                            addresses[s][i],
-                            ChannelListeners.openListenerAdapter(
-                                    connection ->
-                                            lines.put(
-                                                    new HttpConnection(connection, this),
-                                                    new Line(segment, i))),
-                            OptionMap.builder()
-                                    .set(Options.TCP_NODELAY, true)
-                                    .set(Options.REUSE_ADDRESSES, true)
-                                    .set(Options.BACKLOG, 1024)
-                                    .getMap());
-            addresses[s][i] = server.getLocalAddress(InetSocketAddress.class);
-            servers.set(i * addresses.length + s, server);
-            server.resumeAccepts();
+    /** A backend's process has ended: its addresses and connections are closed. */
+    void crash(int backend) {
+        for (List<AcceptingChannel<StreamConnection>> ofSegment : servers) {
+            IoUtils.safeClose(ofSegment.get(backend));
         }
+        requestHandler.closeConnections(backend);
+        context.recorder().recordBackendLoad(backend, 0, false);
     }
 
-    /**
-     * A backend's process is gone, and with it its connections; or its machine, which says nothing.
-     */
-    void died(int i, boolean tells) {
-        if (tells) {
-            for (int s = 0; s < addresses.length; s++) {
-                IoUtils.safeClose(servers.get(i * addresses.length + s));
-            }
-            hangsUp(i);
-        }
-        recorder.holds(i, 0, false);
-    }
-
-    private void hangsUp(int i) {
-        Set<HttpConnection> its = new HashSet<>();
-        lines.forEach(
-                (talk, line) -> {
-                    if (line.backend == i) {
-                        its.add(talk);
-                    }
-                });
-        its.forEach(
-                talk -> {
-                    talk.close();
-                    lines.remove(talk);
-                });
+    /** A backend's machine has vanished: its connections stay open and nothing comes on them. */
+    void vanish(int backend) {
+        context.recorder().recordBackendLoad(backend, 0, false);
     }
 
-    /** It has started again. */
-    void restarted(int i) {
-        hangsUp(i);
-        if (!servers.get(i * addresses.length).isOpen()) {
-            try {
-                listens(i);
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
+    /** A backend's process has started again. */
+    void restart(int backend) {
+        requestHandler.closeConnections(backend);
+        for (int segment = 0; segment < servers.size(); segment++) {
+            if (!servers.get(segment).get(backend).isOpen()) {
+                try {
+                    servers.get(segment).set(backend, listen(segment, backend));
+                } catch (IOException e) {
+                    throw new UncheckedIOException(e);
+                }
             }
         }
-        recorder.started(i);
-        changed(i);
-    }
-
-    private void changed(int i) {
-        recorder.holds(i, backends[i].held(), backends[i].isFit());
-    }
-
-    @Override
-    public void heard(HttpConnection talk, String head, byte[] body) {
-        Line line = lines.get(talk);
-        if (line == null) {
-            return;
-        }
-        double now = scheduler.now();
-        double cut = faults.get().cutFromBackend(line.segment, line.backend, now);
-        double late = faults.get().lateToBackend(line.segment, line.backend, now);
-        if (cut > now || late > 0) {
-            scheduler.at(cut + late, () -> comes(talk, line, head));
-        } else {
-            comes(talk, line, head);
-        }
-    }
-
-    private void comes(HttpConnection talk, Line line, String head) {
-        Backend backend = backends[line.backend];
-        String path = head.substring(head.indexOf(' ') + 1);
-        String trace = HttpConnection.field(head, "x-trace-id");
-        if (!talk.isOpen() || backend.silent > 0) {
-            return;
-        } else if (trace == null) {
-            boolean load = path.startsWith("/load");
-            boolean asked = load || path.startsWith("/healthz");
-            answers(
-                    talk,
-                    line,
-                    asked ? "200 OK" : "404 Not Found",
-                    load ? report(line.backend).getBytes(StandardCharsets.US_ASCII) : NONE,
-                    "");
-            return;
-        }
-        OutcomeRecorder.Asked its = recorder.asked(trace);
-        if (trace.startsWith(ASIDE)) {
-            answers(talk, line, "200 OK", BODY, "");
-            return;
-        } else if (its == null) {
-            answers(talk, line, "400 Unknown", NONE, "");
-            return;
-        }
-        line.forward = recorder.reached(its, line.backend);
-        boolean errs =
-                random.nextDouble()
-                        < Math.max(
-                                backend.errors,
-                                its.x.requestClassIndex
-                                                == scenario.settings().requestClasses().size() - 1
-                                        ? backend.classErrors
-                                        : 0);
-        if (backend.fallsOver(its.work)) {
-            recorder.figures().overloadedColdBackends++;
-            recorder.ended(line.forward, AttemptOutcome.RESET);
-            fallen.accept(line.backend);
-        } else if (backend.isFull() || isCrowded(line.backend)) {
-            ends(talk, line, AttemptOutcome.OVERLOADED, "503 Full", "\r\nX-Never-Ran: 1");
-        } else if (errs) {
-            ends(talk, line, AttemptOutcome.ERROR, "500 Error", "");
-        } else {
-            line.job =
-                    backend.take(
-                            its.work,
-                            ran -> {
-                                line.job = null;
-                                changed(line.backend);
-                                if (ran) {
-                                    ends(talk, line, AttemptOutcome.SUCCESS, "200 OK", "");
-                                } else {
-                                    recorder.ended(line.forward, AttemptOutcome.RESET);
-                                }
-                            });
-            changed(line.backend);
-        }
-    }
-
-    private boolean isCrowded(int i) {
-        return mostConnections > 0
-                && lines.values().stream().filter(line -> line.backend == i).count()
-                        > mostConnections;
-    }
-
-    private void ends(
-            HttpConnection talk, Line line, AttemptOutcome outcome, String status, String field) {
-        recorder.ended(line.forward, outcome);
-        line.forward = null;
-        answers(talk, line, status, outcome == AttemptOutcome.SUCCESS ? BODY : NONE, field);
-    }
-
-    private void answers(HttpConnection talk, Line line, String status, byte[] body, String field) {
-        byte[] message =
-                HttpConnection.message(
-                        "HTTP/1.1 "
-                                + status
-                                + "\r\nEndpoint-Load-Metrics: TEXT "
-                                + report(line.backend)
-                                + field,
-                        body);
-        double now = scheduler.now();
-        double cut = faults.get().cutFromBackend(line.segment, line.backend, now);
-        if (cut > now) {
-            scheduler.at(cut, () -> talk.write(message));
-        } else {
-            talk.write(message);
-        }
-    }
-
-    private String report(int i) {
-        return String.format(
-                Locale.ROOT,
-                "util=%.3f, queue=%d",
-                backends[i].utilisation(),
-                backends[i].queued());
-    }
-
-    @Override
-    public void ended(HttpConnection talk) {
-        Line line = lines.remove(talk);
-        if (line != null && line.job != null) {
-            // Who asked has given up: what waits is taken out, what runs goes on to its end for
-            // nobody.
-            backends[line.backend].drop(line.job);
-            recorder.ended(line.forward, AttemptOutcome.CANCELLED);
-            changed(line.backend);
-        }
+        context.recorder().recordBackendStart(backend);
+        requestHandler.recordLoad(backend);
     }
 
     @Override
     public void close() {
-        servers.forEach(IoUtils::safeClose);
-        lines.keySet().forEach(HttpConnection::close);
-        lines.clear();
+        servers.forEach(ofSegment -> ofSegment.forEach(IoUtils::safeClose));
+        requestHandler.close();
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
@@ -0,0 +1,227 @@
+package lemondrift.lab.fleet;
+
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.IntConsumer;
+import lemondrift.lab.simulation.Backend;
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import org.xnio.StreamConnection;
+
+/** Answers what comes on the connections to the backends. I/O thread only. */
+final class BackendRequestHandler implements HttpConnection.Listener {
+    /** Requests whose trace id starts so are answered at once and not judged. */
+    static final String UNJUDGED_TRACE_ID_PREFIX = "aside-";
+
+    private static final String OK = "200 OK";
+    private static final String NO_FIELDS = "";
+    private static final byte[] SUCCESS_BODY = "done".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] NO_BODY = {};
+
+    /** One connection to a backend. */
+    private static final class BackendConnection {
+        final HttpConnection connection;
+        final int segment;
+        final int backend;
+
+        /** The latest attempt that came on it; null before the first and after a response. */
+        Attempt attempt;
+
+        /** The work of that attempt while the backend holds it; null at other times. */
+        Backend.Job job;
+
+        BackendConnection(HttpConnection connection, int segment, int backend) {
+            this.connection = connection;
+            this.segment = segment;
+            this.backend = backend;
+        }
+    }
+
+    private final TestbedContext context;
+    private final OutcomeRecorder recorder;
+    private final Backend[] backends;
+    private final int maxConnections;
+    private final int lastRequestClass;
+    private final Map<HttpConnection, BackendConnection> connections = new HashMap<>();
+    private IntConsumer overloadListener = backend -> {};
+
+    /** Serves the backends; 0 connections is any number of them. */
+    BackendRequestHandler(TestbedContext context, Backend[] backends, int maxConnections) {
+        this.context = context;
+        this.backends = backends;
+        this.maxConnections = maxConnections;
+        recorder = context.recorder();
+        lastRequestClass = context.scenario().settings().requestClasses().size() - 1;
+    }
+
+    void setOverloadListener(IntConsumer listener) {
+        overloadListener = listener;
+    }
+
+    /** Takes a connection from a proxy of a segment to a backend. */
+    void accept(StreamConnection stream, int segment, int backend) {
+        HttpConnection connection = new HttpConnection(stream, this);
+        connections.put(connection, new BackendConnection(connection, segment, backend));
+    }
+
+    /** Closes all connections to a backend. */
+    void closeConnections(int backend) {
+        List<HttpConnection> toBackend =
+                connections.values().stream()
+                        .filter(each -> each.backend == backend)
+                        .map(each -> each.connection)
+                        .toList();
+        toBackend.forEach(HttpConnection::close);
+        toBackend.forEach(connections::remove);
+    }
+
+    /** Reports how many requests a backend holds now. */
+    void recordLoad(int backend) {
+        recorder.recordBackendLoad(backend, backends[backend].held(), backends[backend].isFit());
+    }
+
+    @Override
+    public void onMessage(HttpConnection connection, String head, byte[] body) {
+        BackendConnection backendConnection = connections.get(connection);
+        if (backendConnection == null) {
+            return;
+        }
+        int segment = backendConnection.segment;
+        int backend = backendConnection.backend;
+        double now = context.scheduler().now();
+        double cutUntil = context.faultPlan().backendCutUntil(segment, backend, now);
+        double delaySeconds = context.faultPlan().backendDelaySeconds(segment, backend, now);
+        if (cutUntil > now || delaySeconds > 0) {
+            context.scheduler()
+                    .at(cutUntil + delaySeconds, () -> handleRequest(backendConnection, head));
+        } else {
+            handleRequest(backendConnection, head);
+        }
+    }
+
+    private void handleRequest(BackendConnection connection, String head) {
+        if (!connection.connection.isOpen() || backends[connection.backend].silent > 0) {
+            return;
+        }
+        Optional<String> traceId = HttpConnection.field(head, "x-trace-id");
+        if (traceId.isEmpty()) {
+            answerStatusRequest(connection, head);
+            return;
+        }
+        Optional<OutcomeRecorder.PendingRequest> pending = recorder.pendingRequest(traceId.get());
+        if (traceId.get().startsWith(UNJUDGED_TRACE_ID_PREFIX)) {
+            respond(connection, OK, NO_FIELDS, SUCCESS_BODY);
+        } else if (pending.isEmpty()) {
+            respond(connection, "400 Unknown", NO_FIELDS, NO_BODY);
+        } else {
+            handleAttempt(connection, pending.get());
+        }
+    }
+
+    private void answerStatusRequest(BackendConnection connection, String head) {
+        String path = head.substring(head.indexOf(' ') + 1);
+        if (path.startsWith("/load")) {
+            byte[] report = loadReport(connection.backend).getBytes(StandardCharsets.US_ASCII);
+            respond(connection, OK, NO_FIELDS, report);
+        } else if (path.startsWith("/healthz")) {
+            respond(connection, OK, NO_FIELDS, NO_BODY);
+        } else {
+            respond(connection, "404 Not Found", NO_FIELDS, NO_BODY);
+        }
+    }
+
+    private void handleAttempt(
+            BackendConnection connection, OutcomeRecorder.PendingRequest pending) {
+        Backend backend = backends[connection.backend];
+        connection.attempt = recorder.recordAttempt(pending, connection.backend);
+        boolean failing = context.random().nextDouble() < errorShare(backend, pending);
+        if (backend.fallsOver(pending.workSeconds)) {
+            recorder.result().overloadedColdBackends++;
+            recorder.recordAttemptEnd(connection.attempt, AttemptOutcome.RESET);
+            overloadListener.accept(connection.backend);
+        } else if (backend.isFull() || hasTooManyConnections(connection.backend)) {
+            endAttempt(connection, AttemptOutcome.OVERLOADED, "503 Full", "\r\nX-Never-Ran: 1");
+        } else if (failing) {
+            endAttempt(connection, AttemptOutcome.ERROR, "500 Error", NO_FIELDS);
+        } else {
+            connection.job = backend.take(pending.workSeconds, ran -> finishJob(connection, ran));
+            recordLoad(connection.backend);
+        }
+    }
+
+    private double errorShare(Backend backend, OutcomeRecorder.PendingRequest pending) {
+        boolean isOfLastClass = pending.request.requestClassIndex == lastRequestClass;
+        return Math.max(backend.errors, isOfLastClass ? backend.classErrors : 0);
+    }
+
+    private boolean hasTooManyConnections(int backend) {
+        return maxConnections > 0
+                && connections.values().stream().filter(each -> each.backend == backend).count()
+                        > maxConnections;
+    }
+
+    private void finishJob(BackendConnection connection, boolean ran) {
+        connection.job = null;
+        recordLoad(connection.backend);
+        if (ran) {
+            endAttempt(connection, AttemptOutcome.SUCCESS, OK, NO_FIELDS);
+        } else {
+            recorder.recordAttemptEnd(connection.attempt, AttemptOutcome.RESET);
+        }
+    }
+
+    private void endAttempt(
+            BackendConnection connection, AttemptOutcome outcome, String status, String fields) {
+        recorder.recordAttemptEnd(connection.attempt, outcome);
+        connection.attempt = null;
+        byte[] body = outcome == AttemptOutcome.SUCCESS ? SUCCESS_BODY : NO_BODY;
+        respond(connection, status, fields, body);
+    }
+
+    private void respond(BackendConnection to, String status, String fields, byte[] body) {
+        byte[] message =
+                HttpConnection.message(
+                        "HTTP/1.1 "
+                                + status
+                                + "\r\nEndpoint-Load-Metrics: TEXT "
+                                + loadReport(to.backend)
+                                + fields,
+                        body);
+        double now = context.scheduler().now();
+        double cutUntil = context.faultPlan().backendCutUntil(to.segment, to.backend, now);
+        if (cutUntil > now) {
+            context.scheduler().at(cutUntil, () -> to.connection.write(message));
+        } else {
+            to.connection.write(message);
+        }
+    }
+
+    private String loadReport(int backend) {
+        return String.format(
+                Locale.ROOT,
+                "util=%.3f, queue=%d",
+                backends[backend].utilisation(),
+                backends[backend].queued());
+    }
+
+    @Override
+    public void onClosed(HttpConnection connection) {
+        BackendConnection closed = connections.remove(connection);
+        if (closed != null && closed.job != null) {
+            // Nobody waits any more: work in the queue is dropped, work that runs is finished.
+            backends[closed.backend].drop(closed.job);
+            recorder.recordAttemptEnd(closed.attempt, AttemptOutcome.CANCELLED);
+            recordLoad(closed.backend);
+        }
+    }
+
+    /** Closes all connections. */
+    void close() {
+        connections.keySet().forEach(HttpConnection::close);
+        connections.clear();
+    }
+}
--- a/src/main/java/lemondrift/lab/fleet/ClientDistributor.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientDistributor.java
@@ -4,123 +4,151 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import java.util.function.IntFunction;
-import lemondrift.lab.simulation.Scheduler;
+import java.util.Optional;
+import java.util.OptionalInt;
+import java.util.function.IntUnaryOperator;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import org.xnio.XnioIoThread;
 
 /**
- * The front before the proxies: whom it has taken in, and to whom it sends the next client, each
- * with its share of the traffic. I/O thread only.
+ * Distributes clients among the proxies that are open, each by its share of the traffic. A proxy is
+ * open from its first healthy reply until it is closed. I/O thread only.
  */
-final class ClientDistributor {
-    /** Seconds between two looks at a proxy that is not taken in. */
-    private static final double LOOKS = 0.2;
+final class ClientDistributor implements ClientTargets {
+    /** The time between two health checks of a proxy that is not open. */
+    private static final double HEALTH_CHECK_INTERVAL_SECONDS = 0.2;
 
-    private final IntFunction<InetSocketAddress> address;
-    private final Scheduler scheduler;
-    private final XnioIoThread io;
+    private static final byte[] HEALTH_CHECK =
+            HttpConnection.message("GET /healthz HTTP/1.1\r\nHost: origin.svc", new byte[0]);
+
+    private final TestbedContext context;
+    private final List<InetSocketAddress> addresses;
     private final UniformRandomProvider random;
     private final boolean[] open;
-    private final double[] weights;
+    private final double[] trafficWeights;
 
-    /** The deviation is that of the logarithm of a proxy's share; 0 is even. */
+    /**
+     * All proxies are closed at first.
+     *
+     * @param deviation the standard deviation of the logarithm of a proxy's share; 0 is even
+     * @param random for the shares and the picks alone
+     */
     ClientDistributor(
-            int proxies,
+            TestbedContext context,
+            List<InetSocketAddress> addresses,
             double deviation,
-            IntFunction<InetSocketAddress> address,
-            Scheduler scheduler,
-            XnioIoThread io,
             UniformRandomProvider random) {
-        this.address = address;
-        this.scheduler = scheduler;
-        this.io = io;
+        this.context = context;
+        this.addresses = addresses;
         this.random = random;
-        ZigguratSampler.NormalizedGaussian bell = ZigguratSampler.NormalizedGaussian.of(random);
-        open = new boolean[proxies];
-        weights = new double[proxies];
-        Arrays.setAll(weights, p -> Math.exp(deviation * bell.sample()));
+        ZigguratSampler.NormalizedGaussian normal = ZigguratSampler.NormalizedGaussian.of(random);
+        open = new boolean[addresses.size()];
+        trafficWeights = new double[addresses.size()];
+        Arrays.setAll(trafficWeights, proxy -> Math.exp(deviation * normal.sample()));
+    }
+
+    @Override
+    public boolean areBackends() {
+        return false;
+    }
+
+    @Override
+    public InetSocketAddress address(int proxy) {
+        return addresses.get(proxy);
     }
 
-    /** A proxy that the front has taken in, by its share; -1 where there is none. */
-    int pick() {
-        double all = 0;
-        for (int p = 0; p < open.length; p++) {
-            all += open[p] ? weights[p] : 0;
+    @Override
+    public OptionalInt pick(IntUnaryOperator inFlight) {
+        double totalWeight = 0;
+        for (int proxy = 0; proxy < open.length; proxy++) {
+            totalWeight += open[proxy] ? trafficWeights[proxy] : 0;
         }
-        double at = random.nextDouble() * all;
-        int last = -1;
-        for (int p = 0; p < open.length && at >= 0; p++) {
-            if (open[p]) {
-                last = p;
-                at -= weights[p];
+        double remainingWeight = random.nextDouble() * totalWeight;
+        OptionalInt picked = OptionalInt.empty();
+        for (int proxy = 0; proxy < open.length && remainingWeight >= 0; proxy++) {
+            if (open[proxy]) {
+                picked = OptionalInt.of(proxy);
+                remainingWeight -= trafficWeights[proxy];
             }
         }
-        return last;
+        return picked;
     }
 
-    /** Whether the front sends clients to a proxy. */
-    boolean isOpen(int proxy) {
+    @Override
+    public boolean isOpen(int proxy) {
         return open[proxy];
     }
 
-    /** Which proxies the front has not taken in. */
-    List<Integer> closed() {
+    /** The proxies that are not open. */
+    List<Integer> closedProxies() {
         List<Integer> closed = new ArrayList<>();
-        for (int p = 0; p < open.length; p++) {
-            if (!open[p]) {
-                closed.add(p);
+        for (int proxy = 0; proxy < open.length; proxy++) {
+            if (!open[proxy]) {
+                closed.add(proxy);
             }
         }
         return closed;
     }
 
-    /** The front sends nobody more to a proxy. */
-    void leaves(int proxy) {
+    /** Sends no more clients to a proxy, until it is opened again. */
+    void close(int proxy) {
         open[proxy] = false;
     }
 
-    /** The front takes a proxy in once it says that it is ready, and then does something. */
-    void looksAt(int proxy, Runnable then) {
-        HttpConnection.Hearer hearer =
-                new HttpConnection.Hearer() {
-                    @Override
-                    public void heard(HttpConnection talk, String head, byte[] body) {
-                        talk.close();
-                        if (head.startsWith("HTTP/1.1 200 ")) {
-                            open[proxy] = true;
-                            then.run();
-                        } else {
-                            ended(talk);
-                        }
-                    }
-
-                    @Override
-                    public void ended(HttpConnection talk) {
-                        scheduler.after(LOOKS, () -> looksAt(proxy, then));
-                    }
-                };
+    /** Checks a proxy's health until it is good, then opens the proxy and runs the callback. */
+    void openWhenHealthy(int proxy, Runnable onOpen) {
+        HttpConnection.Listener listener = new HealthCheck(proxy, onOpen);
         HttpConnection.open(
-                io,
-                address.apply(proxy),
-                hearer,
-                talk -> {
-                    if (talk == null) {
-                        hearer.ended(null);
-                    } else {
-                        talk.write(
-                                HttpConnection.message(
-                                        "GET /healthz HTTP/1.1\r\nHost: origin.svc", new byte[0]));
-                    }
-                });
+                context.ioThread(),
+                address(proxy),
+                listener,
+                connection -> sendHealthCheck(proxy, onOpen, connection));
+    }
+
+    private void sendHealthCheck(int proxy, Runnable onOpen, Optional<HttpConnection> connection) {
+        connection.ifPresentOrElse(
+                established -> established.write(HEALTH_CHECK),
+                () -> checkAgainLater(proxy, onOpen));
+    }
+
+    private void checkAgainLater(int proxy, Runnable onOpen) {
+        context.scheduler()
+                .after(HEALTH_CHECK_INTERVAL_SECONDS, () -> openWhenHealthy(proxy, onOpen));
     }
 
-    /** The front has noticed that a proxy can't be had; it looks until it can again. */
-    void closes(int door) {
-        if (open[door]) {
-            open[door] = false;
-            scheduler.after(LOOKS, () -> looksAt(door, () -> {}));
+    /** Closes the proxy and checks its health until it can be opened again. */
+    @Override
+    public void reportUnreachable(int proxy) {
+        if (open[proxy]) {
+            open[proxy] = false;
+            checkAgainLater(proxy, () -> {});
+        }
+    }
+
+    /** The connection of one health check. */
+    private final class HealthCheck implements HttpConnection.Listener {
+        private final int proxy;
+        private final Runnable onOpen;
+
+        HealthCheck(int proxy, Runnable onOpen) {
+            this.proxy = proxy;
+            this.onOpen = onOpen;
+        }
+
+        @Override
+        public void onMessage(HttpConnection connection, String head, byte[] body) {
+            connection.close();
+            if (head.startsWith("HTTP/1.1 200 ")) {
+                open[proxy] = true;
+                onOpen.run();
+            } else {
+                checkAgainLater(proxy, onOpen);
+            }
+        }
+
+        @Override
+        public void onClosed(HttpConnection connection) {
+            checkAgainLater(proxy, onOpen);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/lab/fleet/ClientTry.java
@@ -0,0 +1,262 @@
+package lemondrift.lab.fleet;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Optional;
+import java.util.OptionalInt;
+import lemondrift.lab.Experiment;
+import lemondrift.lab.simulation.Scheduler;
+import lemondrift.model.Idempotency;
+
+/**
+ * One try of a client's request: from the pick of a target to the response, or until the client
+ * stops waiting. I/O thread only.
+ */
+final class ClientTry implements HttpConnection.Listener {
+    /** At how many targets one try is made where each cannot be had. */
+    private static final int MAX_TARGETS = 5;
+
+    /** Without proxies the recorder counts all requests with the first. */
+    private static final int FIRST_PROXY = 0;
+
+    private static final byte[] BODY = "what".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] NO_BODY = {};
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    /** Where "HTTP/1.1 " ends and the status begins in the head of a response. */
+    private static final int STATUS_START = 9;
+
+    private static final int STATUS_END = 12;
+
+    private final ClientFleet fleet;
+    private final TestbedContext context;
+    private final OutcomeRecorder recorder;
+    private final ClientTargets targets;
+    private final ClientConnections connections;
+    private final ClientRequest clientRequest;
+    private final String traceId;
+
+    private int target;
+    private int targetsTried;
+    private boolean inFlight;
+    private boolean ended;
+
+    /** Whether its connection was closed once as it was sent, and it was sent on another. */
+    private boolean resent;
+
+    /** Null until it is sent for the first time. */
+    private OutcomeRecorder.PendingRequest pending;
+
+    /** Null until it is sent for the first time. */
+    private Scheduler.Entry timeout;
+
+    /** The connection on which it was sent last; null until it is sent for the first time. */
+    private HttpConnection connection;
+
+    ClientTry(
+            ClientFleet fleet,
+            TestbedContext context,
+            ClientTargets targets,
+            ClientConnections connections,
+            ClientRequest clientRequest,
+            String traceId) {
+        this.fleet = fleet;
+        this.context = context;
+        this.recorder = context.recorder();
+        this.targets = targets;
+        this.connections = connections;
+        this.clientRequest = clientRequest;
+        this.traceId = traceId;
+    }
+
+    /** Sends it on a connection that is open. */
+    void startOn(HttpConnection open, int targetOfConnection) {
+        target = targetOfConnection;
+        send(open);
+    }
+
+    /** Picks a target and sends it there. */
+    void start() {
+        OptionalInt picked = targets.pick(fleet::inFlight);
+        if (picked.isEmpty() || ++targetsTried > MAX_TARGETS) {
+            clientRequest.result.unreached++;
+            fleet.retryOrGiveUp(clientRequest);
+            return;
+        }
+        target = picked.getAsInt();
+        connections.takeLatest(target).ifPresentOrElse(this::send, this::connect);
+    }
+
+    private void connect() {
+        connections.open(targets.address(target), this::onConnect);
+    }
+
+    private void onConnect(Optional<HttpConnection> opened) {
+        if (ended) {
+            opened.ifPresent(HttpConnection::close);
+        } else if (opened.isPresent()) {
+            send(opened.get());
+        } else if (pending == null) {
+            targets.reportUnreachable(target);
+            start();
+        } else {
+            // It was sent as its connection was closed, and there is no other one to the target.
+            endWithoutResponse();
+        }
+    }
+
+    private void send(HttpConnection open) {
+        connections.assign(open, this);
+        connection = open;
+        startInFlight();
+        if (pending == null) {
+            recordFirstSend();
+        }
+        double secondsLeft = pending.request.deadline - context.scheduler().now();
+        connection.write(message(Math.round(MILLIS_PER_SECOND * secondsLeft)));
+    }
+
+    private void recordFirstSend() {
+        pending =
+                recorder.recordAccepted(
+                        traceId,
+                        targets.areBackends() ? FIRST_PROXY : target,
+                        clientRequest.requestClassIndex,
+                        clientRequest.workSeconds);
+        timeout =
+                context.scheduler()
+                        .at(
+                                pending.request.deadline + OutcomeRecorder.SLACK_SECONDS,
+                                this::onTimeout);
+    }
+
+    private byte[] message(long millisLeft) {
+        boolean idempotent = isIdempotent();
+        String head =
+                (idempotent ? "GET" : "POST")
+                        + " /api HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: "
+                        + traceId
+                        + "\r\nX-Qos: "
+                        + Experiment.GRADES.get(clientRequest.requestClassIndex)
+                        + "\r\nX-Expires-In-Ms: "
+                        + millisLeft;
+        return HttpConnection.message(head, idempotent ? NO_BODY : BODY);
+    }
+
+    private boolean isIdempotent() {
+        return clientRequest.requestClass.idempotency() == Idempotency.IDEMPOTENT;
+    }
+
+    private void startInFlight() {
+        if (!inFlight) {
+            inFlight = true;
+            fleet.addInFlight(target);
+        }
+    }
+
+    private void endInFlight() {
+        if (inFlight) {
+            inFlight = false;
+            fleet.removeInFlight(target);
+        }
+    }
+
+    @Override
+    public void onMessage(HttpConnection from, String head, byte[] body) {
+        connections.unassign(from);
+        endInFlight();
+        keepOrClose(from, head);
+        String status = head.length() < STATUS_END ? "" : head.substring(STATUS_START, STATUS_END);
+        boolean rejected = status.equals("503") || status.equals("429");
+        if (targets.areBackends() && rejected && targetsTried < MAX_TARGETS) {
+            start();
+            return;
+        }
+        recorder.recordResponse(pending, rejected);
+        end();
+        if (status.equals("200")) {
+            recordSuccess();
+        } else if (rejected) {
+            recordRejection(head);
+        } else {
+            clientRequest.result.failed++;
+            fleet.finish();
+        }
+    }
+
+    private void keepOrClose(HttpConnection from, String head) {
+        Optional<String> connectionField = HttpConnection.field(head, "connection");
+        if (connectionField.filter("close"::equalsIgnoreCase).isPresent()) {
+            from.close();
+        } else {
+            connections.addIdle(target, from);
+        }
+    }
+
+    private void recordSuccess() {
+        double latencySeconds = context.scheduler().now() - clientRequest.dueAt;
+        recorder.recordLatency(clientRequest.result, latencySeconds);
+        clientRequest.recordSuccess(latencySeconds);
+        fleet.finish();
+    }
+
+    private void recordRejection(String head) {
+        clientRequest.recordRejection(recorder.secondOfDay(context.scheduler().now()));
+        double retryAfterSeconds =
+                HttpConnection.field(head, "retry-after").map(Double::parseDouble).orElse(0.0);
+        if (retryAfterSeconds > 0) {
+            fleet.retryOrGiveUp(clientRequest, retryAfterSeconds);
+        } else {
+            fleet.retryOrGiveUp(clientRequest);
+        }
+    }
+
+    @Override
+    public void onClosed(HttpConnection from) {
+        connections.unassign(connection);
+        if (from.isUsed() && !resent && !targets.areBackends()) {
+            resend();
+        } else {
+            endWithoutResponse();
+        }
+    }
+
+    /** Sends it once more: an idle connection may be closed just as a request is sent on it. */
+    private void resend() {
+        resent = true;
+        if (!targets.isOpen(target)) {
+            endInFlight();
+            target = targets.pick(fleet::inFlight).orElse(0);
+        }
+        connect();
+    }
+
+    private void endWithoutResponse() {
+        recorder.recordUnanswered(pending);
+        end();
+        clientRequest.result.unanswered++;
+        targets.reportUnreachable(target);
+        if (isIdempotent() && recorder.isExcused(pending)) {
+            fleet.retryOrGiveUp(clientRequest);
+        } else {
+            fleet.finish();
+        }
+    }
+
+    private void onTimeout() {
+        connections.unassign(connection);
+        connection.close();
+        endWithoutResponse();
+    }
+
+    private void end() {
+        ended = true;
+        endInFlight();
+        timeout.cancel();
+        // An attempt may still be in flight for it.
+        context.scheduler()
+                .after(
+                        2 * clientRequest.requestClass.timeoutSeconds()
+                                + OutcomeRecorder.SLACK_SECONDS,
+                        () -> recorder.forget(traceId));
+    }
+}
--- a/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
+++ b/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
@@ -13,214 +13,240 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.concurrent.atomic.AtomicLongArray;
-import java.util.function.DoubleSupplier;
-import java.util.function.Supplier;
 import lemondrift.lab.simulation.Fault;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.xnio.IoUtils;
 
 /**
- * The way of datagrams from proxy to proxy, with the faults that fall on it. To all proxies each of
- * them has one address, a socket of the testbed's: what comes there is for that proxy, and what a
- * proxy hears of another comes from the other's. It has a thread of its own.
+ * Relays the datagrams between proxies through the faults that fall on them. It has one socket for
+ * each proxy: datagrams that come there are for that proxy, and those that the proxy has sent leave
+ * from there. It has a thread of its own.
  */
 final class DatagramRelay implements AutoCloseable {
-    /** Milliseconds between two datagrams of junk to each, and the longest that is sent. */
-    private static final int JUNK_PACE = 10;
+    /** The time between two junk datagrams to each proxy, and the longest wait of the thread. */
+    private static final int JUNK_INTERVAL_MILLIS = 10;
 
-    private static final int LONGEST_JUNK = 600;
+    private static final int MAX_JUNK_BYTES = 600;
+    private static final int MAX_DATAGRAM_BYTES = 2048;
 
-    private record Late(double at, long order, int from, int to, byte[] datagram)
-            implements Comparable<Late> {
+    /** The first byte of a gossip message. */
+    private static final byte GOSSIP_MESSAGE_TYPE = 2;
+
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    /** A datagram that a fault delays; of two for the same time the earlier one goes first. */
+    private record DelayedDatagram(double dueAt, long order, int from, int to, byte[] datagram)
+            implements Comparable<DelayedDatagram> {
         @Override
-        public int compareTo(Late other) {
-            int byTime = Double.compare(at, other.at);
+        public int compareTo(DelayedDatagram other) {
+            int byTime = Double.compare(dueAt, other.dueAt);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
-    private final DoubleSupplier clock;
-    private final Supplier<FaultPlan> faults;
-    private final DatagramChannel[] boxes;
-    private final DatagramChannel foreign = DatagramChannel.open();
-    private final InetSocketAddress[] homes;
-    private final Map<SocketAddress, Integer> numbers = new HashMap<>();
+    private final TestbedContext context;
+
+    /** Where each proxy itself listens. */
+    private final List<InetSocketAddress> proxyAddresses;
+
+    private final Map<SocketAddress, Integer> proxyByAddress = new HashMap<>();
+
+    /** The relay's socket for each proxy. */
+    private final DatagramChannel[] sockets;
+
+    /** Sends junk from an address that belongs to no proxy. */
+    private final DatagramChannel foreignSocket = DatagramChannel.open();
+
     private final Selector selector = Selector.open();
-    private final PriorityQueue<Late> late = new PriorityQueue<>();
+    private final PriorityQueue<DelayedDatagram> delayed = new PriorityQueue<>();
     private final UniformRandomProvider random;
-    private final ByteBuffer buffer = ByteBuffer.allocate(2048);
+    private final ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
 
-    /** Datagrams and bytes that each proxy has sent. */
-    private final AtomicLongArray sent;
+    /** How many datagrams each proxy has sent. */
+    private final AtomicLongArray sentDatagrams;
 
-    private final AtomicLongArray bytes;
+    /** How many bytes each proxy has sent. */
+    private final AtomicLongArray sentBytes;
 
     private final Thread thread = new Thread(this::run, "mail");
-    private long order;
-    private double junkAt;
-    private volatile boolean over;
-
-    /** Each proxy hears at a home of its own; the clock is the day's. */
-    DatagramRelay(
-            InetSocketAddress[] homes, Supplier<FaultPlan> faults, long seed, DoubleSupplier clock)
+    private long delayedCount;
+    private double nextJunkAt;
+    private volatile boolean closed;
+
+    /**
+     * Starts to relay.
+     *
+     * @param proxyAddresses where each proxy listens for datagrams
+     * @throws IOException where a socket cannot be opened
+     */
+    DatagramRelay(TestbedContext context, List<InetSocketAddress> proxyAddresses)
             throws IOException {
-        this.homes = homes;
-        this.faults = faults;
-        this.clock = clock;
-        random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        boxes = new DatagramChannel[homes.length];
-        sent = new AtomicLongArray(homes.length);
-        bytes = new AtomicLongArray(homes.length);
-        for (int i = 0; i < homes.length; i++) {
-            numbers.put(homes[i], i);
-            boxes[i] = DatagramChannel.open();
-            boxes[i].bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-                    .configureBlocking(false);
-            boxes[i].register(selector, SelectionKey.OP_READ, i);
+        this.context = context;
+        this.proxyAddresses = proxyAddresses;
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(context.seed());
+        int proxies = proxyAddresses.size();
+        sockets = new DatagramChannel[proxies];
+        sentDatagrams = new AtomicLongArray(proxies);
+        sentBytes = new AtomicLongArray(proxies);
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        for (int proxy = 0; proxy < proxies; proxy++) {
+            proxyByAddress.put(proxyAddresses.get(proxy), proxy);
+            sockets[proxy] = DatagramChannel.open();
+            sockets[proxy].bind(anyPort).configureBlocking(false);
+            sockets[proxy].register(selector, SelectionKey.OP_READ, proxy);
         }
-        foreign.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        foreignSocket.bind(anyPort);
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Where all send what is for a proxy. */
+    /** Where other proxies send what is for a proxy. */
     InetSocketAddress address(int proxy) throws IOException {
-        return (InetSocketAddress) boxes[proxy].getLocalAddress();
+        return (InetSocketAddress) sockets[proxy].getLocalAddress();
     }
 
-    long sent(int proxy) {
-        return sent.get(proxy);
+    /** How many datagrams a proxy has sent. Any thread. */
+    long sentDatagrams(int proxy) {
+        return sentDatagrams.get(proxy);
     }
 
-    long bytes(int proxy) {
-        return bytes.get(proxy);
+    /** How many bytes a proxy has sent. Any thread. */
+    long sentBytes(int proxy) {
+        return sentBytes.get(proxy);
     }
 
     private void run() {
-        while (!over) {
+        while (!closed) {
             try {
-                selector.select(
-                        key -> comes((Integer) key.attachment()),
-                        late.isEmpty()
-                                ? JUNK_PACE
-                                : Math.max(
-                                        1,
-                                        Math.min(
-                                                JUNK_PACE,
-                                                (long) (1000 * (late.peek().at - now())))));
-                while (!late.isEmpty() && late.peek().at <= now()) {
-                    Late next = late.poll();
-                    deliver(next.from, next.to, next.datagram);
-                }
-                if (now() >= junkAt) {
-                    junkAt = now() + JUNK_PACE / 1000.0;
-                    faults.get().junk(now()).forEach(this::junk);
-                }
+                selector.select(key -> receiveFor((Integer) key.attachment()), waitMillis());
+                deliverDue();
+                sendJunkWhenDue();
             } catch (IOException e) {
-                // A socket that fails is a way that loses; the run goes on and its figures show it.
+                // Like a network that loses datagrams: the run goes on, and its figures show it.
             }
         }
     }
 
+    private long waitMillis() {
+        if (delayed.isEmpty()) {
+            return JUNK_INTERVAL_MILLIS;
+        }
+        long untilDue = (long) (MILLIS_PER_SECOND * (delayed.peek().dueAt - now()));
+        return Math.max(1, Math.min(JUNK_INTERVAL_MILLIS, untilDue));
+    }
+
+    private void deliverDue() {
+        while (!delayed.isEmpty() && delayed.peek().dueAt <= now()) {
+            DelayedDatagram next = delayed.poll();
+            deliver(next.from, next.to, next.datagram);
+        }
+    }
+
+    private void sendJunkWhenDue() {
+        if (now() >= nextJunkAt) {
+            nextJunkAt = now() + JUNK_INTERVAL_MILLIS / MILLIS_PER_SECOND;
+            context.faultPlan().activeJunk(now()).forEach(this::sendJunk);
+        }
+    }
+
     private double now() {
-        return clock.getAsDouble();
+        return context.scheduler().now();
     }
 
-    private void comes(int to) {
+    private void receiveFor(int receiver) {
         try {
-            for (SocketAddress from = boxes[to].receive(buffer.clear());
-                    from != null;
-                    from = boxes[to].receive(buffer.clear())) {
-                Integer proxy = numbers.get(from);
-                if (proxy != null) {
+            SocketAddress source = sockets[receiver].receive(buffer.clear());
+            while (source != null) {
+                Integer sender = proxyByAddress.get(source);
+                if (sender != null) {
                     byte[] datagram = new byte[buffer.flip().remaining()];
                     buffer.get(datagram);
-                    sent.incrementAndGet(proxy);
-                    bytes.addAndGet(proxy, datagram.length);
-                    carry(proxy, to, datagram);
+                    sentDatagrams.incrementAndGet(sender);
+                    sentBytes.addAndGet(sender, datagram.length);
+                    relay(sender, receiver, datagram);
                 }
+                source = sockets[receiver].receive(buffer.clear());
             }
         } catch (IOException e) {
-            // As above.
+            // Like a network that loses datagrams, as above.
         }
     }
 
-    private void carry(int from, int to, byte[] datagram) {
+    private void relay(int from, int to, byte[] datagram) {
         double now = now();
-        double at = now;
-        boolean twice = false;
-        List<Fault> holding = faults.get().onDatagram(from, to, now);
-        for (Fault each : holding) {
-            boolean falls = random.nextDouble() < each.share();
-            switch (each.kind()) {
+        double dueAt = now;
+        boolean duplicated = false;
+        for (Fault fault : context.faultPlan().onDatagram(from, to, now)) {
+            boolean affected = random.nextDouble() < fault.share();
+            switch (fault.kind()) {
                 case CUT -> {
                     return;
                 }
                 case LOSE -> {
-                    if (falls) {
+                    if (affected) {
                         return;
                     }
                 }
-                case LATE -> at += falls ? each.by() : 0;
-                case DISORDER -> at += falls ? each.by() * random.nextDouble() : 0;
-                case TWICE -> twice |= falls;
+                case LATE -> dueAt += affected ? fault.by() : 0;
+                case DISORDER -> dueAt += affected ? fault.by() * random.nextDouble() : 0;
+                case TWICE -> duplicated |= affected;
                 default -> {}
             }
         }
-        for (int i = 0; i < (twice ? 2 : 1); i++) {
-            if (at > now) {
-                late.add(new Late(at + i * (at - now), ++order, from, to, datagram));
-            } else {
-                deliver(from, to, datagram);
-            }
+        deliverAt(dueAt, now, from, to, datagram);
+        if (duplicated) {
+            deliverAt(dueAt + (dueAt - now), now, from, to, datagram);
+        }
+    }
+
+    private void deliverAt(double dueAt, double now, int from, int to, byte[] datagram) {
+        if (dueAt > now) {
+            delayed.add(new DelayedDatagram(dueAt, ++delayedCount, from, to, datagram));
+        } else {
+            deliver(from, to, datagram);
         }
     }
 
     private void deliver(int from, int to, byte[] datagram) {
+        send(sockets[from], to, datagram);
+    }
+
+    private void send(DatagramChannel socket, int to, byte[] datagram) {
         try {
-            boxes[from].send(ByteBuffer.wrap(datagram), homes[to]);
+            socket.send(ByteBuffer.wrap(datagram), proxyAddresses.get(to));
         } catch (IOException e) {
-            // Nobody is at home: lost, as on any network.
+            // Nobody listens there: lost, as on any network.
         }
     }
 
-    /** What no proxy has sent: under a known number, or from where no proxy is. */
-    private void junk(FaultPlan.Drawn each) {
-        byte[] datagram = new byte[random.nextInt(LONGEST_JUNK)];
+    /** Sends what no proxy has sent, from the address of a proxy or from a foreign one. */
+    private void sendJunk(FaultPlan.DrawnFault fault) {
+        byte[] datagram = new byte[random.nextInt(MAX_JUNK_BYTES)];
         random.nextBytes(datagram);
         if (datagram.length > 0 && random.nextBoolean()) {
-            // The kind of a real gossip message, with whatever follows.
-            datagram[0] = 2;
+            datagram[0] = GOSSIP_MESSAGE_TYPE;
         }
-        for (int to = 0; to < homes.length; to++) {
-            if (each.to()[to]) {
-                int from = random.nextInt(homes.length + 1);
-                if (from < homes.length) {
-                    deliver(from, to, datagram);
-                } else {
-                    try {
-                        foreign.send(ByteBuffer.wrap(datagram), homes[to]);
-                    } catch (IOException e) {
-                        // As above.
-                    }
-                }
+        for (int to = 0; to < sockets.length; to++) {
+            if (fault.to()[to]) {
+                int from = random.nextInt(sockets.length + 1);
+                send(from < sockets.length ? sockets[from] : foreignSocket, to, datagram);
             }
         }
     }
 
     @Override
     public void close() {
-        over = true;
+        closed = true;
         selector.wakeup();
         try {
             thread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        for (DatagramChannel each : boxes) {
-            IoUtils.safeClose(each);
+        for (DatagramChannel socket : sockets) {
+            IoUtils.safeClose(socket);
         }
-        IoUtils.safeClose(foreign, selector);
+        IoUtils.safeClose(foreignSocket, selector);
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/lab/fleet/EndpointListWriter.java
@@ -0,0 +1,61 @@
+package lemondrift.lab.fleet;
+
+import java.util.List;
+import java.util.Locale;
+import java.util.stream.Collectors;
+import lemondrift.model.EndpointUpdate;
+
+/** Writes endpoint lists as the discovery protocol has them, in JSON. */
+final class EndpointListWriter {
+    private final BackendFleet backendFleet;
+    private final int locationCount;
+
+    EndpointListWriter(BackendFleet backendFleet, int locationCount) {
+        this.backendFleet = backendFleet;
+        this.locationCount = locationCount;
+    }
+
+    /** Writes the whole list, with the addresses at which a proxy finds the backends. */
+    String fullList(int proxy, int revision, List<EndpointChange> endpoints) {
+        return list(proxy, revision, true, endpoints);
+    }
+
+    /** Writes the changes since an earlier revision. */
+    String changes(int proxy, int revision, List<EndpointChange> changes) {
+        return list(proxy, revision, false, changes);
+    }
+
+    private String list(int proxy, int revision, boolean complete, List<EndpointChange> endpoints) {
+        return "{\"revision\":"
+                + revision
+                + ",\"complete\":"
+                + complete
+                + ",\"members\":["
+                + endpoints.stream()
+                        .map(endpoint -> member(proxy, endpoint))
+                        .collect(Collectors.joining(","))
+                + "]}";
+    }
+
+    private String member(int proxy, EndpointChange endpoint) {
+        int backend = endpoint.backend();
+        return String.format(
+                Locale.ROOT,
+                "{\"id\":\"s-%d\",\"host_port\":\"%s\",\"locality\":\"l%d\",\"flavor\":\"m\","
+                        + "\"cell\":%d,\"phase\":\"%s\",\"size\":1.0,\"up_since_ms\":%d}",
+                backend,
+                LoopbackAddresses.hostAndPort(backendFleet.addressForProxy(proxy, backend)),
+                backend % locationCount,
+                backend,
+                phase(endpoint.state()),
+                endpoint.upSinceMillis());
+    }
+
+    private static String phase(EndpointUpdate.State state) {
+        return switch (state) {
+            case READY -> "active";
+            case DRAINING -> "leaving";
+            case GONE -> "left";
+        };
+    }
+}
--- a/src/main/java/lemondrift/lab/fleet/FaultPlan.java
+++ b/src/main/java/lemondrift/lab/fleet/FaultPlan.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.function.IntUnaryOperator;
 import java.util.function.Predicate;
+import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import lemondrift.lab.simulation.Fault;
@@ -14,38 +15,43 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The faults of one run, whom each falls on being drawn before it begins. Nothing in it changes, so
- * that any thread may ask.
+ * The faults of one day, with the proxies and backends that each falls on, which are drawn before
+ * the day starts. Immutable, so any thread may ask. Proxies that meet the same faults towards
+ * backends are of one segment.
  */
 final class FaultPlan {
-    /** One fault and whom it falls on: proxies, and what is at the other end of the channel. */
-    record Drawn(Fault fault, boolean[] from, boolean[] to) {
-        boolean falls(int one, int other) {
-            return (from[one] && to[other]) || (fault.both() && from[other] && to[one]);
+    /** One fault, and whether it falls on the sender and the receiver of each number. */
+    record DrawnFault(Fault fault, boolean[] from, boolean[] to) {
+        boolean fallsOn(int sender, int receiver) {
+            return (from[sender] && to[receiver]) || (fault.both() && from[receiver] && to[sender]);
         }
 
-        /** The numbers of those that it falls on. */
-        int[] numbers() {
-            return IntStream.range(0, from.length).filter(i -> from[i]).toArray();
+        /** The numbers of the proxies that it falls on, for a fault of processes. */
+        int[] affectedProxies() {
+            return IntStream.range(0, from.length).filter(proxy -> from[proxy]).toArray();
+        }
+
+        private boolean isBetweenProcesses(Fault.Channel channel) {
+            return !fault.kind().isOfProcesses() && fault.channel() == channel;
         }
     }
 
-    private final List<Drawn> all = new ArrayList<>();
+    /** The time at which the day starts. */
+    private final double dayStart;
 
-    /**
-     * To which segment each proxy belongs: those of one segment meet the same faults towards
-     * backends.
-     */
-    final int[] segments;
+    private final List<DrawnFault> drawnFaults = new ArrayList<>();
 
-    /** One proxy of each segment. */
-    final int[] heads;
+    /** The segment of each proxy. */
+    private final int[] segments;
 
-    private final double start;
+    /** One proxy of each segment. */
+    private final int[] representatives;
 
     /**
-     * Times count from the start. The location of each proxy and of each backend is its number by
-     * so many locations. Where each is apart, each proxy is a segment of its own.
+     * Draws the faults. The location of a proxy or backend is its number modulo the locations.
+     *
+     * @param separateSegments whether each proxy is a segment of its own
+     * @param dayStart the time from which the faults' times count
      */
     FaultPlan(
             List<Fault> faults,
@@ -53,135 +59,145 @@
             int backends,
             int locations,
             long seed,
-            boolean apart,
-            double start) {
-        this.start = start;
+            boolean separateSegments,
+            double dayStart) {
+        this.dayStart = dayStart;
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        IntUnaryOperator location = i -> i % locations;
-        for (Fault each : faults) {
-            boolean toBackends = each.channel() == Fault.Channel.BACKENDS;
-            all.add(
-                    new Drawn(
-                            each,
-                            each.from().among(proxies, location, random),
-                            each.to().among(toBackends ? backends : proxies, location, random)));
+        IntUnaryOperator location = number -> number % locations;
+        for (Fault fault : faults) {
+            int receivers = fault.channel() == Fault.Channel.BACKENDS ? backends : proxies;
+            boolean[] from = fault.from().among(proxies, location, random);
+            boolean[] to = fault.to().among(receivers, location, random);
+            drawnFaults.add(new DrawnFault(fault, from, to));
         }
-        Map<List<Boolean>, Integer> kinds = new LinkedHashMap<>();
         segments =
-                IntStream.range(0, proxies)
-                        .map(
-                                p ->
-                                        apart
-                                                ? p
-                                                : kinds.computeIfAbsent(
-                                                        of(Fault.Channel.BACKENDS).stream()
-                                                                .map(each -> each.from[p])
-                                                                .toList(),
-                                                        k -> kinds.size()))
-                        .toArray();
-        heads =
-                IntStream.range(0, apart ? proxies : kinds.size())
-                        .map(
-                                s ->
-                                        IntStream.range(0, proxies)
-                                                .filter(p -> segments[p] == s)
-                                                .findFirst()
-                                                .orElse(0))
-                        .toArray();
-    }
-
-    private List<Drawn> of(Fault.Channel channel) {
-        return all.stream()
-                .filter(
-                        each ->
-                                !each.fault.kind().isOfProcesses()
-                                        && each.fault.channel() == channel)
-                .toList();
+                separateSegments
+                        ? IntStream.range(0, proxies).toArray()
+                        : segmentsByFaults(proxies);
+        int segmentCount = Arrays.stream(segments).max().orElse(-1) + 1;
+        representatives = IntStream.range(0, segmentCount).map(this::firstProxyOfSegment).toArray();
+    }
+
+    private int[] segmentsByFaults(int proxies) {
+        List<DrawnFault> towardsBackends = onChannel(Fault.Channel.BACKENDS);
+        Map<List<Boolean>, Integer> segmentByFaults = new LinkedHashMap<>();
+        int[] segmentOfProxy = new int[proxies];
+        for (int proxy = 0; proxy < proxies; proxy++) {
+            int number = proxy;
+            List<Boolean> met = towardsBackends.stream().map(each -> each.from[number]).toList();
+            segmentByFaults.putIfAbsent(met, segmentByFaults.size());
+            segmentOfProxy[proxy] = segmentByFaults.get(met);
+        }
+        return segmentOfProxy;
+    }
+
+    private int firstProxyOfSegment(int segment) {
+        return IntStream.range(0, segments.length)
+                .filter(proxy -> segments[proxy] == segment)
+                .findFirst()
+                .orElseThrow();
     }
 
-    /** Those that fall on processes. */
-    List<Drawn> ofProcesses() {
-        return all.stream().filter(each -> each.fault.kind().isOfProcesses()).toList();
+    int segmentCount() {
+        return representatives.length;
     }
 
-    /** Those that send now what no proxy has sent. */
-    List<Drawn> junk(double now) {
-        return all.stream()
-                .filter(
-                        each ->
-                                each.fault.kind() == Fault.Kind.JUNK
-                                        && each.fault.holds(now - start))
+    /** The segment that a proxy belongs to. */
+    int segmentOf(int proxy) {
+        return segments[proxy];
+    }
+
+    private List<DrawnFault> onChannel(Fault.Channel channel) {
+        return drawnFaults.stream().filter(each -> each.isBetweenProcesses(channel)).toList();
+    }
+
+    private boolean isActive(DrawnFault drawn, double now) {
+        return drawn.fault.holds(now - dayStart);
+    }
+
+    /** The faults that fall on processes. */
+    List<DrawnFault> ofProcesses() {
+        return drawnFaults.stream().filter(each -> each.fault.kind().isOfProcesses()).toList();
+    }
+
+    /** The active faults that send datagrams which no proxy has sent. */
+    List<DrawnFault> activeJunk(double now) {
+        return drawnFaults.stream()
+                .filter(each -> each.fault.kind() == Fault.Kind.JUNK && isActive(each, now))
                 .toList();
     }
 
-    /** Those that hold for a datagram from one proxy to another. */
-    List<Fault> onDatagram(int from, int to, double now) {
-        List<Fault> holding = new ArrayList<>();
-        for (Drawn each : all) {
-            Fault fault = each.fault;
-            if (fault.holds(now - start)
-                    && fault.channel() == Fault.Channel.DATAGRAMS
-                    && !fault.kind().isOfProcesses()
-                    && each.falls(from, to)) {
-                holding.add(fault);
+    /** The active faults of a datagram from one proxy to another. */
+    List<Fault> onDatagram(int sender, int receiver, double now) {
+        List<Fault> active = new ArrayList<>();
+        for (DrawnFault drawn : drawnFaults) {
+            if (isActive(drawn, now)
+                    && drawn.isBetweenProcesses(Fault.Channel.DATAGRAMS)
+                    && drawn.fallsOn(sender, receiver)) {
+                active.add(drawn.fault);
             }
         }
-        return holding;
+        return active;
+    }
+
+    /** Until when nothing gets from a segment's proxies to a backend; now where it is not cut. */
+    double backendCutUntil(int segment, int backend, double now) {
+        return cutUntil(Fault.Channel.BACKENDS, now, fallsOnBackend(segment, backend));
     }
 
-    /** Until when nothing gets from the proxies of a segment to a backend; now where it does. */
-    double cutFromBackend(int segment, int backend, double now) {
-        return cut(
-                Fault.Channel.BACKENDS, now, each -> each.from[heads[segment]] && each.to[backend]);
+    /** By how much a message from a segment's proxies to a backend is late. */
+    double backendDelaySeconds(int segment, int backend, double now) {
+        return delaySeconds(Fault.Channel.BACKENDS, now, fallsOnBackend(segment, backend));
     }
 
-    /** By how much later than usual a message gets from the proxies of a segment to a backend. */
-    double lateToBackend(int segment, int backend, double now) {
-        return late(
-                Fault.Channel.BACKENDS, now, each -> each.from[heads[segment]] && each.to[backend]);
+    private Predicate<DrawnFault> fallsOnBackend(int segment, int backend) {
+        return each -> each.from[representatives[segment]] && each.to[backend];
     }
 
-    /** Until when discovery says nothing to a proxy; now where it does. */
-    double cutFromDiscovery(int proxy, double now) {
-        return cut(Fault.Channel.DISCOVERY, now, each -> each.from[proxy]);
+    /** Until when a proxy gets nothing from its discovery agent; now where it is not cut. */
+    double discoveryCutUntil(int proxy, double now) {
+        return cutUntil(Fault.Channel.DISCOVERY, now, each -> each.from[proxy]);
     }
 
-    /** By how much later than usual a proxy hears what discovery says now. */
-    double lateFromDiscovery(int proxy, double now) {
-        return late(Fault.Channel.DISCOVERY, now, each -> each.from[proxy]);
+    /** By how much a message from a discovery agent to its proxy is late. */
+    double discoveryDelaySeconds(int proxy, double now) {
+        return delaySeconds(Fault.Channel.DISCOVERY, now, each -> each.from[proxy]);
     }
 
-    private double cut(Fault.Channel channel, double now, Predicate<Drawn> falls) {
-        return holding(channel, Fault.Kind.CUT, now, falls)
-                .mapToDouble(each -> start + each.at() + each.lasts())
+    private double cutUntil(
+            Fault.Channel channel, double now, Predicate<DrawnFault> fallsOnMessage) {
+        return active(channel, Fault.Kind.CUT, now, fallsOnMessage)
+                .mapToDouble(fault -> dayStart + fault.at() + fault.lasts())
                 .max()
                 .orElse(now);
     }
 
-    private double late(Fault.Channel channel, double now, Predicate<Drawn> falls) {
-        return holding(channel, Fault.Kind.LATE, now, falls).mapToDouble(Fault::by).sum();
+    private double delaySeconds(
+            Fault.Channel channel, double now, Predicate<DrawnFault> fallsOnMessage) {
+        return active(channel, Fault.Kind.LATE, now, fallsOnMessage).mapToDouble(Fault::by).sum();
     }
 
-    private Stream<Fault> holding(
-            Fault.Channel channel, Fault.Kind kind, double now, Predicate<Drawn> falls) {
-        return of(channel).stream()
-                .filter(
-                        each ->
-                                each.fault.kind() == kind
-                                        && each.fault.holds(now - start)
-                                        && falls.test(each))
-                .map(Drawn::fault);
+    private Stream<Fault> active(
+            Fault.Channel channel,
+            Fault.Kind kind,
+            double now,
+            Predicate<DrawnFault> fallsOnMessage) {
+        return onChannel(channel).stream()
+                .filter(each -> each.fault.kind() == kind)
+                .filter(each -> isActive(each, now))
+                .filter(fallsOnMessage)
+                .map(DrawnFault::fault);
     }
 
-    @Override
-    public String toString() {
-        StringBuilder text = new StringBuilder();
-        for (Drawn each : all) {
-            text.append(each.fault)
-                    .append(" on ")
-                    .append(Arrays.toString(each.numbers()))
-                    .append('\n');
+    /**
+     * One line on each fault and the numbers that it falls on; "no faults" where there are none.
+     */
+    String describe() {
+        if (drawnFaults.isEmpty()) {
+            return "no faults";
         }
-        return text.toString();
+        return drawnFaults.stream()
+                .map(each -> each.fault + " on " + Arrays.toString(each.affectedProxies()))
+                .collect(Collectors.joining("\n"));
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/FleetRun.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetRun.java
@@ -10,11 +10,18 @@
 import lemondrift.lab.simulation.RunResult;
 import lemondrift.settings.InvalidSettingsException;
 
-/** Plays an experiment on processes, its baselines on the same stand without them. */
+/** Plays an experiment on processes, and its baselines on the same testbed without them. */
 public final class FleetRun {
     private FleetRun() {}
 
-    /** One day of each policy for each seed. */
+    /**
+     * Plays one day of each policy for each seed.
+     *
+     * @param progress gets lines on how far it is, and on processes that did not end well
+     * @throws InvalidSettingsException where the experiment is not for processes
+     * @throws IOException where a socket cannot be opened
+     * @throws IllegalStateException where a day cannot be played to its end
+     */
     public static List<Experiment.Run> play(
             Experiment experiment, ProcessLauncher launcher, Consumer<String> progress)
             throws IOException, InterruptedException {
@@ -38,56 +45,69 @@
             ProcessLauncher launcher,
             Consumer<String> progress)
             throws IOException, InterruptedException {
-        boolean proxies = policy.equals(Experiment.MODULE);
-        Baseline.Kind kind =
-                proxies ? null : Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
-        try (FleetTestbed stand =
-                new FleetTestbed(
-                        experiment,
-                        seed,
-                        proxies ? launcher : null,
-                        kind,
-                        line -> progress.accept(policy + ", seed " + seed + ": " + line))) {
-            stand.start();
-            FleetTestbed.Played played = stand.play();
-            List<String> wrong = stand.stop();
-            wrong.forEach(progress);
-            played.figures().crashed = wrong.size();
-            return new Experiment.Run(policy, seed, played.figures(), played.broken());
+        Consumer<String> dayProgress =
+                line -> progress.accept(policy + ", seed " + seed + ": " + line);
+        try (FleetTestbed testbed =
+                createTestbed(experiment, policy, seed, launcher, dayProgress)) {
+            testbed.start();
+            FleetTestbed.DayOutcome outcome = testbed.play();
+            List<String> problems = testbed.stop();
+            problems.forEach(progress);
+            outcome.result().crashed = problems.size();
+            return new Experiment.Run(
+                    policy, seed, outcome.result(), outcome.brokenRule().orElse(null));
         }
     }
 
+    private static FleetTestbed createTestbed(
+            Experiment experiment,
+            String policy,
+            long seed,
+            ProcessLauncher launcher,
+            Consumer<String> progress)
+            throws IOException {
+        if (policy.equals(Experiment.MODULE)) {
+            return FleetTestbed.withProxies(experiment, seed, launcher, progress);
+        }
+        Baseline.Kind baseline = Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
+        return FleetTestbed.withoutProxies(experiment, seed, baseline, progress);
+    }
+
     /**
-     * Second by second: priority weight served and borne, as shares, backends idle, and how many
-     * were rejected.
+     * Writes a line for each second: priority weight served and servable as shares of what was
+     * requested, the share of backends idle, and how many requests were rejected.
      */
     public static String seconds(RunResult result) {
         StringBuilder text = new StringBuilder();
-        for (int s = 0; s < result.requestedWeightPerSecond.length - 1; s++) {
-            double wanted = Math.max(Double.MIN_NORMAL, result.requestedWeightPerSecond[s]);
+        for (int second = 0; second < result.requestedWeightPerSecond.length - 1; second++) {
+            double requested = Math.max(Double.MIN_NORMAL, result.requestedWeightPerSecond[second]);
             text.append(
                     String.format(
                             Locale.ROOT,
                             "  %4d s  served %.2f of %.2f  idle %.2f  shed %.0f%n",
-                            s,
-                            result.servedWeightPerSecond[s] / wanted,
-                            result.servableWeightPerSecond[s] / wanted,
-                            result.idleSharePerSecond[s],
-                            result.rejectedPerSecond[s]));
+                            second,
+                            result.servedWeightPerSecond[second] / requested,
+                            result.servableWeightPerSecond[second] / requested,
+                            result.idleSharePerSecond[second],
+                            result.rejectedPerSecond[second]));
         }
         return text.toString();
     }
 
-    /** One line of the table; its head where there are no figures. */
+    private static String header(String policy, String seed) {
+        return String.format(
+                "  %-12s %5s %8s %8s %7s %7s %7s %7s %5s %6s %6s %6s %6s %6s %6s %6s %6s %7s"
+                        + " %8s %6s %5s",
+                policy, seed, "in_time", "service", "p50_s", "p99_s", "waste", "fullest", "herd",
+                "idle_s", "least", "most", "shed", "failed", "lost", "best", "back_s", "tells_s",
+                "bytes_s", "core", "MB");
+    }
+
+    /** Writes one line of the table; its head where there is no result. */
     public static String row(
-            String policy, String seed, RunResult result, int proxies, double lasts) {
+            String policy, String seed, RunResult result, int proxies, double daySeconds) {
         if (result == null) {
-            return String.format(
-                    "  %-12s %5s %8s %8s %7s %7s %7s %7s %5s %6s %6s %6s %6s %6s %6s %6s %6s %7s"
-                            + " %8s %6s %5s",
-                    policy, seed, "in_time", "service", "p50_s", "p99_s", "waste", "fullest",
-                    "herd", "idle_s", "least", "most", "shed", "failed", "lost", "best", "back_s",
-                    "tells_s", "bytes_s", "core", "MB");
+            return header(policy, seed);
         }
         return String.format(
                 Locale.ROOT,
@@ -110,8 +130,8 @@
                 result.unanswered,
                 result.ofBearable(),
                 result.backAfter(),
-                result.gossipMessages / lasts / proxies,
-                result.gossipBytes / lasts / proxies,
+                result.gossipMessages / daySeconds / proxies,
+                result.gossipBytes / daySeconds / proxies,
                 result.cpuShare,
                 result.memoryMegabytes);
     }
--- a/src/main/java/lemondrift/lab/fleet/HttpConnection.java
+++ b/src/main/java/lemondrift/lab/fleet/HttpConnection.java
@@ -6,204 +6,253 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
+import java.util.Optional;
+import java.util.OptionalInt;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
+import org.xnio.ChannelListeners;
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
+import org.xnio.XnioWorker;
+import org.xnio.channels.AcceptingChannel;
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * One connection on which HTTP/1.1 messages with a stated length come and go, of either side. The
- * stand's own ends alone speak so; what the proxies make of odd messages is for their own tests.
- * I/O thread only.
+ * One connection, of a client or of a server, that carries HTTP/1.1 messages with a Content-Length.
+ * Only the testbed's own clients, backends and discovery agents use it, so it supports no more of
+ * HTTP than they send. I/O thread only.
  */
 final class HttpConnection {
-    /** Who hears what comes. */
-    interface Hearer {
-        /** A whole message: its first line and fields as they came, and its body. */
-        void heard(HttpConnection talk, String head, byte[] body);
+    /** Receives the events of a connection. */
+    interface Listener {
+        /** A whole message has come: its first line and fields as they came, and its body. */
+        void onMessage(HttpConnection connection, String head, byte[] body);
 
-        /**
-         * The connection has ended, by the other side or by a failure; told once, not after close.
-         */
-        void ended(HttpConnection talk);
+        /** The other side closed the connection or it failed; not called after {@link #close}. */
+        void onClosed(HttpConnection connection);
     }
 
-    private static final byte[] END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int MOST_HEAD = 16_384;
-    private static final int MOST_BODY = 1 << 20;
+    private static final byte[] END_OF_HEAD = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final int READ_BUFFER_BYTES = 8192;
+    private static final int MAX_HEAD_BYTES = 16_384;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
     private static final OptionMap NO_DELAY = OptionMap.create(Options.TCP_NODELAY, true);
 
-    private final StreamConnection connection;
-    private final Hearer hearer;
-    private final ByteBuffer buffer = ByteBuffer.allocate(8192);
-    private final ByteArrayOutputStream come = new ByteArrayOutputStream();
-    private ByteBuffer out;
-    private boolean over;
-
-    /** Whether a message has come on it, and so whether its end may have crossed a request. */
-    boolean used;
-
-    HttpConnection(StreamConnection connection, Hearer hearer) {
-        this.connection = connection;
-        this.hearer = hearer;
-        ConduitStreamSourceChannel source = connection.getSourceChannel();
-        source.setReadListener(channel -> reads());
-        connection.getSinkChannel().setWriteListener(channel -> writes());
-        connection.setCloseListener(channel -> ends());
+    private final StreamConnection stream;
+    private final Listener listener;
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
+    private final ByteArrayOutputStream received = new ByteArrayOutputStream();
+    private ByteBuffer unsent = EMPTY;
+    private boolean closed;
+    private boolean used;
+
+    /** Starts to read from a connection that is established. */
+    HttpConnection(StreamConnection stream, Listener listener) {
+        this.stream = stream;
+        this.listener = listener;
+        ConduitStreamSourceChannel source = stream.getSourceChannel();
+        source.setReadListener(channel -> read());
+        stream.getSinkChannel().setWriteListener(channel -> flush());
+        stream.setCloseListener(channel -> closeAndNotify());
         source.resumeReads();
     }
 
-    /** Opens one; who asked is told of it, or gets null where it can't be had. */
+    /**
+     * Opens a connection to a server. The callback gets it on the I/O thread, or nothing where it
+     * cannot be established.
+     */
     static void open(
-            XnioIoThread io, InetSocketAddress to, Hearer hearer, Consumer<HttpConnection> then) {
+            XnioIoThread ioThread,
+            InetSocketAddress server,
+            Listener listener,
+            Consumer<Optional<HttpConnection>> callback) {
         IoFuture<StreamConnection> future =
-                io.openStreamConnection(
-                        to,
-                        connection -> then.accept(new HttpConnection(connection, hearer)),
+                ioThread.openStreamConnection(
+                        server,
+                        stream ->
+                                callback.accept(Optional.of(new HttpConnection(stream, listener))),
                         NO_DELAY);
         future.addNotifier(
-                (its, nothing) -> {
-                    if (its.getStatus() != IoFuture.Status.DONE) {
-                        tellsNone(io, then);
+                (result, attachment) -> {
+                    if (result.getStatus() != IoFuture.Status.DONE) {
+                        reportFailure(ioThread, callback);
                     }
                 },
                 null);
     }
 
-    private static void tellsNone(XnioIoThread io, Consumer<HttpConnection> then) {
+    private static void reportFailure(
+            XnioIoThread ioThread, Consumer<Optional<HttpConnection>> callback) {
         try {
-            io.execute(() -> then.accept(null));
+            ioThread.execute(() -> callback.accept(Optional.empty()));
         } catch (RejectedExecutionException e) {
-            // The testbed closes, and nobody waits for it any more.
+            // The testbed is closing, and nobody waits for the connection any more.
         }
     }
 
-    private void reads() {
+    /**
+     * Listens at an address, and hands each accepted connection to a callback on the I/O thread.
+     *
+     * @throws IOException where the address cannot be bound
+     */
+    static AcceptingChannel<StreamConnection> listen(
+            XnioWorker worker,
+            InetSocketAddress address,
+            OptionMap options,
+            Consumer<StreamConnection> onAccept)
+            throws IOException {
+        AcceptingChannel<StreamConnection> server =
+                worker.createStreamConnectionServer(
+                        address,
+                        ChannelListeners.openListenerAdapter(stream -> onAccept.accept(stream)),
+                        options);
+        server.resumeAccepts();
+        return server;
+    }
+
+    private void read() {
         try {
-            ConduitStreamSourceChannel source = connection.getSourceChannel();
-            int got = source.read(buffer);
-            for (; got > 0; got = source.read(buffer)) {
-                come.write(buffer.array(), 0, buffer.position());
-                buffer.clear();
+            ConduitStreamSourceChannel source = stream.getSourceChannel();
+            int count = source.read(readBuffer);
+            for (; count > 0; count = source.read(readBuffer)) {
+                received.write(readBuffer.array(), 0, readBuffer.position());
+                readBuffer.clear();
             }
-            whole();
-            if (got < 0) {
-                ends();
+            deliverWholeMessages();
+            if (count < 0) {
+                closeAndNotify();
             }
         } catch (IOException e) {
-            ends();
+            closeAndNotify();
         }
     }
 
-    /** Hands on each message that has come whole. */
-    private void whole() throws IOException {
-        while (!over) {
-            byte[] all = come.toByteArray();
-            int end = head(all);
-            if (end < 0) {
+    private void deliverWholeMessages() throws IOException {
+        while (!closed) {
+            byte[] bytes = received.toByteArray();
+            OptionalInt headEnd = findHeadEnd(bytes);
+            if (headEnd.isEmpty()) {
                 return;
             }
-            String head = new String(all, 0, end, StandardCharsets.ISO_8859_1);
-            String length = field(head, "content-length");
-            int size = length == null ? 0 : Integer.parseInt(length);
-            if (size > MOST_BODY) {
-                throw new IOException("a body of " + size + " bytes");
-            }
-            if (all.length < end + END.length + size) {
+            String head = new String(bytes, 0, headEnd.getAsInt(), StandardCharsets.ISO_8859_1);
+            int bodyStart = headEnd.getAsInt() + END_OF_HEAD.length;
+            int bodyLength = bodyLength(head);
+            if (bytes.length < bodyStart + bodyLength) {
                 return;
             }
-            byte[] body = new byte[size];
-            System.arraycopy(all, end + END.length, body, 0, size);
-            come.reset();
-            come.write(all, end + END.length + size, all.length - end - END.length - size);
+            byte[] body = new byte[bodyLength];
+            System.arraycopy(bytes, bodyStart, body, 0, bodyLength);
+            int messageEnd = bodyStart + bodyLength;
+            received.reset();
+            received.write(bytes, messageEnd, bytes.length - messageEnd);
             used = true;
-            hearer.heard(this, head, body);
+            listener.onMessage(this, head, body);
+        }
+    }
+
+    private static int bodyLength(String head) throws IOException {
+        int length = field(head, "content-length").map(Integer::parseInt).orElse(0);
+        if (length > MAX_BODY_BYTES) {
+            throw new IOException("a body of " + length + " bytes");
         }
+        return length;
     }
 
-    /** Where the head ends, or -1. */
-    private static int head(byte[] all) throws IOException {
-        for (int i = 0; i + END.length <= all.length; i++) {
-            if (all[i] == '\r' && all[i + 1] == '\n' && all[i + 2] == '\r' && all[i + 3] == '\n') {
-                return i;
+    private static OptionalInt findHeadEnd(byte[] bytes) throws IOException {
+        for (int i = 0; i + END_OF_HEAD.length <= bytes.length; i++) {
+            if (bytes[i] == '\r'
+                    && bytes[i + 1] == '\n'
+                    && bytes[i + 2] == '\r'
+                    && bytes[i + 3] == '\n') {
+                return OptionalInt.of(i);
             }
         }
-        if (all.length > MOST_HEAD) {
+        if (bytes.length > MAX_HEAD_BYTES) {
             throw new IOException("a head without an end");
         }
-        return -1;
+        return OptionalInt.empty();
     }
 
-    /** A field of a head by its name in small letters; null where there is none. */
-    static String field(String head, String name) {
-        for (int at = head.indexOf("\r\n"); at >= 0; at = head.indexOf("\r\n", at + 2)) {
-            int colon = head.indexOf(':', at);
-            if (colon > 0 && head.substring(at + 2, colon).toLowerCase(Locale.ROOT).equals(name)) {
-                int end = head.indexOf("\r\n", colon);
-                return head.substring(colon + 1, end < 0 ? head.length() : end).strip();
+    /** Reads a field of a head by its name in lower case. */
+    static Optional<String> field(String head, String name) {
+        for (int lineEnd = head.indexOf("\r\n");
+                lineEnd >= 0;
+                lineEnd = head.indexOf("\r\n", lineEnd + 2)) {
+            int colon = head.indexOf(':', lineEnd);
+            if (colon > 0
+                    && head.substring(lineEnd + 2, colon).toLowerCase(Locale.ROOT).equals(name)) {
+                int valueEnd = head.indexOf("\r\n", colon);
+                int end = valueEnd < 0 ? head.length() : valueEnd;
+                return Optional.of(head.substring(colon + 1, end).strip());
             }
         }
-        return null;
+        return Optional.empty();
     }
 
-    /** A message with these first lines, without the empty one, and a body. */
+    /** Encodes a message: its first line and fields without the final empty line, and its body. */
     static byte[] message(String head, byte[] body) {
-        byte[] first =
+        byte[] headBytes =
                 (head + "\r\nContent-Length: " + body.length + "\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = new byte[first.length + body.length];
-        System.arraycopy(first, 0, all, 0, first.length);
-        System.arraycopy(body, 0, all, first.length, body.length);
-        return all;
+        byte[] message = new byte[headBytes.length + body.length];
+        System.arraycopy(headBytes, 0, message, 0, headBytes.length);
+        System.arraycopy(body, 0, message, headBytes.length, body.length);
+        return message;
     }
 
+    /** Sends a message after those that are not sent yet; nothing where it is closed. */
     void write(byte[] message) {
-        if (over) {
+        if (closed) {
             return;
         }
-        ByteBuffer more = ByteBuffer.allocate((out == null ? 0 : out.remaining()) + message.length);
-        if (out != null) {
-            more.put(out);
-        }
-        out = more.put(message).flip();
-        writes();
+        unsent =
+                ByteBuffer.allocate(unsent.remaining() + message.length)
+                        .put(unsent)
+                        .put(message)
+                        .flip();
+        flush();
     }
 
-    private void writes() {
-        ConduitStreamSinkChannel sink = connection.getSinkChannel();
+    private void flush() {
+        ConduitStreamSinkChannel sink = stream.getSinkChannel();
         try {
-            while (out != null && out.hasRemaining()) {
-                if (sink.write(out) == 0) {
+            while (unsent.hasRemaining()) {
+                if (sink.write(unsent) == 0) {
                     sink.resumeWrites();
                     return;
                 }
             }
-            out = null;
+            unsent = EMPTY;
             sink.suspendWrites();
         } catch (IOException e) {
-            ends();
+            closeAndNotify();
         }
     }
 
-    private void ends() {
-        if (!over) {
+    private void closeAndNotify() {
+        if (!closed) {
             close();
-            hearer.ended(this);
+            listener.onClosed(this);
         }
     }
 
+    /** Whether a message has come on it, so that its close may cross a request on its way. */
+    boolean isUsed() {
+        return used;
+    }
+
     boolean isOpen() {
-        return !over;
+        return !closed;
     }
 
     void close() {
-        over = true;
-        IoUtils.safeClose(connection);
+        closed = true;
+        IoUtils.safeClose(stream);
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/IdleClient.java
+++ b/src/main/java/lemondrift/lab/fleet/IdleClient.java
@@ -2,95 +2,92 @@
 
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import lemondrift.lab.simulation.Scheduler;
-import org.apache.commons.rng.UniformRandomProvider;
-import org.xnio.XnioIoThread;
+import java.util.Optional;
 
 /**
- * A client that takes up a place at a proxy: it connects, says nothing or a part of a request,
- * waits, leaves, and comes again. I/O thread only.
+ * A client that only occupies a connection of a proxy: it connects, sends nothing or half a
+ * request, waits, disconnects, and connects again. I/O thread only.
  */
-final class IdleClient implements HttpConnection.Hearer {
-    /** The most seconds that it stays, and that it is away. */
-    private static final double STAYS = 4;
+final class IdleClient implements HttpConnection.Listener {
+    /** The longest time for which it stays connected. */
+    private static final double MAX_CONNECTED_SECONDS = 4;
 
-    private static final double AWAY = 1;
+    /** The longest time until it connects again. */
+    private static final double MAX_DISCONNECTED_SECONDS = 1;
 
-    private static final byte[] PART =
+    private static final byte[] HALF_REQUEST =
             "GET /api HTTP/1.1\r\nHost: origin".getBytes(StandardCharsets.US_ASCII);
 
+    private final TestbedContext context;
     private final InetSocketAddress proxy;
-    private final Scheduler scheduler;
-    private final XnioIoThread io;
-    private final UniformRandomProvider random;
-    private HttpConnection talk;
-    private volatile boolean over;
+    private Optional<HttpConnection> latestConnection = Optional.empty();
+    private volatile boolean stopped;
 
-    IdleClient(
-            InetSocketAddress proxy,
-            Scheduler scheduler,
-            XnioIoThread io,
-            UniformRandomProvider random) {
+    /** Connects for the first time after a while. */
+    IdleClient(TestbedContext context, InetSocketAddress proxy) {
+        this.context = context;
         this.proxy = proxy;
-        this.scheduler = scheduler;
-        this.io = io;
-        this.random = random;
-        comesLater();
+        connectLater();
     }
 
-    private void comesLater() {
-        if (!over) {
-            scheduler.after(AWAY * random.nextDouble(), this::comes);
+    private void connectLater() {
+        if (!stopped) {
+            context.scheduler().after(randomSeconds(MAX_DISCONNECTED_SECONDS), this::connect);
         }
     }
 
-    private void comes() {
-        if (!over) {
-            HttpConnection.open(io, proxy, this, this::opened);
+    private double randomSeconds(double max) {
+        return max * context.random().nextDouble();
+    }
+
+    private void connect() {
+        if (!stopped) {
+            HttpConnection.open(context.ioThread(), proxy, this, this::onConnect);
         }
     }
 
-    private void opened(HttpConnection opened) {
-        if (opened == null || over) {
-            if (opened != null) {
-                opened.close();
-            }
-            comesLater();
-            return;
+    private void onConnect(Optional<HttpConnection> connection) {
+        if (connection.isEmpty() || stopped) {
+            connection.ifPresent(HttpConnection::close);
+            connectLater();
+        } else {
+            occupy(connection.get());
         }
-        talk = opened;
-        if (random.nextBoolean()) {
-            opened.write(PART);
+    }
+
+    private void occupy(HttpConnection connection) {
+        latestConnection = Optional.of(connection);
+        if (context.random().nextBoolean()) {
+            connection.write(HALF_REQUEST);
         }
-        scheduler.after(
-                STAYS * random.nextDouble(),
-                () -> {
-                    if (opened.isOpen()) {
-                        opened.close();
-                        comesLater();
-                    }
-                });
+        context.scheduler()
+                .after(
+                        randomSeconds(MAX_CONNECTED_SECONDS),
+                        () -> {
+                            if (connection.isOpen()) {
+                                connection.close();
+                                connectLater();
+                            }
+                        });
     }
 
     @Override
-    public void heard(HttpConnection on, String head, byte[] body) {
-        // It asked for nothing; whatever it is told, it stays as long as it may.
+    public void onMessage(HttpConnection connection, String head, byte[] body) {
+        // It sent no whole request, so that a response changes nothing.
     }
 
     @Override
-    public void ended(HttpConnection on) {
-        comesLater();
+    public void onClosed(HttpConnection connection) {
+        connectLater();
     }
 
-    /** It does not come again. Any thread. */
-    void comesNoMore() {
-        over = true;
+    /** Does not connect again. Any thread. */
+    void stop() {
+        stopped = true;
     }
 
     void close() {
-        over = true;
-        if (talk != null) {
-            talk.close();
-        }
+        stop();
+        latestConnection.ifPresent(HttpConnection::close);
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
+++ b/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
@@ -8,51 +8,61 @@
 import java.net.UnknownHostException;
 
 /**
- * Addresses of the loopback net, one for each end, so that no other connection takes a port
- * between.
+ * Addresses of the loopback network. Each listener has one of its own, so that no outgoing
+ * connection can take its port while it is down.
  */
 final class LoopbackAddresses {
-    /** The second bytes of those addresses. */
-    static final int PROXIES = 8;
+    /** What the addresses of one range are for. */
+    enum Range {
+        PROXIES(8),
+        DISCOVERY(9),
+        BACKENDS(16);
 
-    static final int DISCOVERY = 9;
-    static final int BACKENDS = 16;
+        private final int secondByte;
 
-    private static final int IN_A_NET = 250;
+        Range(int secondByte) {
+            this.secondByte = secondByte;
+        }
+    }
+
+    private static final int LOOPBACK_FIRST_BYTE = 127;
+    private static final int VALUES_PER_BYTE = 250;
 
     private LoopbackAddresses() {}
 
-    static InetAddress address(int net, int number) {
-        int byte2 = net + number / (IN_A_NET * IN_A_NET);
-        int rest = number % (IN_A_NET * IN_A_NET);
+    /** The address of a listener by its number in its range. */
+    static InetAddress address(Range range, int number) {
+        int secondByte = range.secondByte + number / (VALUES_PER_BYTE * VALUES_PER_BYTE);
+        int rest = number % (VALUES_PER_BYTE * VALUES_PER_BYTE);
+        byte[] bytes = {
+            LOOPBACK_FIRST_BYTE,
+            (byte) secondByte,
+            (byte) (1 + rest / VALUES_PER_BYTE),
+            (byte) (1 + rest % VALUES_PER_BYTE)
+        };
         try {
-            return InetAddress.getByAddress(
-                    new byte[] {
-                        127,
-                        (byte) byte2,
-                        (byte) (1 + rest / IN_A_NET),
-                        (byte) (1 + rest % IN_A_NET)
-                    });
+            return InetAddress.getByAddress(bytes);
         } catch (UnknownHostException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** One that nobody listens on at the moment. */
-    static InetSocketAddress free(InetAddress host) throws IOException {
+    /** Finds a TCP port of a host at which nobody listens at the moment. */
+    static InetSocketAddress findFreeTcpPort(InetAddress host) throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, host)) {
             return new InetSocketAddress(host, socket.getLocalPort());
         }
     }
 
-    /** The same for datagrams. */
-    static InetSocketAddress freeForDatagrams(InetAddress host) throws IOException {
+    /** Finds a UDP port of a host at which nobody listens at the moment. */
+    static InetSocketAddress findFreeUdpPort(InetAddress host) throws IOException {
         try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(host, 0))) {
             return new InetSocketAddress(host, socket.getLocalPort());
         }
     }
 
-    static String text(InetSocketAddress address) {
+    /** Writes an address as "host:port". */
+    static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
+++ b/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.DoubleSupplier;
 import java.util.stream.IntStream;
 import lemondrift.lab.simulation.LoadEvenness;
@@ -15,249 +16,253 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Hears what clients, backends and discovery of the testbed have seen, and nothing that a proxy
- * says of itself. I/O thread only.
+ * Records and judges what the clients, backends and discovery agents of the testbed have seen, and
+ * nothing that a proxy says of itself. I/O thread only.
  */
 final class OutcomeRecorder {
-    /**
-     * How many seconds later than at the proxy a thing may be seen, as the machine has other work.
-     */
-    static final double SLACK = 1;
-
-    /** Latencies in microseconds up to ten minutes, to three digits. */
-    private static final long LONGEST = 600_000_000;
-
-    /**
-     * One request that a client has handed to a proxy, or to a backend where there is none between.
-     */
-    static final class Asked {
-        final Request x;
+    /** How much later than at the proxy an event may be seen on a machine that is busy. */
+    static final double SLACK_SECONDS = 1;
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** The longest latency that is told apart from longer ones, ten minutes. */
+    private static final long MAX_LATENCY_MICROS = 600_000_000;
+
+    private static final int LATENCY_DIGITS = 3;
+
+    /** One request that a client has sent to a proxy, or to a backend where there are none. */
+    static final class PendingRequest {
+        final Request request;
         final int proxy;
-        final double work;
 
-        /** Its client has stopped waiting while the proxy could not answer. */
-        private boolean left;
+        /** Seconds of one core that it takes. */
+        final double workSeconds;
 
-        private Asked(Request request, int proxy, double work) {
-            this.x = request;
+        /** Whether its client has stopped waiting while the proxy was unable to answer. */
+        private boolean excused;
+
+        private PendingRequest(Request request, int proxy, double workSeconds) {
+            this.request = request;
             this.proxy = proxy;
-            this.work = work;
+            this.workSeconds = workSeconds;
         }
     }
 
     private final Scenario scenario;
     private final DoubleSupplier clock;
     private final Referee referee;
-    private final Map<String, Asked> asked = new HashMap<>();
+    private final LoadEvenness evenness;
+    private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
 
-    /** Until when each proxy was last known not to be able to answer. */
-    private final double[] excused;
+    /** Until when each proxy was last known to be unable to answer. */
+    private final double[] excusedUntil;
 
-    private LoadEvenness evenness;
     private RunResult result;
-    private double began;
-    private ServableOracle bearable;
-    private Histogram latency;
-    private String broken;
-    private long ids;
-
-    /** Judges the first so many rules. */
-    OutcomeRecorder(Scenario scenario, int rules, DoubleSupplier clock) {
+    private double dayStart;
+    private ServableOracle servable;
+    private Histogram latencyMicros;
+    private Optional<String> brokenRule = Optional.empty();
+    private long requestCount;
+
+    /** Judges by the first rules, as many as stated; the clock is in seconds. */
+    OutcomeRecorder(Scenario scenario, int judgedRules, DoubleSupplier clock) {
         this.scenario = scenario;
         this.clock = clock;
-        int[] location =
+        int[] locations =
                 IntStream.range(0, scenario.backends())
-                        .map(i -> i % scenario.settings().locationCount())
+                        .map(backend -> backend % scenario.settings().locationCount())
                         .toArray();
         referee =
                 new Referee(
                         scenario.settings(),
-                        rules,
+                        judgedRules,
                         scenario.grace(),
-                        SLACK,
+                        SLACK_SECONDS,
                         scenario.proxies(),
-                        location,
+                        locations,
                         scenario.cores());
-        excused = new double[scenario.proxies()];
+        excusedUntil = new double[scenario.proxies()];
         evenness =
                 new LoadEvenness(
                         scenario.backends(), scenario.cores(), scenario.settings().windowSeconds());
-        begins();
+        startDay();
     }
 
-    /** Counts from here on; what went before is only remembered. */
-    final void begins() {
-        began = now();
-        evenness.begins(began);
+    /** Starts the figures anew; the rules are judged with all that went before. */
+    void startDay() {
+        dayStart = now();
+        evenness.begins(dayStart);
         result = new RunResult(scenario);
-        bearable =
+        servable =
                 new ServableOracle(
                         scenario.settings().requestClasses(),
                         result.requestedWeightPerSecond.length);
-        latency = new Histogram(LONGEST, 3);
+        latencyMicros = new Histogram(MAX_LATENCY_MICROS, LATENCY_DIGITS);
     }
 
     private double now() {
         return clock.getAsDouble();
     }
 
-    RunResult figures() {
+    /** The figures of the day so far. */
+    RunResult result() {
         return result;
     }
 
-    /** What was seen of the first broken rule; null where none was. */
-    String broken() {
-        return broken;
+    /** What was seen of the first broken rule; empty where all were kept. */
+    Optional<String> brokenRule() {
+        return brokenRule;
     }
 
-    /** The second of the day that a time lies in. */
-    int second(double at) {
-        return (int) Math.max(0, Math.min(result.requestedWeightPerSecond.length - 1, at - began));
+    /** The second of the day that a time lies in; the first or last for a time outside of it. */
+    int secondOfDay(double time) {
+        int lastSecond = result.requestedWeightPerSecond.length - 1;
+        return (int) Math.max(0, Math.min(lastSecond, time - dayStart));
     }
 
-    /** A client wants something now; says in which second of the day that is. */
-    int wants(int requestClass, double benefit) {
-        int second = second(now());
+    /** A client wants something now; returns the second of the day. */
+    int recordClientRequest(int requestClassIndex, double priorityWeight) {
+        int second = secondOfDay(now());
         result.clientRequests++;
-        result.requestedWeight += benefit;
-        result.requestedWeightPerSecond[second] += benefit;
-        bearable.wants(second, requestClass);
+        result.requestedWeight += priorityWeight;
+        result.requestedWeightPerSecond[second] += priorityWeight;
+        servable.wants(second, requestClassIndex);
         return second;
     }
 
-    /** The backends do the work of so many requests now. */
-    void bears(double exchanges) {
-        bearable.bears(second(now()), exchanges);
+    /** Adds how many requests the backends are able to serve now. */
+    void recordCapacity(double requests) {
+        servable.bears(secondOfDay(now()), requests);
     }
 
-    /** The day is over, though clients may still wait. */
-    RunResult ends() {
+    /** Ends the measuring of the backends' load; clients may still be waiting. */
+    RunResult endDay() {
         System.arraycopy(
-                bearable.benefit(),
+                servable.benefit(),
                 0,
                 result.servableWeightPerSecond,
                 0,
                 result.servableWeightPerSecond.length);
         result.evenness = evenness.measure(now());
+        double[] idleShares = evenness.idleBySecond();
         System.arraycopy(
-                evenness.idleBySecond(),
+                idleShares,
                 0,
                 result.idleSharePerSecond,
                 0,
-                Math.min(result.idleSharePerSecond.length, evenness.idleBySecond().length));
+                Math.min(result.idleSharePerSecond.length, idleShares.length));
         return result;
     }
 
-    /** All that clients wanted in the day has ended. */
-    RunResult served() {
-        result.medianSeconds = latency.getValueAtPercentile(50) / 1e6;
-        result.p99Seconds = latency.getValueAtPercentile(99) / 1e6;
+    /** Adds the latencies, once all that clients wanted in the day has ended. */
+    RunResult finishResult() {
+        result.medianSeconds = latencyMicros.getValueAtPercentile(50) / MICROS_PER_SECOND;
+        result.p99Seconds = latencyMicros.getValueAtPercentile(99) / MICROS_PER_SECOND;
         return result;
     }
 
-    /**
-     * Guards against a broken rule ending the run while proxies still run; the first one is kept.
-     */
-    private void judged(Runnable call) {
+    /** Guards against a broken rule ending the run while proxies still run; keeps the first one. */
+    private void judge(Runnable event) {
         try {
-            call.run();
+            event.run();
         } catch (Referee.Broken e) {
-            broken = broken == null ? e.getMessage() : broken;
+            brokenRule = brokenRule.or(() -> Optional.of(e.getMessage()));
         }
     }
 
-    Asked taken(String trace, int proxy, int requestClass, double work) {
-        Request request =
-                new Request(
-                        ++ids,
-                        requestClass,
-                        0,
-                        now(),
-                        scenario.settings().requestClasses().get(requestClass).timeoutSeconds());
-        Asked its = new Asked(request, proxy, work);
-        asked.put(trace, its);
+    /** A client sends a request for the first time. */
+    PendingRequest recordAccepted(
+            String traceId, int proxy, int requestClassIndex, double workSeconds) {
+        double timeoutSeconds =
+                scenario.settings().requestClasses().get(requestClassIndex).timeoutSeconds();
+        Request request = new Request(++requestCount, requestClassIndex, 0, now(), timeoutSeconds);
+        PendingRequest pending = new PendingRequest(request, proxy, workSeconds);
+        pendingRequests.put(traceId, pending);
         result.accepted++;
-        judged(() -> referee.taken(proxy, request, now()));
-        return its;
+        judge(() -> referee.taken(proxy, request, now()));
+        return pending;
     }
 
-    /** What is being asked under a trace id; null where no client asks so. */
-    Asked asked(String trace) {
-        return asked.get(trace);
+    /** The request that a client has sent under a trace id; empty where none has. */
+    Optional<PendingRequest> pendingRequest(String traceId) {
+        return Optional.ofNullable(pendingRequests.get(traceId));
     }
 
-    /** A request has come to a backend whole. */
-    Attempt reached(Asked its, int backend) {
-        Attempt attempt = new Attempt(its.x, backend, now(), 0, 0);
+    /** An attempt of a request has arrived whole at a backend. */
+    Attempt recordAttempt(PendingRequest pending, int backend) {
+        Attempt attempt = new Attempt(pending.request, backend, now(), 0, 0);
         result.attempts++;
         evenness.sends(backend, now());
-        // What has waited for a process that stood still comes late for nobody; it is judged for
-        // nothing.
-        if (!its.left) {
-            judged(() -> referee.sent(its.proxy, attempt, its.work, now()));
+        // A paused process cannot know that a client left, so what it sends late breaks no rule.
+        if (!pending.excused) {
+            judge(() -> referee.sent(pending.proxy, attempt, pending.workSeconds, now()));
         }
         return attempt;
     }
 
-    void ended(Attempt attempt, AttemptOutcome outcome) {
+    void recordAttemptEnd(Attempt attempt, AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.SUCCESS) {
             evenness.served(attempt.backend);
         } else {
             result.failedAttemptsByBackend[attempt.backend]++;
         }
-        judged(() -> referee.ended(attempt, outcome, now()));
+        judge(() -> referee.ended(attempt, outcome, now()));
     }
 
-    void answered(Asked its, boolean shed) {
-        judged(() -> referee.answered(its.proxy, its.x, shed, now()));
+    /** A client has got its response. */
+    void recordResponse(PendingRequest pending, boolean rejected) {
+        judge(() -> referee.answered(pending.proxy, pending.request, rejected, now()));
     }
 
-    /**
-     * A client has stopped waiting; whoever has been killed or paused since it asked could not
-     * answer.
-     */
-    void closed(Asked its) {
-        its.left = isExcused(its);
-        judged(() -> referee.closed(its.proxy, its.x, its.left, now()));
+    /** A client has stopped waiting without a response. */
+    void recordUnanswered(PendingRequest pending) {
+        pending.excused = isExcused(pending);
+        judge(() -> referee.closed(pending.proxy, pending.request, pending.excused, now()));
     }
 
-    boolean isExcused(Asked its) {
-        return excused[its.proxy] >= its.x.arrivedAt;
+    /** Whether the proxy was unable to answer at some time since it got the request. */
+    boolean isExcused(PendingRequest pending) {
+        return excusedUntil[pending.proxy] >= pending.request.arrivedAt;
     }
 
-    /** Nothing more is to come of it. */
-    void forgets(String trace) {
-        Asked its = asked.remove(trace);
-        if (its != null) {
-            referee.forgets(its.x);
+    /** No more events of a request are expected. */
+    void forget(String traceId) {
+        PendingRequest pending = pendingRequests.remove(traceId);
+        if (pending != null) {
+            referee.forgets(pending.request);
         }
     }
 
-    /** A proxy can't answer from now on, or could not until now. */
-    void excuses(int proxy, boolean fromNow) {
-        excused[proxy] = fromNow ? Double.POSITIVE_INFINITY : Math.min(excused[proxy], now());
+    /** A proxy is unable to answer from now on. */
+    void startExcuse(int proxy) {
+        excusedUntil[proxy] = Double.POSITIVE_INFINITY;
+    }
+
+    /** A proxy that was unable to answer until now is able again. */
+    void endExcuse(int proxy) {
+        excusedUntil[proxy] = Math.min(excusedUntil[proxy], now());
     }
 
-    void told(int proxy, int backend, boolean ready) {
-        judged(() -> referee.told(proxy, backend, ready, now()));
+    /** A proxy is sent the state of a backend by its discovery agent. */
+    void recordEndpointState(int proxy, int backend, boolean ready) {
+        judge(() -> referee.told(proxy, backend, ready, now()));
     }
 
-    void started(int backend) {
+    void recordBackendStart(int backend) {
         referee.started(backend, now());
     }
 
-    void holds(int backend, int many, boolean isFit) {
-        evenness.holds(backend, many, isFit, now());
+    /** A backend holds this many requests from now on, and is able to take more or not. */
+    void recordBackendLoad(int backend, int heldRequests, boolean fit) {
+        evenness.holds(backend, heldRequests, fit, now());
     }
 
-    /**
-     * A client has what it wants, so many seconds after it was due; what was due before does not
-     * count.
-     */
-    void served(RunResult day, double seconds) {
+    /** A client has been served; ignored where that was due in an earlier day. */
+    void recordLatency(RunResult day, double latencySeconds) {
         if (day != result) {
             return;
         }
-        latency.recordValue(Math.min(LONGEST, Math.max(1, (long) (seconds * 1e6))));
+        long micros = (long) (latencySeconds * MICROS_PER_SECOND);
+        latencyMicros.recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(1, micros)));
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/ProcessLauncher.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessLauncher.java
@@ -11,23 +11,31 @@
 /**
  * How one proxy is started.
  *
- * @param command what becomes the proxy's process, without another in between
- * @param folder where it runs
- * @param environment what it is told beside its configuration
+ * @param command becomes the proxy's process itself, not the parent of it
+ * @param folder its working directory
+ * @param environment variables beside those of its configuration
  */
 public record ProcessLauncher(List<String> command, Path folder, Map<String, String> environment) {
-    /** As the deploy file says; the archive has to be built. */
+    /**
+     * Starts proxies as the deploy file says.
+     *
+     * @param root the folder of the deploy file and the built archive
+     * @throws InvalidSettingsException where the archive is not built, or the deploy file's command
+     *     does not end in an exec
+     * @throws IOException where the deploy file cannot be read
+     */
     public static ProcessLauncher deployed(Path root) throws IOException {
-        Path file = root.resolve("deploy/balancer.toml");
-        if (!Files.exists(root.resolve("target/lemondrift.jar"))) {
-            throw new InvalidSettingsException(
-                    root.resolve("target/lemondrift.jar") + ": not there; make build makes it");
+        Path archive = root.resolve("target/lemondrift.jar");
+        if (!Files.exists(archive)) {
+            throw new InvalidSettingsException(archive + ": not there; make build makes it");
         }
-        String run = new TomlMapper().readTree(Files.readString(file)).path("run").asText("");
-        if (!run.contains("exec ")) {
+        Path deployFile = root.resolve("deploy/balancer.toml");
+        String command =
+                new TomlMapper().readTree(Files.readString(deployFile)).path("run").asText("");
+        if (!command.contains("exec ")) {
             throw new InvalidSettingsException(
-                    file + ": run: does not end by exec, so that its process can't be told");
+                    deployFile + ": run: does not end by exec, so that its process can't be told");
         }
-        return new ProcessLauncher(List.of("/bin/sh", "-c", run), root, Map.of());
+        return new ProcessLauncher(List.of("/bin/sh", "-c", command), root, Map.of());
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
@@ -0,0 +1,136 @@
+package lemondrift.lab.fleet;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.util.List;
+import lemondrift.lab.Experiment;
+import lemondrift.model.DeduplicationScope;
+import lemondrift.model.Idempotency;
+import lemondrift.model.RequestClass;
+import lemondrift.model.Settings;
+
+/** Writes the configuration files of the proxies, with the keys of a deployment. */
+final class ProxyConfigWriter {
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final int MILLIS_PER_SECOND = 1000;
+
+    /** Sets the seeds of different proxies apart. */
+    private static final long SEED_STEP = 1000;
+
+    private static final double CORES = 1.0;
+    private static final int MEMORY_MEGABYTES = 192;
+    private static final int MAX_SOCKETS = 1024;
+    private static final int IDLE_CONNECTION_MILLIS = 10_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 250;
+
+    private final Settings settings;
+    private final boolean gossips;
+    private final List<String> peerAddresses;
+    private int writeCount;
+
+    /**
+     * Creates a writer for all proxies.
+     *
+     * @param gossips whether the proxies send one another gossip messages
+     * @param peerAddresses where the proxies reach one another, by number, as "host:port"
+     */
+    ProxyConfigWriter(Settings settings, boolean gossips, List<String> peerAddresses) {
+        this.settings = settings;
+        this.gossips = gossips;
+        this.peerAddresses = peerAddresses;
+    }
+
+    /**
+     * Writes the configuration of one start of a proxy, with a seed of its own.
+     *
+     * @throws IOException where the known backends are not JSON
+     */
+    String write(int proxy, ProxyEndpoints endpoints) throws IOException {
+        ObjectNode root = JSON.createObjectNode();
+        root.put("name", ProxyProcesses.name(proxy))
+                .put("listen", LoopbackAddresses.hostAndPort(endpoints.listen()))
+                .put("discovery", LoopbackAddresses.hostAndPort(endpoints.discovery()))
+                .put("seed", Long.toHexString(SEED_STEP * proxy + ++writeCount));
+        root.putObject("limits")
+                .put("cores", CORES)
+                .put("memory_mb", MEMORY_MEGABYTES)
+                .put("sockets", MAX_SOCKETS);
+        root.put("peer_listen", LoopbackAddresses.hostAndPort(endpoints.gossip()));
+        ArrayNode peers = root.putArray("peers");
+        peerAddresses.forEach(peers::add);
+        root.set("known", JSON.readTree(endpoints.knownBackends()));
+        writeSettings(proxy, root.putObject("settings"));
+        return root.toString();
+    }
+
+    private void writeSettings(int proxy, ObjectNode node) {
+        writePlace(proxy, node);
+        writeLimits(node.putObject("limits"));
+        writeRules(node.putObject("invariants"));
+        node.putObject("report").put("how", "inline").putArray("names").add("util").add("queue");
+        node.putObject("charges")
+                .put("crossZone", settings.costs().crossZone())
+                .put("probe", settings.costs().probe());
+        writeRequestClasses(node.putArray("serviceGrades"));
+    }
+
+    private void writePlace(int proxy, ObjectNode node) {
+        int locations = settings.locationCount();
+        node.put("siblings", settings.proxyCount())
+                .put("zone", proxy % locations)
+                .put("slotNo", proxy);
+        ArrayNode localities = node.putArray("localities");
+        for (int location = 0; location < locations; location++) {
+            localities.add("l" + location);
+        }
+        node.put("membershipMode", "pushed");
+    }
+
+    private void writeLimits(ObjectNode node) {
+        Settings.Limits limits = settings.limits();
+        node.put("mayCancel", limits.canCancel())
+                .put("probes", limits.canProbe())
+                .put("mostForwards", limits.maxAttempts())
+                .put("retryAfter", true)
+                .put("maxRetryAfter", MILLIS_PER_SECOND * limits.maxRetryAfterSeconds())
+                .put("connIdle", IDLE_CONNECTION_MILLIS)
+                .put("connectTimeout", CONNECT_TIMEOUT_MILLIS)
+                .put("mayTell", gossips);
+    }
+
+    private void writeRules(ObjectNode node) {
+        Settings.Rules rules = settings.rules();
+        node.put("coldFrom", rules.slowStartMinShare())
+                .put("cold", MILLIS_PER_SECOND * rules.slowStartSeconds())
+                .put("fallMultiple", rules.overloadFactor())
+                .put("overloadFor", MILLIS_PER_SECOND * rules.overloadWindowSeconds());
+    }
+
+    private void writeRequestClasses(ArrayNode node) {
+        for (int i = 0; i < settings.requestClasses().size(); i++) {
+            RequestClass requestClass = settings.requestClasses().get(i);
+            node.addObject()
+                    .put("name", Experiment.GRADES.get(i))
+                    .put("benefit", requestClass.priorityWeight())
+                    .put("contractTime", MILLIS_PER_SECOND * requestClass.latencyObjectiveSeconds())
+                    .put("expiry", MILLIS_PER_SECOND * requestClass.timeoutSeconds())
+                    .put("effect", effect(requestClass.idempotency()))
+                    .put("group", group(requestClass.deduplicationScope()))
+                    .put("keyTtl", MILLIS_PER_SECOND * requestClass.idempotencyKeyTtlSeconds());
+        }
+    }
+
+    private static String effect(Idempotency idempotency) {
+        return switch (idempotency) {
+            case IDEMPOTENT -> "retryable";
+            case IDEMPOTENT_WITH_KEY -> "dedup";
+            case NOT_IDEMPOTENT -> "fragile";
+        };
+    }
+
+    private static String group(DeduplicationScope scope) {
+        return scope == DeduplicationScope.ALL ? "all" : "zone";
+    }
+}
--- a/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
@@ -1,310 +1,282 @@
 package lemondrift.lab.fleet;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
-import java.net.InetSocketAddress;
+import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import lemondrift.lab.Experiment;
-import lemondrift.lab.simulation.Scenario;
-import lemondrift.model.DeduplicationScope;
-import lemondrift.model.Idempotency;
-import lemondrift.model.RequestClass;
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * The proxies' processes, each known by its number. They are started, killed, stopped, paused and
- * woken by id, and none outlives this program.
+ * The proxies' processes, each known by the number of its proxy. They are signalled by process id,
+ * and none outlives this program. All but {@link #hasCrashed} runs on the process thread.
  */
-public final class ProxyProcesses implements AutoCloseable {
-    /** Megabytes that one takes while it serves, and that the testbed and the machine keep. */
-    private static final int EACH = 58;
+final class ProxyProcesses implements AutoCloseable {
+    /** What one process takes while it serves. */
+    private static final int MEGABYTES_PER_PROCESS = 58;
 
-    private static final int KEPT = 1024;
+    /** What the testbed and the machine keep. */
+    private static final int RESERVED_MEGABYTES = 1024;
 
-    /** Seconds after SIGTERM within which one has to have ended. */
-    private static final int DRAIN = 15;
+    private static final int KILOBYTES_PER_MEGABYTE = 1024;
 
-    private static final ObjectMapper JSON = new ObjectMapper();
+    /** Within which a process has to end after SIGTERM. */
+    private static final int DRAIN_SECONDS = 15;
 
-    /** What one process is told of where it stands. */
-    record Place(
-            InetSocketAddress listen,
-            InetSocketAddress hears,
-            InetSocketAddress discovery,
-            String known) {}
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final ProcessLauncher launcher;
     private final Path folder;
-    private final Scenario scenario;
-    private final boolean tells;
+    private final ProxyConfigWriter configWriter;
     private final boolean recovers;
-    private final List<String> peers;
-    private final Process[] all;
+
+    /** By proxy; null before its first start. */
+    private final Process[] processes;
+
+    /** By proxy. */
     private final boolean[] paused;
-    private final Thread end = new Thread(this::killAll, "end");
-    private int starts;
+
+    private final Thread shutdownHook = new Thread(this::killAll, "end");
 
     /**
-     * Their files go into a folder; peers are all proxies' addresses for datagrams, as they see
-     * them.
+     * Starts none yet.
+     *
+     * @param recovers whether a proxy asks its peers after its start
+     * @throws InvalidSettingsException where the machine's free memory is too small for all
+     * @throws IOException where that cannot be read
      */
     ProxyProcesses(
             ProcessLauncher launcher,
             Path folder,
-            Scenario scenario,
-            boolean tells,
-            boolean recovers,
-            List<String> peers)
+            int proxyCount,
+            ProxyConfigWriter configWriter,
+            boolean recovers)
             throws IOException {
         this.launcher = launcher;
         this.folder = folder;
-        this.scenario = scenario;
-        this.tells = tells;
+        this.configWriter = configWriter;
         this.recovers = recovers;
-        this.peers = peers;
-        all = new Process[scenario.proxies()];
-        paused = new boolean[scenario.proxies()];
-        long free = free();
-        long wanted = (long) EACH * scenario.proxies() + KEPT;
-        if (free < wanted) {
+        processes = new Process[proxyCount];
+        paused = new boolean[proxyCount];
+        checkMemory(proxyCount);
+        // Guards against processes left behind by an interrupted run.
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
+    }
+
+    private static void checkMemory(int proxyCount) throws IOException {
+        long available = availableMegabytes();
+        long needed = (long) MEGABYTES_PER_PROCESS * proxyCount + RESERVED_MEGABYTES;
+        if (available < needed) {
             throw new InvalidSettingsException(
-                    scenario.proxies()
+                    proxyCount
                             + " processes take some "
-                            + wanted
+                            + needed
                             + " MB, and "
-                            + free
+                            + available
                             + " MB are free");
         }
-        // Guards against processes left behind by an interrupted run.
-        Runtime.getRuntime().addShutdownHook(end);
     }
 
-    /** Megabytes that the machine has free. */
-    private static long free() throws IOException {
-        try (Stream<String> lines = Files.lines(Path.of("/proc/meminfo"))) {
-            return lines.filter(line -> line.startsWith("MemAvailable:"))
-                    .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")) / 1024)
-                    .findFirst()
-                    .orElse(Long.MAX_VALUE);
+    private static long availableMegabytes() throws IOException {
+        return readKilobytes(Path.of("/proc/meminfo"), "MemAvailable:")
+                .map(kilobytes -> kilobytes / KILOBYTES_PER_MEGABYTE)
+                .orElse(Long.MAX_VALUE);
+    }
+
+    /** Reads one line of a file of the kernel's. */
+    private static Optional<Long> readKilobytes(Path file, String key) throws IOException {
+        try (Stream<String> lines = Files.lines(file)) {
+            return lines.filter(line -> line.startsWith(key))
+                    .map(line -> Long.parseLong(line.replaceAll("\\D", "")))
+                    .findFirst();
+        }
+    }
+
+    /** The name of a proxy, of which its files are named too. */
+    static String name(int proxy) {
+        return "n" + proxy;
+    }
+
+    private Path logFile(int proxy) {
+        return folder.resolve(name(proxy) + ".log");
+    }
+
+    /** The last line that a proxy has logged, or why it cannot be read. Any thread. */
+    String lastLogLine(int proxy) {
+        try (Stream<String> lines = Files.lines(logFile(proxy))) {
+            return lines.reduce((earlier, later) -> later).orElse("no word");
+        } catch (IOException | UncheckedIOException e) {
+            return e.toString();
         }
     }
 
-    /** Starts one, whose former process has ended. */
-    void start(int p, Place place) {
+    /**
+     * Starts a proxy whose former process has ended.
+     *
+     * @throws InvalidSettingsException where its files or its process cannot be made
+     */
+    void start(int proxy, ProxyEndpoints endpoints) {
         try {
-            Path file = Files.writeString(folder.resolve("n" + p + ".json"), config(p, place));
-            ProcessBuilder builder =
-                    new ProcessBuilder(launcher.command())
-                            .directory(launcher.folder().toFile())
-                            .redirectErrorStream(true)
-                            .redirectOutput(
-                                    ProcessBuilder.Redirect.appendTo(
-                                            folder.resolve("n" + p + ".log").toFile()));
-            builder.environment().putAll(launcher.environment());
-            if (!recovers) {
-                builder.environment().put("PROXY_RECOVERY", "");
-            }
-            builder.environment().put("PROXY_CONFIG", file.toString());
-            builder.environment().put("PROXY_NAME", "n" + p);
-            builder.environment().put("TMPDIR", folder.toString());
-            all[p] = builder.start();
-            paused[p] = false;
+            Path configFile = folder.resolve(name(proxy) + ".json");
+            Files.writeString(configFile, configWriter.write(proxy, endpoints));
+            processes[proxy] = processBuilder(proxy, configFile).start();
+            paused[proxy] = false;
         } catch (IOException e) {
             throw new InvalidSettingsException(
-                    "proxy " + p + " can't be started: " + e.getMessage());
+                    "proxy " + proxy + " can't be started: " + e.getMessage());
+        }
+    }
+
+    private ProcessBuilder processBuilder(int proxy, Path configFile) {
+        ProcessBuilder builder =
+                new ProcessBuilder(launcher.command())
+                        .directory(launcher.folder().toFile())
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile(proxy).toFile()));
+        builder.environment().putAll(launcher.environment());
+        if (!recovers) {
+            builder.environment().put("PROXY_RECOVERY", "");
         }
+        builder.environment().put("PROXY_CONFIG", configFile.toString());
+        builder.environment().put("PROXY_NAME", name(proxy));
+        builder.environment().put("TMPDIR", folder.toString());
+        return builder;
     }
 
-    private String config(int p, Place place) throws IOException {
-        ObjectNode root = JSON.createObjectNode();
-        root.put("name", "n" + p)
-                .put("listen", LoopbackAddresses.text(place.listen))
-                .put("discovery", LoopbackAddresses.text(place.discovery))
-                .put("seed", Long.toHexString(1000L * p + ++starts));
-        root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", 1024);
-        root.put("peer_listen", LoopbackAddresses.text(place.hears));
-        ArrayNode others = root.putArray("peers");
-        peers.forEach(others::add);
-        root.set("known", JSON.readTree(place.known));
-        settings(p, root.putObject("settings"));
-        return root.toString();
+    private Optional<Process> process(int proxy) {
+        return Optional.ofNullable(processes[proxy]);
     }
 
-    private void settings(int p, ObjectNode to) {
-        int locations = scenario.settings().locationCount();
-        to.put("siblings", scenario.settings().proxyCount())
-                .put("zone", p % locations)
-                .put("slotNo", p);
-        ArrayNode names = to.putArray("localities");
-        for (int i = 0; i < locations; i++) {
-            names.add("l" + i);
-        }
-        to.put("membershipMode", "pushed");
-        to.putObject("limits")
-                .put("mayCancel", scenario.settings().limits().canCancel())
-                .put("probes", scenario.settings().limits().canProbe())
-                .put("mostForwards", scenario.settings().limits().maxAttempts())
-                .put("retryAfter", true)
-                .put("maxRetryAfter", 1000 * scenario.settings().limits().maxRetryAfterSeconds())
-                .put("connIdle", 10_000)
-                .put("connectTimeout", 250)
-                .put("mayTell", tells);
-        to.putObject("invariants")
-                .put("coldFrom", scenario.settings().rules().slowStartMinShare())
-                .put("cold", 1000 * scenario.settings().rules().slowStartSeconds())
-                .put("fallMultiple", scenario.settings().rules().overloadFactor())
-                .put("overloadFor", 1000 * scenario.settings().rules().overloadWindowSeconds());
-        to.putObject("report").put("how", "inline").putArray("names").add("util").add("queue");
-        to.putObject("charges")
-                .put("crossZone", scenario.settings().costs().crossZone())
-                .put("probe", scenario.settings().costs().probe());
-        ArrayNode grades = to.putArray("serviceGrades");
-        for (int i = 0; i < scenario.settings().requestClasses().size(); i++) {
-            RequestClass requestClass = scenario.settings().requestClasses().get(i);
-            grades.addObject()
-                    .put("name", Experiment.GRADES.get(i))
-                    .put("benefit", requestClass.priorityWeight())
-                    .put("contractTime", 1000 * requestClass.latencyObjectiveSeconds())
-                    .put("expiry", 1000 * requestClass.timeoutSeconds())
-                    .put(
-                            "effect",
-                            requestClass.idempotency() == Idempotency.IDEMPOTENT
-                                    ? "retryable"
-                                    : requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                                            ? "dedup"
-                                            : "fragile")
-                    .put(
-                            "group",
-                            requestClass.deduplicationScope() == DeduplicationScope.ALL
-                                    ? "all"
-                                    : "zone")
-                    .put("keyTtl", 1000 * requestClass.idempotencyKeyTtlSeconds());
-        }
+    boolean isAlive(int proxy) {
+        return process(proxy).map(Process::isAlive).orElse(false);
     }
 
-    boolean isAlive(int p) {
-        return all[p] != null && all[p].isAlive();
+    /** Whether a process was started and has ended. Any thread. */
+    boolean hasCrashed(int proxy) {
+        return process(proxy).map(process -> !process.isAlive()).orElse(false);
     }
 
-    /** Outright, as power does; nothing is drained or told. */
-    void kill(int p) {
-        if (all[p] != null) {
-            all[p].destroyForcibly();
-        }
+    /** Ends a process with SIGKILL, without a drain. */
+    void kill(int proxy) {
+        process(proxy).ifPresent(Process::destroyForcibly);
     }
 
-    /** With SIGTERM; it drains. */
-    void stop(int p) {
-        wake(p);
-        if (all[p] != null) {
-            all[p].destroy();
-        }
+    /** Lets a process drain and end, with SIGTERM. */
+    void stop(int proxy) {
+        resume(proxy);
+        process(proxy).ifPresent(Process::destroy);
     }
 
-    /** It stands still, its sockets open, until it is woken. */
-    void pause(int p) {
-        paused[p] = true;
-        signal(p, "STOP");
+    /** Suspends a process with its sockets open, with SIGSTOP. */
+    void pause(int proxy) {
+        paused[proxy] = true;
+        signal(proxy, "STOP");
     }
 
-    void wake(int p) {
-        if (paused[p]) {
-            paused[p] = false;
-            signal(p, "CONT");
+    /** Lets a paused process go on, with SIGCONT. */
+    void resume(int proxy) {
+        if (paused[proxy]) {
+            paused[proxy] = false;
+            signal(proxy, "CONT");
         }
     }
 
-    /** It is to read its configuration again. */
-    void hangUp(int p) {
-        signal(p, "HUP");
+    /** Lets a process read its configuration again, with SIGHUP. */
+    void reload(int proxy) {
+        signal(proxy, "HUP");
     }
 
-    private void signal(int p, String name) {
-        if (isAlive(p)) {
-            try {
-                new ProcessBuilder("kill", "-" + name, String.valueOf(all[p].pid()))
-                        .start()
-                        .waitFor();
-            } catch (IOException e) {
-                throw new InvalidSettingsException(
-                        "proxy " + p + " can't be sent " + name + ": " + e.getMessage());
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
+    private void signal(int proxy, String signal) {
+        if (!isAlive(proxy)) {
+            return;
+        }
+        String processId = String.valueOf(processes[proxy].pid());
+        try {
+            new ProcessBuilder("kill", "-" + signal, processId).start().waitFor();
+        } catch (IOException e) {
+            throw new InvalidSettingsException(
+                    "proxy " + proxy + " can't be sent " + signal + ": " + e.getMessage());
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
         }
     }
 
-    /** Seconds of a processor that one has used since its start. */
-    double cpu(int p) {
-        return all[p] == null
-                ? 0
-                : all[p].info().totalCpuDuration().map(Duration::toNanos).orElse(0L) / 1e9;
+    /** Seconds of a core that a process has used since its start; 0 where that is unknown. */
+    double cpuSeconds(int proxy) {
+        return process(proxy)
+                        .flatMap(process -> process.info().totalCpuDuration())
+                        .map(Duration::toNanos)
+                        .orElse(0L)
+                / NANOS_PER_SECOND;
     }
 
-    /** Megabytes that one holds. */
-    double memory(int p) {
-        try (Stream<String> lines =
-                Files.lines(Path.of("/proc", String.valueOf(all[p].pid()), "status"))) {
-            return lines.filter(line -> line.startsWith("VmRSS:"))
-                            .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
-                            .findFirst()
-                            .orElse(0)
-                    / 1024.0;
+    /** Megabytes of memory that a process holds; 0 where that is unknown. */
+    double memoryMegabytes(int proxy) {
+        Path status = Path.of("/proc", String.valueOf(processes[proxy].pid()), "status");
+        try {
+            return readKilobytes(status, "VmRSS:").orElse(0L) / (double) KILOBYTES_PER_MEGABYTE;
         } catch (IOException e) {
             return 0;
         }
     }
 
-    /** Whether one has ended though nobody wanted it to. */
-    boolean hasCrashed(int p) {
-        return all[p] != null && !all[p].isAlive();
-    }
-
-    /** Stops all; which of them had ended by themselves, did not drain or did not end with 0. */
+    /**
+     * Stops all processes.
+     *
+     * @return a line on each that had ended by itself, did not drain in time or did not end with 0
+     */
     List<String> stopAll() throws InterruptedException {
-        List<String> wrong = new ArrayList<>();
-        boolean[] crashed = new boolean[all.length];
-        for (int p = 0; p < all.length; p++) {
-            crashed[p] = hasCrashed(p);
-            stop(p);
+        boolean[] crashed = new boolean[processes.length];
+        for (int proxy = 0; proxy < processes.length; proxy++) {
+            crashed[proxy] = hasCrashed(proxy);
+            stop(proxy);
         }
-        for (int p = 0; p < all.length; p++) {
-            if (all[p] != null && !all[p].waitFor(DRAIN, TimeUnit.SECONDS)) {
-                wrong.add("proxy " + p + " had not ended " + DRAIN + " s after SIGTERM");
-                kill(p);
-            } else if (all[p] != null && (crashed[p] || all[p].exitValue() != 0)) {
-                wrong.add(
-                        "proxy "
-                                + p
-                                + " ended with "
-                                + all[p].exitValue()
-                                + (crashed[p] ? ", by itself" : ""));
+        List<String> problems = new ArrayList<>();
+        for (int proxy = 0; proxy < processes.length; proxy++) {
+            if (processes[proxy] != null) {
+                awaitEnd(proxy, crashed[proxy]).ifPresent(problems::add);
             }
         }
-        return wrong;
+        return problems;
+    }
+
+    private Optional<String> awaitEnd(int proxy, boolean crashed) throws InterruptedException {
+        Process process = processes[proxy];
+        if (!process.waitFor(DRAIN_SECONDS, TimeUnit.SECONDS)) {
+            kill(proxy);
+            return Optional.of(
+                    "proxy " + proxy + " had not ended " + DRAIN_SECONDS + " s after SIGTERM");
+        }
+        if (crashed || process.exitValue() != 0) {
+            return Optional.of(
+                    "proxy "
+                            + proxy
+                            + " ended with "
+                            + process.exitValue()
+                            + (crashed ? ", by itself" : ""));
+        }
+        return Optional.empty();
     }
 
     private void killAll() {
-        for (int p = 0; p < all.length; p++) {
-            kill(p);
+        for (int proxy = 0; proxy < processes.length; proxy++) {
+            kill(proxy);
         }
     }
 
+    /** Kills all processes. Any thread. */
     @Override
     public void close() {
         killAll();
         try {
-            Runtime.getRuntime().removeShutdownHook(end);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // The program ends already, and the hook has done or does the same.
+            // The program ends already, and the hook does the same.
         }
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/RealTimeScheduler.java
+++ b/src/main/java/lemondrift/lab/fleet/RealTimeScheduler.java
@@ -1,45 +1,93 @@
 package lemondrift.lab.fleet;
 
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
+import java.util.concurrent.TimeoutException;
+import java.util.function.Supplier;
 import lemondrift.lab.simulation.Scheduler;
+import lemondrift.settings.InvalidSettingsException;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** Real seconds since it was made; all that is due happens on one I/O thread. */
+/**
+ * Seconds of real time since its creation. All tasks run on the testbed's I/O thread; the first
+ * failure of one is thrown to whoever calls from another thread.
+ */
 final class RealTimeScheduler implements Scheduler {
-    private final long origin = System.nanoTime();
-    private final XnioIoThread io;
-    private final Consumer<RuntimeException> failed;
+    /** How long a call from another thread waits for its result. */
+    private static final long CALL_TIMEOUT_SECONDS = 60;
 
-    /** What goes wrong in something that was due is told to whoever waits for the day. */
-    RealTimeScheduler(XnioIoThread io, Consumer<RuntimeException> failed) {
-        this.io = io;
-        this.failed = failed;
+    private static final double NANOS_PER_SECOND = 1e9;
+
+    private final long originNanos = System.nanoTime();
+    private final XnioIoThread ioThread;
+    private final CompletableFuture<Void> failure = new CompletableFuture<>();
+
+    RealTimeScheduler(XnioIoThread ioThread) {
+        this.ioThread = ioThread;
     }
 
     @Override
     public double now() {
-        return (System.nanoTime() - origin) / 1e9;
+        return (System.nanoTime() - originNanos) / NANOS_PER_SECOND;
     }
 
     @Override
-    public Entry at(double time, Runnable what) {
-        long nanos = Math.max(0, (long) ((time - now()) * 1e9));
-        XnioExecutor.Key key = io.executeAfter(() -> guarded(what), nanos, TimeUnit.NANOSECONDS);
+    public Entry at(double time, Runnable task) {
+        long nanos = Math.max(0, (long) ((time - now()) * NANOS_PER_SECOND));
+        XnioExecutor.Key key =
+                ioThread.executeAfter(() -> runGuarded(task), nanos, TimeUnit.NANOSECONDS);
         return key::remove;
     }
 
-    /** Has something done on the I/O thread as soon as may be. Any thread. */
-    void soon(Runnable what) {
-        io.execute(() -> guarded(what));
+    /** Runs a task on the I/O thread as soon as possible, without waiting for it. Any thread. */
+    void execute(Runnable task) {
+        ioThread.execute(() -> runGuarded(task));
+    }
+
+    /** Runs a task on the I/O thread and waits for its end; throws as {@link #call} does. */
+    void run(Runnable task) throws InterruptedException {
+        call(
+                () -> {
+                    task.run();
+                    return true;
+                });
+    }
+
+    /**
+     * Runs a task on the I/O thread and waits for its result. Not to be called on the I/O thread.
+     *
+     * @throws InvalidSettingsException where the first failure, of this task or an earlier one, was
+     *     of that kind
+     * @throws IllegalStateException at another failure, or where there is no result in time
+     */
+    <T> T call(Supplier<T> task) throws InterruptedException {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        execute(() -> result.complete(task.get()));
+        try {
+            CompletableFuture.anyOf(result, failure).get(CALL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            return result.get();
+        } catch (ExecutionException e) {
+            throw e.getCause() instanceof InvalidSettingsException invalidSettings
+                    ? invalidSettings
+                    : new IllegalStateException(e.getCause());
+        } catch (TimeoutException e) {
+            throw new IllegalStateException("the stand stands still", e);
+        }
+    }
+
+    /** Makes all later calls from other threads fail. Any thread. */
+    void fail(RuntimeException cause) {
+        failure.completeExceptionally(cause);
     }
 
-    private void guarded(Runnable what) {
+    private void runGuarded(Runnable task) {
         try {
-            what.run();
+            task.run();
         } catch (RuntimeException e) {
-            failed.accept(e);
+            // Any failure of a task ends the run; the I/O thread itself would only log it.
+            fail(e);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
@@ -0,0 +1,200 @@
+package lemondrift.lab.fleet;
+
+import java.util.ArrayList;
+import java.util.List;
+import lemondrift.lab.Experiment;
+import lemondrift.lab.simulation.BackendFault;
+import lemondrift.lab.simulation.Fault;
+import lemondrift.lab.simulation.FaultTarget;
+import lemondrift.lab.simulation.Scenario;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+
+/**
+ * Draws one day of the soak from a seed. The order of the draws is part of it: with another one a
+ * seed would be another day.
+ */
+final class SoakPlanner {
+    private static final double DAY_SECONDS = 14;
+
+    /** At the start of the day, in which no fault begins. */
+    private static final double QUIET_START_SECONDS = 0.5;
+
+    /** At the end of the day, in which no fault begins. */
+    private static final double QUIET_END_SECONDS = 4;
+
+    private static final int[] BACKEND_COUNTS = {6, 24, 120, 400};
+    private static final double[] LATENCY_OBJECTIVE_SECONDS = {0.25, 0.4, 0.8, 1.2};
+    private static final int LOCATIONS = 2;
+
+    /** The highest share of the backends' capacity that the requests take. */
+    private static final double MAX_LOAD = 0.4;
+
+    /** At each proxy, on a day that has idle clients. */
+    private static final int IDLE_CLIENTS_PER_PROXY = 150;
+
+    /** The share of days that have idle clients. */
+    private static final double IDLE_CLIENTS_SHARE = 0.4;
+
+    /** The share of datagrams that is lost where datagrams are lost. */
+    private static final double LOSS_SHARE = 0.3;
+
+    private final long seed;
+    private final UniformRandomProvider random;
+
+    SoakPlanner(long seed) {
+        this.seed = seed;
+        random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+    }
+
+    /** Draws the day; once for each planner. */
+    SoakRun.Plan draw() {
+        int proxies = 3 + random.nextInt(3);
+        Scenario scenario = drawScenario(proxies);
+        Experiment experiment =
+                new Experiment(
+                        "soak-" + seed,
+                        "",
+                        scenario,
+                        List.of(),
+                        List.of(seed),
+                        List.of(),
+                        true,
+                        true,
+                        Experiment.Host.PROCESSES,
+                        0,
+                        0,
+                        drawFaults(proxies));
+        boolean hasIdleClients = random.nextDouble() < IDLE_CLIENTS_SHARE;
+        return new SoakRun.Plan(seed, experiment, hasIdleClients ? IDLE_CLIENTS_PER_PROXY : 0);
+    }
+
+    private Scenario drawScenario(int proxies) {
+        int backends = BACKEND_COUNTS[random.nextInt(BACKEND_COUNTS.length)];
+        double latencyObjective =
+                LATENCY_OBJECTIVE_SECONDS[random.nextInt(LATENCY_OBJECTIVE_SECONDS.length)];
+        double rate = proxies * drawBetween(10, 50);
+        double workSeconds = Math.min(drawBetween(0.02, 0.1), MAX_LOAD * backends / rate);
+        return new Scenario(
+                Experiment.settings(proxies, LOCATIONS, 0.08, latencyObjective),
+                proxies,
+                backends,
+                1,
+                rate,
+                workSeconds,
+                0.5,
+                3,
+                0,
+                0.1,
+                2,
+                DAY_SECONDS,
+                seed,
+                drawBackendFaults());
+    }
+
+    private double drawBetween(double min, double max) {
+        return min + (max - min) * random.nextDouble();
+    }
+
+    private double drawStart() {
+        return drawBetween(QUIET_START_SECONDS, DAY_SECONDS - QUIET_END_SECONDS);
+    }
+
+    private List<BackendFault> drawBackendFaults() {
+        int count = 1 + random.nextInt(3);
+        List<BackendFault> faults = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            faults.add(drawBackendFault());
+        }
+        return faults;
+    }
+
+    private BackendFault drawBackendFault() {
+        return switch (random.nextInt(8)) {
+            case 0 -> faultOfSome(BackendFault.Kind.DEPLOY, 3, 6, 0.3, 0.7, 1);
+            case 1 -> faultOfSome(BackendFault.Kind.CRASH, 0.5, 4, 0.1, 0.3, 1);
+            case 2 -> faultOfSome(BackendFault.Kind.VANISH, 0.5, 4, 0.1, 0.3, 1);
+            case 3 -> faultOfSome(BackendFault.Kind.STALL, 0.5, 4, 0.2, 0.6, 1);
+            case 4 -> faultOfSome(BackendFault.Kind.SLOW, 2, 5, 0.1, 0.3, 5);
+            case 5 -> faultOfSome(BackendFault.Kind.ERRORS, 1, 4, 0.1, 0.3, 0.5);
+            case 6 -> faultOfAll(BackendFault.Kind.BURST, 0.5, 2, 3);
+            default -> faultOfAll(BackendFault.Kind.SILENCE, 1, 5, 1);
+        };
+    }
+
+    private BackendFault faultOfSome(
+            BackendFault.Kind kind,
+            double minSeconds,
+            double maxSeconds,
+            double minShare,
+            double maxShare,
+            double strength) {
+        double start = drawStart();
+        double seconds = drawBetween(minSeconds, maxSeconds);
+        double share = drawBetween(minShare, maxShare);
+        return new BackendFault(kind, start, seconds, share, strength);
+    }
+
+    private BackendFault faultOfAll(
+            BackendFault.Kind kind, double minSeconds, double maxSeconds, double strength) {
+        double start = drawStart();
+        double seconds = drawBetween(minSeconds, maxSeconds);
+        return new BackendFault(kind, start, seconds, 1, strength);
+    }
+
+    /** On each day at least one process gets SIGTERM. */
+    private List<Fault> drawFaults(int proxies) {
+        List<Fault> faults = new ArrayList<>();
+        faults.add(faultOfProcesses(Fault.Kind.TERMINATE, drawProxy(proxies), 0.5, 3));
+        int moreCount = 1 + random.nextInt(3);
+        for (int i = 0; i < moreCount; i++) {
+            faults.add(drawFault(drawProxy(proxies)));
+        }
+        return faults;
+    }
+
+    private String drawProxy(int proxies) {
+        return "number " + random.nextInt(proxies);
+    }
+
+    private Fault drawFault(String proxy) {
+        return switch (random.nextInt(8)) {
+            case 0 -> faultOfProcesses(Fault.Kind.TERMINATE, "50%", 0.5, 3);
+            case 1 -> faultOfProcesses(Fault.Kind.KILL, proxy, 0.2, 2);
+            case 2 -> faultOfProcesses(Fault.Kind.PAUSE, proxy, 0.1, 1);
+            case 3, 4 -> faultOfProcesses(Fault.Kind.HANG_UP, "all", 0.01, 2);
+            case 5 -> faultBetween(Fault.Channel.DISCOVERY, Fault.Kind.CUT, proxy);
+            case 6 -> faultBetween(Fault.Channel.DATAGRAMS, Fault.Kind.CUT, proxy);
+            default -> faultBetween(Fault.Channel.DATAGRAMS, Fault.Kind.LOSE, "all");
+        };
+    }
+
+    private Fault faultOfProcesses(
+            Fault.Kind kind, String target, double minSeconds, double maxSeconds) {
+        double seconds = drawBetween(minSeconds, maxSeconds);
+        return new Fault(
+                kind,
+                Fault.Channel.DATAGRAMS,
+                FaultTarget.of(target),
+                FaultTarget.ALL,
+                false,
+                drawStart(),
+                seconds,
+                1,
+                0);
+    }
+
+    private Fault faultBetween(Fault.Channel channel, Fault.Kind kind, String target) {
+        double seconds = drawBetween(1, 5);
+        return new Fault(
+                kind,
+                channel,
+                FaultTarget.of(target),
+                FaultTarget.ALL,
+                channel == Fault.Channel.DATAGRAMS,
+                drawStart(),
+                seconds,
+                kind == Fault.Kind.LOSE ? LOSS_SHARE : 1,
+                0);
+    }
+}
--- a/src/main/java/lemondrift/lab/fleet/package-info.java
+++ b/src/main/java/lemondrift/lab/fleet/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The same experiments with real proxy processes on loopback: starts, pauses and kills processes,
- * loses and delays their datagrams, and plays backends, discovery and clients on sockets. All of it
- * runs on one I/O thread; what is judged is what clients and backends saw, not what a proxy says of
- * itself.
+ * Experiments with real proxy processes on loopback: {@link lemondrift.lab.fleet.FleetTestbed}
+ * starts, pauses and kills processes, loses and delays their datagrams, and plays clients, backends
+ * and discovery on sockets. All of these run on one I/O thread; what is done to processes has a
+ * thread of its own, and so has the relay of datagrams. What is judged is what clients and backends
+ * saw, not what a proxy says of itself.
  */
 package lemondrift.lab.fleet;
--- a/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 
 class FaultPlanTest {
-    private static FaultPlan of(boolean apart, Fault... faults) {
-        return new FaultPlan(List.of(faults), 8, 6, 4, 1, apart, 100);
+    private static FaultPlan plan(boolean separateSegments, Fault... faults) {
+        return new FaultPlan(List.of(faults), 8, 6, 4, 1, separateSegments, 100);
     }
 
     @Test
-    void aCutBetweenGroupsFallsOnTheirPairsAndBothWaysOnlyWhereItSaysSo() {
-        Fault one =
+    void aCutBetweenLocationsFallsOnTheirPairsAndBothWaysOnlyWhereStated() {
+        Fault oneWay =
                 new Fault(
                         Fault.Kind.CUT,
                         Fault.Channel.DATAGRAMS,
@@ -30,13 +30,13 @@
                         3,
                         1,
                         0);
-        FaultPlan faults = of(false, one);
-        assertEquals(List.of(one), faults.onDatagram(4, 1, 102));
+        FaultPlan faults = plan(false, oneWay);
+        assertEquals(List.of(oneWay), faults.onDatagram(4, 1, 102));
         assertEquals(List.of(), faults.onDatagram(1, 4, 102), "the way back");
         assertEquals(List.of(), faults.onDatagram(4, 2, 102), "another location");
         assertEquals(List.of(), faults.onDatagram(4, 1, 101.9), "before it");
         assertEquals(List.of(), faults.onDatagram(4, 1, 105), "after it");
-        Fault both =
+        Fault bothWays =
                 new Fault(
                         Fault.Kind.CUT,
                         Fault.Channel.DATAGRAMS,
@@ -47,45 +47,45 @@
                         3,
                         1,
                         0);
-        assertEquals(List.of(both), of(false, both).onDatagram(1, 4, 102));
+        assertEquals(List.of(bothWays), plan(false, bothWays).onDatagram(1, 4, 102));
     }
 
     @Test
     void proxiesThatMeetTheSameFaultsTowardsBackendsShareASegment() {
         Fault cut = Fleets.cut(Fault.Channel.BACKENDS, "location 2", "number 3", 2, 3);
-        FaultPlan faults = of(false, cut);
-        assertEquals(2, faults.heads.length);
-        assertEquals(faults.segments[2], faults.segments[6]);
-        assertNotEquals(faults.segments[1], faults.segments[2]);
-        assertEquals(105, faults.cutFromBackend(faults.segments[2], 3, 103), 1e-9);
-        assertEquals(103, faults.cutFromBackend(faults.segments[1], 3, 103), 1e-9);
-        assertEquals(103, faults.cutFromBackend(faults.segments[2], 4, 103), 1e-9);
-        assertEquals(8, of(true, cut).heads.length, "each apart");
+        FaultPlan faults = plan(false, cut);
+        assertEquals(2, faults.segmentCount());
+        assertEquals(faults.segmentOf(2), faults.segmentOf(6));
+        assertNotEquals(faults.segmentOf(1), faults.segmentOf(2));
+        assertEquals(105, faults.backendCutUntil(faults.segmentOf(2), 3, 103), 1e-9);
+        assertEquals(103, faults.backendCutUntil(faults.segmentOf(1), 3, 103), 1e-9);
+        assertEquals(103, faults.backendCutUntil(faults.segmentOf(2), 4, 103), 1e-9);
+        assertEquals(8, plan(true, cut).segmentCount(), "each proxy has its own");
     }
 
     @Test
-    void aShareIsDrawnBySeedAndIsAtLeastOne() {
+    void aShareIsDrawnFromTheSeedAndIsAtLeastOne() {
         Fault kill = Fleets.fault(Fault.Kind.KILL, "70%", "all", 0, 1, 1);
-        int[] some = of(false, kill).ofProcesses().get(0).numbers();
-        assertEquals(6, some.length);
-        assertArrayEquals(some, of(false, kill).ofProcesses().get(0).numbers());
+        int[] killed = plan(false, kill).ofProcesses().get(0).affectedProxies();
+        assertEquals(6, killed.length);
+        assertArrayEquals(killed, plan(false, kill).ofProcesses().get(0).affectedProxies());
         assertEquals(
                 1,
-                of(false, Fleets.fault(Fault.Kind.KILL, "1%", "all", 0, 1, 1))
+                plan(false, Fleets.fault(Fault.Kind.KILL, "1%", "all", 0, 1, 1))
                         .ofProcesses()
                         .get(0)
-                        .numbers()
+                        .affectedProxies()
                         .length);
         assertTrue(
-                IntStream.range(0, 8).allMatch(p -> of(false).segments[p] == 0),
+                IntStream.range(0, 8).allMatch(proxy -> plan(false).segmentOf(proxy) == 0),
                 "no faults, one segment");
     }
 
     @Test
-    void wordsThatNameNobodyAreNone() {
-        for (String each :
+    void textThatNamesNoTargetIsNone() {
+        for (String text :
                 List.of("", "alle", "location", "location -1", "number x", "101%", "30", "%")) {
-            assertNull(FaultTarget.of(each), each);
+            assertNull(FaultTarget.of(text), text);
         }
     }
 }
--- a/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
@@ -3,12 +3,12 @@
 import static lemondrift.lab.fleet.Fleets.cut;
 import static lemondrift.lab.fleet.Fleets.fault;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
 
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import lemondrift.lab.Baseline;
 import lemondrift.lab.simulation.BackendFault;
 import lemondrift.lab.simulation.Fault;
@@ -20,47 +20,48 @@
 
 /** Four real processes with faults between them; the same ones over all days. */
 class FleetTestbedTest {
-    private static final int TRIES = 10;
-    private static FleetTestbed stand;
+    private static final int MAX_DAYS_TO_RECOVER = 10;
+    private static FleetTestbed testbed;
 
     @BeforeAll
-    static void starts() throws Exception {
-        stand = Fleets.start(0.4, Path.of("deploy/peers.json"));
+    static void start() throws Exception {
+        testbed = Fleets.start(0.4, Path.of("deploy/peers.json"));
     }
 
     @AfterAll
-    static void allDrainAndEndWithZero() throws Exception {
-        Fleets.ends(stand);
+    static void stop() throws Exception {
+        Fleets.stop(testbed);
     }
 
-    private static RunResult play(List<BackendFault> troubles, Fault... faults) throws Exception {
-        return Fleets.play(stand, troubles, faults);
+    private static RunResult play(List<BackendFault> backendFaults, Fault... faults)
+            throws Exception {
+        return Fleets.play(testbed, backendFaults, faults);
     }
 
     /**
-     * Reached at last: a day on which all that is asked for is had. Each day before that keeps the
-     * rules.
+     * Plays days without faults until all requests of one are served; the days before keep the
+     * rules too.
      */
-    private static void comesBack() throws Exception {
+    private static void assertRecovers() throws Exception {
         RunResult last = null;
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_DAYS_TO_RECOVER; i++) {
             last = play(List.of());
             if (last.succeeded == last.clientRequests && last.rejected == 0) {
                 return;
             }
         }
-        fail("not as before after " + TRIES + " calm days: " + last);
+        fail("not as before after " + MAX_DAYS_TO_RECOVER + " calm days: " + last);
     }
 
-    private static void allAreAnswered(RunResult day) {
+    private static void assertAllAnswered(RunResult day) {
         assertEquals(0, day.unanswered, day.toString());
         assertEquals(0, day.unreached, day.toString());
         assertTrue(day.clientRequests > 0 && day.succeeded > 0, day.toString());
     }
 
     @Test
-    void datagramsThatAreCutLostDoubledLateOrHostileCostNoAnswer() throws Exception {
-        allAreAnswered(
+    void noResponseIsLostWhenDatagramsAreCutLostDuplicatedLateOrHostile() throws Exception {
+        assertAllAnswered(
                 play(
                         List.of(),
                         fault(Kind.CUT, "location 0", "location 1", 0, 3, 1),
@@ -69,37 +70,36 @@
                         fault(Kind.DISORDER, "all", "all", 2, 3, 1),
                         fault(Kind.LATE, "number 3", "all", 0, 5, 1),
                         fault(Kind.JUNK, "all", "all", 0, 5, 1)));
-        comesBack();
+        assertRecovers();
     }
 
     @Test
-    void allDeafAndBack() throws Exception {
+    void recoversAfterAllGossipIsCut() throws Exception {
         RunResult day = play(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
-        allAreAnswered(day);
-        assertTrue(day.gossipMessages > 0, "they go on telling");
-        comesBack();
+        assertAllAnswered(day);
+        assertTrue(day.gossipMessages > 0, "they go on gossiping");
+        assertRecovers();
     }
 
     @Test
-    void oneKilledWithMuchOutAndStartedAgainUnderItsNumberWithOldDatagramsOnTheWay()
-            throws Exception {
+    void recoversAfterAKillWithOldDatagramsStillOnTheirWay() throws Exception {
         RunResult day =
                 play(
                         List.of(),
                         fault(Kind.LATE, "all", "all", 0, 5, 1),
                         fault(Kind.KILL, "number 1", "all", 1, 0.5, 1));
         assertEquals(0, day.overloadedColdBackends);
-        comesBack();
+        assertRecovers();
     }
 
     @Test
-    void onePausedThatWakesWithOldKnowledge() throws Exception {
+    void recoversAfterAPause() throws Exception {
         play(List.of(), fault(Kind.PAUSE, "number 2", "all", 1, 3, 1));
-        comesBack();
+        assertRecovers();
     }
 
     @Test
-    void allRestartedInTurnWhileBackendsAreReplacedAndDiscoveryIsSilent() throws Exception {
+    void recoversAfterARollingRestartDuringADeployWithDiscoveryCut() throws Exception {
         RunResult day =
                 play(
                         List.of(new BackendFault(BackendFault.Kind.DEPLOY, 0.5, 3, 0.5, 1)),
@@ -108,40 +108,38 @@
         assertEquals(
                 0,
                 day.overloadedColdBackends,
-                "no cold backend is pushed over by all of them together");
-        comesBack();
+                "no cold backend is overloaded by all of them together");
+        assertRecovers();
     }
 
     @Test
-    void wayToABackendThatIsCutForOneProxyAlone() throws Exception {
-        allAreAnswered(
+    void noResponseIsLostWhenABackendIsCutOffFromOneProxy() throws Exception {
+        assertAllAnswered(
                 play(
                         List.of(),
                         cut(Fault.Channel.BACKENDS, "number 0", "number 3", 0.5, 3),
                         cut(Fault.Channel.BACKENDS, "location 1", "number 2", 1, 3)));
-        comesBack();
+        assertRecovers();
     }
 
-    /** The baselines play the same file, and there is no process that its faults could fall on. */
+    /** The baselines play the same file, and there is no process for its faults to fall on. */
     @Test
-    void aPolicyWithoutProxiesPlaysTheSameDay() throws Exception {
+    void aPolicyWithoutProxiesPlaysADayWithProcessFaults() throws Exception {
         try (FleetTestbed direct =
-                new FleetTestbed(
-                        Fleets.experiment(0.4), 1, null, Baseline.Kind.ORACLE, line -> {})) {
+                FleetTestbed.withoutProxies(
+                        Fleets.experiment(0.4), 1, Baseline.Kind.ORACLE, line -> {})) {
             direct.start();
-            FleetTestbed.Played day =
+            FleetTestbed.DayOutcome day =
                     direct.play(List.of(), List.of(fault(Kind.KILL, "all", "all", 0, 1, 1)), 1);
-            assertNull(day.broken());
+            assertEquals(Optional.empty(), day.brokenRule());
             assertEquals(
-                    day.figures().clientRequests,
-                    day.figures().succeeded,
-                    day.figures().toString());
+                    day.result().clientRequests, day.result().succeeded, day.result().toString());
             assertEquals(List.of(), direct.stop());
         }
     }
 
     @Test
-    void backendsThatCrashAreSilentOrErrAllAtOnce() throws Exception {
+    void noResponseIsLostWhenBackendsCrashVanishAndFailAtOnce() throws Exception {
         RunResult day =
                 play(
                         List.of(
@@ -149,7 +147,7 @@
                                 new BackendFault(BackendFault.Kind.VANISH, 1, 2, 0.2, 1),
                                 new BackendFault(BackendFault.Kind.ERRORS, 1, 3, 0.2, 0.8),
                                 new BackendFault(BackendFault.Kind.BURST, 1, 2, 1, 1.5)));
-        allAreAnswered(day);
-        comesBack();
+        assertAllAnswered(day);
+        assertRecovers();
     }
 }
--- a/src/test/java/lemondrift/lab/fleet/Fleets.java
+++ b/src/test/java/lemondrift/lab/fleet/Fleets.java
@@ -1,11 +1,11 @@
 package lemondrift.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import lemondrift.lab.Experiment;
 import lemondrift.lab.simulation.BackendFault;
 import lemondrift.lab.simulation.Fault;
@@ -13,14 +13,18 @@
 import lemondrift.lab.simulation.RunResult;
 import lemondrift.lab.simulation.Scenario;
 
-/** Small fleets of real processes, from the classes that are tested. */
+/** Small fleets of real processes that run the classes under test. */
 final class Fleets {
     static final int PROXIES = 4;
     static final int BACKENDS = 6;
 
+    private static final double DAY_SECONDS = 5;
+    private static final double DAY_WITHOUT_FAULTS_SECONDS = 2;
+    private static final double WORK_SECONDS = 0.05;
+
     private Fleets() {}
 
-    /** Little traffic for what there is, so that no answer hangs on how fast the machine is. */
+    /** Little traffic for the backends, so that no result depends on how fast the machine is. */
     static Experiment experiment(double load) {
         Scenario scenario =
                 new Scenario(
@@ -28,8 +32,8 @@
                         PROXIES,
                         BACKENDS,
                         1,
-                        load * BACKENDS / 0.05,
-                        0.05,
+                        load * BACKENDS / WORK_SECONDS,
+                        WORK_SECONDS,
                         0.5,
                         3,
                         0,
@@ -74,10 +78,11 @@
     }
 
     static FleetTestbed start(double load, Path peers, Path recovery) throws Exception {
-        FleetTestbed stand =
-                new FleetTestbed(experiment(load), 1, launcher(peers, recovery), null, line -> {});
-        stand.start();
-        return stand;
+        FleetTestbed testbed =
+                FleetTestbed.withProxies(
+                        experiment(load), 1, launcher(peers, recovery), line -> {});
+        testbed.start();
+        return testbed;
     }
 
     static Fault fault(
@@ -107,19 +112,20 @@
                 0);
     }
 
-    /** A day with these troubles and faults, on which all rules are kept. */
-    static RunResult play(FleetTestbed stand, List<BackendFault> troubles, Fault... faults)
+    /** Plays a day with these faults, and checks that all rules are kept. */
+    static RunResult play(FleetTestbed testbed, List<BackendFault> backendFaults, Fault... faults)
             throws Exception {
-        FleetTestbed.Played played =
-                stand.play(troubles, List.of(faults), faults.length > 0 ? 5 : 2);
-        assertNull(played.broken(), played.broken());
-        return played.figures();
+        double durationSeconds = faults.length > 0 ? DAY_SECONDS : DAY_WITHOUT_FAULTS_SECONDS;
+        FleetTestbed.DayOutcome outcome =
+                testbed.play(backendFaults, List.of(faults), durationSeconds);
+        assertEquals(Optional.empty(), outcome.brokenRule());
+        return outcome.result();
     }
 
-    /** All drain and end with 0. */
-    static void ends(FleetTestbed stand) throws Exception {
-        try (FleetTestbed its = stand) {
-            assertEquals(List.of(), its.stop());
+    /** Stops all proxies, and checks that all drain and end with 0. */
+    static void stop(FleetTestbed testbed) throws Exception {
+        try (FleetTestbed closing = testbed) {
+            assertEquals(List.of(), closing.stop());
         }
     }
 }
--- a/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
+++ b/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
@@ -10,6 +10,7 @@
 import java.nio.file.FileAlreadyExistsException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.List;
 import java.util.stream.IntStream;
 import lemondrift.lab.simulation.BackendFault;
@@ -21,55 +22,57 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Four real processes that lose their power, with snapshots on a disk that lasts. */
+/** Four real processes that are killed, with snapshots on a disk that is kept. */
 class RecoveryProcessTest {
-    private static final int TRIES = 12;
-    private static final BackendFault COLD =
+    private static final int MAX_DAYS_TO_RECOVER = 12;
+    private static final BackendFault CRASH_OF_ALL_BACKENDS =
             new BackendFault(BackendFault.Kind.CRASH, 1, 0.5, 1, 1);
-    private static FleetTestbed stand;
+    private static FleetTestbed testbed;
     @TempDir static Path disk;
 
     @BeforeAll
-    static void starts() throws Exception {
+    static void start() throws Exception {
         Path file = disk.resolve("recovery.json");
         Files.writeString(file, "{\"enough\": 30, \"period\": 0.5, \"folder\": \"" + disk + "\"}");
-        stand = Fleets.start(0.3, Path.of("deploy/peers.json"), file);
+        testbed = Fleets.start(0.3, Path.of("deploy/peers.json"), file);
     }
 
     @AfterAll
-    static void allDrainAndEndWithZero() throws Exception {
-        Fleets.ends(stand);
+    static void stop() throws Exception {
+        Fleets.stop(testbed);
     }
 
-    private static RunResult play(List<BackendFault> troubles, Fault... faults) throws Exception {
-        RunResult day = Fleets.play(stand, troubles, faults);
+    private static RunResult play(List<BackendFault> backendFaults, Fault... faults)
+            throws Exception {
+        RunResult day = Fleets.play(testbed, backendFaults, faults);
         assertEquals(
                 0,
                 day.overloadedColdBackends,
-                "no cold backend is pushed over by all of them together");
+                "no cold backend is overloaded by all of them together");
         return day;
     }
 
     /**
-     * Reached at last: all that is asked for is had, and each proxy goes by what it has found
-     * itself.
+     * Plays days without faults until all requests of one are served and each proxy's own recovery
+     * has settled.
      */
-    private static void comesBack() throws Exception {
+    private static void assertRecovers() throws Exception {
         RunResult last = null;
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_DAYS_TO_RECOVER; i++) {
             last = play(List.of());
             if (last.succeeded == last.clientRequests
                     && last.rejected == 0
-                    && IntStream.range(0, Fleets.PROXIES).allMatch(p -> isSettled(log(p)))) {
+                    && IntStream.range(0, Fleets.PROXIES)
+                            .allMatch(proxy -> isSettled(log(proxy)))) {
                 return;
             }
         }
-        fail("not as before after " + TRIES + " calm days: " + last);
+        fail("not as before after " + MAX_DAYS_TO_RECOVER + " calm days: " + last);
     }
 
-    private static List<String> log(int p) {
+    private static List<String> log(int proxy) {
         try {
-            return Files.readAllLines(stand.folder().resolve("n" + p + ".log"));
+            return Files.readAllLines(testbed.folder().resolve("n" + proxy + ".log"));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -78,60 +81,64 @@
     private static boolean isSettled(List<String> log) {
         return log.stream()
                 .filter(line -> line.matches(".*recovery (begins|settled).*"))
-                .reduce("", (one, next) -> next)
+                .reduce("", (earlier, later) -> later)
                 .contains("settled");
     }
 
-    private static long lines(int p, String with) {
-        return log(p).stream().filter(line -> line.contains(with)).count();
+    private static long countLines(int proxy, String text) {
+        return log(proxy).stream().filter(line -> line.contains(text)).count();
     }
 
-    private static String last(int p, String with) {
-        return log(p).stream().filter(line -> line.contains(with)).reduce("", (one, next) -> next);
+    private static String lastLine(int proxy, String text) {
+        return log(proxy).stream()
+                .filter(line -> line.contains(text))
+                .reduce("", (earlier, later) -> later);
     }
 
     @Test
-    void allKilledAtOnceAndTheBackendsAsTheyWere() throws Exception {
+    void recoversWhenAllAreKilledAndTheBackendsStayWarm() throws Exception {
         play(List.of(), fault(Kind.KILL, "all", "all", 1, 0.3, 1));
-        comesBack();
+        assertRecovers();
     }
 
     @Test
-    void allKilledAtOnceAndAllBackendsBackColdTwiceInARow() throws Exception {
-        BackendFault again = new BackendFault(BackendFault.Kind.CRASH, 3.5, 0.5, 1, 1);
+    void recoversWhenAllAreKilledAndAllBackendsRestartTwice() throws Exception {
+        BackendFault secondCrash = new BackendFault(BackendFault.Kind.CRASH, 3.5, 0.5, 1, 1);
         play(
-                List.of(COLD, again),
+                List.of(CRASH_OF_ALL_BACKENDS, secondCrash),
                 fault(Kind.KILL, "all", "all", 1, 0.3, 1),
                 fault(Kind.KILL, "all", "all", 3.5, 0.3, 1));
-        comesBack();
+        assertRecovers();
     }
 
     @Test
-    void allKilledAtOnceWithDiscoverySilentAndTheBackendsReplacedMeanwhile() throws Exception {
+    void recoversWhenAllAreKilledDuringADeployWithDiscoveryCut() throws Exception {
         play(
-                List.of(COLD, new BackendFault(BackendFault.Kind.DEPLOY, 1.5, 2, 0.3, 1)),
+                List.of(
+                        CRASH_OF_ALL_BACKENDS,
+                        new BackendFault(BackendFault.Kind.DEPLOY, 1.5, 2, 0.3, 1)),
                 fault(Kind.KILL, "all", "all", 1, 0.3, 1),
                 cut(Fault.Channel.DISCOVERY, "all", "all", 1, 3));
-        comesBack();
+        assertRecovers();
     }
 
     @Test
-    void halfBackAtOnceAndHalfIntoTheHalfWarmFleetTheTwoCutOffFromEachOther() throws Exception {
+    void recoversWhenHalfStartsLaterAndTheHalvesAreCutOffFromEachOther() throws Exception {
         play(
-                List.of(COLD),
+                List.of(CRASH_OF_ALL_BACKENDS),
                 fault(Kind.KILL, "location 0", "all", 1, 0.3, 1),
                 fault(Kind.KILL, "location 1", "all", 1, 2.5, 1),
                 cut(Fault.Channel.DATAGRAMS, "location 0", "location 1", 0, 4),
                 cut(Fault.Channel.DATAGRAMS, "location 1", "location 0", 0, 4));
-        comesBack();
+        assertRecovers();
     }
 
     @Test
-    void oneAloneLearnsFromTheOthersThoughItsSnapshotIsBadAndItsOldDatagramsComeLate()
+    void oneProxyRecoversFromItsPeersWhenItsSnapshotIsBadAndOldDatagramsComeLate()
             throws Exception {
-        comesBack();
-        long begun = lines(2, "recovery begins");
-        long aside = lines(2, "set aside");
+        assertRecovers();
+        long recoveriesBefore = countLines(2, "recovery begins");
+        long setAsideBefore = countLines(2, "set aside");
         // A folder in the place of the file can be neither read nor written over.
         for (Path file = disk.resolve("n2.snap"); !Files.isDirectory(file); ) {
             Files.deleteIfExists(file);
@@ -145,32 +152,32 @@
                 List.of(),
                 fault(Kind.LATE, "number 2", "all", 0, 5, 1),
                 fault(Kind.KILL, "number 2", "all", 1, 0.5, 1));
-        comesBack();
-        assertEquals(begun + 1, lines(2, "recovery begins"));
-        assertEquals(aside + 1, lines(2, "set aside"));
-        List<String> all = log(2);
-        int from = all.indexOf(last(2, "recovery begins"));
+        assertRecovers();
+        assertEquals(recoveriesBefore + 1, countLines(2, "recovery begins"));
+        assertEquals(setAsideBefore + 1, countLines(2, "set aside"));
+        List<String> lines = log(2);
+        int from = lines.indexOf(lastLine(2, "recovery begins"));
         assertTrue(
-                all.subList(from, all.size()).stream()
+                lines.subList(from, lines.size()).stream()
                         .anyMatch(line -> line.contains("standing=ALONE")),
                 "it was alone among others that know");
     }
 
     @Test
-    void startNumbersRiseWithEachStart() throws Exception {
+    void startNumberRisesWithEachStart() throws Exception {
         play(List.of(), fault(Kind.STOP, "number 1", "all", 0.5, 1, 1));
-        comesBack();
-        long[] starts =
+        assertRecovers();
+        long[] startNumbers =
                 log(1).stream()
                         .filter(line -> line.contains("recovery begins"))
                         .mapToLong(
                                 line -> Long.parseLong(line.replaceAll(".* start=(\\d+) .*", "$1")))
                         .toArray();
         assertTrue(
-                starts.length > 1
-                        && IntStream.range(1, starts.length)
-                                .allMatch(i -> starts[i] > starts[i - 1]),
-                List.of(starts).toString());
-        assertTrue(last(1, "recovery begins").contains("this run of the machine"), "believed");
+                startNumbers.length > 1
+                        && IntStream.range(1, startNumbers.length)
+                                .allMatch(i -> startNumbers[i] > startNumbers[i - 1]),
+                Arrays.toString(startNumbers));
+        assertTrue(lastLine(1, "recovery begins").contains("this run of the machine"), "believed");
     }
 }
