--- a/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
@@ -1,12 +1,12 @@
 package lemondrift.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -15,6 +15,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -23,25 +24,28 @@
 
 /** A real process at SIGHUP, its files changing under it, beside live traffic. */
 class ReloadSignalTest {
-    private static final int TIMES = 50;
-    private static final long BOUND = TimeUnit.SECONDS.toNanos(30);
+    private static final int RELOADS = 50;
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final HttpClient http = HttpClient.newHttpClient();
-    private FleetTestbed stand;
-    private int asked;
+    private FleetTestbed testbed;
+    private int requestCount;
 
     /** The status of a request of the class that only the changed settings have. */
-    private int fresh() {
-        InetSocketAddress to = stand.address(0);
+    private int statusOfNewClass() {
+        InetSocketAddress proxy = testbed.listenAddress(0);
         try {
             return http.send(
                             HttpRequest.newBuilder(
                                             URI.create(
                                                     "http://"
-                                                            + LoopbackAddresses.text(to)
+                                                            + LoopbackAddresses.hostAndPort(proxy)
                                                             + "/api"))
-                                    .header("X-Trace-Id", BackendFleet.ASIDE + ++asked)
+                                    .header(
+                                            "X-Trace-Id",
+                                            BackendRequestHandler.UNJUDGED_TRACE_ID_PREFIX
+                                                    + ++requestCount)
                                     .header("X-Qos", "fresh")
                                     .header("X-Expires-In-Ms", "4000")
                                     .build(),
@@ -52,83 +56,86 @@
         }
     }
 
-    private static void await(String what, BooleanSupplier state) throws InterruptedException {
-        for (long until = System.nanoTime() + BOUND; !state.getAsBoolean(); Thread.sleep(5)) {
-            assertTrue(System.nanoTime() < until, "not reached: " + what);
+    private static void await(String description, BooleanSupplier condition)
+            throws InterruptedException {
+        long deadline = System.nanoTime() + TIMEOUT_NANOS;
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadline, "not reached: " + description);
+            Thread.sleep(5);
         }
     }
 
-    private long refused() {
+    private long countRejectedConfigurations() {
         try {
-            return Files.readString(stand.folder().resolve("n0.log"))
+            return Files.readString(testbed.folder().resolve("n0.log"))
                     .lines()
                     .filter(line -> line.contains("new configuration not used"))
                     .count();
-        } catch (java.io.IOException e) {
+        } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    /**
-     * Danger: a file that is gone or broken though it holds from a start on kept the settings
-     * unfollowed.
-     */
+    /** Guards against a peers file that is missing or broken and so blocks new settings. */
     @Test
-    void settingsAreFollowedWhateverBecomesOfThePeersFile(@TempDir Path folder) throws Exception {
+    void newSettingsAreUsedWhateverBecomesOfThePeersFile(@TempDir Path folder) throws Exception {
         Path peers = folder.resolve("peers.json");
-        String good = Files.readString(Path.of("deploy/peers.json"));
-        Files.writeString(peers, good);
-        stand = Fleets.start(0.3, peers);
-        try (FleetTestbed its = stand) {
-            CompletableFuture<FleetTestbed.Played> traffic =
+        String validPeers = Files.readString(Path.of("deploy/peers.json"));
+        Files.writeString(peers, validPeers);
+        testbed = Fleets.start(0.3, peers);
+        try (FleetTestbed closing = testbed) {
+            CompletableFuture<FleetTestbed.DayOutcome> traffic =
                     CompletableFuture.supplyAsync(
                             () -> {
                                 try {
-                                    return stand.play(List.of(), List.of(), 8);
+                                    return testbed.play(List.of(), List.of(), 8);
                                 } catch (InterruptedException e) {
                                     throw new IllegalStateException(e);
                                 }
                             });
-            Path config = stand.folder().resolve("n0.json");
-            String usual = Files.readString(config);
-            String changed = withAFreshClass(usual);
-            for (int i = 0; i < TIMES; i++) {
-                long before = refused();
+            Path config = testbed.folder().resolve("n0.json");
+            String original = Files.readString(config);
+            String changed = withNewClass(original);
+            for (int i = 0; i < RELOADS; i++) {
+                long before = countRejectedConfigurations();
                 switch (i % 5) {
                     case 0, 3 -> {
-                        Files.writeString(peers, i % 5 == 0 ? good : "{\"pace\": \"no number\"");
+                        Files.writeString(
+                                peers, i % 5 == 0 ? validPeers : "{\"pace\": \"no number\"");
                         Files.writeString(config, changed);
-                        stand.hangUp(0);
-                        await("the new class is known", () -> fresh() == 200);
+                        testbed.hangUp(0);
+                        await("the new class is known", () -> statusOfNewClass() == 200);
                     }
                     case 1 -> {
                         Files.writeString(config, changed.substring(0, changed.length() / 2));
-                        stand.hangUp(0);
-                        await("the broken file is refused", () -> refused() > before);
-                        assertEquals(200, fresh(), "the settings stay, whole");
+                        testbed.hangUp(0);
+                        await(
+                                "the broken file is refused",
+                                () -> countRejectedConfigurations() > before);
+                        assertEquals(200, statusOfNewClass(), "the settings stay, whole");
                     }
                     default -> {
                         Files.deleteIfExists(peers);
-                        Files.writeString(config, usual);
-                        stand.hangUp(0);
-                        await("the class is gone", () -> fresh() == 400);
+                        Files.writeString(config, original);
+                        testbed.hangUp(0);
+                        await("the class is gone", () -> statusOfNewClass() == 400);
                     }
                 }
             }
-            FleetTestbed.Played played = traffic.get();
-            assertNull(played.broken());
+            FleetTestbed.DayOutcome outcome = traffic.get();
+            assertEquals(Optional.empty(), outcome.brokenRule());
             assertEquals(
-                    played.figures().clientRequests,
-                    played.figures().succeeded,
-                    played.figures().toString());
-            assertEquals(List.of(), its.stop());
+                    outcome.result().clientRequests,
+                    outcome.result().succeeded,
+                    outcome.result().toString());
+            assertEquals(List.of(), closing.stop());
         }
     }
 
-    private static String withAFreshClass(String config) throws Exception {
+    private static String withNewClass(String config) throws Exception {
         ObjectNode root = (ObjectNode) JSON.readTree(config);
-        ArrayNode grades = (ArrayNode) root.path("settings").path("serviceGrades");
-        grades.add(((ObjectNode) grades.get(0)).deepCopy().put("name", "fresh"));
+        ArrayNode requestClasses = (ArrayNode) root.path("settings").path("serviceGrades");
+        requestClasses.add(((ObjectNode) requestClasses.get(0)).deepCopy().put("name", "fresh"));
         return root.toString();
     }
 }
--- a/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
+++ b/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
@@ -6,6 +6,7 @@
 
 import java.nio.file.Path;
 import java.util.List;
+import lemondrift.lab.simulation.Fault;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -14,7 +15,7 @@
 class SoakRunTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void allRulesAreKeptAndAllProcessesEndWell(long seed) throws Exception {
+    void allRulesAreKeptAndAllProcessesEndWithZero(long seed) throws Exception {
         SoakRun.Plan plan = SoakRun.plan(seed);
         ProcessLauncher launcher =
                 Fleets.launcher(Path.of("deploy/peers.json"), Path.of("deploy/recovery.json"));
@@ -24,16 +25,13 @@
     }
 
     @Test
-    void aSeedDrawsTheSameDayEachTime() {
+    void aSeedDrawsTheSameDayEveryTime() {
         for (long seed = 0; seed < 50; seed++) {
             assertEquals(SoakRun.plan(seed).about(), SoakRun.plan(seed).about());
         }
         assertNotEquals(SoakRun.plan(1).about(), SoakRun.plan(2).about());
         assertTrue(
                 SoakRun.plan(1).experiment().faults().stream()
-                        .anyMatch(
-                                each ->
-                                        each.kind()
-                                                == lemondrift.lab.simulation.Fault.Kind.TERMINATE));
+                        .anyMatch(fault -> fault.kind() == Fault.Kind.TERMINATE));
     }
 }
