--- a/src/main/java/lemondrift/lab/fleet/BackendFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -88,7 +88,7 @@
         return server;
     }
 
-    /** Sets who is told of a cold backend that got more work than it bears. */
+    /** Sets who is notified when a cold backend is overloaded. */
     void setOverloadListener(IntConsumer listener) {
         requestHandler.setOverloadListener(listener);
     }
--- a/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
@@ -49,7 +49,7 @@
     private final Map<HttpConnection, BackendConnection> connections = new HashMap<>();
     private IntConsumer overloadListener = backend -> {};
 
-    /** Serves the backends; 0 connections is any number of them. */
+    /** Serves the backends; 0 for any number of connections to each. */
     BackendRequestHandler(TestbedContext context, Backend[] backends, int maxConnections) {
         this.context = context;
         this.backends = backends;
--- a/src/main/java/lemondrift/lab/fleet/ClientRequest.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientRequest.java
@@ -21,7 +21,7 @@
     /** The figures of the day in which it was due. */
     final RunResult result;
 
-    /** How often it was sent, without the first time where that was on a connection kept. */
+    /** How often it was sent; a first time on a kept connection is not counted. */
     int tries;
 
     ClientRequest(
--- a/src/main/java/lemondrift/lab/fleet/ClientTry.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientTry.java
@@ -12,7 +12,7 @@
  * stops waiting. I/O thread only.
  */
 final class ClientTry implements HttpConnection.Listener {
-    /** At how many targets one try is made where each cannot be had. */
+    /** How many targets one try may pick, where each is unreachable. */
     private static final int MAX_TARGETS = 5;
 
     /** Without proxies the recorder counts all requests with the first. */
@@ -40,7 +40,7 @@
     private boolean inFlight;
     private boolean ended;
 
-    /** Whether its connection was closed once as it was sent, and it was sent on another. */
+    /** Whether it was sent again because its connection was closed as it was sent. */
     private boolean resent;
 
     /** Null until it is sent for the first time. */
--- a/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
+++ b/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
@@ -27,7 +27,10 @@
     /** The time between two junk datagrams to each proxy, and the longest wait of the thread. */
     private static final int JUNK_INTERVAL_MILLIS = 10;
 
+    /** Junk datagrams are shorter than this. */
     private static final int MAX_JUNK_BYTES = 600;
+
+    /** The rest of a longer datagram is cut off. */
     private static final int MAX_DATAGRAM_BYTES = 2048;
 
     /** The first byte of a gossip message. */
@@ -69,7 +72,7 @@
     /** How many bytes each proxy has sent. */
     private final AtomicLongArray sentBytes;
 
-    private final Thread thread = new Thread(this::run, "mail");
+    private final Thread thread = new Thread(this::run, "datagram-relay");
     private long delayedCount;
     private double nextJunkAt;
     private volatile boolean closed;
--- a/src/main/java/lemondrift/lab/fleet/DayPlayer.java
+++ b/src/main/java/lemondrift/lab/fleet/DayPlayer.java
@@ -14,6 +14,7 @@
     /** Within which all requests have to end after a day. */
     private static final double OPEN_REQUESTS_TIMEOUT_SECONDS = 60;
 
+    /** Between two looks at what is waited for. */
     private static final long POLL_INTERVAL_MILLIS = 50;
 
     /**
--- a/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
@@ -27,7 +27,7 @@
  * clients, backends, discovery and the network between. Plays one day after the other on the same
  * processes; docs/lab.md says how it is judged.
  *
- * <p>The methods wait for the testbed's own threads, so one thread of the caller's is to call them.
+ * <p>Its methods wait for the I/O thread and the process thread, so neither of these may call them.
  */
 public final class FleetTestbed implements AutoCloseable {
     /** How long there is traffic before the first day counts. */
@@ -45,7 +45,7 @@
     /** Clients without proxies are judged by none. */
     private static final int NO_RULES = 0;
 
-    /** For which the I/O thread may close its connections at the end. */
+    /** How long the I/O thread has to close all connections at the end. */
     private static final int CLOSE_TIMEOUT_SECONDS = 1;
 
     /** What one day came to; the rule is the first that was broken, empty where all were kept. */
--- a/src/main/java/lemondrift/lab/fleet/HttpConnection.java
+++ b/src/main/java/lemondrift/lab/fleet/HttpConnection.java
@@ -38,10 +38,19 @@
     }
 
     private static final byte[] END_OF_HEAD = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+
+    /** How much is read at once. */
     private static final int READ_BUFFER_BYTES = 8192;
+
+    /** A longer head closes the connection. */
     private static final int MAX_HEAD_BYTES = 16_384;
+
+    /** A longer body closes the connection. */
     private static final int MAX_BODY_BYTES = 1 << 20;
+
+    /** Stands for nothing that is unsent; it has no bytes, so that it can be shared. */
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
+
     private static final OptionMap NO_DELAY = OptionMap.create(Options.TCP_NODELAY, true);
 
     private final StreamConnection stream;
--- a/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
+++ b/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
@@ -25,7 +25,10 @@
         }
     }
 
-    private static final int LOOPBACK_FIRST_BYTE = 127;
+    /** All addresses of the loopback network start with it. */
+    private static final byte LOOPBACK_FIRST_BYTE = 127;
+
+    /** How many values of the third and of the fourth byte are used. */
     private static final int VALUES_PER_BYTE = 250;
 
     private LoopbackAddresses() {}
--- a/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
+++ b/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
@@ -25,9 +25,10 @@
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** The longest latency that is told apart from longer ones, ten minutes. */
+    /** Ten minutes; longer latencies count as this one. */
     private static final long MAX_LATENCY_MICROS = 600_000_000;
 
+    /** The significant digits to which latencies are kept. */
     private static final int LATENCY_DIGITS = 3;
 
     /** One request that a client has sent to a proxy, or to a backend where there are none. */
--- a/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
@@ -5,7 +5,7 @@
     /** In how many steps a rolling restart of the fleet is done. */
     private static final int ROLL_STEPS = 10;
 
-    /** How often a reload is repeated over the span of its fault. */
+    /** How many reloads one fault makes, evenly over its duration. */
     private static final int RELOADS = 4;
 
     private final RealTimeScheduler scheduler;
--- a/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
@@ -19,10 +19,19 @@
     /** Sets the seeds of different proxies apart. */
     private static final long SEED_STEP = 1000;
 
+    /** The cores that a proxy may use. */
     private static final double CORES = 1.0;
+
+    /** The memory that a proxy may use. */
     private static final int MEMORY_MEGABYTES = 192;
+
+    /** How many sockets a proxy may have open. */
     private static final int MAX_SOCKETS = 1024;
+
+    /** After which an idle connection is closed. */
     private static final int IDLE_CONNECTION_MILLIS = 10_000;
+
+    /** Within which a connection to a backend has to be established. */
     private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
     private final Settings settings;
--- a/src/main/java/lemondrift/lab/fleet/ProxyFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyFleet.java
@@ -18,6 +18,7 @@
     /** Within which all proxies have to be back after a day. */
     private static final double RETURN_TIMEOUT_SECONDS = 60;
 
+    /** Between two looks at what is waited for. */
     private static final long POLL_INTERVAL_MILLIS = 50;
 
     private final RealTimeScheduler scheduler;
--- a/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
@@ -41,7 +41,7 @@
     /** By proxy. */
     private final boolean[] paused;
 
-    private final Thread shutdownHook = new Thread(this::killAll, "end");
+    private final Thread shutdownHook = new Thread(this::killAll, "kill-proxies");
 
     /**
      * Starts none yet.
@@ -88,7 +88,7 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Reads one line of a file of the kernel's. */
+    /** Reads the number of kilobytes in the line of a kernel file that starts with a key. */
     private static Optional<Long> readKilobytes(Path file, String key) throws IOException {
         try (Stream<String> lines = Files.lines(file)) {
             return lines.filter(line -> line.startsWith(key))
@@ -97,7 +97,7 @@
         }
     }
 
-    /** The name of a proxy, of which its files are named too. */
+    /** The name of a proxy, which its files have too. */
     static String name(int proxy) {
         return "n" + proxy;
     }
--- a/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
@@ -15,6 +15,7 @@
  * seed would be another day.
  */
 final class SoakPlanner {
+    /** The length of a day. */
     private static final double DAY_SECONDS = 14;
 
     /** At the start of the day, in which no fault begins. */
@@ -23,8 +24,13 @@
     /** At the end of the day, in which no fault begins. */
     private static final double QUIET_END_SECONDS = 4;
 
+    /** One of these is drawn. */
     private static final int[] BACKEND_COUNTS = {6, 24, 120, 400};
+
+    /** One of these is drawn, for all request classes. */
     private static final double[] LATENCY_OBJECTIVE_SECONDS = {0.25, 0.4, 0.8, 1.2};
+
+    /** Among which proxies and backends are distributed. */
     private static final int LOCATIONS = 2;
 
     /** The highest share of the backends' capacity that the requests take. */
--- a/src/main/java/lemondrift/lab/fleet/SoakRun.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakRun.java
@@ -23,9 +23,10 @@
     /**
      * One day as drawn.
      *
-     * @param crowd how many idle clients each proxy has
+     * @param seed from which all of it is drawn
+     * @param idleClientsPerProxy 0 or more
      */
-    public record Plan(long seed, Experiment experiment, int crowd) {
+    public record Plan(long seed, Experiment experiment, int idleClientsPerProxy) {
         /** One line on what is drawn. */
         public String about() {
             Scenario scenario = experiment.day();
@@ -38,7 +39,7 @@
                                     scenario.backends(),
                                     scenario.rate(),
                                     scenario.settings().windowSeconds(),
-                                    crowd));
+                                    idleClientsPerProxy));
             scenario.troubles().forEach(fault -> text.append(describe(fault)));
             experiment.faults().forEach(fault -> text.append(describe(fault)));
             return text.toString();
@@ -85,7 +86,7 @@
         try (FleetTestbed testbed =
                 FleetTestbed.withProxies(plan.experiment, plan.seed, launcher, progress)) {
             testbed.start();
-            testbed.connectIdleClients(plan.crowd);
+            testbed.connectIdleClients(plan.idleClientsPerProxy);
             FleetTestbed.DayOutcome outcome = testbed.play();
             List<String> wrong = new ArrayList<>();
             outcome.brokenRule().ifPresent(wrong::add);
