--- a/src/main/java/lemondrift/cli/LoadCommand.java
+++ b/src/main/java/lemondrift/cli/LoadCommand.java
@@ -1,5 +1,6 @@
 package lemondrift.cli;
 
+import java.io.PrintWriter;
 import java.net.InetSocketAddress;
 import java.util.Locale;
 import java.util.concurrent.Callable;
@@ -11,7 +12,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Load on a loopback address. */
+/** Sends load to a loopback address. */
 @Command(
         name = "load",
         description = "Sends requests at a rate to a loopback address.",
@@ -20,7 +21,7 @@
     @Spec CommandSpec spec;
 
     @Parameters(paramLabel = "HOST:PORT")
-    String to;
+    String target;
 
     @Option(
             names = "--rate",
@@ -36,9 +37,10 @@
 
     @Option(
             names = "--warm-up",
+            paramLabel = "<warmUp>",
             defaultValue = "1",
             description = "seconds before, left out (${DEFAULT-VALUE})")
-    double warmUp;
+    double warmUpSeconds;
 
     @Option(
             names = "--connections",
@@ -48,15 +50,17 @@
 
     @Option(
             names = "--grade",
+            paramLabel = "<grade>",
             required = true,
             description = "the service grade that each request names")
-    String grade;
+    String requestClass;
 
     @Option(
             names = "--timeout",
+            paramLabel = "<timeout>",
             defaultValue = "5",
             description = "seconds for an answer (${DEFAULT-VALUE})")
-    double timeout;
+    double timeoutSeconds;
 
     @Option(
             names = "--highest",
@@ -64,30 +68,37 @@
             description =
                     "search the highest rate whose 99th percentile stays within this, from --rate"
                             + " on")
-    Double highest;
+    Double highestRateBoundSeconds;
 
     @Override
     public Integer call() throws InterruptedException {
-        int colon = to.lastIndexOf(':');
-        InetSocketAddress address;
-        try {
-            int port = Integer.parseInt(to.substring(colon + 1));
-            address = new InetSocketAddress(to.substring(0, colon), port);
-        } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            throw new InvalidSettingsException("not host:port: " + to);
-        }
-        Load.Plan plan = new Load.Plan(address, rate, seconds, warmUp, connections, grade, timeout);
-        if (highest != null) {
-            spec.commandLine()
-                    .getOut()
-                    .printf(
-                            Locale.ROOT,
-                            "highest rate %.0f a second%n",
-                            Load.highestRate(plan, 99, highest));
+        Load.Plan plan =
+                new Load.Plan(
+                        address(),
+                        rate,
+                        seconds,
+                        warmUpSeconds,
+                        connections,
+                        requestClass,
+                        timeoutSeconds);
+        PrintWriter out = spec.commandLine().getOut();
+        if (highestRateBoundSeconds != null) {
+            double highestRate = Load.highestRate(plan, 99, highestRateBoundSeconds);
+            out.printf(Locale.ROOT, "highest rate %.0f a second%n", highestRate);
             return RootCommand.DONE;
         }
         Load.Result result = Load.play(plan);
-        spec.commandLine().getOut().println(result);
+        out.println(result);
         return result.keptUp() && result.failed() == 0 ? RootCommand.DONE : RootCommand.FAILED;
     }
+
+    private InetSocketAddress address() {
+        int colon = target.lastIndexOf(':');
+        try {
+            int port = Integer.parseInt(target.substring(colon + 1));
+            return new InetSocketAddress(target.substring(0, colon), port);
+        } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
+            throw new InvalidSettingsException("not host:port: " + target);
+        }
+    }
 }
--- a/src/main/java/lemondrift/lab/load/Load.java
+++ b/src/main/java/lemondrift/lab/load/Load.java
@@ -1,33 +1,53 @@
 package lemondrift.lab.load;
 
 import java.io.IOException;
-import java.io.InputStream;
 import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicLong;
+import lemondrift.lab.simulation.ReportKeys;
 import lemondrift.settings.InvalidSettingsException;
 import org.HdrHistogram.Histogram;
 
 /**
- * Sends requests at a stated rate, whatever becomes of those before (an open loop), and counts each
- * one's latency from when it should have been sent: waiting for a free connection is the client's
- * time too. Loopback alone.
+ * Sends requests at a stated rate, whatever becomes of those before (an open loop). Latency counts
+ * from when a request was due: waiting for a free connection is the client's time too. It sends to
+ * loopback alone.
  */
 public final class Load {
-    /**
-     * A request that goes out this many seconds late shows that the load is too weak for the rate.
-     */
-    private static final double BEHIND = 0.01;
+    /** A request that is sent this many seconds late shows that the load falls behind its rate. */
+    private static final double BEHIND_SECONDS = 0.01;
+
+    /** The share of the requests that may be sent late is one in so many. */
+    private static final long KEPT_UP_DIVISOR = 100;
+
+    /** The longest latency that is told apart. */
+    private static final long MAX_LATENCY_MICROS = 60_000_000;
+
+    /** To how many digits latencies are counted. */
+    private static final int LATENCY_DIGITS = 2;
+
+    /** The first request is due this long after the start, when all threads wait for theirs. */
+    private static final long START_DELAY_NANOS = 20_000_000;
 
-    /** Latencies in microseconds up to a minute, to two digits. */
-    private static final long LONGEST = 60_000_000;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Beside a status: the connection closes after it. */
-    private static final int CLOSES = 1 << 16;
+    /** The highest rate of a plan, in requests a second. */
+    private static final double MAX_RATE = 1e6;
+
+    private static final double MAX_SECONDS = 3600;
+    private static final int MAX_CONNECTIONS = 4096;
+
+    /** The search for the highest rate ends when it is known to this share. */
+    private static final double RATE_PRECISION_SHARE = 0.1;
+
+    /** The search gives up where not even this rate holds, in requests a second. */
+    private static final double MIN_RATE = 1;
+
+    /** Stands for the status of a request that got no whole response. */
+    private static final int NO_RESPONSE = 0;
 
     /**
      * What to send.
@@ -35,9 +55,10 @@
      * @param to a loopback address
      * @param rate requests a second, over 0
      * @param seconds for how long, over 0; the warm-up comes before and is left out
+     * @param warmUp seconds of warm-up, 0 or more
      * @param connections how many requests may be open at once, 1 to 4096
-     * @param grade the request class that each names
-     * @param timeout seconds after which a request has failed
+     * @param grade the request class that each request names
+     * @param timeout seconds after which a request has failed, over 0
      */
     public record Plan(
             InetSocketAddress to,
@@ -57,11 +78,11 @@
             if (to.isUnresolved() || !to.getAddress().isLoopbackAddress()) {
                 throw new InvalidSettingsException("not a loopback address: " + to.getHostString());
             }
-            if (!(rate > 0 && rate <= 1e6)
-                    || !(seconds > 0 && seconds <= 3600)
+            if (!(rate > 0 && rate <= MAX_RATE)
+                    || !(seconds > 0 && seconds <= MAX_SECONDS)
                     || !(warmUp >= 0)
                     || connections < 1
-                    || connections > 4096
+                    || connections > MAX_CONNECTIONS
                     || !(timeout > 0)) {
                 throw new InvalidSettingsException(
                         "a load that cannot be: rate "
@@ -72,27 +93,40 @@
                                 + connections);
             }
         }
+
+        private Plan withRate(double newRate) {
+            return new Plan(to, newRate, seconds, warmUp, connections, grade, timeout);
+        }
     }
 
-    /** What came of it; latencies are those of 200 answers, in microseconds. */
+    /**
+     * What came of a load.
+     *
+     * @param latency of the requests that succeeded, in microseconds
+     * @param sent how many requests were due after the warm-up
+     * @param succeeded those answered with status 200
+     * @param rejected those answered with status 429 or 503
+     * @param failed all others
+     * @param behind those that were sent late for want of a free connection
+     */
     public record Result(
-            Histogram latency, long sent, long delivered, long shed, long failed, long behind) {
-        /**
-         * Whether the load was what was asked for: at most one request in a hundred went out late.
-         */
+            Histogram latency, long sent, long succeeded, long rejected, long failed, long behind) {
+        /** Whether the load kept its rate: at most one request in a hundred was sent late. */
         public boolean keptUp() {
-            return behind <= sent / 100;
+            return behind <= sent / KEPT_UP_DIVISOR;
         }
 
         @Override
         public String toString() {
             return String.format(
                     Locale.ROOT,
-                    "sent %d, delivered %d, shed %d, failed %d, us: 50%% %d, "
+                    "sent %d, %s %d, %s %d, failed %d, us: 50%% %d, "
                             + "90%% %d, 99%% %d, 99.9%% %d, most %d%s",
                     sent,
-                    delivered,
-                    shed,
+                    ReportKeys.SUCCEEDED,
+                    succeeded,
+                    ReportKeys.REJECTED,
+                    rejected,
                     failed,
                     latency.getValueAtPercentile(50),
                     latency.getValueAtPercentile(90),
@@ -106,11 +140,11 @@
     }
 
     private final Plan plan;
-    private final AtomicLong next = new AtomicLong();
-    private final long total;
-    private final long warm;
-    private final long origin = System.nanoTime() + 20_000_000;
-    private final Histogram latency = new Histogram(LONGEST, 2);
+    private final AtomicLong nextIndex = new AtomicLong();
+    private final long totalCount;
+    private final long warmUpCount;
+    private final long originNanos = System.nanoTime() + START_DELAY_NANOS;
+    private final Histogram latency = new Histogram(MAX_LATENCY_MICROS, LATENCY_DIGITS);
     private long sent;
     private long succeeded;
     private long rejected;
@@ -119,117 +153,106 @@
 
     private Load(Plan plan) {
         this.plan = plan;
-        warm = (long) (plan.rate * plan.warmUp);
-        total = warm + (long) Math.max(1, plan.rate * plan.seconds);
+        warmUpCount = (long) (plan.rate * plan.warmUp);
+        totalCount = warmUpCount + (long) Math.max(1, plan.rate * plan.seconds);
     }
 
-    /** Plays a plan and returns when its last request has ended. */
+    /**
+     * Plays a plan and returns when its last request has ended.
+     *
+     * @throws InterruptedException where the calling thread is interrupted
+     */
     public static Result play(Plan plan) throws InterruptedException {
         Load load = new Load(plan);
         List<Thread> threads = new ArrayList<>();
-        for (int c = 0; c < plan.connections; c++) {
-            Thread thread = new Thread(load::sendAll, "load-" + c);
+        for (int i = 0; i < plan.connections; i++) {
+            Thread thread = new Thread(load::sendAll, "load-" + i);
             thread.setDaemon(true);
             thread.start();
             threads.add(thread);
         }
-        for (Thread each : threads) {
-            each.join();
+        for (Thread thread : threads) {
+            thread.join();
         }
         return new Result(
                 load.latency, load.sent, load.succeeded, load.rejected, load.failed, load.behind);
     }
 
     /**
-     * The highest rate, by doubling and then halving the gap, at which a quantile of latency stays
-     * within a bound and nothing fails.
+     * The highest rate, by doubling and then halving the gap, at which a percentile of the latency
+     * stays within a bound and every request succeeds; 0 where not even one a second does.
      *
-     * @param quantile in percent, as 99
-     * @param bound in seconds
+     * @param first the plan to begin with
+     * @param percentile such as 99
+     * @param boundSeconds for the latency at that percentile
+     * @throws InterruptedException where the calling thread is interrupted
      */
-    public static double highestRate(Plan first, double quantile, double bound)
+    public static double highestRate(Plan first, double percentile, double boundSeconds)
             throws InterruptedException {
-        double good = 0;
-        double bad = Double.POSITIVE_INFINITY;
+        double highestGood = 0;
+        double lowestBad = Double.POSITIVE_INFINITY;
         double rate = first.rate;
-        while (bad - good > 0.1 * good && rate <= 1e6) {
-            Result result =
-                    play(
-                            new Plan(
-                                    first.to,
-                                    rate,
-                                    first.seconds,
-                                    first.warmUp,
-                                    first.connections,
-                                    first.grade,
-                                    first.timeout));
-            boolean holds =
-                    result.keptUp()
-                            && result.failed == 0
-                            && result.shed == 0
-                            && result.latency.getValueAtPercentile(quantile) <= bound * 1e6;
-            good = holds ? rate : good;
-            bad = holds ? bad : rate;
-            rate = bad == Double.POSITIVE_INFINITY ? 2 * rate : (good + bad) / 2;
-            if (good == 0 && rate < 1) {
+        while (lowestBad - highestGood > RATE_PRECISION_SHARE * highestGood && rate <= MAX_RATE) {
+            if (isWithin(play(first.withRate(rate)), percentile, boundSeconds)) {
+                highestGood = rate;
+            } else {
+                lowestBad = rate;
+            }
+            rate = lowestBad == Double.POSITIVE_INFINITY ? 2 * rate : (highestGood + lowestBad) / 2;
+            if (highestGood == 0 && rate < MIN_RATE) {
                 return 0;
             }
         }
-        return good;
+        return highestGood;
     }
 
+    private static boolean isWithin(Result result, double percentile, double boundSeconds) {
+        return result.keptUp()
+                && result.failed == 0
+                && result.rejected == 0
+                && result.latency.getValueAtPercentile(percentile) <= boundSeconds * 1e6;
+    }
+
+    /** One thread: takes the next request that is due until there is none. */
     private void sendAll() {
-        Socket socket = null;
-        for (long i = next.getAndIncrement(); i < total; i = next.getAndIncrement()) {
-            long due = origin + (long) (i / plan.rate * 1e9);
-            try {
-                sleepUntil(due);
-                double late = (System.nanoTime() - due) / 1e9;
-                socket = socket == null ? connect() : socket;
-                socket.getOutputStream().write(request(i));
-                int status = status(socket);
-                count(i, due, late, status & ~CLOSES);
-                socket = (status & CLOSES) == 0 ? socket : close(socket);
-            } catch (IOException e) {
-                count(i, due, 0, 0);
-                socket = close(socket);
-            } catch (InterruptedException e) {
-                break;
+        try (LoadConnection connection = new LoadConnection(plan.to, plan.timeout)) {
+            for (long index = nextIndex.getAndIncrement();
+                    index < totalCount;
+                    index = nextIndex.getAndIncrement()) {
+                send(index, connection);
             }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
         }
-        close(socket);
     }
 
-    private static void sleepUntil(long time) throws InterruptedException {
-        for (long wait = time - System.nanoTime(); wait > 0; wait = time - System.nanoTime()) {
-            Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
+    private void send(long index, LoadConnection connection) throws InterruptedException {
+        long dueNanos = originNanos + (long) (index / plan.rate * NANOS_PER_SECOND);
+        sleepUntil(dueNanos);
+        double lateSeconds = (System.nanoTime() - dueNanos) / NANOS_PER_SECOND;
+        try {
+            connection.open();
+            int status = connection.exchange(request(index));
+            count(index, dueNanos, lateSeconds, status);
+            connection.closeIfServerDoes();
+        } catch (IOException e) {
+            // A request that failed is not counted as sent late as well.
+            count(index, dueNanos, 0, NO_RESPONSE);
+            connection.close();
         }
     }
 
-    private Socket connect() throws IOException {
-        Socket socket = new Socket();
-        socket.setTcpNoDelay(true);
-        socket.setSoTimeout((int) Math.ceil(plan.timeout * 1000));
-        socket.connect(plan.to, (int) Math.ceil(plan.timeout * 1000));
-        return socket;
-    }
-
-    private static Socket close(Socket socket) {
-        try {
-            if (socket != null) {
-                socket.close();
-            }
-        } catch (IOException e) {
-            // It is of no more use either way.
+    private static void sleepUntil(long time) throws InterruptedException {
+        for (long wait = time - System.nanoTime(); wait > 0; wait = time - System.nanoTime()) {
+            Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
         }
-        return null;
     }
 
-    private byte[] request(long i) {
+    private byte[] request(long index) {
         return ("GET /load HTTP/1.1\r\nHost: load\r\nX-Trace-Id: load-"
-                        + origin
+                        + originNanos
                         + "-"
-                        + i
+                        + index
                         + "\r\nX-Qos: "
                         + plan.grade
                         + "\r\nX-Expires-In-Ms: "
@@ -238,44 +261,20 @@
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Reads one answer whole; its status. */
-    private static int status(Socket socket) throws IOException {
-        InputStream in = socket.getInputStream();
-        StringBuilder head = new StringBuilder();
-        while (head.indexOf("\r\n\r\n") < 0) {
-            int c = in.read();
-            if (c < 0 || head.length() > 16_384) {
-                throw new IOException("no whole answer");
-            }
-            head.append((char) c);
-        }
-        String text = head.toString().toLowerCase(Locale.ROOT);
-        int at = text.indexOf("content-length: ");
-        int length =
-                at < 0
-                        ? 0
-                        : Integer.parseInt(
-                                text.substring(at + 16, text.indexOf("\r\n", at)).strip());
-        if (in.readNBytes(length).length < length) {
-            throw new IOException("no whole answer");
-        }
-        return Integer.parseInt(text.substring(9, 12))
-                | (text.contains("connection: close") ? CLOSES : 0);
-    }
-
-    private synchronized void count(long i, long due, double late, int status) {
-        if (i < warm) {
+    private synchronized void count(long index, long dueNanos, double lateSeconds, int status) {
+        if (index < warmUpCount) {
             return;
         }
         sent++;
-        behind += late > BEHIND ? 1 : 0;
-        if (status == 200) {
-            succeeded++;
-            latency.recordValue(Math.min(LONGEST, Math.max(1, (System.nanoTime() - due) / 1000)));
-        } else if (status == 429 || status == 503) {
-            rejected++;
-        } else {
-            failed++;
+        behind += lateSeconds > BEHIND_SECONDS ? 1 : 0;
+        switch (status) {
+            case 200 -> {
+                succeeded++;
+                long latencyMicros = (System.nanoTime() - dueNanos) / 1000;
+                latency.recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(1, latencyMicros)));
+            }
+            case 429, 503 -> rejected++;
+            default -> failed++;
         }
     }
 }
--- a/src/main/java/lemondrift/lab/load/package-info.java
+++ b/src/main/java/lemondrift/lab/load/package-info.java
@@ -1,5 +1,5 @@
 /**
  * An open-loop load on one proxy on loopback, with latencies counted from when a request was due.
- * One I/O thread.
+ * One blocking thread for each connection.
  */
 package lemondrift.lab.load;
--- a/src/test/java/lemondrift/lab/load/LoadTest.java
+++ b/src/test/java/lemondrift/lab/load/LoadTest.java
@@ -14,9 +14,9 @@
 import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 
-/** The load against a bare stand-in that answers after a known delay. */
+/** The load against a bare server that responds after a known delay. */
 class LoadTest {
-    private static InetSocketAddress answering(String status, int delay) throws IOException {
+    private static InetSocketAddress serverOf(String status, int delayMillis) throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         daemon(
                 () -> {
@@ -26,13 +26,15 @@
                                 () -> {
                                     byte[] buffer = new byte[4096];
                                     while (socket.getInputStream().read(buffer) > 0) {
-                                        Thread.sleep(delay);
-                                        String answer =
+                                        Thread.sleep(delayMillis);
+                                        String response =
                                                 "HTTP/1.1 "
                                                         + status
                                                         + "\r\nContent-Length: 2\r\n\r\nok";
                                         socket.getOutputStream()
-                                                .write(answer.getBytes(StandardCharsets.US_ASCII));
+                                                .write(
+                                                        response.getBytes(
+                                                                StandardCharsets.US_ASCII));
                                     }
                                 });
                     }
@@ -65,16 +67,16 @@
 
     @Test
     void latencyIsCountedAndWarmUpLeftOut() throws Exception {
-        Load.Result result = play(answering("200 OK", 20), 100, 32);
+        Load.Result result = play(serverOf("200 OK", 20), 100, 32);
         assertEquals(100, result.sent());
-        assertEquals(100, result.delivered());
+        assertEquals(100, result.succeeded());
         assertTrue(result.latency().getMinValue() >= 20_000 * 0.98, result.toString());
     }
 
     @Test
-    void oneThatFallsBehindSaysSoAndCountsTheWait() throws Exception {
+    void aLoadThatFallsBehindSaysSoAndCountsTheWait() throws Exception {
         // Two connections at 50 ms each can send 40 a second; 200 are asked for.
-        Load.Result result = play(answering("200 OK", 50), 200, 2);
+        Load.Result result = play(serverOf("200 OK", 50), 200, 2);
         assertFalse(result.keptUp());
         assertTrue(result.toString().contains("BEHIND"), result.toString());
         assertTrue(
@@ -82,9 +84,9 @@
     }
 
     @Test
-    void shedAndFailedAreToldApart() throws Exception {
-        assertEquals(100, play(answering("503 Shed", 0), 100, 8).shed());
-        assertEquals(100, play(answering("502 Scrapped", 0), 100, 8).failed());
+    void rejectedAndFailedAreCountedApart() throws Exception {
+        assertEquals(100, play(serverOf("503 Rejected", 0), 100, 8).rejected());
+        assertEquals(100, play(serverOf("502 Failed", 0), 100, 8).failed());
         int port;
         try (ServerSocket closed = new ServerSocket(0)) {
             port = closed.getLocalPort();
@@ -92,7 +94,7 @@
         assertEquals(100, play(new InetSocketAddress("127.0.0.1", port), 100, 8).failed());
     }
 
-    private static void refused(InetSocketAddress to, double rate) {
+    private static void assertRefused(InetSocketAddress to, double rate) {
         assertThrows(
                 InvalidSettingsException.class, () -> new Load.Plan(to, rate, 1, 0, 1, "look", 1));
     }
@@ -100,9 +102,9 @@
     @Test
     void onlyLoopbackIsSentTo() {
         for (String other : new String[] {"10.0.0.1", "192.168.1.1", "8.8.8.8"}) {
-            refused(new InetSocketAddress(other, 80), 1);
+            assertRefused(new InetSocketAddress(other, 80), 1);
         }
-        refused(InetSocketAddress.createUnresolved("localhost", 80), 1);
-        refused(new InetSocketAddress("127.0.0.1", 80), 0);
+        assertRefused(InetSocketAddress.createUnresolved("localhost", 80), 1);
+        assertRefused(new InetSocketAddress("127.0.0.1", 80), 0);
     }
 }
