--- a/src/main/java/lemondrift/cli/FleetCommand.java
+++ b/src/main/java/lemondrift/cli/FleetCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.ParentCommand;
 
-/** Experiments on real processes. */
+/** Plays experiments on real processes. */
 @Command(
         name = "fleet",
         description = "Plays experiments with real processes of the built archive.",
@@ -38,54 +38,29 @@
     Path json;
 
     @Option(names = "--seconds", description = "what was served, second by second")
-    boolean seconds;
+    boolean printsSeconds;
 
     @Option(names = "--quiet", description = "no line of progress")
     boolean quiet;
 
-    private String last = "";
+    private String lastProgress = "";
 
     @Override
     public Integer call() throws IOException, InterruptedException {
         ProcessLauncher launcher = ProcessLauncher.deployed(root.toAbsolutePath().normalize());
-        PrintWriter out = lab.out();
         boolean failed = false;
         List<Report> reports = new ArrayList<>();
         for (Path file : files) {
             Experiment experiment = ExperimentFile.read(file);
-            List<Experiment.Run> runs = FleetRun.play(experiment, launcher, this::progress);
-            int proxies = experiment.day().proxies();
-            out.println(experiment.name() + ": " + experiment.about());
-            out.println(FleetRun.row("policy", "seed", null, proxies, 1));
-            runs.forEach(
-                    run ->
-                            out.println(
-                                    FleetRun.row(
-                                            run.policy(),
-                                            String.valueOf(run.seed()),
-                                            run.figures(),
-                                            proxies,
-                                            experiment.day().lasts())));
+            List<Experiment.Run> runs = FleetRun.play(experiment, launcher, this::printProgress);
+            printTable(experiment, runs);
             for (Experiment.Run run : runs) {
-                out.print(
-                        seconds
-                                ? run.policy()
-                                        + ", seed "
-                                        + run.seed()
-                                        + "\n"
-                                        + FleetRun.seconds(run.figures())
-                                : "");
+                printDetails(run);
                 failed |= run.broken() != null || run.figures().crashed > 0;
-                out.print(run.broken() == null ? "" : run.broken() + "\n");
             }
-            failed |= lab.missed(experiment, runs);
-            out.flush();
-            reports.add(
-                    new Report(
-                            experiment.name(),
-                            experiment.about(),
-                            experiment.day().troubles(),
-                            runs));
+            failed |= lab.printMissedExpectations(experiment, runs);
+            lab.out().flush();
+            reports.add(Report.of(experiment, runs));
         }
         if (json != null) {
             Report.write(reports, json);
@@ -93,10 +68,37 @@
         return failed ? RootCommand.FAILED : RootCommand.DONE;
     }
 
-    /** A line only when it says something new. */
-    private void progress(String line) {
-        if (!quiet && !line.equals(last)) {
-            last = line;
+    private void printTable(Experiment experiment, List<Experiment.Run> runs) {
+        PrintWriter out = lab.out();
+        int proxies = experiment.day().proxies();
+        out.println(experiment.name() + ": " + experiment.about());
+        out.println(FleetRun.row("policy", "seed", null, proxies, 1));
+        for (Experiment.Run run : runs) {
+            out.println(
+                    FleetRun.row(
+                            run.policy(),
+                            String.valueOf(run.seed()),
+                            run.figures(),
+                            proxies,
+                            experiment.day().lasts()));
+        }
+    }
+
+    private void printDetails(Experiment.Run run) {
+        PrintWriter out = lab.out();
+        if (printsSeconds) {
+            out.print(run.policy() + ", seed " + run.seed() + "\n");
+            out.print(FleetRun.seconds(run.figures()));
+        }
+        if (run.broken() != null) {
+            out.print(run.broken() + "\n");
+        }
+    }
+
+    /** Prints a line of progress, unless it is the one before. */
+    private void printProgress(String line) {
+        if (!quiet && !line.equals(lastProgress)) {
+            lastProgress = line;
             System.err.println(line);
         }
     }
--- a/src/main/java/lemondrift/cli/LabCommand.java
+++ b/src/main/java/lemondrift/cli/LabCommand.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.ParentCommand;
 import picocli.CommandLine.Spec;
 
-/** Experiments in virtual time. */
+/** Plays experiments, in virtual time where its subcommands do not say otherwise. */
 @Command(
         name = "lab",
         description = "Experiments on the decisions, in virtual time.",
@@ -33,8 +33,11 @@
             SoakCommand.class
         })
 final class LabCommand {
-    /** Seconds of the window that a figure which is not met is told with. */
-    private static final int WINDOW = 5;
+    /** The length of the worst window that is printed with a figure that is not met. */
+    private static final int WORST_WINDOW_SECONDS = 5;
+
+    /** How many of the worst backends are printed with it. */
+    private static final int WORST_BACKENDS = 3;
 
     @Spec CommandSpec spec;
 
@@ -43,29 +46,34 @@
     }
 
     /**
-     * Prints which expectations the module's days do not meet, and where; whether there are any.
+     * Prints which expectations the module's runs do not meet, and where most was lost; tells
+     * whether there are any.
      */
-    boolean missed(Experiment experiment, List<Experiment.Run> runs) {
-        boolean missed = false;
-        for (Experiment.Expectation each : experiment.expects()) {
+    boolean printMissedExpectations(Experiment experiment, List<Experiment.Run> runs) {
+        boolean anyMissed = false;
+        for (Experiment.Expectation expectation : experiment.expectations()) {
             for (Experiment.Run run : runs) {
-                if (run.policy().equals(Experiment.MODULE) && !each.holds(run.figures())) {
-                    missed = true;
-                    int from = run.figures().worstWindow(WINDOW);
-                    out().printf(
-                                    Locale.ROOT,
-                                    "  not met: %s (%.4f, seed %d); most is lost from "
-                                            + "%d to %d s, most forwards fail at backends %s%n",
-                                    each,
-                                    Experiment.value(each.figure(), run.figures()),
-                                    run.seed(),
-                                    from,
-                                    from + WINDOW,
-                                    run.figures().worstBackends(3));
+                if (run.policy().equals(Experiment.MODULE) && !expectation.holds(run.figures())) {
+                    anyMissed = true;
+                    printMissed(expectation, run);
                 }
             }
         }
-        return missed;
+        return anyMissed;
+    }
+
+    private void printMissed(Experiment.Expectation expectation, Experiment.Run run) {
+        int windowStart = run.figures().worstWindowStart(WORST_WINDOW_SECONDS);
+        out().printf(
+                        Locale.ROOT,
+                        "  not met: %s (%.4f, seed %d); most is lost from "
+                                + "%d to %d s, most forwards fail at backends %s%n",
+                        expectation,
+                        expectation.figure().read(run.figures()),
+                        run.seed(),
+                        windowStart,
+                        windowStart + WORST_WINDOW_SECONDS,
+                        run.figures().worstBackends(WORST_BACKENDS));
     }
 
     /** Plays experiments and prints a table of each. */
@@ -93,37 +101,39 @@
             for (Path file : files) {
                 Experiment experiment = ExperimentFile.read(file);
                 List<Experiment.Run> runs = experiment.play();
-                lab.out().println(experiment.name() + ": " + experiment.about());
-                runs.forEach(
-                        run ->
-                                lab.out()
-                                        .printf(
-                                                Locale.ROOT,
-                                                "  %-18s seed %-4d %s%s%n",
-                                                run.policy(),
-                                                run.seed(),
-                                                run.figures(),
-                                                run.broken() == null ? "" : "  RULE BROKEN"));
-                for (Experiment.Run run : runs) {
-                    if (run.broken() != null) {
-                        failed = true;
-                        lab.out().println(run.broken());
-                    }
-                }
-                failed |= lab.missed(experiment, runs);
-                lab.out().flush();
-                reports.add(
-                        new Report(
-                                experiment.name(),
-                                experiment.about(),
-                                experiment.day().troubles(),
-                                runs));
+                failed |= print(experiment, runs);
+                reports.add(Report.of(experiment, runs));
             }
             if (json != null) {
                 Report.write(reports, json);
             }
             return failed ? RootCommand.FAILED : RootCommand.DONE;
         }
+
+        /** Prints the runs; tells whether a rule broke or an expectation does not hold. */
+        private boolean print(Experiment experiment, List<Experiment.Run> runs) {
+            PrintWriter out = lab.out();
+            out.println(experiment.name() + ": " + experiment.about());
+            for (Experiment.Run run : runs) {
+                out.printf(
+                        Locale.ROOT,
+                        "  %-18s seed %-4d %s%s%n",
+                        run.policy(),
+                        run.seed(),
+                        run.figures(),
+                        run.broken() == null ? "" : "  RULE BROKEN");
+            }
+            boolean failed = false;
+            for (Experiment.Run run : runs) {
+                if (run.broken() != null) {
+                    failed = true;
+                    out.println(run.broken());
+                }
+            }
+            failed |= lab.printMissedExpectations(experiment, runs);
+            out.flush();
+            return failed;
+        }
     }
 
     /** Lists the experiments of a folder. */
@@ -148,7 +158,7 @@
         }
     }
 
-    /** Holds the module against each other policy of an experiment, paired by seed. */
+    /** Compares the module with each other policy of an experiment, paired by seed. */
     @Command(
             name = "compare",
             description = "The module's service less each policy's, by seed, with intervals.",
@@ -161,38 +171,42 @@
 
         @Override
         public Integer call() throws IOException {
-            boolean broken = false;
+            boolean anyBroken = false;
             for (Path file : files) {
                 Experiment experiment = ExperimentFile.read(file);
                 List<Experiment.Run> runs = experiment.play();
-                broken |= runs.stream().anyMatch(run -> run.broken() != null);
-                double[] module = service(runs, Experiment.MODULE);
-                lab.out()
-                        .printf(
-                                Locale.ROOT,
-                                "%s: module %.4f%n",
-                                experiment.name(),
-                                Arrays.stream(module).average().orElse(0));
-                for (String policy : experiment.policies()) {
-                    if (!policy.equals(Experiment.MODULE)) {
-                        PairedDifference difference =
-                                PairedDifference.of(module, service(runs, policy));
-                        lab.out()
-                                .printf(
-                                        Locale.ROOT,
-                                        "  less %-18s %+.4f  [%+.4f, %+.4f]%n",
-                                        policy,
-                                        difference.mean(),
-                                        difference.low(),
-                                        difference.high());
-                    }
+                anyBroken |= runs.stream().anyMatch(run -> run.broken() != null);
+                print(experiment, runs);
+            }
+            return anyBroken ? RootCommand.FAILED : RootCommand.DONE;
+        }
+
+        private void print(Experiment experiment, List<Experiment.Run> runs) {
+            PrintWriter out = lab.out();
+            double[] module = serviceShares(runs, Experiment.MODULE);
+            out.printf(
+                    Locale.ROOT,
+                    "%s: module %.4f%n",
+                    experiment.name(),
+                    Arrays.stream(module).average().orElse(0));
+            for (String policy : experiment.policies()) {
+                if (!policy.equals(Experiment.MODULE)) {
+                    PairedDifference difference =
+                            PairedDifference.of(module, serviceShares(runs, policy));
+                    out.printf(
+                            Locale.ROOT,
+                            "  less %-18s %+.4f  [%+.4f, %+.4f]%n",
+                            policy,
+                            difference.mean(),
+                            difference.low(),
+                            difference.high());
                 }
-                lab.out().flush();
             }
-            return broken ? RootCommand.FAILED : RootCommand.DONE;
+            out.flush();
         }
 
-        private static double[] service(List<Experiment.Run> runs, String policy) {
+        /** The served share of each run of a policy, in the order of the seeds. */
+        private static double[] serviceShares(List<Experiment.Run> runs, String policy) {
             return runs.stream()
                     .filter(run -> run.policy().equals(policy))
                     .mapToDouble(run -> run.figures().service())
--- a/src/main/java/lemondrift/cli/RecoveryCommand.java
+++ b/src/main/java/lemondrift/cli/RecoveryCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What proxies keep over their end. */
+/** The snapshots that proxies keep for their next start. */
 @Command(
         name = "recovery",
         description = "What a proxy keeps over its end.",
@@ -31,19 +31,19 @@
 
         @Override
         public Integer call() throws IOException {
-            Snapshot its = SnapshotFile.read(file);
+            Snapshot snapshot = SnapshotFile.read(file);
             spec.commandLine()
                     .getOut()
                     .printf(
                             Locale.ROOT,
                             "name %s%nstart %d%nwritten %s%nboot %s%n"
                                     + "work %.4f s, of %d answers%n",
-                            its.proxyName(),
-                            its.startNumber(),
-                            Instant.ofEpochMilli((long) (its.writtenAt() * 1000)),
-                            its.bootId().isEmpty() ? "not known" : its.bootId(),
-                            its.serviceTimeSeconds(),
-                            its.samples());
+                            snapshot.proxyName(),
+                            snapshot.startNumber(),
+                            Instant.ofEpochMilli((long) (snapshot.writtenAt() * 1000)),
+                            snapshot.bootId().isEmpty() ? "not known" : snapshot.bootId(),
+                            snapshot.serviceTimeSeconds(),
+                            snapshot.samples());
             spec.commandLine().getOut().flush();
             return RootCommand.DONE;
         }
--- a/src/main/java/lemondrift/cli/RootCommand.java
+++ b/src/main/java/lemondrift/cli/RootCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line but for serve, check and drill, which start without it. */
+/** The command line but for serve, check and drill, which Main starts without it. */
 @Command(
         name = "lemondrift",
         mixinStandardHelpOptions = true,
@@ -21,10 +21,13 @@
             AutoComplete.GenerateCompletion.class
         })
 public final class RootCommand {
-    /** Exit codes: done, the run failed or a rule broke, the call can't be used. */
+    /** Exit code: done. */
     static final int DONE = 0;
 
+    /** Exit code: a run failed, a rule broke or an expectation does not hold. */
     static final int FAILED = 1;
+
+    /** Exit code: the call or a file that it names cannot be used. */
     static final int USAGE = 2;
 
     @Command(name = "serve", description = "One real proxy; PROXY_CONFIG names its configuration.")
@@ -37,27 +40,29 @@
     static final class Drill {}
 
     /**
-     * Runs a command and returns its exit code; what can't be used is one line on standard error.
+     * Runs a command and returns its exit code: 0 done, 1 failed, 2 the call cannot be used, with
+     * one line on standard error.
      */
     public static int run(String... args) {
-        CommandLine line = new CommandLine(new RootCommand());
-        line.setExecutionExceptionHandler(
-                (e, its, parsed) -> {
-                    if (!(e instanceof InvalidSettingsException || e instanceof IOException)) {
-                        throw e;
-                    }
-                    its.getErr()
-                            .println(
-                                    "lemondrift: "
-                                            + (e instanceof InvalidSettingsException
-                                                    ? e.getMessage()
-                                                    : e.toString()));
-                    return USAGE;
-                });
+        CommandLine commandLine = new CommandLine(new RootCommand());
+        commandLine.setExecutionExceptionHandler(RootCommand::reportUnusable);
         if (args.length == 0) {
-            line.usage(System.err);
+            commandLine.usage(System.err);
             return USAGE;
         }
-        return line.execute(args);
+        return commandLine.execute(args);
+    }
+
+    /** Prints what cannot be used on one line; any other exception is thrown on. */
+    private static int reportUnusable(
+            Exception e, CommandLine command, CommandLine.ParseResult parsed) throws Exception {
+        if (e instanceof InvalidSettingsException) {
+            command.getErr().println("lemondrift: " + e.getMessage());
+        } else if (e instanceof IOException) {
+            command.getErr().println("lemondrift: " + e);
+        } else {
+            throw e;
+        }
+        return USAGE;
     }
 }
--- a/src/main/java/lemondrift/cli/SoakCommand.java
+++ b/src/main/java/lemondrift/cli/SoakCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParentCommand;
 
-/** Days of real processes with faults drawn from seeds. */
+/** Plays runs of real processes with faults drawn from seeds. */
 @Command(
         name = "soak",
         description = "Plays days of real processes on which all that fails is drawn from a seed.",
@@ -30,14 +30,14 @@
             paramLabel = "SEED",
             defaultValue = "1",
             description = "the first seed (${DEFAULT-VALUE})")
-    long from;
+    long firstSeed;
 
     @Option(
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "5",
             description = "how many (${DEFAULT-VALUE})")
-    int seeds;
+    int seedCount;
 
     @Option(
             names = "--at-once",
@@ -56,26 +56,28 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         ProcessLauncher launcher = ProcessLauncher.deployed(root.toAbsolutePath().normalize());
-        ExecutorService players = Executors.newFixedThreadPool(atOnce);
-        List<Future<SoakRun.Verdict>> days = new ArrayList<>();
-        for (long seed = from; seed < from + seeds; seed++) {
+        ExecutorService executor = Executors.newFixedThreadPool(atOnce);
+        List<Future<SoakRun.Verdict>> verdicts = new ArrayList<>();
+        for (long seed = firstSeed; seed < firstSeed + seedCount; seed++) {
             SoakRun.Plan plan = SoakRun.plan(seed);
-            days.add(players.submit(() -> SoakRun.play(plan, launcher, line -> {})));
+            verdicts.add(executor.submit(() -> SoakRun.play(plan, launcher, line -> {})));
         }
-        players.shutdown();
-        int failed = 0;
-        for (int i = 0; i < seeds; i++) {
-            failed += isWell(from + i, days.get(i)) ? 0 : 1;
+        executor.shutdown();
+        int failedCount = 0;
+        for (int i = 0; i < seedCount; i++) {
+            failedCount += printVerdict(firstSeed + i, verdicts.get(i)) ? 0 : 1;
         }
-        lab.out().printf("%d days, %d of them with something wrong%n", seeds, failed);
+        lab.out().printf("%d days, %d of them with something wrong%n", seedCount, failedCount);
         lab.out().flush();
-        return failed > 0 ? RootCommand.FAILED : RootCommand.DONE;
+        return failedCount > 0 ? RootCommand.FAILED : RootCommand.DONE;
     }
 
-    private boolean isWell(long seed, Future<SoakRun.Verdict> day) throws InterruptedException {
+    /** Prints what came of a seed, and tells whether all went well. */
+    private boolean printVerdict(long seed, Future<SoakRun.Verdict> played)
+            throws InterruptedException {
         PrintWriter out = lab.out();
         try {
-            SoakRun.Verdict verdict = day.get();
+            SoakRun.Verdict verdict = played.get();
             out.printf(
                     Locale.ROOT,
                     "seed %d: %s, in time %.3f, unanswered %d; %s%n",
--- a/src/main/java/lemondrift/lab/Baseline.java
+++ b/src/main/java/lemondrift/lab/Baseline.java
@@ -1,7 +1,8 @@
 package lemondrift.lab;
 
-import java.util.Arrays;
+import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalInt;
 import java.util.function.IntToDoubleFunction;
 import java.util.stream.IntStream;
 import lemondrift.lab.simulation.RoutingPolicy;
@@ -11,13 +12,14 @@
 import lemondrift.model.EndpointUpdate;
 import lemondrift.model.Idempotency;
 import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Policies to compare the module with, and nothing else: they pick, send again what is proved never
- * to have run, and keep rules one to three. They judge no health and spare no cold backend.
+ * Simple policies to compare the module with. They pick a backend, retry what was provably never
+ * executed, and keep the first three rules. They judge no health and spare no cold backend.
  */
 public final class Baseline implements RoutingPolicy {
     /** How a baseline picks among the backends that are listed as ready. */
@@ -26,38 +28,63 @@
         RANDOM,
         /** One after another. */
         ROUND_ROBIN,
-        /** The one with the fewest of this proxy's own attempts out. */
+        /** The one with the fewest of this proxy's own attempts in flight. */
         LEAST_OUTSTANDING,
-        /** The one of two at random with the fewest out. */
+        /** Of two at random the one with fewer of this proxy's attempts in flight. */
         TWO_CHOICES,
         /**
-         * The least peak of fading answer times, by one more than the attempts out (Finagle's Peak
-         * EWMA).
+         * The least peak of a moving average of response times, times one more than the attempts in
+         * flight (Finagle's Peak EWMA).
          */
         PEAK_EWMA,
         /** The one with the least true load, which no proxy can see. */
         ORACLE
     }
 
-    /**
-     * Seconds over which a peak of answer times fades, and the attempts that a request may have.
-     */
-    private static final double FADES = 5;
+    /** The time constant with which a peak of response times decays, in seconds. */
+    private static final double PEAK_DECAY_SECONDS = 5;
+
+    /** A response time below the peak lowers the peak by their difference over this. */
+    private static final double PEAK_DIVISOR = 8;
+
+    /** How many attempts a request may have. */
+    private static final int MAX_ATTEMPTS = 3;
+
+    /** What a proxy knows of one backend. */
+    private static final class BackendState {
+        boolean ready;
+        int attemptsInFlight;
 
-    private static final int MOST = 3;
+        /** The peak of its response times in seconds, as of {@link #peakAt}. */
+        double peakSeconds;
+
+        double peakAt;
+
+        double peakDecay(double now) {
+            return Math.exp((peakAt - now) / PEAK_DECAY_SECONDS);
+        }
+
+        void recordResponseTime(double durationSeconds, double now) {
+            double decayed = peakSeconds * peakDecay(now);
+            peakSeconds =
+                    Math.max(durationSeconds, decayed + (durationSeconds - decayed) / PEAK_DIVISOR);
+            peakAt = now;
+        }
+    }
 
     private final Kind kind;
     private final Settings settings;
     private final UniformRandomProvider random;
     private final IntToDoubleFunction trueLoad;
     private final Decision decision = new Decision();
-    private boolean[] ready = {};
-    private int[] out = {};
-    private double[] peak = {};
-    private double[] peakAt = {};
-    private int last;
+    private final List<BackendState> backends = new ArrayList<>();
+    private int roundRobinTurn;
 
-    /** The true load of a backend is asked for by the oracle alone. */
+    /**
+     * The baseline of one proxy.
+     *
+     * @param trueLoad the true load of a backend by its index; the oracle alone asks for it
+     */
     public Baseline(Kind kind, Settings settings, long seed, IntToDoubleFunction trueLoad) {
         this.kind = kind;
         this.settings = settings;
@@ -65,77 +92,95 @@
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
 
-    private Decision nothing() {
+    private Decision emptyDecision() {
         decision.clear();
         return decision;
     }
 
+    private RequestClass requestClassOf(Request request) {
+        return settings.requestClasses().get(request.requestClassIndex);
+    }
+
+    private boolean isIdempotent(Request request) {
+        return requestClassOf(request).idempotency() == Idempotency.IDEMPOTENT;
+    }
+
     @Override
     public Decision requestArrived(double now, Request request) {
-        nothing();
-        request.attemptDeadline =
-                Math.min(
-                        request.deadline,
-                        now
-                                + settings.requestClasses()
-                                        .get(request.requestClassIndex)
-                                        .latencyObjectiveSeconds());
-        sends(now, request);
+        emptyDecision();
+        double objectiveAt = now + requestClassOf(request).latencyObjectiveSeconds();
+        request.attemptDeadline = Math.min(request.deadline, objectiveAt);
+        sendOrReply(now, request);
         return decision;
     }
 
-    private void sends(double now, Request request) {
-        int to = now < request.attemptDeadline && request.attemptCount < MOST ? pick(now) : -1;
-        if (to < 0) {
-            boolean shed =
-                    request.possiblyExecuted == null
-                            || settings.requestClasses()
-                                            .get(request.requestClassIndex)
-                                            .idempotency()
-                                    == Idempotency.IDEMPOTENT;
-            request.completed = true;
-            decision.localReplies.add(new Decision.LocalReply(request, shed, 0));
-            return;
+    /** Makes another attempt, or replies where none can be made. */
+    private void sendOrReply(double now, Request request) {
+        boolean mayAttempt = now < request.attemptDeadline && request.attemptCount < MAX_ATTEMPTS;
+        OptionalInt picked = mayAttempt ? pick(now) : OptionalInt.empty();
+        if (picked.isPresent()) {
+            send(now, request, picked.getAsInt());
+        } else {
+            reply(request, request.possiblyExecuted == null || isIdempotent(request));
         }
-        request.latestAttempt = new Attempt(request, to, now, request.attemptDeadline - now, 0);
+    }
+
+    private void send(double now, Request request, int backend) {
+        request.latestAttempt =
+                new Attempt(request, backend, now, request.attemptDeadline - now, 0);
         request.attemptCount++;
         request.attemptsInFlight++;
-        out[to]++;
+        backends.get(backend).attemptsInFlight++;
         decision.attempts.add(request.latestAttempt);
     }
 
-    private int pick(double now) {
-        int[] all = IntStream.range(0, ready.length).filter(i -> ready[i]).toArray();
-        if (all.length == 0) {
-            return -1;
+    private void reply(Request request, boolean rejected) {
+        request.completed = true;
+        decision.localReplies.add(new Decision.LocalReply(request, rejected, 0));
+    }
+
+    /** The backend for an attempt; empty where none is ready. */
+    private OptionalInt pick(double now) {
+        int[] ready =
+                IntStream.range(0, backends.size()).filter(i -> backends.get(i).ready).toArray();
+        if (ready.length == 0) {
+            return OptionalInt.empty();
         }
-        int any = all[random.nextInt(all.length)];
-        return switch (kind) {
-            case RANDOM -> any;
-            case ROUND_ROBIN -> all[last++ % all.length];
-            case LEAST_OUTSTANDING -> least(all, any, i -> out[i]);
-            case TWO_CHOICES -> {
-                int other = all[random.nextInt(all.length)];
-                yield out[other] < out[any] ? other : any;
-            }
-            case PEAK_EWMA ->
-                    least(
-                            all,
-                            any,
-                            i -> (out[i] + 1) * peak[i] * Math.exp((peakAt[i] - now) / FADES));
-            case ORACLE -> least(all, any, trueLoad);
-        };
-    }
-
-    /** The least of all by a figure, a random one where it is no worse than any. */
-    private static int least(int[] all, int any, IntToDoubleFunction figure) {
-        int best = any;
-        double least = figure.applyAsDouble(any);
-        for (int i : all) {
-            double its = figure.applyAsDouble(i);
-            if (its < least) {
-                least = its;
-                best = i;
+        // Drawn for round robin too, which needs none: the draws of a seed must not change.
+        int drawn = ready[random.nextInt(ready.length)];
+        return OptionalInt.of(
+                switch (kind) {
+                    case RANDOM -> drawn;
+                    case ROUND_ROBIN -> ready[roundRobinTurn++ % ready.length];
+                    case LEAST_OUTSTANDING -> least(ready, drawn, this::attemptsInFlight);
+                    case TWO_CHOICES -> fewerInFlight(drawn, ready[random.nextInt(ready.length)]);
+                    case PEAK_EWMA -> least(ready, drawn, backend -> peakCost(backend, now));
+                    case ORACLE -> least(ready, drawn, trueLoad);
+                });
+    }
+
+    private int attemptsInFlight(int backend) {
+        return backends.get(backend).attemptsInFlight;
+    }
+
+    private int fewerInFlight(int first, int second) {
+        return attemptsInFlight(second) < attemptsInFlight(first) ? second : first;
+    }
+
+    private double peakCost(int backend, double now) {
+        BackendState state = backends.get(backend);
+        return (state.attemptsInFlight + 1) * state.peakSeconds * state.peakDecay(now);
+    }
+
+    /** The backend of the least cost; the preferred one where none costs less than it. */
+    private static int least(int[] backends, int preferred, IntToDoubleFunction cost) {
+        int best = preferred;
+        double leastCost = cost.applyAsDouble(preferred);
+        for (int backend : backends) {
+            double candidateCost = cost.applyAsDouble(backend);
+            if (candidateCost < leastCost) {
+                leastCost = candidateCost;
+                best = backend;
             }
         }
         return best;
@@ -149,27 +194,24 @@
             double durationSeconds,
             boolean over,
             double[] loadReport) {
-        nothing();
+        emptyDecision();
         Request request = attempt.request;
         attempt.ended = true;
         request.attemptsInFlight--;
-        out[attempt.backend]--;
         request.completed |= over;
-        double faded = peak[attempt.backend] * Math.exp((peakAt[attempt.backend] - now) / FADES);
-        peak[attempt.backend] = Math.max(durationSeconds, faded + (durationSeconds - faded) / 8);
-        peakAt[attempt.backend] = now;
-        request.possiblyExecuted =
-                !outcome.neverExecuted && request.possiblyExecuted == null
-                        ? attempt
-                        : request.possiblyExecuted;
-        if (!request.completed
-                && (outcome.neverExecuted
-                        || settings.requestClasses().get(request.requestClassIndex).idempotency()
-                                == Idempotency.IDEMPOTENT)) {
-            sends(now, request);
-        } else if (!request.completed) {
-            request.completed = true;
-            decision.localReplies.add(new Decision.LocalReply(request, false, 0));
+        BackendState backend = backends.get(attempt.backend);
+        backend.attemptsInFlight--;
+        backend.recordResponseTime(durationSeconds, now);
+        if (!outcome.neverExecuted && request.possiblyExecuted == null) {
+            request.possiblyExecuted = attempt;
+        }
+        if (request.completed) {
+            return decision;
+        }
+        if (outcome.neverExecuted || isIdempotent(request)) {
+            sendOrReply(now, request);
+        } else {
+            reply(request, false);
         }
         return decision;
     }
@@ -177,32 +219,22 @@
     @Override
     public Decision probeEnded(
             double now, int backend, AttemptOutcome outcome, double[] loadReport) {
-        return nothing();
-    }
-
-    @Override
-    public Decision clientLeft(double now, Request request) {
-        request.completed = true;
-        return nothing();
+        return emptyDecision();
     }
 
     @Override
     public Decision endpointsListed(double now, boolean whole, List<EndpointUpdate> updates) {
-        int size =
-                Math.max(
-                        ready.length,
-                        updates.stream().mapToInt(EndpointUpdate::backend).max().orElse(-1) + 1);
-        ready = Arrays.copyOf(ready, size);
-        out = Arrays.copyOf(out, size);
-        peak = Arrays.copyOf(peak, size);
-        peakAt = Arrays.copyOf(peakAt, size);
-        updates.forEach(
-                update -> ready[update.backend()] = update.state() == EndpointUpdate.State.READY);
-        return nothing();
+        for (EndpointUpdate update : updates) {
+            while (backends.size() <= update.backend()) {
+                backends.add(new BackendState());
+            }
+            backends.get(update.backend()).ready = update.state() == EndpointUpdate.State.READY;
+        }
+        return emptyDecision();
     }
 
     @Override
     public Decision wake(double now) {
-        return nothing();
+        return emptyDecision();
     }
 }
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -1,11 +1,10 @@
 package lemondrift.lab;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
-import java.util.function.ToDoubleFunction;
+import java.util.Optional;
 import lemondrift.lab.simulation.Fault;
 import lemondrift.lab.simulation.Referee;
 import lemondrift.lab.simulation.RunResult;
@@ -17,20 +16,23 @@
 import lemondrift.model.Settings;
 
 /**
- * A world, its troubles, who decides in it, by which seeds, and what is expected of the module.
+ * A scenario with faults, the policies that play it with each seed, and what is expected of the
+ * module.
  *
  * @param name the file's name without its ending
  * @param about one line on what it shows
- * @param policies who decides, the module first
- * @param seeds each policy plays one day for each
- * @param expects what must hold of the module's every day
- * @param tells whether the module's proxies tell one another what they have out
- * @param recovers whether they ask one another after their start, where they tell
+ * @param day the scenario; its seed is replaced by each of the seeds
+ * @param policies the names of the policies, the module first
+ * @param seeds each policy plays one run for each
+ * @param expectations what must hold of each run of the module
+ * @param tells whether the module's proxies use gossip
+ * @param recovers whether they ask one another after their start for what they have measured, where
+ *     they use gossip
  * @param host what it is played on
- * @param uneven the deviation of the logarithm of a proxy's share of traffic, on processes; 0 is
- *     even
- * @param connections that a backend holds at once, on processes; 0 is any number
- * @param faults what goes wrong with and between the processes
+ * @param uneven the standard deviation of the logarithm of a proxy's share of traffic, on
+ *     processes; 0 is even
+ * @param connections how many connections a backend holds at once, on processes; 0 is any number
+ * @param faults the faults of the processes and between them
  */
 public record Experiment(
         String name,
@@ -38,127 +40,161 @@
         Scenario day,
         List<String> policies,
         List<Long> seeds,
-        List<Expectation> expects,
+        List<Expectation> expectations,
         boolean tells,
         boolean recovers,
         Host host,
         double uneven,
         int connections,
         List<Fault> faults) {
-    /** Virtual time, or real processes and sockets. */
+    /** What an experiment is played on. */
     public enum Host {
+        /** Virtual time, in one thread. */
         VIRTUAL,
+        /** Real processes and sockets. */
         PROCESSES
     }
 
     /** The module's name among the policies. */
     public static final String MODULE = "module";
 
-    /** The names of the lab's request classes. */
+    /** The names of the lab's request classes, by their index. */
     public static final List<String> GRADES = List.of("look", "order", "book");
 
-    /**
-     * Grades of the lab's own: a look, an order with a mark, and a booking that must never run
-     * twice.
-     */
-    private static List<RequestClass> grades(double contract) {
-        double expiry = 2.4 * contract;
-        double memory = 1.2 * contract;
+    /** Deadline of all request classes, over their latency objective. */
+    private static final double TIMEOUT_OBJECTIVES = 2.4;
+
+    /** How long backends recognize an idempotency key, over the latency objective. */
+    private static final double KEY_TTL_OBJECTIVES = 1.2;
+
+    /** How far the seeds of the proxies of two runs are apart; more proxies than a run may have. */
+    private static final long SEEDS_PER_RUN = 1000;
+
+    /** What a request sent to another zone costs, as a share of a request. */
+    private static final double CROSS_ZONE_COST = 0.01;
+
+    /** Responses carry utilization and requests in flight, and no request rate. */
+    private static final Settings.LoadReports LOAD_REPORTS =
+            new Settings.LoadReports(true, 0, 1, false, -1);
+
+    /** Cancellations and probes, four attempts for each request, retry-after of half a second. */
+    private static final Settings.Limits LIMITS = new Settings.Limits(true, true, 4, 0.5);
+
+    /** Slow start from 30% over 6 s; a cold backend bears 3 times its capacity over 2 s. */
+    private static final Settings.Rules RULES = new Settings.Rules(0.3, 6, 3, 2, 10);
+
+    /** The lab's own request classes, named by {@link #GRADES}. */
+    private static List<RequestClass> requestClasses(double latencyObjectiveSeconds) {
         return List.of(
-                new RequestClass(
-                        1, 0, contract, expiry, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
-                new RequestClass(
+                requestClass(
+                        1,
+                        latencyObjectiveSeconds,
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0),
+                requestClass(
                         3,
-                        0,
-                        contract,
-                        expiry,
+                        latencyObjectiveSeconds,
                         Idempotency.IDEMPOTENT_WITH_KEY,
                         DeduplicationScope.LOCATION,
-                        memory),
-                new RequestClass(
+                        KEY_TTL_OBJECTIVES * latencyObjectiveSeconds),
+                requestClass(
                         9,
-                        0,
-                        contract,
-                        expiry,
+                        latencyObjectiveSeconds,
                         Idempotency.NOT_IDEMPOTENT,
                         DeduplicationScope.ALL,
                         0));
     }
 
-    /** One figure of a day held against a bound. */
-    public record Expectation(String figure, String sign, double bound) {
-        /** Whether it holds of a day. */
-        public boolean holds(RunResult result) {
-            double value = value(figure, result);
-            return switch (sign) {
-                case ">=" -> value >= bound;
-                case "<=" -> value <= bound;
-                default -> value == bound;
+    private static RequestClass requestClass(
+            double priorityWeight,
+            double latencyObjectiveSeconds,
+            Idempotency idempotency,
+            DeduplicationScope scope,
+            double keyTtlSeconds) {
+        return new RequestClass(
+                priorityWeight,
+                0,
+                latencyObjectiveSeconds,
+                TIMEOUT_OBJECTIVES * latencyObjectiveSeconds,
+                idempotency,
+                scope,
+                keyTtlSeconds);
+    }
+
+    /** How a figure is compared with its bound. */
+    public enum Comparison {
+        /** The figure is the bound or more. */
+        AT_LEAST(">="),
+        /** The figure is the bound or less. */
+        AT_MOST("<="),
+        /** The figure is the bound. */
+        EQUAL("==");
+
+        private final String symbol;
+
+        Comparison(String symbol) {
+            this.symbol = symbol;
+        }
+
+        /** The comparison with a symbol; empty where there is none. */
+        static Optional<Comparison> bySymbol(String symbol) {
+            return Arrays.stream(values()).filter(each -> each.symbol.equals(symbol)).findFirst();
+        }
+
+        private boolean holds(double value, double bound) {
+            return switch (this) {
+                case AT_LEAST -> value >= bound;
+                case AT_MOST -> value <= bound;
+                case EQUAL -> value == bound;
             };
         }
+    }
+
+    /** A bound on one figure of a run. */
+    public record Expectation(Figure figure, Comparison comparison, double bound) {
+        /** Whether it holds of a run; of one that a broken rule has ended it does not. */
+        public boolean holds(RunResult result) {
+            return comparison.holds(figure.read(result), bound);
+        }
 
         @Override
         public String toString() {
-            return figure + " " + sign + " " + bound;
+            return figure.key() + " " + comparison.symbol + " " + bound;
         }
     }
 
-    /** One day that one policy played; broken is null where all rules were kept. */
+    /**
+     * One run of one policy, which reports give by these names.
+     *
+     * @param broken the message of the broken rule that ended it; null where all were kept
+     */
     public record Run(String policy, long seed, RunResult figures, String broken) {}
 
-    /** The figures that an expectation may name, and how each is read. */
-    private static final Map<String, ToDoubleFunction<RunResult>> READ = new LinkedHashMap<>();
-
-    static {
-        READ.put("service", RunResult::service);
-        READ.put("in_time", RunResult::inTimeShare);
-        READ.put("unanswered", result -> result.unanswered);
-        READ.put("late", result -> result.late);
-        READ.put("shed", result -> result.rejected);
-        READ.put("scrapped", result -> result.failed);
-        READ.put("fallen", result -> result.overloadedColdBackends);
-        READ.put(
-                "forwards_per_exchange",
-                result -> (double) result.attempts / Math.max(1, result.accepted));
-        READ.put("waste", result -> result.evenness.waste());
-        READ.put("fullest", result -> result.evenness.fullest());
-        READ.put("herd", result -> result.evenness.herd());
-        READ.put("longest_idle", result -> result.evenness.longestIdle());
-        READ.put("least_share", result -> result.evenness.least());
-        READ.put("most_share", result -> result.evenness.most());
-        READ.put("crashed", result -> result.crashed);
-        READ.put("of_bearable", RunResult::ofBearable);
-        READ.put("back_after", RunResult::backAfter);
-    }
-
-    public static final List<String> FIGURES = List.copyOf(READ.keySet());
-
-    /** A figure of a day by its name; a day that a broken rule has ended has not all of them. */
-    public static double value(String figure, RunResult result) {
-        return result.evenness == null ? Double.NaN : READ.get(figure).applyAsDouble(result);
-    }
-
     /**
-     * The settings that the lab's proxies are told; probe is what one costs, as a share of a
-     * request, and the latency objective is in seconds.
+     * The settings of the lab's proxies.
+     *
+     * @param probeCost what a probe costs, as a share of a request
+     * @param latencyObjectiveSeconds of all request classes
      */
-    public static Settings settings(int proxies, int locations, double probe, double contract) {
+    public static Settings settings(
+            int proxies, int locations, double probeCost, double latencyObjectiveSeconds) {
         return new Settings(
                 proxies,
                 locations,
                 0,
                 false,
-                grades(contract),
+                requestClasses(latencyObjectiveSeconds),
                 new double[0],
                 1,
                 false,
-                new Settings.LoadReports(true, 0, 1, false, -1),
-                new Settings.Limits(true, true, 4, 0.5),
-                new Settings.Rules(0.3, 6, 3, 2, 10),
-                new Settings.Costs(0.01, probe));
+                LOAD_REPORTS,
+                LIMITS,
+                RULES,
+                new Settings.Costs(CROSS_ZONE_COST, probeCost));
     }
 
-    /** Plays each policy's day for each seed, one after the other. */
+    /** Plays the scenario in virtual time, each policy with each seed, one after the other. */
     public List<Run> play() {
         List<Run> runs = new ArrayList<>();
         for (String policy : policies) {
@@ -169,60 +205,49 @@
         return runs;
     }
 
-    /** The same day but for the seed. */
+    /** The scenario with a seed. */
     public Scenario day(long seed) {
-        return new Scenario(
-                day.settings(),
-                day.proxies(),
-                day.backends(),
-                day.cores(),
-                day.rate(),
-                day.work(),
-                day.spread(),
-                day.tries(),
-                day.way(),
-                day.delay(),
-                day.grace(),
-                day.lasts(),
-                seed,
-                day.troubles());
-    }
-
-    private ModuleUnderTest module(Settings settings, long seed, int p) {
-        ModuleUnderTest module = new ModuleUnderTest(settings, seed, p, tells);
-        return recovers && tells ? module.recovering(settings) : module;
+        return day.withSeed(seed);
     }
 
     private Run play(String policy, long seed) {
-        Scenario its = day(seed);
-        Simulation[] world = {null};
-        if (policy.equals(MODULE)) {
-            world[0] =
-                    new Simulation(
-                            its,
-                            p ->
-                                    module(
-                                            its.settings()
-                                                    .inLocation(p % its.settings().locationCount()),
-                                            seed * 1000 + p,
-                                            p));
-        } else {
-            Baseline.Kind kind = Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
-            world[0] =
-                    new Simulation(
-                            its,
-                            3,
-                            p ->
-                                    new Baseline(
-                                            kind,
-                                            its.settings(),
-                                            seed * 1000 + p,
-                                            i -> world[0].trueLoad(i)));
-        }
+        Simulation simulation =
+                policy.equals(MODULE)
+                        ? moduleSimulation(day(seed))
+                        : baselineSimulation(kindOf(policy), day(seed));
         try {
-            return new Run(policy, seed, world[0].play(), null);
+            return new Run(policy, seed, simulation.play(), null);
         } catch (Referee.Broken e) {
-            return new Run(policy, seed, world[0].figures(), e.getMessage());
+            return new Run(policy, seed, simulation.figures(), e.getMessage());
         }
     }
+
+    private static Baseline.Kind kindOf(String policy) {
+        return Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
+    }
+
+    private Simulation moduleSimulation(Scenario scenario) {
+        return new Simulation(scenario, (proxy, trueLoad) -> module(scenario, proxy));
+    }
+
+    private ModuleUnderTest module(Scenario scenario, int proxy) {
+        Settings settings = scenario.settings();
+        Settings ofProxy = settings.inLocation(proxy % settings.locationCount());
+        long seed = proxySeed(scenario, proxy);
+        ModuleUnderTest module = new ModuleUnderTest(ofProxy, seed, proxy, tells);
+        return recovers && tells ? module.recovering(ofProxy) : module;
+    }
+
+    private static Simulation baselineSimulation(Baseline.Kind kind, Scenario scenario) {
+        return new Simulation(
+                scenario,
+                Referee.RULES_OF_BASELINES,
+                (proxy, trueLoad) ->
+                        new Baseline(
+                                kind, scenario.settings(), proxySeed(scenario, proxy), trueLoad));
+    }
+
+    private static long proxySeed(Scenario scenario, int proxy) {
+        return scenario.seed() * SEEDS_PER_RUN + proxy;
+    }
 }
--- a/src/main/java/lemondrift/lab/ExperimentFile.java
+++ b/src/main/java/lemondrift/lab/ExperimentFile.java
@@ -7,6 +7,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
@@ -15,12 +16,13 @@
 import lemondrift.lab.simulation.FaultTarget;
 import lemondrift.lab.simulation.Scenario;
 import lemondrift.model.Settings;
+import lemondrift.settings.InvalidSettingsException;
 
-/** Reads an experiment. What can't be used is one line with file, line and key. */
+/** Reads an experiment from its TOML file; docs/lab.md has the keys and their defaults. */
 public final class ExperimentFile {
-    private static final List<String> KEYS =
+    private static final List<String> ROOT_KEYS =
             List.of("about", "host", "policies", "seeds", "expect", "world", "trouble", "fault");
-    private static final List<String> WORLD =
+    private static final List<String> WORLD_KEYS =
             List.of(
                     "proxies",
                     "backends",
@@ -40,12 +42,22 @@
                     "contract",
                     "uneven",
                     "connections");
-    private static final List<String> TROUBLE = List.of("kind", "at", "lasts", "share", "strength");
-    private static final List<String> FAULT =
+    private static final List<String> TROUBLE_KEYS =
+            List.of("kind", "at", "lasts", "share", "strength");
+    private static final List<String> FAULT_KEYS =
             List.of("kind", "channel", "from", "to", "both", "at", "lasts", "share", "by");
     private static final Pattern EXPECTATION =
             Pattern.compile("(\\w+) *(>=|<=|==) *(\\d+(?:\\.\\d+)?)");
 
+    /** When a fault begins that gives no time, in seconds. */
+    private static final double DEFAULT_FAULT_AT = 5;
+
+    /** How long a fault lasts that does not say so. */
+    private static final double DEFAULT_FAULT_SECONDS = 6;
+
+    /** The seed of a scenario before an experiment replaces it, and of one that names none. */
+    private static final long DEFAULT_SEED = 1;
+
     private final Path file;
     private final TomlReader toml;
 
@@ -54,12 +66,22 @@
         toml = new TomlReader(file);
     }
 
-    /** Reads one; throws BadInput where it can't be used, IOException where it can't be read. */
+    /**
+     * Reads an experiment.
+     *
+     * @throws InvalidSettingsException where it cannot be used; the message is one line with file,
+     *     line and key
+     * @throws IOException where the file cannot be read
+     */
     public static Experiment read(Path file) throws IOException {
         return new ExperimentFile(file).experiment();
     }
 
-    /** All in a folder, by name. */
+    /**
+     * The files of all experiments in a folder, by name.
+     *
+     * @throws IOException where the folder cannot be read
+     */
     public static List<Path> in(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(file -> file.toString().endsWith(".toml")).sorted().toList();
@@ -67,148 +89,173 @@
     }
 
     private Experiment experiment() {
-        toml.known(toml.all, KEYS);
-        List<Long> seeds = new ArrayList<>();
-        toml.all.path("seeds").forEach(seed -> seeds.add(seed.asLong()));
+        JsonNode root = toml.root();
+        toml.rejectUnknownKeys(root, ROOT_KEYS);
+        List<Long> seeds = seeds(root);
         Experiment.Host host =
-                toml.word(toml.all, "host", Experiment.Host.class, Experiment.Host.VIRTUAL, "host");
+                toml.enumValue(
+                        root, "host", Experiment.Host.class, "host", Experiment.Host.VIRTUAL);
+        List<String> policies = policies(root);
+        List<Experiment.Expectation> expectations = new ArrayList<>();
+        root.path("expect").forEach(each -> expectations.add(expectation(each.asText())));
+        List<BackendFault> backendFaults = backendFaults(root);
+        List<Fault> faults = faults(root, host);
+        JsonNode world = root.path("world");
+        toml.enterTable("[world]", 0);
+        toml.rejectUnknownKeys(world, WORLD_KEYS);
+        return new Experiment(
+                file.getFileName().toString().replaceFirst("\\.toml$", ""),
+                root.path("about").asText(),
+                scenario(world, backendFaults),
+                policies,
+                seeds,
+                expectations,
+                toml.flag(world, "tells"),
+                toml.flag(world, world.has("recovers") ? "recovers" : "tells"),
+                host,
+                toml.number(world, "uneven", 0, 0, 3),
+                toml.integer(world, "connections", 0, 0, 65_536),
+                faults);
+    }
+
+    private static List<Long> seeds(JsonNode root) {
+        List<Long> seeds = new ArrayList<>();
+        root.path("seeds").forEach(seed -> seeds.add(seed.asLong()));
+        return seeds.isEmpty() ? List.of(DEFAULT_SEED) : seeds;
+    }
+
+    private List<String> policies(JsonNode root) {
         List<String> policies = new ArrayList<>(List.of(Experiment.MODULE));
-        for (JsonNode each : toml.all.path("policies")) {
-            if (Arrays.stream(Baseline.Kind.values())
-                            .noneMatch(kind -> TomlReader.lower(kind).equals(each.asText()))
-                    && !each.asText().equals(Experiment.MODULE)) {
-                throw toml.bad("policies", "no such policy: " + each.asText());
+        for (JsonNode each : root.path("policies")) {
+            String policy = each.asText();
+            if (!isPolicy(policy)) {
+                throw toml.invalid("policies", "no such policy: " + policy);
             }
-            if (!policies.contains(each.asText())) {
-                policies.add(each.asText());
+            if (!policies.contains(policy)) {
+                policies.add(policy);
             }
         }
-        List<Experiment.Expectation> expects = new ArrayList<>();
-        toml.all.path("expect").forEach(each -> expects.add(expectation(each.asText())));
-        List<BackendFault> troubles = new ArrayList<>();
-        for (JsonNode each : toml.all.path("trouble")) {
-            toml.enters("[[trouble]]", troubles.size());
-            toml.known(each, TROUBLE);
-            troubles.add(trouble(each));
+        return policies;
+    }
+
+    private static boolean isPolicy(String name) {
+        return name.equals(Experiment.MODULE)
+                || Arrays.stream(Baseline.Kind.values())
+                        .anyMatch(kind -> TomlReader.lowerCaseName(kind).equals(name));
+    }
+
+    private List<BackendFault> backendFaults(JsonNode root) {
+        List<BackendFault> faults = new ArrayList<>();
+        for (JsonNode table : root.path("trouble")) {
+            toml.enterTable("[[trouble]]", faults.size());
+            toml.rejectUnknownKeys(table, TROUBLE_KEYS);
+            faults.add(backendFault(table));
         }
+        return faults;
+    }
+
+    private List<Fault> faults(JsonNode root, Experiment.Host host) {
         List<Fault> faults = new ArrayList<>();
-        for (JsonNode each : toml.all.path("fault")) {
-            toml.enters("[[fault]]", faults.size());
-            toml.known(each, FAULT);
+        for (JsonNode table : root.path("fault")) {
+            toml.enterTable("[[fault]]", faults.size());
+            toml.rejectUnknownKeys(table, FAULT_KEYS);
             if (host != Experiment.Host.PROCESSES) {
-                throw toml.bad("kind", "faults need host = \"processes\"");
+                throw toml.invalid("kind", "faults need host = \"processes\"");
             }
-            faults.add(fault(each));
+            faults.add(fault(table));
         }
-        JsonNode world = toml.all.path("world");
-        toml.enters("[world]", 0);
-        toml.known(world, WORLD);
-        return new Experiment(
-                file.getFileName().toString().replaceFirst("\\.toml$", ""),
-                toml.all.path("about").asText(),
-                day(world, troubles),
-                policies,
-                seeds.isEmpty() ? List.of(1L) : seeds,
-                expects,
-                toml.whether(world, "tells"),
-                world.has("recovers")
-                        ? toml.whether(world, "recovers")
-                        : toml.whether(world, "tells"),
-                host,
-                toml.number(world, "uneven", 0, 0, 3),
-                toml.whole(world, "connections", 0, 0, 65_536),
-                faults);
+        return faults;
     }
 
-    private Scenario day(JsonNode world, List<BackendFault> troubles) {
-        int proxies = toml.whole(world, "proxies", 3, 1, 500);
-        int backends = toml.whole(world, "backends", 10, 0, 2000);
-        int cores = toml.whole(world, "cores", 2, 1, 64);
+    private Scenario scenario(JsonNode world, List<BackendFault> faults) {
+        int proxies = toml.integer(world, "proxies", 3, 1, 500);
+        int backends = toml.integer(world, "backends", 10, 0, 2000);
+        int cores = toml.integer(world, "cores", 2, 1, 64);
         Settings settings =
                 Experiment.settings(
                         proxies,
-                        toml.whole(world, "locations", 2, 1, 64),
+                        toml.integer(world, "locations", 2, 1, 64),
                         toml.number(world, "probe", 0.002, 0, 1),
-                        toml.span(world, "contract", 0.5));
-        double work = toml.span(world, "work", 0.05);
+                        toml.positiveSeconds(world, "contract", 0.5));
+        double workSeconds = toml.positiveSeconds(world, "work", 0.05);
         double load = toml.number(world, "load", 0.65, 0.01, 10);
-        double rate = load * Math.max(1, backends) * cores / work;
+        double rate = load * Math.max(1, backends) * cores / workSeconds;
         return new Scenario(
                 settings,
                 proxies,
                 backends,
                 cores,
                 rate,
-                work,
+                workSeconds,
                 toml.number(world, "spread", 0.5, 0, 3),
-                toml.whole(world, "tries", 3, 1, 20),
-                toml.time(world, "way", 0.0005),
-                toml.time(world, "delay", 0.4),
-                toml.time(world, "grace", 2),
-                toml.time(world, "lasts", 20),
-                1,
-                troubles);
+                toml.integer(world, "tries", 3, 1, 20),
+                toml.seconds(world, "way", 0.0005),
+                toml.seconds(world, "delay", 0.4),
+                toml.seconds(world, "grace", 2),
+                toml.seconds(world, "lasts", 20),
+                DEFAULT_SEED,
+                faults);
     }
 
-    private BackendFault trouble(JsonNode table) {
-        BackendFault.Kind kind = toml.word(table, "kind", BackendFault.Kind.class, null, "trouble");
+    private BackendFault backendFault(JsonNode table) {
+        BackendFault.Kind kind = toml.enumValue(table, "kind", BackendFault.Kind.class, "trouble");
+        boolean strengthIsShare =
+                kind == BackendFault.Kind.ERRORS || kind == BackendFault.Kind.GRADE;
         return new BackendFault(
                 kind,
-                toml.time(table, "at", 5),
-                toml.span(table, "lasts", 6),
+                toml.seconds(table, "at", DEFAULT_FAULT_AT),
+                toml.positiveSeconds(table, "lasts", DEFAULT_FAULT_SECONDS),
                 toml.share(table, "share", 0.3),
-                toml.number(
-                        table,
-                        "strength",
-                        kind == BackendFault.Kind.ERRORS || kind == BackendFault.Kind.GRADE
-                                ? 0.8
-                                : 3,
-                        0,
-                        1000));
+                toml.number(table, "strength", strengthIsShare ? 0.8 : 3, 0, 1000));
     }
 
     private Fault fault(JsonNode table) {
-        Fault.Kind kind = toml.word(table, "kind", Fault.Kind.class, null, "fault");
+        Fault.Kind kind = toml.enumValue(table, "kind", Fault.Kind.class, "fault");
         Fault.Channel channel =
-                toml.word(
-                        table, "channel", Fault.Channel.class, Fault.Channel.DATAGRAMS, "channel");
+                toml.enumValue(
+                        table, "channel", Fault.Channel.class, "channel", Fault.Channel.DATAGRAMS);
         if (channel != Fault.Channel.DATAGRAMS
                 && !kind.isOfProcesses()
                 && kind != Fault.Kind.CUT
                 && kind != Fault.Kind.LATE) {
-            throw toml.bad("kind", "connections can be cut or late, nothing else");
+            throw toml.invalid("kind", "connections can be cut or late, nothing else");
         }
         return new Fault(
                 kind,
                 channel,
-                who(table, "from"),
-                who(table, "to"),
-                toml.whether(table, "both"),
-                toml.time(table, "at", 5),
-                toml.span(table, "lasts", 6),
+                target(table, "from"),
+                target(table, "to"),
+                toml.flag(table, "both"),
+                toml.seconds(table, "at", DEFAULT_FAULT_AT),
+                toml.positiveSeconds(table, "lasts", DEFAULT_FAULT_SECONDS),
                 toml.share(table, "share", 1),
-                toml.time(table, "by", 0.2));
+                toml.seconds(table, "by", 0.2));
     }
 
-    private FaultTarget who(JsonNode table, String key) {
-        FaultTarget who = FaultTarget.of(table.path(key).asText("all"));
-        if (who == null) {
-            throw toml.bad(key, "none of " + FaultTarget.FORMS + ": " + table.path(key));
+    private FaultTarget target(JsonNode table, String key) {
+        FaultTarget target = FaultTarget.of(table.path(key).asText("all"));
+        if (target == null) {
+            throw toml.invalid(key, "none of " + FaultTarget.FORMS + ": " + table.path(key));
         }
-        return who;
+        return target;
     }
 
     private Experiment.Expectation expectation(String text) {
         Matcher parts = EXPECTATION.matcher(text);
-        if (!parts.matches() || !Experiment.FIGURES.contains(parts.group(1))) {
-            throw toml.bad(
-                    "expect",
-                    "not such as \"service >= 0.9\": \""
-                            + text
-                            + "\"; figures are "
-                            + String.join(", ", Experiment.FIGURES));
+        if (parts.matches()) {
+            Optional<Figure> figure = Figure.byKey(parts.group(1));
+            Optional<Experiment.Comparison> comparison =
+                    Experiment.Comparison.bySymbol(parts.group(2));
+            if (figure.isPresent() && comparison.isPresent()) {
+                return new Experiment.Expectation(
+                        figure.get(), comparison.get(), Double.parseDouble(parts.group(3)));
+            }
         }
-        return new Experiment.Expectation(
-                parts.group(1), parts.group(2), Double.parseDouble(parts.group(3)));
+        throw toml.invalid(
+                "expect",
+                "not such as \"service >= 0.9\": \""
+                        + text
+                        + "\"; figures are "
+                        + String.join(", ", Figure.keys()));
     }
 }
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -16,82 +16,92 @@
 import lemondrift.recovery.PeerStatus;
 import lemondrift.recovery.RecoveryState;
 
-/** The decision module itself as a world's decider. */
+/** The decision module of one proxy as a policy, with its gossip and its recovery. */
 public final class ModuleUnderTest implements RoutingPolicy {
-    /**
-     * The least time between two gossip messages, and when what is told is forgotten, in windows.
-     */
-    private static final double PACE = 0.02;
+    /** The shortest time between two gossip messages, in windows. */
+    private static final double GOSSIP_INTERVAL_WINDOWS = 0.02;
 
-    private static final double FORGET = 2;
+    /** After how many windows a silent peer's load is forgotten. */
+    private static final double PEER_EXPIRY_WINDOWS = 2;
 
-    private static final int PART = 12;
+    /** How many backends a proxy uses. */
+    private static final int SUBSET_SIZE = 12;
 
     private final LoadBalancer balancer;
     private final int self;
 
-    /**
-     * What it tells the others and hears of them, its backends' tags being their indexes; or null.
-     */
+    /** Null where the proxy uses no gossip; tags of backends are their indexes. */
     private LoadGossip gossip;
 
+    /** Null where the proxy uses no gossip. */
     private SubsetAssignment subsets;
 
-    /** Its way back after its start; null where it asks nobody. */
+    /** Null where the proxy asks nobody after its start. */
     private RecoveryState recovery;
 
-    private final List<LoadGossip.Message> said = new ArrayList<>();
+    private final List<LoadGossip.Message> pendingStatusMessages = new ArrayList<>();
 
+    /** The module of a proxy without gossip. */
     public ModuleUnderTest(Settings settings, long seed) {
         this(settings, seed, 0, false);
     }
 
-    /** One that tells the other proxies of its bank what it has out, where it may. */
-    public ModuleUnderTest(Settings settings, long seed, int self, boolean tells) {
+    /**
+     * The module of a proxy.
+     *
+     * @param self the proxy's index
+     * @param usesGossip whether it uses gossip, where the settings let it
+     */
+    public ModuleUnderTest(Settings settings, long seed, int self, boolean usesGossip) {
         balancer = new LoadBalancer(settings, seed);
         this.self = self;
-        if (tells && balancer.wantsGossip()) {
-            subsets = new SubsetAssignment(settings.proxyCount(), PART);
+        if (usesGossip && balancer.wantsGossip()) {
+            subsets = new SubsetAssignment(settings.proxyCount(), SUBSET_SIZE);
             gossip =
                     new LoadGossip(
                             settings.proxyCount(),
                             self,
-                            1 + self,
-                            PACE * settings.windowSeconds(),
-                            FORGET * settings.windowSeconds(),
+                            startNumber(),
+                            GOSSIP_INTERVAL_WINDOWS * settings.windowSeconds(),
+                            PEER_EXPIRY_WINDOWS * settings.windowSeconds(),
                             subsets,
                             tag -> balancer.peerLoadReported(tag, gossip.peerLoad(tag)));
         }
     }
 
-    /** One that asks the others at its start what they have found. */
+    private int startNumber() {
+        return 1 + self;
+    }
+
+    /** Makes the proxy ask its peers for what they have measured. */
     public ModuleUnderTest recovering(Settings settings) {
         recovery =
                 RecoveryState.starting(
                         PeerPollBackoff.forLatencyObjective(settings.windowSeconds()),
                         self,
                         settings.proxyCount(),
-                        1 + self,
+                        startNumber(),
                         0);
         return this;
     }
 
-    private void says(RecoveryState.Step step, double now) {
+    private void applyRecoveryStep(RecoveryState.Step step, double now) {
         recovery = step.next();
-        step.messages()
-                .forEach(
-                        each ->
-                                said.add(
-                                        new LoadGossip.Message(
-                                                each.to(), each.status().encoded())));
-        RecoveryState.PeerEstimate lesson =
-                recovery.isSettled() ? null : recovery.peerEstimate(now);
-        if (lesson != null) {
-            balancer.seedServiceTime(lesson.serviceTimeSeconds(), lesson.samples());
+        for (RecoveryState.StatusMessage message : step.messages()) {
+            pendingStatusMessages.add(
+                    new LoadGossip.Message(message.to(), message.status().encoded()));
+        }
+        if (recovery.isSettled()) {
+            return;
+        }
+        RecoveryState.PeerEstimate estimate = recovery.peerEstimate(now);
+        if (estimate != null) {
+            balancer.seedServiceTime(estimate.serviceTimeSeconds(), estimate.samples());
         }
     }
 
-    private void hear(double now) {
+    /** Passes on what the module has measured and how many peers are heard of. */
+    private void updatePeerState(double now) {
         if (recovery != null) {
             recovery =
                     recovery.withMeasured(
@@ -104,7 +114,7 @@
         }
     }
 
-    private Decision sent(Decision decision) {
+    private Decision recordAttempts(Decision decision) {
         if (gossip != null) {
             decision.attempts.forEach(attempt -> gossip.attemptSent(attempt.backend));
         }
@@ -113,8 +123,8 @@
 
     @Override
     public Decision requestArrived(double now, Request request) {
-        hear(now);
-        return sent(balancer.requestArrived(now, request));
+        updatePeerState(now);
+        return recordAttempts(balancer.requestArrived(now, request));
     }
 
     @Override
@@ -125,42 +135,41 @@
             double durationSeconds,
             boolean over,
             double[] loadReport) {
-        hear(now);
-        if (gossip != null) {
-            if (outcome.mayStillRun) {
-                gossip.attemptAbandoned(attempt.backend, now);
-            } else {
-                gossip.attemptEnded(attempt.backend);
-            }
-        }
-        return sent(
+        updatePeerState(now);
+        recordAttemptEnd(attempt, outcome, now);
+        return recordAttempts(
                 balancer.attemptEnded(now, attempt, outcome, durationSeconds, over, loadReport));
     }
 
-    @Override
-    public Decision probeEnded(
-            double now, int backend, AttemptOutcome outcome, double[] loadReport) {
-        return sent(balancer.probeEnded(now, backend, outcome, loadReport));
+    private void recordAttemptEnd(Attempt attempt, AttemptOutcome outcome, double now) {
+        if (gossip == null) {
+            return;
+        }
+        if (outcome.mayStillRun) {
+            gossip.attemptAbandoned(attempt.backend, now);
+        } else {
+            gossip.attemptEnded(attempt.backend);
+        }
     }
 
     @Override
-    public Decision clientLeft(double now, Request request) {
-        return sent(balancer.clientLeft(now, request));
+    public Decision probeEnded(
+            double now, int backend, AttemptOutcome outcome, double[] loadReport) {
+        return recordAttempts(balancer.probeEnded(now, backend, outcome, loadReport));
     }
 
     @Override
     public Decision endpointsListed(double now, boolean whole, List<EndpointUpdate> updates) {
-        if (gossip == null) {
-            return balancer.endpointsListed(now, whole, false, updates);
-        }
-        return sent(
-                balancer.endpointsListed(
-                        now, whole, false, subsets.withUserShares(self, whole, updates, i -> i)));
+        List<EndpointUpdate> used =
+                gossip == null
+                        ? updates
+                        : subsets.withUserShares(self, whole, updates, backend -> backend);
+        return recordAttempts(balancer.endpointsListed(now, whole, false, used));
     }
 
     @Override
     public Decision wake(double now) {
-        return sent(balancer.wake(now));
+        return recordAttempts(balancer.wake(now));
     }
 
     @Override
@@ -169,12 +178,12 @@
             return List.of();
         }
         if (recovery != null) {
-            says(recovery.wake(now), now);
+            applyRecoveryStep(recovery.wake(now), now);
         }
-        List<LoadGossip.Message> all = new ArrayList<>(said);
-        said.clear();
-        all.addAll(gossip.dueMessages(now));
-        return all;
+        List<LoadGossip.Message> messages = new ArrayList<>(pendingStatusMessages);
+        pendingStatusMessages.clear();
+        messages.addAll(gossip.dueMessages(now));
+        return messages;
     }
 
     @Override
@@ -182,8 +191,11 @@
         if (gossip == null) {
             return Double.POSITIVE_INFINITY;
         }
-        double asks = recovery == null ? Double.POSITIVE_INFINITY : recovery.wakeAt();
-        return said.isEmpty() ? Math.min(gossip.nextSendAt(), asks) : 0;
+        if (!pendingStatusMessages.isEmpty()) {
+            return 0;
+        }
+        double recoveryWakeAt = recovery == null ? Double.POSITIVE_INFINITY : recovery.wakeAt();
+        return Math.min(gossip.nextSendAt(), recoveryWakeAt);
     }
 
     @Override
@@ -191,12 +203,12 @@
         if (datagram[0] != PeerStatus.KIND) {
             gossip.receive(from, datagram, now);
         } else if (recovery != null) {
-            PeerStatus hello = PeerStatus.decode(datagram);
-            RecoveryState.Step step = recovery.statusReceived(from, hello, now);
+            PeerStatus status = PeerStatus.decode(datagram);
+            RecoveryState.Step step = recovery.statusReceived(from, status, now);
             if (step.peerRestarted()) {
-                gossip.peerRestarted(from, hello.startNumber());
+                gossip.peerRestarted(from, status.startNumber());
             }
-            says(step, now);
+            applyRecoveryStep(step, now);
         }
     }
 }
--- a/src/main/java/lemondrift/lab/PairedDifference.java
+++ b/src/main/java/lemondrift/lab/PairedDifference.java
@@ -5,33 +5,53 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The mean difference of pairs and an interval for it by the paired bootstrap (Efron 1979): pairs
- * of one seed are drawn anew with replacement, and of the means that come out the middle 95% are
- * kept.
+ * The mean difference of pairs, with a 95% confidence interval by the paired bootstrap (Efron
+ * 1979).
+ *
+ * @param mean the mean difference
+ * @param low the lower end of the interval
+ * @param high the upper end of the interval
  */
 public record PairedDifference(double mean, double low, double high) {
-    private static final int DRAWS = 2000;
-    private static final double LEFT_OUT = 0.025;
+    /** How many samples are drawn with replacement. */
+    private static final int RESAMPLES = 2000;
 
-    /** The difference of a to b, pair by pair; both have the same length, 1 or more. */
-    public static PairedDifference of(double[] a, double[] b) {
-        if (a.length != b.length || a.length == 0) {
-            throw new IllegalArgumentException("not pairs: " + a.length + " and " + b.length);
-        }
-        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(a.length);
-        double[] means = new double[DRAWS];
-        for (int d = 0; d < DRAWS; d++) {
-            for (int k = 0; k < a.length; k++) {
-                int i = random.nextInt(a.length);
-                means[d] += (a[i] - b[i]) / a.length;
-            }
+    /** The share of the resampled means below the interval, and as much above it. */
+    private static final double TAIL_SHARE = 0.025;
+
+    /**
+     * The difference of two series, the first less the second, pair by pair.
+     *
+     * @throws IllegalArgumentException where their lengths differ or are 0
+     */
+    public static PairedDifference of(double[] first, double[] second) {
+        int pairs = first.length;
+        if (pairs != second.length || pairs == 0) {
+            throw new IllegalArgumentException("not pairs: " + pairs + " and " + second.length);
         }
-        Arrays.sort(means);
+        double[] means = resampledMeans(first, second);
         double mean = 0;
-        for (int i = 0; i < a.length; i++) {
-            mean += (a[i] - b[i]) / a.length;
+        for (int i = 0; i < pairs; i++) {
+            mean += (first[i] - second[i]) / pairs;
         }
         return new PairedDifference(
-                mean, means[(int) (LEFT_OUT * DRAWS)], means[(int) ((1 - LEFT_OUT) * DRAWS) - 1]);
+                mean,
+                means[(int) (TAIL_SHARE * RESAMPLES)],
+                means[(int) ((1 - TAIL_SHARE) * RESAMPLES) - 1]);
+    }
+
+    /** The means of all resamples, in rising order. */
+    private static double[] resampledMeans(double[] first, double[] second) {
+        int pairs = first.length;
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(pairs);
+        double[] means = new double[RESAMPLES];
+        for (int resample = 0; resample < RESAMPLES; resample++) {
+            for (int drawn = 0; drawn < pairs; drawn++) {
+                int i = random.nextInt(pairs);
+                means[resample] += (first[i] - second[i]) / pairs;
+            }
+        }
+        Arrays.sort(means);
+        return means;
     }
 }
--- a/src/main/java/lemondrift/lab/Report.java
+++ b/src/main/java/lemondrift/lab/Report.java
@@ -9,12 +9,21 @@
 import lemondrift.lab.simulation.BackendFault;
 
 /**
- * What came of an experiment, for machines: its troubles, and each run with all its figures and
- * series.
+ * The report of an experiment as JSON: its faults, and each run with all its figures and series.
+ * The components name its keys.
  */
 public record Report(
         String name, String about, List<BackendFault> troubles, List<Experiment.Run> runs) {
-    /** Writes reports as one JSON list. */
+    /** The report of an experiment that has been played. */
+    public static Report of(Experiment experiment, List<Experiment.Run> runs) {
+        return new Report(experiment.name(), experiment.about(), experiment.day().troubles(), runs);
+    }
+
+    /**
+     * Writes reports as one JSON list.
+     *
+     * @throws IOException where the file cannot be written
+     */
     public static void write(List<Report> reports, Path file) throws IOException {
         JsonMapper.builder()
                 .visibility(PropertyAccessor.FIELD, JsonAutoDetect.Visibility.PUBLIC_ONLY)
--- a/src/main/java/lemondrift/lab/TomlReader.java
+++ b/src/main/java/lemondrift/lab/TomlReader.java
@@ -12,156 +12,178 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import java.util.stream.Collectors;
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * A TOML file, its values with their units. What can't be used is one line with file, line and key.
+ * Reads values with their units from a TOML file. Every method throws {@link
+ * InvalidSettingsException} where a value cannot be used; its message is one line with file, line
+ * and key.
  */
 final class TomlReader {
-    private static final Pattern TIME = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s)");
-    private static final Pattern SHARE = Pattern.compile("(\\d+(?:\\.\\d+)?)%");
+    private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s)");
+    private static final Pattern PERCENT = Pattern.compile("(\\d+(?:\\.\\d+)?)%");
 
-    final JsonNode all;
     private final Path file;
     private final List<String> lines;
-    private int from;
+    private final JsonNode root;
 
-    /** Throws BadInput where the file is no TOML, IOException where it can't be read. */
+    /** The index of the line at which the present table begins. */
+    private int tableStart;
+
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidSettingsException where it is no TOML
+     * @throws IOException where it cannot be read
+     */
     TomlReader(Path file) throws IOException {
         this.file = file;
         String text = Files.readString(file);
         lines = text.lines().toList();
         try {
-            all = new TomlMapper().readTree(text);
+            root = new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
             throw new InvalidSettingsException(file + ":" + line + ": " + e.getOriginalMessage());
         }
     }
 
+    /** The whole file. */
+    JsonNode root() {
+        return root;
+    }
+
     /**
-     * From here on keys belong to the nth table with such a header; before any to the file itself.
+     * From here on keys belong to a table, in messages; before any they belong to the whole file.
+     *
+     * @param header the table's header with its brackets
+     * @param index which of the tables with that header, from 0
      */
-    void enters(String header, int nth) {
-        for (int i = 0, seen = 0; i < lines.size(); i++) {
-            if (lines.get(i).strip().startsWith(header) && seen++ == nth) {
-                from = i;
+    void enterTable(String header, int index) {
+        int seen = 0;
+        for (int line = 0; line < lines.size(); line++) {
+            if (lines.get(line).strip().startsWith(header)) {
+                tableStart = seen == index ? line : tableStart;
+                seen++;
             }
         }
     }
 
-    /** The line on which a key of the present table stands, counted from one. */
-    private int line(String key) {
+    /** The number of the line, from 1, on which a key of the present table stands. */
+    private int lineNumber(String key) {
         Pattern pattern =
                 Pattern.compile("\\s*(\\[+\\s*)?\"?" + Pattern.quote(key) + "\"?\\s*(=|\\]).*");
-        for (int i = from; i < lines.size(); i++) {
-            if (pattern.matcher(lines.get(i)).matches()) {
-                return i + 1;
+        for (int line = tableStart; line < lines.size(); line++) {
+            if (pattern.matcher(lines.get(line)).matches()) {
+                return line + 1;
             }
         }
-        return from + 1;
+        return tableStart + 1;
     }
 
-    InvalidSettingsException bad(String key, String why) {
-        return new InvalidSettingsException(file + ":" + line(key) + ": " + key + ": " + why);
+    InvalidSettingsException invalid(String key, String reason) {
+        return new InvalidSettingsException(
+                file + ":" + lineNumber(key) + ": " + key + ": " + reason);
     }
 
-    void known(JsonNode table, List<String> keys) {
-        for (Map.Entry<String, JsonNode> each : table.properties()) {
-            if (!keys.contains(each.getKey())) {
-                throw bad(each.getKey(), "no such key; there are " + String.join(", ", keys));
+    void rejectUnknownKeys(JsonNode table, List<String> knownKeys) {
+        for (Map.Entry<String, JsonNode> entry : table.properties()) {
+            if (!knownKeys.contains(entry.getKey())) {
+                throw invalid(
+                        entry.getKey(), "no such key; there are " + String.join(", ", knownKeys));
             }
         }
     }
 
-    /**
-     * One of an enum's words in small letters; bad where there is none and nothing else is usual.
-     */
-    <E extends Enum<E>> E word(JsonNode table, String key, Class<E> words, E usual, String what) {
+    /** A value of an enum by its name in small letters; the name of the kind is for messages. */
+    <E extends Enum<E>> E enumValue(JsonNode table, String key, Class<E> type, String kind) {
         String text = table.path(key).asText("");
-        if (table.path(key).isMissingNode() && usual != null) {
-            return usual;
+        for (E value : type.getEnumConstants()) {
+            if (text.equals(lowerCaseName(value))) {
+                return value;
+            }
         }
-        return Arrays.stream(words.getEnumConstants())
-                .filter(each -> text.equals(lower(each)))
-                .findFirst()
-                .orElseThrow(
-                        () ->
-                                bad(
-                                        key,
-                                        "no such "
-                                                + what
-                                                + ": \""
-                                                + text
-                                                + "\"; "
-                                                + "there are "
-                                                + String.join(
-                                                        ", ",
-                                                        Arrays.stream(words.getEnumConstants())
-                                                                .map(TomlReader::lower)
-                                                                .toList())));
+        String names =
+                Arrays.stream(type.getEnumConstants())
+                        .map(TomlReader::lowerCaseName)
+                        .collect(Collectors.joining(", "));
+        throw invalid(key, "no such " + kind + ": \"" + text + "\"; there are " + names);
     }
 
-    static String lower(Enum<?> word) {
-        return word.name().toLowerCase(Locale.ROOT);
+    /** The same, with a default where the key is missing. */
+    <E extends Enum<E>> E enumValue(
+            JsonNode table, String key, Class<E> type, String kind, E defaultValue) {
+        return table.has(key) ? enumValue(table, key, type, kind) : defaultValue;
     }
 
-    boolean whether(JsonNode table, String key) {
+    static String lowerCaseName(Enum<?> value) {
+        return value.name().toLowerCase(Locale.ROOT);
+    }
+
+    /** True or false; false where the key is missing. */
+    boolean flag(JsonNode table, String key) {
         JsonNode value = table.path(key);
         if (!value.isMissingNode() && !value.isBoolean()) {
-            throw bad(key, "neither true nor false: " + value);
+            throw invalid(key, "neither true nor false: " + value);
         }
         return value.asBoolean();
     }
 
-    int whole(JsonNode table, String key, int usual, int least, int most) {
+    int integer(JsonNode table, String key, int defaultValue, int min, int max) {
         JsonNode value = table.path(key);
         if (!value.isMissingNode() && !value.isIntegralNumber()) {
-            throw bad(key, "not a whole number: " + value);
+            throw invalid(key, "not a whole number: " + value);
         }
-        return (int) number(table, key, usual, least, most);
+        return (int) number(table, key, defaultValue, min, max);
     }
 
-    double number(JsonNode table, String key, double usual, double least, double most) {
+    double number(JsonNode table, String key, double defaultValue, double min, double max) {
         JsonNode value = table.path(key);
         if (value.isMissingNode()) {
-            return usual;
-        } else if (!value.isNumber() || !(value.asDouble() >= least && value.asDouble() <= most)) {
-            throw bad(key, "not a number from " + least + " to " + most + ": " + value);
+            return defaultValue;
+        }
+        if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
+            throw invalid(key, "not a number from " + min + " to " + max + ": " + value);
         }
         return value.asDouble();
     }
 
-    double time(JsonNode table, String key, double usual) {
+    /** A time such as "350ms" or "5s", in seconds. */
+    double seconds(JsonNode table, String key, double defaultSeconds) {
         JsonNode value = table.path(key);
         if (value.isMissingNode()) {
-            return usual;
+            return defaultSeconds;
         }
-        Matcher parts = TIME.matcher(value.asText());
-        if (!value.isTextual() || !parts.matches()) {
-            throw bad(key, "not a time such as \"350ms\" or \"5s\": " + value);
+        Matcher duration = DURATION.matcher(value.asText());
+        if (!value.isTextual() || !duration.matches()) {
+            throw invalid(key, "not a time such as \"350ms\" or \"5s\": " + value);
         }
-        return Double.parseDouble(parts.group(1)) / (parts.group(2).equals("ms") ? 1000 : 1);
+        double number = Double.parseDouble(duration.group(1));
+        return duration.group(2).equals("ms") ? number / 1000 : number;
     }
 
-    /** The same for what has to last. */
-    double span(JsonNode table, String key, double usual) {
-        double span = time(table, key, usual);
-        if (!(span > 0)) {
-            throw bad(key, "must be over 0");
+    /** The same, over 0. */
+    double positiveSeconds(JsonNode table, String key, double defaultSeconds) {
+        double seconds = seconds(table, key, defaultSeconds);
+        if (!(seconds > 0)) {
+            throw invalid(key, "must be over 0");
         }
-        return span;
+        return seconds;
     }
 
-    double share(JsonNode table, String key, double usual) {
+    /** A percentage such as "30%", as a share from 0 to 1. */
+    double share(JsonNode table, String key, double defaultShare) {
         JsonNode value = table.path(key);
         if (value.isMissingNode()) {
-            return usual;
+            return defaultShare;
         }
-        Matcher parts = SHARE.matcher(value.asText());
-        if (!value.isTextual() || !parts.matches() || Double.parseDouble(parts.group(1)) > 100) {
-            throw bad(key, "not a share such as \"30%\": " + value);
+        Matcher percent = PERCENT.matcher(value.asText());
+        if (!value.isTextual()
+                || !percent.matches()
+                || Double.parseDouble(percent.group(1)) > 100) {
+            throw invalid(key, "not a share such as \"30%\": " + value);
         }
-        return Double.parseDouble(parts.group(1)) / 100;
+        return Double.parseDouble(percent.group(1)) / 100;
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/Backend.java
+++ b/src/main/java/lemondrift/lab/simulation/Backend.java
@@ -6,202 +6,233 @@
 import java.util.List;
 import lemondrift.model.Settings;
 
-/** A backend: cores, one queue before them, and what may go wrong with it. */
+/** A backend: cores, one queue before them, and the faults that fall on it. */
 public final class Backend {
-    /** One request that it holds; the end hears once how it went, unless it is dropped. */
+    /** One request that the backend holds. */
     public static final class Job {
-        private final double work;
-        private final Ended ended;
-        private Scheduler.Entry end;
+        private final double workSeconds;
+        private final JobListener listener;
+
+        /** Its completion as scheduled; null while it waits. */
+        private Scheduler.Entry completion;
+
         private boolean dropped;
 
-        private Job(double work, Ended ended) {
-            this.work = work;
-            this.ended = ended;
+        private Job(double workSeconds, JobListener listener) {
+            this.workSeconds = workSeconds;
+            this.listener = listener;
         }
     }
 
-    /** How a job ended: whether it ran to its end. */
-    public interface Ended {
-        void ended(boolean ran);
+    /** Hears once how a job ended, unless the job was dropped. */
+    @FunctionalInterface
+    public interface JobListener {
+        /**
+         * A job has ended.
+         *
+         * @param completed whether it ran to its end; else it was reset with the backend's process
+         */
+        void jobEnded(boolean completed);
     }
 
-    /** Seconds over which utilisation is a mean, and requests that may wait for each core. */
-    private static final double MEAN = 0.1;
+    /** The time constant of the moving average of the utilization, in seconds. */
+    private static final double UTILIZATION_AVERAGE_SECONDS = 0.1;
 
-    private static final int MOST_WAITING = 20;
+    /** How many requests may wait for each core. */
+    private static final int MAX_WAITING_PER_CORE = 20;
 
     private final Scheduler scheduler;
     private final int cores;
     private final Settings.Rules rules;
 
-    /**
-     * Work that came while it was cold, with the time, within the window in which it may fall over.
-     */
-    private final Deque<double[]> coldWork = new ArrayDeque<>();
+    /** The work that arrived while the backend was cold. */
+    private final WorkWindow coldWork;
 
     private final Deque<Job> waiting = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
     private double startedAt = Double.NEGATIVE_INFINITY;
     private double stalledUntil;
-    private double busy;
-    private double busyAt;
 
-    /** How many troubles of a kind are on it, and the slowest of those that slow it. */
-    public int dead;
+    /** The share of busy cores, a moving average as of {@link #utilizationAt}. */
+    private double utilization;
+
+    private double utilizationAt;
 
+    /** How many faults hold the process down now. */
+    int faultsHoldingDown;
+
+    /** How many faults make the machine silent now: connections neither come up nor break. */
     public int silent;
 
-    public double slow = 1;
+    /** How many times as long as usual all work takes now. */
+    double slowdown = 1;
+
+    /** The share of all requests that fail by faults now, 0 to 1 or more where faults overlap. */
     public double errors;
+
+    /** The same for the requests of the last class alone. */
     public double classErrors;
 
     /**
-     * Creates one that is warm and idle, with so many cores and the slow-start rules that it obeys.
+     * Creates a backend that is warm and idle.
+     *
+     * @param rules how a cold backend warms up and when it is overloaded
      */
     public Backend(Scheduler scheduler, int cores, Settings.Rules rules) {
         this.scheduler = scheduler;
         this.cores = cores;
         this.rules = rules;
+        coldWork = new WorkWindow(rules.overloadWindowSeconds());
     }
 
+    /** Whether its process is up, be its machine silent or not. */
     public boolean isUp() {
-        return dead == 0;
+        return faultsHoldingDown == 0;
     }
 
-    /** The share of its capacity that it has now. */
-    private double warmth() {
-        double age = (scheduler.now() - startedAt) / rules.slowStartSeconds();
-        return age >= 1
+    /** Whether its process is up and its machine not silent. */
+    public boolean isFit() {
+        return isUp() && silent == 0;
+    }
+
+    /** The share of its full capacity that it has now, 0 to 1. */
+    private double capacityShare() {
+        double warmedShare = (scheduler.now() - startedAt) / rules.slowStartSeconds();
+        return warmedShare >= 1
                 ? 1
-                : rules.slowStartMinShare() + (1 - rules.slowStartMinShare()) * Math.max(0, age);
+                : rules.slowStartMinShare()
+                        + (1 - rules.slowStartMinShare()) * Math.max(0, warmedShare);
     }
 
     /**
-     * Whether this much more work pushes it over: cold, it got more in a window than it can bear.
+     * Adds work, in seconds of one warm core, and tells whether it overloads a cold backend:
+     * whether more came within the overload window than the backend can bear.
      */
-    public boolean fallsOver(double work) {
-        double warmth = warmth();
-        double now = scheduler.now();
-        if (warmth == 1) {
+    public boolean fallsOver(double workSeconds) {
+        double capacityShare = capacityShare();
+        if (capacityShare == 1) {
             coldWork.clear();
             return false;
         }
-        coldWork.add(new double[] {now, work});
-        while (coldWork.peek()[0] < now - rules.overloadWindowSeconds()) {
-            coldWork.remove();
-        }
-        return coldWork.size() > 1
-                && coldWork.stream().mapToDouble(each -> each[1]).sum()
-                        > rules.overloadFactor() * warmth * cores * rules.overloadWindowSeconds();
+        coldWork.add(scheduler.now(), workSeconds);
+        return coldWork.exceeds(
+                rules.overloadFactor() * capacityShare * cores * rules.overloadWindowSeconds());
     }
 
+    /** Whether its queue is full. */
     public boolean isFull() {
-        return waiting.size() >= MOST_WAITING * cores;
+        return waiting.size() >= MAX_WAITING_PER_CORE * cores;
     }
 
-    /** How many times as long as usual its work takes now. */
+    /** The share of the requests of a class that fail by faults now; above 1 all do. */
+    double errorShare(boolean isLastClass) {
+        return Math.max(errors, isLastClass ? classErrors : 0);
+    }
+
+    /** How many times as long as on a warm backend without faults its work takes now. */
     public double slowness() {
-        return slow / warmth();
+        return slowdown / capacityShare();
     }
 
-    /** What it holds, by how much of its capacity it has now. */
-    public double load() {
+    /** The requests that it holds for each core, over its present speed; stalls add to it. */
+    double load() {
         return (waiting.size() + running.size()) / (double) cores * slowness()
                 + Math.max(0, stalledUntil - scheduler.now());
     }
 
-    /** Whether it is up and says something. */
-    public boolean isFit() {
-        return dead == 0 && silent == 0;
-    }
-
-    /** What it holds, at work and waiting. */
+    /** How many requests it holds, running and waiting. */
     public int held() {
         return running.size() + waiting.size();
     }
 
+    /** How many requests wait for a core. */
     public int queued() {
         return waiting.size();
     }
 
-    /** How busy its cores are, a mean that fades. */
+    /** The share of its cores that are busy, a moving average, 0 to 1. */
     public double utilisation() {
-        count();
-        return Math.min(1, busy);
+        updateUtilization();
+        return Math.min(1, utilization);
     }
 
-    private void count() {
-        double share = Math.exp((busyAt - scheduler.now()) / MEAN);
-        busy = busy * share + (1 - share) * running.size() / cores;
-        busyAt = scheduler.now();
+    /** Must be called before the number of running jobs changes. */
+    private void updateUtilization() {
+        double share = Math.exp((utilizationAt - scheduler.now()) / UTILIZATION_AVERAGE_SECONDS);
+        utilization = utilization * share + (1 - share) * running.size() / cores;
+        utilizationAt = scheduler.now();
     }
 
-    /** Takes a request whose work is so many seconds of a core of speed one. */
-    public Job take(double work, Ended ended) {
-        Job job = new Job(work, ended);
+    /** Accepts a request whose work is given in seconds of one warm core. */
+    public Job take(double workSeconds, JobListener listener) {
+        Job job = new Job(workSeconds, listener);
         waiting.add(job);
-        start();
+        startWaitingJobs();
         return job;
     }
 
-    private void start() {
+    private void startWaitingJobs() {
         while (!waiting.isEmpty() && running.size() < cores && isUp()) {
-            count();
+            updateUtilization();
             Job job = waiting.remove();
             running.add(job);
-            double begins = Math.max(scheduler.now(), stalledUntil);
-            job.end = scheduler.at(begins + job.work * slow / warmth(), () -> finish(job));
+            double startAt = Math.max(scheduler.now(), stalledUntil);
+            double durationSeconds = job.workSeconds * slowdown / capacityShare();
+            job.completion = scheduler.at(startAt + durationSeconds, () -> complete(job));
         }
     }
 
-    private void finish(Job job) {
+    private void complete(Job job) {
         if (scheduler.now() < stalledUntil) {
-            // What was to end while all stands still ends when it goes on.
-            job.end = scheduler.at(stalledUntil, () -> finish(job));
+            job.completion = scheduler.at(stalledUntil, () -> complete(job));
             return;
         }
-        count();
+        updateUtilization();
         running.remove(job);
         if (!job.dropped) {
-            job.ended.ended(true);
+            job.listener.jobEnded(true);
         }
-        start();
+        startWaitingJobs();
     }
 
-    /** Nobody waits for it any more: it is taken out where it waits, and goes on where it runs. */
+    /** Drops a job that nobody waits for: it leaves the queue, or runs on where it has started. */
     public void drop(Job job) {
         job.dropped = true;
         waiting.remove(job);
     }
 
-    public void stall(double until) {
+    /** Stands still until a time, in seconds of the scheduler. */
+    void stall(double until) {
         stalledUntil = Math.max(stalledUntil, until);
     }
 
-    /** The process is gone with all it held; of what is told, each has its end. */
-    public void dies(boolean tells) {
-        count();
-        List<Job> held = new ArrayList<>(running);
-        held.addAll(waiting);
+    /**
+     * The process ends and loses all jobs.
+     *
+     * @param resetsJobs whether the listeners hear of it; else nothing is ever heard of the jobs
+     */
+    void terminate(boolean resetsJobs) {
+        updateUtilization();
+        List<Job> lost = new ArrayList<>(running);
+        lost.addAll(waiting);
         running.clear();
         waiting.clear();
-        for (Job job : held) {
-            if (job.end != null) {
-                job.end.cancel();
+        for (Job job : lost) {
+            if (job.completion != null) {
+                job.completion.cancel();
             }
-            if (tells && !job.dropped) {
-                job.ended.ended(false);
+            if (resetsJobs && !job.dropped) {
+                job.listener.jobEnded(false);
             }
         }
     }
 
-    /** Starts anew and cold, with nothing to do. */
-    public void restarts() {
+    /** The process starts again, cold and idle. */
+    void restart() {
         startedAt = scheduler.now();
         coldWork.clear();
-        busy = 0;
-        busyAt = scheduler.now();
-        start();
+        utilization = 0;
+        utilizationAt = scheduler.now();
+        startWaitingJobs();
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/BackendFault.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFault.java
@@ -1,41 +1,43 @@
 package lemondrift.lab.simulation;
 
 /**
- * Something that goes wrong in a world; any may overlap with any.
+ * A fault of backends, traffic or discovery; any may overlap with any. Reports give its components
+ * by these names.
  *
- * @param kind what goes wrong
- * @param at when it begins, seconds from the start of the day
+ * @param kind what fails
+ * @param at when it begins, in seconds from the start of the scenario
  * @param lasts for how many seconds
  * @param share of the backends that it falls on, 0 to 1; at least one
  * @param strength how many times slower, or more traffic; for ERRORS and GRADE the share that fails
  */
 public record BackendFault(Kind kind, double at, double lasts, double share, double strength) {
-    /** Kinds of trouble. */
+    /** Kinds of fault, as experiments name them. */
     public enum Kind {
-        /** Processes die, what they held is reset; they come back cold when it is over. */
+        /** Processes die and reset what they held; they restart cold when it is over. */
         CRASH,
         /**
-         * Machines say nothing more: connections neither come up nor break; back cold when it is
+         * Machines are silent: connections neither come up nor break; they restart cold when it is
          * over.
          */
         VANISH,
-        /** They stand still. */
+        /** Backends stand still. */
         STALL,
-        /** They work slower, by the strength. */
+        /** Backends work slower, by the strength. */
         SLOW,
-        /** A share of what they get is answered with an error at once. */
+        /** Backends answer a share of the requests with an error at once. */
         ERRORS,
         /** The same for the last request class alone. */
         GRADE,
         /**
-         * They are replaced one after another within the time, each drained first, successors cold.
+         * Backends are replaced one after another within the time, each drained first, their
+         * successors cold.
          */
         DEPLOY,
         /** Traffic is so many times the usual. */
         BURST,
         /** Requests cost so many times the usual. */
         HEAVY,
-        /** Discovery says nothing; what changed is told when it is over. */
+        /** Discovery says nothing; changes are announced when it is over. */
         SILENCE
     }
 
--- a/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
@@ -4,155 +4,170 @@
 import lemondrift.model.EndpointUpdate;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Has a day's troubles fall on its backends, in virtual time and on sockets alike. */
+/** Has faults fall on backends, traffic and discovery, in virtual time and on sockets alike. */
 public final class BackendFaultInjector {
-    /** Who plays the day. */
+    /** What the faults fall on beside the backends' own state. */
     public interface Host {
-        /** Discovery has something to tell of a backend. */
+        /** Discovery is to announce the state of a backend. */
         void announce(int backend, EndpointUpdate.State state);
 
         /**
-         * A backend's process or machine is gone; what it held is reset, or nothing is ever told of
-         * it.
+         * The process or machine of a backend has gone.
+         *
+         * @param tells whether what it held was reset; else nothing is ever heard of it
          */
         default void died(int backend, boolean tells) {}
 
-        /** A backend's process has started again, empty and cold. */
+        /** The process of a backend has started again, idle and cold. */
         void restarted(int backend);
 
-        /** Discovery says nothing for so many seconds. */
+        /** Discovery says nothing for a time. */
         void silenceDiscovery(double seconds);
     }
 
+    /** How long a replaced process is gone before its successor starts, in seconds. */
+    private static final double REPLACEMENT_DOWNTIME_SECONDS = 0.1;
+
+    /** How long a replaced backend drains beyond twice the delay of discovery, in seconds. */
+    private static final double DRAIN_MARGIN_SECONDS = 1;
+
     private final Scheduler scheduler;
     private final UniformRandomProvider random;
     private final Backend[] backends;
-    private final double delay;
+    private final double discoveryDelaySeconds;
     private final Host host;
 
-    /** By how much traffic and the work of a request are more than usual now. */
+    /** How many times as many requests as usual arrive now. */
     public double traffic = 1;
 
+    /** How many times as much work as usual a request costs now. */
     public double heavy = 1;
 
-    /**
-     * The delay is that of discovery, in seconds; one that is replaced is drained for longer first.
-     */
+    /** Creates an injector for these backends; the delay is that of discovery, in seconds. */
     public BackendFaultInjector(
             Scheduler scheduler,
             UniformRandomProvider random,
             Backend[] backends,
-            double delay,
+            double discoveryDelaySeconds,
             Host host) {
         this.scheduler = scheduler;
         this.random = random;
         this.backends = backends;
-        this.delay = delay;
+        this.discoveryDelaySeconds = discoveryDelaySeconds;
         this.host = host;
     }
 
-    private int[] fallsOn(BackendFault trouble) {
-        int[] all = new int[backends.length];
-        Arrays.setAll(all, i -> i);
-        for (int i = all.length - 1; i > 0; i--) {
+    /** Draws the backends that a fault falls on: its share of them, at least one. */
+    private int[] drawBackends(BackendFault fault) {
+        int[] order = new int[backends.length];
+        Arrays.setAll(order, i -> i);
+        for (int i = order.length - 1; i > 0; i--) {
             int j = random.nextInt(i + 1);
-            int other = all[i];
-            all[i] = all[j];
-            all[j] = other;
+            int swapped = order[i];
+            order[i] = order[j];
+            order[j] = swapped;
         }
-        int many = (int) Math.max(1, trouble.share() * all.length + 0.5);
-        return Arrays.copyOf(all, Math.min(all.length, many));
+        int count = (int) Math.max(1, fault.share() * order.length + 0.5);
+        return Arrays.copyOf(order, Math.min(order.length, count));
     }
 
-    /** It begins now, and ends by itself. */
-    public void begins(BackendFault trouble) {
-        double end = trouble.lasts();
-        switch (trouble.kind()) {
+    /** A fault begins now; it ends by itself after its duration. */
+    public void begins(BackendFault fault) {
+        switch (fault.kind()) {
             case BURST -> {
-                traffic *= trouble.strength();
-                scheduler.after(end, () -> traffic /= trouble.strength());
+                traffic *= fault.strength();
+                scheduler.after(fault.lasts(), () -> traffic /= fault.strength());
             }
             case HEAVY -> {
-                heavy *= trouble.strength();
-                scheduler.after(end, () -> heavy /= trouble.strength());
-            }
-            case SILENCE -> host.silenceDiscovery(end);
-            case DEPLOY -> {
-                int[] all = fallsOn(trouble);
-                for (int k = 0; k < all.length; k++) {
-                    int i = all[k];
-                    scheduler.after(end * k / all.length, () -> replace(i, end / all.length));
-                }
+                heavy *= fault.strength();
+                scheduler.after(fault.lasts(), () -> heavy /= fault.strength());
             }
+            case SILENCE -> host.silenceDiscovery(fault.lasts());
+            case DEPLOY -> startDeploy(fault);
             default -> {
-                for (int i : fallsOn(trouble)) {
-                    begins(trouble, i, backends[i]);
+                for (int backend : drawBackends(fault)) {
+                    startOnBackend(fault, backend);
                 }
             }
         }
     }
 
-    private void begins(BackendFault trouble, int i, Backend backend) {
-        switch (trouble.kind()) {
+    /** Replaces the backends one after another, evenly over the duration of the fault. */
+    private void startDeploy(BackendFault fault) {
+        int[] drawn = drawBackends(fault);
+        for (int k = 0; k < drawn.length; k++) {
+            int backend = drawn[k];
+            scheduler.after(
+                    fault.lasts() * k / drawn.length,
+                    () -> replace(backend, fault.lasts() / drawn.length));
+        }
+    }
+
+    private void startOnBackend(BackendFault fault, int index) {
+        Backend backend = backends[index];
+        switch (fault.kind()) {
             case CRASH -> {
-                dies(i, true);
-                scheduler.after(trouble.lasts(), () -> comesBack(i));
+                dies(index, true);
+                scheduler.after(fault.lasts(), () -> restart(index));
             }
             case VANISH -> {
                 backend.silent++;
-                dies(i, false);
+                dies(index, false);
                 scheduler.after(
-                        trouble.lasts(),
+                        fault.lasts(),
                         () -> {
                             backend.silent--;
-                            comesBack(i);
+                            restart(index);
                         });
             }
-            case STALL -> backend.stall(scheduler.now() + trouble.lasts());
+            case STALL -> backend.stall(scheduler.now() + fault.lasts());
             case SLOW -> {
-                backend.slow *= trouble.strength();
-                scheduler.after(trouble.lasts(), () -> backend.slow /= trouble.strength());
+                backend.slowdown *= fault.strength();
+                scheduler.after(fault.lasts(), () -> backend.slowdown /= fault.strength());
             }
             case ERRORS -> {
-                backend.errors += trouble.strength();
-                scheduler.after(trouble.lasts(), () -> backend.errors -= trouble.strength());
+                backend.errors += fault.strength();
+                scheduler.after(fault.lasts(), () -> backend.errors -= fault.strength());
             }
             case GRADE -> {
-                backend.classErrors += trouble.strength();
-                scheduler.after(trouble.lasts(), () -> backend.classErrors -= trouble.strength());
+                backend.classErrors += fault.strength();
+                scheduler.after(fault.lasts(), () -> backend.classErrors -= fault.strength());
             }
-            default -> throw new IllegalStateException(trouble.kind() + " falls on no backend");
+            default -> throw new IllegalStateException(fault.kind() + " falls on no backend");
         }
     }
 
-    /** What it held is reset, or where nothing is told of its end, never heard of again. */
-    public void dies(int i, boolean tells) {
-        if (backends[i].dead++ == 0) {
-            backends[i].dies(tells);
-            host.died(i, tells);
-            host.announce(i, EndpointUpdate.State.GONE);
+    /**
+     * The process of a backend goes down, unless another fault holds it down already.
+     *
+     * @param tells whether what it held is reset; else nothing is ever heard of it
+     */
+    public void dies(int backend, boolean tells) {
+        if (backends[backend].faultsHoldingDown++ == 0) {
+            backends[backend].terminate(tells);
+            host.died(backend, tells);
+            host.announce(backend, EndpointUpdate.State.GONE);
         }
     }
 
-    /**
-     * Two troubles that hold it down may end at the same instant: it comes back with the last of
-     * them.
-     */
-    private void comesBack(int i) {
-        if (--backends[i].dead == 0) {
-            backends[i].restarts();
-            host.restarted(i);
-            host.announce(i, EndpointUpdate.State.READY);
+    /** Restarts a backend when the last of the faults that hold it down has ended. */
+    private void restart(int backend) {
+        if (--backends[backend].faultsHoldingDown == 0) {
+            backends[backend].restart();
+            host.restarted(backend);
+            host.announce(backend, EndpointUpdate.State.READY);
         }
     }
 
-    private void replace(int i, double within) {
-        host.announce(i, EndpointUpdate.State.DRAINING);
+    private void replace(int backend, double withinSeconds) {
+        host.announce(backend, EndpointUpdate.State.DRAINING);
+        double drainSeconds =
+                Math.min(withinSeconds, 2 * discoveryDelaySeconds + DRAIN_MARGIN_SECONDS);
         scheduler.after(
-                Math.min(within, 2 * delay + 1),
+                drainSeconds,
                 () -> {
-                    dies(i, true);
-                    scheduler.after(0.1, () -> comesBack(i));
+                    dies(backend, true);
+                    scheduler.after(REPLACEMENT_DOWNTIME_SECONDS, () -> restart(backend));
                 });
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/Fault.java
+++ b/src/main/java/lemondrift/lab/simulation/Fault.java
@@ -1,18 +1,18 @@
 package lemondrift.lab.simulation;
 
 /**
- * Something that goes wrong with the proxies' processes or on the way from one to another, to the
- * backends or to discovery; any may overlap with any.
+ * A fault of the proxies' processes, or of the channels between them, to the backends or to
+ * discovery; any may overlap with any.
  *
- * @param kind what goes wrong
- * @param channel on which way, for what is between processes
+ * @param kind what fails
+ * @param channel the channel, for a fault between processes
  * @param from whose messages, or which processes
- * @param to to whom
- * @param both whether the way back has it too
- * @param at when it begins, seconds from the start of the day
+ * @param to to whom the messages go
+ * @param both whether the opposite direction has it too
+ * @param at when it begins, in seconds from the start of the scenario
  * @param lasts for how many seconds; a process that was killed or stopped is started again then
  * @param share of the messages that it falls on, 0 to 1
- * @param by seconds by which a message is late, at the most
+ * @param by how many seconds a message is late at the most
  */
 public record Fault(
         Kind kind,
@@ -26,46 +26,49 @@
         double by) {
     /** Kinds of fault. */
     public enum Kind {
-        /** Nothing gets through; on connections neither end is told. */
+        /** Nothing gets through; connections stay open at both ends. */
         CUT,
         /** A share of the datagrams is lost. */
         LOSE,
-        /** A share of the messages comes late. */
+        /** A share of the messages is delayed. */
         LATE,
-        /** A share of the datagrams comes twice. */
+        /** A share of the datagrams is duplicated. */
         TWICE,
-        /** A share of the datagrams is late by something of its own, so that they change places. */
+        /**
+         * A share of the datagrams is delayed by times of their own, so that they are reordered.
+         */
         DISORDER,
-        /** Datagrams that no proxy has sent: random bytes, absurd lengths, foreign senders. */
+        /** Datagrams that no proxy sent: random bytes, absurd lengths, foreign senders. */
         JUNK,
-        /** Processes are killed outright, at one instant, and started again when it is over. */
+        /** Processes get SIGKILL at one instant and are started again when it is over. */
         KILL,
-        /** The same with SIGTERM. */
+        /** Processes get SIGTERM and are started again when it is over. */
         STOP,
-        /** Processes stand still and are woken. */
+        /** Processes get SIGSTOP, and SIGCONT when it is over. */
         PAUSE,
-        /** Processes are stopped and started again, a tenth of them at a time, over its span. */
+        /** Processes are restarted over its duration, a tenth of them at a time. */
         ROLL,
         /**
          * Processes get SIGTERM while clients go on using the connections that they have, and are
          * killed as early as the platform may do so.
          */
         TERMINATE,
-        /**
-         * Processes are told to read their configuration again, some times in a row over its span.
-         */
+        /** Processes are told to reload their configuration, several times over its duration. */
         HANG_UP;
 
-        /** Whether it falls on processes. */
+        /** Whether it falls on processes; else on a channel between them. */
         public boolean isOfProcesses() {
             return compareTo(KILL) >= 0;
         }
     }
 
-    /** Ways between processes. */
+    /** Channels between processes. */
     public enum Channel {
+        /** Gossip between proxies. */
         DATAGRAMS,
+        /** From proxies to backends. */
         BACKENDS,
+        /** From discovery to proxies. */
         DISCOVERY
     }
 
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Whether it holds at a time. */
+    /** Whether it is in effect at a time, in seconds from the start of the scenario. */
     public boolean holds(double now) {
         return now >= at && now < at + lasts;
     }
--- a/src/main/java/lemondrift/lab/simulation/FaultTarget.java
+++ b/src/main/java/lemondrift/lab/simulation/FaultTarget.java
@@ -7,63 +7,80 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Some of the proxies or backends of a day: all of them, those of a location, one by its number, or
- * a share that is drawn.
+ * The proxies or backends that a fault falls on.
  *
- * @param kind which of these
- * @param value the location, the number, or the share from 0 to 1
+ * @param kind how they are named
+ * @param value the location, the number, or the share from 0 to 1; 1 for all
  */
 public record FaultTarget(Kind kind, double value) {
-    /** Which of them. */
+    /** How the targets are named. */
     public enum Kind {
+        /** All there are. */
         ALL,
+        /** Those of a location. */
         LOCATION,
+        /** One by its number. */
         NUMBER,
+        /** A share of them, drawn at random. */
         SHARE
     }
 
-    /** How it is written in a file. */
+    /** The forms in an experiment's file, for messages. */
     public static final String FORMS = "\"all\", \"location 1\", \"number 3\", \"30%\"";
 
+    /** All there are. */
     public static final FaultTarget ALL = new FaultTarget(Kind.ALL, 1);
+
     private static final Pattern FORM =
             Pattern.compile("(location|number) (\\d{1,4})|(\\d+(?:\\.\\d+)?)%");
 
-    /** As written in a file; null where it is none of the forms. */
+    /** Parses one of the {@link #FORMS}; null where the text is none of them. */
     public static FaultTarget of(String text) {
-        Matcher parts = FORM.matcher(text);
         if (text.equals("all")) {
             return ALL;
-        } else if (!parts.matches()) {
+        }
+        Matcher form = FORM.matcher(text);
+        if (!form.matches()) {
             return null;
-        } else if (parts.group(3) != null) {
-            double share = Double.parseDouble(parts.group(3)) / 100;
+        }
+        String percent = form.group(3);
+        if (percent != null) {
+            double share = Double.parseDouble(percent) / 100;
             return share <= 1 ? new FaultTarget(Kind.SHARE, share) : null;
         }
-        return new FaultTarget(
-                parts.group(1).equals("location") ? Kind.LOCATION : Kind.NUMBER,
-                Integer.parseInt(parts.group(2)));
+        Kind kind = form.group(1).equals("location") ? Kind.LOCATION : Kind.NUMBER;
+        return new FaultTarget(kind, Integer.parseInt(form.group(2)));
     }
 
-    /** Which of so many it is, each standing in a location; a share is at least one of them. */
-    public boolean[] among(int many, IntUnaryOperator location, UniformRandomProvider random) {
-        boolean[] are = new boolean[many];
-        if (kind == Kind.SHARE) {
-            int[] order = IntStream.range(0, many).toArray();
-            for (int k = 0; k < many && k < Math.max(1, Math.round(value * many)); k++) {
-                int j = k + random.nextInt(many - k);
-                int other = order[k];
-                order[k] = order[j];
-                order[j] = other;
-                are[order[k]] = true;
-            }
-            return are;
+    /**
+     * Which of a number of proxies or backends are targets, by index.
+     *
+     * @param location the location of each index
+     * @param random where a share is drawn from; a share is at least one of them
+     */
+    public boolean[] among(int count, IntUnaryOperator location, UniformRandomProvider random) {
+        boolean[] targets = new boolean[count];
+        switch (kind) {
+            case ALL -> IntStream.range(0, count).forEach(i -> targets[i] = true);
+            case LOCATION ->
+                    IntStream.range(0, count)
+                            .forEach(i -> targets[i] = location.applyAsInt(i) == (int) value);
+            case NUMBER -> IntStream.range(0, count).forEach(i -> targets[i] = i == (int) value);
+            case SHARE -> drawShare(targets, random);
         }
-        for (int i = 0; i < many; i++) {
-            are[i] =
-                    kind == Kind.ALL
-                            || (kind == Kind.NUMBER ? i : location.applyAsInt(i)) == (int) value;
+        return targets;
+    }
+
+    private void drawShare(boolean[] targets, UniformRandomProvider random) {
+        int count = targets.length;
+        int[] order = IntStream.range(0, count).toArray();
+        long drawnCount = Math.min(count, Math.max(1, Math.round(value * count)));
+        for (int k = 0; k < drawnCount; k++) {
+            int j = k + random.nextInt(count - k);
+            int drawn = order[j];
+            order[j] = order[k];
+            order[k] = drawn;
+            targets[drawn] = true;
         }
-        return are;
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
+++ b/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
@@ -7,112 +7,150 @@
 
 /**
  * How evenly backends are used, by what they hold alone; docs/lab.md defines the figures. Times are
- * in seconds and rise. A backend is fit while it is up, speaks and takes what comes.
+ * in seconds and must not fall from one call to the next. A backend is fit while it is up and not
+ * silent; all are fit and idle at first.
  */
 public final class LoadEvenness {
-    /** Who holds so many beyond its cores makes another's idleness a fault. */
-    private static final int CROWDED = 3;
+    /** A backend that holds so many requests beyond its cores makes another's idleness a fault. */
+    private static final int CROWDED_QUEUE = 3;
 
-    /** Sends are counted over this share of a latency objective. */
-    private static final double TOGETHER = 0.1;
+    /** The herd is counted over this share of a latency objective. */
+    private static final double HERD_WINDOW_SHARE = 0.1;
+
+    /** Stands in for a span of no length where a mean over time is taken. */
+    private static final double SHORTEST_SPAN_SECONDS = 1e-9;
+
+    /** One request that was sent to a backend. */
+    private record Send(double at, int backend) {}
 
     private final int cores;
-    private final double together;
+    private final double herdWindowSeconds;
     private final int[] held;
     private final boolean[] fit;
     private final double[] idleSince;
     private final long[] served;
-    private final Deque<double[]> sends = new ArrayDeque<>();
-    private final int[] sent;
+
+    /** The requests sent within the herd's window, and how many of them to each backend. */
+    private final Deque<Send> recentSends = new ArrayDeque<>();
+
+    private final int[] recentSendCount;
+
+    /** Up to when all has been counted, and from when on. */
     private double now;
-    private double from;
-    private double wasted;
-    private double fullest;
-    private double idle;
-    private double crowdedSince = Double.NaN;
-    private double longestIdle;
-    private int mostTogether;
-    private double[] idleIn = {};
-
-    /** All are fit and hold nothing at first; the latency objective is the shortest. */
-    public LoadEvenness(int backends, int cores, double contractTime) {
+
+    private double countedFrom;
+
+    /** Integrals over time since {@link #countedFrom}. */
+    private double wasteSeconds;
+
+    private double fullestSeconds;
+    private double idleSeconds;
+
+    /** Whether any backend is crowded, and since when. */
+    private boolean crowded;
+
+    private double crowdedSince;
+    private double longestIdleSeconds;
+    private int herd;
+
+    /** Longer than the seconds counted so far; the rest is 0. */
+    private double[] idleShareBySecond = {};
+
+    /**
+     * Creates one for backends of so many cores; the latency objective is the shortest, in seconds.
+     */
+    public LoadEvenness(int backends, int cores, double latencyObjectiveSeconds) {
         this.cores = cores;
-        together = TOGETHER * contractTime;
+        herdWindowSeconds = HERD_WINDOW_SHARE * latencyObjectiveSeconds;
         held = new int[backends];
         fit = new boolean[backends];
         Arrays.fill(fit, true);
         idleSince = new double[backends];
         served = new long[backends];
-        sent = new int[backends];
+        recentSendCount = new int[backends];
     }
 
-    /** Counts from here on, without what came before, as while all was started. */
+    /** Counts anew from a time on; what the backends hold stays known. */
     public void begins(double time) {
-        passes(time);
-        from = time;
-        wasted = 0;
-        fullest = 0;
-        idle = 0;
-        idleIn = new double[0];
-        longestIdle = 0;
-        mostTogether = 0;
+        advanceTo(time);
+        countedFrom = time;
+        wasteSeconds = 0;
+        fullestSeconds = 0;
+        idleSeconds = 0;
+        idleShareBySecond = new double[0];
+        longestIdleSeconds = 0;
+        herd = 0;
         Arrays.fill(served, 0);
         Arrays.fill(idleSince, time);
-        crowdedSince = Double.isNaN(crowdedSince) ? Double.NaN : time;
+        crowdedSince = time;
     }
 
-    private void passes(double time) {
-        double span = time - now;
-        if (span > 0) {
-            int free = 0;
-            int queued = 0;
-            int most = 0;
-            for (int i = 0; i < held.length; i++) {
-                free += fit[i] && held[i] == 0 ? 1 : 0;
-                queued += fit[i] ? Math.max(0, held[i] - cores) : 0;
-                most = Math.max(most, fit[i] ? held[i] : 0);
+    /** Adds up the time since the last event, in which no backend has changed. */
+    private void advanceTo(double time) {
+        double spanSeconds = time - now;
+        if (spanSeconds <= 0) {
+            return;
+        }
+        int idleCount = 0;
+        int queuedCount = 0;
+        int mostHeld = 0;
+        for (int i = 0; i < held.length; i++) {
+            if (fit[i]) {
+                idleCount += held[i] == 0 ? 1 : 0;
+                queuedCount += Math.max(0, held[i] - cores);
+                mostHeld = Math.max(mostHeld, held[i]);
             }
-            wasted += span * Math.min(free, queued);
-            idle += span * free;
-            counts(span, free);
-            fullest += span * most;
-            now = time;
         }
+        wasteSeconds += spanSeconds * Math.min(idleCount, queuedCount);
+        idleSeconds += spanSeconds * idleCount;
+        addIdleBySecond(spanSeconds, idleCount);
+        fullestSeconds += spanSeconds * mostHeld;
+        now = time;
     }
 
     /** Adds idle time to each second that it lies in. */
-    private void counts(double span, int free) {
-        double end = now - from + span;
-        for (double at = now - from; at < end; at = Math.floor(at) + 1) {
+    private void addIdleBySecond(double spanSeconds, int idleCount) {
+        double end = now - countedFrom + spanSeconds;
+        for (double at = now - countedFrom; at < end; at = Math.floor(at) + 1) {
             int second = (int) at;
-            idleIn = second < idleIn.length ? idleIn : Arrays.copyOf(idleIn, 2 * second + 1);
-            idleIn[second] += (Math.min(end, second + 1) - at) * free / held.length;
+            if (second >= idleShareBySecond.length) {
+                idleShareBySecond = Arrays.copyOf(idleShareBySecond, 2 * second + 1);
+            }
+            idleShareBySecond[second] += (Math.min(end, second + 1) - at) * idleCount / held.length;
         }
     }
 
-    /** The share of backends that were fit and idle in each second since it began to count. */
+    /**
+     * The share of backends that were fit and idle in each second since it began to count, 0 to 1;
+     * it may be longer than the time that has passed.
+     */
     public double[] idleBySecond() {
-        return idleIn;
+        return idleShareBySecond;
     }
 
-    /** A backend holds so many from now on, and can or can't take more. */
-    public void holds(int backend, int many, boolean isFit, double time) {
-        passes(time);
-        if (isIdle(backend) && !(isFit && many == 0)) {
-            wasIdle(backend);
-        } else if (!isIdle(backend)) {
+    /** A backend holds so many requests from a time on, and is fit or not. */
+    public void holds(int backend, int count, boolean isFit, double time) {
+        advanceTo(time);
+        if (!isIdle(backend)) {
             idleSince[backend] = time;
+        } else if (!isFit || count != 0) {
+            endOfIdleness(backend);
         }
-        held[backend] = many;
+        held[backend] = count;
         fit[backend] = isFit;
-        boolean crowded =
-                IntStream.range(0, held.length).anyMatch(i -> fit[i] && held[i] - cores >= CROWDED);
-        if (crowded && Double.isNaN(crowdedSince)) {
+        updateCrowded();
+    }
+
+    private void updateCrowded() {
+        boolean isAnyCrowded =
+                IntStream.range(0, held.length)
+                        .anyMatch(i -> fit[i] && held[i] - cores >= CROWDED_QUEUE);
+        if (isAnyCrowded && !crowded) {
             crowdedSince = now;
-        } else if (!crowded && !Double.isNaN(crowdedSince)) {
+        } else if (!isAnyCrowded && crowded) {
             endOfCrowd();
-            crowdedSince = Double.NaN;
         }
+        crowded = isAnyCrowded;
     }
 
     private boolean isIdle(int backend) {
@@ -120,54 +158,58 @@
     }
 
     private void endOfCrowd() {
-        IntStream.range(0, held.length).filter(this::isIdle).forEach(this::wasIdle);
+        IntStream.range(0, held.length).filter(this::isIdle).forEach(this::endOfIdleness);
     }
 
-    private void wasIdle(int backend) {
-        if (!Double.isNaN(crowdedSince)) {
-            longestIdle = Math.max(longestIdle, now - Math.max(idleSince[backend], crowdedSince));
+    private void endOfIdleness(int backend) {
+        if (crowded) {
+            double since = Math.max(idleSince[backend], crowdedSince);
+            longestIdleSeconds = Math.max(longestIdleSeconds, now - since);
         }
     }
 
     /** A request was sent to a backend. */
     public void sends(int backend, double time) {
-        passes(time);
-        while (!sends.isEmpty() && sends.peek()[0] < time - together) {
-            sent[(int) sends.remove()[1]]--;
+        advanceTo(time);
+        while (!recentSends.isEmpty() && recentSends.peek().at < time - herdWindowSeconds) {
+            recentSendCount[recentSends.remove().backend]--;
         }
-        sends.add(new double[] {time, backend});
-        mostTogether = Math.max(mostTogether, ++sent[backend]);
+        recentSends.add(new Send(time, backend));
+        recentSendCount[backend]++;
+        herd = Math.max(herd, recentSendCount[backend]);
     }
 
+    /** A backend has answered a request successfully. */
     public void served(int backend) {
         served[backend]++;
     }
 
-    /** What a day comes to at its end. */
+    /** The figures from when it began to count until a time. */
     public Measure measure(double time) {
-        passes(time);
-        if (!Double.isNaN(crowdedSince)) {
+        advanceTo(time);
+        if (crowded) {
             endOfCrowd();
         }
-        double span = Math.max(1e-9, now - from);
-        double mean = Arrays.stream(served).average().orElse(0);
+        double spanSeconds = Math.max(SHORTEST_SPAN_SECONDS, now - countedFrom);
+        int backendCount = Math.max(1, held.length);
+        double meanServed = Arrays.stream(served).average().orElse(0);
         return new Measure(
-                wasted / span / Math.max(1, held.length),
-                idle / span / Math.max(1, held.length),
-                fullest / span,
-                mostTogether,
-                longestIdle,
-                mean == 0 ? 0 : Arrays.stream(served).min().orElse(0) / mean,
-                mean == 0 ? 0 : Arrays.stream(served).max().orElse(0) / mean);
+                wasteSeconds / spanSeconds / backendCount,
+                idleSeconds / spanSeconds / backendCount,
+                fullestSeconds / spanSeconds,
+                herd,
+                longestIdleSeconds,
+                meanServed == 0 ? 0 : Arrays.stream(served).min().orElse(0) / meanServed,
+                meanServed == 0 ? 0 : Arrays.stream(served).max().orElse(0) / meanServed);
     }
 
     /**
-     * The figures of a day.
+     * The figures of a run.
      *
      * @param waste share of backends that stand idle while as many requests wait elsewhere, over
      *     time
      * @param idle share of backends that are fit and idle, over time
-     * @param fullest what the fullest backend holds, over time
+     * @param fullest requests that the fullest backend holds, mean over time
      * @param herd most requests sent to one backend within a tenth of a latency objective
      * @param longestIdle longest time, in seconds, that one stood idle while another held three or
      *     more beyond its cores
--- a/src/main/java/lemondrift/lab/simulation/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -1,11 +1,7 @@
 package lemondrift.lab.simulation;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.Deque;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import lemondrift.model.Attempt;
 import lemondrift.model.AttemptOutcome;
@@ -16,17 +12,37 @@
 import lemondrift.model.Settings;
 
 /**
- * Judges a day by the four rules alone. It shares no code with the decisions and sees only what
- * passes: what is taken, sent, ended, told and answered. The first rule that is broken fails the
- * run, with what went before it.
+ * Judges a run by the four rules alone. It shares no code with the decisions and sees only what
+ * passes: requests accepted, attempts sent and ended, backends listed, responses. All times are in
+ * seconds. Every event throws {@link Broken} where it breaks a rule that is judged.
  */
 public final class Referee {
-    /** How many events before a broken rule are told. */
-    private static final int TOLD = 12;
+    /** How many rules there are. */
+    public static final int ALL_RULES = 4;
+
+    /** How many of the first rules a baseline keeps: it spares no cold backend. */
+    public static final int RULES_OF_BASELINES = 3;
+
+    /** Each request gets one response before its deadline, and no attempt after it. */
+    private static final int ONE_RESPONSE_RULE = 1;
+
+    /** What may have been executed is not executed again, unless that is harmless. */
+    private static final int NO_UNSAFE_REPEAT_RULE = 2;
+
+    /** A draining backend gets nothing new after the grace. */
+    private static final int DRAIN_RULE = 3;
+
+    /** A cold backend gets no more work than it can bear. */
+    private static final int COLD_BACKEND_RULE = 4;
+
+    /** How much later than the deadline a response may be by rounding, in seconds. */
+    private static final double ROUNDING_SECONDS = 1e-9;
 
     /** A rule was broken; the message names rule, request, time and the events before. */
     public static final class Broken extends RuntimeException {
         private static final long serialVersionUID = 1;
+
+        /** The number of the rule, from 1. */
         public final int rule;
 
         Broken(int rule, String message) {
@@ -35,258 +51,231 @@
         }
     }
 
-    private record Event(double at, String what, int proxy, long exchange, int backend) {}
-
-    /** What was seen of one request. */
-    private static final class Seen {
-        final List<Attempt> forwards = new ArrayList<>();
-        final Map<Attempt, AttemptOutcome> outcomes = new HashMap<>();
-        boolean answered;
-        double answeredAt;
-
-        boolean isOver(double now, double slack) {
-            return answered && now > answeredAt + slack;
-        }
-    }
-
-    /** Work that was sent to a backend that is not warm, and when. */
-    private record Sent(double at, double work) {}
-
     private final Settings settings;
-    private final int rules;
-    private final double grace;
-    private final double slack;
-    private final Map<Request, Seen> open = new HashMap<>();
-    private final Deque<Event> events = new ArrayDeque<>();
+    private final int judgedRules;
+    private final double drainGraceSeconds;
+    private final double slackSeconds;
+    private final int[] locations;
+    private final double backendCapacity;
+    private final EventHistory history = new EventHistory();
+    private final Map<Request, RequestHistory> openRequests = new HashMap<>();
+
+    /**
+     * By proxy and backend: since when the proxy knows that it drains; infinite where it is ready.
+     */
+    private final double[][] drainingSince;
 
-    /** When a proxy was told that a backend wants nothing new. */
-    private final double[][] told;
+    /** When each backend last started. */
+    private final double[] startedAt;
 
-    private final double[] started;
-    private final double[] capacity;
-    private final List<Deque<Sent>> cold = new ArrayList<>();
-    private final int[] location;
+    /** The work sent to each backend while it was cold. */
+    private final WorkWindow[] coldWork;
 
     /**
-     * The rules judged, the first so many; the grace after a drain and how much later than at the
-     * proxy a thing may be seen, in seconds; the location of each backend and what each can do in a
-     * second.
+     * Creates a referee.
+     *
+     * @param judgedRules how many of the rules are judged, the first ones
+     * @param drainGraceSeconds how long a draining backend may still be sent requests
+     * @param slackSeconds how much later than at the proxy an event may be seen
+     * @param locations the location of each backend
+     * @param backendCapacity seconds of work that each warm backend does in a second
      */
     public Referee(
             Settings settings,
-            int rules,
-            double grace,
-            double slack,
+            int judgedRules,
+            double drainGraceSeconds,
+            double slackSeconds,
             int proxies,
-            int[] location,
-            double capacityOfEach) {
+            int[] locations,
+            double backendCapacity) {
         this.settings = settings;
-        this.rules = rules;
-        this.grace = grace;
-        this.slack = slack;
-        this.location = location;
-        told = new double[proxies][location.length];
-        for (double[] each : told) {
-            Arrays.fill(each, Double.POSITIVE_INFINITY);
-        }
-        started = new double[location.length];
-        Arrays.fill(started, Double.NEGATIVE_INFINITY);
-        capacity = new double[location.length];
-        Arrays.fill(capacity, capacityOfEach);
-        for (int i = 0; i < location.length; i++) {
-            cold.add(new ArrayDeque<>());
+        this.judgedRules = judgedRules;
+        this.drainGraceSeconds = drainGraceSeconds;
+        this.slackSeconds = slackSeconds;
+        this.locations = locations;
+        this.backendCapacity = backendCapacity;
+        drainingSince = new double[proxies][locations.length];
+        for (double[] ofProxy : drainingSince) {
+            Arrays.fill(ofProxy, Double.POSITIVE_INFINITY);
         }
+        startedAt = new double[locations.length];
+        Arrays.fill(startedAt, Double.NEGATIVE_INFINITY);
+        coldWork = new WorkWindow[locations.length];
+        Arrays.setAll(coldWork, i -> new WorkWindow(settings.rules().overloadWindowSeconds()));
     }
 
-    private void saw(double at, String what, int proxy, long exchange, int backend) {
-        if (events.size() == TOLD) {
-            events.removeFirst();
-        }
-        events.add(new Event(at, what, proxy, exchange, backend));
-    }
-
-    private void broken(int rule, String why, double at, int proxy, long exchange) {
-        if (rule > rules) {
+    private void fail(int rule, String why, double at, int proxy, long requestId) {
+        if (rule > judgedRules) {
             return;
         }
-        StringBuilder text =
-                new StringBuilder(
-                        "rule "
-                                + rule
-                                + " broken at "
-                                + at
-                                + " s by proxy "
-                                + proxy
-                                + ", exchange "
-                                + exchange
-                                + ": "
-                                + why);
-        for (Event each : events) {
-            text.append("\n  ")
-                    .append(each.at)
-                    .append(" s ")
-                    .append(each.what)
-                    .append(", proxy ")
-                    .append(each.proxy)
-                    .append(", exchange ")
-                    .append(each.exchange)
-                    .append(", backend ")
-                    .append(each.backend);
-        }
+        StringBuilder text = new StringBuilder();
+        text.append("rule ").append(rule);
+        text.append(" broken at ").append(at).append(" s");
+        text.append(" by proxy ").append(proxy);
+        text.append(", exchange ").append(requestId);
+        text.append(": ").append(why);
+        history.appendTo(text);
         throw new Broken(rule, text.toString());
     }
 
+    /** A proxy has accepted a request. */
     public void taken(int proxy, Request request, double now) {
-        saw(now, "taken", proxy, request.id, -1);
-        open.put(request, new Seen());
+        history.add(now, "taken", proxy, request.id, EventHistory.NONE);
+        openRequests.put(request, new RequestHistory());
     }
 
-    /** An attempt was sent; checks rules 1 to 4. The work is in seconds of one core. */
-    public void sent(int proxy, Attempt attempt, double work, double now) {
-        saw(now, "sent", proxy, attempt.request.id, attempt.backend);
-        Seen seen = open.get(attempt.request);
-        if (seen == null || seen.isOver(now, slack) || now >= attempt.request.deadline + slack) {
-            broken(
-                    1,
-                    "sent after its answer or expiry to backend " + attempt.backend,
-                    now,
-                    proxy,
-                    attempt.request.id);
+    /** An attempt was sent; its work is in seconds of one warm core. All four rules are judged. */
+    public void sent(int proxy, Attempt attempt, double workSeconds, double now) {
+        Request request = attempt.request;
+        history.add(now, "sent", proxy, request.id, attempt.backend);
+        RequestHistory seen = openRequests.get(request);
+        if (seen == null
+                || seen.isOver(now, slackSeconds)
+                || now >= request.deadline + slackSeconds) {
+            String why = "sent after its answer or expiry to backend " + attempt.backend;
+            fail(ONE_RESPONSE_RULE, why, now, proxy, request.id);
             return;
         }
-        for (Attempt before : seen.forwards) {
-            AttemptOutcome outcome = seen.outcomes.get(before);
-            if ((outcome == null || !outcome.neverExecuted) && !mayRepeat(attempt, before, now)) {
-                broken(
-                        2,
-                        "sent again though it may have run at backend " + before.backend,
-                        now,
-                        proxy,
-                        attempt.request.id);
+        judgeRepeat(proxy, attempt, seen, now);
+        seen.addAttempt(attempt);
+        judgeDrain(proxy, attempt, now);
+        judgeColdBackend(proxy, attempt, workSeconds, now);
+    }
+
+    private void judgeRepeat(int proxy, Attempt attempt, RequestHistory seen, double now) {
+        for (Attempt before : seen.attempts()) {
+            if (!seen.wasNeverExecuted(before) && !mayRepeat(attempt, before, now)) {
+                String why = "sent again though it may have run at backend " + before.backend;
+                fail(NO_UNSAFE_REPEAT_RULE, why, now, proxy, attempt.request.id);
             }
         }
-        seen.forwards.add(attempt);
-        if (now > told[proxy][attempt.backend] + grace + slack) {
-            broken(
-                    3,
-                    "sent to a backend told as leaving at " + told[proxy][attempt.backend],
-                    now,
-                    proxy,
-                    attempt.request.id);
-        }
-        countCold(proxy, attempt, work, now);
     }
 
     private boolean mayRepeat(Attempt attempt, Attempt before, double now) {
-        RequestClass requestClass =
-                settings.requestClasses().get(attempt.request.requestClassIndex);
-        return requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && now - before.sentAt < requestClass.idempotencyKeyTtlSeconds() + slack
-                        && (requestClass.deduplicationScope() == DeduplicationScope.ALL
-                                || (requestClass.deduplicationScope() == DeduplicationScope.LOCATION
-                                        && location[before.backend] == location[attempt.backend])
-                                || before.backend == attempt.backend));
+        RequestClass requestClass = requestClassOf(attempt.request);
+        return switch (requestClass.idempotency()) {
+            case IDEMPOTENT -> true;
+            case IDEMPOTENT_WITH_KEY ->
+                    now - before.sentAt < requestClass.idempotencyKeyTtlSeconds() + slackSeconds
+                            && recognizesKey(requestClass.deduplicationScope(), before, attempt);
+            case NOT_IDEMPOTENT -> false;
+        };
     }
 
-    /** Rule 4: all proxies' work for a cold backend in any window, against what it can do then. */
-    private void countCold(int proxy, Attempt attempt, double work, double now) {
-        double age = now - started[attempt.backend];
-        double window = settings.rules().overloadWindowSeconds();
-        if (age >= settings.rules().slowStartSeconds()) {
-            return;
+    private boolean recognizesKey(DeduplicationScope scope, Attempt before, Attempt attempt) {
+        boolean isSameLocation = locations[before.backend] == locations[attempt.backend];
+        return scope == DeduplicationScope.ALL
+                || (scope == DeduplicationScope.LOCATION && isSameLocation)
+                || before.backend == attempt.backend;
+    }
+
+    private RequestClass requestClassOf(Request request) {
+        return settings.requestClasses().get(request.requestClassIndex);
+    }
+
+    private void judgeDrain(int proxy, Attempt attempt, double now) {
+        double since = drainingSince[proxy][attempt.backend];
+        if (now > since + drainGraceSeconds + slackSeconds) {
+            String why = "sent to a backend told as leaving at " + since;
+            fail(DRAIN_RULE, why, now, proxy, attempt.request.id);
         }
-        Deque<Sent> sent = cold.get(attempt.backend);
-        sent.add(new Sent(now, work));
-        while (sent.peek().at < now - window) {
-            sent.remove();
+    }
+
+    /** All proxies' work for a cold backend in any window, against what it can do then. */
+    private void judgeColdBackend(int proxy, Attempt attempt, double workSeconds, double now) {
+        Settings.Rules rules = settings.rules();
+        double ageSeconds = now - startedAt[attempt.backend];
+        if (ageSeconds >= rules.slowStartSeconds()) {
+            return;
         }
-        double share =
-                settings.rules().slowStartMinShare()
-                        + (1 - settings.rules().slowStartMinShare())
-                                * Math.max(0, age)
-                                / settings.rules().slowStartSeconds();
-        double bearable =
-                settings.rules().overloadFactor() * share * capacity[attempt.backend] * window;
-        // One request that is heavier than the window's budget by itself pushes nobody over.
-        if (sent.size() > 1 && sent.stream().mapToDouble(Sent::work).sum() > bearable) {
-            broken(
-                    4,
+        WorkWindow work = coldWork[attempt.backend];
+        work.add(now, workSeconds);
+        double capacityShare =
+                rules.slowStartMinShare()
+                        + (1 - rules.slowStartMinShare())
+                                * Math.max(0, ageSeconds)
+                                / rules.slowStartSeconds();
+        double budgetSeconds =
+                rules.overloadFactor()
+                        * capacityShare
+                        * backendCapacity
+                        * rules.overloadWindowSeconds();
+        if (work.exceeds(budgetSeconds)) {
+            String why =
                     "a cold backend got more than it can bear, "
-                            + sent.size()
-                            + " exchanges in a window",
-                    now,
-                    proxy,
-                    attempt.request.id);
+                            + work.requestCount()
+                            + " exchanges in a window";
+            fail(COLD_BACKEND_RULE, why, now, proxy, attempt.request.id);
         }
     }
 
-    /** An attempt ended, as its proxy learns of it. */
+    /** An attempt has ended, as its proxy learns of it. */
     public void ended(Attempt attempt, AttemptOutcome outcome, double now) {
-        Seen seen = open.get(attempt.request);
-        saw(now, outcome.name(), -1, attempt.request.id, attempt.backend);
+        history.add(now, outcome.name(), EventHistory.NONE, attempt.request.id, attempt.backend);
+        RequestHistory seen = openRequests.get(attempt.request);
         if (seen != null) {
-            seen.outcomes.put(attempt, outcome);
+            seen.addOutcome(attempt, outcome);
         }
     }
 
-    /** A final answer; rejected promises that a retry is harmless. */
-    public void answered(int proxy, Request request, boolean shed, double now) {
-        saw(now, shed ? "shed" : "answered", proxy, request.id, -1);
-        Seen seen = open.get(request);
-        if (seen == null || seen.answered || now > request.deadline + slack + 1e-9) {
-            broken(1, "answered twice or after its expiry", now, proxy, request.id);
+    /** A request got its final response; a rejection promises that a retry is harmless. */
+    public void answered(int proxy, Request request, boolean rejected, double now) {
+        history.add(now, rejected ? "shed" : "answered", proxy, request.id, EventHistory.NONE);
+        RequestHistory seen = openRequests.get(request);
+        if (seen == null
+                || seen.isClosed()
+                || now > request.deadline + slackSeconds + ROUNDING_SECONDS) {
+            fail(ONE_RESPONSE_RULE, "answered twice or after its expiry", now, proxy, request.id);
             return;
         }
-        seen.answered = true;
-        seen.answeredAt = now;
-        RequestClass requestClass = settings.requestClasses().get(request.requestClassIndex);
-        boolean harmless =
-                requestClass.idempotency() == Idempotency.IDEMPOTENT
-                        || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                                && requestClass.deduplicationScope() == DeduplicationScope.ALL)
-                        || seen.forwards.stream()
-                                .allMatch(
-                                        attempt ->
-                                                seen.outcomes.get(attempt) != null
-                                                        && seen.outcomes.get(attempt)
-                                                                .neverExecuted);
-        if (shed && !harmless) {
-            broken(2, "shed though it may have run", now, proxy, request.id);
+        seen.close(now);
+        if (rejected && !isRetryHarmless(request, seen)) {
+            fail(NO_UNSAFE_REPEAT_RULE, "shed though it may have run", now, proxy, request.id);
         }
     }
 
-    /** The client has gone, or its time is up: whoever has not answered by then never did. */
+    private boolean isRetryHarmless(Request request, RequestHistory seen) {
+        RequestClass requestClass = requestClassOf(request);
+        Idempotency idempotency = requestClass.idempotency();
+        return idempotency == Idempotency.IDEMPOTENT
+                || (idempotency == Idempotency.IDEMPOTENT_WITH_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL)
+                || seen.attempts().stream().allMatch(seen::wasNeverExecuted);
+    }
+
+    /**
+     * The client has left or the deadline of its request has passed.
+     *
+     * @param left whether the client left by itself; else a missing response breaks a rule
+     */
     public void closed(int proxy, Request request, boolean left, double now) {
-        Seen seen = open.get(request);
-        if (seen != null && !seen.answered && !left) {
-            broken(1, "no answer by its expiry", now, proxy, request.id);
+        RequestHistory seen = openRequests.get(request);
+        if (seen == null) {
+            return;
         }
-        if (seen != null) {
-            seen.answered = true;
-            seen.answeredAt = now;
+        if (!seen.isClosed() && !left) {
+            fail(ONE_RESPONSE_RULE, "no answer by its expiry", now, proxy, request.id);
         }
+        seen.close(now);
     }
 
-    /** Nothing more is to be seen of it. */
+    /** Nothing more will be seen of a request. */
     public void forgets(Request request) {
-        open.remove(request);
+        openRequests.remove(request);
     }
 
-    /** A proxy was told that a backend wants nothing new, or that it is ready. */
+    /**
+     * A proxy has received from discovery that a backend is ready, or that it drains or is gone.
+     */
     public void told(int proxy, int backend, boolean ready, double now) {
-        saw(now, ready ? "told ready" : "told leaving", proxy, -1, backend);
-        told[proxy][backend] =
-                ready ? Double.POSITIVE_INFINITY : Math.min(now, told[proxy][backend]);
+        history.add(now, ready ? "told ready" : "told leaving", proxy, EventHistory.NONE, backend);
+        drainingSince[proxy][backend] =
+                ready ? Double.POSITIVE_INFINITY : Math.min(now, drainingSince[proxy][backend]);
     }
 
+    /** The process of a backend has started, cold. */
     public void started(int backend, double now) {
-        started[backend] = now;
-        cold.get(backend).clear();
-    }
-
-    /** How many requests it still knows; bounded by those that are open. */
-    public int known() {
-        return open.size();
+        startedAt[backend] = now;
+        coldWork[backend].clear();
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
+++ b/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
@@ -9,11 +9,20 @@
 import lemondrift.model.Request;
 
 /**
- * One instance's decisions, as the decision module's entry has them; baselines stand in its place.
+ * The decisions of one proxy: the decision module, or a baseline in its place. All times are in
+ * seconds. A decision that is returned may be reused at the next call.
  */
 public interface RoutingPolicy {
+    /** The proxy has accepted a request. */
     Decision requestArrived(double now, Request request);
 
+    /**
+     * An attempt has ended.
+     *
+     * @param durationSeconds since the attempt was sent
+     * @param over whether its request has its final response
+     * @param loadReport the load report that came with the response; null where none did
+     */
     Decision attemptEnded(
             double now,
             Attempt attempt,
@@ -22,24 +31,29 @@
             boolean over,
             double[] loadReport);
 
+    /** A probe has ended; the load report is null where none came. */
     Decision probeEnded(double now, int backend, AttemptOutcome outcome, double[] loadReport);
 
-    Decision clientLeft(double now, Request request);
-
+    /**
+     * Discovery has sent endpoints.
+     *
+     * @param whole whether it is the full list; else changes of it
+     */
     Decision endpointsListed(double now, boolean whole, List<EndpointUpdate> updates);
 
+    /** The time has come that a decision asked to be woken at, or that of the next message. */
     Decision wake(double now);
 
-    /** What it has to tell other proxies now. */
+    /** The gossip messages that are to be sent to other proxies now. */
     default List<LoadGossip.Message> dueMessages(double now) {
         return List.of();
     }
 
-    /** When it next has something to tell. */
+    /** When the next gossip message is due; infinite where none is. */
     default double nextSendAt() {
         return Double.POSITIVE_INFINITY;
     }
 
-    /** What another proxy has told. */
+    /** A gossip message of another proxy has come. */
     default void datagramReceived(double now, int from, byte[] datagram) {}
 }
--- a/src/main/java/lemondrift/lab/simulation/Scenario.java
+++ b/src/main/java/lemondrift/lab/simulation/Scenario.java
@@ -4,22 +4,23 @@
 import lemondrift.model.Settings;
 
 /**
- * One day of a world.
+ * What one run plays: proxies, backends, traffic and the faults of backends.
  *
- * @param settings what the proxies are told, request classes and rules among it; times in seconds
- * @param proxies how many instances decide, 1 or more; the settings' balancer count says the same
- * @param backends how many there are, 0 or more
+ * @param settings the proxies' settings, with request classes and rules
+ * @param proxies how many proxies there are, 1 or more; the settings' proxy count says the same
+ * @param backends how many backends there are, 0 or more
  * @param cores of each backend, 1 or more
- * @param rate requests that clients ask for a second, over all proxies
- * @param work mean seconds of one core that a request takes; it is lognormal with the spread
+ * @param rate requests that clients make a second, over all proxies
+ * @param work mean work of a request, in seconds of one warm core; it is lognormal with the spread
  * @param spread the standard deviation of the work's logarithm
- * @param tries how often a client asks at the most, 1 or more
- * @param way seconds from a proxy to a backend or back
- * @param delay seconds by which discovery is late
- * @param grace seconds after a drain was told from which nothing may be sent
- * @param lasts the day's length in seconds; clients ask until then, and what is open is waited for
- * @param seed all chance comes from it
- * @param troubles what goes wrong
+ * @param tries how often a client sends a request at the most, 1 or more
+ * @param oneWaySeconds how long a message takes from a proxy to a backend or back
+ * @param delay mean seconds by which discovery is late
+ * @param grace seconds after the notice of a drain from which nothing may be sent
+ * @param lasts the length in seconds; clients make requests until then, and open ones are waited
+ *     for
+ * @param seed of all random draws
+ * @param troubles the faults of backends, traffic and discovery
  */
 public record Scenario(
         Settings settings,
@@ -30,7 +31,7 @@
         double work,
         double spread,
         int tries,
-        double way,
+        double oneWaySeconds,
         double delay,
         double grace,
         double lasts,
@@ -49,7 +50,7 @@
                 || !(work > 0)
                 || !(spread >= 0)
                 || tries < 1
-                || !(way >= 0)
+                || !(oneWaySeconds >= 0)
                 || !(delay >= 0)
                 || !(grace >= 0)
                 || !(lasts > 0)) {
@@ -57,4 +58,23 @@
         }
         troubles = List.copyOf(troubles);
     }
+
+    /** The same scenario with another seed. */
+    public Scenario withSeed(long newSeed) {
+        return new Scenario(
+                settings,
+                proxies,
+                backends,
+                cores,
+                rate,
+                work,
+                spread,
+                tries,
+                oneWaySeconds,
+                delay,
+                grace,
+                lasts,
+                newSeed,
+                troubles);
+    }
 }
--- a/src/main/java/lemondrift/lab/simulation/Scheduler.java
+++ b/src/main/java/lemondrift/lab/simulation/Scheduler.java
@@ -1,19 +1,21 @@
 package lemondrift.lab.simulation;
 
-/** What is to happen and when, in seconds from the start of the day, virtual or real. */
+/** Runs tasks at their time, in seconds from the start of a run, virtual or real. */
 public interface Scheduler {
-    /** Something to be done, unless it is struck off before. */
+    /** One scheduled task. */
     interface Entry {
+        /** Keeps the task from running; nothing happens where it has run. */
         void cancel();
     }
 
+    /** The present time in seconds. */
     double now();
 
-    /** Has something done at a time, or at once where that has passed. */
-    Entry at(double time, Runnable what);
+    /** Schedules a task for a time, or for now where that has passed. */
+    Entry at(double time, Runnable task);
 
-    /** The same in so many seconds. */
-    default Entry after(double seconds, Runnable what) {
-        return at(now() + seconds, what);
+    /** Schedules a task for so many seconds from now. */
+    default Entry after(double seconds, Runnable task) {
+        return at(now() + seconds, task);
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/ServableOracle.java
+++ b/src/main/java/lemondrift/lab/simulation/ServableOracle.java
@@ -7,59 +7,63 @@
 import lemondrift.model.RequestClass;
 
 /**
- * What backends could have served, second by second, by one who knows what they bear and gives what
- * they do to the requests of most priority weight. Nothing waits for it and nothing is carried
- * over, so that a day may come to a little more: by what was asked again later.
+ * What backends could have served, second by second, had their capacity gone to the requests of
+ * most priority weight. No request waits for the next second, so that a run may serve a little more
+ * by what was retried later.
  */
 public final class ServableOracle {
     private final List<RequestClass> requestClasses;
-    private final int[] byBenefit;
 
-    /** Requests wanted, by second and request class, and borne, by second. */
-    private final double[][] wanted;
+    /** The indexes of the request classes, the one of most priority weight first. */
+    private final int[] classesByWeight;
 
-    private final double[] borne;
+    /** How many requests clients made, by second and request class. */
+    private final double[][] requested;
 
-    /** For so many seconds. */
+    /** How many requests the backends could serve, by second. */
+    private final double[] capacity;
+
+    /** Creates one that counts over so many seconds. */
     public ServableOracle(List<RequestClass> requestClasses, int seconds) {
         this.requestClasses = requestClasses;
-        byBenefit =
+        classesByWeight =
                 IntStream.range(0, requestClasses.size())
                         .boxed()
                         .sorted(
                                 Comparator.comparing(
-                                        (Integer g) -> -requestClasses.get(g).priorityWeight()))
-                        .mapToInt(g -> g)
+                                        (Integer index) ->
+                                                -requestClasses.get(index).priorityWeight()))
+                        .mapToInt(index -> index)
                         .toArray();
-        wanted = new double[seconds][requestClasses.size()];
-        borne = new double[seconds];
+        requested = new double[seconds][requestClasses.size()];
+        capacity = new double[seconds];
     }
 
-    /** One of a request class is wanted in a second. */
+    /** A client makes a request of a class in a second. */
     public void wants(int second, int requestClass) {
-        wanted[second][requestClass]++;
+        requested[second][requestClass]++;
     }
 
-    /** Backends do the work of so many more requests in a second. */
-    public void bears(int second, double exchanges) {
-        borne[second] += exchanges;
+    /** The backends can serve so many more requests in a second. */
+    public void bears(int second, double requests) {
+        capacity[second] += requests;
     }
 
-    /** The priority weight that could have been served of what was wanted in each second. */
+    /** The priority weight that could have been served of what was requested, by second. */
     public double[] benefit() {
-        double[] benefit = new double[borne.length];
-        Arrays.setAll(benefit, this::benefit);
-        return benefit;
+        double[] servableWeight = new double[capacity.length];
+        Arrays.setAll(servableWeight, this::servableWeight);
+        return servableWeight;
     }
 
-    private double benefit(int second) {
-        double left = borne[second];
-        double benefit = 0;
-        for (int requestClass : byBenefit) {
-            double some = Math.min(left, wanted[second][requestClass]);
-            benefit += some * requestClasses.get(requestClass).priorityWeight();
-            left -= some;
+    private double servableWeight(int second) {
+        double capacityLeft = capacity[second];
+        double weight = 0;
+        for (int classIndex : classesByWeight) {
+            double served = Math.min(capacityLeft, requested[second][classIndex]);
+            weight += served * requestClasses.get(classIndex).priorityWeight();
+            capacityLeft -= served;
         }
-        return benefit;
+        return weight;
     }
 }
--- /dev/null
+++ b/src/main/java/lemondrift/lab/simulation/SimulatedClients.java
@@ -0,0 +1,175 @@
+package lemondrift.lab.simulation;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
+
+/**
+ * The clients of a simulation, an open loop: requests arrive at the scenario's rate whatever
+ * becomes of those before. A client sends a rejected request again until it has tried often enough.
+ */
+final class SimulatedClients {
+    /** When a client retries that was given no retry-after, as a share of the latency objective. */
+    private static final double RETRY_DELAY_SHARE = 0.5;
+
+    /** What a client wants, over all its tries. */
+    private static final class ClientRequest {
+        final int classIndex;
+
+        /** The second of the scenario in which it was first sent. */
+        final int firstSecond;
+
+        /** Until when a response is in time, in seconds. */
+        final double objectiveAt;
+
+        int tries;
+
+        ClientRequest(int classIndex, int firstSecond, double objectiveAt) {
+            this.classIndex = classIndex;
+            this.firstSecond = firstSecond;
+            this.objectiveAt = objectiveAt;
+        }
+    }
+
+    /** A request that has no response yet, and the alarm at its deadline. */
+    private record OpenRequest(ClientRequest clientRequest, Scheduler.Entry deadlineAlarm) {}
+
+    private final Scenario scenario;
+    private final List<RequestClass> requestClasses;
+    private final Scheduler scheduler;
+    private final UniformRandomProvider random;
+    private final ZigguratSampler.Exponential interarrival;
+    private final SimulationRecorder recorder;
+    private final BackendFaultInjector faultInjector;
+    private final SimulatedProxies proxies;
+    private final Map<Request, OpenRequest> openRequests = new HashMap<>();
+    private long lastRequestId;
+
+    SimulatedClients(
+            Scenario scenario,
+            Scheduler scheduler,
+            UniformRandomProvider random,
+            SimulationRecorder recorder,
+            BackendFaultInjector faultInjector,
+            SimulatedProxies proxies) {
+        this.scenario = scenario;
+        this.requestClasses = scenario.settings().requestClasses();
+        this.scheduler = scheduler;
+        this.random = random;
+        this.interarrival = ZigguratSampler.Exponential.of(random);
+        this.recorder = recorder;
+        this.faultInjector = faultInjector;
+        this.proxies = proxies;
+    }
+
+    /** Schedules the first request; each schedules the next one until the scenario ends. */
+    void start() {
+        scheduler.after(interarrival.sample() / scenario.rate(), this::sendNextClientRequest);
+    }
+
+    int openRequestCount() {
+        return openRequests.size();
+    }
+
+    private void sendNextClientRequest() {
+        double now = scheduler.now();
+        if (now >= scenario.lasts()) {
+            return;
+        }
+        int classIndex = random.nextInt(requestClasses.size());
+        RequestClass requestClass = requestClasses.get(classIndex);
+        recorder.recordClientRequest((int) now, requestClass);
+        send(
+                new ClientRequest(
+                        classIndex, (int) now, now + requestClass.latencyObjectiveSeconds()));
+        double rate = scenario.rate() * faultInjector.traffic;
+        scheduler.after(interarrival.sample() / rate, this::sendNextClientRequest);
+    }
+
+    private void send(ClientRequest clientRequest) {
+        clientRequest.tries++;
+        int proxy = random.nextInt(scenario.proxies());
+        Request request =
+                new Request(
+                        ++lastRequestId,
+                        clientRequest.classIndex,
+                        0,
+                        scheduler.now(),
+                        requestClasses.get(clientRequest.classIndex).timeoutSeconds());
+        recorder.recordAccepted(proxy, request);
+        Scheduler.Entry deadlineAlarm =
+                scheduler.at(request.deadline, () -> deadlinePassed(proxy, request));
+        openRequests.put(request, new OpenRequest(clientRequest, deadlineAlarm));
+        proxies.requestArrived(proxy, request);
+    }
+
+    private void deadlinePassed(int proxy, Request request) {
+        openRequests.remove(request);
+        recorder.recordUnanswered(proxy, request);
+    }
+
+    /** A proxy passes on the successful response of a backend. */
+    void succeeded(int proxy, Request request) {
+        ClientRequest clientRequest = close(proxy, request, false);
+        if (clientRequest == null) {
+            return;
+        }
+        recorder.recordSuccess(
+                clientRequest.firstSecond,
+                requestClasses.get(clientRequest.classIndex),
+                scheduler.now() <= clientRequest.objectiveAt);
+        forgetIfDone(request);
+    }
+
+    /** A proxy rejects a request; a retry-after of 0 seconds says nothing. */
+    void rejected(int proxy, Request request, double retryAfterSeconds) {
+        ClientRequest clientRequest = close(proxy, request, true);
+        if (clientRequest == null) {
+            return;
+        }
+        recorder.recordRejected();
+        if (clientRequest.tries < scenario.tries()) {
+            double delaySeconds =
+                    retryAfterSeconds > 0
+                            ? retryAfterSeconds
+                            : RETRY_DELAY_SHARE
+                                    * requestClasses
+                                            .get(clientRequest.classIndex)
+                                            .latencyObjectiveSeconds();
+            scheduler.after(delaySeconds, () -> send(clientRequest));
+        }
+        forgetIfDone(request);
+    }
+
+    /** A proxy fails a request; it may have been executed, so that its client does not retry. */
+    void failed(int proxy, Request request) {
+        ClientRequest clientRequest = close(proxy, request, false);
+        if (clientRequest == null) {
+            return;
+        }
+        recorder.recordFailed();
+        forgetIfDone(request);
+    }
+
+    /** Takes the final response; null where the request is no longer open. */
+    private ClientRequest close(int proxy, Request request, boolean rejected) {
+        recorder.recordResponse(proxy, request, rejected);
+        OpenRequest open = openRequests.remove(request);
+        if (open == null) {
+            return null;
+        }
+        open.deadlineAlarm.cancel();
+        return open.clientRequest;
+    }
+
+    /** Nothing more is seen of a request that is answered and has no attempt in flight. */
+    void forgetIfDone(Request request) {
+        if (!openRequests.containsKey(request) && request.attemptsInFlight == 0) {
+            recorder.forget(request);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/lemondrift/lab/simulation/SimulationRecorder.java
@@ -0,0 +1,148 @@
+package lemondrift.lab.simulation;
+
+import lemondrift.model.Attempt;
+import lemondrift.model.AttemptOutcome;
+import lemondrift.model.Request;
+import lemondrift.model.RequestClass;
+
+/**
+ * Records what the parts of a simulation do: counts it in the result of the run and hands it to the
+ * referee, which throws {@link Referee.Broken} at the first broken rule.
+ */
+final class SimulationRecorder {
+    /** In virtual time the referee sees everything at the instant at which it happens. */
+    private static final double REFEREE_SLACK_SECONDS = 0;
+
+    private final Scheduler scheduler;
+    private final Referee referee;
+    private final LoadEvenness evenness;
+    private final RunResult result;
+
+    SimulationRecorder(Scenario scenario, int judgedRules, int[] locations, Scheduler scheduler) {
+        this.scheduler = scheduler;
+        result = new RunResult(scenario);
+        referee =
+                new Referee(
+                        scenario.settings(),
+                        judgedRules,
+                        scenario.grace(),
+                        REFEREE_SLACK_SECONDS,
+                        scenario.proxies(),
+                        locations,
+                        scenario.cores());
+        evenness =
+                new LoadEvenness(
+                        scenario.backends(), scenario.cores(), scenario.settings().windowSeconds());
+    }
+
+    RunResult result() {
+        return result;
+    }
+
+    // Clients.
+
+    /** A client wants something in a second of the scenario; its tries are not counted here. */
+    void recordClientRequest(int second, RequestClass requestClass) {
+        result.requestedWeight += requestClass.priorityWeight();
+        result.clientRequests++;
+        result.requestedWeightPerSecond[second] += requestClass.priorityWeight();
+    }
+
+    /** A proxy has accepted a request. */
+    void recordAccepted(int proxy, Request request) {
+        result.accepted++;
+        referee.taken(proxy, request, scheduler.now());
+    }
+
+    /** The deadline of a request has passed without a response. */
+    void recordUnanswered(int proxy, Request request) {
+        result.unanswered++;
+        referee.closed(proxy, request, false, scheduler.now());
+    }
+
+    /** A proxy has given a request its final response. */
+    void recordResponse(int proxy, Request request, boolean rejected) {
+        referee.answered(proxy, request, rejected, scheduler.now());
+    }
+
+    /** A client got what it wanted, first asked for in the second given. */
+    void recordSuccess(int second, RequestClass requestClass, boolean inTime) {
+        double servedWeight =
+                inTime ? requestClass.priorityWeight() : requestClass.latePriorityWeight();
+        result.succeeded++;
+        result.servedWeight += servedWeight;
+        result.servedWeightPerSecond[second] += servedWeight;
+        if (inTime) {
+            result.inTime++;
+        } else {
+            result.late++;
+        }
+    }
+
+    void recordRejected() {
+        result.rejected++;
+    }
+
+    void recordFailed() {
+        result.failed++;
+    }
+
+    /** Nothing more will be seen of a request. */
+    void forget(Request request) {
+        referee.forgets(request);
+    }
+
+    // Proxies.
+
+    void recordGossip(byte[] datagram) {
+        result.gossipBytes += datagram.length;
+        result.gossipMessages++;
+    }
+
+    void recordAttemptSent(int proxy, Attempt attempt, double workSeconds) {
+        result.attempts++;
+        referee.sent(proxy, attempt, workSeconds, scheduler.now());
+    }
+
+    void recordAttemptEnded(Attempt attempt, AttemptOutcome outcome) {
+        referee.ended(attempt, outcome, scheduler.now());
+        if (outcome == AttemptOutcome.SUCCESS) {
+            evenness.served(attempt.backend);
+        } else if (outcome != AttemptOutcome.CANCELLED) {
+            result.failedAttemptsByBackend[attempt.backend]++;
+        }
+    }
+
+    void recordProbe() {
+        result.probes++;
+    }
+
+    /** A proxy has received the state of a backend from discovery. */
+    void recordListed(int proxy, int backend, boolean ready) {
+        referee.told(proxy, backend, ready, scheduler.now());
+    }
+
+    // Backends.
+
+    void recordArrivalAtBackend(int backend) {
+        evenness.sends(backend, scheduler.now());
+    }
+
+    /** What a backend holds has changed, or whether it is fit. */
+    void recordLoad(int index, Backend backend) {
+        evenness.holds(index, backend.held(), backend.isFit(), scheduler.now());
+    }
+
+    void recordOverloadedColdBackend() {
+        result.overloadedColdBackends++;
+    }
+
+    void recordRestart(int backend) {
+        referee.started(backend, scheduler.now());
+    }
+
+    /** Measures how evenly the backends were used until now. */
+    void recordEvenness() {
+        result.evenness = evenness.measure(scheduler.now());
+    }
+}
--- a/src/main/java/lemondrift/lab/simulation/VirtualScheduler.java
+++ b/src/main/java/lemondrift/lab/simulation/VirtualScheduler.java
@@ -2,33 +2,35 @@
 
 import java.util.PriorityQueue;
 
-/** In virtual seconds; at the same time things happen in the order asked for. */
+/** A scheduler in virtual time; tasks due at the same time run in the order of their scheduling. */
 final class VirtualScheduler implements Scheduler {
-    private static final class Due implements Entry, Comparable<Due> {
-        private final double at;
-        private final long order;
-        private Runnable what;
-
-        private Due(double at, long order, Runnable what) {
-            this.at = at;
-            this.order = order;
-            this.what = what;
+    private static final class ScheduledTask implements Entry, Comparable<ScheduledTask> {
+        private final double dueAt;
+        private final long sequence;
+
+        /** Null once cancelled: what the task refers to is not kept until it would be due. */
+        private Runnable task;
+
+        private ScheduledTask(double dueAt, long sequence, Runnable task) {
+            this.dueAt = dueAt;
+            this.sequence = sequence;
+            this.task = task;
         }
 
         @Override
         public void cancel() {
-            what = null;
+            task = null;
         }
 
         @Override
-        public int compareTo(Due other) {
-            int byTime = Double.compare(at, other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+        public int compareTo(ScheduledTask other) {
+            int byTime = Double.compare(dueAt, other.dueAt);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final PriorityQueue<Due> entries = new PriorityQueue<>();
-    private long asked;
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
+    private long lastSequence;
     private double now;
 
     @Override
@@ -37,19 +39,19 @@
     }
 
     @Override
-    public Entry at(double time, Runnable what) {
-        Due entry = new Due(Math.max(now, time), ++asked, what);
-        entries.add(entry);
+    public Entry at(double time, Runnable task) {
+        ScheduledTask entry = new ScheduledTask(Math.max(now, time), ++lastSequence, task);
+        queue.add(entry);
         return entry;
     }
 
-    /** Has all happen that is due until a time. */
+    /** Runs all tasks that are due until a time, those included that they schedule. */
     void runUntil(double end) {
-        while (!entries.isEmpty() && entries.peek().at <= end) {
-            Due entry = entries.poll();
-            now = entry.at;
-            if (entry.what != null) {
-                entry.what.run();
+        while (!queue.isEmpty() && queue.peek().dueAt <= end) {
+            ScheduledTask entry = queue.poll();
+            now = entry.dueAt;
+            if (entry.task != null) {
+                entry.task.run();
             }
         }
         now = end;
--- a/src/test/java/lemondrift/cli/RootCommandTest.java
+++ b/src/test/java/lemondrift/cli/RootCommandTest.java
@@ -12,7 +12,7 @@
 /** Exit codes of the command line. */
 class RootCommandTest {
     @Test
-    void exitCodesTellWhatCameOfIt(@TempDir Path folder) throws Exception {
+    void exitCodesSayWhetherACommandSucceeded(@TempDir Path folder) throws Exception {
         String world = "[world]\nproxies = 1\nbackends = 2\nlasts = \"1s\"\n";
         Path good =
                 Files.writeString(
@@ -25,11 +25,11 @@
         Path json = folder.resolve("report.json");
         assertEquals(0, RootCommand.run("lab", "run", "--json", json.toString(), good.toString()));
         JsonNode run = new ObjectMapper().readTree(json.toFile()).get(0).get("runs").get(0);
-        double wanted = 0;
+        double requestedWeight = 0;
         for (JsonNode second : run.get("figures").get("wantedIn")) {
-            wanted += second.asDouble();
+            requestedWeight += second.asDouble();
         }
-        assertEquals(run.get("figures").get("wanted").asDouble(), wanted, 1e-9);
+        assertEquals(run.get("figures").get("wanted").asDouble(), requestedWeight, 1e-9);
         assertEquals(0, RootCommand.run("lab", "list", folder.toString()));
         assertEquals(0, RootCommand.run("lab", "compare", good.toString()));
         Path bad = Files.writeString(folder.resolve("bad.toml"), "[wordl]\n");
--- a/src/test/java/lemondrift/lab/ExperimentTest.java
+++ b/src/test/java/lemondrift/lab/ExperimentTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Experiments as files, and what is made of their runs. */
+/** Experiments read from files, their runs, and the differences between policies. */
 class ExperimentTest {
     private static final String GOOD =
             """
@@ -38,11 +38,11 @@
     @TempDir private Path folder;
 
     private Experiment read(String text) throws Exception {
-        return ExperimentFile.read(Files.writeString(folder.resolve("one.toml"), text));
+        return ExperimentFile.read(Files.writeString(folder.resolve("experiment.toml"), text));
     }
 
     @Test
-    void whatAFileSaysIsPlayed() throws Exception {
+    void anExperimentIsPlayedAsItsFileSays() throws Exception {
         Experiment experiment = read(GOOD);
         assertEquals(List.of("module", "random"), experiment.policies());
         assertEquals(0.5, experiment.day().troubles().get(0).lasts());
@@ -50,12 +50,14 @@
         assertEquals(4, runs.size());
         assertEquals(runs.toString(), experiment.play().toString(), "the same each time");
         runs.forEach(run -> assertNull(run.broken()));
-        assertTrue(experiment.expects().get(1).holds(runs.get(0).figures()));
-        assertFalse(new Experiment.Expectation("service", ">=", 1.1).holds(runs.get(0).figures()));
+        assertTrue(experiment.expectations().get(1).holds(runs.get(0).figures()));
+        Experiment.Expectation unreachable =
+                new Experiment.Expectation(Figure.SERVICE, Experiment.Comparison.AT_LEAST, 1.1);
+        assertFalse(unreachable.holds(runs.get(0).figures()));
     }
 
     @Test
-    void whatCannotBeUsedNamesFileLineAndKey() {
+    void anUnusableValueIsReportedWithFileLineAndKey() {
         Map<String, String> bad =
                 Map.of(
                         GOOD.replace("proxies = 2", "proxis = 2"),
@@ -83,14 +85,14 @@
                     InvalidSettingsException refused =
                             assertThrows(InvalidSettingsException.class, () -> read(text), text);
                     assertTrue(
-                            refused.getMessage().contains("one.toml" + where),
+                            refused.getMessage().contains("experiment.toml" + where),
                             refused.getMessage());
                     assertEquals(1, refused.getMessage().lines().count());
                 });
     }
 
     @Test
-    void faultsAreForProcessesAndNameWhomTheyFallOn() throws Exception {
+    void faultsNeedProcessesAndNameTheirTargets() throws Exception {
         String fault = "\n[[fault]]\nkind = \"cut\"\nfrom = \"location 1\"\nboth = true\n";
         String good = "host = \"processes\"\n" + GOOD + fault;
         assertTrue(read(good).faults().get(0).both());
@@ -113,13 +115,13 @@
                     InvalidSettingsException refused =
                             assertThrows(InvalidSettingsException.class, () -> read(text), text);
                     assertTrue(
-                            refused.getMessage().contains("one.toml" + where),
+                            refused.getMessage().contains("experiment.toml" + where),
                             refused.getMessage());
                 });
     }
 
     @Test
-    void pairsTellADifferenceFromChance() {
+    void pairsSeparateADifferenceFromChance() {
         PairedDifference same =
                 PairedDifference.of(new double[] {1, 2, 3, 4}, new double[] {1.1, 1.9, 3.1, 3.9});
         assertTrue(same.low() < 0 && same.high() > 0, same.toString());
--- /dev/null
+++ b/src/test/java/lemondrift/lab/simulation/ScenarioBuilder.java
@@ -0,0 +1,76 @@
+package lemondrift.lab.simulation;
+
+import lemondrift.model.Settings;
+
+/** Varies a scenario: what is not set stays as it was. */
+final class ScenarioBuilder {
+    private final Scenario base;
+    private Settings settings;
+    private int proxies;
+    private double rate;
+    private int tries;
+    private double graceSeconds;
+    private double durationSeconds;
+
+    private ScenarioBuilder(Scenario base) {
+        this.base = base;
+        settings = base.settings();
+        proxies = base.proxies();
+        rate = base.rate();
+        tries = base.tries();
+        graceSeconds = base.grace();
+        durationSeconds = base.lasts();
+    }
+
+    static ScenarioBuilder from(Scenario base) {
+        return new ScenarioBuilder(base);
+    }
+
+    ScenarioBuilder settings(Settings value) {
+        settings = value;
+        return this;
+    }
+
+    ScenarioBuilder proxies(int value) {
+        proxies = value;
+        return this;
+    }
+
+    ScenarioBuilder rate(double value) {
+        rate = value;
+        return this;
+    }
+
+    ScenarioBuilder tries(int value) {
+        tries = value;
+        return this;
+    }
+
+    ScenarioBuilder graceSeconds(double value) {
+        graceSeconds = value;
+        return this;
+    }
+
+    ScenarioBuilder durationSeconds(double value) {
+        durationSeconds = value;
+        return this;
+    }
+
+    Scenario build() {
+        return new Scenario(
+                settings,
+                proxies,
+                base.backends(),
+                base.cores(),
+                rate,
+                base.work(),
+                base.spread(),
+                tries,
+                base.oneWaySeconds(),
+                base.delay(),
+                graceSeconds,
+                durationSeconds,
+                base.seed(),
+                base.troubles());
+    }
+}
--- a/src/test/java/lemondrift/lab/simulation/Scenarios.java
+++ b/src/test/java/lemondrift/lab/simulation/Scenarios.java
@@ -7,9 +7,9 @@
 import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 
-/** Small days to play. */
+/** Small scenarios to play. */
 final class Scenarios {
-    private static final List<RequestClass> GRADES =
+    private static final List<RequestClass> REQUEST_CLASSES =
             List.of(
                     new RequestClass(
                             1, 0, 0.5, 1.2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
@@ -32,7 +32,7 @@
                 2,
                 0,
                 false,
-                GRADES,
+                REQUEST_CLASSES,
                 new double[0],
                 1,
                 false,
@@ -42,8 +42,8 @@
                 new Settings.Costs(0.01, 0.002));
     }
 
-    /** Some 0.65 of what the backends can do, for twenty seconds. */
-    static Scenario of(int proxies, int backends, long seed, BackendFault... troubles) {
+    /** Traffic of 0.65 of what the backends can do, for twenty seconds. */
+    static Scenario of(int proxies, int backends, long seed, BackendFault... faults) {
         double rate = 0.65 * Math.max(1, backends) * 2 / 0.05;
         return new Scenario(
                 settings(proxies),
@@ -59,13 +59,15 @@
                 2,
                 20,
                 seed,
-                List.of(troubles));
+                List.of(faults));
     }
 
     static RunResult play(Scenario scenario) {
         return new Simulation(
                         scenario,
-                        p -> new ModuleUnderTest(scenario.settings(), scenario.seed() * 1000 + p))
+                        (proxy, trueLoad) ->
+                                new ModuleUnderTest(
+                                        scenario.settings(), scenario.seed() * 1000 + proxy))
                 .play();
     }
 }
