--- a/src/test/java/lemondrift/lab/simulation/SimulationTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -8,6 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalInt;
 import lemondrift.lab.Baseline;
 import lemondrift.lab.ModuleUnderTest;
 import lemondrift.lab.simulation.BackendFault.Kind;
@@ -24,14 +25,14 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The world in virtual time: its hard cases, and a referee that catches whoever breaks a rule. */
+/** The simulation: its hard cases, and a referee that catches a policy that breaks a rule. */
 class SimulationTest {
-    private static BackendFault trouble(Kind kind, double share, double strength) {
+    private static BackendFault fault(Kind kind, double share, double strength) {
         return new BackendFault(kind, 5, 6, share, strength);
     }
 
     private static BackendFault usual(Kind kind) {
-        return trouble(
+        return fault(
                 kind,
                 0.3,
                 switch (kind) {
@@ -42,7 +43,7 @@
     }
 
     @Test
-    void theSameSeedIsTheSameDay() {
+    void theSameSeedGivesTheSameRun() {
         Scenario scenario = Scenarios.of(3, 8, 1, usual(Kind.CRASH), usual(Kind.SLOW));
         assertEquals(Scenarios.play(scenario).toString(), Scenarios.play(scenario).toString());
         assertNotEquals(
@@ -52,14 +53,14 @@
     }
 
     @Test
-    void aCalmDayIsServed() {
+    void aScenarioWithoutFaultsIsServed() {
         RunResult result = Scenarios.play(Scenarios.of(3, 8, 1));
         assertTrue(result.service() > 0.98, result.toString());
         assertEquals(0, result.unanswered);
     }
 
     @Test
-    void theModuleKeepsTheRulesInEachTroubleAlone() {
+    void theModuleKeepsTheRulesUnderEachFaultAlone() {
         for (Kind kind : Kind.values()) {
             RunResult result = Scenarios.play(Scenarios.of(3, 10, 3, usual(kind)));
             assertTrue(result.service() > 0.4, kind + ": " + result);
@@ -68,30 +69,31 @@
     }
 
     @Property(tries = 12, seed = "20261201")
-    void andInAnyTogether(
+    void theModuleKeepsTheRulesUnderAnyFaultsTogether(
             @ForAll @Size(min = 2, max = 4) List<Kind> kinds,
             @ForAll @IntRange(max = 99) int seed) {
-        BackendFault[] troubles =
+        BackendFault[] faults =
                 kinds.stream().map(SimulationTest::usual).toArray(BackendFault[]::new);
-        assertEquals(0, Scenarios.play(Scenarios.of(3, 6, seed, troubles)).unanswered);
+        assertEquals(0, Scenarios.play(Scenarios.of(3, 6, seed, faults)).unanswered);
     }
 
     @Test
-    void theFiguresTellWhenAndWhereMostIsLost() {
+    void theFiguresShowWhenAndWhereMostIsLost() {
         RunResult result =
                 Scenarios.play(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 8, 3, 1, 1)));
-        int worst = result.worstWindow(3);
-        assertTrue(worst >= 7 && worst <= 9, "from " + worst);
-        double lost = 0;
-        for (int s = 0; s < result.requestedWeightPerSecond.length; s++) {
-            lost += result.requestedWeightPerSecond[s] - result.servedWeightPerSecond[s];
+        int worstStart = result.worstWindowStart(3);
+        assertTrue(worstStart >= 7 && worstStart <= 9, "from " + worstStart);
+        double lostWeight = 0;
+        for (int second = 0; second < result.requestedWeightPerSecond.length; second++) {
+            lostWeight +=
+                    result.requestedWeightPerSecond[second] - result.servedWeightPerSecond[second];
         }
-        assertEquals(result.requestedWeight - result.servedWeight, lost, 1e-6);
+        assertEquals(result.requestedWeight - result.servedWeight, lostWeight, 1e-6);
         assertEquals(2, result.worstBackends(2).size());
     }
 
     @Test
-    void whereEveryBackendIsGoneAllIsAnsweredAtOnce() {
+    void withoutAnyBackendEveryRequestIsAnsweredInTime() {
         RunResult none = Scenarios.play(Scenarios.of(2, 0, 1));
         assertEquals(none.accepted, none.rejected);
         RunResult gone =
@@ -101,7 +103,7 @@
     }
 
     @Test
-    void twoTroublesThatEndAtTheSameInstantEndOnce() {
+    void faultsThatEndAtTheSameInstantEndOnce() {
         Scenario scenario =
                 Scenarios.of(
                         3,
@@ -116,25 +118,25 @@
         assertTrue(result.service() > 0.2, "it goes on after them: " + result);
     }
 
-    /** The module, spoilt in one way. */
-    private abstract static class Spoilt implements RoutingPolicy {
+    /** The module with one defect, which a subclass adds. */
+    private abstract static class DefectiveModule implements RoutingPolicy {
         final ModuleUnderTest module;
 
-        Spoilt(Settings settings) {
+        DefectiveModule(Settings settings) {
             module = new ModuleUnderTest(settings, 1);
         }
 
-        Decision spoils(Decision decision) {
+        Decision alterDecision(Decision decision) {
             return decision;
         }
 
-        List<EndpointUpdate> hears(List<EndpointUpdate> updates) {
+        List<EndpointUpdate> alterUpdates(List<EndpointUpdate> updates) {
             return updates;
         }
 
         @Override
         public Decision requestArrived(double now, Request request) {
-            return spoils(module.requestArrived(now, request));
+            return alterDecision(module.requestArrived(now, request));
         }
 
         @Override
@@ -145,49 +147,45 @@
                 double durationSeconds,
                 boolean over,
                 double[] loadReport) {
-            return spoils(
+            return alterDecision(
                     module.attemptEnded(now, attempt, outcome, durationSeconds, over, loadReport));
         }
 
         @Override
         public Decision probeEnded(
                 double now, int backend, AttemptOutcome outcome, double[] loadReport) {
-            return spoils(module.probeEnded(now, backend, outcome, loadReport));
-        }
-
-        @Override
-        public Decision clientLeft(double now, Request request) {
-            return spoils(module.clientLeft(now, request));
+            return alterDecision(module.probeEnded(now, backend, outcome, loadReport));
         }
 
         @Override
         public Decision endpointsListed(double now, boolean whole, List<EndpointUpdate> updates) {
-            return spoils(module.endpointsListed(now, whole, hears(updates)));
+            return alterDecision(module.endpointsListed(now, whole, alterUpdates(updates)));
         }
 
         @Override
         public Decision wake(double now) {
-            return spoils(module.wake(now));
+            return alterDecision(module.wake(now));
         }
     }
 
-    private static void breaks(int rule, Scenario scenario, RoutingPolicy spoilt) {
+    private static void assertBreaksRule(int rule, Scenario scenario, RoutingPolicy policy) {
         Referee.Broken broken =
                 assertThrows(
-                        Referee.Broken.class, () -> new Simulation(scenario, p -> spoilt).play());
+                        Referee.Broken.class,
+                        () -> new Simulation(scenario, (proxy, trueLoad) -> policy).play());
         assertEquals(rule, broken.rule, broken.getMessage());
-        assertTrue(broken.getMessage().lines().count() > 5, "it tells what went before");
+        assertTrue(broken.getMessage().lines().count() > 5, "it lists the events before");
     }
 
     @Test
-    void aModuleThatDoesNotAnswerIsCaught() {
+    void aModuleThatDoesNotRespondIsCaught() {
         Scenario scenario = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 10, 1, 1));
-        breaks(
+        assertBreaksRule(
                 1,
                 scenario,
-                new Spoilt(scenario.settings()) {
+                new DefectiveModule(scenario.settings()) {
                     @Override
-                    Decision spoils(Decision decision) {
+                    Decision alterDecision(Decision decision) {
                         decision.localReplies.clear();
                         return decision;
                     }
@@ -195,13 +193,13 @@
     }
 
     @Test
-    void aModuleThatRepeatsWhatMayHaveRunIsCaught() {
+    void aModuleThatRetriesWhatMayHaveBeenExecutedIsCaught() {
         Scenario scenario = Scenarios.of(1, 4, 1, new BackendFault(Kind.ERRORS, 2, 10, 1, 1));
-        Map<Request, Attempt> again = new HashMap<>();
-        breaks(
+        Map<Request, Attempt> retried = new HashMap<>();
+        assertBreaksRule(
                 2,
                 scenario,
-                new Spoilt(scenario.settings()) {
+                new DefectiveModule(scenario.settings()) {
                     @Override
                     public Decision attemptEnded(
                             double now,
@@ -219,7 +217,7 @@
                                                 .get(attempt.request.requestClassIndex)
                                                 .idempotency()
                                         == Idempotency.NOT_IDEMPOTENT
-                                && again.put(attempt.request, attempt) == null) {
+                                && retried.put(attempt.request, attempt) == null) {
                             decision.localReplies.clear();
                             decision.attempts.add(
                                     new Attempt(
@@ -235,31 +233,16 @@
     }
 
     @Test
-    void aModuleThatSendsToTheDrainingIsCaught() {
-        // The drain is told; its process lives on for longer than the grace.
-        Scenario quick = Scenarios.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
-        Scenario scenario =
-                new Scenario(
-                        quick.settings(),
-                        1,
-                        3,
-                        2,
-                        quick.rate(),
-                        quick.work(),
-                        0.5,
-                        3,
-                        0.0005,
-                        0.4,
-                        0.2,
-                        20,
-                        1,
-                        quick.troubles());
-        breaks(
+    void aModuleThatSendsToADrainingBackendIsCaught() {
+        // The process of a draining backend lives on for longer than the grace.
+        Scenario usual = Scenarios.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
+        Scenario scenario = ScenarioBuilder.from(usual).graceSeconds(0.2).build();
+        assertBreaksRule(
                 3,
                 scenario,
-                new Spoilt(scenario.settings()) {
+                new DefectiveModule(scenario.settings()) {
                     @Override
-                    List<EndpointUpdate> hears(List<EndpointUpdate> updates) {
+                    List<EndpointUpdate> alterUpdates(List<EndpointUpdate> updates) {
                         return updates.stream()
                                 .map(
                                         update ->
@@ -276,99 +259,85 @@
         Scenarios.play(scenario);
     }
 
-    /** The same with cold backends that fall over at one and a half times what they can do. */
-    private static Settings frail(Settings told) {
+    /** The same with cold backends that are overloaded at one and a half times their capacity. */
+    private static Settings withFrailColdBackends(Settings usual) {
         return new Settings(
                 1,
                 2,
                 0,
                 false,
-                told.requestClasses(),
+                usual.requestClasses(),
                 new double[0],
                 1,
                 false,
-                told.loadReports(),
-                told.limits(),
+                usual.loadReports(),
+                usual.limits(),
                 new Settings.Rules(0.3, 6, 1.5, 2, 10),
-                told.costs());
+                usual.costs());
     }
 
     @Test
-    void aModuleThatTakesTheColdForWarmIsCaught() {
+    void aModuleThatTreatsAColdBackendAsWarmIsCaught() {
         Scenario usual = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 4, 0.75, 1));
-        Settings frail = frail(usual.settings());
-        Scenario few =
-                new Scenario(
-                        frail,
-                        1,
-                        4,
-                        2,
-                        2 * usual.rate(),
-                        0.05,
-                        0.5,
-                        3,
-                        0.0005,
-                        0.4,
-                        2,
-                        20,
-                        1,
-                        usual.troubles());
-        breaks(
+        Scenario scenario =
+                ScenarioBuilder.from(usual)
+                        .settings(withFrailColdBackends(usual.settings()))
+                        .rate(2 * usual.rate())
+                        .build();
+        assertBreaksRule(
                 4,
-                few,
-                new Spoilt(few.settings()) {
-                    private int cold = -1;
+                scenario,
+                new DefectiveModule(scenario.settings()) {
+                    private OptionalInt coldBackend = OptionalInt.empty();
 
                     @Override
-                    List<EndpointUpdate> hears(List<EndpointUpdate> updates) {
+                    List<EndpointUpdate> alterUpdates(List<EndpointUpdate> updates) {
                         updates.stream()
                                 .filter(update -> update.startedAt() > 0)
-                                .forEach(update -> cold = update.backend());
+                                .forEach(update -> coldBackend = OptionalInt.of(update.backend()));
                         return updates;
                     }
 
                     @Override
-                    Decision spoils(Decision decision) {
-                        // It looks idle, so it gets all.
+                    Decision alterDecision(Decision decision) {
+                        // The cold backend looks idle, so it gets every attempt.
                         decision.attempts.replaceAll(
                                 attempt ->
-                                        cold < 0
+                                        coldBackend.isEmpty()
                                                 ? attempt
                                                 : new Attempt(
                                                         attempt.request,
-                                                        cold,
+                                                        coldBackend.getAsInt(),
                                                         attempt.sentAt,
                                                         attempt.timeoutSeconds,
                                                         attempt.queueAhead));
                         return decision;
                     }
                 });
-        Scenarios.play(few);
+        Scenarios.play(scenario);
+    }
+
+    private static RunResult playBaseline(Baseline.Kind kind, Scenario scenario) {
+        return new Simulation(
+                        scenario,
+                        Referee.RULES_OF_BASELINES,
+                        (proxy, trueLoad) ->
+                                new Baseline(kind, scenario.settings(), proxy, trueLoad))
+                .play();
     }
 
     @Test
-    void baselinesKeepTheFirstThreeRulesAndPushTheColdOver() {
+    void baselinesKeepTheFirstThreeRulesAndOverloadColdBackends() {
         Scenario scenario =
                 Scenarios.of(
                         3,
                         8,
                         1,
                         new BackendFault(Kind.CRASH, 4, 3, 0.6, 1),
-                        trouble(Kind.BURST, 1, 2));
+                        fault(Kind.BURST, 1, 2));
         double module = Scenarios.play(scenario).service();
         for (Baseline.Kind kind : Baseline.Kind.values()) {
-            Simulation[] world = {null};
-            world[0] =
-                    new Simulation(
-                            scenario,
-                            3,
-                            p ->
-                                    new Baseline(
-                                            kind,
-                                            scenario.settings(),
-                                            p,
-                                            i -> world[0].trueLoad(i)));
-            RunResult result = world[0].play();
+            RunResult result = playBaseline(kind, scenario);
             assertEquals(0, result.unanswered, kind + ": " + result);
             assertTrue(
                     kind == Baseline.Kind.ORACLE || result.service() < module,
@@ -376,47 +345,23 @@
         }
     }
 
-    /**
-     * A client that asks again and again keeps a world tipped after its trouble, where nothing is
-     * shed.
-     */
+    /** Clients that retry keep the backends overloaded after the fault, where none are rejected. */
     @Test
-    void aRetryStormOutlivesItsTroubleWithANaivePolicyAndNotWithTheModule() {
-        Scenario calm = Scenarios.of(2, 6, 1);
+    void aRetryStormOutlivesItsFaultWithANaivePolicyAndNotWithTheModule() {
+        Scenario usual = Scenarios.of(2, 6, 1, new BackendFault(Kind.HEAVY, 5, 5, 1, 4));
         Scenario storm =
-                new Scenario(
-                        calm.settings(),
-                        2,
-                        6,
-                        2,
-                        1.25 * calm.rate(),
-                        0.05,
-                        0.5,
-                        6,
-                        0.0005,
-                        0.4,
-                        2,
-                        40,
-                        1,
-                        List.of(new BackendFault(Kind.HEAVY, 5, 5, 1, 4)));
-        Simulation[] world = {null};
-        world[0] =
-                new Simulation(
-                        storm,
-                        3,
-                        p ->
-                                new Baseline(
-                                        Baseline.Kind.LEAST_OUTSTANDING,
-                                        storm.settings(),
-                                        p,
-                                        i -> world[0].trueLoad(i)));
-        double naive = world[0].play().service();
+                ScenarioBuilder.from(usual)
+                        .rate(1.25 * usual.rate())
+                        .tries(6)
+                        .durationSeconds(40)
+                        .build();
+        double naive = playBaseline(Baseline.Kind.LEAST_OUTSTANDING, storm).service();
         double module = Scenarios.play(storm).service();
         assertTrue(module > naive + 0.1, "module " + module + ", naive " + naive);
     }
 
     @Test
-    void whatCannotBeIsRefused() {
+    void impossibleFaultsAndScenariosAreRefused() {
         assertThrows(
                 IllegalArgumentException.class, () -> new BackendFault(Kind.SLOW, -1, 1, 0.5, 1));
         assertThrows(
@@ -424,24 +369,7 @@
         assertThrows(
                 IllegalArgumentException.class,
                 () -> new BackendFault(Kind.SLOW, 1, 1, Double.NaN, 1));
-        Scenario scenario = Scenarios.of(1, 1, 1);
-        assertThrows(
-                IllegalArgumentException.class,
-                () ->
-                        new Scenario(
-                                scenario.settings(),
-                                0,
-                                1,
-                                1,
-                                1,
-                                1,
-                                0,
-                                1,
-                                0,
-                                0,
-                                0,
-                                1,
-                                1,
-                                List.of()));
+        ScenarioBuilder withoutProxies = ScenarioBuilder.from(Scenarios.of(1, 1, 1)).proxies(0);
+        assertThrows(IllegalArgumentException.class, withoutProxies::build);
     }
 }
