--- a/src/main/java/lemondrift/cli/LabCommand.java
+++ b/src/main/java/lemondrift/cli/LabCommand.java
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Prints which expectations the module's runs do not meet, and where most was lost; tells
+     * Prints which expectations the module's runs do not meet, and where most was lost; returns
      * whether there are any.
      */
     boolean printMissedExpectations(Experiment experiment, List<Experiment.Run> runs) {
@@ -110,7 +110,7 @@
             return failed ? RootCommand.FAILED : RootCommand.DONE;
         }
 
-        /** Prints the runs; tells whether a rule broke or an expectation does not hold. */
+        /** Prints the runs; returns whether a rule broke or an expectation does not hold. */
         private boolean print(Experiment experiment, List<Experiment.Run> runs) {
             PrintWriter out = lab.out();
             out.println(experiment.name() + ": " + experiment.about());
--- a/src/main/java/lemondrift/cli/SoakCommand.java
+++ b/src/main/java/lemondrift/cli/SoakCommand.java
@@ -72,7 +72,7 @@
         return failedCount > 0 ? RootCommand.FAILED : RootCommand.DONE;
     }
 
-    /** Prints what came of a seed, and tells whether all went well. */
+    /** Prints what came of a seed; returns whether all went well. */
     private boolean printVerdict(long seed, Future<SoakRun.Verdict> played)
             throws InterruptedException {
         PrintWriter out = lab.out();
--- a/src/main/java/lemondrift/lab/simulation/Backend.java
+++ b/src/main/java/lemondrift/lab/simulation/Backend.java
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Hears once how a job ended, unless the job was dropped. */
+    /** Called once when a job ends, unless the job was dropped. */
     @FunctionalInterface
     public interface JobListener {
         /**
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Adds work, in seconds of one warm core, and tells whether it overloads a cold backend:
-     * whether more came within the overload window than the backend can bear.
+     * Adds work, in seconds of one warm core, and returns whether it overloads a cold backend: more
+     * came within the overload window than the backend can bear.
      */
     public boolean fallsOver(double workSeconds) {
         double capacityShare = capacityShare();
@@ -209,7 +209,8 @@
     /**
      * The process ends and loses all jobs.
      *
-     * @param resetsJobs whether the listeners hear of it; else nothing is ever heard of the jobs
+     * @param resetsJobs whether the listeners are called; else nothing is heard of the jobs any
+     *     more
      */
     void terminate(boolean resetsJobs) {
         updateUtilization();
--- a/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
@@ -14,9 +14,10 @@
         /**
          * The process or machine of a backend has gone.
          *
-         * @param tells whether what it held was reset; else nothing is ever heard of it
+         * @param resetsRequests whether what it held was reset; else nothing is heard of it any
+         *     more
          */
-        default void died(int backend, boolean tells) {}
+        default void died(int backend, boolean resetsRequests) {}
 
         /** The process of a backend has started again, idle and cold. */
         void restarted(int backend);
@@ -140,12 +141,12 @@
     /**
      * The process of a backend goes down, unless another fault holds it down already.
      *
-     * @param tells whether what it held is reset; else nothing is ever heard of it
+     * @param resetsRequests whether what it held is reset; else nothing is heard of it any more
      */
-    public void dies(int backend, boolean tells) {
+    public void dies(int backend, boolean resetsRequests) {
         if (backends[backend].faultsHoldingDown++ == 0) {
-            backends[backend].terminate(tells);
-            host.died(backend, tells);
+            backends[backend].terminate(resetsRequests);
+            host.died(backend, resetsRequests);
             host.announce(backend, EndpointUpdate.State.GONE);
         }
     }
--- a/src/main/java/lemondrift/lab/simulation/Fault.java
+++ b/src/main/java/lemondrift/lab/simulation/Fault.java
@@ -53,7 +53,7 @@
          * killed as early as the platform may do so.
          */
         TERMINATE,
-        /** Processes are told to reload their configuration, several times over its duration. */
+        /** Processes get SIGHUP, to reload their configuration, several times over its duration. */
         HANG_UP;
 
         /** Whether it falls on processes; else on a channel between them. */
--- a/src/main/java/lemondrift/lab/simulation/SimulatedClients.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulatedClients.java
@@ -3,6 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import lemondrift.model.Request;
 import lemondrift.model.RequestClass;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -114,56 +115,63 @@
 
     /** A proxy passes on the successful response of a backend. */
     void succeeded(int proxy, Request request) {
-        ClientRequest clientRequest = close(proxy, request, false);
-        if (clientRequest == null) {
-            return;
-        }
+        close(proxy, request, false)
+                .ifPresent(
+                        clientRequest -> {
+                            recordSuccess(clientRequest);
+                            forgetIfDone(request);
+                        });
+    }
+
+    private void recordSuccess(ClientRequest clientRequest) {
         recorder.recordSuccess(
                 clientRequest.firstSecond,
                 requestClasses.get(clientRequest.classIndex),
                 scheduler.now() <= clientRequest.objectiveAt);
-        forgetIfDone(request);
     }
 
     /** A proxy rejects a request; a retry-after of 0 seconds says nothing. */
     void rejected(int proxy, Request request, double retryAfterSeconds) {
-        ClientRequest clientRequest = close(proxy, request, true);
-        if (clientRequest == null) {
+        close(proxy, request, true)
+                .ifPresent(
+                        clientRequest -> {
+                            recorder.recordRejected();
+                            retryLater(clientRequest, retryAfterSeconds);
+                            forgetIfDone(request);
+                        });
+    }
+
+    private void retryLater(ClientRequest clientRequest, double retryAfterSeconds) {
+        if (clientRequest.tries >= scenario.tries()) {
             return;
         }
-        recorder.recordRejected();
-        if (clientRequest.tries < scenario.tries()) {
-            double delaySeconds =
-                    retryAfterSeconds > 0
-                            ? retryAfterSeconds
-                            : RETRY_DELAY_SHARE
-                                    * requestClasses
-                                            .get(clientRequest.classIndex)
-                                            .latencyObjectiveSeconds();
-            scheduler.after(delaySeconds, () -> send(clientRequest));
-        }
-        forgetIfDone(request);
+        RequestClass requestClass = requestClasses.get(clientRequest.classIndex);
+        double delaySeconds =
+                retryAfterSeconds > 0
+                        ? retryAfterSeconds
+                        : RETRY_DELAY_SHARE * requestClass.latencyObjectiveSeconds();
+        scheduler.after(delaySeconds, () -> send(clientRequest));
     }
 
     /** A proxy fails a request; it may have been executed, so that its client does not retry. */
     void failed(int proxy, Request request) {
-        ClientRequest clientRequest = close(proxy, request, false);
-        if (clientRequest == null) {
-            return;
-        }
-        recorder.recordFailed();
-        forgetIfDone(request);
+        close(proxy, request, false)
+                .ifPresent(
+                        clientRequest -> {
+                            recorder.recordFailed();
+                            forgetIfDone(request);
+                        });
     }
 
-    /** Takes the final response; null where the request is no longer open. */
-    private ClientRequest close(int proxy, Request request, boolean rejected) {
+    /** Records the final response; empty where the request was no longer open. */
+    private Optional<ClientRequest> close(int proxy, Request request, boolean rejected) {
         recorder.recordResponse(proxy, request, rejected);
         OpenRequest open = openRequests.remove(request);
         if (open == null) {
-            return null;
+            return Optional.empty();
         }
         open.deadlineAlarm.cancel();
-        return open.clientRequest;
+        return Optional.of(open.clientRequest);
     }
 
     /** Nothing more is seen of a request that is answered and has no attempt in flight. */
