--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -94,10 +94,11 @@
         if (recovery.isSettled()) {
             return;
         }
-        RecoveryState.PeerEstimate estimate = recovery.peerEstimate(now);
-        if (estimate != null) {
-            balancer.seedServiceTime(estimate.serviceTimeSeconds(), estimate.samples());
-        }
+        recovery.peerEstimate(now)
+                .ifPresent(
+                        estimate ->
+                                balancer.seedServiceTime(
+                                        estimate.serviceTimeSeconds(), estimate.samples()));
     }
 
     /** Passes on what the module has measured and how many peers are heard of. */
@@ -203,7 +204,7 @@
         if (datagram[0] != PeerStatus.KIND) {
             gossip.receive(from, datagram, now);
         } else if (recovery != null) {
-            PeerStatus status = PeerStatus.decode(datagram);
+            PeerStatus status = PeerStatus.decode(datagram).orElseThrow();
             RecoveryState.Step step = recovery.statusReceived(from, status, now);
             if (step.peerRestarted()) {
                 gossip.peerRestarted(from, status.startNumber());
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -2,6 +2,7 @@
 
 import com.google.gson.JsonObject;
 import java.util.Locale;
+import java.util.Optional;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
@@ -93,10 +94,8 @@
 
     /** Queues a peer's status until the next advance; drops one that can't be read. Any thread. */
     public void received(int from, byte[] datagram) {
-        PeerStatus status = PeerStatus.decode(datagram);
-        if (status != null) {
-            received.add(new ReceivedStatus(from, status));
-        }
+        PeerStatus.decode(datagram)
+                .ifPresent(status -> received.add(new ReceivedStatus(from, status)));
     }
 
     public long startNumber() {
@@ -174,14 +173,14 @@
 
     /** Seeds the decisions' service time from peers, or at first from the snapshot. */
     private void seedDecisions(LoadBalancer balancer, double now) {
-        RecoveryState.PeerEstimate current = state.peerEstimate(now);
-        if (current != null) {
-            balancer.seedServiceTime(current.serviceTimeSeconds(), current.samples());
+        Optional<RecoveryState.PeerEstimate> current = state.peerEstimate(now);
+        if (current.isPresent()) {
+            balancer.seedServiceTime(current.get().serviceTimeSeconds(), current.get().samples());
         } else if (!seeded && trusted.serviceTimeSeconds() > 0) {
             balancer.seedServiceTime(trusted.serviceTimeSeconds(), trusted.samples());
         }
         seeded = true;
-        peerEstimate = current;
+        peerEstimate = current.orElse(null);
     }
 
     private void storeSnapshot(double now, LoadBalancer balancer) {
--- a/src/main/java/lemondrift/recovery/PeerStatus.java
+++ b/src/main/java/lemondrift/recovery/PeerStatus.java
@@ -1,6 +1,7 @@
 package lemondrift.recovery;
 
 import java.nio.ByteBuffer;
+import java.util.Optional;
 
 /**
  * What a proxy says of itself to a peer, in a datagram of 28 bytes. It reports only what it has
@@ -61,12 +62,12 @@
     }
 
     /**
-     * The status in a datagram; null where that is cut, of another kind or version, or has values
+     * The status in a datagram; empty where that is cut, of another kind or version, or has values
      * out of range.
      */
-    public static PeerStatus decode(byte[] datagram) {
+    public static Optional<PeerStatus> decode(byte[] datagram) {
         if (datagram.length != LENGTH || datagram[0] != KIND || datagram[1] != VERSION) {
-            return null;
+            return Optional.empty();
         }
         ByteBuffer in = ByteBuffer.wrap(datagram, 2, LENGTH - 2);
         int flags = in.get();
@@ -80,7 +81,7 @@
                         in.getFloat(),
                         samples,
                         (flags & SETTLED_FLAG) != 0);
-        return status.isInRange() ? status : null;
+        return Optional.of(status).filter(PeerStatus::isInRange);
     }
 
     private boolean isInRange() {
--- a/src/main/java/lemondrift/recovery/RecoveryState.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.stream.Stream;
@@ -236,11 +237,11 @@
     }
 
     /**
-     * The service time that peers have measured, of the settled ones where there are any; null
+     * The service time that peers have measured, of the settled ones where there are any; empty
      * where none has measured anything. It is the upper median, of two the larger: a single peer
      * can't move it far, and too short a time would overload a backend in slow start.
      */
-    public PeerEstimate peerEstimate(double now) {
+    public Optional<PeerEstimate> peerEstimate(double now) {
         boolean anySettled = currentStatuses(now).anyMatch(PeerStatus::settled);
         List<PeerStatus> measured =
                 currentStatuses(now)
@@ -251,12 +252,13 @@
                                                 a.serviceTimeSeconds(), b.serviceTimeSeconds()))
                         .toList();
         if (measured.isEmpty()) {
-            return null;
+            return Optional.empty();
         }
         int samples =
                 measured.stream()
                         .mapToInt(status -> Math.min(MAX_SAMPLES_OF_ONE_PEER, status.samples()))
                         .sum();
-        return new PeerEstimate(measured.get(measured.size() / 2).serviceTimeSeconds(), samples);
+        return Optional.of(
+                new PeerEstimate(measured.get(measured.size() / 2).serviceTimeSeconds(), samples));
     }
 }
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -14,6 +14,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import lemondrift.gossip.LoadGossip;
 import lemondrift.gossip.SubsetAssignment;
 import lemondrift.proxy.lifecycle.ProxyLauncher;
@@ -35,7 +36,8 @@
         PeerStatus hello =
                 new PeerStatus(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
         LandedBytes.assertHex("recovery-datagram.hex", hello.encoded());
-        assertEquals(hello, PeerStatus.decode(LandedBytes.ofHex("recovery-datagram.hex")));
+        assertEquals(
+                Optional.of(hello), PeerStatus.decode(LandedBytes.ofHex("recovery-datagram.hex")));
     }
 
     @Test
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -51,7 +51,7 @@
     /** The core, or one that is broken on purpose. */
     private static class Core {
         RecoveryState.PeerEstimate lesson(RecoveryState proxy, double now) {
-            return proxy.peerEstimate(now);
+            return proxy.peerEstimate(now).orElse(null);
         }
 
         RecoveryState.Step heard(RecoveryState proxy, int from, PeerStatus status, double now) {
@@ -250,7 +250,7 @@
         check(
                 last.isSettled()
                         || (last.phase() == RecoveryPhase.ALONE
-                                && last.peerEstimate(at.now) != null),
+                                && last.peerEstimate(at.now).isPresent()),
                 "one without samples is alone among them at last, and learns from them",
                 at);
     }
@@ -346,7 +346,7 @@
                     @Override
                     RecoveryState.Step wake(RecoveryState proxy, double now) {
                         RecoveryState.Step step = proxy.wake(now);
-                        RecoveryState.PeerEstimate estimate = proxy.peerEstimate(now);
+                        RecoveryState.PeerEstimate estimate = proxy.peerEstimate(now).orElse(null);
                         if (estimate == null || proxy.samples() > 0) {
                             return step;
                         }
@@ -366,7 +366,7 @@
                 new Core() {
                     @Override
                     RecoveryState.PeerEstimate lesson(RecoveryState proxy, double now) {
-                        return proxy.peerEstimate(proxy.startedAt());
+                        return proxy.peerEstimate(proxy.startedAt()).orElse(null);
                     }
                 });
     }
--- a/src/test/java/lemondrift/recovery/RecoveryStateTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -2,13 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.IntStream;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -43,16 +43,23 @@
     @Test
     void aDatagramThatIsCutForeignOfAnotherVersionOrOutOfRangeIsNotRead() {
         byte[] good = new PeerStatus(7, 9, true, 1.5f, 0.25f, 300, false).encoded();
-        assertEquals(new PeerStatus(7, 9, true, 1.5f, 0.25f, 255, false), PeerStatus.decode(good));
+        assertEquals(
+                Optional.of(new PeerStatus(7, 9, true, 1.5f, 0.25f, 255, false)),
+                PeerStatus.decode(good));
         IntStream.range(0, good.length)
-                .forEach(i -> assertNull(PeerStatus.decode(Arrays.copyOf(good, i))));
-        assertNull(PeerStatus.decode(Arrays.copyOf(good, good.length + 1)));
+                .forEach(
+                        i ->
+                                assertEquals(
+                                        Optional.empty(),
+                                        PeerStatus.decode(Arrays.copyOf(good, i))));
+        assertEquals(Optional.empty(), PeerStatus.decode(Arrays.copyOf(good, good.length + 1)));
         for (int[] change : new int[][] {{0, 2}, {1, 2}, {4, -1}, {20, 0xff}, {24, 0xff}}) {
             byte[] bad = good.clone();
             bad[change[0]] = (byte) change[1];
-            assertNull(PeerStatus.decode(bad), "byte " + change[0]);
+            assertEquals(Optional.empty(), PeerStatus.decode(bad), "byte " + change[0]);
         }
-        assertNull(
+        assertEquals(
+                Optional.empty(),
                 PeerStatus.decode(status(1, 1, 0, 5, false).encoded()),
                 "samples without service time");
     }
@@ -61,12 +68,13 @@
     void anyBytesAreReadInRangeOrNotAtAll(@ForAll @Size(28) byte[] bytes) {
         bytes[0] = PeerStatus.KIND;
         bytes[1] = PeerStatus.VERSION;
-        PeerStatus status = PeerStatus.decode(bytes);
         assertTrue(
-                status == null
-                        || (status.uptimeSeconds() >= 0
-                                && status.serviceTimeSeconds() >= 0
-                                && status.startNumber() > 0));
+                PeerStatus.decode(bytes).stream()
+                        .allMatch(
+                                status ->
+                                        status.uptimeSeconds() >= 0
+                                                && status.serviceTimeSeconds() >= 0
+                                                && status.startNumber() > 0));
     }
 
     @Test
@@ -164,15 +172,16 @@
                 second = reply.next();
                 first = first.statusReceived(1, reply.messages().get(0).status(), now).next();
             }
-            assertNull(first.peerEstimate(now), "two without samples");
+            assertEquals(Optional.empty(), first.peerEstimate(now), "two without samples");
         }
         RecoveryState informed = received(first, 15, status(101, 15, 0.4f, 2, false));
-        assertEquals(new RecoveryState.PeerEstimate(0.4f, 2), informed.peerEstimate(15));
+        assertEquals(
+                Optional.of(new RecoveryState.PeerEstimate(0.4f, 2)), informed.peerEstimate(15));
         assertTrue(
                 informed.wake(informed.wakeAt()).messages().stream()
                         .allMatch(each -> each.status().samples() == 0),
                 "what a peer measured is not passed on");
-        assertNull(informed.peerEstimate(36), "expired");
+        assertEquals(Optional.empty(), informed.peerEstimate(36), "expired");
     }
 
     @Test
@@ -184,10 +193,10 @@
             status(1, 9, 0.0001f, 8, false)
         };
         assertEquals(
-                new RecoveryState.PeerEstimate(0.2f, 19),
+                Optional.of(new RecoveryState.PeerEstimate(0.2f, 19)),
                 received(starting(9), 1, statuses).peerEstimate(1));
         assertEquals(
-                new RecoveryState.PeerEstimate(0.3f, 11),
+                Optional.of(new RecoveryState.PeerEstimate(0.3f, 11)),
                 received(starting(9), 1, statuses[0], statuses[1]).peerEstimate(1));
     }
 
