--- a/src/test/java/lemondrift/proxy/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/AdminServerTest.java
@@ -1,5 +1,14 @@
 package lemondrift.proxy;
 
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
+import static lemondrift.proxy.DiscoveryMessages.member;
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.HttpMessages.okResponse;
+import static lemondrift.proxy.HttpMessages.readMessage;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.ScriptedServer.CLOSE;
+import static lemondrift.proxy.TestConfig.IDEMPOTENT_CLASS;
+import static lemondrift.proxy.TestConfig.NOT_IDEMPOTENT_CLASS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +20,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
-import java.net.http.HttpResponse;
+import java.net.http.HttpRequest.BodyPublishers;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,18 +31,19 @@
 import org.junit.jupiter.api.Test;
 import org.xnio.XnioWorker;
 
-/** The operators' address on loopback, and what its calls do to the proxy. */
+/** The operators' address on loopback: metrics, health, quiescing and unknown or stalled calls. */
 class AdminServerTest extends LoopbackFixture {
     private XnioWorker worker;
     private AdminServer adminServer;
 
-    private void operate(StandIn... backends) throws Exception {
+    /** Starts the proxy and its operators' address. */
+    private void startWithAdminServer(ScriptedServer... backends) throws Exception {
         start(backends);
-        listen();
+        startAdminServer();
         adminServer.setOperations(proxy.adminOperations());
     }
 
-    private void listen() throws IOException {
+    private void startAdminServer() throws IOException {
         worker = ProxyServer.worker();
         adminServer =
                 new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
@@ -50,14 +60,10 @@
         return new Socket(InetAddress.getLoopbackAddress(), adminServer.address().getPort());
     }
 
-    private static void write(Socket to, String text) throws IOException {
-        to.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-    }
-
     /** The whole response, whose connection closes with it. */
     private String call(String method, String path) throws IOException {
         try (Socket caller = caller()) {
-            write(caller, method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
+            writeText(caller, method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
             var response = new ByteArrayOutputStream();
             caller.getInputStream().transferTo(response);
             return response.toString(StandardCharsets.US_ASCII);
@@ -71,113 +77,109 @@
                 .getAsJsonObject();
     }
 
-    private int reply(String requestClass, String outcome) throws IOException {
+    private int replyCount(String requestClass, String outcome) throws IOException {
         return stats().getAsJsonObject("replies")
                 .getAsJsonObject(requestClass)
                 .get(outcome)
                 .getAsInt();
     }
 
-    private int healthz() throws Exception {
-        try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
-            write(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-            return Integer.parseInt(read(client).substring(9, 12));
+    private int healthStatusForClients() throws Exception {
+        try (Socket client = connect()) {
+            writeText(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+            return Integer.parseInt(readMessage(client).substring(9, 12));
         }
     }
 
     @Test
-    void withoutAProxyCallsAreUnavailableAndMetricsAreZero() throws Exception {
-        listen();
+    void respondsUnavailableAndZeroMetricsWithoutProxy() throws Exception {
+        startAdminServer();
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503 "));
         assertTrue(call("PUT", "/admin/quiesce").startsWith("HTTP/1.1 503 "));
         assertEquals(0, stats().get("targets").getAsInt());
     }
 
     @Test
-    void unknownCallsAreRefused() throws Exception {
-        operate(backend(OK));
+    void rejectsUnknownCalls() throws Exception {
+        startWithAdminServer(backend(OK));
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200 "));
         assertTrue(call("GET", "/admin/nothing").startsWith("HTTP/1.1 404 "));
         assertTrue(call("GET", "/admin/loop").startsWith("HTTP/1.1 200 "));
         assertTrue(call("GET", "/healthz").startsWith("HTTP/1.1 404 "));
-        String wrong = call("GET", "/admin/quiesce");
-        assertTrue(wrong.startsWith("HTTP/1.1 405 ") && wrong.contains("Allow: PUT\r\n"), wrong);
-        assertEquals(200, healthz(), "a read must not empty the proxy");
+        String response = call("GET", "/admin/quiesce");
+        assertTrue(
+                response.startsWith("HTTP/1.1 405 ") && response.contains("Allow: PUT\r\n"),
+                response);
+        assertEquals(200, healthStatusForClients(), "a read must not quiesce the proxy");
         assertTrue(call("PUT", "/admin/stats").startsWith("HTTP/1.1 405 "));
         assertFalse(call("GET", "/" + "x".repeat(20_000)).startsWith("HTTP/1.1 2"));
         assertFalse(call("\u0001", "nonsense").startsWith("HTTP/1.1 2"));
     }
 
     @Test
-    void stalledCallersKeepNobodyOut() throws Exception {
-        operate(backend(OK));
-        List<Socket> stuck = new ArrayList<>();
+    void servesCallsWhileOtherCallersStall() throws Exception {
+        startWithAdminServer(backend(OK));
+        List<Socket> stalled = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            stuck.add(caller());
-            write(stuck.get(i), i % 2 == 0 ? "" : "GET /admin/he");
+            stalled.add(caller());
+            writeText(stalled.get(i), i % 2 == 0 ? "" : "GET /admin/he");
             assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(-1, stuck.get(0).getInputStream().read(), "the oldest gave way");
-        for (Socket each : stuck) {
-            each.close();
-        }
+        assertEquals(-1, stalled.get(0).getInputStream().read(), "the oldest is closed");
+        closeAll(stalled);
     }
 
     @Test
-    void clientsAtTheirLimitKeepNoOperatorOut() throws Exception {
-        operate(backend(OK));
-        List<Socket> clients = new ArrayList<>();
-        for (int i = 0; i < 80; i++) {
-            clients.add(new Socket("127.0.0.1", proxy.address().getPort()));
-        }
+    void servesCallsWhileClientsAreAtTheirLimit() throws Exception {
+        startWithAdminServer(backend(OK));
+        List<Socket> clients = connectSilent(80);
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200 "));
-        for (Socket each : clients) {
-            each.close();
-        }
+        closeAll(clients);
     }
 
     @Test
-    void metricsCountWhatWasDone() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        operate(
+    void metricsCountRepliesAttemptsAndBackends() throws Exception {
+        CountDownLatch mayRespond = new CountDownLatch(1);
+        startWithAdminServer(
                 backend(
                         request ->
                                 request.contains("slow")
-                                        ? await(go)
+                                        ? okOnceReleased(mayRespond)
                                         : request.contains("bad") ? CLOSE : OK));
-        assertEquals(200, look().statusCode());
-        assertEquals(200, order("x").statusCode());
-        assertEquals(502, order("bad").statusCode());
-        assertEquals(400, send(request("order").header("X-Trace-Id", "again")).statusCode());
+        assertEquals(200, sendIdempotent().statusCode());
+        assertEquals(200, sendNotIdempotent("x").statusCode());
+        assertEquals(502, sendNotIdempotent("bad").statusCode());
+        assertEquals(
+                400,
+                send(request(NOT_IDEMPOTENT_CLASS).header("X-Trace-Id", "again")).statusCode());
         JsonObject stats = stats();
-        assertEquals(1, reply("look", "success"));
-        assertEquals(1, reply("order", "success"));
-        assertEquals(2, reply("order", "error"), "a rejected request counts under its class");
+        assertEquals(1, replyCount(IDEMPOTENT_CLASS, "success"));
+        assertEquals(1, replyCount(NOT_IDEMPOTENT_CLASS, "success"));
+        assertEquals(
+                2,
+                replyCount(NOT_IDEMPOTENT_CLASS, "error"),
+                "a rejected request counts under its class");
         assertEquals(3, stats.get("dispatches").getAsInt());
         assertEquals(0, stats.get("concurrent").getAsInt());
         assertEquals(1, stats.get("targets").getAsInt());
         assertEquals(0, stats.get("targets_disabled").getAsInt());
-        var slow =
-                http.sendAsync(
-                        request("order")
-                                .POST(java.net.http.HttpRequest.BodyPublishers.ofString("slow"))
-                                .build(),
-                        HttpResponse.BodyHandlers.ofString());
+        var openRequest =
+                sendAsync(request(NOT_IDEMPOTENT_CLASS).POST(BodyPublishers.ofString("slow")));
         while (stats().get("dispatches").getAsInt() < 4) {
             Thread.onSpinWait();
         }
         assertEquals(1, stats().get("concurrent").getAsInt());
-        go.countDown();
-        assertEquals(200, slow.get().statusCode());
+        mayRespond.countDown();
+        assertEquals(200, openRequest.get().statusCode());
         while (stats().get("concurrent").getAsInt() > 0) {
             Thread.onSpinWait();
         }
-        assertEquals(2, reply("order", "success"));
+        assertEquals(2, replyCount(NOT_IDEMPOTENT_CLASS, "success"));
     }
 
-    private static String await(CountDownLatch go) {
+    private static String okOnceReleased(CountDownLatch mayRespond) {
         try {
-            go.await();
+            mayRespond.await();
         } catch (InterruptedException e) {
             return CLOSE;
         }
@@ -185,17 +187,19 @@
     }
 
     @Test
-    void oneThatDrainsIsListedAndDisabled() throws Exception {
-        StandIn one = backend(OK);
-        StandIn other = backend(OK);
-        operate(one, other);
-        news.add(http(list(2, false, member(0, one.port(), "leaving"))));
-        awaitWatch("from=2");
+    void countsDrainingBackendAsDisabledUntilItIsGone() throws Exception {
+        ScriptedServer draining = backend(OK);
+        ScriptedServer ready = backend(OK);
+        startWithAdminServer(draining, ready);
+        discoveryUpdates.add(
+                okResponse(endpointList(2, false, member(0, draining.port(), "leaving"))));
+        awaitDiscoveryRequest("from=2");
         while (stats().get("targets_disabled").getAsInt() < 1) {
             Thread.onSpinWait();
         }
         assertEquals(2, stats().get("targets").getAsInt());
-        news.add(http(list(3, false, member(0, one.port(), "left"))));
+        discoveryUpdates.add(
+                okResponse(endpointList(3, false, member(0, draining.port(), "left"))));
         while (stats().get("targets").getAsInt() > 1) {
             Thread.onSpinWait();
         }
@@ -203,9 +207,9 @@
     }
 
     @Test
-    void reloadsAreCounted() throws Exception {
-        operate(backend(OK));
-        proxy.reload(ProxyConfig.read(config(discovery.port(), false)));
+    void countsReloadsAndFailedReloads() throws Exception {
+        startWithAdminServer(backend(OK));
+        proxy.reload(ProxyConfig.read(config(discovery.port())));
         proxy.reloadFailed();
         proxy.reloadFailed();
         while (stats().get("reload_failure").getAsInt() < 2) {
@@ -215,35 +219,34 @@
     }
 
     @Test
-    void quiesceSendsClientsAwayAndResumeTakesThemBack() throws Exception {
-        operate(backend(OK));
-        List<Socket> stay = new ArrayList<>();
-        assertFalse(askAndStay(1, stay).contains("Connection: close"));
+    void quiesceClosesClientsAndResumeKeepsThemAgain() throws Exception {
+        startWithAdminServer(backend(OK));
+        List<Socket> connections = new ArrayList<>();
+        assertFalse(sendOnNewConnection(1, connections).contains("Connection: close"));
         assertTrue(call("PUT", "/admin/quiesce").startsWith("HTTP/1.1 200 "));
-        assertEquals(503, healthz());
+        assertEquals(503, healthStatusForClients());
         assertTrue(
                 call("PUT", "/admin/quiesce").startsWith("HTTP/1.1 200 "),
-                "quiescing twice is as once");
+                "quiescing twice does as much as once");
         assertTrue(
-                askAndStay(2, stay).contains("Connection: close"),
+                sendOnNewConnection(2, connections).contains("Connection: close"),
                 "a new connection is served and closed");
-        Socket late = new Socket("127.0.0.1", proxy.address().getPort());
-        assertEquals(-1, stay.get(0).getInputStream().read(), "an idle connection is closed");
+        Socket late = connect();
+        assertEquals(
+                -1, connections.get(0).getInputStream().read(), "an idle connection is closed");
         assertEquals(-1, late.getInputStream().read(), "a new connection without a request too");
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 200 "));
-        assertEquals(200, healthz());
+        assertEquals(200, healthStatusForClients());
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 200 "));
-        assertFalse(askAndStay(3, stay).contains("Connection: close"));
-        for (Socket each : stay) {
-            each.close();
-        }
+        assertFalse(sendOnNewConnection(3, connections).contains("Connection: close"));
+        closeAll(connections);
     }
 
     @Test
-    void sigtermEndsWhatIsQuiesced() throws Exception {
-        operate(backend(OK));
+    void drainStopsQuiescedProxy() throws Exception {
+        startWithAdminServer(backend(OK));
         call("PUT", "/admin/quiesce");
-        drains().join();
+        startDrain().join();
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503 "));
         assertTrue(
                 call("PUT", "/admin/resume").startsWith("HTTP/1.1 503 "),
--- a/src/test/java/lemondrift/proxy/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionLoad.java
@@ -16,8 +16,8 @@
 
 /**
  * What a request and each kind of flood cost a proxy, for builds given as jars, in turns; run by
- * hand, no part of CI. LoopbackFixture alone; everything is bounded in number. Delay counts from
- * when a request should have been sent.
+ * hand, no part of CI. Loopback alone; everything is bounded in number. Delay counts from when a
+ * request should have been sent.
  */
 final class ClientConnectionLoad {
     private static final int CONNECTIONS = 24;
--- a/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
@@ -1,6 +1,15 @@
 package lemondrift.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
+import static lemondrift.proxy.DiscoveryMessages.activeMembers;
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.HttpMessages.getRequest;
+import static lemondrift.proxy.HttpMessages.okResponse;
+import static lemondrift.proxy.HttpMessages.readMessage;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.TestConfig.TIMEOUT_MILLIS;
+import static lemondrift.proxy.TestConfig.UNUSED_PORT;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,16 +20,13 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
 import java.util.zip.ZipEntry;
 import java.util.zip.ZipOutputStream;
 import lemondrift.connection.ConnectionLimits;
@@ -32,114 +38,124 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Hard cases of client connections on loopback, with scripted clients. */
+/**
+ * Client connections that pipeline, read slowly, send nothing, are rejected or outnumber the
+ * descriptors; and the file of their settings.
+ */
 class ClientConnectionsTest extends LoopbackFixture {
+    /** Milliseconds after which a response counts as missing. */
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
+
+    /** How many requests a client pipelines at once. */
+    private static final int PIPELINED_REQUESTS = 2000;
+
+    /** How many connections a client opens to a process that has fewer descriptors. */
+    private static final int SILENT_CONNECTIONS = 120;
+
+    /** How often a process is tried until it counts as not started. */
+    private static final int STARTUP_TRIES = 400;
+
+    /** Time between two tries to connect to a process. */
+    private static final int CONNECT_INTERVAL_MILLIS = 50;
+
     private final List<Socket> clients = new ArrayList<>();
 
     @AfterEach
     void closeClients() throws IOException {
-        for (Socket each : clients) {
-            each.close();
-        }
+        closeAll(clients);
     }
 
-    private Socket connect(int receiveBufferBytes) throws IOException {
-        Socket client = new Socket();
+    private Socket client() throws IOException {
+        Socket client = connect(READ_TIMEOUT_MILLIS);
         clients.add(client);
-        if (receiveBufferBytes > 0) {
-            client.setReceiveBufferSize(receiveBufferBytes);
-        }
-        client.setSoTimeout(20_000);
-        client.connect(new InetSocketAddress("127.0.0.1", proxy.address().getPort()));
         return client;
     }
 
-    private static byte[] look(int id) {
-        return ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: door-"
-                        + id
-                        + "\r\nX-Qos: look\r\n"
-                        + "X-Expires-In-Ms: 4000\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII);
+    /** A client that takes so few bytes ahead of its reading. */
+    private Socket slowClient(int receiveBufferBytes) throws IOException {
+        Socket client = new Socket();
+        clients.add(client);
+        client.setReceiveBufferSize(receiveBufferBytes);
+        client.setSoTimeout(READ_TIMEOUT_MILLIS);
+        client.connect(new InetSocketAddress("127.0.0.1", proxyPort()));
+        return client;
     }
 
-    private static void write(Socket client, byte[] text) throws IOException {
-        client.getOutputStream().write(text);
+    private static String get(int number) {
+        return getRequest("client-" + number, TIMEOUT_MILLIS);
     }
 
+    /** Guards against a second request that is forwarded though the first response closes. */
     @Test
-    void aRequestThatCrossesAClosingResponseIsNeverHalfServed() throws Exception {
+    void doesNotForwardRequestThatCrossesAClosingResponse() throws Exception {
         CountDownLatch mayRespond = new CountDownLatch(1);
-        StandIn backend = backend(mayRespond);
+        ScriptedServer backend = backend(mayRespond);
         start(backend);
         List<Socket> pipelining = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            pipelining.add(connect(0));
-            write(pipelining.get(i), look(2 * i));
-            write(pipelining.get(i), look(2 * i + 1));
+            pipelining.add(client());
+            writeText(pipelining.get(i), get(2 * i));
+            writeText(pipelining.get(i), get(2 * i + 1));
         }
-        assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
-        Thread drain = drains();
+        assertNotNull(backend.nextRequest());
+        Thread drain = startDrain();
         mayRespond.countDown();
-        for (Socket each : pipelining) {
-            String response = read(each);
+        for (Socket client : pipelining) {
+            String response = readMessage(client);
             assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("body"), response);
-            assertEquals(-1, each.getInputStream().read(), "closed, with no byte for the second");
+            assertEquals(-1, client.getInputStream().read(), "closed, with no byte for the second");
         }
         drain.join();
-        assertEquals(ProxyServer.Phase.STOPPED, proxy.phase());
+        assertEquals("STOPPED", phase());
         assertTrue(
                 backend.requests.stream()
                         .noneMatch(
                                 request ->
                                         request.matches(
-                                                "(?s).*X-Trace-Id: door-\\d*[13579]\r\n.*")),
-                "what crossed was not forwarded");
+                                                "(?s).*X-Trace-Id: client-\\d*[13579]\r\n.*")),
+                "no second request was forwarded");
     }
 
     @Test
-    void aPipelinedRequestInPiecesIsAnsweredInOrder() throws Exception {
+    void answersPipelinedRequestThatArrivesInPieces() throws Exception {
         start(backend(OK));
-        Socket client = connect(0);
-        byte[] second = look(2);
-        write(client, look(1));
-        client.getOutputStream().write(second, 0, 30);
-        assertTrue(read(client).startsWith("HTTP/1.1 200"));
-        client.getOutputStream().write(second, 30, second.length - 30);
-        assertTrue(read(client).startsWith("HTTP/1.1 200"));
+        Socket client = client();
+        String second = get(2);
+        int cut = 30;
+        writeText(client, get(1));
+        writeText(client, second.substring(0, cut));
+        assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
+        writeText(client, second.substring(cut));
+        assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
     }
 
     @Test
-    void aClientThatPipelinesManyDelaysNoOther() throws Exception {
+    void servesOthersWhileOneClientPipelinesMany() throws Exception {
         start(backend(OK));
-        Socket client = connect(0);
-        byte[] health =
-                "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-        ByteArrayOutputStream ahead = new ByteArrayOutputStream();
-        for (int i = 0; i < 2000; i++) {
-            ahead.writeBytes(health);
-        }
+        Socket client = client();
+        String pipelined = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".repeat(PIPELINED_REQUESTS);
         Thread writer =
                 new Thread(
                         () -> {
                             try {
-                                write(client, ahead.toByteArray());
+                                writeText(client, pipelined);
                             } catch (IOException e) {
                                 // It was closed, which fails the count below.
                             }
                         });
         writer.start();
         for (int i = 0; i < 10; i++) {
-            assertEquals(200, order("x").statusCode());
+            assertEquals(200, sendNotIdempotent("x").statusCode());
         }
-        for (int i = 0; i < 2000; i++) {
-            assertTrue(read(client).startsWith("HTTP/1.1 200"), "response " + i);
+        for (int i = 0; i < PIPELINED_REQUESTS; i++) {
+            assertTrue(readMessage(client).startsWith("HTTP/1.1 200"), "response " + i);
         }
         writer.join();
     }
 
     @Test
-    void announcedKeepAliveStandsInTheResponse() throws Exception {
-        changed =
+    void sendsKeepAliveTimeoutWhenConfigured() throws Exception {
+        configChange =
                 config -> {
                     ConnectionLimits usual = config.connectionLimits();
                     return config.withConnectionLimits(
@@ -154,127 +170,101 @@
                                     usual.usualPriorityWeight()));
                 };
         start(backend(OK));
-        Socket client = connect(0);
+        Socket client = client();
         for (int i = 0; i < 2; i++) {
-            write(client, look(i));
-            String response = read(client);
+            writeText(client, get(i));
+            String response = readMessage(client);
             assertTrue(response.contains("\r\nKeep-Alive: timeout=5\r\n"), response);
         }
     }
 
     @Test
-    void responsesThatAreNotReadDelayNoOther() throws Exception {
-        start(backend(http("x".repeat(64 * 1024))));
+    void servesOthersWhileResponsesAreNotRead() throws Exception {
+        start(backend(okResponse("x".repeat(64 * 1024))));
         for (int i = 0; i < 8; i++) {
-            Socket slow = connect(1024);
-            write(slow, look(i));
+            Socket slow = slowClient(1024);
+            writeText(slow, get(i));
             assertEquals(
                     'H',
                     slow.getInputStream().read(),
                     "the response has come, and is read no further");
         }
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, order("x").statusCode());
+            assertEquals(200, sendNotIdempotent("x").statusCode());
         }
     }
 
     @Test
-    void repeatedRejectionsCloseTheConnection() throws Exception {
+    void closesConnectionAfterRepeatedRejections() throws Exception {
         start(backend(OK));
-        Socket client = connect(0);
-        byte[] malformed = "GET / HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+        Socket client = client();
         int rejections = 0;
         try {
             for (String response = ""; response != null; rejections++) {
-                write(client, malformed);
-                response = read(client);
+                writeText(client, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
+                response = readMessage(client);
                 assertTrue(response == null || response.startsWith("HTTP/1.1 400"), response);
             }
         } catch (IOException e) {
             // The close crossed the next request.
         }
         assertTrue(rejections >= 6 && rejections <= 7, "after " + rejections);
-        assertEquals(200, order("x").statusCode());
+        assertEquals(200, sendNotIdempotent("x").statusCode());
     }
 
     @Test
-    void aDrainAmidManyConnectionsAnswersAcceptedRequests() throws Exception {
+    void drainAnswersAcceptedRequestAmongManyConnections() throws Exception {
         CountDownLatch mayRespond = new CountDownLatch(1);
-        StandIn backend = backend(mayRespond);
+        ScriptedServer backend = backend(mayRespond);
         start(backend);
-        Socket accepted = connect(0);
-        write(accepted, look(1));
-        assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
+        Socket accepted = client();
+        writeText(accepted, get(1));
+        assertNotNull(backend.nextRequest());
         for (int i = 0; i < 60; i++) {
-            connect(0);
+            client();
         }
-        Thread drain = drains();
+        Thread drain = startDrain();
         mayRespond.countDown();
-        assertTrue(read(accepted).startsWith("HTTP/1.1 200"));
+        assertTrue(readMessage(accepted).startsWith("HTTP/1.1 200"));
         drain.join();
-        assertEquals(ProxyServer.Phase.STOPPED, proxy.phase());
-    }
-
-    /**
-     * The program as one file, as it is run: a class in a folder can't be loaded without a
-     * descriptor.
-     */
-    private static Path jar(Path folder) throws Exception {
-        Path classes =
-                Path.of(
-                        ProxyLauncher.class
-                                .getProtectionDomain()
-                                .getCodeSource()
-                                .getLocation()
-                                .toURI());
-        Path jar = folder.resolve("lemondrift.jar");
-        try (var out = new ZipOutputStream(Files.newOutputStream(jar));
-                var files = Files.walk(classes)) {
-            for (Path each : files.filter(Files::isRegularFile).toList()) {
-                out.putNextEntry(new ZipEntry(classes.relativize(each).toString()));
-                out.write(Files.readAllBytes(each));
-            }
-        }
-        return jar;
+        assertEquals("STOPPED", phase());
     }
 
     /** Descriptors run out under the proxy, as it is configured for more than it has. */
     @Test
-    void exhaustedDescriptorsLoseNoClientThatWaits(@TempDir Path folder) throws Exception {
-        String members = list(1, true, member(0, backend(OK).port(), "active"));
-        StandIn list = backend(request -> request.contains("?") ? SILENCE : http(members));
-        int port;
-        try (var free = new ServerSocket(0)) {
-            port = free.getLocalPort();
-        }
+    void servesWaitingClientAfterDescriptorsRunOut(@TempDir Path folder) throws Exception {
+        ScriptedServer fixedDiscovery =
+                discoveryWithoutChanges(endpointList(1, true, activeMembers(backend(OK).port())));
+        int port = ProxyProcess.freePort();
+        String config = TestConfig.withSockets(config(fixedDiscovery.port()), 1024);
         Path file =
                 Files.writeString(
-                        folder.resolve("config.json"),
-                        config(list.port(), false)
-                                .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                                .replace("\"sockets\":64", "\"sockets\":1024"));
+                        folder.resolve("config.json"), TestConfig.withListenPort(config, port));
         Process process = startWithFewDescriptors(folder, file);
         try {
             Socket client = connectWhenListening(port);
             clients.add(client);
-            // It listens before it has heard the list, and sheds until then.
-            String first = "";
-            for (int tries = 0; !first.startsWith("HTTP/1.1 200") && tries < 400; tries++) {
-                write(client, look(1000 + tries));
-                first = read(client);
+            // It listens before it has received the list, and rejects until then.
+            String response = "";
+            for (int tries = 0;
+                    !response.startsWith("HTTP/1.1 200") && tries < STARTUP_TRIES;
+                    tries++) {
+                writeText(client, get(1000 + tries));
+                response = readMessage(client);
             }
-            assertTrue(first.startsWith("HTTP/1.1 200"), first);
-            for (int i = 0; i < 120; i++) {
+            assertTrue(response.startsWith("HTTP/1.1 200"), response);
+            for (int i = 0; i < SILENT_CONNECTIONS; i++) {
                 clients.add(new Socket("127.0.0.1", port));
             }
             // Those beyond its descriptors wait in the kernel until the silent ones are closed.
-            Socket last = clients.get(120);
-            last.setSoTimeout(20_000);
-            write(last, look(1));
-            String response = read(last);
+            Socket last = clients.get(SILENT_CONNECTIONS);
+            last.setSoTimeout(READ_TIMEOUT_MILLIS);
+            writeText(last, get(1));
+            String lastResponse = readMessage(last);
             assertTrue(
-                    response.startsWith("HTTP/1.1 200") || response.startsWith("HTTP/1.1 503"),
-                    response);
+                    lastResponse.startsWith("HTTP/1.1 200")
+                            || lastResponse.startsWith("HTTP/1.1 503"),
+                    lastResponse);
             assertTrue(process.isAlive());
         } finally {
             process.destroyForcibly().waitFor();
@@ -287,7 +277,7 @@
                         "/bin/sh",
                         "-c",
                         "ulimit -n 100; exec \"$0\" \"$@\"",
-                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        ProxyProcess.javaCommand(),
                         "-Xmx64m",
                         "-XX:-MaxFDLimit",
                         "-XX:TieredStopAtLevel=1",
@@ -301,13 +291,36 @@
                 .start();
     }
 
+    /**
+     * The program as one file, as it is run: a class in a folder can't be loaded without a
+     * descriptor.
+     */
+    private static Path jar(Path folder) throws Exception {
+        Path classes =
+                Path.of(
+                        ProxyLauncher.class
+                                .getProtectionDomain()
+                                .getCodeSource()
+                                .getLocation()
+                                .toURI());
+        Path jar = folder.resolve("lemondrift.jar");
+        try (var out = new ZipOutputStream(Files.newOutputStream(jar));
+                var files = Files.walk(classes)) {
+            for (Path file : files.filter(Files::isRegularFile).toList()) {
+                out.putNextEntry(new ZipEntry(classes.relativize(file).toString()));
+                out.write(Files.readAllBytes(file));
+            }
+        }
+        return jar;
+    }
+
     private static Socket connectWhenListening(int port) throws Exception {
         Socket client = null;
-        for (int tries = 0; client == null && tries < 400; tries++) {
+        for (int tries = 0; client == null && tries < STARTUP_TRIES; tries++) {
             try {
                 client = new Socket("127.0.0.1", port);
             } catch (IOException e) {
-                Thread.sleep(50);
+                Thread.sleep(CONNECT_INTERVAL_MILLIS);
             }
         }
         assertNotNull(client, "it listens");
@@ -315,19 +328,20 @@
     }
 
     @Test
-    void theConnectionSettingsFileIsReadOrRefusedInOneLine(@TempDir Path folder) throws Exception {
-        Path file = folder.resolve("door.json");
-        ConnectionLimits usual = ProxyConfig.read(config(1, false)).connectionLimits();
-        Files.writeString(file, "{\"quiet\": 60, \"sharing\": \"tenant\", \"announces\": true}");
-        ConnectionLimits read = ConnectionSettingsFile.read(file, usual);
+    void readsConnectionSettingsFileOrRejectsItInOneLine(@TempDir Path folder) throws Exception {
+        Path settingsFile = folder.resolve("door.json");
+        ConnectionLimits usual = ProxyConfig.read(config(UNUSED_PORT)).connectionLimits();
+        Files.writeString(
+                settingsFile, "{\"quiet\": 60, \"sharing\": \"tenant\", \"announces\": true}");
+        ConnectionLimits read = ConnectionSettingsFile.read(settingsFile, usual);
         assertEquals(60, read.maxIdleSeconds());
         assertEquals(ConnectionLimits.Sharing.TENANT, read.sharing());
         assertEquals(
                 usual.minIdleSeconds() / usual.maxIdleSeconds(),
                 read.minIdleSeconds() / read.maxIdleSeconds(),
                 1e-9);
-        Path config = Files.writeString(folder.resolve("config.json"), config(1, false));
-        for (String bad :
+        Path config = Files.writeString(folder.resolve("config.json"), config(UNUSED_PORT));
+        for (String invalid :
                 List.of(
                         "",
                         "[]",
@@ -339,12 +353,12 @@
                         "{\"announces\": 1}",
                         "{\"leastRate\": []}",
                         "{\"quiet\": null}")) {
-            Files.writeString(file, bad);
+            Files.writeString(settingsFile, invalid);
             assertThrows(
                     InvalidSettingsException.class,
-                    () -> ConnectionSettingsFile.read(file, usual),
-                    bad);
-            ByteArrayOutputStream err = new ByteArrayOutputStream();
+                    () -> ConnectionSettingsFile.read(settingsFile, usual),
+                    invalid);
+            ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
             assertEquals(
                     1,
                     ProxyLauncher.check(
@@ -352,10 +366,11 @@
                                     "PROXY_CONFIG",
                                     config.toString(),
                                     "PROXY_DOOR",
-                                    file.toString()),
-                            new PrintStream(err)));
-            assertEquals(1, err.toString(UTF_8).lines().count(), err.toString(UTF_8));
-            assertTrue(err.toString(UTF_8).contains("door.json"), err.toString(UTF_8));
+                                    settingsFile.toString()),
+                            new PrintStream(errorOutput)));
+            String message = errorOutput.toString(UTF_8);
+            assertEquals(1, message.lines().count(), message);
+            assertTrue(message.contains("door.json"), message);
         }
     }
 }
--- a/src/test/java/lemondrift/proxy/ConfigFileTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigFileTest.java
@@ -1,5 +1,7 @@
 package lemondrift.proxy;
 
+import static lemondrift.proxy.DiscoveryMessages.activeMembers;
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
@@ -15,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The configuration's file, with and without its initial endpoints. */
+/** The configuration file, read whole and without its initial endpoints. */
 class ConfigFileTest {
     @TempDir Path folder;
 
@@ -32,27 +34,19 @@
                 "{\"known\":[1,{}]}",
                 "{\"a\":[1],\"known\":{\"revision\":4,\"members\":7,\"complete\":true},\"b\":\"x\"}"
             })
-    void readingWithoutInitialEndpointsKeepsAllElse(String text) throws Exception {
+    void keepsAllOtherKeysWhenInitialEndpointsAreSkipped(String text) throws Exception {
         JsonObject config = ConfigFile.read(environment(text));
         config.remove("known");
         assertEquals(config, ConfigFile.readWithoutInitialEndpoints(environment(text)));
     }
 
     @Test
-    void thousandsOfInitialEndpointsAreSkipped() throws Exception {
-        String endpointList =
-                LoopbackFixture.list(
-                        1,
-                        true,
-                        IntStream.range(0, 3200)
-                                .mapToObj(
-                                        backend ->
-                                                LoopbackFixture.member(
-                                                        backend, 1 + backend, "active"))
-                                .toArray(String[]::new));
+    void skipsThousandsOfInitialEndpoints() throws Exception {
+        String initialEndpoints =
+                endpointList(1, true, activeMembers(IntStream.rangeClosed(1, 3200).toArray()));
         JsonObject read =
                 ConfigFile.readWithoutInitialEndpoints(
-                        environment("{\"known\":" + endpointList + ",\"name\":\"n\"}"));
+                        environment("{\"known\":" + initialEndpoints + ",\"name\":\"n\"}"));
         assertEquals("{\"name\":\"n\"}", read.toString());
     }
 
@@ -68,7 +62,7 @@
                 "{\"a\":1} {}",
                 "{\"known\":{\"members\":[1,2]},"
             })
-    void aFileThatIsCutOffIsRefused(String text) throws Exception {
+    void rejectsFileThatIsCutOff(String text) throws Exception {
         Map<String, String> environment = environment(text);
         assertThrows(Exception.class, () -> ConfigFile.readWithoutInitialEndpoints(environment));
         assertThrows(InvalidSettingsException.class, () -> ConfigFile.read(Map.of()));
--- a/src/test/java/lemondrift/proxy/ConfigReloadTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigReloadTest.java
@@ -1,5 +1,8 @@
 package lemondrift.proxy;
 
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.ScriptedServer.CLOSE;
+import static lemondrift.proxy.TestConfig.IDEMPOTENT_CLASS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +11,6 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.net.http.HttpRequest;
-import java.net.http.HttpResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
@@ -19,10 +21,13 @@
 import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 
-/** Reload of the configuration, as at SIGHUP, on loopback. */
+/** Reload of the configuration, as at SIGHUP: request classes, open requests, unusable files. */
 class ConfigReloadTest extends LoopbackFixture {
+    /** Seconds for which a backend waits until it may respond. */
+    private static final int RELEASE_TIMEOUT_SECONDS = 20;
+
     private JsonObject runningConfig() {
-        return JsonParser.parseString(config(discovery.port(), false)).getAsJsonObject();
+        return JsonParser.parseString(config(discovery.port())).getAsJsonObject();
     }
 
     private static void replaceClass(
@@ -49,12 +54,12 @@
     }
 
     @Test
-    void classesComeAndGoAndTheOthersStay() throws Exception {
+    void addsAndRemovesClassesAndKeepsTheOthers() throws Exception {
         start(backend(OK));
         JsonObject next = runningConfig();
         replaceClass(next, 0, "book", "fragile");
         reload(next, "book");
-        assertEquals(400, statusOf("look", "t1"), "no class any more");
+        assertEquals(400, statusOf("look", "t1"), "the class was removed");
         assertEquals(200, statusOf("order", "t2"));
         reload(runningConfig(), "look");
         assertEquals(400, statusOf("book", "t3"));
@@ -62,18 +67,20 @@
 
     /** A class stops being idempotent while one of its requests is open. */
     @Test
-    void openRequestsKeepTheRulesTheyArrivedUnder() throws Exception {
+    void openRequestKeepsRulesThatHeldWhenItArrived() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         Semaphore attempted = new Semaphore(0);
         Function<String, String> script =
                 request -> {
-                    boolean first = request.contains("X-Qos: look") && release.getCount() > 0;
-                    attempted.release(first ? 1 : 0);
-                    return first && await(release) ? CLOSE : OK;
+                    boolean isFirstAttempt =
+                            request.contains("X-Qos: look") && release.getCount() > 0;
+                    attempted.release(isFirstAttempt ? 1 : 0);
+                    return isFirstAttempt && isReleased(release, RELEASE_TIMEOUT_SECONDS)
+                            ? CLOSE
+                            : OK;
                 };
         start(backend(script), backend(script));
-        var openRequest =
-                http.sendAsync(request("look").build(), HttpResponse.BodyHandlers.ofString());
+        var openRequest = sendAsync(request(IDEMPOTENT_CLASS));
         assertTrue(attempted.tryAcquire(5, TimeUnit.SECONDS));
         JsonObject next = runningConfig();
         replaceClass(next, 0, "look", "fragile");
@@ -90,36 +97,28 @@
                 "retried: idempotent, two attempts");
     }
 
-    private static boolean await(CountDownLatch release) {
-        try {
-            return release.await(20, TimeUnit.SECONDS);
-        } catch (InterruptedException e) {
-            return false;
-        }
-    }
-
     @Test
-    void aNewClassIsUnderItsOwnRules() throws Exception {
-        StandIn one = backend(CLOSE);
-        StandIn other = backend(CLOSE);
-        start(one, other);
+    void doesNotRetryRequestsOfClassThatBecameNonIdempotent() throws Exception {
+        ScriptedServer first = backend(CLOSE);
+        ScriptedServer second = backend(CLOSE);
+        start(first, second);
         JsonObject next = runningConfig();
         replaceClass(next, 0, "look", "fragile");
         proxy.reload(ProxyConfig.read(next.toString()));
-        HttpRequest.Builder notIdempotent = request("look");
+        HttpRequest.Builder notIdempotent = request(IDEMPOTENT_CLASS);
         int attemptsBefore = 0;
         int attempts = 2;
         for (int i = 0; attempts > 1 && i < 50; i++) {
-            attemptsBefore = one.requests.size() + other.requests.size();
+            attemptsBefore = first.requests.size() + second.requests.size();
             send(notIdempotent.setHeader("X-Trace-Id", "f-" + i));
-            attempts = one.requests.size() + other.requests.size() - attemptsBefore;
+            attempts = first.requests.size() + second.requests.size() - attemptsBefore;
         }
         assertEquals(1, attempts, "an attempt that may have been executed is not retried");
     }
 
     /** Each key of the running configuration is taken out by itself. */
     @Test
-    void aConfigurationWithoutOneOfTheKeysChangesNothing() throws Exception {
+    void rejectsConfigurationThatLacksAnyKey() throws Exception {
         start(backend(OK));
         List<String> keys = new ArrayList<>();
         int removed = removeEachKey(runningConfig(), "", keys);
@@ -172,7 +171,7 @@
     }
 
     @Test
-    void anUnusableConfigurationNamesItsKey() throws Exception {
+    void namesKeyOfUnusableConfiguration() throws Exception {
         start(backend(OK));
         String usable = runningConfig().toString();
         String[][] textReplacementAndMessage = {
@@ -207,7 +206,7 @@
     }
 
     @Test
-    void keysThatApplyAtTheNextStartAreNamed() throws Exception {
+    void namesKeysThatApplyAtTheNextStart() throws Exception {
         start(backend(OK));
         JsonObject next = runningConfig();
         next.addProperty("listen", "127.0.0.1:9");
@@ -219,7 +218,7 @@
     }
 
     @Test
-    void aHundredReloadsUseUpNoIndexes() throws Exception {
+    void reusesClassIndexesOverManyReloads() throws Exception {
         start(backend(OK));
         for (int i = 0; i < 100; i++) {
             JsonObject next = runningConfig();
--- a/src/test/java/lemondrift/proxy/LargeFleetTest.java
+++ b/src/test/java/lemondrift/proxy/LargeFleetTest.java
@@ -1,12 +1,19 @@
 package lemondrift.proxy;
 
+import static lemondrift.proxy.DaemonThreads.startDaemon;
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
+import static lemondrift.proxy.HttpMessages.getRequest;
+import static lemondrift.proxy.HttpMessages.okResponse;
+import static lemondrift.proxy.HttpMessages.readMessage;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.ScriptedServer.CLOSE;
+import static lemondrift.proxy.ScriptedServer.SILENCE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -38,7 +45,10 @@
     /** Processes that keep the proxy's core busy beside it. */
     private static final int BUSY_PROCESSES = 4;
 
-    /** The timeout that a client states. */
+    /** The latency objective of both classes. */
+    private static final int LATENCY_OBJECTIVE_MILLIS = 150;
+
+    /** The timeout of both classes, which a client states too. */
     private static final int TIMEOUT_MILLIS = 190;
 
     /** A request without a reply by then counts as lost. */
@@ -64,19 +74,14 @@
         busyProcesses.forEach(Process::destroyForcibly);
     }
 
-    private Path config(Path folder, String initialList) throws IOException {
-        port = freePort();
+    private Path configFile(Path folder, String initialList) throws IOException {
+        port = ProxyProcess.freePort();
         String peers =
                 IntStream.range(0, PROXIES)
                         .mapToObj(i -> "\"127.0.1." + (i + 1) + ":7946\"")
                         .collect(Collectors.joining(","));
         String config =
-                config(discovery.port(), false)
-                        .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                        .replace(
-                                "\"contractTime\":1500,\"expiry\":4000",
-                                "\"contractTime\":150,\"expiry\":" + TIMEOUT_MILLIS)
-                        .replace("\"sockets\":64", "\"sockets\":1024")
+                TestConfig.withListenPort(config(discovery.port()), port)
                         .replace("\"siblings\":1,", "\"siblings\":" + PROXIES + ",\"slotNo\":0,")
                         .replace(
                                 "\"limits\":{\"mayCancel\"",
@@ -84,17 +89,22 @@
                         .replaceFirst(
                                 "\\{",
                                 "{\"peer_listen\":\"127.0.1.1:"
-                                        + freePort()
+                                        + ProxyProcess.freePort()
                                         + "\",\"peers\":["
                                         + peers
                                         + "],\"known\":"
                                         + initialList
                                         + ",");
-        return Files.writeString(folder.resolve("config.json"), config);
+        return Files.writeString(
+                folder.resolve("config.json"),
+                TestConfig.withClassTimes(
+                        TestConfig.withSockets(config, 1024),
+                        LATENCY_OBJECTIVE_MILLIS,
+                        TIMEOUT_MILLIS));
     }
 
     /** A process on one core of the machine that it shares with others. */
-    private Process proxyOnAPartOfACore(Path config) throws IOException {
+    private Process startProxyOnPartOfACore(Path config) throws IOException {
         for (int i = 0; i < BUSY_PROCESSES; i++) {
             busyProcesses.add(
                     new ProcessBuilder(
@@ -106,7 +116,7 @@
                         "taskset",
                         "-c",
                         LAST_CORE,
-                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                        ProxyProcess.javaCommand(),
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
                         "-XX:CompileThresholdScaling=0.5",
@@ -132,17 +142,8 @@
                             try (Socket socket = new Socket("127.0.0.1", port)) {
                                 socket.setSoTimeout(LOST_AFTER_MILLIS);
                                 startedAt = System.nanoTime();
-                                socket.getOutputStream()
-                                        .write(
-                                                ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: r"
-                                                                + number
-                                                                + "\r\n"
-                                                                + "X-Qos: look\r\n"
-                                                                + "X-Expires-In-Ms: "
-                                                                + TIMEOUT_MILLIS
-                                                                + "\r\n\r\n")
-                                                        .getBytes(StandardCharsets.US_ASCII));
-                                String response = read(socket);
+                                writeText(socket, getRequest("r" + number, TIMEOUT_MILLIS));
+                                String response = readMessage(socket);
                                 long durationMillis =
                                         TimeUnit.NANOSECONDS.toMillis(
                                                 System.nanoTime() - startedAt);
@@ -185,9 +186,9 @@
     private String discoveryResponse(String request, String fullList) {
         try {
             if (request.contains("from=")) {
-                return news.take();
+                return discoveryUpdates.take();
             }
-            return discoveryBack.await(0, TimeUnit.SECONDS) ? http(fullList) : SILENCE;
+            return discoveryBack.await(0, TimeUnit.SECONDS) ? okResponse(fullList) : SILENCE;
         } catch (InterruptedException e) {
             return CLOSE;
         }
@@ -201,20 +202,19 @@
 
     /** Guards against a reload, whose file has a long list, that holds up replies. */
     @Test
-    void whileConfigurationsAreReloadedInARowEveryRequestIsAnsweredInTime(@TempDir Path folder)
-            throws Exception {
+    void answersEveryRequestInTimeDuringRepeatedReloads(@TempDir Path folder) throws Exception {
         try (ManyBackends backends = new ManyBackends(BACKENDS)) {
-            String initialList = list(1, true, backends.members(0, BACKENDS, "active"));
-            discovery = new StandIn(request -> discoveryResponse(request, initialList));
+            String initialList = endpointList(1, true, backends.members(0, BACKENDS, "active"));
+            discovery = scriptedServer(request -> discoveryResponse(request, initialList));
             discoveryBack.countDown();
-            Process child = proxyOnAPartOfACore(config(folder, initialList));
+            Process child = startProxyOnPartOfACore(configFile(folder, initialList));
             try {
                 BufferedReader log = child.inputReader();
-                awaitLine(log, "serving");
-                daemon(() -> log.lines().forEach(line -> {}));
+                ProxyProcess.awaitLine(log, "serving");
+                startDaemon(() -> log.lines().forEach(line -> {}));
                 sendRequestsFor(1000);
                 for (int i = 0; i < RELOADS; i++) {
-                    signal(child, "HUP");
+                    assertEquals(0, ProxyProcess.signal(child, "HUP"));
                     sendRequestsFor(VERSION_INTERVAL_MILLIS);
                 }
                 sendRequestsFor(1000);
@@ -229,30 +229,30 @@
     }
 
     @Test
-    void whileMostOfThousandsOfBackendsAreReplacedEveryRequestIsAnsweredInTime(@TempDir Path folder)
+    void answersEveryRequestInTimeWhileMostBackendsAreReplaced(@TempDir Path folder)
             throws Exception {
         try (ManyBackends backends = new ManyBackends(2 * BACKENDS)) {
-            String initialList = list(1, true, backends.members(0, BACKENDS, "active"));
+            String initialList = endpointList(1, true, backends.members(0, BACKENDS, "active"));
             String fullList =
-                    list(
+                    endpointList(
                             10,
                             true,
                             backends.members(BACKENDS / 4, BACKENDS + BACKENDS / 4, "active"));
-            discovery = new StandIn(request -> discoveryResponse(request, fullList));
-            Process child = proxyOnAPartOfACore(config(folder, initialList));
+            discovery = scriptedServer(request -> discoveryResponse(request, fullList));
+            Process child = startProxyOnPartOfACore(configFile(folder, initialList));
             try {
                 BufferedReader log = child.inputReader();
-                awaitLine(log, "serving");
-                daemon(() -> log.lines().forEach(line -> {}));
+                ProxyProcess.awaitLine(log, "serving");
+                startDaemon(() -> log.lines().forEach(line -> {}));
                 sendRequestsFor(1000);
                 discoveryBack.countDown();
                 for (int version = 0; version < VERSIONS; version++) {
                     sendRequestsFor(VERSION_INTERVAL_MILLIS);
                     int from = BACKENDS / 4 + version * REPLACED_PER_VERSION;
                     int newFrom = BACKENDS + from;
-                    news.add(
-                            http(
-                                    list(
+                    discoveryUpdates.add(
+                            okResponse(
+                                    endpointList(
                                             11 + version,
                                             false,
                                             concatenated(
--- a/src/test/java/lemondrift/proxy/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/LongBodiesTest.java
@@ -1,5 +1,17 @@
 package lemondrift.proxy;
 
+import static lemondrift.proxy.DaemonThreads.startDaemon;
+import static lemondrift.proxy.HttpMessages.FIRST_CHUNK;
+import static lemondrift.proxy.HttpMessages.LAST_CHUNKS;
+import static lemondrift.proxy.HttpMessages.NEVER_EXECUTED;
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.HttpMessages.getRequest;
+import static lemondrift.proxy.HttpMessages.postHead;
+import static lemondrift.proxy.HttpMessages.readMessage;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.TestConfig.IDEMPOTENT_CLASS;
+import static lemondrift.proxy.TestConfig.NOT_IDEMPOTENT_CLASS;
+import static lemondrift.proxy.TestConfig.TIMEOUT_MILLIS;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,12 +25,11 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.http.HttpRequest.BodyPublishers;
+import java.net.http.HttpResponse.BodyHandlers;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import java.util.Locale;
 import java.util.Random;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -30,8 +41,26 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Bodies that are longer than what is buffered, and peers that are slow with them. */
+/**
+ * Bodies that are longer than what is buffered, in both directions, and clients and backends that
+ * are slow with them or close midway.
+ */
 class LongBodiesTest extends LoopbackFixture {
+    /** Milliseconds after which a response counts as missing. */
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
+
+    /** Seconds after which a state counts as not reached. */
+    private static final long STATE_TIMEOUT_SECONDS = 20;
+
+    /** The length of bodies that are streamed in either direction, in bytes. */
+    private static final int LONG_BODY_BYTES = 3_000_000;
+
+    /** The length of a response that no buffer between backend and client takes, in bytes. */
+    private static final int FLOOD_BYTES = 512 * FloodingBackend.PIECE_BYTES;
+
+    /** The longest response that the reader of the property buffers, in bytes. */
+    private static final int MAX_BUFFERED_BYTES = 1000;
+
     private static byte[] bytes(int count) {
         byte[] bytes = new byte[count];
         new Random(count).nextBytes(bytes);
@@ -42,390 +71,257 @@
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    private static String withLength(byte[] body) {
+    private static String responseWithLength(byte[] body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n" + text(body);
     }
 
-    private static String chunked(byte[] body, int chunk) {
-        StringBuilder all =
+    private static String chunkedResponse(byte[] body, int chunkBytes) {
+        StringBuilder response =
                 new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        for (int at = 0; at < body.length; at += chunk) {
-            byte[] part = Arrays.copyOfRange(body, at, Math.min(body.length, at + chunk));
-            all.append(Integer.toHexString(part.length))
+        for (int at = 0; at < body.length; at += chunkBytes) {
+            byte[] chunk = Arrays.copyOfRange(body, at, Math.min(body.length, at + chunkBytes));
+            response.append(Integer.toHexString(chunk.length))
                     .append(";x=y\r\n")
-                    .append(text(part))
+                    .append(text(chunk))
                     .append("\r\n");
         }
-        return all.append("0\r\nTrailer: x\r\n\r\n").toString();
+        return response.append("0\r\nTrailer: x\r\n\r\n").toString();
     }
 
-    private Socket sendGet(String id) throws IOException {
-        Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort());
-        client.setSoTimeout(20_000);
-        client.getOutputStream()
-                .write(
-                        ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
-                                        + id
-                                        + "\r\nX-Qos: look\r\nX-Expires-In-Ms: 4000\r\n\r\n")
-                                .getBytes(StandardCharsets.US_ASCII));
+    /** A connection on which a request without a body has been sent. */
+    private Socket sendGet(String traceId) throws IOException {
+        Socket client = connect(READ_TIMEOUT_MILLIS);
+        writeText(client, getRequest(traceId, TIMEOUT_MILLIS));
         return client;
     }
 
-    private byte[] fetchBody(String id) throws Exception {
+    /** A connection on which the head of a request has been sent. */
+    private Socket sendPostHead(String traceId, String framing) throws IOException {
+        Socket client = connect(READ_TIMEOUT_MILLIS);
+        writeText(client, postHead(traceId, TIMEOUT_MILLIS, framing));
+        return client;
+    }
+
+    private byte[] fetchBody(String traceId) throws Exception {
         var response =
-                http.send(
-                        request("look").setHeader("X-Trace-Id", id).build(),
-                        java.net.http.HttpResponse.BodyHandlers.ofByteArray());
+                httpClient.send(
+                        request(IDEMPOTENT_CLASS).setHeader("X-Trace-Id", traceId).build(),
+                        BodyHandlers.ofByteArray());
         assertEquals(200, response.statusCode());
         return response.body();
     }
 
+    /** Waits for so many replies of a kind to requests of a class, and for none of another kind. */
+    private void awaitReplies(String requestClass, ProxyMetrics.Reply reply, int count)
+            throws Exception {
+        long[] counts = {};
+        for (long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(STATE_TIMEOUT_SECONDS);
+                System.nanoTime() < deadline; ) {
+            counts = replyCounts(requestClass).get();
+            if (counts[reply.ordinal()] == count) {
+                break;
+            }
+        }
+        assertEquals(count, counts[reply.ordinal()]);
+        assertEquals(count, Arrays.stream(counts).sum(), "counted once");
+    }
+
     @Test
-    void longResponsesAreRelayedWholeInAnyFraming() throws Exception {
-        byte[] body = bytes(3_000_000);
+    void relaysLongResponsesWholeInAnyFraming() throws Exception {
+        byte[] body = bytes(LONG_BODY_BYTES);
         AtomicInteger requests = new AtomicInteger();
         String[] responses = {
-            withLength(body),
-            chunked(body, 50_000),
-            chunked(body, 7000),
+            responseWithLength(body),
+            chunkedResponse(body, 50_000),
+            chunkedResponse(body, 7000),
             OK,
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text(body)
         };
-        StandIn backend =
+        ScriptedServer backend =
                 backend(request -> responses[requests.getAndIncrement() % responses.length]);
         start(backend);
         for (int i = 0; i < responses.length; i++) {
-            byte[] got = fetchBody("long-" + i);
-            assertArrayEquals(
-                    i == 3 ? "body".getBytes(StandardCharsets.US_ASCII) : body, got, "" + i);
+            byte[] expected =
+                    responses[i].equals(OK) ? "body".getBytes(StandardCharsets.US_ASCII) : body;
+            assertArrayEquals(expected, fetchBody("long-" + i), "response " + i);
         }
         assertEquals(responses.length, backend.requests.size());
     }
 
     @Test
-    void aResponseThatBreaksMidwayClosesTheClientAndIsNotRetried() throws Exception {
-        String half =
-                "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 300000\r\n\r\n"
+    void closesClientWithoutRetryWhenLongResponseIsCutShort() throws Exception {
+        int declaredBytes = 300_000;
+        String cutShort =
+                "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: "
+                        + declaredBytes
+                        + "\r\n\r\n"
                         + "x".repeat(100_000);
-        StandIn one = backend(half);
-        StandIn other = backend(half);
-        start(one, other);
+        ScriptedServer first = backend(cutShort);
+        ScriptedServer second = backend(cutShort);
+        start(first, second);
         try (Socket client = sendGet("half")) {
-            byte[] all = client.getInputStream().readAllBytes();
+            byte[] received = client.getInputStream().readAllBytes();
             assertTrue(
-                    text(all).startsWith("HTTP/1.1 200 OK\r\n") && all.length < 300_000,
-                    "" + all.length);
-        }
-        assertEquals(1, one.requests.size() + other.requests.size());
-        awaitReplies("look", "error", 1);
-    }
-
-    private void awaitReplies(String requestClass, String reply, int count) throws Exception {
-        int ordinal = ProxyMetrics.Reply.valueOf(reply.toUpperCase(Locale.ROOT)).ordinal();
-        long[] counts = {};
-        for (long end = System.nanoTime() + 20_000_000_000L; System.nanoTime() < end; ) {
-            var read = new CompletableFuture<long[]>();
-            proxy.runOnIoThread(
-                    () ->
-                            read.complete(
-                                    proxy.adminOperations().metrics().replies().get(requestClass)));
-            counts = read.get();
-            if (counts[ordinal] == count) {
-                break;
-            }
-        }
-        assertEquals(count, counts[ordinal]);
-        assertEquals(count, Arrays.stream(counts).sum(), "counted once");
-    }
-
-    /** A backend that writes as fast as it can, and counts what the kernel took of it. */
-    private static final class Flood implements AutoCloseable {
-        final ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        final AtomicInteger writtenBytes = new AtomicInteger();
-        final CountDownLatch left = new CountDownLatch(1);
-
-        Flood(int total) throws IOException {
-            daemon(
-                    () -> {
-                        try (Socket socket = server.accept()) {
-                            read(socket);
-                            String head =
-                                    "HTTP/1.1 200 OK\r\nContent-Length: " + total + "\r\n\r\n";
-                            socket.getOutputStream()
-                                    .write(head.getBytes(StandardCharsets.US_ASCII));
-                            byte[] piece = new byte[65_536];
-                            while (writtenBytes.get() < total) {
-                                socket.getOutputStream().write(piece);
-                                writtenBytes.addAndGet(piece.length);
-                            }
-                            socket.getInputStream().read();
-                        } finally {
-                            left.countDown();
-                        }
-                    });
-        }
-
-        @Override
-        public void close() throws IOException {
-            server.close();
+                    text(received).startsWith("HTTP/1.1 200 OK\r\n")
+                            && received.length < declaredBytes,
+                    "received " + received.length);
         }
+        assertEquals(1, first.requests.size() + second.requests.size());
+        awaitReplies(IDEMPOTENT_CLASS, ProxyMetrics.Reply.ERROR, 1);
     }
 
     @Test
-    void aClientThatDoesNotReadStopsReadingOfTheBackend() throws Exception {
-        int total = 512 * 65_536;
-        try (Flood flood = new Flood(total)) {
-            start(false, flood.server.getLocalPort());
+    void stopsReadingFromBackendWhenClientDoesNotRead() throws Exception {
+        try (FloodingBackend backend = new FloodingBackend(FLOOD_BYTES)) {
+            startWithPorts(backend.port());
             try (Socket client = sendGet("slow")) {
                 InputStream in = client.getInputStream();
-                int head = 0;
-                while (head < 4) {
-                    head = in.read() == "\r\n\r\n".charAt(head) ? head + 1 : 0;
+                String endOfHead = "\r\n\r\n";
+                for (int matched = 0; matched < endOfHead.length(); ) {
+                    matched = in.read() == endOfHead.charAt(matched) ? matched + 1 : 0;
                 }
-                int before = -1;
-                while (before != flood.writtenBytes.get()) {
-                    before = flood.writtenBytes.get();
+                int writtenBefore = -1;
+                while (writtenBefore != backend.writtenBytes.get()) {
+                    writtenBefore = backend.writtenBytes.get();
                     Thread.sleep(300);
                 }
-                assertTrue(before < total, "all of it would be buffered");
-                assertEquals(total, in.readNBytes(total).length);
+                assertTrue(writtenBefore < FLOOD_BYTES, "all of it would be buffered");
+                assertEquals(FLOOD_BYTES, in.readNBytes(FLOOD_BYTES).length);
             }
         }
     }
 
     @Test
-    void aClientThatClosesMidwayEndsTheResponse() throws Exception {
-        try (Flood flood = new Flood(512 * 65_536)) {
-            start(false, flood.server.getLocalPort());
+    void closesBackendConnectionWhenClientClosesMidResponse() throws Exception {
+        try (FloodingBackend backend = new FloodingBackend(FLOOD_BYTES)) {
+            startWithPorts(backend.port());
             try (Socket client = sendGet("leaves")) {
                 assertEquals('H', client.getInputStream().read());
             }
-            assertTrue(flood.left.await(20, TimeUnit.SECONDS));
+            assertTrue(backend.connectionEnded.await(STATE_TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void aSlowResponseOfUnknownLengthIsRelayedAsItComes() throws Exception {
+    void relaysSlowResponseOfUnknownLengthAsItArrives() throws Exception {
         CountDownLatch mayGoOn = new CountDownLatch(1);
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            daemon(
+            startDaemon(
                     () -> {
-                        try (Socket socket = server.accept()) {
-                            read(socket);
-                            socket.getOutputStream()
-                                    .write(CHUNKS.getBytes(StandardCharsets.US_ASCII));
-                            mayGoOn.await(20, TimeUnit.SECONDS);
-                            String rest = "2\r\ndy\r\n0\r\n\r\n";
-                            socket.getOutputStream()
-                                    .write(rest.getBytes(StandardCharsets.US_ASCII));
-                            socket.getInputStream().read();
+                        try (Socket connection = server.accept()) {
+                            readMessage(connection);
+                            writeText(connection, FIRST_CHUNK);
+                            mayGoOn.await(STATE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                            writeText(connection, LAST_CHUNKS);
+                            connection.getInputStream().read();
                         }
                     });
-            start(false, server.getLocalPort());
+            startWithPorts(server.getLocalPort());
             try (Socket client = sendGet("drip")) {
                 InputStream in = client.getInputStream();
-                StringBuilder got = new StringBuilder();
-                while (!got.toString().endsWith("bo")) {
-                    got.append((char) in.read());
-                }
+                StringBuilder received = new StringBuilder();
+                readUntil("bo", in, received);
                 mayGoOn.countDown();
-                while (!got.toString().endsWith("\r\n0\r\n\r\n")) {
-                    got.append((char) in.read());
-                }
-                assertTrue(got.toString().contains("dy"), got.toString());
+                readUntil("\r\n0\r\n\r\n", in, received);
+                assertTrue(received.toString().contains("dy"), received.toString());
             }
         }
     }
 
+    private static void readUntil(String end, InputStream in, StringBuilder received)
+            throws IOException {
+        while (!received.toString().endsWith(end)) {
+            received.append((char) in.read());
+        }
+    }
+
     @Test
-    void aResponseOverTheLengthLimitFails() throws Exception {
+    void failsRequestWhenResponseExceedsLengthLimit() throws Exception {
         start(
                 backend(
                         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
                                 + "x".repeat(100_000)));
-        assertEquals(502, order("x").statusCode());
-    }
-
-    /** A backend that records a request's head and body, decoded, as they come. */
-    private static final class Sink implements AutoCloseable {
-        final ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        final ByteArrayOutputStream body = new ByteArrayOutputStream();
-        final AtomicInteger bodyBytes = new AtomicInteger();
-        final AtomicInteger requests = new AtomicInteger();
-        final CountDownLatch left = new CountDownLatch(1);
-        volatile String head = "";
-
-        /** Closes the connection after so many bytes. */
-        Sink(int maxBodyBytes) throws IOException {
-            daemon(
-                    () -> {
-                        while (true) {
-                            Socket socket = server.accept();
-                            daemon(() -> serve(socket, maxBodyBytes));
-                        }
-                    });
-        }
-
-        private void serve(Socket socket, int maxBodyBytes) throws IOException {
-            try (socket) {
-                InputStream in = socket.getInputStream();
-                while (true) {
-                    serve(in, maxBodyBytes);
-                    socket.getOutputStream().write(OK.getBytes(StandardCharsets.US_ASCII));
-                }
-            } finally {
-                left.countDown();
-            }
-        }
-
-        private void serve(InputStream in, int maxBodyBytes) throws IOException {
-            StringBuilder text = new StringBuilder();
-            while (text.indexOf("\r\n\r\n") < 0) {
-                int c = in.read();
-                if (c < 0) {
-                    throw new IOException("ended");
-                }
-                text.append((char) c);
-            }
-            head = text.toString();
-            if (head.contains("chunked")) {
-                for (int size = line(in); size > 0; size = line(in)) {
-                    take(in, size, maxBodyBytes);
-                    line(in);
-                }
-                line(in);
-            } else {
-                int at = head.indexOf("Content-Length: ") + 16;
-                take(
-                        in,
-                        Integer.parseInt(head.substring(at, head.indexOf('\r', at))),
-                        maxBodyBytes);
-            }
-            requests.incrementAndGet();
-        }
-
-        private void take(InputStream in, int count, int maxBodyBytes) throws IOException {
-            for (int got = 0; got < count; ) {
-                byte[] piece = in.readNBytes(Math.min(4096, count - got));
-                if (piece.length == 0 || bodyBytes.addAndGet(piece.length) > maxBodyBytes) {
-                    throw new IOException("closed midway");
-                }
-                body.writeBytes(piece);
-                got += piece.length;
-            }
-        }
-
-        private static int line(InputStream in) throws IOException {
-            StringBuilder text = new StringBuilder();
-            for (int c = in.read(); c != '\n'; c = in.read()) {
-                if (c < 0) {
-                    throw new IOException("ended");
-                }
-                text.append((char) c);
-            }
-            String line = text.toString().strip();
-            return line.isEmpty() ? 0 : Integer.parseInt(line, 16);
-        }
-
-        @Override
-        public void close() throws IOException {
-            server.close();
-        }
-    }
-
-    private static final int UNLIMITED = Integer.MAX_VALUE;
-
-    private Socket sendPost(String id, String framing) throws IOException {
-        Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.address().getPort());
-        client.setSoTimeout(20_000);
-        client.getOutputStream()
-                .write(
-                        ("POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
-                                        + id
-                                        + "\r\nX-Qos: order"
-                                        + "\r\nX-Expires-In-Ms: 4000\r\n"
-                                        + framing
-                                        + "\r\n\r\n")
-                                .getBytes(StandardCharsets.US_ASCII));
-        return client;
+        assertEquals(502, sendNotIdempotent("x").statusCode());
     }
 
     @Test
-    void longRequestBodiesAreStreamedWholeInAnyFraming() throws Exception {
-        byte[] body = bytes(3_000_000);
-        for (boolean chunks : new boolean[] {false, true}) {
-            try (Sink sink = new Sink(UNLIMITED)) {
-                start(false, sink.server.getLocalPort());
+    void streamsLongRequestBodiesWholeInAnyFraming() throws Exception {
+        byte[] body = bytes(LONG_BODY_BYTES);
+        for (boolean chunked : new boolean[] {false, true}) {
+            try (RecordingBackend backend = new RecordingBackend()) {
+                startWithPorts(backend.port());
                 var publisher =
-                        chunks
+                        chunked
                                 ? BodyPublishers.fromPublisher(BodyPublishers.ofByteArray(body))
                                 : BodyPublishers.ofByteArray(body);
-                assertEquals(200, send(request("order").POST(publisher)).statusCode());
-                assertArrayEquals(body, sink.body.toByteArray());
-                assertEquals(chunks, sink.head.contains("Transfer-Encoding: chunked\r\n"));
+                assertEquals(200, send(request(NOT_IDEMPOTENT_CLASS).POST(publisher)).statusCode());
+                assertArrayEquals(body, backend.body.toByteArray());
+                assertEquals(chunked, backend.head.contains("Transfer-Encoding: chunked\r\n"));
                 proxy.drain();
             }
         }
     }
 
     @Test
-    void aBufferedBodyIsRetriedWhereItNeverExecuted() throws Exception {
-        StandIn full = backend(NEVER_RAN);
-        StandIn sound = backend(OK);
-        start(full, sound);
+    void retriesBufferedBodyWhenRequestWasNeverExecuted() throws Exception {
+        ScriptedServer overloaded = backend(NEVER_EXECUTED);
+        ScriptedServer healthy = backend(OK);
+        start(overloaded, healthy);
         String body = "x".repeat(200_000);
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, order(body).statusCode());
-            assertTrue(sound.requests.take().endsWith("\r\n\r\n" + body));
+            assertEquals(200, sendNotIdempotent(body).statusCode());
+            assertTrue(healthy.requests.take().endsWith("\r\n\r\n" + body));
         }
     }
 
     @Test
-    void aStreamedBodyIsRetriedWhileAllOfItIsBuffered() throws Exception {
-        try (Sink sink = new Sink(UNLIMITED)) {
-            StandIn closed = backend(OK);
-            closed.server.close();
-            start(false, closed.port(), sink.server.getLocalPort());
+    void retriesStreamedBodyWhileAllOfItIsBuffered() throws Exception {
+        try (RecordingBackend backend = new RecordingBackend()) {
+            ScriptedServer closed = backend(OK);
+            closed.close();
+            startWithPorts(closed.port(), backend.port());
             byte[] body = bytes(700_000);
             for (int i = 0; i < 3; i++) {
-                sink.body.reset();
+                backend.body.reset();
                 assertEquals(
                         200,
-                        send(request("order")
+                        send(request(NOT_IDEMPOTENT_CLASS)
                                         .setHeader("X-Trace-Id", "u" + i)
                                         .POST(BodyPublishers.ofByteArray(body)))
                                 .statusCode());
-                assertArrayEquals(body, sink.body.toByteArray());
+                assertArrayEquals(body, backend.body.toByteArray());
             }
         }
     }
 
     /**
-     * Longer than its latency objective of 1.5 s: the time for the response counts from the last
-     * byte.
+     * The body takes longer than its latency objective of 1.5 s: the time for the response counts
+     * from the last byte.
      */
     @Test
-    void aSlowRequestBodyIsNotTimedOut() throws Exception {
-        try (Sink sink = new Sink(UNLIMITED)) {
-            start(false, sink.server.getLocalPort());
+    void doesNotTimeOutSlowRequestBody() throws Exception {
+        int pieceBytes = 250_000;
+        try (RecordingBackend backend = new RecordingBackend()) {
+            startWithPorts(backend.port());
             byte[] body = bytes(1_000_000);
-            try (Socket client = sendPost("slow", "Content-Length: " + body.length)) {
-                for (int at = 0; at < body.length; at += 250_000) {
-                    client.getOutputStream().write(body, at, 250_000);
+            try (Socket client = sendPostHead("slow", "Content-Length: " + body.length)) {
+                for (int at = 0; at < body.length; at += pieceBytes) {
+                    client.getOutputStream().write(body, at, pieceBytes);
                     Thread.sleep(600);
                 }
-                assertTrue(read(client).startsWith("HTTP/1.1 200 "));
+                assertTrue(readMessage(client).startsWith("HTTP/1.1 200 "));
             }
-            assertArrayEquals(body, sink.body.toByteArray());
+            assertArrayEquals(body, backend.body.toByteArray());
         }
     }
 
     @Test
-    void aBackendThatClosesMidBodyFailsTheRequestAtOnceWithoutARetry() throws Exception {
-        try (Sink one = new Sink(400_000);
-                Sink other = new Sink(400_000)) {
-            start(false, one.server.getLocalPort(), other.server.getLocalPort());
-            try (Socket client = sendPost("broken", "Content-Length: 30000000")) {
+    void failsAtOnceWithoutRetryWhenBackendClosesMidUpload() throws Exception {
+        int closeAfterBytes = 400_000;
+        try (RecordingBackend first = new RecordingBackend(closeAfterBytes);
+                RecordingBackend second = new RecordingBackend(closeAfterBytes)) {
+            startWithPorts(first.port(), second.port());
+            try (Socket client = sendPostHead("broken", "Content-Length: 30000000")) {
                 try {
                     for (int i = 0; i < 300; i++) {
                         client.getOutputStream().write(new byte[100_000]);
@@ -435,126 +331,133 @@
                 }
                 assertEquals(
                         0,
-                        Math.min(one.bodyBytes.get(), other.bodyBytes.get()),
-                        "only one has had any of it");
+                        Math.min(first.bodyBytes.get(), second.bodyBytes.get()),
+                        "only one has received any of it");
             }
-            awaitReplies("order", "overload", 1);
-            assertEquals(0, one.requests.get() + other.requests.get());
+            awaitReplies(NOT_IDEMPOTENT_CLASS, ProxyMetrics.Reply.OVERLOAD, 1);
+            assertEquals(0, first.requests.get() + second.requests.get());
         }
     }
 
     @Test
-    void aClientThatClosesMidBodyEndsTheRequest() throws Exception {
-        try (Sink sink = new Sink(UNLIMITED)) {
-            start(false, sink.server.getLocalPort());
-            try (Socket client = sendPost("left", "Transfer-Encoding: chunked")) {
-                client.getOutputStream()
-                        .write(
-                                ("f4240\r\n" + "x".repeat(500_000))
-                                        .getBytes(StandardCharsets.US_ASCII));
-                while (sink.bodyBytes.get() < 400_000) {
-                    Thread.onSpinWait();
-                }
+    void endsRequestWhenClientClosesMidUpload() throws Exception {
+        try (RecordingBackend backend = new RecordingBackend()) {
+            startWithPorts(backend.port());
+            try (Socket client = sendPostHead("left", "Transfer-Encoding: chunked")) {
+                writeText(client, "f4240\r\n" + "x".repeat(500_000));
+                awaitBodyBytes(400_000, backend);
             }
-            assertTrue(sink.left.await(20, TimeUnit.SECONDS));
-            assertEquals(0, sink.requests.get());
-            assertEquals(200, order("x").statusCode());
+            assertTrue(backend.connectionEnded.await(STATE_TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertEquals(0, backend.requests.get());
+            assertEquals(200, sendNotIdempotent("x").statusCode());
+        }
+    }
+
+    private static void awaitBodyBytes(int count, RecordingBackend backend) {
+        while (backend.bodyBytes.get() < count) {
+            Thread.onSpinWait();
         }
     }
 
     @Test
-    void endlessAndMalformedChunksAreRejected() throws Exception {
-        try (Sink sink = new Sink(UNLIMITED)) {
-            start(false, sink.server.getLocalPort());
-            try (Socket client = sendPost("odd", "Transfer-Encoding: chunked")) {
-                client.getOutputStream().write("zz\r\n".getBytes(StandardCharsets.US_ASCII));
-                String response = read(client);
+    void rejectsEndlessAndMalformedChunks() throws Exception {
+        try (RecordingBackend backend = new RecordingBackend()) {
+            startWithPorts(backend.port());
+            try (Socket client = sendPostHead("odd", "Transfer-Encoding: chunked")) {
+                writeText(client, "zz\r\n");
+                String response = readMessage(client);
                 assertTrue(response == null || response.startsWith("HTTP/1.1 400 "), response);
             }
-            try (Socket client = sendPost("endless", "Transfer-Encoding: chunked")) {
-                byte[] chunk =
-                        ("40000\r\n" + "x".repeat(0x40000) + "\r\n")
-                                .getBytes(StandardCharsets.US_ASCII);
+            try (Socket client = sendPostHead("endless", "Transfer-Encoding: chunked")) {
+                String chunk = "40000\r\n" + "x".repeat(0x40000) + "\r\n";
                 assertThrows(
                         IOException.class,
                         () -> {
                             for (int i = 0; i < 400; i++) {
-                                client.getOutputStream().write(chunk);
+                                writeText(client, chunk);
                             }
                         });
             }
-            assertEquals(0, sink.requests.get());
-            awaitReplies("order", "error", 1);
+            assertEquals(0, backend.requests.get());
+            awaitReplies(NOT_IDEMPOTENT_CLASS, ProxyMetrics.Reply.ERROR, 1);
         }
     }
 
     @Test
-    void littleMemoryMakesShorterBodiesStreamed() throws Exception {
-        changed =
+    void streamsShorterBodiesWhenMemoryIsSmall() throws Exception {
+        configChange =
                 config ->
                         ProxyConfig.read(
-                                config(discovery.port(), false)
+                                config(discovery.port())
                                         .replace(
                                                 "\"sockets\":64",
                                                 "\"sockets\":64,\"memory_mb\":0.1"));
-        try (Sink sink = new Sink(UNLIMITED)) {
-            start(false, sink.server.getLocalPort());
+        try (RecordingBackend backend = new RecordingBackend()) {
+            startWithPorts(backend.port());
             byte[] body = bytes(60_000);
-            try (Socket client = sendPost("little", "Content-Length: " + body.length)) {
-                client.getOutputStream().write(body, 0, 30_000);
-                while (sink.bodyBytes.get() < 8192) {
-                    Thread.onSpinWait();
-                }
-                client.getOutputStream().write(body, 30_000, 30_000);
-                assertTrue(read(client).startsWith("HTTP/1.1 200 "));
+            int halfBytes = body.length / 2;
+            try (Socket client = sendPostHead("little", "Content-Length: " + body.length)) {
+                client.getOutputStream().write(body, 0, halfBytes);
+                awaitBodyBytes(8192, backend);
+                client.getOutputStream().write(body, halfBytes, halfBytes);
+                assertTrue(readMessage(client).startsWith("HTTP/1.1 200 "));
             }
-            assertArrayEquals(body, sink.body.toByteArray());
+            assertArrayEquals(body, backend.body.toByteArray());
         }
     }
 
-    /** The same bytes in any pieces are the same response. */
     @Property(tries = 300, seed = "48")
-    void responsesReadTheSameHoweverTheyAreSplit(
+    void readsTheSameResponseHoweverItsBytesAreSplit(
             @ForAll @IntRange(min = 0, max = 3000) int length,
-            @ForAll @IntRange(min = 1, max = 700) int chunk,
-            @ForAll boolean chunks,
+            @ForAll @IntRange(min = 1, max = 700) int chunkBytes,
+            @ForAll boolean chunked,
             @ForAll boolean atOnce,
-            @ForAll @IntRange(min = 1, max = 400) int cut,
+            @ForAll @IntRange(min = 1, max = 400) int maxPieceBytes,
             @ForAll long seed)
             throws IOException {
         byte[] body = bytes(length);
-        byte[] all =
+        byte[] response =
                 ("HTTP/1.1 100 Continue\r\n\r\n"
-                                + (chunks ? chunked(body, chunk) : withLength(body)))
+                                + (chunked
+                                        ? chunkedResponse(body, chunkBytes)
+                                        : responseWithLength(body)))
                         .getBytes(StandardCharsets.ISO_8859_1);
         Random random = new Random(seed);
-        ResponseReader reader = new ResponseReader(1000, true);
-        ByteArrayOutputStream got = new ByteArrayOutputStream();
-        boolean isLong = false;
-        for (int at = 0; at < all.length; ) {
-            int next = Math.min(all.length, at + (atOnce ? all.length : 1 + random.nextInt(cut)));
-            ByteBuffer piece = ByteBuffer.wrap(all, at, next - at).slice();
-            at = next;
-            if (!isLong) {
+        ResponseReader reader = new ResponseReader(MAX_BUFFERED_BYTES, true);
+        ByteArrayOutputStream streamed = new ByteArrayOutputStream();
+        boolean isStreamed = false;
+        for (int at = 0; at < response.length; ) {
+            int pieceBytes = atOnce ? response.length : 1 + random.nextInt(maxPieceBytes);
+            int end = Math.min(response.length, at + pieceBytes);
+            ByteBuffer piece = ByteBuffer.wrap(response, at, end - at).slice();
+            at = end;
+            if (!isStreamed) {
                 reader.read(piece);
-                isLong = reader.isTooLongToBuffer();
-                if (isLong) {
-                    got.writeBytes(reader.streamedResponse(null).body());
+                isStreamed = reader.isTooLongToBuffer();
+                if (isStreamed) {
+                    streamed.writeBytes(reader.streamedResponse(null).body());
                 }
             }
-            if (isLong) {
-                for (ByteBuffer part = reader.nextPiece(piece);
-                        part != null;
-                        part = reader.nextPiece(piece)) {
-                    byte[] bytes = new byte[part.remaining()];
-                    part.get(bytes);
-                    got.writeBytes(bytes);
-                }
+            if (isStreamed) {
+                readBodyPieces(reader, piece, streamed);
             }
             assertFalse(piece.hasRemaining());
         }
-        assertEquals(length > 1000, isLong);
+        assertEquals(length > MAX_BUFFERED_BYTES, isStreamed);
         assertTrue(reader.isComplete());
-        assertArrayEquals(body, isLong ? got.toByteArray() : reader.bufferedResponse().body());
+        assertArrayEquals(
+                body, isStreamed ? streamed.toByteArray() : reader.bufferedResponse().body());
+    }
+
+    private static void readBodyPieces(
+            ResponseReader reader, ByteBuffer received, ByteArrayOutputStream body)
+            throws IOException {
+        for (ByteBuffer piece = reader.nextPiece(received);
+                piece != null;
+                piece = reader.nextPiece(received)) {
+            byte[] bytes = new byte[piece.remaining()];
+            piece.get(bytes);
+            body.writeBytes(bytes);
+        }
     }
 }
--- a/src/test/java/lemondrift/proxy/LoopbackFixture.java
+++ b/src/test/java/lemondrift/proxy/LoopbackFixture.java
@@ -1,397 +1,295 @@
 package lemondrift.proxy;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertTrue;
+import static lemondrift.proxy.DiscoveryMessages.activeMembers;
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.HttpMessages.getRequest;
+import static lemondrift.proxy.HttpMessages.okResponse;
+import static lemondrift.proxy.HttpMessages.readMessage;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.ScriptedServer.CLOSE;
+import static lemondrift.proxy.ScriptedServer.SILENCE;
 
-import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStream;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
-import java.util.Locale;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.locks.LockSupport;
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
-import java.util.stream.IntStream;
-import lemondrift.proxy.backend.BackendConnector;
 import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.shadow.ShadowEvaluator;
 import org.junit.jupiter.api.AfterEach;
-import org.xnio.ChannelListener;
-import org.xnio.FutureResult;
-import org.xnio.IoFuture;
-import org.xnio.OptionMap;
-import org.xnio.StreamConnection;
-import org.xnio.XnioWorker;
-
-/** The real proxy on loopback, between stand-ins for clients, backends and discovery. */
-abstract class LoopbackFixture {
-    static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
-    static final String HALF = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nbo";
-    static final String CHUNKS = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n";
-    static final String NEVER_RAN =
-            "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0" + "\r\n\r\n";
-
-    /** What a stand-in does in place of an answer. */
-    static final String CLOSE = "close";
-
-    static final String SILENCE = "silence";
-
-    final List<StandIn> standIns = new ArrayList<>();
-    final LinkedBlockingQueue<String> news = new LinkedBlockingQueue<>();
-    final HttpClient http = HttpClient.newHttpClient();
-    String lists = "pushed";
 
-    /** What a test changes of the configuration. */
-    UnaryOperator<ProxyConfig> changed = config -> config;
+/**
+ * The real proxy on loopback, between stand-ins for backends and discovery and the clients of a
+ * test. What a test sets before the start holds for the proxy that it starts.
+ */
+public abstract class LoopbackFixture {
+    /** The trace id of the fixture's requests where a test sets no other. */
+    protected static final String TRACE_ID = "abc";
 
-    StandIn discovery;
-    ProxyServer proxy;
+    /** Seconds until a request without a response fails its test. */
+    private static final int RESPONSE_TIMEOUT_SECONDS = 20;
 
-    /** How connections to backends come up; null is as they do. */
-    LateDial dial;
+    /** Seconds for which a backend waits until it may respond. */
+    private static final int RELEASE_TIMEOUT_SECONDS = 5;
 
-    /** Connections to backends come up when they are let. */
-    static class LateDial implements BackendConnector {
-        final XnioWorker worker;
+    /** The stand-ins that listen; all are closed after the test. */
+    private final List<ScriptedServer> servers = new ArrayList<>();
 
-        /** Those that wait, each to be let up on the I/O thread. */
-        final LinkedBlockingQueue<Up> waiting = new LinkedBlockingQueue<>();
+    /** What discovery responds next to the watch for changes. */
+    protected final LinkedBlockingQueue<String> discoveryUpdates = new LinkedBlockingQueue<>();
 
-        /** A connection to somebody, and what lets it up. */
-        record Up(InetSocketAddress to, Runnable run) {}
+    /** The client of the requests that a test doesn't write on a socket itself. */
+    protected final HttpClient httpClient = HttpClient.newHttpClient();
 
-        LateDial(XnioWorker worker) {
-            this.worker = worker;
-        }
+    /** How the proxy gets its endpoint list, see {@link TestConfig#json(int, String, boolean)}. */
+    protected String membershipMode = "pushed";
 
-        @Override
-        public IoFuture<StreamConnection> open(
-                InetSocketAddress to, ChannelListener<StreamConnection> opened) {
-            FutureResult<StreamConnection> result = new FutureResult<>();
-            worker.getIoThread()
-                    .openStreamConnection(
-                            to,
-                            connection ->
-                                    waiting.add(
-                                            new Up(
-                                                    to,
-                                                    () -> {
-                                                        result.setResult(connection);
-                                                        opened.handleEvent(connection);
-                                                    })),
-                            OptionMap.EMPTY);
-            return result.getIoFuture();
-        }
+    /** Whether the proxy may ask backends for load reports. */
+    protected boolean probes;
 
-        /** The next one; null where none comes. */
-        Up next() throws InterruptedException {
-            return waiting.poll(5, TimeUnit.SECONDS);
-        }
-    }
+    /** What a test changes of the configuration. */
+    protected UnaryOperator<ProxyConfig> configChange = config -> config;
 
-    /**
-     * A scripted HTTP server; it notes whole requests, and connections that the other side has
-     * closed.
-     */
-    final class StandIn {
-        final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        final LinkedBlockingQueue<String> requests = new LinkedBlockingQueue<>();
-        final CountDownLatch left = new CountDownLatch(1);
-        final Function<String, String> script;
-
-        StandIn(Function<String, String> script) throws IOException {
-            this.script = script;
-            standIns.add(this);
-            daemon(
-                    () -> {
-                        while (true) {
-                            Socket socket = server.accept();
-                            daemon(() -> serve(socket));
-                        }
-                    });
-        }
+    /** The stand-in for discovery that the proxy was started with. */
+    protected ScriptedServer discovery;
 
-        int port() {
-            return server.getLocalPort();
-        }
+    /** Null until a test has started it. */
+    protected ProxyServer proxy;
 
-        private void serve(Socket socket) throws IOException {
-            try (socket) {
-                for (String request = read(socket); request != null; request = read(socket)) {
-                    if (!request.startsWith("GET /load")) {
-                        requests.add(request);
-                    }
-                    String answer = script.apply(request);
-                    if (answer.equals(CLOSE)) {
-                        return;
-                    } else if (!answer.equals(SILENCE)) {
-                        socket.getOutputStream()
-                                .write(answer.getBytes(StandardCharsets.ISO_8859_1));
-                    }
-                    if (answer.equals(HALF)
-                            || answer.equals(CHUNKS)
-                            || answer.contains("close\r\n")) {
-                        return;
-                    }
-                }
-            } finally {
-                left.countDown();
-            }
-        }
+    /** Holds back connections to backends; null where they open as they do. */
+    HeldConnector heldConnector;
+
+    // The configuration and the stand-ins.
+
+    /** The configuration of a proxy whose discovery listens on a port. */
+    protected String config(int discoveryPort) {
+        return TestConfig.json(discoveryPort, membershipMode, probes);
     }
 
-    interface Task {
-        void run() throws Exception;
+    /** A server that responds by a script. */
+    protected ScriptedServer scriptedServer(Function<String, String> script) throws IOException {
+        ScriptedServer server = new ScriptedServer(script);
+        servers.add(server);
+        return server;
     }
 
-    static void daemon(Task task) {
-        Thread thread =
-                new Thread(
-                        () -> {
-                            try {
-                                task.run();
-                            } catch (Exception e) {
-                                // The stand-in is closed, or the other side is.
-                            }
-                        });
-        thread.setDaemon(true);
-        thread.start();
+    /** A backend that responds by a script. */
+    protected ScriptedServer backend(Function<String, String> script) throws IOException {
+        return scriptedServer(script);
     }
 
-    /** One message, head and body; null where the connection ends. */
-    static String read(Socket socket) throws IOException {
-        InputStream in = socket.getInputStream();
-        StringBuilder text = new StringBuilder();
-        while (text.indexOf("\r\n\r\n") < 0) {
-            int c = in.read();
-            if (c < 0) {
-                return null;
-            }
-            text.append((char) c);
-        }
-        String head = text.toString().toLowerCase(Locale.ROOT);
-        int at = head.indexOf("content-length: ");
-        int length =
-                at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
-        return text + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
+    /** A backend that always responds the same. */
+    protected ScriptedServer backend(String response) throws IOException {
+        return scriptedServer(request -> response);
+    }
+
+    /** A backend that responds once it is released. */
+    protected ScriptedServer backend(CountDownLatch release) throws IOException {
+        return scriptedServer(request -> isReleased(release, RELEASE_TIMEOUT_SECONDS) ? OK : CLOSE);
     }
 
-    static String list(int revision, boolean whole, String... members) {
-        return "{\"revision\":"
-                + revision
-                + ",\"complete\":"
-                + whole
-                + ",\"members\":["
-                + String.join(",", members)
-                + "]}";
+    /** Whether a latch is released within a time. */
+    protected static boolean isReleased(CountDownLatch release, int timeoutSeconds) {
+        try {
+            return release.await(timeoutSeconds, TimeUnit.SECONDS);
+        } catch (InterruptedException e) {
+            return false;
+        }
     }
 
-    static String member(int backend, int port, String phase) {
-        return "{\"id\":\"s-"
-                + backend
-                + "\",\"host_port\":\"127.0.0.1:"
-                + port
-                + "\",\"locality\":\"a\","
-                + "\"flavor\":\"m\",\"cell\":0,\"phase\":\""
-                + phase
-                + "\",\"size\":1.0,\"up_since_ms\":0}";
+    /** Discovery that gives its full list, and is silent on the watch for changes. */
+    protected ScriptedServer discoveryWithoutChanges(String fullList) throws IOException {
+        return scriptedServer(request -> request.contains("?") ? SILENCE : okResponse(fullList));
     }
 
-    static String http(String body) {
-        return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+    /** The ports of servers, in their order. */
+    protected static int[] ports(ScriptedServer... servers) {
+        return Arrays.stream(servers).mapToInt(ScriptedServer::port).toArray();
     }
 
-    String config(int discovery, boolean probes) {
-        String grade = "\"contractTime\":1500,\"expiry\":4000,\"benefit\":1,";
-        return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
-                + discovery
-                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":64},\"settings\":{\"siblings\":1,"
-                + "\"zone\":0,\"localities\":[\"a\"],\"membershipMode\":\""
-                + lists
-                + "\","
-                + "\"limits\":{\"mayCancel\":true,\"probes\":"
-                + probes
-                + ",\"mostForwards\":4,\"retryAfter\":true,\"maxRetryAfter\":500,"
-                + "\"connIdle\":10000,\"connectTimeout\":250},\"invariants\":{\"coldFrom\":0.3,\"cold\":8000,"
-                + "\"fallMultiple\":3,\"overloadFor\":2000},\"report\":{\"how\":\"inline\",\"names\":"
-                + "[\"queue\",\"util\"]},\"charges\":{\"probe\":0.001},\"serviceGrades\":[{\"name\":\"look\","
-                + grade
-                + "\"effect\":\"retryable\"},{\"name\":\"order\","
-                + grade
-                + "\"effect\":\"fragile\"}]}}";
+    // The proxy.
+
+    /** Starts the proxy with its backends, and returns once it knows them. */
+    protected void start(ScriptedServer... backends) throws Exception {
+        startWithPorts(ports(backends));
     }
 
-    void start(boolean probes, int... ports) throws Exception {
-        String[] members =
-                IntStream.range(0, ports.length)
-                        .mapToObj(i -> member(i, ports[i], "active"))
-                        .toArray(String[]::new);
+    /** Starts the proxy with backends on ports of loopback, and returns once it knows them. */
+    protected void startWithPorts(int... backendPorts) throws Exception {
+        String fullList = endpointList(1, true, activeMembers(backendPorts));
         discovery =
-                new StandIn(
+                scriptedServer(
                         request -> {
                             try {
-                                return !request.contains("?")
-                                        ? http(list(1, true, members))
-                                        : news.take();
+                                return request.contains("?")
+                                        ? discoveryUpdates.take()
+                                        : okResponse(fullList);
                             } catch (InterruptedException e) {
                                 return CLOSE;
                             }
                         });
-        ProxyConfig config = changed.apply(ProxyConfig.read(config(discovery.port(), probes)));
-        proxy = dial == null ? new ProxyServer(config) : new ProxyServer(config, dial.worker, dial);
+        ProxyConfig config = configChange.apply(ProxyConfig.read(config(discovery.port())));
+        proxy =
+                heldConnector == null
+                        ? new ProxyServer(config)
+                        : new ProxyServer(config, heldConnector.worker(), heldConnector);
         proxy.serve();
-        // The watch has begun, so the list has been told.
-        awaitWatch("from=1");
+        // The watch has begun, so the proxy has received the list.
+        awaitDiscoveryRequest("from=1");
     }
 
-    void awaitWatch(String from) throws InterruptedException {
-        for (String asked = ""; !asked.contains(from); ) {
-            asked = discovery.requests.take();
+    /** Waits until discovery has been sent a request with a text, such as "from=2". */
+    protected void awaitDiscoveryRequest(String text) throws InterruptedException {
+        for (String request = ""; !request.contains(text); ) {
+            request = discovery.requests.take();
         }
     }
 
-    void start(StandIn... backends) throws Exception {
-        start(false, List.of(backends).stream().mapToInt(StandIn::port).toArray());
-    }
-
-    /** A real process of the proxy, its log on its output. */
-    static Process process(Path file) throws IOException {
-        ProcessBuilder command =
-                new ProcessBuilder(
-                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                        "-cp",
-                        System.getProperty("java.class.path"),
-                        "lemondrift.Main",
-                        "serve");
-        command.environment().put("PROXY_CONFIG", file.toString());
-        return command.redirectErrorStream(true).start();
+    /** The port on which the proxy accepts clients. */
+    protected int proxyPort() {
+        return proxy.address().getPort();
     }
 
-    static void signal(Process to, String name) throws Exception {
-        assertEquals(
-                0,
-                new ProcessBuilder("kill", "-" + name, String.valueOf(to.pid())).start().waitFor());
+    /** The name of what the proxy is doing, such as "STOPPED". */
+    protected String phase() {
+        return proxy.phase().name();
     }
 
     /**
-     * Fails where no such line comes within a minute, as where its process has ended or ignores a
-     * signal.
+     * The figures of the shadow evaluation, once the proxy has stopped; null where there is none.
      */
-    static void awaitLine(BufferedReader log, String has) throws IOException {
-        long until = System.nanoTime() + TimeUnit.MINUTES.toNanos(1);
-        for (String line = ""; !line.contains(has); line = log.readLine()) {
-            assertNotNull(line, "no line with " + has);
-            while (!log.ready()) {
-                assertTrue(System.nanoTime() < until, "no line with " + has + " within a minute");
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
-            }
-        }
+    protected ShadowEvaluator shadow() {
+        return proxy.shadow();
     }
 
-    static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0)) {
-            return free.getLocalPort();
-        }
+    /** How many replies to requests of a class were sent, by the ordinal of their kind. */
+    protected CompletableFuture<long[]> replyCounts(String requestClass) {
+        CompletableFuture<long[]> counts = new CompletableFuture<>();
+        proxy.runOnIoThread(
+                () ->
+                        counts.complete(
+                                proxy.adminOperations().metrics().replies().get(requestClass)));
+        return counts;
     }
 
-    StandIn backend(Function<String, String> script) throws IOException {
-        return new StandIn(script);
+    /** A thread in which the proxy drains; returns once the drain has begun. */
+    protected Thread startDrain() {
+        Thread drain = drainThread(proxy);
+        drain.start();
+        while (proxy.phase() != ProxyServer.Phase.DRAINING) {
+            Thread.onSpinWait();
+        }
+        return drain;
     }
 
-    /** One that answers once it may. */
-    StandIn backend(CountDownLatch go) throws IOException {
-        return new StandIn(
-                request -> {
+    /** A thread, not started yet, in which a proxy drains. */
+    static Thread drainThread(ProxyServer proxy) {
+        return new Thread(
+                () -> {
                     try {
-                        return go.await(5, TimeUnit.SECONDS) ? OK : CLOSE;
+                        proxy.drain();
                     } catch (InterruptedException e) {
-                        return CLOSE;
+                        Thread.currentThread().interrupt();
                     }
                 });
     }
 
-    /** The drain, which has begun. */
-    Thread drains() {
-        Thread drain =
-                new Thread(
-                        () -> {
-                            try {
-                                proxy.drain();
-                            } catch (InterruptedException e) {
-                                Thread.currentThread().interrupt();
-                            }
-                        });
-        drain.start();
-        while (proxy.phase() != ProxyServer.Phase.DRAINING) {
-            Thread.onSpinWait();
+    /** Stops the proxy where it still serves, and the stand-ins. */
+    @AfterEach
+    protected void stop() throws Exception {
+        discoveryUpdates.add(CLOSE);
+        if (proxy != null && proxy.phase() == ProxyServer.Phase.SERVING) {
+            proxy.drain();
+        }
+        for (ScriptedServer server : servers) {
+            server.close();
         }
-        return drain;
     }
 
-    StandIn backend(String always) throws IOException {
-        return new StandIn(request -> always);
+    // Clients.
+
+    /** A connection to the proxy whose reads wait without a bound. */
+    protected Socket connect() throws IOException {
+        return new Socket("127.0.0.1", proxyPort());
     }
 
-    @AfterEach
-    void stop() throws Exception {
-        news.add(CLOSE);
-        if (proxy != null && proxy.phase() == ProxyServer.Phase.SERVING) {
-            proxy.drain();
+    /** A connection to the proxy whose reads fail after a time. */
+    protected Socket connect(int readTimeoutMillis) throws IOException {
+        Socket client = connect();
+        client.setSoTimeout(readTimeoutMillis);
+        return client;
+    }
+
+    /** So many connections to the proxy on which nothing has been sent. */
+    protected List<Socket> connectSilent(int count) throws IOException {
+        List<Socket> clients = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            clients.add(connect());
         }
-        for (StandIn each : standIns) {
-            each.server.close();
+        return clients;
+    }
+
+    /** Closes connections. */
+    protected static void closeAll(List<Socket> clients) throws IOException {
+        for (Socket client : clients) {
+            client.close();
         }
     }
 
-    HttpRequest.Builder request(String grade) {
+    /** A request of a class, to be completed and sent by the test. */
+    protected HttpRequest.Builder request(String requestClass) {
         return HttpRequest.newBuilder(
-                        URI.create(
-                                "http://127.0.0.1:" + proxy.address().getPort() + "/api/x%20y?q=1"))
-                .header("X-Trace-Id", "abc")
-                .header("X-Qos", grade)
-                .header("X-Expires-In-Ms", "4000");
+                        URI.create("http://127.0.0.1:" + proxyPort() + "/api/x%20y?q=1"))
+                .header("X-Trace-Id", TRACE_ID)
+                .header("X-Qos", requestClass)
+                .header("X-Expires-In-Ms", String.valueOf(TestConfig.TIMEOUT_MILLIS));
     }
 
-    HttpResponse<String> send(HttpRequest.Builder request) throws Exception {
+    /** Sends a request and waits for its response; fails where none comes in time. */
+    protected HttpResponse<String> send(HttpRequest.Builder request) throws Exception {
         // One that is never answered fails its test instead of holding all of them up.
-        return http.send(
-                request.timeout(Duration.ofSeconds(20)).build(),
+        return httpClient.send(
+                request.timeout(Duration.ofSeconds(RESPONSE_TIMEOUT_SECONDS)).build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
-    HttpResponse<String> look() throws Exception {
-        return send(request("look"));
+    /** Sends a request without waiting for its response. */
+    protected CompletableFuture<HttpResponse<String>> sendAsync(HttpRequest.Builder request) {
+        return httpClient.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
     }
 
-    HttpResponse<String> order(String body) throws Exception {
-        return send(request("order").POST(HttpRequest.BodyPublishers.ofString(body)));
+    /** Sends a request without a body that may be executed twice. */
+    protected HttpResponse<String> sendIdempotent() throws Exception {
+        return send(request(TestConfig.IDEMPOTENT_CLASS));
     }
 
-    /** Asks once on a connection of its own that stays open; its answer's head, or null. */
-    String askAndStay(int id, List<Socket> stay) throws IOException {
-        Socket client = new Socket("127.0.0.1", proxy.address().getPort());
-        stay.add(client);
-        client.getOutputStream()
-                .write(
-                        ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: stay-"
-                                        + id
-                                        + "\r\nX-Qos: look\r\nX-Expires-In-Ms: 4000\r\n\r\n")
-                                .getBytes(StandardCharsets.US_ASCII));
-        return read(client);
+    /** Sends a request with a body that may not be executed twice. */
+    protected HttpResponse<String> sendNotIdempotent(String body) throws Exception {
+        return send(
+                request(TestConfig.NOT_IDEMPOTENT_CLASS)
+                        .POST(HttpRequest.BodyPublishers.ofString(body)));
+    }
+
+    /**
+     * Sends a request on a connection of its own that stays open, and is added to those given; its
+     * response, or null where the connection is closed without one.
+     */
+    protected String sendOnNewConnection(int number, List<Socket> connections) throws IOException {
+        Socket client = connect();
+        connections.add(client);
+        writeText(client, getRequest("stay-" + number, TestConfig.TIMEOUT_MILLIS));
+        return readMessage(client);
     }
 }
--- a/src/test/java/lemondrift/proxy/ManyBackends.java
+++ b/src/test/java/lemondrift/proxy/ManyBackends.java
@@ -1,5 +1,8 @@
 package lemondrift.proxy;
 
+import static lemondrift.proxy.DaemonThreads.startDaemon;
+import static lemondrift.proxy.DiscoveryMessages.member;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -32,7 +35,7 @@
             server.register(selector, SelectionKey.OP_ACCEPT);
             ports[backend] = server.socket().getLocalPort();
         }
-        LoopbackFixture.daemon(this::serve);
+        startDaemon(this::serve);
     }
 
     int port(int backend) {
@@ -42,7 +45,7 @@
     /** Members of a list for consecutive backends, in one phase. */
     String[] members(int from, int to, String phase) {
         return IntStream.range(from, to)
-                .mapToObj(backend -> LoopbackFixture.member(backend, ports[backend], phase))
+                .mapToObj(backend -> member(backend, ports[backend], phase))
                 .toArray(String[]::new);
     }
 
--- a/src/test/java/lemondrift/proxy/ProcessPauseTest.java
+++ b/src/test/java/lemondrift/proxy/ProcessPauseTest.java
@@ -1,12 +1,18 @@
 package lemondrift.proxy;
 
+import static lemondrift.proxy.DiscoveryMessages.activeMembers;
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.HttpMessages.getRequest;
+import static lemondrift.proxy.HttpMessages.readMessage;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.TestConfig.TIMEOUT_MILLIS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -15,25 +21,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process that stands still while requests come; on loopback. */
+/** A real process that is stopped by SIGSTOP while requests arrive, and goes on later. */
 class ProcessPauseTest extends LoopbackFixture {
-    /** Time enough to be noticed as a pause, and for the short request's to pass. */
-    private static final long STILL = 900;
+    /** Milliseconds that are noticed as a pause, and longer than the short request's timeout. */
+    private static final long PAUSE_MILLIS = 900;
 
-    /**
-     * Danger: one thread takes the signal and stops the others, which may read a request until
-     * then.
-     */
-    private static void awaitStill(Process child) throws Exception {
-        for (boolean still = false; !still; ) {
+    /** The timeout of the request that ends during the pause, in milliseconds. */
+    private static final int SHORT_TIMEOUT_MILLIS = 300;
+
+    /** Milliseconds after which a response counts as missing. */
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
+
+    /** How many clients leave during the pause. */
+    private static final int LEAVING_CLIENTS = 5;
+
+    /** Guards against a thread that reads a request before the signal has stopped it too. */
+    private static void awaitStopped(Process child) throws Exception {
+        for (boolean stopped = false; !stopped; ) {
             try (Stream<Path> threads =
                     Files.list(Path.of("/proc", String.valueOf(child.pid()), "task"))) {
-                still = threads.allMatch(ProcessPauseTest::isStill);
+                stopped = threads.allMatch(ProcessPauseTest::isStopped);
             }
         }
     }
 
-    private static boolean isStill(Path thread) {
+    private static boolean isStopped(Path thread) {
         try {
             return Files.readString(thread.resolve("stat"))
                     .replaceFirst("(?s).*\\) ", "")
@@ -44,72 +56,64 @@
         }
     }
 
-    private static Socket ask(int port, String trace, int milliseconds) throws Exception {
+    private static Socket sendGet(int port, String traceId, int timeoutMillis) throws Exception {
         Socket client = new Socket("127.0.0.1", port);
-        client.setSoTimeout(10_000);
-        client.getOutputStream()
-                .write(
-                        ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
-                                        + trace
-                                        + "\r\nX-Qos: look\r\nX-Expires-In-Ms: "
-                                        + milliseconds
-                                        + "\r\n\r\n")
-                                .getBytes(StandardCharsets.US_ASCII));
+        client.setSoTimeout(READ_TIMEOUT_MILLIS);
+        writeText(client, getRequest(traceId, timeoutMillis));
         return client;
     }
 
     @Test
-    void whatWaitedInItsSocketsIsSentOnOnlyWhileSomebodyWaitsAndHasTime(@TempDir Path folder)
+    void forwardsAfterPauseOnlyRequestsWhoseClientsStillWait(@TempDir Path folder)
             throws Exception {
-        StandIn backend = backend(OK);
-        StandIn agent =
-                new StandIn(
-                        request ->
-                                request.contains("?")
-                                        ? SILENCE
-                                        : http(list(1, true, member(0, backend.port(), "active"))));
-        int port = freePort();
+        ScriptedServer backend = backend(OK);
+        ScriptedServer fixedDiscovery =
+                discoveryWithoutChanges(endpointList(1, true, activeMembers(backend.port())));
+        int port = ProxyProcess.freePort();
         Path file =
                 Files.writeString(
                         folder.resolve("config.json"),
-                        config(agent.port(), false)
-                                .replace("127.0.0.1:0", "127.0.0.1:" + port)
+                        TestConfig.withListenPort(config(fixedDiscovery.port()), port)
                                 // Else one with less time than the others is taken for a retry.
                                 .replace(
                                         "\"siblings\":1,",
                                         "\"siblings\":1,\"clients\":{\"marksRetry\":true},"));
-        Process child = process(file);
+        Process child = ProxyProcess.start(file);
         try {
             BufferedReader log = child.inputReader();
-            awaitLine(log, "serving");
-            try (Socket before = ask(port, "before", 4000)) {
-                assertTrue(read(before).startsWith("HTTP/1.1 200"));
-            }
-            signal(child, "STOP");
-            awaitStill(child);
-            List<Socket> gone = new ArrayList<>();
-            for (int i = 0; i < 5; i++) {
-                gone.add(ask(port, "gone-" + i, 4000));
+            ProxyProcess.awaitLine(log, "serving");
+            try (Socket before = sendGet(port, "before", TIMEOUT_MILLIS)) {
+                assertTrue(readMessage(before).startsWith("HTTP/1.1 200"));
             }
-            for (Socket each : gone) {
-                each.close();
+            assertEquals(0, ProxyProcess.signal(child, "STOP"));
+            awaitStopped(child);
+            List<Socket> leaving = new ArrayList<>();
+            for (int i = 0; i < LEAVING_CLIENTS; i++) {
+                leaving.add(sendGet(port, "gone-" + i, TIMEOUT_MILLIS));
             }
-            Socket late = ask(port, "late", 300);
-            Socket stays = ask(port, "stays", 4000);
-            Thread.sleep(STILL);
-            signal(child, "CONT");
-            assertTrue(read(late).startsWith("HTTP/1.1 503"), "its time has passed");
-            assertTrue(read(stays).startsWith("HTTP/1.1 200"));
+            closeAll(leaving);
+            Socket late = sendGet(port, "late", SHORT_TIMEOUT_MILLIS);
+            Socket stays = sendGet(port, "stays", TIMEOUT_MILLIS);
+            Thread.sleep(PAUSE_MILLIS);
+            assertEquals(0, ProxyProcess.signal(child, "CONT"));
+            String lateResponse = readMessage(late);
+            assertTrue(
+                    lateResponse.startsWith("HTTP/1.1 503"),
+                    "its timeout has passed, but: " + lateResponse);
+            assertTrue(readMessage(stays).startsWith("HTTP/1.1 200"));
             late.close();
             stays.close();
-            try (Socket after = ask(port, "after", 4000)) {
-                assertTrue(read(after).startsWith("HTTP/1.1 200"));
+            try (Socket after = sendGet(port, "after", TIMEOUT_MILLIS)) {
+                assertTrue(readMessage(after).startsWith("HTTP/1.1 200"));
             }
-            List<String> sent =
+            List<String> forwarded =
                     backend.requests.stream()
-                            .map(each -> each.replaceFirst("(?s).*X-Trace-Id: (\\S+).*", "$1"))
+                            .map(
+                                    request ->
+                                            request.replaceFirst(
+                                                    "(?s).*X-Trace-Id: (\\S+).*", "$1"))
                             .toList();
-            assertEquals(List.of("before", "stays", "after"), sent);
+            assertEquals(List.of("before", "stays", "after"), forwarded);
             child.destroy();
             assertEquals(0, child.waitFor());
         } finally {
--- /dev/null
+++ b/src/test/java/lemondrift/proxy/ProxyProcess.java
@@ -0,0 +1,73 @@
+package lemondrift.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.net.ServerSocket;
+import java.nio.file.Path;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
+
+/** Real processes of the proxy: how they start, signals to them, and lines of their log. */
+public final class ProxyProcess {
+    /** How long a line of the log is waited for. */
+    private static final long LINE_TIMEOUT_NANOS = TimeUnit.MINUTES.toNanos(1);
+
+    /** Time between two looks whether the log has more. */
+    private static final long LOG_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+
+    private ProxyProcess() {}
+
+    /** A process of the proxy, its log on its output. */
+    public static Process start(Path configFile) throws IOException {
+        ProcessBuilder command =
+                new ProcessBuilder(
+                        javaCommand(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "lemondrift.Main",
+                        "serve");
+        command.environment().put("PROXY_CONFIG", configFile.toString());
+        return command.redirectErrorStream(true).start();
+    }
+
+    /** The path of the java command that runs the tests. */
+    public static String javaCommand() {
+        return Path.of(System.getProperty("java.home"), "bin", "java").toString();
+    }
+
+    /** Sends a signal, such as "HUP"; 0 where it was sent. */
+    public static int signal(Process process, String name)
+            throws IOException, InterruptedException {
+        return new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                .start()
+                .waitFor();
+    }
+
+    /**
+     * Reads the log up to a line with a text. Fails where no such line comes within a minute, as
+     * where its process has ended or ignores a signal.
+     */
+    public static void awaitLine(BufferedReader log, String text) throws IOException {
+        long deadline = System.nanoTime() + LINE_TIMEOUT_NANOS;
+        String line = "";
+        while (!line.contains(text)) {
+            while (!log.ready()) {
+                assertTrue(
+                        System.nanoTime() < deadline, "no line with " + text + " within a minute");
+                LockSupport.parkNanos(LOG_POLL_NANOS);
+            }
+            line = log.readLine();
+            assertNotNull(line, "no line with " + text);
+        }
+    }
+
+    /** A port on which nothing listens at this moment. */
+    public static int freePort() throws IOException {
+        try (ServerSocket free = new ServerSocket(0)) {
+            return free.getLocalPort();
+        }
+    }
+}
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -1,6 +1,23 @@
 package lemondrift.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
+import static lemondrift.proxy.DiscoveryMessages.member;
+import static lemondrift.proxy.HttpMessages.CUT_SHORT;
+import static lemondrift.proxy.HttpMessages.FIRST_CHUNK;
+import static lemondrift.proxy.HttpMessages.LAST_CHUNKS;
+import static lemondrift.proxy.HttpMessages.NEVER_EXECUTED;
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.HttpMessages.getRequest;
+import static lemondrift.proxy.HttpMessages.okResponse;
+import static lemondrift.proxy.HttpMessages.postHead;
+import static lemondrift.proxy.HttpMessages.readMessage;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.ScriptedServer.CLOSE;
+import static lemondrift.proxy.ScriptedServer.SILENCE;
+import static lemondrift.proxy.TestConfig.IDEMPOTENT_CLASS;
+import static lemondrift.proxy.TestConfig.NOT_IDEMPOTENT_CLASS;
+import static lemondrift.proxy.TestConfig.UNUSED_PORT;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -24,7 +41,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import lemondrift.proxy.backend.BackendClient;
@@ -34,241 +50,241 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.xnio.XnioWorker;
 
-/** The real proxy on loopback. */
+/**
+ * The way of a request through the real proxy on loopback: forwarding, retries, local replies,
+ * validation, client connections, reload and graceful shutdown.
+ */
 class ProxyServerTest extends LoopbackFixture {
+    /** The longest response that is buffered whole, in bytes. */
+    private static final int BUFFERED_RESPONSE_BYTES = 64 * 1024;
+
+    /** Milliseconds after which a connection that stays open counts as a failure. */
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
+
+    /** The timeout that is stated by requests written on a socket, in milliseconds. */
+    private static final int SHORT_TIMEOUT_MILLIS = 900;
+
+    /** The body of a request as a stand-in receives it, which is its last line. */
+    private static String lastLine(String request) {
+        return request.replaceAll("(?s).*\r\n", "");
+    }
+
+    /** The response to what is sent on a connection of its own. */
+    private String responseTo(String sent) throws IOException {
+        try (Socket client = connect()) {
+            writeText(client, sent);
+            return readMessage(client);
+        }
+    }
+
     @Test
-    void whatGoesOnUnchangedDoes() throws Exception {
-        StandIn backend = backend(OK);
+    void forwardsRequestAndResponseUnchanged() throws Exception {
+        ScriptedServer backend = backend(OK);
         start(backend);
-        HttpResponse<String> answer = order("b\u00e4ll".repeat(9000));
-        assertEquals(200, answer.statusCode());
-        assertEquals("body", answer.body());
-        String got = backend.requests.take();
-        assertTrue(got.startsWith("POST /api/x%20y?q=1 HTTP/1.1\r\n"), got.substring(0, 200));
-        assertTrue(got.contains("X-Trace-Id: abc\r\n"));
+        HttpResponse<String> response = sendNotIdempotent("b\u00e4ll".repeat(9000));
+        assertEquals(200, response.statusCode());
+        assertEquals("body", response.body());
+        String received = backend.requests.take();
         assertTrue(
-                got.matches("(?s).*X-Expires-In-Ms: 1?\\d?\\d?\\d\r\n.*"),
-                "the contract time at most");
+                received.startsWith("POST /api/x%20y?q=1 HTTP/1.1\r\n"),
+                received.substring(0, 200));
+        assertTrue(received.contains("X-Trace-Id: " + TRACE_ID + "\r\n"));
         assertTrue(
-                got.endsWith(
+                received.matches("(?s).*X-Expires-In-Ms: 1?\\d?\\d?\\d\r\n.*"),
+                "the latency objective at most");
+        assertTrue(
+                received.endsWith(
                         new String(
                                 "b\u00e4ll".getBytes(StandardCharsets.UTF_8),
                                 StandardCharsets.ISO_8859_1)));
-        assertEquals(200, look().statusCode());
+        assertEquals(200, sendIdempotent().statusCode());
         assertTrue(backend.requests.take().startsWith("GET /api/x%20y?q=1 "));
     }
 
     @Test
-    void aBrokenAnswerIsForwardedAgainWhereItMayRunTwice() throws Exception {
-        StandIn broken = backend(HALF);
-        start(broken, backend(OK));
+    void retriesIdempotentRequestWhenResponseIsCutShort() throws Exception {
+        ScriptedServer cutsShort = backend(CUT_SHORT);
+        start(cutsShort, backend(OK));
         for (int i = 0; i < 4; i++) {
-            assertEquals("body", look().body());
+            assertEquals("body", sendIdempotent().body());
         }
     }
 
     @Test
-    void whatMayHaveRunIsScrappedAndNotSentAgain() throws Exception {
-        StandIn one = backend(CLOSE);
-        StandIn other = backend(HALF);
-        start(one, other);
-        HttpResponse<String> answer = order("x");
-        assertEquals(502, answer.statusCode());
-        assertTrue(answer.headers().firstValue("Retry-After").isEmpty());
-        assertEquals(1, one.requests.size() + other.requests.size());
+    void failsNonIdempotentRequestWithoutRetryWhenItMayHaveBeenExecuted() throws Exception {
+        ScriptedServer closes = backend(CLOSE);
+        ScriptedServer cutsShort = backend(CUT_SHORT);
+        start(closes, cutsShort);
+        HttpResponse<String> response = sendNotIdempotent("x");
+        assertEquals(502, response.statusCode());
+        assertTrue(response.headers().firstValue("Retry-After").isEmpty());
+        assertEquals(1, closes.requests.size() + cutsShort.requests.size());
     }
 
     @Test
-    void eachWayToEndAnAnswerIsUnderstood() throws Exception {
-        StandIn backend =
+    void readsResponsesInEachFraming() throws Exception {
+        ScriptedServer backend =
                 backend(
                         request ->
-                                switch (request.replaceAll("(?s).*\r\n", "")) {
-                                    case "chunked" -> CHUNKS + "2\r\ndy\r\n0\r\n\r\n";
-                                    case "chunked, cut" -> CHUNKS;
+                                switch (lastLine(request)) {
+                                    case "chunked" -> FIRST_CHUNK + LAST_CHUNKS;
+                                    case "chunked, cut" -> FIRST_CHUNK;
                                     case "closed" ->
                                             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nbody";
                                     case "empty" -> OK.replace("4\r\n\r\nbody", "0\r\n\r\n");
                                     default -> "HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n";
                                 });
         start(backend);
-        assertEquals("body", order("chunked").body());
-        assertEquals("body", order("closed").body());
-        assertEquals("", order("empty").body());
-        assertEquals(502, order("chunked, cut").statusCode());
-        assertEquals(502, order("unmarked").statusCode(), "a 504 without the mark may have run");
+        assertEquals("body", sendNotIdempotent("chunked").body());
+        assertEquals("body", sendNotIdempotent("closed").body());
+        assertEquals("", sendNotIdempotent("empty").body());
+        assertEquals(502, sendNotIdempotent("chunked, cut").statusCode());
+        assertEquals(
+                502,
+                sendNotIdempotent("unmarked").statusCode(),
+                "a 504 that is not marked as never executed may have been");
         assertEquals(5, backend.requests.size());
     }
 
     @Test
-    void aPooledConnectionThatBreaksIsNoLicenceToResend() throws Exception {
+    void doesNotRetryNonIdempotentRequestWhenReusedConnectionCloses() throws Exception {
         int[] count = {0};
-        StandIn backend = backend(request -> ++count[0] == 2 ? CLOSE : OK);
+        ScriptedServer backend = backend(request -> ++count[0] == 2 ? CLOSE : OK);
         start(backend);
-        assertEquals(200, order("x").statusCode());
-        assertEquals(502, order("x").statusCode());
+        assertEquals(200, sendNotIdempotent("x").statusCode());
+        assertEquals(502, sendNotIdempotent("x").statusCode());
         assertEquals(2, backend.requests.size());
-        assertEquals(200, order("x").statusCode());
+        assertEquals(200, sendNotIdempotent("x").statusCode());
     }
 
     @Test
-    void refusedAndMarkedNeverRanGoElsewhere() throws Exception {
-        StandIn full = backend(NEVER_RAN);
-        StandIn sound = backend(OK);
-        StandIn closed = backend(OK);
-        closed.server.close();
-        start(full, closed, sound);
+    void retriesElsewhereWhenConnectionIsRefusedOrRequestWasNeverExecuted() throws Exception {
+        ScriptedServer overloaded = backend(NEVER_EXECUTED);
+        ScriptedServer healthy = backend(OK);
+        ScriptedServer closed = backend(OK);
+        closed.close();
+        start(overloaded, closed, healthy);
         for (int i = 0; i < 2; i++) {
-            assertEquals(200, order("x").statusCode());
+            assertEquals(200, sendNotIdempotent("x").statusCode());
         }
-        assertEquals(2, sound.requests.size());
+        assertEquals(2, healthy.requests.size());
     }
 
     @Test
-    void aSilentBackendIsGivenUpAndTheClientAnswered() throws Exception {
-        StandIn silent = backend(SILENCE);
+    void timesOutSilentBackendAndRepliesLocally() throws Exception {
+        ScriptedServer silent = backend(SILENCE);
         start(silent);
-        assertEquals(503, look().statusCode(), "a retry is harmless");
-        assertEquals(502, order("x").statusCode(), "a retry may be a second effect");
+        assertEquals(503, sendIdempotent().statusCode(), "a retry is harmless");
+        assertEquals(
+                502, sendNotIdempotent("x").statusCode(), "a retry may be executed a second time");
         assertTrue(
-                silent.left.await(5, TimeUnit.SECONDS),
-                "an attempt given up has its connection closed");
+                silent.awaitConnectionEnd(), "an attempt that timed out has its connection closed");
     }
 
     @Test
-    void noBackendAtAllIsShedAtOnce() throws Exception {
+    void rejectsRequestWhenThereIsNoBackend() throws Exception {
         start();
-        assertEquals(503, order("x").statusCode());
+        assertEquals(503, sendNotIdempotent("x").statusCode());
     }
 
     @Test
-    void aClientThatGoesIsNoticed() throws Exception {
-        StandIn silent = backend(SILENCE);
+    void cancelsAttemptWhenClientCloses() throws Exception {
+        ScriptedServer silent = backend(SILENCE);
         start(silent);
-        try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
-            client.getOutputStream()
-                    .write(
-                            ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: look\r\n"
-                                            + "X-Expires-In-Ms: 600000\r\n\r\n")
-                                    .getBytes(StandardCharsets.US_ASCII));
-            assertNotNull(silent.requests.poll(5, TimeUnit.SECONDS));
+        try (Socket client = connect()) {
+            writeText(client, getRequest("a", 600_000));
+            assertNotNull(silent.nextRequest());
         }
-        assertTrue(silent.left.await(5, TimeUnit.SECONDS));
+        assertTrue(silent.awaitConnectionEnd());
     }
 
     @Test
-    void connectionsThatSayNothingKeepNobodyOut() throws Exception {
+    void evictsIdleConnectionsForNewClients() throws Exception {
         start(backend(OK));
-        List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < 80; i++) {
-            silent.add(new Socket("127.0.0.1", proxy.address().getPort()));
-        }
+        List<Socket> idle = connectSilent(80);
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, order("x").statusCode());
-        }
-        assertEquals(-1, silent.get(0).getInputStream().read(), "the longest idle is closed");
-        for (Socket each : silent) {
-            each.close();
+            assertEquals(200, sendNotIdempotent("x").statusCode());
         }
+        assertEquals(-1, idle.get(0).getInputStream().read(), "the longest idle is closed");
+        closeAll(idle);
     }
 
     @Test
-    void clientsThatAskOnceAndStayLeavePlacesToTheOthers() throws Exception {
+    void closesConnectionsOfClientsThatSendOnceAndStay() throws Exception {
         start(backend(OK));
-        List<Socket> stay = new ArrayList<>();
+        List<Socket> connections = new ArrayList<>();
         int closed = 0;
         for (int i = 0; i < 20; i++) {
-            String answer = askAndStay(i, stay);
-            assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
-            closed += answer.toLowerCase(Locale.ROOT).contains("connection: close") ? 1 : 0;
+            String response = sendOnNewConnection(i, connections);
+            assertTrue(response.startsWith("HTTP/1.1 200"), response);
+            closed += response.toLowerCase(Locale.ROOT).contains("connection: close") ? 1 : 0;
         }
         // Of 24 places a quarter may stand unused; beyond that few are kept to learn from.
         assertTrue(closed >= 10, "closed " + closed);
-        for (Socket each : stay) {
-            each.close();
-        }
+        closeAll(connections);
     }
 
     @Test
-    void aRequestThatComesInPiecesKeepsItsPlace() throws Exception {
+    void keepsConnectionWithPartialRequestWhenIdleOnesAreEvicted() throws Exception {
         start(backend(OK));
-        String one = "GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: look\r\n";
-        try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
-            client.getOutputStream().write(one.getBytes(StandardCharsets.US_ASCII));
-            List<Socket> silent = new ArrayList<>();
-            for (int i = 0; i < 40; i++) {
-                silent.add(new Socket("127.0.0.1", proxy.address().getPort()));
-            }
-            assertEquals(
-                    -1, silent.get(0).getInputStream().read(), "one that says nothing makes room");
-            client.getOutputStream().write("X-Expires-In-Ms: 900\r\n\r\n".getBytes(UTF_8));
-            assertTrue(read(client).startsWith("HTTP/1.1 200"));
+        String request = getRequest("a", SHORT_TIMEOUT_MILLIS);
+        int cut = request.indexOf("X-Expires-In-Ms");
+        try (Socket client = connect()) {
+            writeText(client, request.substring(0, cut));
+            List<Socket> idle = connectSilent(40);
+            assertEquals(-1, idle.get(0).getInputStream().read(), "an idle one makes room");
+            writeText(client, request.substring(cut));
+            assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
         }
     }
 
     @Test
-    void whatNeverBecomesARequestIsClosed() throws Exception {
+    void closesConnectionWhoseRequestStaysIncomplete() throws Exception {
         start(backend(OK));
-        for (String raw :
+        for (String incomplete :
                 List.of(
                         "",
                         "POST / HTTP/1.1\r\nHost: a\r\nX-",
-                        "POST / HTTP/1.1\r\n"
-                                + "Host: a\r\n"
-                                + "X-Trace-Id: a\r\n"
-                                + "X-Qos: order\r\n"
-                                + "X-Expires-In-Ms: 900\r\n"
-                                + "Content-Length: 9\r\n\r\n"
-                                + "x")) {
-            try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
-                client.setSoTimeout(20_000);
-                client.getOutputStream().write(raw.getBytes(StandardCharsets.US_ASCII));
-                assertEquals(-1, client.getInputStream().read(), raw);
+                        postHead("a", SHORT_TIMEOUT_MILLIS, "Content-Length: 9") + "x")) {
+            try (Socket client = connect(READ_TIMEOUT_MILLIS)) {
+                writeText(client, incomplete);
+                assertEquals(-1, client.getInputStream().read(), incomplete);
             }
         }
     }
 
     @Test
-    void anOpenExchangesIdIsTurnedAway() throws Exception {
-        StandIn silent = backend(SILENCE);
+    void rejectsTraceIdOfOpenRequest() throws Exception {
+        ScriptedServer silent = backend(SILENCE);
         start(silent);
-        var first = http.sendAsync(request("look").build(), HttpResponse.BodyHandlers.ofString());
-        assertNotNull(silent.requests.poll(5, TimeUnit.SECONDS));
-        assertEquals(400, look().statusCode());
-        assertEquals(503, first.get().statusCode());
-        assertEquals(503, look().statusCode(), "the id is free again");
+        var openRequest = sendAsync(request(IDEMPOTENT_CLASS));
+        assertNotNull(silent.nextRequest());
+        assertEquals(400, sendIdempotent().statusCode());
+        assertEquals(503, openRequest.get().statusCode());
+        assertEquals(503, sendIdempotent().statusCode(), "the id is free again");
     }
 
     @Test
-    void aHangUpMovesTheWatchAndABadFileDoesNot(@TempDir Path folder) throws Exception {
-        StandIn old = new StandIn(request -> request.contains("?") ? SILENCE : http(list(7, true)));
-        StandIn next =
-                new StandIn(request -> request.contains("?") ? SILENCE : http(list(3, true)));
-        Path file = Files.writeString(folder.resolve("config.json"), config(old.port(), false));
-        ProcessBuilder command =
-                new ProcessBuilder(
-                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                        "-cp",
-                        System.getProperty("java.class.path"),
-                        "lemondrift.Main",
-                        "serve");
-        command.environment().put("PROXY_CONFIG", file.toString());
-        Process child = command.redirectErrorStream(true).start();
+    void reloadMovesDiscoveryWatchUnlessFileIsInvalid(@TempDir Path folder) throws Exception {
+        ScriptedServer first = discoveryWithoutChanges(endpointList(7, true));
+        ScriptedServer second = discoveryWithoutChanges(endpointList(3, true));
+        Path file = Files.writeString(folder.resolve("config.json"), config(first.port()));
+        Process child = ProxyProcess.start(file);
         try {
             BufferedReader log = child.inputReader();
-            discovery = old;
-            awaitWatch("from=7");
+            discovery = first;
+            awaitDiscoveryRequest("from=7");
             Files.writeString(file, "nonsense");
-            hangUp(child);
-            awaitLine(log, "new configuration not used");
-            for (StandIn each : List.of(next, old)) {
-                Files.writeString(file, config(each.port(), false));
-                hangUp(child);
-                discovery = each;
-                each.requests.clear();
-                awaitWatch("from=");
+            assertEquals(0, ProxyProcess.signal(child, "HUP"));
+            ProxyProcess.awaitLine(log, "new configuration not used");
+            for (ScriptedServer next : List.of(second, first)) {
+                Files.writeString(file, config(next.port()));
+                assertEquals(0, ProxyProcess.signal(child, "HUP"));
+                discovery = next;
+                next.requests.clear();
+                awaitDiscoveryRequest("from=");
             }
-            assertTrue(old.left.await(5, TimeUnit.SECONDS), "the old watch is left");
+            assertTrue(first.awaitConnectionEnd(), "the former watch is closed");
             child.destroy();
             assertEquals(0, child.waitFor());
         } finally {
@@ -276,111 +292,99 @@
         }
     }
 
-    private static void hangUp(Process child) throws Exception {
-        assertEquals(
-                0,
-                new ProcessBuilder("kill", "-HUP", String.valueOf(child.pid())).start().waitFor());
-    }
-
     @Test
-    void requestsSentAheadAreAnsweredInTurn() throws Exception {
+    void answersPipelinedRequestsInOrder() throws Exception {
         start(backend(OK));
-        String one =
-                "GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: look\r\n"
-                        + "X-Expires-In-Ms: 900\r\n\r\n";
-        try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
-            client.getOutputStream().write((one + one + one).getBytes(StandardCharsets.US_ASCII));
+        try (Socket client = connect()) {
+            writeText(client, getRequest("a", SHORT_TIMEOUT_MILLIS).repeat(3));
             for (int i = 0; i < 3; i++) {
-                assertTrue(read(client).startsWith("HTTP/1.1 200"));
+                assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
             }
         }
     }
 
     @Test
-    void badInputIsTheClientsFault() throws Exception {
-        StandIn backend = backend(OK);
+    void rejectsInvalidRequestsWithoutForwarding() throws Exception {
+        ScriptedServer backend = backend(OK);
         start(backend);
-        HttpRequest.Builder bare = HttpRequest.newBuilder(request("look").build().uri());
-        assertEquals(400, send(bare).statusCode());
+        HttpRequest.Builder withoutFields =
+                HttpRequest.newBuilder(request(IDEMPOTENT_CLASS).build().uri());
+        assertEquals(400, send(withoutFields).statusCode());
         assertEquals(400, send(request("unheard-of")).statusCode());
-        for (String left : List.of("", "-5", "1e3", "99999999999999999999")) {
+        for (String timeout : List.of("", "-5", "1e3", "99999999999999999999")) {
             assertEquals(
                     400,
-                    send(request("look").setHeader("X-Expires-In-Ms", left)).statusCode(),
-                    left);
+                    send(request(IDEMPOTENT_CLASS).setHeader("X-Expires-In-Ms", timeout))
+                            .statusCode(),
+                    timeout);
         }
-        assertEquals(400, send(request("look").header("X-Qos", "order")).statusCode(), "twice");
-        assertEquals(400, send(request("look").setHeader("X-Trace-Id", "")).statusCode());
-        String head =
-                "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
-                        + "X-Expires-In-Ms: 900\r\n";
-        for (String raw :
+        assertEquals(
+                400,
+                send(request(IDEMPOTENT_CLASS).header("X-Qos", NOT_IDEMPOTENT_CLASS)).statusCode(),
+                "two classes");
+        assertEquals(400, send(request(IDEMPOTENT_CLASS).setHeader("X-Trace-Id", "")).statusCode());
+        for (String malformed :
                 List.of(
                         "GARBAGE\r\n\r\n",
-                        head + "Transfer-Encoding: gzip\r\n\r\n",
-                        head + "Content-Length : 1\r\nContent-Length: 1\r\n\r\nx",
-                        head
-                                + "Content-Length: 4\r\n"
-                                + "Transfer-Encoding: chunked\r\n\r\n"
-                                + "0\r\n\r\n")) {
-            try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
-                client.getOutputStream().write(raw.getBytes(StandardCharsets.US_ASCII));
-                assertTrue(read(client).startsWith("HTTP/1.1 400"), raw);
-            }
-        }
-        try (Socket client = new Socket("127.0.0.1", proxy.address().getPort())) {
-            client.getOutputStream()
-                    .write(
-                            "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"
-                                    .getBytes(StandardCharsets.US_ASCII));
-            assertTrue(read(client).startsWith("HTTP/1.1 413"));
+                        post("Transfer-Encoding: gzip"),
+                        post("Content-Length : 1\r\nContent-Length: 1") + "x",
+                        post("Content-Length: 4\r\nTransfer-Encoding: chunked") + "0\r\n\r\n")) {
+            assertTrue(responseTo(malformed).startsWith("HTTP/1.1 400"), malformed);
         }
+        assertTrue(
+                responseTo("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n")
+                        .startsWith("HTTP/1.1 413"));
         assertTrue(backend.requests.isEmpty());
         HttpRequest.BodyPublisher chunked =
                 HttpRequest.BodyPublishers.ofByteArrays(
                         IntStream.range(0, 40)
                                 .mapToObj(i -> new byte[4096])
                                 .collect(Collectors.toList()));
-        assertEquals(200, send(request("order").POST(chunked)).statusCode());
-        assertEquals(200, order("x".repeat(64 * 1024)).statusCode());
+        assertEquals(200, send(request(NOT_IDEMPOTENT_CLASS).POST(chunked)).statusCode());
+        assertEquals(200, sendNotIdempotent("x".repeat(64 * 1024)).statusCode());
+    }
+
+    private static String post(String framing) {
+        return postHead("a", SHORT_TIMEOUT_MILLIS, framing);
     }
 
     @Test
-    void anAnswerThatIsTooLargeIsABrokenOne() throws Exception {
-        String body = "x".repeat(64 * 1024 + 1);
-        start(backend(http(body).replace("200 OK", "500 Error")));
-        assertEquals(502, order("x").statusCode());
+    void failsRequestWhenErrorResponseExceedsBuffer() throws Exception {
+        String body = "x".repeat(BUFFERED_RESPONSE_BYTES + 1);
+        start(backend(okResponse(body).replace("200 OK", "500 Error")));
+        assertEquals(502, sendNotIdempotent("x").statusCode());
     }
 
     @Test
-    void oneOfAByteMoreThanIsHeldIsPassedOn() throws Exception {
-        String body = "x".repeat(64 * 1024 + 1);
-        start(backend(http(body)));
-        assertEquals(body, order("x").body());
+    void relaysResponseOneByteLongerThanBuffer() throws Exception {
+        String body = "x".repeat(BUFFERED_RESPONSE_BYTES + 1);
+        start(backend(okResponse(body)));
+        assertEquals(body, sendNotIdempotent("x").body());
     }
 
+    /** Guards against a response that is delivered to the next request on the same connection. */
     @Test
-    void whatLiesBeyondAnAnswerIsNeverTheNextOnes() throws Exception {
-        start(backend(OK + http("evil")));
+    void discardsBytesAfterTheEndOfAResponse() throws Exception {
+        start(backend(OK + okResponse("evil")));
         for (int i = 0; i < 6; i++) {
-            assertEquals("body", look().body());
+            assertEquals("body", sendIdempotent().body());
         }
     }
 
     @Test
-    void interimAnswersArePassedOver() throws Exception {
+    void skipsInterimResponses() throws Exception {
         start(
                 backend(
                         "HTTP/1.1 103 Early Hints\r\nLink: a\r\nContent-Length: 9\r\n\r\n"
                                 + "HTTP/1.1 100 Continue\r\n\r\n"
                                 + OK));
-        assertEquals("body", order("x").body());
+        assertEquals("body", sendNotIdempotent("x").body());
     }
 
     @Test
-    void anAnswerThatCanBeReadInTwoWaysIsABrokenOne() throws Exception {
+    void failsRequestWhenResponseIsAmbiguousOrMalformed() throws Exception {
         String head = "HTTP/1.1 200 OK\r\n";
-        List<String> spoilt =
+        List<String> malformed =
                 List.of(
                         head + "Content-Length: 4\r\nContent-Length: 2\r\n\r\nbody",
                         head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -391,56 +395,46 @@
                         "HTTP/1.1 200 OK\n\nbody",
                         "\u0001\u0002noise\r\n\r\n",
                         head + "X: " + "x".repeat(20_000));
-        start(
-                backend(
-                        request ->
-                                spoilt.get(
-                                        Integer.parseInt(request.replaceAll("(?s).*\r\n", "")))));
-        for (int i = 0; i < spoilt.size(); i++) {
-            assertEquals(502, order(String.valueOf(i)).statusCode(), spoilt.get(i));
+        start(backend(request -> malformed.get(Integer.parseInt(lastLine(request)))));
+        for (int i = 0; i < malformed.size(); i++) {
+            assertEquals(502, sendNotIdempotent(String.valueOf(i)).statusCode(), malformed.get(i));
         }
     }
 
+    private static ConnectionPool pool(XnioWorker worker, ConnectionPool.ConnectionBudget budget) {
+        return new ConnectionPool(
+                null,
+                worker.getIoThread(),
+                null,
+                null,
+                () -> 0,
+                budget,
+                4,
+                ConnectionPool.Quarantine.NONE);
+    }
+
     @Test
-    void aFullBudgetClosesTheOldestIdleConnectionOfAnotherPool() throws Exception {
+    void closesOldestIdleConnectionOfAnotherPoolWhenBudgetIsExhausted() throws Exception {
         XnioWorker worker = ProxyServer.worker();
         ConnectionPool.ConnectionBudget budget = new ConnectionPool.ConnectionBudget(1);
-        ConnectionPool one =
-                new ConnectionPool(
-                        null,
-                        worker.getIoThread(),
-                        null,
-                        null,
-                        () -> 0,
-                        budget,
-                        4,
-                        ConnectionPool.Quarantine.NONE);
-        ConnectionPool other =
-                new ConnectionPool(
-                        null,
-                        worker.getIoThread(),
-                        null,
-                        null,
-                        () -> 0,
-                        budget,
-                        4,
-                        ConnectionPool.Quarantine.NONE);
-        assertTrue(one.reserve());
-        ConnectionPool.PooledConnection link =
-                one.opened(worker.createFullDuplexPipeConnection().getLeftSide());
-        assertFalse(other.reserve(), "busy");
-        one.giveBackReusable(link);
-        assertTrue(other.reserve());
-        assertFalse(link.connection.isOpen());
+        ConnectionPool firstPool = pool(worker, budget);
+        ConnectionPool secondPool = pool(worker, budget);
+        assertTrue(firstPool.reserve());
+        ConnectionPool.PooledConnection pooled =
+                firstPool.opened(worker.createFullDuplexPipeConnection().getLeftSide());
+        assertFalse(secondPool.reserve(), "the only connection is in use");
+        firstPool.giveBackReusable(pooled);
+        assertTrue(secondPool.reserve());
+        assertFalse(pooled.connection.isOpen());
         worker.shutdown();
     }
 
     @Test
-    void aReportWithFiguresThatAreNoneIsNone() {
+    void ignoresLoadReportWithMissingOrInvalidValues() {
         List<String> names = List.of("queue", "util");
         assertArrayEquals(
                 new double[] {2, 0.5}, BackendClient.report("TEXT util=0.5, x=1, queue=2", names));
-        for (String bad :
+        for (String invalid :
                 List.of(
                         "",
                         "TEXT",
@@ -451,116 +445,115 @@
                         "queue=2, util=1e300",
                         "queue=2, util=",
                         "\u0001\u0002")) {
-            assertNull(BackendClient.report(bad, names), bad);
+            assertNull(BackendClient.report(invalid, names), invalid);
         }
     }
 
     @Test
-    void loadReportsDecide() throws Exception {
-        StandIn busy =
+    void choosesBackendByLoadReports() throws Exception {
+        String idleReport = "TEXT queue=0, util=0.1";
+        ScriptedServer busy =
                 backend(
                         request ->
                                 request.startsWith("GET /load")
-                                        ? http("TEXT queue=9, util=1.0")
+                                        ? okResponse("TEXT queue=9, util=1.0")
                                         : OK);
-        StandIn idle =
+        ScriptedServer idle =
                 backend(
                         request ->
                                 request.startsWith("GET /load")
-                                        ? http("TEXT queue=0, util=0.1")
+                                        ? okResponse(idleReport)
                                         : OK.replace(
                                                 "\r\nC",
-                                                "\r\n"
-                                                        + "Endpoint-Load-Metrics: TEXT queue=0,"
-                                                        + " util=0.1\r\n"
-                                                        + "C"));
-        start(true, busy.port(), idle.port());
+                                                "\r\nEndpoint-Load-Metrics: "
+                                                        + idleReport
+                                                        + "\r\nC"));
+        probes = true;
+        start(busy, idle);
         for (int i = 0; i < 10; i++) {
-            assertEquals(200, order("x").statusCode());
+            assertEquals(200, sendNotIdempotent("x").statusCode());
         }
         assertEquals(10, idle.requests.size());
     }
 
     @Test
-    void aDrainToldTakesEffectAndNonsenseIsSurvived() throws Exception {
-        StandIn first = backend(OK);
-        StandIn second = backend(OK);
-        start(first, second);
-        while (first.requests.isEmpty()) {
-            assertEquals(200, look().statusCode());
+    void appliesDrainingBackendAndIgnoresMalformedLists() throws Exception {
+        ScriptedServer draining = backend(OK);
+        ScriptedServer ready = backend(OK);
+        start(draining, ready);
+        while (draining.requests.isEmpty()) {
+            assertEquals(200, sendIdempotent().statusCode());
         }
-        second.requests.clear();
-        news.add(http("{\"revision\":2}"));
-        news.add(http("nonsense"));
-        news.add(
-                http(
-                        list(
+        ready.requests.clear();
+        discoveryUpdates.add(okResponse("{\"revision\":2}"));
+        discoveryUpdates.add(okResponse("nonsense"));
+        discoveryUpdates.add(
+                okResponse(
+                        endpointList(
                                 3,
                                 false,
                                 "{\"id\":\"s-9\",\"phase\":\"active\"}",
-                                member(0, first.port(), "leaving"))));
-        news.add(SILENCE);
-        awaitWatch("from=3");
+                                member(0, draining.port(), "leaving"))));
+        discoveryUpdates.add(SILENCE);
+        awaitDiscoveryRequest("from=3");
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, order("x").statusCode());
+            assertEquals(200, sendNotIdempotent("x").statusCode());
         }
-        assertEquals(6, second.requests.size());
-        assertTrue(first.left.await(5, TimeUnit.SECONDS), "its idle connections are closed");
+        assertEquals(6, ready.requests.size());
+        assertTrue(draining.awaitConnectionEnd(), "idle connections to it are closed");
     }
 
     @Test
-    void whereListsComeOnRequestTheDecisionsAskEvenIfNoneIsKnown() throws Exception {
-        lists = "on_request";
+    void pollsEndpointListWhenNoneIsKnown() throws Exception {
+        membershipMode = "on_request";
         start(backend(OK));
-        assertEquals(200, order("x").statusCode());
+        assertEquals(200, sendNotIdempotent("x").statusCode());
     }
 
     @Test
-    void aDrainTakesNewClientsAnswersAllAndStops() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        StandIn backend = backend(go);
+    void drainAcceptsClientsAnswersAllRequestsAndStops() throws Exception {
+        CountDownLatch mayRespond = new CountDownLatch(1);
+        ScriptedServer backend = backend(mayRespond);
         start(backend);
-        var before = http.sendAsync(request("look").build(), HttpResponse.BodyHandlers.ofString());
-        assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
-        int port = proxy.address().getPort();
-        Thread drain = drains();
-        var late =
-                http.sendAsync(
-                        request("look").setHeader("X-Trace-Id", "late").build(),
-                        HttpResponse.BodyHandlers.ofString());
-        go.countDown();
-        assertEquals(200, before.get().statusCode());
-        assertEquals(200, late.get().statusCode());
-        assertEquals("close", late.get().headers().firstValue("Connection").orElse(""));
+        var openRequest = sendAsync(request(IDEMPOTENT_CLASS));
+        assertNotNull(backend.nextRequest());
+        int port = proxyPort();
+        Thread drain = startDrain();
+        var lateRequest = sendAsync(request(IDEMPOTENT_CLASS).setHeader("X-Trace-Id", "late"));
+        mayRespond.countDown();
+        assertEquals(200, openRequest.get().statusCode());
+        assertEquals(200, lateRequest.get().statusCode());
+        assertEquals("close", lateRequest.get().headers().firstValue("Connection").orElse(""));
         drain.join();
         assertEquals(ProxyServer.Phase.STOPPED, proxy.phase());
         assertThrows(IOException.class, () -> new Socket("127.0.0.1", port).close());
     }
 
     @Test
-    void badConfigurationIsOneLineAndExitOne(@TempDir Path folder) throws Exception {
-        List<String> bad =
+    void invalidConfigurationPrintsOneLineAndExitsWithOne(@TempDir Path folder) throws Exception {
+        List<String> invalid =
                 List.of(
                         "",
                         "[]",
                         "{",
                         "{\"listen\":\"nowhere\"}",
                         "{\"listen\":3,\"settings\":{}}",
-                        config(1, false).replace("retryable", "dubious"),
-                        config(1, false).replace("8c1f", "wxyz"));
-        for (String text : bad) {
+                        config(UNUSED_PORT).replace("retryable", "dubious"),
+                        config(UNUSED_PORT).replace("8c1f", "wxyz"));
+        for (String text : invalid) {
             Path file = Files.writeString(folder.resolve("config.json"), text);
-            ByteArrayOutputStream err = new ByteArrayOutputStream();
+            ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
             assertEquals(
                     1,
                     ProxyLauncher.run(
-                            Map.of("PROXY_CONFIG", file.toString()), new PrintStream(err)),
+                            Map.of("PROXY_CONFIG", file.toString()), new PrintStream(errorOutput)),
                     text);
             assertEquals(
                     1,
                     ProxyLauncher.check(Map.of("PROXY_CONFIG", file.toString()), System.err),
                     text);
-            assertEquals(1, err.toString(UTF_8).lines().count(), err.toString(UTF_8));
+            assertEquals(
+                    1, errorOutput.toString(UTF_8).lines().count(), errorOutput.toString(UTF_8));
         }
         assertEquals(1, ProxyLauncher.run(Map.of(), new PrintStream(new ByteArrayOutputStream())));
     }
