--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -1,5 +1,21 @@
 package lemondrift.proxy;
 
+import static lemondrift.proxy.DaemonThreads.startDaemon;
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
+import static lemondrift.proxy.DiscoveryMessages.member;
+import static lemondrift.proxy.HttpMessages.NEVER_EXECUTED;
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.HttpMessages.getRequest;
+import static lemondrift.proxy.HttpMessages.okResponse;
+import static lemondrift.proxy.HttpMessages.postHead;
+import static lemondrift.proxy.HttpMessages.readMessage;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.ScriptedServer.CLOSE;
+import static lemondrift.proxy.ScriptedServer.SILENCE;
+import static lemondrift.proxy.TestConfig.IDEMPOTENT_CLASS;
+import static lemondrift.proxy.TestConfig.LATENCY_OBJECTIVE_MILLIS;
+import static lemondrift.proxy.TestConfig.NOT_IDEMPOTENT_CLASS;
+import static lemondrift.proxy.TestConfig.TIMEOUT_MILLIS;
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,10 +28,10 @@
 import com.google.gson.JsonParser;
 import java.io.IOException;
 import java.net.InetAddress;
+import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Queue;
@@ -37,556 +53,577 @@
  * list.
  */
 class RaceConditionsTest extends LoopbackFixture {
+    /** Milliseconds after which a response counts as missing. */
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
+
+    /** The timeout of a client that waits longer than any class lets it, in milliseconds. */
+    private static final int CLIENT_TIMEOUT_MILLIS = 60_000;
+
+    /** Nanoseconds after which a state counts as not reached. */
+    private static final long STATE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
+
+    /** Time between two looks at the state. */
+    private static final long STATE_POLL_MILLIS = 2;
+
+    /** Seconds after which a thread that is asked for its state counts as stuck. */
+    private static final long THREAD_TIMEOUT_SECONDS = 5;
+
+    /** Seconds after which a thread that a test blocks goes on by itself. */
+    private static final long BLOCK_TIMEOUT_SECONDS = 20;
+
+    /** Seconds after which a response to a request sent by the HTTP client counts as missing. */
+    private static final long RESPONSE_TIMEOUT_SECONDS = 10;
+
+    /** The declared length of a body that is streamed to the backend, in bytes. */
+    private static final int STREAMED_BODY_BYTES = 1_000_000;
+
+    /** How much of a streamed body is sent, in bytes. */
+    private static final int SENT_BODY_BYTES = 400_000;
+
     private boolean mayCancel = true;
-    private int contractTime = 1500;
-    private int expiry = 4000;
+    private int latencyObjectiveMillis = LATENCY_OBJECTIVE_MILLIS;
+    private int timeoutMillis = TIMEOUT_MILLIS;
 
     @Override
-    String config(int discovery, boolean probes) {
-        return super.config(discovery, probes)
-                .replace("\"mayCancel\":true", "\"mayCancel\":" + mayCancel)
-                .replace("\"sockets\":64", "\"sockets\":1024")
-                .replace("\"connectTimeout\":250", "\"connectTimeout\":5000")
-                .replace("\"contractTime\":1500", "\"contractTime\":" + contractTime)
-                .replace("\"expiry\":4000", "\"expiry\":" + expiry);
+    protected String config(int discoveryPort) {
+        String json =
+                super.config(discoveryPort)
+                        .replace("\"mayCancel\":true", "\"mayCancel\":" + mayCancel)
+                        .replace("\"connectTimeout\":250", "\"connectTimeout\":5000");
+        return TestConfig.withClassTimes(
+                TestConfig.withSockets(json, 1024), latencyObjectiveMillis, timeoutMillis);
     }
 
     private Socket client() throws IOException {
-        Socket client = new Socket("127.0.0.1", proxy.address().getPort());
-        client.setSoTimeout(10_000);
-        return client;
+        return connect(READ_TIMEOUT_MILLIS);
+    }
+
+    private static String get(String traceId) {
+        return getRequest(traceId, CLIENT_TIMEOUT_MILLIS);
     }
 
-    private static String get(String trace) {
-        return "GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
-                + trace
-                + "\r\nX-Qos: look\r\nX-Expires-In-Ms: 60000\r\n\r\n";
+    /** A request of which some of the body is missing. */
+    private static String partialPost(
+            String traceId, int clientTimeoutMillis, int declaredBytes, int sentBytes) {
+        return postHead(traceId, clientTimeoutMillis, "Content-Length: " + declaredBytes)
+                + "x".repeat(sentBytes);
     }
 
-    private static void write(Socket to, String text) throws IOException {
-        to.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void assertResponseStartsWith(String start, Socket client) throws IOException {
+        String response = readMessage(client);
+        assertTrue(response != null && response.startsWith(start), String.valueOf(response));
+    }
+
+    private ProxyServer.InFlight inFlight() throws Exception {
+        return proxy.inFlight().get(THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /** Waits for a state that is to be reached at last. */
-    private ProxyServer.InFlight await(Predicate<ProxyServer.InFlight> state) throws Exception {
-        ProxyServer.InFlight now = proxy.inFlight().get(5, TimeUnit.SECONDS);
-        for (long until = System.nanoTime() + 10_000_000_000L; !state.test(now); Thread.sleep(2)) {
-            assertTrue(System.nanoTime() < until, "not reached, but " + now);
-            now = proxy.inFlight().get(5, TimeUnit.SECONDS);
+    private void awaitInFlight(Predicate<ProxyServer.InFlight> state) throws Exception {
+        ProxyServer.InFlight now = inFlight();
+        for (long deadline = System.nanoTime() + STATE_TIMEOUT_NANOS;
+                !state.test(now);
+                Thread.sleep(STATE_POLL_MILLIS)) {
+            assertTrue(System.nanoTime() < deadline, "not reached, but " + now);
+            now = inFlight();
+        }
+    }
+
+    private void awaitNothingInFlight() throws Exception {
+        awaitInFlight(new ProxyServer.InFlight(0, 0, 0, 0)::equals);
+    }
+
+    /** Waits until both threads have handled what they were given before. */
+    private void awaitQueuedTasks() throws Exception {
+        awaitInFlight(now -> true);
+    }
+
+    private long requestsOnIoThread() throws Exception {
+        CompletableFuture<Long> requests = new CompletableFuture<>();
+        proxy.runOnIoThread(
+                () -> requests.complete(proxy.adminOperations().metrics().requestsInFlight()));
+        return requests.get(THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    }
+
+    /** Waits until the I/O thread sees so many open requests, whatever the decision loop does. */
+    private void awaitRequestsOnIoThread(int count) throws Exception {
+        long deadline = System.nanoTime() + STATE_TIMEOUT_NANOS;
+        while (requestsOnIoThread() != count) {
+            assertTrue(System.nanoTime() < deadline);
         }
-        return now;
     }
 
-    private void nothingIsInHand() throws Exception {
-        await(new ProxyServer.InFlight(0, 0, 0, 0)::equals);
+    private static void awaitLatch(CountDownLatch latch) {
+        try {
+            assertTrue(latch.await(BLOCK_TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
     }
 
-    private void lateConnections() throws IOException {
-        dial = new LateDial(ProxyServer.worker());
+    /** Blocks the decision loop until the latch is released. */
+    private CountDownLatch blockDecisionLoop() {
+        CountDownLatch release = new CountDownLatch(1);
+        proxy.runOnLoop(() -> awaitLatch(release));
+        return release;
     }
 
-    private void letUp(LateDial.Up connection) {
-        assertNotNull(connection, "none waits");
-        proxy.runOnIoThread(connection.run());
+    private void holdConnections() throws IOException {
+        heldConnector = new HeldConnector(ProxyServer.worker());
     }
 
-    /** Nothing was sent on the one connection that came up, and it is closed. */
-    private static void sawNothing(StandIn backend) throws Exception {
-        assertTrue(backend.left.await(5, TimeUnit.SECONDS), "its connection is closed");
+    private void release(HeldConnector.HeldConnection connection) {
+        assertNotNull(connection, "no connection is held");
+        proxy.runOnIoThread(connection.release());
+    }
+
+    /** The one connection that was opened is closed, and nothing was sent on it. */
+    private static void assertReceivedNothing(ScriptedServer backend) throws Exception {
+        assertTrue(backend.awaitConnectionEnd(), "the connection is closed");
         assertTrue(backend.requests.isEmpty(), backend.requests.toString());
     }
 
+    /** Leaves a connection to a backend that is reused by the next request. */
+    private void openReusableConnection(ScriptedServer backend) throws Exception {
+        assertEquals(200, sendIdempotent().statusCode(), "a connection to be reused");
+        backend.requests.clear();
+    }
+
     // A client that left while its request waited.
 
     @Test
-    void whoLeftWhileAConnectionCameUpIsNotSentOnThoughNothingMayBeCalledOff() throws Exception {
+    void doesNotSendWhenClientLeavesDuringConnectAndCancellationIsOff() throws Exception {
         mayCancel = false;
-        lateConnections();
-        StandIn backend = backend(SILENCE);
+        holdConnections();
+        ScriptedServer backend = backend(SILENCE);
         start(backend);
-        LateDial.Up up;
+        HeldConnector.HeldConnection connection;
         try (Socket client = client()) {
-            write(client, get("a"));
-            up = dial.next();
+            writeText(client, get("a"));
+            connection = heldConnector.next();
         }
-        await(now -> now.connections() == 0);
-        letUp(up);
-        sawNothing(backend);
-        nothingIsInHand();
+        awaitInFlight(now -> now.connections() == 0);
+        release(connection);
+        assertReceivedNothing(backend);
+        awaitNothingInFlight();
     }
 
     @Test
-    void whoLeftBeforeItsForwardWasDecidedIsNotSentOn() throws Exception {
+    void doesNotSendWhenClientLeavesBeforeTheDecision() throws Exception {
         mayCancel = false;
-        StandIn backend = backend(OK);
+        ScriptedServer backend = backend(OK);
         start(backend);
-        assertEquals(200, look().statusCode(), "a connection to be used again");
-        backend.requests.clear();
-        CountDownLatch decides = new CountDownLatch(1);
-        proxy.runOnLoop(() -> awaits(decides));
+        openReusableConnection(backend);
+        CountDownLatch mayDecide = blockDecisionLoop();
         try (Socket client = client()) {
-            write(client, get("b"));
-            awaitOnIo(1);
+            writeText(client, get("b"));
+            awaitRequestsOnIoThread(1);
         }
-        awaitOnIo(0);
-        decides.countDown();
-        nothingIsInHand();
-        assertEquals(200, look().statusCode());
+        awaitRequestsOnIoThread(0);
+        mayDecide.countDown();
+        awaitNothingInFlight();
+        assertEquals(200, sendIdempotent().statusCode());
         assertFalse(backend.requests.take().contains("X-Trace-Id: b"));
         assertTrue(backend.requests.isEmpty());
     }
 
-    private static void awaits(CountDownLatch latch) {
-        try {
-            assertTrue(latch.await(20, TimeUnit.SECONDS));
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
-
-    private long concurrent() throws Exception {
-        CompletableFuture<Long> told = new CompletableFuture<>();
-        proxy.runOnIoThread(
-                () -> told.complete(proxy.adminOperations().metrics().requestsInFlight()));
-        return told.get(5, TimeUnit.SECONDS);
-    }
-
-    /** So many clients have an exchange open as the I/O thread sees it, whatever the owner does. */
-    private void awaitOnIo(int visitors) throws Exception {
-        long until = System.nanoTime() + 10_000_000_000L;
-        while (concurrent() != visitors) {
-            assertTrue(System.nanoTime() < until);
-        }
-    }
-
     @Test
-    void whoSentItsNextRequestAheadAndLeftIsNoticed() throws Exception {
-        contractTime = expiry = 60_000;
-        StandIn backend = backend(SILENCE);
+    void endsRequestWhenClientLeavesAfterPipeliningMore() throws Exception {
+        setClassTimes(60_000);
+        ScriptedServer backend = backend(SILENCE);
         start(backend);
-        for (String ahead :
+        for (String pipelined :
                 new String[] {"G", get("next").substring(0, 60), get("next") + get("third")}) {
             try (Socket client = client()) {
-                write(client, get("a"));
-                assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
-                write(client, ahead);
+                writeText(client, get("a"));
+                assertNotNull(backend.nextRequest());
+                writeText(client, pipelined);
             }
-            nothingIsInHand();
+            awaitNothingInFlight();
         }
         try (Socket client = client()) {
-            write(client, get("a") + get("in one piece"));
-            assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
+            writeText(client, get("a") + get("in one piece"));
+            assertNotNull(backend.nextRequest());
         }
-        nothingIsInHand();
+        awaitNothingInFlight();
         Socket reset = client();
-        write(reset, get("a"));
-        assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
-        write(reset, "GE");
+        writeText(reset, get("a"));
+        assertNotNull(backend.nextRequest());
+        writeText(reset, "GE");
         reset.setSoLinger(true, 0);
         reset.close();
-        nothingIsInHand();
-        assertTrue(backend.requests.isEmpty(), "none of what was sent ahead: " + backend.requests);
+        awaitNothingInFlight();
+        assertTrue(
+                backend.requests.isEmpty(),
+                "no pipelined request was forwarded: " + backend.requests);
+    }
+
+    private void setClassTimes(int millis) {
+        latencyObjectiveMillis = millis;
+        timeoutMillis = millis;
     }
 
     @Test
-    void whatIsSentAheadInPiecesIsStillAnsweredInTurn() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        StandIn backend = backend(go);
+    void answersPipelinedRequestsInOrderWhenTheyArriveInPieces() throws Exception {
+        int pieceBytes = 37;
+        CountDownLatch mayRespond = new CountDownLatch(1);
+        ScriptedServer backend = backend(mayRespond);
         start(backend);
         try (Socket client = client()) {
-            write(client, get("a"));
-            assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
-            String two = get("b") + get("c");
-            for (int i = 0; i < two.length(); i += 37) {
-                write(client, two.substring(i, Math.min(two.length(), i + 37)));
+            writeText(client, get("a"));
+            assertNotNull(backend.nextRequest());
+            String pipelined = get("b") + get("c");
+            for (int at = 0; at < pipelined.length(); at += pieceBytes) {
+                writeText(
+                        client,
+                        pipelined.substring(at, Math.min(pipelined.length(), at + pieceBytes)));
             }
-            // One of another client that is answered after what was sent ahead has been read.
-            go.countDown();
+            mayRespond.countDown();
             for (int i = 0; i < 3; i++) {
-                assertTrue(read(client).startsWith("HTTP/1.1 200"));
+                assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
             }
         }
-        nothingIsInHand();
+        awaitNothingInFlight();
     }
 
     @Test
-    void whoLeftInTheMiddleOfALongBodyKeepsNoForwardOut() throws Exception {
+    void closesBackendConnectionWhenClientLeavesDuringUpload() throws Exception {
         mayCancel = false;
-        StandIn backend = backend(SILENCE);
+        ScriptedServer backend = backend(SILENCE);
         start(backend);
         try (Socket client = client()) {
-            write(
-                    client,
-                    "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
-                            + "X-Expires-In-Ms: 4000\r\nContent-Length: 1000000\r\n\r\n"
-                            + "x".repeat(400_000));
-            await(now -> now.calls() == 1);
+            writeText(
+                    client, partialPost("a", TIMEOUT_MILLIS, STREAMED_BODY_BYTES, SENT_BODY_BYTES));
+            awaitInFlight(now -> now.calls() == 1);
         }
-        nothingIsInHand();
-        assertTrue(backend.left.await(5, TimeUnit.SECONDS), "its connection is closed");
+        awaitNothingInFlight();
+        assertTrue(backend.awaitConnectionEnd(), "the connection is closed");
         assertTrue(
-                backend.requests.take().length() < 1_000_000,
-                "cut short, so that it has not begun");
+                backend.requests.take().length() < STREAMED_BODY_BYTES,
+                "cut short, so that it is not executed");
     }
 
-    /** Each at another step: the id is free again, and nothing of it is left anywhere. */
+    /** Guards against a trace id or any other state that is kept after its client has left. */
     @Test
-    void whateverClientsLeaveAtNothingIsLeftOfThem() throws Exception {
-        start(backend(OK), backend(CLOSE), backend(NEVER_RAN));
+    void releasesAllStateWhenClientsLeaveAtRandomSteps() throws Exception {
+        start(backend(OK), backend(CLOSE), backend(NEVER_EXECUTED));
         List<Thread> clients = new ArrayList<>();
-        Queue<Exception> failed = new ConcurrentLinkedQueue<>();
-        for (int i = 0; i < 6; i++) {
-            Random chance = new Random(i);
-            String trace = "same-" + i / 2;
+        Queue<Exception> failures = new ConcurrentLinkedQueue<>();
+        for (int clientNumber = 0; clientNumber < 6; clientNumber++) {
+            Random random = new Random(clientNumber);
+            String traceId = "same-" + clientNumber / 2;
             clients.add(
                     new Thread(
                             () -> {
                                 try {
-                                    for (int n = 0; n < 40; n++) {
-                                        leaves(chance, trace);
+                                    for (int i = 0; i < 40; i++) {
+                                        leaveAtRandomStep(random, traceId);
                                     }
                                 } catch (Exception e) {
-                                    failed.add(e);
+                                    failures.add(e);
                                 }
                             }));
         }
         clients.forEach(Thread::start);
-        for (Thread each : clients) {
-            each.join();
+        for (Thread client : clients) {
+            client.join();
         }
-        assertEquals(List.of(), List.copyOf(failed));
-        nothingIsInHand();
+        assertEquals(List.of(), List.copyOf(failures));
+        awaitNothingInFlight();
         // What a client sent before it left may be read after such a look; what is left behind
         // stays.
-        awaitOnIo(0);
+        awaitRequestsOnIoThread(0);
         for (int i = 0; i < 3; i++) {
-            int status = send(request("look").setHeader("X-Trace-Id", "same-" + i)).statusCode();
+            int status =
+                    send(request(IDEMPOTENT_CLASS).setHeader("X-Trace-Id", "same-" + i))
+                            .statusCode();
             assertNotEquals(400, status, "the id is free");
         }
     }
 
-    private void leaves(Random chance, String trace) throws IOException {
+    private void leaveAtRandomStep(Random random, String traceId) throws IOException {
         try (Socket client = client()) {
-            String post =
-                    "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
-                            + trace
-                            + "\r\nX-Qos: order\r\n"
-                            + "X-Expires-In-Ms: 4000\r\nContent-Length: 300000\r\n\r\n"
-                            + "x".repeat(290_000);
-            switch (chance.nextInt(6)) {
-                case 0 -> write(client, get(trace));
-                case 1 -> write(client, get(trace) + get(trace + "-ahead"));
-                case 2 -> write(client, post);
+            switch (random.nextInt(6)) {
+                case 0 -> writeText(client, get(traceId));
+                case 1 -> writeText(client, get(traceId) + get(traceId + "-ahead"));
+                case 2 -> writeText(client, partialPost(traceId, TIMEOUT_MILLIS, 300_000, 290_000));
                 case 3 -> {
-                    write(client, get(trace));
-                    read(client);
+                    writeText(client, get(traceId));
+                    readMessage(client);
                 }
-                case 4 -> write(client, get(trace).substring(0, 50));
+                case 4 -> writeText(client, get(traceId).substring(0, 50));
                 default -> {
-                    write(client, get(trace));
+                    writeText(client, get(traceId));
                     client.setSoLinger(true, 0);
                 }
             }
         }
     }
 
-    // Time that has passed, and lists, while a forward waits.
+    // Time that has passed, and lists, while an attempt waits.
 
     @Test
-    void whatComesUpAfterTheContractTimeIsNotSent() throws Exception {
-        contractTime = 300;
-        lateConnections();
-        StandIn backend = backend(SILENCE);
+    void doesNotSendWhenConnectionOpensAfterAttemptDeadline() throws Exception {
+        latencyObjectiveMillis = 300;
+        holdConnections();
+        ScriptedServer backend = backend(SILENCE);
         start(backend);
-        var answer =
-                http.sendAsync(
-                        request("order").build(),
-                        java.net.http.HttpResponse.BodyHandlers.ofString());
-        LateDial.Up up = dial.next();
+        var response = sendAsync(request(NOT_IDEMPOTENT_CLASS));
+        HeldConnector.HeldConnection connection = heldConnector.next();
         proxy.runOnIoThread(
                 () -> {
                     // The I/O thread stands still until the time is over; no timer runs before the
-                    // connection is up.
+                    // connection is open.
                     try {
                         Thread.sleep(400);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
-                    up.run().run();
+                    connection.release().run();
                 });
-        sawNothing(backend);
-        assertEquals(503, answer.get(10, TimeUnit.SECONDS).statusCode(), "it never ran");
-        nothingIsInHand();
+        assertReceivedNothing(backend);
+        assertEquals(
+                503,
+                response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode(),
+                "it was never executed");
+        awaitNothingInFlight();
     }
 
-    /** Danger: what is decided meanwhile is done before the closes are read that came meanwhile. */
+    /** Guards against an attempt sent before the I/O thread has read that its client closed. */
     @Test
-    void whoLeavesWhileTheSocketsAreHeldUpIsNotSentOn() throws Exception {
+    void doesNotSendWhenClientLeavesWhileIoThreadIsBlocked() throws Exception {
         mayCancel = false;
-        StandIn backend = backend(OK);
+        ScriptedServer backend = backend(OK);
         start(backend);
-        assertEquals(200, look().statusCode(), "a connection to be used again");
-        backend.requests.clear();
-        CountDownLatch decides = new CountDownLatch(1);
-        CountDownLatch left = new CountDownLatch(1);
-        proxy.runOnLoop(() -> awaits(decides));
+        openReusableConnection(backend);
+        CountDownLatch mayDecide = blockDecisionLoop();
+        CountDownLatch clientLeft = new CountDownLatch(1);
         try (Socket client = client()) {
-            write(client, get("b"));
-            awaitOnIo(1);
+            writeText(client, get("b"));
+            awaitRequestsOnIoThread(1);
             proxy.runOnIoThread(
                     () -> {
-                        awaits(left);
-                        decides.countDown();
+                        awaitLatch(clientLeft);
+                        mayDecide.countDown();
                         // Nothing is read until the attempt has been decided and is to be made.
                         CountDownLatch decided = new CountDownLatch(1);
                         proxy.runOnLoop(decided::countDown);
-                        awaits(decided);
+                        awaitLatch(decided);
                     });
         }
-        left.countDown();
-        nothingIsInHand();
-        assertTrue(backend.requests.isEmpty(), "its client had gone");
+        clientLeft.countDown();
+        awaitNothingInFlight();
+        assertTrue(backend.requests.isEmpty(), "the client had left");
     }
 
-    /**
-     * Danger: a backend works on for a client that has long gone, by a time that passed in a
-     * handshake.
-     */
+    /** Guards against a backend that works on after the deadline by the time of a handshake. */
     @Test
-    void theTimeToldToABackendIsWhatIsLeftWhenItsConnectionIsUp() throws Exception {
-        lateConnections();
-        StandIn backend = backend(OK);
+    void sendsRemainingTimeWhenConnectionOpensLate() throws Exception {
+        int handshakeMillis = 600;
+        holdConnections();
+        ScriptedServer backend = backend(OK);
         start(backend);
-        var answer =
-                http.sendAsync(
-                        request("look").build(),
-                        java.net.http.HttpResponse.BodyHandlers.ofString());
-        LateDial.Up up = dial.next();
-        Thread.sleep(600);
-        letUp(up);
-        assertEquals(200, answer.get(10, TimeUnit.SECONDS).statusCode());
-        String told =
+        var response = sendAsync(request(IDEMPOTENT_CLASS));
+        HeldConnector.HeldConnection connection = heldConnector.next();
+        Thread.sleep(handshakeMillis);
+        release(connection);
+        assertEquals(200, response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode());
+        String remainingMillis =
                 backend.requests.take().replaceFirst("(?s).*X-Expires-In-Ms: (\\d+)\r\n.*", "$1");
-        assertTrue(Integer.parseInt(told) <= contractTime - 600, told);
+        assertTrue(
+                Integer.parseInt(remainingMillis) <= latencyObjectiveMillis - handshakeMillis,
+                remainingMillis);
     }
 
-    /** Danger: a request is owed its answer in time, whatever the decisions are busy with. */
+    /** Guards against a response that is late because the decision loop is busy. */
     @Test
-    void whoTheDecisionsLeaveOpenAtItsExpiryIsFailedAndNeverSent() throws Exception {
-        expiry = 500;
-        contractTime = 400;
-        StandIn backend = backend(OK);
+    void failsRequestAtDeadlineWhenDecisionLoopIsBlocked() throws Exception {
+        timeoutMillis = 500;
+        latencyObjectiveMillis = 400;
+        ScriptedServer backend = backend(OK);
         start(backend);
-        CountDownLatch decides = new CountDownLatch(1);
-        proxy.runOnLoop(() -> awaits(decides));
+        CountDownLatch mayDecide = blockDecisionLoop();
         try (Socket client = client()) {
-            write(client, get("a").replace("60000", "300"));
+            writeText(client, getRequest("a", 300));
             assertTrue(
-                    read(client).startsWith("HTTP/1.1 502"),
-                    "no promise, as it may have been sent");
-            decides.countDown();
-            nothingIsInHand();
+                    readMessage(client).startsWith("HTTP/1.1 502"),
+                    "failed and not rejected, as it may have been sent");
+            mayDecide.countDown();
+            awaitNothingInFlight();
             assertTrue(backend.requests.isEmpty());
         }
     }
 
     @Test
-    void whatWaitedForAConnectionWhenItsBackendLeftGoesElsewhere() throws Exception {
-        toldWhileOneWaits(port -> port, "leaving");
+    void sendsElsewhereWhenBackendDrainsDuringConnect() throws Exception {
+        assertSentElsewhereAfterListDuringConnect(port -> port, "leaving");
     }
 
     @Test
-    void whatWaitedForAConnectionWhenItsBackendMovedDoesNotReachWhoeverIsThereNow()
-            throws Exception {
-        int place = backend(OK).port();
-        toldWhileOneWaits(port -> place, "active");
+    void doesNotSendToFormerAddressWhenBackendMovesDuringConnect() throws Exception {
+        int newPort = backend(OK).port();
+        assertSentElsewhereAfterListDuringConnect(port -> newPort, "active");
     }
 
-    /** The list tells something of a backend while a forward to it waits for its connection. */
-    private void toldWhileOneWaits(IntUnaryOperator port, String phase) throws Exception {
-        lateConnections();
-        StandIn first = backend(OK);
-        StandIn second = backend(OK);
+    /** A list changes a backend while an attempt waits for its connection to it. */
+    private void assertSentElsewhereAfterListDuringConnect(
+            IntUnaryOperator newPort, String newPhase) throws Exception {
+        holdConnections();
+        ScriptedServer first = backend(OK);
+        ScriptedServer second = backend(OK);
         start(first, second);
-        var answer =
-                http.sendAsync(
-                        request("order").build(),
-                        java.net.http.HttpResponse.BodyHandlers.ofString());
-        LateDial.Up up = dial.next();
-        StandIn told = up.to().getPort() == first.port() ? first : second;
-        news.add(
-                http(
-                        list(
+        var response = sendAsync(request(NOT_IDEMPOTENT_CLASS));
+        HeldConnector.HeldConnection connection = heldConnector.next();
+        ScriptedServer changed = connection.address().getPort() == first.port() ? first : second;
+        discoveryUpdates.add(
+                okResponse(
+                        endpointList(
                                 2,
                                 false,
                                 member(
-                                        told == first ? 0 : 1,
-                                        port.applyAsInt(told.port()),
-                                        phase))));
-        awaitWatch("from=2");
-        await(now -> true);
-        letUp(up);
-        letUp(dial.next());
-        assertEquals(200, answer.get(10, TimeUnit.SECONDS).statusCode());
-        assertTrue(told.requests.isEmpty(), "told before its first byte");
-        nothingIsInHand();
+                                        changed == first ? 0 : 1,
+                                        newPort.applyAsInt(changed.port()),
+                                        newPhase))));
+        awaitDiscoveryRequest("from=2");
+        awaitQueuedTasks();
+        release(connection);
+        release(heldConnector.next());
+        assertEquals(200, response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode());
+        assertTrue(changed.requests.isEmpty(), "the list came before the first byte was sent");
+        awaitNothingInFlight();
     }
 
-    // A forward's one end.
+    // The end of an attempt.
 
     @Test
-    void aForwardThatCannotBeBegunEndsOnce() throws Exception {
-        dial =
-                new LateDial(ProxyServer.worker()) {
+    void endsAttemptOnceWhenConnectorThrows() throws Exception {
+        heldConnector =
+                new HeldConnector(ProxyServer.worker()) {
                     @Override
                     public IoFuture<StreamConnection> open(
-                            java.net.InetSocketAddress to,
-                            ChannelListener<StreamConnection> opened) {
-                        throw new IllegalStateException("made up");
+                            InetSocketAddress address, ChannelListener<StreamConnection> opened) {
+                        throw new IllegalStateException("thrown by the test");
                     }
                 };
         start(backend(OK));
-        assertEquals(503, look().statusCode());
-        assertEquals(
-                0,
-                proxy.inFlight().get(5, TimeUnit.SECONDS).calls(),
-                "none ends again with its timers");
-        nothingIsInHand();
+        assertEquals(503, sendIdempotent().statusCode());
+        assertEquals(0, inFlight().calls(), "none ends again with its timers");
+        awaitNothingInFlight();
     }
 
-    // Shutdown.
+    // Graceful shutdown.
 
     @Test
-    void aRequestThatWaitsUnreadWhenADrainEndsIsAnswered() throws Exception {
-        contractTime = expiry = 60_000;
+    void answersUnreadRequestWhenDrainEnds() throws Exception {
+        setClassTimes(60_000);
         start(backend(OK));
-        assertEquals(200, look().statusCode());
-        CountDownLatch still = new CountDownLatch(1);
-        proxy.runOnIoThread(() -> awaits(still));
+        assertEquals(200, sendIdempotent().statusCode());
+        CountDownLatch mayRead = new CountDownLatch(1);
+        proxy.runOnIoThread(() -> awaitLatch(mayRead));
         try (Socket client = client()) {
-            write(client, get("a"));
-            Thread drain = drains();
+            writeText(client, get("a"));
+            Thread drain = startDrain();
             drain.join(1500);
-            still.countDown();
-            String answer = read(client);
-            assertTrue(answer != null && answer.startsWith("HTTP/1.1 200"), String.valueOf(answer));
+            mayRead.countDown();
+            assertResponseStartsWith("HTTP/1.1 200", client);
             drain.join();
         }
     }
 
     @Test
-    void aRequestHalfComeWhenADrainBeginsIsAnswered() throws Exception {
+    void answersPartialRequestThatIsCompletedDuringDrain() throws Exception {
         start(backend(OK));
-        String whole =
-                "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
-                        + "X-Expires-In-Ms: 4000\r\nContent-Length: 4\r\n\r\nbody";
+        String whole = postHead("a", TIMEOUT_MILLIS, "Content-Length: 4") + "body";
         for (int cut : new int[] {whole.length() - 2, whole.length() - 30}) {
             if (proxy.phase() == ProxyServer.Phase.STOPPED) {
                 start(backend(OK));
             }
             try (Socket client = client()) {
-                write(client, whole.substring(0, cut));
-                Thread drain = drains();
+                writeText(client, whole.substring(0, cut));
+                Thread drain = startDrain();
                 client.setSoTimeout(1000);
                 assertThrows(
                         SocketTimeoutException.class,
                         () -> client.getInputStream().read(),
-                        "it stays open");
-                client.setSoTimeout(10_000);
-                write(client, whole.substring(cut));
-                String answer = read(client);
-                assertTrue(
-                        answer != null && answer.startsWith("HTTP/1.1 200"),
-                        String.valueOf(answer));
+                        "the connection stays open");
+                client.setSoTimeout(READ_TIMEOUT_MILLIS);
+                writeText(client, whole.substring(cut));
+                assertResponseStartsWith("HTTP/1.1 200", client);
                 drain.join();
             }
         }
     }
 
     @Test
-    void whatIsTakenLateInADrainIsAnsweredBeforeItsEnd() throws Exception {
-        contractTime = expiry = 1500;
+    void answersRequestThatIsAcceptedLateInDrain() throws Exception {
+        setClassTimes(1500);
         start(backend(SILENCE));
-        try (Socket half = client()) {
-            write(half, get("a").substring(0, 40));
-            Thread drain = drains();
-            half.setSoTimeout(900);
-            assertThrows(SocketTimeoutException.class, () -> half.getInputStream().read());
-            half.setSoTimeout(10_000);
-            write(half, get("a").substring(40));
-            String answer = read(half);
-            assertTrue(answer != null && answer.startsWith("HTTP/1.1 50"), String.valueOf(answer));
+        try (Socket client = client()) {
+            writeText(client, get("a").substring(0, 40));
+            Thread drain = startDrain();
+            client.setSoTimeout(900);
+            assertThrows(SocketTimeoutException.class, () -> client.getInputStream().read());
+            client.setSoTimeout(READ_TIMEOUT_MILLIS);
+            writeText(client, get("a").substring(40));
+            assertResponseStartsWith("HTTP/1.1 50", client);
             drain.join();
         }
     }
 
     @Test
-    void whatIsStillOpenAtADrainsEndIsAnsweredAndNotCut() throws Exception {
-        contractTime = expiry = 1000;
+    void answersOpenUploadWhenDrainEnds() throws Exception {
+        setClassTimes(1000);
         start(backend(SILENCE));
         try (Socket client = client()) {
-            write(
-                    client,
-                    "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a\r\nX-Qos: order\r\n"
-                            + "X-Expires-In-Ms: 1000\r\nContent-Length: 1000000\r\n\r\n"
-                            + "x".repeat(400_000));
-            await(now -> now.calls() == 1);
-            Thread drain = drains();
-            String answer = read(client);
-            assertTrue(answer != null && answer.startsWith("HTTP/1.1 50"), String.valueOf(answer));
+            writeText(client, partialPost("a", 1000, STREAMED_BODY_BYTES, SENT_BODY_BYTES));
+            awaitInFlight(now -> now.calls() == 1);
+            Thread drain = startDrain();
+            assertResponseStartsWith("HTTP/1.1 50", client);
             drain.join();
         }
     }
 
     @Test
-    void anAnswerBeforeWhatIsUnreadIsNotLostWithItsConnection() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        StandIn backend = backend(go);
+    void deliversResponseWhenConnectionClosesWithUnreadInput() throws Exception {
+        CountDownLatch mayRespond = new CountDownLatch(1);
+        ScriptedServer backend = backend(mayRespond);
         start(backend);
         try (Socket client = client()) {
-            write(client, get("a"));
-            assertNotNull(backend.requests.poll(5, TimeUnit.SECONDS));
-            write(
-                    client,
-                    "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: b\r\nX-Qos: order\r\n"
-                            + "X-Expires-In-Ms: 4000\r\nContent-Length: 100000\r\n\r\n"
-                            + "x".repeat(50_000));
-            Thread drain = drains();
-            go.countDown();
+            writeText(client, get("a"));
+            assertNotNull(backend.nextRequest());
+            writeText(client, partialPost("b", TIMEOUT_MILLIS, 100_000, 50_000));
+            Thread drain = startDrain();
+            mayRespond.countDown();
             drain.join();
-            String answer = read(client);
-            assertTrue(answer != null && answer.startsWith("HTTP/1.1 200"), String.valueOf(answer));
+            assertResponseStartsWith("HTTP/1.1 200", client);
         }
     }
 
-    // Connections that stand idle.
+    // Idle connections.
 
-    /**
-     * Once one has said more than its answer: what comes later on, another request being there
-     * already.
-     */
+    /** Guards against a late second response that is delivered to the next request. */
     @Test
-    void aSecondAnswerIsNeverAnotherClients() throws Exception {
+    void discardsSecondResponseThatComesAfterTheNextRequest() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            daemon(
+            startDaemon(
                     () -> {
                         for (boolean first = true; ; first = false) {
-                            Socket socket = server.accept();
-                            String more = first ? http("evil") : "";
-                            daemon(
+                            Socket connection = server.accept();
+                            String excess = first ? okResponse("evil") : "";
+                            startDaemon(
                                     () -> {
-                                        read(socket);
-                                        write(socket, OK + more);
-                                        // The second answer waits for the second request, in case
-                                        // one comes here.
-                                        read(socket);
-                                        write(socket, http("evil") + OK);
+                                        readMessage(connection);
+                                        writeText(connection, OK + excess);
+                                        // The second response waits for the second request, in
+                                        // case one comes here.
+                                        readMessage(connection);
+                                        writeText(connection, okResponse("evil") + OK);
                                     });
                         }
                     });
-            start(false, server.getLocalPort());
+            startWithPorts(server.getLocalPort());
             for (int i = 0; i < 5; i++) {
-                assertEquals("body", look().body());
+                assertEquals("body", sendIdempotent().body());
             }
         }
     }
@@ -594,99 +631,103 @@
     // Settings.
 
     @Test
-    void aDroppedClassesIndexIsNotGivenOutBeforeTheFrontHasLetGoOfIt() throws Exception {
-        StandIn backend = backend(OK);
+    void doesNotReuseIndexOfRemovedClassWhileClientSideUsesIt() throws Exception {
+        ScriptedServer backend = backend(OK);
         start(backend);
-        JsonObject none = JsonParser.parseString(config(discovery.port(), false)).getAsJsonObject();
-        JsonObject other = none.deepCopy();
-        none.getAsJsonObject("settings").getAsJsonArray("serviceGrades").remove(0);
-        other.getAsJsonObject("settings")
+        JsonObject withoutFirst =
+                JsonParser.parseString(config(discovery.port())).getAsJsonObject();
+        JsonObject withNewClass = withoutFirst.deepCopy();
+        withoutFirst.getAsJsonObject("settings").getAsJsonArray("serviceGrades").remove(0);
+        withNewClass
+                .getAsJsonObject("settings")
                 .getAsJsonArray("serviceGrades")
                 .get(0)
                 .getAsJsonObject()
                 .addProperty("name", "new");
-        CountDownLatch decides = new CountDownLatch(1);
-        proxy.runOnLoop(() -> awaits(decides));
-        proxy.reload(ProxyConfig.read(none.toString()));
-        proxy.reload(ProxyConfig.read(other.toString()));
+        CountDownLatch mayDecide = blockDecisionLoop();
+        proxy.reload(ProxyConfig.read(withoutFirst.toString()));
+        proxy.reload(ProxyConfig.read(withNewClass.toString()));
         try (Socket client = client()) {
-            write(client, get("a"));
-            awaitOnIo(1);
-            decides.countDown();
-            assertTrue(read(client).startsWith("HTTP/1.1 200"), "under the rules it came under");
+            writeText(client, get("a"));
+            awaitRequestsOnIoThread(1);
+            mayDecide.countDown();
+            assertTrue(
+                    readMessage(client).startsWith("HTTP/1.1 200"),
+                    "under the rules that held when it arrived");
         }
-        await(now -> true);
+        awaitQueuedTasks();
         assertEquals(3, proxy.classesKnown(), "the new class has an index of its own");
     }
 
-    // Lists.
+    // Endpoint lists.
 
-    /** What the agent has counts as told from the first moment of the process. */
+    /** Guards against a request that is sent to a backend which drained before the start. */
     @Test
-    void noClientIsTakenBeforeTheListIsThere() throws Exception {
-        StandIn leaving = backend(OK);
-        StandIn other = backend(OK);
-        CountDownLatch tells = new CountDownLatch(1);
+    void acceptsNoClientBeforeTheFirstListFromDiscovery() throws Exception {
+        ScriptedServer draining = backend(OK);
+        ScriptedServer ready = backend(OK);
+        CountDownLatch mayRespond = new CountDownLatch(1);
+        String fullList =
+                endpointList(
+                        2,
+                        true,
+                        member(0, draining.port(), "leaving"),
+                        member(1, ready.port(), "active"));
         discovery =
-                new StandIn(
+                scriptedServer(
                         request -> {
-                            awaits(tells);
-                            return request.contains("?")
-                                    ? SILENCE
-                                    : http(
-                                            list(
-                                                    2,
-                                                    true,
-                                                    member(0, leaving.port(), "leaving"),
-                                                    member(1, other.port(), "active")));
+                            awaitLatch(mayRespond);
+                            return request.contains("?") ? SILENCE : okResponse(fullList);
                         });
-        JsonObject config =
-                JsonParser.parseString(config(discovery.port(), false)).getAsJsonObject();
+        JsonObject config = JsonParser.parseString(config(discovery.port())).getAsJsonObject();
         config.add(
                 "known",
-                JsonParser.parseString(list(1, true, member(0, leaving.port(), "active"))));
+                JsonParser.parseString(
+                        endpointList(1, true, member(0, draining.port(), "active"))));
         proxy = new ProxyServer(ProxyConfig.read(config.toString()));
-        Thread serves = new Thread(() -> assertDoesNotThrow(() -> proxy.serve()));
-        serves.start();
-        assertNotNull(discovery.requests.poll(5, TimeUnit.SECONDS));
-        serves.join(200);
+        Thread startup = new Thread(() -> assertDoesNotThrow(() -> proxy.serve()));
+        startup.start();
+        assertNotNull(discovery.nextRequest());
+        startup.join(200);
         if (proxy.phase() == ProxyServer.Phase.SERVING) {
-            assertEquals(200, look().statusCode());
+            assertEquals(200, sendIdempotent().statusCode());
         }
-        tells.countDown();
-        serves.join();
-        assertEquals(200, look().statusCode());
-        assertTrue(leaving.requests.isEmpty(), "it has drained since before the start");
+        mayRespond.countDown();
+        startup.join();
+        assertEquals(200, sendIdempotent().statusCode());
+        assertTrue(draining.requests.isEmpty(), "it has drained since before the start");
     }
 
-    /** What a silent watch misses counts as told 6 s after it fell silent. */
+    /**
+     * Guards against changes that are missed: they count as received 6 s after a watch is silent.
+     */
     @Test
-    void twoWatchesInARowThatFallSilentAreOpenedAnewInTime() throws Exception {
+    void reopensTwoSilentWatchesInARowInTime() throws Exception {
         start(backend(OK));
-        long began = System.nanoTime();
-        news.add(SILENCE);
-        awaitWatch("from=1");
-        news.add(SILENCE);
-        awaitWatch("from=1");
-        assertTrue(System.nanoTime() - began < 6e9, "the third is there");
+        long startedAt = System.nanoTime();
+        discoveryUpdates.add(SILENCE);
+        awaitDiscoveryRequest("from=1");
+        discoveryUpdates.add(SILENCE);
+        awaitDiscoveryRequest("from=1");
+        assertTrue(System.nanoTime() - startedAt < 6e9, "the third watch is open");
     }
 
     @Test
-    void aLineThatCannotBeReadCostsThatLineAlone() throws Exception {
-        StandIn first = backend(OK);
-        StandIn second = backend(OK);
+    void ignoresOnlyTheUnreadableMemberOfAList() throws Exception {
+        ScriptedServer first = backend(OK);
+        ScriptedServer second = backend(OK);
         start(first, second);
-        news.add(
-                http(
-                        list(
+        discoveryUpdates.add(
+                okResponse(
+                        endpointList(
                                 2,
                                 true,
                                 member(0, first.port(), "active")
                                         .replace("\"cell\":0", "\"cell\":\"none\""),
                                 member(1, second.port(), "leaving"))));
-        news.add(SILENCE);
-        awaitWatch("from=2");
-        assertEquals(200, order("x").statusCode());
+        discoveryUpdates.add(SILENCE);
+        awaitDiscoveryRequest("from=2");
+        assertEquals(200, sendNotIdempotent("x").statusCode());
         assertEquals(1, first.requests.size(), "it is as it was before that list");
     }
 }
--- /dev/null
+++ b/src/test/java/lemondrift/proxy/RecordingBackend.java
@@ -0,0 +1,126 @@
+package lemondrift.proxy;
+
+import static lemondrift.proxy.DaemonThreads.startDaemon;
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.HttpMessages.writeText;
+
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/** A backend that records a request's head and its body, decoded, as they come. */
+final class RecordingBackend implements AutoCloseable {
+    private static final String LENGTH_FIELD = "Content-Length: ";
+    private static final int PIECE_BYTES = 4096;
+
+    final ByteArrayOutputStream body = new ByteArrayOutputStream();
+    final AtomicInteger bodyBytes = new AtomicInteger();
+
+    /** How many requests have come whole. */
+    final AtomicInteger requests = new AtomicInteger();
+
+    final CountDownLatch connectionEnded = new CountDownLatch(1);
+    volatile String head = "";
+
+    private final ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+    private final int maxBodyBytes;
+
+    /** One that takes bodies of any length. */
+    RecordingBackend() throws IOException {
+        this(Integer.MAX_VALUE);
+    }
+
+    /** One that closes the connection after so many bytes of bodies. */
+    RecordingBackend(int maxBodyBytes) throws IOException {
+        this.maxBodyBytes = maxBodyBytes;
+        startDaemon(
+                () -> {
+                    while (true) {
+                        Socket connection = server.accept();
+                        startDaemon(() -> serve(connection));
+                    }
+                });
+    }
+
+    int port() {
+        return server.getLocalPort();
+    }
+
+    private void serve(Socket connection) throws IOException {
+        try (connection) {
+            while (true) {
+                readRequest(connection.getInputStream());
+                writeText(connection, OK);
+            }
+        } finally {
+            connectionEnded.countDown();
+        }
+    }
+
+    private void readRequest(InputStream in) throws IOException {
+        StringBuilder text = new StringBuilder();
+        while (text.indexOf("\r\n\r\n") < 0) {
+            text.append(readCharacter(in));
+        }
+        head = text.toString();
+        if (head.contains("chunked")) {
+            for (int size = readChunkSize(in); size > 0; size = readChunkSize(in)) {
+                readBody(in, size);
+                readEmptyLine(in);
+            }
+            readEmptyLine(in);
+        } else {
+            int start = head.indexOf(LENGTH_FIELD) + LENGTH_FIELD.length();
+            readBody(in, Integer.parseInt(head.substring(start, head.indexOf('\r', start))));
+        }
+        requests.incrementAndGet();
+    }
+
+    private void readBody(InputStream in, int length) throws IOException {
+        for (int received = 0; received < length; ) {
+            byte[] piece = in.readNBytes(Math.min(PIECE_BYTES, length - received));
+            if (piece.length == 0 || bodyBytes.addAndGet(piece.length) > maxBodyBytes) {
+                throw new IOException("closed midway");
+            }
+            body.writeBytes(piece);
+            received += piece.length;
+        }
+    }
+
+    private static int readChunkSize(InputStream in) throws IOException {
+        return Integer.parseInt(readLine(in), 16);
+    }
+
+    private static void readEmptyLine(InputStream in) throws IOException {
+        String line = readLine(in);
+        if (!line.isEmpty()) {
+            throw new IOException("not the end of a chunk: " + line);
+        }
+    }
+
+    private static String readLine(InputStream in) throws IOException {
+        StringBuilder text = new StringBuilder();
+        for (char character = readCharacter(in); character != '\n'; character = readCharacter(in)) {
+            text.append(character);
+        }
+        return text.toString().strip();
+    }
+
+    private static char readCharacter(InputStream in) throws IOException {
+        int character = in.read();
+        if (character < 0) {
+            throw new IOException("ended");
+        }
+        return (char) character;
+    }
+
+    @Override
+    public void close() throws IOException {
+        server.close();
+    }
+}
--- a/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
+++ b/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
@@ -1,6 +1,9 @@
 package lemondrift.proxy;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
+import static lemondrift.proxy.HttpMessages.NEVER_EXECUTED;
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.TestConfig.UNUSED_PORT;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Settings evaluated in shadow, in a proxy on loopback. */
+/** The file of shadow settings, and their evaluation in a proxy on loopback. */
 class ShadowSettingsFileTest extends LoopbackFixture {
     @TempDir Path folder;
 
     private Map<String, String> environment(String shadowSettings) throws Exception {
         Path config = folder.resolve("config.json");
         Path shadowFile = folder.resolve("shadow.json");
-        Files.writeString(config, config(1, false));
+        Files.writeString(config, config(UNUSED_PORT));
         Files.writeString(shadowFile, shadowSettings);
         return Map.of("PROXY_CONFIG", config.toString(), "PROXY_SHADOW", shadowFile.toString());
     }
@@ -39,16 +42,16 @@
     }
 
     @Test
-    void shadowDecisionsAreCountedAndNotCarriedOut() throws Exception {
-        StandIn overloaded = backend(NEVER_RAN);
+    void countsShadowDecisionsWithoutCarryingThemOut() throws Exception {
+        ScriptedServer overloaded = backend(NEVER_EXECUTED);
         ProxyConfig withShadow = ProxyConfig.read(environment("{\"limits\":{\"mostForwards\":1}}"));
-        changed = config -> config.withShadow(withShadow.shadow());
+        configChange = config -> config.withShadow(withShadow.shadow());
         start(overloaded, backend(OK));
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, order("x").statusCode(), "sent again as before");
+            assertEquals(200, sendNotIdempotent("x").statusCode(), "retried as without a shadow");
         }
         proxy.drain();
-        ShadowEvaluator shadow = proxy.shadow();
+        ShadowEvaluator shadow = shadow();
         assertTrue(overloaded.requests.size() > 0);
         assertEquals(
                 overloaded.requests.size(),
@@ -58,14 +61,14 @@
     }
 
     @Test
-    void withoutAFileNothingIsEvaluatedInShadow() throws Exception {
+    void evaluatesNothingInShadowWithoutFile() throws Exception {
         start(backend(OK));
-        assertEquals(200, order("x").statusCode());
-        assertNull(proxy.shadow());
+        assertEquals(200, sendNotIdempotent("x").statusCode());
+        assertNull(shadow());
     }
 
     @Test
-    void unusableShadowSettingsAreOneLineWithFileAndKey() throws Exception {
+    void rejectsUnusableSettingsInOneLineWithFileAndKey() throws Exception {
         check("{\"weights\":\"nominal\",\"siblings\":70}", 0);
         check("[]", 1);
         for (String badSetting :
--- a/src/test/java/lemondrift/proxy/ShutdownTest.java
+++ b/src/test/java/lemondrift/proxy/ShutdownTest.java
@@ -1,5 +1,13 @@
 package lemondrift.proxy;
 
+import static lemondrift.proxy.DaemonThreads.startDaemon;
+import static lemondrift.proxy.DiscoveryMessages.activeMembers;
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
+import static lemondrift.proxy.HttpMessages.OK;
+import static lemondrift.proxy.HttpMessages.postHead;
+import static lemondrift.proxy.HttpMessages.readMessage;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.ScriptedServer.SILENCE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +15,6 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -19,29 +26,43 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process at SIGTERM, whatever it is doing then. */
+/** A real process at SIGTERM: under load, at each step of its start, and without discovery. */
 class ShutdownTest extends LoopbackFixture {
     private static final int CLIENTS = 8;
 
     /** Nanoseconds after SIGTERM in which clients still open connections. */
     private static final long CONNECT_NANOS = 350_000_000L;
 
+    /** Seconds within which a process that drains has to end. */
+    private static final int END_TIMEOUT_SECONDS = 10;
+
+    /** Milliseconds after which a response counts as missing. */
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
+
+    /** The latency objective of both classes, in milliseconds. */
+    private static final int LATENCY_OBJECTIVE_MILLIS = 400;
+
+    /** The timeout of both classes and of the clients, in milliseconds. */
+    private static final int TIMEOUT_MILLIS = 1000;
+
     private final ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
     private final AtomicInteger responses = new AtomicInteger();
     private final AtomicInteger sent = new AtomicInteger();
     private volatile long signalledAt = Long.MAX_VALUE;
     private int port;
 
-    private Path configFile(Path folder, StandIn agent) throws IOException {
-        port = freePort();
+    private Path configFile(Path folder, ScriptedServer discoveryServer) throws IOException {
+        port = ProxyProcess.freePort();
         return Files.writeString(
                 folder.resolve("config.json"),
-                config(agent.port(), false)
-                        .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                        .replace(
-                                "\"contractTime\":1500,\"expiry\":4000",
-                                "\"contractTime\":400,\"expiry\":1000")
-                        .replace("\"sockets\":64", "\"sockets\":512"));
+                TestConfig.withListenPort(
+                        TestConfig.withSockets(
+                                TestConfig.withClassTimes(
+                                        config(discoveryServer.port()),
+                                        LATENCY_OBJECTIVE_MILLIS,
+                                        TIMEOUT_MILLIS),
+                                512),
+                        port));
     }
 
     /**
@@ -51,19 +72,19 @@
     private void runClient(int number) throws Exception {
         while (System.nanoTime() - signalledAt < CONNECT_NANOS) {
             try (Socket client = new Socket("127.0.0.1", port)) {
-                client.setSoTimeout(20_000);
+                client.setSoTimeout(READ_TIMEOUT_MILLIS);
                 boolean closes = false;
                 for (int i = 0; !closes; i++) {
-                    String trace = number + "-" + sent.incrementAndGet();
-                    String response = exchange(client, trace);
+                    String traceId = number + "-" + sent.incrementAndGet();
+                    String response = sendPost(client, traceId);
                     if (response == null && i == 0) {
-                        lost.add(trace + " on a new connection");
+                        lost.add(traceId + " on a new connection");
                     } else if (response == null) {
                         // Closed between requests, and nothing was read of this one: it goes
                         // elsewhere.
                         break;
                     } else if (!response.matches("(?s)HTTP/1.1 (200|502|503) .*")) {
-                        lost.add(trace + ": " + response);
+                        lost.add(traceId + ": " + response);
                     }
                     responses.incrementAndGet();
                     closes =
@@ -79,50 +100,38 @@
         }
     }
 
-    private static String exchange(Socket client, String trace) {
+    /** The response, or null where the connection is closed without one. */
+    private static String sendPost(Socket client, String traceId) {
         try {
-            client.getOutputStream()
-                    .write(
-                            ("POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
-                                            + trace
-                                            + "\r\n"
-                                            + "X-Qos: order\r\n"
-                                            + "X-Expires-In-Ms: 1000\r\n"
-                                            + "Content-Length: 1\r\n\r\n"
-                                            + "x")
-                                    .getBytes(StandardCharsets.US_ASCII));
-            return read(client);
+            writeText(client, postHead(traceId, TIMEOUT_MILLIS, "Content-Length: 1") + "x");
+            return readMessage(client);
         } catch (IOException e) {
             return null;
         }
     }
 
-    private StandIn agent(StandIn... backends) throws IOException {
-        String[] members = new String[backends.length];
-        for (int i = 0; i < members.length; i++) {
-            members[i] = member(i, backends[i].port(), "active");
-        }
-        return new StandIn(
-                request -> request.contains("?") ? SILENCE : http(list(1, true, members)));
+    private ScriptedServer discoveryOf(ScriptedServer... backends) throws IOException {
+        return discoveryWithoutChanges(endpointList(1, true, activeMembers(ports(backends))));
     }
 
     private void assertEnds(Process child) throws Exception {
-        assertTrue(child.waitFor(10, TimeUnit.SECONDS), "it ends");
+        assertTrue(child.waitFor(END_TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process ends");
         assertEquals(0, child.exitValue());
     }
 
     /**
      * Clients send after every response while half of the backends hang; the signal comes twice,
-     * and a hang-up.
+     * and SIGHUP between.
      */
     @Test
-    void underLoadNoRequestIsLost(@TempDir Path folder) throws Exception {
-        StandIn agent = agent(backend(OK), backend(OK), backend(SILENCE), backend(SILENCE));
-        Process child = process(configFile(folder, agent));
+    void losesNoRequestUnderLoad(@TempDir Path folder) throws Exception {
+        ScriptedServer discoveryServer =
+                discoveryOf(backend(OK), backend(OK), backend(SILENCE), backend(SILENCE));
+        Process child = ProxyProcess.start(configFile(folder, discoveryServer));
         try {
             BufferedReader log = child.inputReader();
-            awaitLine(log, "serving");
-            daemon(() -> log.lines().forEach(line -> {}));
+            ProxyProcess.awaitLine(log, "serving");
+            startDaemon(() -> log.lines().forEach(line -> {}));
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 int number = i;
@@ -142,9 +151,9 @@
                 Thread.onSpinWait();
             }
             signalledAt = System.nanoTime();
-            signal(child, "TERM");
-            signal(child, "HUP");
-            signal(child, "TERM");
+            assertEquals(0, ProxyProcess.signal(child, "TERM"));
+            assertEquals(0, ProxyProcess.signal(child, "HUP"));
+            assertEquals(0, ProxyProcess.signal(child, "TERM"));
             for (Thread thread : clients) {
                 thread.join();
             }
@@ -156,13 +165,13 @@
     }
 
     @Test
-    void atEachStepOfTheStartItExitsWithoutACrash(@TempDir Path folder) throws Exception {
-        StandIn agent = agent();
+    void exitsWithZeroAtEachStepOfTheStart(@TempDir Path folder) throws Exception {
+        ScriptedServer discoveryServer = discoveryOf();
         for (String line : List.of("warm-up-0", "warmed up, ", "starts, listens on", "serving")) {
-            Process child = process(configFile(folder, agent));
+            Process child = ProxyProcess.start(configFile(folder, discoveryServer));
             try {
-                awaitLine(child.inputReader(), line);
-                signal(child, "TERM");
+                ProxyProcess.awaitLine(child.inputReader(), line);
+                assertEquals(0, ProxyProcess.signal(child, "TERM"));
                 child.inputReader().lines().forEach(each -> {});
                 assertEnds(child);
             } finally {
@@ -172,13 +181,13 @@
     }
 
     @Test
-    void whileDiscoveryIsSilentItExitsAllTheSame(@TempDir Path folder) throws Exception {
-        StandIn agent = new StandIn(request -> SILENCE);
-        Process child = process(configFile(folder, agent));
+    void exitsWithZeroWhileDiscoveryIsSilent(@TempDir Path folder) throws Exception {
+        ScriptedServer discoveryServer = scriptedServer(request -> SILENCE);
+        Process child = ProxyProcess.start(configFile(folder, discoveryServer));
         try {
-            awaitLine(child.inputReader(), "serving");
-            assertNotNull(agent.requests.poll(10, TimeUnit.SECONDS));
-            signal(child, "TERM");
+            ProxyProcess.awaitLine(child.inputReader(), "serving");
+            assertNotNull(discoveryServer.requests.poll(10, TimeUnit.SECONDS));
+            assertEquals(0, ProxyProcess.signal(child, "TERM"));
             child.inputReader().lines().forEach(each -> {});
             assertEnds(child);
         } finally {
--- a/src/test/java/lemondrift/proxy/TakeoverLockTest.java
+++ b/src/test/java/lemondrift/proxy/TakeoverLockTest.java
@@ -11,8 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Processes of one proxy that find each other through the locked files. */
+/** How processes of one proxy find each other through locked files, and share its descriptors. */
 class TakeoverLockTest {
+    /** Descriptors of a process that are for neither clients nor backends. */
+    private static final int RESERVED_DESCRIPTORS = 40;
+
+    /** The share of the other descriptors that backends' connections may take, 0 to 1. */
+    private static final double BACKEND_SHARE = 0.33;
+
     /** Another process, which says a line when it has looked, and then lives on. */
     public static final class OtherProcess {
         private OtherProcess() {}
@@ -26,9 +32,8 @@
     }
 
     private static Process startOther(Path folder) throws IOException {
-        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         return new ProcessBuilder(
-                        java,
+                        ProxyProcess.javaCommand(),
                         "-Xmx32m",
                         "-cp",
                         System.getProperty("java.class.path"),
@@ -48,22 +53,22 @@
     }
 
     @Test
-    void aFollowerMakesThemTwoAndItsEndMakesThemOne(@TempDir Path folder) throws Exception {
+    void countsTwoProcessesWhileFollowerLives(@TempDir Path folder) throws Exception {
         TakeoverLock own = new TakeoverLock(folder, "n/0");
         assertTrue(own.refresh());
         assertEquals(1, own.processCount());
         Process follower = startOther(folder);
-        assertEquals(2, reportedCount(follower), "it sees that another one serves");
+        assertEquals(2, reportedCount(follower), "the follower sees that another process serves");
         assertTrue(own.refresh());
         assertEquals(2, own.processCount());
         follower.destroyForcibly().waitFor();
-        assertTrue(own.refresh(), "killed outright it has left nothing behind");
+        assertTrue(own.refresh(), "a killed process leaves no lock behind");
         assertEquals(1, own.processCount());
         own.close();
     }
 
     @Test
-    void aServingProcessThatIsKilledLeavesAllToTheOther(@TempDir Path folder) throws Exception {
+    void countsOneProcessAfterServingProcessIsKilled(@TempDir Path folder) throws Exception {
         Process serving = startOther(folder);
         assertEquals(1, reportedCount(serving));
         TakeoverLock own = new TakeoverLock(folder, "n/0");
@@ -78,7 +83,7 @@
     }
 
     @Test
-    void aProcessOfAnotherNameIsAnotherProxy(@TempDir Path folder) throws Exception {
+    void doesNotCountProcessOfAnotherProxy(@TempDir Path folder) throws Exception {
         Process other = startOther(folder);
         reportedCount(other);
         TakeoverLock own = new TakeoverLock(folder, "n/1");
@@ -89,25 +94,25 @@
     }
 
     @Test
-    void whereTheFilesCannotBeLockedHalfIsUsed(@TempDir Path folder) throws Exception {
+    void assumesTwoProcessesWhenFilesCannotBeLocked(@TempDir Path folder) throws Exception {
         TakeoverLock own = new TakeoverLock(Files.createFile(folder.resolve("no-folder")), "n/0");
         own.refresh();
         assertEquals(2, own.processCount());
     }
 
     @Test
-    void twoTogetherKeepWithinTheDescriptorsOfOne() {
+    void twoProcessesKeepWithinDescriptorsOfOne() {
         for (int sockets : new int[] {256, 384, 1024}) {
             ProxyConfig config =
                     ProxyConfig.read(
-                            new LoopbackFixture() {}.config(1, false)
-                                    .replace("\"sockets\":64", "\"sockets\":" + sockets));
+                            TestConfig.withSockets(
+                                    TestConfig.json(TestConfig.UNUSED_PORT), sockets));
             double perProcess =
-                    40
+                    RESERVED_DESCRIPTORS
                             + config.connectionShare(2)
                                     * (config.connectionLimits().acceptLimit()
-                                            + 0.33 * config.maxConnections());
-            assertTrue(2 * perProcess <= sockets, "two hold " + 2 * perProcess);
+                                            + BACKEND_SHARE * config.maxConnections());
+            assertTrue(2 * perProcess <= sockets, "two processes hold " + 2 * perProcess);
             assertEquals(1, config.connectionShare(1));
         }
     }
--- a/src/test/java/lemondrift/proxy/WarmupTest.java
+++ b/src/test/java/lemondrift/proxy/WarmupTest.java
@@ -6,10 +6,10 @@
 import lemondrift.proxy.lifecycle.Warmup;
 import org.junit.jupiter.api.Test;
 
-/** The warm-up before a start. */
+/** The warm-up of the process before it serves. */
 class WarmupTest {
     @Test
-    void nothingIsInFlightWhenItEnds() throws Exception {
-        assertTrue(Warmup.play(ProxyConfig.read(new LoopbackFixture() {}.config(1, false))));
+    void leavesNothingInFlight() throws Exception {
+        assertTrue(Warmup.play(ProxyConfig.read(TestConfig.json(TestConfig.UNUSED_PORT))));
     }
 }
