--- a/src/test/java/lemondrift/proxy/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminServerTest.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.admin;
 
 import static lemondrift.proxy.DiscoveryMessages.endpointList;
 import static lemondrift.proxy.DiscoveryMessages.member;
@@ -25,7 +25,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-import lemondrift.proxy.admin.AdminServer;
+import lemondrift.proxy.LoopbackFixture;
+import lemondrift.proxy.ProxyServer;
+import lemondrift.proxy.ScriptedServer;
 import lemondrift.proxy.config.ProxyConfig;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/lemondrift/proxy/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.client;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/lemondrift/proxy/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.client;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static lemondrift.proxy.DiscoveryMessages.activeMembers;
@@ -30,6 +30,10 @@
 import java.util.zip.ZipEntry;
 import java.util.zip.ZipOutputStream;
 import lemondrift.connection.ConnectionLimits;
+import lemondrift.proxy.LoopbackFixture;
+import lemondrift.proxy.ProxyProcess;
+import lemondrift.proxy.ScriptedServer;
+import lemondrift.proxy.TestConfig;
 import lemondrift.proxy.config.ConnectionSettingsFile;
 import lemondrift.proxy.config.ProxyConfig;
 import lemondrift.proxy.lifecycle.ProxyLauncher;
--- a/src/test/java/lemondrift/proxy/ConfigFileTest.java
+++ b/src/test/java/lemondrift/proxy/config/ConfigFileTest.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.config;
 
 import static lemondrift.proxy.DiscoveryMessages.activeMembers;
 import static lemondrift.proxy.DiscoveryMessages.endpointList;
@@ -10,7 +10,6 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.stream.IntStream;
-import lemondrift.proxy.config.ConfigFile;
 import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/lemondrift/proxy/ShadowSettingsFileTest.java
+++ b/src/test/java/lemondrift/proxy/config/ShadowSettingsFileTest.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.config;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static lemondrift.proxy.HttpMessages.NEVER_EXECUTED;
@@ -13,7 +13,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import lemondrift.proxy.config.ProxyConfig;
+import lemondrift.proxy.LoopbackFixture;
+import lemondrift.proxy.ScriptedServer;
 import lemondrift.proxy.lifecycle.ProxyLauncher;
 import lemondrift.shadow.ShadowEvaluator;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/lemondrift/proxy/FloodingBackend.java
+++ b/src/test/java/lemondrift/proxy/http/FloodingBackend.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.http;
 
 import static lemondrift.proxy.DaemonThreads.startDaemon;
 import static lemondrift.proxy.HttpMessages.readMessage;
--- a/src/test/java/lemondrift/proxy/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.http;
 
 import static lemondrift.proxy.DaemonThreads.startDaemon;
 import static lemondrift.proxy.HttpMessages.FIRST_CHUNK;
@@ -34,6 +34,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import lemondrift.metrics.ProxyMetrics;
+import lemondrift.proxy.LoopbackFixture;
+import lemondrift.proxy.ScriptedServer;
 import lemondrift.proxy.backend.ResponseReader;
 import lemondrift.proxy.config.ProxyConfig;
 import net.jqwik.api.ForAll;
--- a/src/test/java/lemondrift/proxy/TakeoverLockTest.java
+++ b/src/test/java/lemondrift/proxy/lifecycle/TakeoverLockTest.java
@@ -1,4 +1,4 @@
-package lemondrift.proxy;
+package lemondrift.proxy.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,8 +6,9 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import lemondrift.proxy.ProxyProcess;
+import lemondrift.proxy.TestConfig;
 import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.lifecycle.TakeoverLock;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/lemondrift/proxy/WarmupTest.java
+++ b/src/test/java/lemondrift/proxy/lifecycle/WarmupTest.java
@@ -1,9 +1,9 @@
-package lemondrift.proxy;
+package lemondrift.proxy.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import lemondrift.proxy.TestConfig;
 import lemondrift.proxy.config.ProxyConfig;
-import lemondrift.proxy.lifecycle.Warmup;
 import org.junit.jupiter.api.Test;
 
 /** The warm-up of the process before it serves. */
