--- a/src/test/java/lemondrift/proxy/ConfigReloadTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigReloadTest.java
@@ -65,7 +65,7 @@
         assertEquals(400, statusOf("book", "t3"));
     }
 
-    /** A class stops being idempotent while one of its requests is open. */
+    /** Guards against an open request that is retried by the rules of a later configuration. */
     @Test
     void openRequestKeepsRulesThatHeldWhenItArrived() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -116,7 +116,7 @@
         assertEquals(1, attempts, "an attempt that may have been executed is not retried");
     }
 
-    /** Each key of the running configuration is taken out by itself. */
+    /** Guards against a configuration that takes effect in part: each key is left out by itself. */
     @Test
     void rejectsConfigurationThatLacksAnyKey() throws Exception {
         start(backend(OK));
--- a/src/test/java/lemondrift/proxy/LargeFleetTest.java
+++ b/src/test/java/lemondrift/proxy/LargeFleetTest.java
@@ -29,9 +29,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A real process with a small part of a core, a hundred peers and thousands of backends, most of
- * which are replaced while discovery is away and right after its return. Every request is owed its
- * reply in time.
+ * A real process with a small part of a core, a hundred peers and thousands of backends answers
+ * every request in time, while it reloads and while most backends are replaced.
  */
 class LargeFleetTest extends LoopbackFixture {
     private static final int BACKENDS = 3200;
@@ -60,18 +59,23 @@
     /** Time between two versions of the list. */
     private static final int VERSION_INTERVAL_MILLIS = 350;
 
+    /** How long requests are sent before the first and after the last change. */
+    private static final int UNDISTURBED_MILLIS = 1000;
+
     private static final int VERSIONS = 10;
     private static final int RELOADS = 6;
 
-    private final List<Process> busyProcesses = new ArrayList<>();
+    /** The proxy and the busy processes; all end with the test. */
+    private final List<Process> processes = new ArrayList<>();
+
     private final Queue<String> lost = new ConcurrentLinkedQueue<>();
     private final List<Thread> clients = new ArrayList<>();
     private final CountDownLatch discoveryBack = new CountDownLatch(1);
     private int port;
 
     @AfterEach
-    void endBusyProcesses() {
-        busyProcesses.forEach(Process::destroyForcibly);
+    void endProcesses() {
+        processes.forEach(Process::destroyForcibly);
     }
 
     private Path configFile(Path folder, String initialList) throws IOException {
@@ -106,7 +110,7 @@
     /** A process on one core of the machine that it shares with others. */
     private Process startProxyOnPartOfACore(Path config) throws IOException {
         for (int i = 0; i < BUSY_PROCESSES; i++) {
-            busyProcesses.add(
+            processes.add(
                     new ProcessBuilder(
                                     "taskset", "-c", LAST_CORE, "sh", "-c", "while :; do :; done")
                             .start());
@@ -130,7 +134,9 @@
         command.environment().put("PROXY_CONFIG", config.toString());
         command.environment().put("PROXY_PEERS", "deploy/peers.json");
         command.environment().put("PROXY_RECOVERY", "deploy/recovery.json");
-        return command.redirectErrorStream(true).start();
+        Process child = command.redirectErrorStream(true).start();
+        processes.add(child);
+        return child;
     }
 
     /** One request on a connection of its own, on a thread of its own. */
@@ -160,7 +166,7 @@
                                 lost.add(
                                         "r"
                                                 + number
-                                                + " has no answer after "
+                                                + " has no response after "
                                                 + LOST_AFTER_MILLIS
                                                 + " ms");
                             } catch (IOException e) {
@@ -200,31 +206,37 @@
                 .toArray(String[]::new);
     }
 
-    /** Guards against a reload, whose file has a long list, that holds up replies. */
+    /** Starts the proxy, returns once it serves, and reads its log from then on. */
+    private Process startServing(Path config) throws IOException {
+        Process child = startProxyOnPartOfACore(config);
+        BufferedReader log = child.inputReader();
+        ProxyProcess.awaitLine(log, "serving");
+        startDaemon(() -> log.lines().forEach(line -> {}));
+        return child;
+    }
+
+    private void assertNoRequestLost() throws InterruptedException {
+        for (Thread client : clients) {
+            client.join();
+        }
+        assertEquals(List.of(), List.copyOf(lost), "of " + clients.size());
+    }
+
+    /** Guards against a reload of a file with a long endpoint list that delays responses. */
     @Test
     void answersEveryRequestInTimeDuringRepeatedReloads(@TempDir Path folder) throws Exception {
         try (ManyBackends backends = new ManyBackends(BACKENDS)) {
             String initialList = endpointList(1, true, backends.members(0, BACKENDS, "active"));
             discovery = scriptedServer(request -> discoveryResponse(request, initialList));
             discoveryBack.countDown();
-            Process child = startProxyOnPartOfACore(configFile(folder, initialList));
-            try {
-                BufferedReader log = child.inputReader();
-                ProxyProcess.awaitLine(log, "serving");
-                startDaemon(() -> log.lines().forEach(line -> {}));
-                sendRequestsFor(1000);
-                for (int i = 0; i < RELOADS; i++) {
-                    assertEquals(0, ProxyProcess.signal(child, "HUP"));
-                    sendRequestsFor(VERSION_INTERVAL_MILLIS);
-                }
-                sendRequestsFor(1000);
-                for (Thread client : clients) {
-                    client.join();
-                }
-                assertEquals(List.of(), List.copyOf(lost), "of " + clients.size());
-            } finally {
-                child.destroyForcibly();
+            Process child = startServing(configFile(folder, initialList));
+            sendRequestsFor(UNDISTURBED_MILLIS);
+            for (int i = 0; i < RELOADS; i++) {
+                assertEquals(0, ProxyProcess.signal(child, "HUP"));
+                sendRequestsFor(VERSION_INTERVAL_MILLIS);
             }
+            sendRequestsFor(UNDISTURBED_MILLIS);
+            assertNoRequestLost();
         }
     }
 
@@ -239,40 +251,28 @@
                             true,
                             backends.members(BACKENDS / 4, BACKENDS + BACKENDS / 4, "active"));
             discovery = scriptedServer(request -> discoveryResponse(request, fullList));
-            Process child = startProxyOnPartOfACore(configFile(folder, initialList));
-            try {
-                BufferedReader log = child.inputReader();
-                ProxyProcess.awaitLine(log, "serving");
-                startDaemon(() -> log.lines().forEach(line -> {}));
-                sendRequestsFor(1000);
-                discoveryBack.countDown();
-                for (int version = 0; version < VERSIONS; version++) {
-                    sendRequestsFor(VERSION_INTERVAL_MILLIS);
-                    int from = BACKENDS / 4 + version * REPLACED_PER_VERSION;
-                    int newFrom = BACKENDS + from;
-                    discoveryUpdates.add(
-                            okResponse(
-                                    endpointList(
-                                            11 + version,
-                                            false,
-                                            concatenated(
-                                                    backends.members(
-                                                            from,
-                                                            from + REPLACED_PER_VERSION,
-                                                            version % 2 == 0 ? "leaving" : "left"),
-                                                    backends.members(
-                                                            newFrom,
-                                                            newFrom + REPLACED_PER_VERSION,
-                                                            "active")))));
-                }
-                sendRequestsFor(1000);
-                for (Thread client : clients) {
-                    client.join();
-                }
-                assertEquals(List.of(), List.copyOf(lost), "of " + clients.size());
-            } finally {
-                child.destroyForcibly();
+            startServing(configFile(folder, initialList));
+            sendRequestsFor(UNDISTURBED_MILLIS);
+            discoveryBack.countDown();
+            for (int version = 0; version < VERSIONS; version++) {
+                sendRequestsFor(VERSION_INTERVAL_MILLIS);
+                discoveryUpdates.add(
+                        okResponse(
+                                endpointList(
+                                        11 + version, false, replacedMembers(backends, version))));
             }
+            sendRequestsFor(UNDISTURBED_MILLIS);
+            assertNoRequestLost();
         }
     }
+
+    /** Members that are withdrawn in a version of the list, and those in their place. */
+    private static String[] replacedMembers(ManyBackends backends, int version) {
+        int from = BACKENDS / 4 + version * REPLACED_PER_VERSION;
+        int newFrom = BACKENDS + from;
+        return concatenated(
+                backends.members(
+                        from, from + REPLACED_PER_VERSION, version % 2 == 0 ? "leaving" : "left"),
+                backends.members(newFrom, newFrom + REPLACED_PER_VERSION, "active"));
+    }
 }
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -146,6 +146,7 @@
         assertEquals(5, backend.requests.size());
     }
 
+    /** Guards against a retry that executes a request twice as its connection was reused. */
     @Test
     void doesNotRetryNonIdempotentRequestWhenReusedConnectionCloses() throws Exception {
         int[] count = {0};
--- a/src/test/java/lemondrift/proxy/ShutdownTest.java
+++ b/src/test/java/lemondrift/proxy/ShutdownTest.java
@@ -30,11 +30,14 @@
 class ShutdownTest extends LoopbackFixture {
     private static final int CLIENTS = 8;
 
-    /** Nanoseconds after SIGTERM in which clients still open connections. */
-    private static final long CONNECT_NANOS = 350_000_000L;
+    /** Responses that the clients have received when the signal comes. */
+    private static final int RESPONSES_BEFORE_SIGNAL = 50;
 
-    /** Seconds within which a process that drains has to end. */
-    private static final int END_TIMEOUT_SECONDS = 10;
+    /** How long after SIGTERM clients still open connections. */
+    private static final long CONNECT_NANOS = TimeUnit.MILLISECONDS.toNanos(350);
+
+    /** Seconds within which a process has to ask discovery, or to end. */
+    private static final int STEP_TIMEOUT_SECONDS = 10;
 
     /** Milliseconds after which a response counts as missing. */
     private static final int READ_TIMEOUT_MILLIS = 20_000;
@@ -115,13 +118,13 @@
     }
 
     private void assertEnds(Process child) throws Exception {
-        assertTrue(child.waitFor(END_TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process ends");
+        assertTrue(child.waitFor(STEP_TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process ends");
         assertEquals(0, child.exitValue());
     }
 
     /**
-     * Clients send after every response while half of the backends hang; the signal comes twice,
-     * and SIGHUP between.
+     * Guards against a request lost at SIGTERM, sent twice with SIGHUP between, while clients send
+     * after every response and half of the backends hang.
      */
     @Test
     void losesNoRequestUnderLoad(@TempDir Path folder) throws Exception {
@@ -147,7 +150,7 @@
                 thread.start();
                 clients.add(thread);
             }
-            while (responses.get() < 50) {
+            while (responses.get() < RESPONSES_BEFORE_SIGNAL) {
                 Thread.onSpinWait();
             }
             signalledAt = System.nanoTime();
@@ -186,7 +189,7 @@
         Process child = ProxyProcess.start(configFile(folder, discoveryServer));
         try {
             ProxyProcess.awaitLine(child.inputReader(), "serving");
-            assertNotNull(discoveryServer.requests.poll(10, TimeUnit.SECONDS));
+            assertNotNull(discoveryServer.requests.poll(STEP_TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertEquals(0, ProxyProcess.signal(child, "TERM"));
             child.inputReader().lines().forEach(each -> {});
             assertEnds(child);
--- a/src/test/java/lemondrift/proxy/UpgradeTest.java
+++ b/src/test/java/lemondrift/proxy/UpgradeTest.java
@@ -35,6 +35,9 @@
 
 /** Hot restart: two proxies that accept on one listening socket, which both inherited. */
 class UpgradeTest extends LoopbackFixture {
+    /** Seconds for which a backend waits until it may respond. */
+    private static final int RELEASE_TIMEOUT_SECONDS = 5;
+
     private ServerSocketChannel sharedSocket;
     private String[] members;
     private int requestCount;
@@ -60,9 +63,13 @@
         return serveOnSharedSocket();
     }
 
+    private Socket connectToSharedSocket() throws IOException {
+        return new Socket(InetAddress.getLoopbackAddress(), sharedSocket.socket().getLocalPort());
+    }
+
+    /** A connection on which a request has been sent. */
     private Socket sendRequest() throws IOException {
-        Socket client =
-                new Socket(InetAddress.getLoopbackAddress(), sharedSocket.socket().getLocalPort());
+        Socket client = connectToSharedSocket();
         requestCount++;
         writeText(client, getRequest("up-" + requestCount, TIMEOUT_MILLIS));
         return client;
@@ -83,7 +90,8 @@
         ScriptedServer slow =
                 backend(
                         request ->
-                                firstReceived.getAndSet(true) || isReleased(mayRespond, 5)
+                                firstReceived.getAndSet(true)
+                                                || isReleased(mayRespond, RELEASE_TIMEOUT_SECONDS)
                                         ? OK
                                         : CLOSE);
         ProxyServer serving = startFirst(slow);
@@ -128,10 +136,7 @@
         ProxyServer only = startFirst(backend(OK));
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            silent.add(
-                    new Socket(
-                            InetAddress.getLoopbackAddress(),
-                            sharedSocket.socket().getLocalPort()));
+            silent.add(connectToSharedSocket());
         }
         assertServed(3);
         closeAll(silent);
--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -19,7 +19,7 @@
 /** The answers at the operators' address, byte for byte as the landed program gave them. */
 class AdminCompatibilityTest {
     /** A proxy whose figures are all known. */
-    private static final class Known implements AdminOperations {
+    private static final class KnownProxy implements AdminOperations {
         @Override
         public boolean isReady() {
             return true;
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void answersAreTheSame() throws Exception {
+    void answersMatchLandedProgram() throws Exception {
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         try {
@@ -81,7 +81,7 @@
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
             StringBuilder all = new StringBuilder();
             askAll(adminServer, all.append("before there is a proxy\n"));
-            adminServer.setOperations(new Known());
+            adminServer.setOperations(new KnownProxy());
             askAll(adminServer, all.append("with one\n"));
             LandedBytes.assertText("admin.txt", all.toString().replace("\r\n", "\n"));
         } finally {
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
@@ -1,8 +1,16 @@
 package lemondrift.proxy.client;
 
+import static lemondrift.proxy.DaemonThreads.startDaemon;
+import static lemondrift.proxy.DiscoveryMessages.activeMembers;
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
+import static lemondrift.proxy.HttpMessages.getRequest;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.TestConfig.TIMEOUT_MILLIS;
+
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
 import java.io.IOException;
 import java.io.InputStream;
-import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -13,10 +21,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import lemondrift.lab.load.Load;
+import lemondrift.proxy.ProxyProcess;
+import lemondrift.proxy.TestConfig;
 
 /**
  * What a request and each kind of flood cost a proxy, for builds given as jars, in turns; run by
- * hand, no part of CI. Loopback alone; everything is bounded in number. Delay counts from when a
+ * hand, no part of CI. All on loopback; everything is bounded in number. Delay counts from when a
  * request should have been sent.
  */
 final class ClientConnectionLoad {
@@ -24,43 +34,23 @@
     private static final int ROUNDS = 4;
     private static final double ROUND_SECONDS = 4;
 
+    /** How many events of a kind a flood has. */
+    private static final int FLOOD_EVENTS = 2000;
+
+    /** How many requests are sent at once. */
+    private static final int BURST = 250;
+
     /** One proxy of a build, with a backend and a discovery of this process. */
     private static final class Build {
         final Process process;
         final int port;
 
         Build(Path jar, int backend) throws Exception {
-            try (ServerSocket free = new ServerSocket(0)) {
-                port = free.getLocalPort();
-            }
-            String list =
-                    "{\"revision\":1,\"complete\":true,\"members\":[{\"id\":\"s\",\"host_port\":"
-                            + "\"127.0.0.1:"
-                            + backend
-                            + "\",\"locality\":\"a\",\"flavor\":\"m\",\"cell\":0,"
-                            + "\"phase\":\"active\",\"size\":1.0,\"up_since_ms\":0}]}";
+            port = ProxyProcess.freePort();
+            String list = endpointList(1, true, activeMembers(backend));
             int discovery = startServer(head -> head.contains("?") ? null : list);
-            String classTerms = "\"contractTime\":1500,\"expiry\":4000,\"benefit\":1,";
-            Path config = Files.createTempFile("door", ".json");
-            Files.writeString(
-                    config,
-                    "{\"name\":\"n0\",\"listen\":\"127.0.0.1:"
-                            + port
-                            + "\",\"discovery\":"
-                            + "\"127.0.0.1:"
-                            + discovery
-                            + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},"
-                            + "\"settings\":{\"siblings\":1,\"zone\":0,\"localities\":[\"a\"],"
-                            + "\"membershipMode\":\"pushed\","
-                            + "\"limits\":{\"mayCancel\":true,\"probes\":false,\"mostForwards\":4,"
-                            + "\"retryAfter\":true,"
-                            + "\"maxRetryAfter\":500,\"connIdle\":10000,\"connectTimeout\":250},"
-                            + "\"invariants\":{"
-                            + "\"coldFrom\":0.3,\"cold\":8000,\"fallMultiple\":3,\"overloadFor\":2000},"
-                            + "\"report\":{\"how\":\"inline\",\"names\":[\"queue\",\"util\"]},"
-                            + "\"charges\":{\"probe\":0.001},\"serviceGrades\":[{\"name\":\"look\","
-                            + classTerms
-                            + "\"effect\":\"retryable\"}]}}");
+            Path config = Files.createTempFile("connections", ".json");
+            Files.writeString(config, config(discovery, port));
             ProcessBuilder start =
                     new ProcessBuilder(
                             "java",
@@ -87,6 +77,14 @@
             Thread.sleep(500);
         }
 
+        private static String config(int discovery, int port) {
+            String json = TestConfig.withSockets(TestConfig.json(discovery), 1024);
+            JsonObject config =
+                    JsonParser.parseString(TestConfig.withListenPort(json, port)).getAsJsonObject();
+            config.getAsJsonObject("settings").getAsJsonArray("serviceGrades").remove(1);
+            return config.toString();
+        }
+
         double processorSeconds() {
             return process.info().totalCpuDuration().orElseThrow().toNanos() / 1e9;
         }
@@ -112,19 +110,19 @@
      */
     private static int startServer(Script script) throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-        daemon(
+        startDaemon(
                 () -> {
                     while (true) {
                         Socket socket = server.accept();
                         socket.setTcpNoDelay(true);
-                        daemon(
+                        startDaemon(
                                 () -> {
-                                    for (String head = read(socket);
+                                    for (String head = readShortMessage(socket);
                                             head != null;
-                                            head = read(socket)) {
+                                            head = readShortMessage(socket)) {
                                         String body = script.body(head);
                                         if (body != null) {
-                                            write(
+                                            writeText(
                                                     socket,
                                                     "HTTP/1.1 200 OK\r\n"
                                                             + "Endpoint-Load-Metrics: TEXT queue=0,"
@@ -141,26 +139,8 @@
         return server.getLocalPort();
     }
 
-    private interface Task {
-        void run() throws Exception;
-    }
-
-    private static void daemon(Task task) {
-        Thread thread =
-                new Thread(
-                        () -> {
-                            try {
-                                task.run();
-                            } catch (Exception e) {
-                                // The other side is closed.
-                            }
-                        });
-        thread.setDaemon(true);
-        thread.start();
-    }
-
     /** One message whose body, if any, is short enough to come with its head; null at the end. */
-    private static String read(Socket socket) throws IOException {
+    private static String readShortMessage(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         byte[] buffer = new byte[4096];
         int length = 0;
@@ -176,16 +156,8 @@
         return text;
     }
 
-    private static void write(Socket socket, String text) throws IOException {
-        OutputStream out = socket.getOutputStream();
-        out.write(text.getBytes(StandardCharsets.ISO_8859_1));
-    }
-
-    private static String look(String id) {
-        return "GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: "
-                + id
-                + "\r\nX-Qos: look\r\nX-Expires-In-Ms: 4000"
-                + "\r\n\r\n";
+    private static String get(String traceId) {
+        return getRequest(traceId, TIMEOUT_MILLIS);
     }
 
     /**
@@ -214,18 +186,18 @@
     /** Processor time in milliseconds for a thousand events of a kind. */
     private static double flood(Build build, FloodEvent event) throws Exception {
         double before = build.processorSeconds();
-        for (int i = 0; i < 2000; i++) {
+        for (int i = 0; i < FLOOD_EVENTS; i++) {
             event.send(build.port, i);
         }
         Thread.sleep(300);
-        return (build.processorSeconds() - before) / 2 * 1e3;
+        return (build.processorSeconds() - before) / FLOOD_EVENTS * 1e6;
     }
 
     private static void sendOnce(int port, String text, boolean readsResponse) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            write(socket, text);
+            writeText(socket, text);
             if (readsResponse) {
-                read(socket);
+                readShortMessage(socket);
             }
         }
     }
@@ -236,14 +208,14 @@
         for (int i = 0; i < many; i++) {
             sockets.add(new Socket("127.0.0.1", port));
         }
-        for (Socket each : sockets) {
-            write(each, look("b" + System.nanoTime()));
+        for (Socket socket : sockets) {
+            writeText(socket, get("b" + System.nanoTime()));
         }
-        for (Socket each : sockets) {
-            if (read(each) == null) {
+        for (Socket socket : sockets) {
+            if (readShortMessage(socket) == null) {
                 System.out.println("not answered");
             }
-            each.close();
+            socket.close();
         }
     }
 
@@ -269,19 +241,19 @@
         }
         List<String> names =
                 List.of(
-                        "connects without a word",
+                        "connects and sends nothing",
                         "malformed",
-                        "no id",
-                        "asks once",
-                        "at once, 250 a time");
+                        "no trace id",
+                        "one request",
+                        "250 requests at once");
         List<FloodEvent> events =
                 List.of(
                         (port, i) -> new Socket("127.0.0.1", port).close(),
                         (port, i) -> sendOnce(port, "\u0001noise\r\n\r\n", true),
                         (port, i) -> sendOnce(port, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", true),
                         (port, i) ->
-                                sendOnce(port, look("f" + port + "-" + System.nanoTime()), true),
-                        (port, i) -> burst(port, i % 250 == 0 ? 250 : 0));
+                                sendOnce(port, get("f" + port + "-" + System.nanoTime()), true),
+                        (port, i) -> burst(port, i % BURST == 0 ? BURST : 0));
         for (int kind = 0; kind < events.size(); kind++) {
             for (int round = 0; round < 2; round++) {
                 for (int b = 0; b < builds.size(); b++) {
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
@@ -234,7 +234,9 @@
         assertEquals("STOPPED", phase());
     }
 
-    /** Descriptors run out under the proxy, as it is configured for more than it has. */
+    /**
+     * Guards against a proxy, configured for more descriptors than it has, that stops accepting.
+     */
     @Test
     void servesWaitingClientAfterDescriptorsRunOut(@TempDir Path folder) throws Exception {
         ScriptedServer fixedDiscovery =
--- a/src/test/java/lemondrift/proxy/discovery/BackendDirectoryTest.java
+++ b/src/test/java/lemondrift/proxy/discovery/BackendDirectoryTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void inALongListWithdrawnBackendsComeFirst() {
+    void updatesWithdrawnBackendsFirstInALongList() {
         apply(true, "one active 1", "two active 2");
         String[] endpoints =
                 IntStream.range(0, BACKENDS)
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void anIndexPassesOnOnceItsBackendIsGoneAndNotReferenced() {
+    void reusesIndexOnceBackendIsGoneAndNotReferenced() {
         apply(true, "one active 1", "two active 2");
         directory.retain(0);
         assertTrue(
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void anAddressThatPassesOnRemovesItsFormerBackend() {
+    void removesFormerBackendWhenItsAddressIsReused() {
         apply(true, "one active 1");
         assertEquals(
                 List.of(
--- a/src/test/java/lemondrift/proxy/discovery/EndpointListParserTest.java
+++ b/src/test/java/lemondrift/proxy/discovery/EndpointListParserTest.java
@@ -24,7 +24,7 @@
         EndpointListParser parser = new EndpointListParser(text.getBytes(StandardCharsets.UTF_8));
         int steps = 0;
         while (!parser.advance(membersPerStep)) {
-            assertTrue(++steps < 10_000, "it comes to an end");
+            assertTrue(++steps < 10_000, "the parser comes to an end");
         }
         return parser.list();
     }
@@ -52,7 +52,7 @@
     }
 
     @Property(tries = 100, seed = "48")
-    void stepsOfAnySizeParseTheSame(@ForAll long seed) throws IOException {
+    void parsesTheSameInStepsOfAnySize(@ForAll long seed) throws IOException {
         Random random = new Random(seed);
         StringBuilder list = new StringBuilder();
         for (int i = random.nextInt(20); i > 0; i--) {
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void theLastMemberOfABackendCountsAndAnUnreadableOneKeepsIt() throws IOException {
+    void usesLastMemberOfABackendAndMarksUnreadableOnes() throws IOException {
         EndpointList list =
                 parse(
                         "{\"revision\":3,\"complete\":false,\"members\":["
@@ -105,7 +105,7 @@
                 "{\"revision\":null,\"complete\":true,\"members\":[]}",
                 "{\"revision\":1,\"complete\":true,\"members\":[]} and more"
             })
-    void whatIsNoListIsRejected(String text) {
+    void rejectsMalformedList(String text) {
         assertThrows(Exception.class, () -> parse(text, 5));
     }
 }
--- a/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
@@ -296,10 +296,7 @@
         }
     }
 
-    /**
-     * The body takes longer than its latency objective of 1.5 s: the time for the response counts
-     * from the last byte.
-     */
+    /** Guards against an upload whose time counts as the response's: that starts with its end. */
     @Test
     void doesNotTimeOutSlowRequestBody() throws Exception {
         int pieceBytes = 250_000;
--- a/src/test/java/lemondrift/proxy/logging/AsyncLogTest.java
+++ b/src/test/java/lemondrift/proxy/logging/AsyncLogTest.java
@@ -18,8 +18,8 @@
 
     /** Guards against threads that serve requests and wait for a stopped reader of the log. */
     @Test
-    void loggingDoesNotWaitForAReaderAndDroppedLinesAreCounted() throws Exception {
-        CountDownLatch readerGoesOn = new CountDownLatch(1);
+    void doesNotWaitForStoppedReaderAndCountsDroppedLines() throws Exception {
+        CountDownLatch mayRead = new CountDownLatch(1);
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         AsyncLog log =
                 new AsyncLog(
@@ -27,7 +27,7 @@
                             @Override
                             public void write(int b) {
                                 try {
-                                    readerGoesOn.await();
+                                    mayRead.await();
                                 } catch (InterruptedException e) {
                                     Thread.currentThread().interrupt();
                                 }
@@ -37,7 +37,7 @@
         PrintStream out = new PrintStream(log, true);
         // Returns, or the test never ends.
         IntStream.range(0, LINE_COUNT).forEach(i -> out.println("line " + i));
-        readerGoesOn.countDown();
+        mayRead.countDown();
         log.drain(10);
         out.println("last");
         log.drain(10);
--- a/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -34,6 +34,13 @@
 /** The decision loop without sockets; the test sets its clock and records what it asks for. */
 class DecisionLoopTest implements ProxyActions {
     private static final int BACKENDS = 3200;
+
+    /** Seconds after which what a test waits for counts as missing. */
+    private static final long WAIT_SECONDS = 5;
+
+    /** The timeout of requests, as their client states it. */
+    private static final double REQUEST_TIMEOUT_SECONDS = 2;
+
     private static final Settings SETTINGS =
             new Settings(
                     1,
@@ -77,10 +84,27 @@
                     new RequestClassIndex(List.of("order"), SETTINGS.requestClasses()),
                     SETTINGS);
 
-    private Attempt arrive(long id) throws InterruptedException {
+    private void receiveRequest(long id) {
         decisionLoop.requestArrived(
-                new PendingRequest(new Request(id, 0, 0, now, 2), null, new byte[0], null));
-        return sentAttempts.poll(5, TimeUnit.SECONDS);
+                new PendingRequest(
+                        new Request(id, 0, 0, now, REQUEST_TIMEOUT_SECONDS),
+                        null,
+                        new byte[0],
+                        null));
+    }
+
+    /** The attempt that is sent for a request; null where none is. */
+    private Attempt attemptFor(long id) throws InterruptedException {
+        receiveRequest(id);
+        return nextAttempt();
+    }
+
+    private Attempt nextAttempt() throws InterruptedException {
+        return sentAttempts.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+    }
+
+    private byte[] nextGossipDatagram() throws InterruptedException {
+        return gossipDatagrams.poll(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
     private void receiveList(String phase) {
@@ -89,7 +113,7 @@
     }
 
     private String nextAction() throws InterruptedException {
-        return actions.poll(5, TimeUnit.SECONDS);
+        return actions.poll(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
     @AfterEach
@@ -98,63 +122,62 @@
     }
 
     @Test
-    void anErrorInOneRequestFailsThatRequestAlone() throws Exception {
+    void failsOnlyTheRequestWhoseAttemptThrows() throws Exception {
         decisionLoop.start();
         receiveList("active");
         sendFails = true;
-        decisionLoop.requestArrived(
-                new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
+        receiveRequest(1);
         assertEquals("failed 1", nextAction());
         sendFails = false;
-        decisionLoop.attemptEnded(arrive(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        decisionLoop.attemptEnded(attemptFor(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         assertEquals("delivered 2", nextAction());
     }
 
     @Test
-    void otherProxiesHearOfAttemptsInFlight() throws Exception {
+    void sendsAttemptsInFlightToOtherProxies() throws Exception {
         InetSocketAddress anyAddress = InetSocketAddress.createUnresolved("p", 1);
         decisionLoop.enableGossip(
                 new GossipSettings(null, List.of(anyAddress, anyAddress), 1, 0, 1, 12));
         decisionLoop.start();
         receiveList("active");
-        Attempt attempt = arrive(1);
+        Attempt attempt = attemptFor(1);
         SubsetAssignment subsets = new SubsetAssignment(2, 12);
         LoadGossip otherProxy = new LoadGossip(2, 0, 1, 0, 1, subsets, tag -> {});
-        otherProxy.receive(1, gossipDatagrams.poll(5, TimeUnit.SECONDS), now);
+        otherProxy.receive(1, nextGossipDatagram(), now);
         while (otherProxy.peerLoad(LoadGossip.tag("s-1")) == 0) {
-            otherProxy.receive(1, gossipDatagrams.poll(5, TimeUnit.SECONDS), now);
+            otherProxy.receive(1, nextGossipDatagram(), now);
         }
         decisionLoop.datagramReceived(0, new byte[] {1, 2, 3});
         decisionLoop.attemptEnded(attempt, AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         while (otherProxy.peerLoad(LoadGossip.tag("s-1")) > 0) {
-            otherProxy.receive(1, gossipDatagrams.poll(5, TimeUnit.SECONDS), now);
+            otherProxy.receive(1, nextGossipDatagram(), now);
         }
         assertEquals("delivered 1", nextAction());
     }
 
     @Test
-    void aRequestIsAnsweredOnceAndLateResponsesAreDiscarded() throws Exception {
+    void answersRequestOnceAndDiscardsLateResponses() throws Exception {
         decisionLoop.start();
         receiveList("active");
-        Attempt first = arrive(1);
+        Attempt first = attemptFor(1);
         now += 1.5;
         decisionLoop.attemptEnded(first, AttemptOutcome.TIMED_OUT, 1.5, null, null);
         assertEquals("failed 1", nextAction());
-        Attempt second = arrive(2);
+        Attempt second = attemptFor(2);
         decisionLoop.clientLeft(second.request);
         assertEquals("cancelled 2", nextAction());
         decisionLoop.attemptEnded(second, AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
-        decisionLoop.attemptEnded(arrive(3), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
-        assertEquals("delivered 3", nextAction(), "nothing more for the one whose client has gone");
+        decisionLoop.attemptEnded(attemptFor(3), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        assertEquals(
+                "delivered 3", nextAction(), "nothing more for the request whose client has left");
     }
 
     @Test
-    void aDrainingBackendsPoolIsRetiredAndTheNextRequestIsRejected() throws Exception {
+    void retiresPoolOfDrainingBackendAndRejectsNextRequest() throws Exception {
         decisionLoop.start();
         receiveList("leaving");
         assertEquals("pool retired", nextAction());
-        decisionLoop.requestArrived(
-                new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
+        receiveRequest(1);
         assertEquals("rejected 1", nextAction());
     }
 
@@ -170,13 +193,12 @@
 
     /** Guards against a long list that holds up requests and replies. */
     @Test
-    void whileALongListIsAppliedRequestsAreDecidedAndDeadlinesKept() throws Exception {
+    void decidesRequestsAndKeepsDeadlinesWhileALongListIsApplied() throws Exception {
         receiveList("active");
         decisionLoop.endpointListReceived(longList("active"), false, () -> actions.add("applied"));
-        decisionLoop.requestArrived(
-                new PendingRequest(new Request(1, 0, 0, now, 2), null, new byte[0], null));
+        receiveRequest(1);
         decisionLoop.start();
-        Attempt first = sentAttempts.poll(5, TimeUnit.SECONDS);
+        Attempt first = nextAttempt();
         assertEquals(List.of(), List.copyOf(actions), "sent before the list was applied");
         assertEquals("applied", nextAction());
         retireSeconds = 3;
@@ -193,7 +215,7 @@
 
     /** Guards against an older list that is applied after a newer one. */
     @Test
-    void listsThatComeWhileOneIsAppliedAreAppliedInTheirOrder() throws Exception {
+    void appliesListsInTheOrderInWhichTheyCame() throws Exception {
         decisionLoop.endpointListReceived(
                 longList("active"), false, () -> actions.add("applied 1"));
         decisionLoop.endpointListReceived(
@@ -202,7 +224,8 @@
         for (String action = nextAction(); !"applied 2".equals(action); action = nextAction()) {
             assertTrue(List.of("applied 1", "pool retired").contains(action), action);
         }
-        assertEquals(0, arrive(1).backend, "the only one left, under the first index that is free");
+        assertEquals(
+                0, attemptFor(1).backend, "the only one left, under the first index that is free");
     }
 
     @Override
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A snapshot that the landed program wrote is read, and written the same. */
+/** A snapshot that the landed program wrote is read, and written byte for byte the same. */
 class SnapshotCompatibilityTest {
     @TempDir Path folder;
 
     @Test
-    void aSnapshotOfTheLandedProgramIsReadAndWrittenTheSame() throws IOException {
+    void readsAndWritesSnapshotOfLandedProgramUnchanged() throws IOException {
         Snapshot snapshot =
                 new Snapshot("n1", "3f1c9b1e-boot", 1764756000123L, 1764756000.5, 0.21875, 40);
         LandedBytes.assertHex("snapshot.hex", SnapshotFile.encoded(snapshot));
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
@@ -8,6 +8,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
 import java.util.Arrays;
 import java.util.function.UnaryOperator;
 import lemondrift.proxy.config.RecoverySettings;
@@ -59,7 +60,7 @@
     }
 
     @Test
-    void aTornOrFlippedSnapshotGivesWayToTheOneBefore() throws IOException {
+    void usesPreviousSnapshotWhenLatestIsDamaged() throws IOException {
         int length = SnapshotFile.encoded(NEWER).length;
         for (int i = 0; i < length; i++) {
             int at = i;
@@ -75,24 +76,22 @@
     }
 
     @Test
-    void aSnapshotOfAFutureVersionIsNotUsedAndTheErrorSaysSo() throws IOException {
+    void rejectsSnapshotOfFutureVersionWithItsNumber() throws IOException {
         writeBoth();
         byte[] all = Files.readAllBytes(file());
         all[5] = SnapshotFile.VERSION + 1;
         Files.write(file(), all);
-        String why = assertThrows(IOException.class, () -> SnapshotFile.read(file())).getMessage();
-        assertTrue(why.contains("version 2"), why);
+        String message =
+                assertThrows(IOException.class, () -> SnapshotFile.read(file())).getMessage();
+        assertTrue(message.contains("version 2"), message);
     }
 
     @Test
-    void aPowerFailureBetweenTheStepsOfAWriteLeavesAWholeSnapshot() throws IOException {
+    void keepsWholeSnapshotWhenPowerFailsDuringAWrite() throws IOException {
         writeBoth();
         Files.write(folder.resolve("n1.snap.new"), new byte[] {1, 2, 3});
         assertEquals(NEWER, SnapshotFile.read(file()), "before the new one is synced");
-        Files.move(
-                file(),
-                SnapshotFile.previous(file()),
-                java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.move(file(), SnapshotFile.previous(file()), StandardCopyOption.REPLACE_EXISTING);
         try (SnapshotStore store = new SnapshotStore(folder, "n1")) {
             assertEquals(8, store.readTrusted().previousStart(), "between its two renames");
             assertTrue(store.writeNow(9, 0, 0));
@@ -101,7 +100,7 @@
     }
 
     @Test
-    void startNumbersRiseThoughTheClockGoesBackUnlessBothFilesAreDamaged() throws IOException {
+    void raisesStartNumberWhenClockGoesBackUnlessBothFilesAreDamaged() throws IOException {
         long ahead = System.currentTimeMillis() + 3_600_000;
         SnapshotFile.write(file(), new Snapshot("n1", "", ahead, ahead / 1e3, 0.2, 9));
         try (RecoveryCoordinator coordinator = coordinator(folder, "n1")) {
@@ -122,7 +121,7 @@
     }
 
     @Test
-    void aSnapshotCopiedFromAnotherProxyIsNotUsed() throws IOException {
+    void ignoresSnapshotCopiedFromAnotherProxy() throws IOException {
         SnapshotFile.write(folder.resolve("n2.snap"), NEWER);
         try (SnapshotStore store = new SnapshotStore(folder, "n2")) {
             assertEquals(0, store.readTrusted().previousStart());
@@ -131,7 +130,7 @@
     }
 
     @Test
-    void aFolderThatCannotBeWrittenToDoesNotKeepTheProxyFromStarting() throws IOException {
+    void startsWithoutSnapshotsWhenFolderIsNotWritable() throws IOException {
         Path noFolder = Files.write(folder.resolve("no-folder"), new byte[0]);
         try (SnapshotStore store = new SnapshotStore(noFolder, "n1")) {
             assertFalse(store.writeNow(1, 0, 0));
