--- a/src/test/java/lemondrift/proxy/ConfigReloadTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigReloadTest.java
@@ -170,32 +170,41 @@
         return config.toString();
     }
 
+    /** A change that makes a configuration unusable, and what the message has to contain. */
+    private record UnusableChange(String usableText, String unusableText, String expectedMessage) {}
+
     @Test
     void namesKeyOfUnusableConfiguration() throws Exception {
         start(backend(OK));
         String usable = runningConfig().toString();
-        String[][] textReplacementAndMessage = {
-            {"\"expiry\":4000", "\"expiry\":0", "expiry"},
-            {"\"contractTime\":1500", "\"contractTime\":-5", "contractTime"},
-            {"\"contractTime\":1500", "\"contractTime\":\"NaN\"", "contractTime"},
-            {"\"mostForwards\":4", "\"mostForwards\":0", "mostForwards"},
-            {
-                "\"name\":\"order\"",
-                "\"name\":\"look\"",
-                "serviceGrades.1.name: look is there twice"
-            },
-            {"\"name\":\"order\"", "\"name\":\"\"", "serviceGrades.1.name"},
-            {"\"effect\":\"fragile\"", "\"effect\":\"odd\"", "effect"}
-        };
-        for (String[] each : textReplacementAndMessage) {
-            assertTrue(usable.contains(each[0]), each[0]);
-            String text = usable.replace(each[0], each[1]);
+        List<UnusableChange> changes =
+                List.of(
+                        new UnusableChange("\"expiry\":4000", "\"expiry\":0", "expiry"),
+                        new UnusableChange(
+                                "\"contractTime\":1500", "\"contractTime\":-5", "contractTime"),
+                        new UnusableChange(
+                                "\"contractTime\":1500",
+                                "\"contractTime\":\"NaN\"",
+                                "contractTime"),
+                        new UnusableChange(
+                                "\"mostForwards\":4", "\"mostForwards\":0", "mostForwards"),
+                        new UnusableChange(
+                                "\"name\":\"order\"",
+                                "\"name\":\"look\"",
+                                "serviceGrades.1.name: look is there twice"),
+                        new UnusableChange(
+                                "\"name\":\"order\"", "\"name\":\"\"", "serviceGrades.1.name"),
+                        new UnusableChange(
+                                "\"effect\":\"fragile\"", "\"effect\":\"odd\"", "effect"));
+        for (UnusableChange change : changes) {
+            assertTrue(usable.contains(change.usableText()), change.usableText());
+            String text = usable.replace(change.usableText(), change.unusableText());
             String message =
                     assertThrows(
                                     InvalidSettingsException.class,
                                     () -> proxy.reload(ProxyConfig.read(text)))
                             .getMessage();
-            assertTrue(message.contains(each[2]), message);
+            assertTrue(message.contains(change.expectedMessage()), message);
         }
         for (int cut = 0; cut < usable.length(); cut += 7) {
             String text = usable.substring(0, cut);
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -80,6 +80,15 @@
     /** How much of a streamed body is sent, in bytes. */
     private static final int SENT_BODY_BYTES = 400_000;
 
+    /** How long a drain runs while the I/O thread reads nothing. */
+    private static final int UNREAD_MILLIS = 1500;
+
+    /** How long a request stays incomplete in a drain. */
+    private static final int INCOMPLETE_MILLIS = 1000;
+
+    /** How long a request stays incomplete that is accepted late in a drain. */
+    private static final int LATE_IN_DRAIN_MILLIS = 900;
+
     private boolean mayCancel = true;
     private int latencyObjectiveMillis = LATENCY_OBJECTIVE_MILLIS;
     private int timeoutMillis = TIMEOUT_MILLIS;
@@ -523,7 +532,7 @@
         try (Socket client = client()) {
             writeText(client, get("a"));
             Thread drain = startDrain();
-            drain.join(1500);
+            drain.join(UNREAD_MILLIS);
             mayRead.countDown();
             assertResponseStartsWith("HTTP/1.1 200", client);
             drain.join();
@@ -541,7 +550,7 @@
             try (Socket client = client()) {
                 writeText(client, whole.substring(0, cut));
                 Thread drain = startDrain();
-                client.setSoTimeout(1000);
+                client.setSoTimeout(INCOMPLETE_MILLIS);
                 assertThrows(
                         SocketTimeoutException.class,
                         () -> client.getInputStream().read(),
@@ -561,7 +570,7 @@
         try (Socket client = client()) {
             writeText(client, get("a").substring(0, 40));
             Thread drain = startDrain();
-            client.setSoTimeout(900);
+            client.setSoTimeout(LATE_IN_DRAIN_MILLIS);
             assertThrows(SocketTimeoutException.class, () -> client.getInputStream().read());
             client.setSoTimeout(READ_TIMEOUT_MILLIS);
             writeText(client, get("a").substring(40));
--- a/src/test/java/lemondrift/proxy/ShutdownTest.java
+++ b/src/test/java/lemondrift/proxy/ShutdownTest.java
@@ -170,12 +170,12 @@
     @Test
     void exitsWithZeroAtEachStepOfTheStart(@TempDir Path folder) throws Exception {
         ScriptedServer discoveryServer = discoveryOf();
-        for (String line : List.of("warm-up-0", "warmed up, ", "starts, listens on", "serving")) {
+        for (String step : List.of("warm-up-0", "warmed up, ", "starts, listens on", "serving")) {
             Process child = ProxyProcess.start(configFile(folder, discoveryServer));
             try {
-                ProxyProcess.awaitLine(child.inputReader(), line);
+                ProxyProcess.awaitLine(child.inputReader(), step);
                 assertEquals(0, ProxyProcess.signal(child, "TERM"));
-                child.inputReader().lines().forEach(each -> {});
+                child.inputReader().lines().forEach(line -> {});
                 assertEnds(child);
             } finally {
                 child.destroyForcibly();
@@ -191,7 +191,7 @@
             ProxyProcess.awaitLine(child.inputReader(), "serving");
             assertNotNull(discoveryServer.requests.poll(STEP_TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertEquals(0, ProxyProcess.signal(child, "TERM"));
-            child.inputReader().lines().forEach(each -> {});
+            child.inputReader().lines().forEach(line -> {});
             assertEnds(child);
         } finally {
             child.destroyForcibly();
--- a/src/test/java/lemondrift/proxy/admin/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminServerTest.java
@@ -25,6 +25,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
+import java.util.function.IntPredicate;
 import lemondrift.proxy.LoopbackFixture;
 import lemondrift.proxy.ProxyServer;
 import lemondrift.proxy.ScriptedServer;
@@ -86,6 +87,13 @@
                 .getAsInt();
     }
 
+    /** Waits without a bound until a figure of the metrics is as it should be. */
+    private void awaitStat(String name, IntPredicate expected) throws IOException {
+        while (!expected.test(stats().get(name).getAsInt())) {
+            Thread.onSpinWait();
+        }
+    }
+
     private int healthStatusForClients() throws Exception {
         try (Socket client = connect()) {
             writeText(client, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -167,15 +175,11 @@
         assertEquals(0, stats.get("targets_disabled").getAsInt());
         var openRequest =
                 sendAsync(request(NOT_IDEMPOTENT_CLASS).POST(BodyPublishers.ofString("slow")));
-        while (stats().get("dispatches").getAsInt() < 4) {
-            Thread.onSpinWait();
-        }
+        awaitStat("dispatches", value -> value >= 4);
         assertEquals(1, stats().get("concurrent").getAsInt());
         mayRespond.countDown();
         assertEquals(200, openRequest.get().statusCode());
-        while (stats().get("concurrent").getAsInt() > 0) {
-            Thread.onSpinWait();
-        }
+        awaitStat("concurrent", value -> value <= 0);
         assertEquals(2, replyCount(NOT_IDEMPOTENT_CLASS, "success"));
     }
 
@@ -196,15 +200,11 @@
         discoveryUpdates.add(
                 okResponse(endpointList(2, false, member(0, draining.port(), "leaving"))));
         awaitDiscoveryRequest("from=2");
-        while (stats().get("targets_disabled").getAsInt() < 1) {
-            Thread.onSpinWait();
-        }
+        awaitStat("targets_disabled", value -> value >= 1);
         assertEquals(2, stats().get("targets").getAsInt());
         discoveryUpdates.add(
                 okResponse(endpointList(3, false, member(0, draining.port(), "left"))));
-        while (stats().get("targets").getAsInt() > 1) {
-            Thread.onSpinWait();
-        }
+        awaitStat("targets", value -> value <= 1);
         assertEquals(0, stats().get("targets_disabled").getAsInt());
     }
 
@@ -214,9 +214,7 @@
         proxy.reload(ProxyConfig.read(config(discovery.port())));
         proxy.reloadFailed();
         proxy.reloadFailed();
-        while (stats().get("reload_failure").getAsInt() < 2) {
-            Thread.onSpinWait();
-        }
+        awaitStat("reload_failure", value -> value >= 2);
         assertEquals(1, stats().get("reload_success").getAsInt());
     }
 
