--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -1,5 +1,7 @@
 package lemondrift.proxy.admin;
 
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -7,6 +9,8 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
 import lemondrift.LandedBytes;
 import lemondrift.metrics.EventLoopMetrics;
 import lemondrift.metrics.ProxyMetrics;
@@ -18,6 +22,9 @@
 
 /** The answers at the operators' address, byte for byte as the landed program gave them. */
 class AdminCompatibilityTest {
+    /** Seconds after which the I/O thread counts as stuck. */
+    private static final long IO_THREAD_TIMEOUT_SECONDS = 5;
+
     /** A proxy whose figures are all known. */
     private static final class KnownProxy implements AdminOperations {
         @Override
@@ -82,6 +89,7 @@
             StringBuilder all = new StringBuilder();
             askAll(adminServer, all.append("before there is a proxy\n"));
             adminServer.setOperations(new KnownProxy());
+            awaitIoThread(worker);
             askAll(adminServer, all.append("with one\n"));
             LandedBytes.assertText("admin.txt", all.toString().replace("\r\n", "\n"));
         } finally {
@@ -89,6 +97,13 @@
         }
     }
 
+    /** Guards against calls that the I/O thread answers before the operations it was given. */
+    private static void awaitIoThread(XnioWorker worker) throws InterruptedException {
+        CountDownLatch ranTasks = new CountDownLatch(1);
+        worker.getIoThread().execute(ranTasks::countDown);
+        assertTrue(ranTasks.await(IO_THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS));
+    }
+
     private static void askAll(AdminServer adminServer, StringBuilder all) throws IOException {
         for (String path :
                 List.of("health", "stats", "recovery", "loop", "quiesce", "resume", "nothing")) {
