--- a/src/test/java/lemondrift/proxy/LargeFleetTest.java
+++ b/src/test/java/lemondrift/proxy/LargeFleetTest.java
@@ -1,12 +1,19 @@
 package lemondrift.proxy;
 
+import static lemondrift.proxy.DaemonThreads.startDaemon;
+import static lemondrift.proxy.DiscoveryMessages.endpointList;
+import static lemondrift.proxy.HttpMessages.getRequest;
+import static lemondrift.proxy.HttpMessages.okResponse;
+import static lemondrift.proxy.HttpMessages.readMessage;
+import static lemondrift.proxy.HttpMessages.writeText;
+import static lemondrift.proxy.ScriptedServer.CLOSE;
+import static lemondrift.proxy.ScriptedServer.SILENCE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -22,9 +29,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A real process with a small part of a core, a hundred peers and thousands of backends, most of
- * which are replaced while discovery is away and right after its return. Every request is owed its
- * reply in time.
+ * A real process with a small part of a core, a hundred peers and thousands of backends answers
+ * every request in time, while it reloads and while most backends are replaced.
  */
 class LargeFleetTest extends LoopbackFixture {
     private static final int BACKENDS = 3200;
@@ -38,7 +44,10 @@
     /** Processes that keep the proxy's core busy beside it. */
     private static final int BUSY_PROCESSES = 4;
 
-    /** The timeout that a client states. */
+    /** The latency objective of both classes. */
+    private static final int LATENCY_OBJECTIVE_MILLIS = 150;
+
+    /** The timeout of both classes, which a client states too. */
     private static final int TIMEOUT_MILLIS = 190;
 
     /** A request without a reply by then counts as lost. */
@@ -50,33 +59,33 @@
     /** Time between two versions of the list. */
     private static final int VERSION_INTERVAL_MILLIS = 350;
 
+    /** How long requests are sent before the first and after the last change. */
+    private static final int UNDISTURBED_MILLIS = 1000;
+
     private static final int VERSIONS = 10;
     private static final int RELOADS = 6;
 
-    private final List<Process> busyProcesses = new ArrayList<>();
+    /** The proxy and the busy processes; all end with the test. */
+    private final List<Process> processes = new ArrayList<>();
+
     private final Queue<String> lost = new ConcurrentLinkedQueue<>();
     private final List<Thread> clients = new ArrayList<>();
     private final CountDownLatch discoveryBack = new CountDownLatch(1);
     private int port;
 
     @AfterEach
-    void endBusyProcesses() {
-        busyProcesses.forEach(Process::destroyForcibly);
+    void endProcesses() {
+        processes.forEach(Process::destroyForcibly);
     }
 
-    private Path config(Path folder, String initialList) throws IOException {
-        port = freePort();
+    private Path configFile(Path folder, String initialList) throws IOException {
+        port = ProxyProcess.freePort();
         String peers =
                 IntStream.range(0, PROXIES)
                         .mapToObj(i -> "\"127.0.1." + (i + 1) + ":7946\"")
                         .collect(Collectors.joining(","));
         String config =
-                config(discovery.port(), false)
-                        .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                        .replace(
-                                "\"contractTime\":1500,\"expiry\":4000",
-                                "\"contractTime\":150,\"expiry\":" + TIMEOUT_MILLIS)
-                        .replace("\"sockets\":64", "\"sockets\":1024")
+                TestConfig.withListenPort(config(discovery.port()), port)
                         .replace("\"siblings\":1,", "\"siblings\":" + PROXIES + ",\"slotNo\":0,")
                         .replace(
                                 "\"limits\":{\"mayCancel\"",
@@ -84,19 +93,24 @@
                         .replaceFirst(
                                 "\\{",
                                 "{\"peer_listen\":\"127.0.1.1:"
-                                        + freePort()
+                                        + ProxyProcess.freePort()
                                         + "\",\"peers\":["
                                         + peers
                                         + "],\"known\":"
                                         + initialList
                                         + ",");
-        return Files.writeString(folder.resolve("config.json"), config);
+        return Files.writeString(
+                folder.resolve("config.json"),
+                TestConfig.withClassTimes(
+                        TestConfig.withSockets(config, 1024),
+                        LATENCY_OBJECTIVE_MILLIS,
+                        TIMEOUT_MILLIS));
     }
 
     /** A process on one core of the machine that it shares with others. */
-    private Process proxyOnAPartOfACore(Path config) throws IOException {
+    private Process startProxyOnPartOfACore(Path config) throws IOException {
         for (int i = 0; i < BUSY_PROCESSES; i++) {
-            busyProcesses.add(
+            processes.add(
                     new ProcessBuilder(
                                     "taskset", "-c", LAST_CORE, "sh", "-c", "while :; do :; done")
                             .start());
@@ -106,7 +120,7 @@
                         "taskset",
                         "-c",
                         LAST_CORE,
-                        Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                        ProxyProcess.javaCommand(),
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
                         "-XX:CompileThresholdScaling=0.5",
@@ -120,7 +134,9 @@
         command.environment().put("PROXY_CONFIG", config.toString());
         command.environment().put("PROXY_PEERS", "deploy/peers.json");
         command.environment().put("PROXY_RECOVERY", "deploy/recovery.json");
-        return command.redirectErrorStream(true).start();
+        Process child = command.redirectErrorStream(true).start();
+        processes.add(child);
+        return child;
     }
 
     /** One request on a connection of its own, on a thread of its own. */
@@ -132,17 +148,8 @@
                             try (Socket socket = new Socket("127.0.0.1", port)) {
                                 socket.setSoTimeout(LOST_AFTER_MILLIS);
                                 startedAt = System.nanoTime();
-                                socket.getOutputStream()
-                                        .write(
-                                                ("GET / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: r"
-                                                                + number
-                                                                + "\r\n"
-                                                                + "X-Qos: look\r\n"
-                                                                + "X-Expires-In-Ms: "
-                                                                + TIMEOUT_MILLIS
-                                                                + "\r\n\r\n")
-                                                        .getBytes(StandardCharsets.US_ASCII));
-                                String response = read(socket);
+                                writeText(socket, getRequest("r" + number, TIMEOUT_MILLIS));
+                                String response = readMessage(socket);
                                 long durationMillis =
                                         TimeUnit.NANOSECONDS.toMillis(
                                                 System.nanoTime() - startedAt);
@@ -159,7 +166,7 @@
                                 lost.add(
                                         "r"
                                                 + number
-                                                + " has no answer after "
+                                                + " has no response after "
                                                 + LOST_AFTER_MILLIS
                                                 + " ms");
                             } catch (IOException e) {
@@ -185,9 +192,9 @@
     private String discoveryResponse(String request, String fullList) {
         try {
             if (request.contains("from=")) {
-                return news.take();
+                return discoveryUpdates.take();
             }
-            return discoveryBack.await(0, TimeUnit.SECONDS) ? http(fullList) : SILENCE;
+            return discoveryBack.await(0, TimeUnit.SECONDS) ? okResponse(fullList) : SILENCE;
         } catch (InterruptedException e) {
             return CLOSE;
         }
@@ -199,80 +206,73 @@
                 .toArray(String[]::new);
     }
 
-    /** Guards against a reload, whose file has a long list, that holds up replies. */
+    /** Starts the proxy, returns once it serves, and reads its log from then on. */
+    private Process startServing(Path config) throws IOException {
+        Process child = startProxyOnPartOfACore(config);
+        BufferedReader log = child.inputReader();
+        ProxyProcess.awaitLine(log, "serving");
+        startDaemon(() -> log.lines().forEach(line -> {}));
+        return child;
+    }
+
+    private void assertNoRequestLost() throws InterruptedException {
+        for (Thread client : clients) {
+            client.join();
+        }
+        assertEquals(List.of(), List.copyOf(lost), "of " + clients.size());
+    }
+
+    /** Guards against a reload of a file with a long endpoint list that delays responses. */
     @Test
-    void whileConfigurationsAreReloadedInARowEveryRequestIsAnsweredInTime(@TempDir Path folder)
-            throws Exception {
+    void answersEveryRequestInTimeDuringRepeatedReloads(@TempDir Path folder) throws Exception {
         try (ManyBackends backends = new ManyBackends(BACKENDS)) {
-            String initialList = list(1, true, backends.members(0, BACKENDS, "active"));
-            discovery = new StandIn(request -> discoveryResponse(request, initialList));
+            String initialList = endpointList(1, true, backends.members(0, BACKENDS, "active"));
+            discovery = scriptedServer(request -> discoveryResponse(request, initialList));
             discoveryBack.countDown();
-            Process child = proxyOnAPartOfACore(config(folder, initialList));
-            try {
-                BufferedReader log = child.inputReader();
-                awaitLine(log, "serving");
-                daemon(() -> log.lines().forEach(line -> {}));
-                sendRequestsFor(1000);
-                for (int i = 0; i < RELOADS; i++) {
-                    signal(child, "HUP");
-                    sendRequestsFor(VERSION_INTERVAL_MILLIS);
-                }
-                sendRequestsFor(1000);
-                for (Thread client : clients) {
-                    client.join();
-                }
-                assertEquals(List.of(), List.copyOf(lost), "of " + clients.size());
-            } finally {
-                child.destroyForcibly();
+            Process child = startServing(configFile(folder, initialList));
+            sendRequestsFor(UNDISTURBED_MILLIS);
+            for (int i = 0; i < RELOADS; i++) {
+                assertEquals(0, ProxyProcess.signal(child, "HUP"));
+                sendRequestsFor(VERSION_INTERVAL_MILLIS);
             }
+            sendRequestsFor(UNDISTURBED_MILLIS);
+            assertNoRequestLost();
         }
     }
 
     @Test
-    void whileMostOfThousandsOfBackendsAreReplacedEveryRequestIsAnsweredInTime(@TempDir Path folder)
+    void answersEveryRequestInTimeWhileMostBackendsAreReplaced(@TempDir Path folder)
             throws Exception {
         try (ManyBackends backends = new ManyBackends(2 * BACKENDS)) {
-            String initialList = list(1, true, backends.members(0, BACKENDS, "active"));
+            String initialList = endpointList(1, true, backends.members(0, BACKENDS, "active"));
             String fullList =
-                    list(
+                    endpointList(
                             10,
                             true,
                             backends.members(BACKENDS / 4, BACKENDS + BACKENDS / 4, "active"));
-            discovery = new StandIn(request -> discoveryResponse(request, fullList));
-            Process child = proxyOnAPartOfACore(config(folder, initialList));
-            try {
-                BufferedReader log = child.inputReader();
-                awaitLine(log, "serving");
-                daemon(() -> log.lines().forEach(line -> {}));
-                sendRequestsFor(1000);
-                discoveryBack.countDown();
-                for (int version = 0; version < VERSIONS; version++) {
-                    sendRequestsFor(VERSION_INTERVAL_MILLIS);
-                    int from = BACKENDS / 4 + version * REPLACED_PER_VERSION;
-                    int newFrom = BACKENDS + from;
-                    news.add(
-                            http(
-                                    list(
-                                            11 + version,
-                                            false,
-                                            concatenated(
-                                                    backends.members(
-                                                            from,
-                                                            from + REPLACED_PER_VERSION,
-                                                            version % 2 == 0 ? "leaving" : "left"),
-                                                    backends.members(
-                                                            newFrom,
-                                                            newFrom + REPLACED_PER_VERSION,
-                                                            "active")))));
-                }
-                sendRequestsFor(1000);
-                for (Thread client : clients) {
-                    client.join();
-                }
-                assertEquals(List.of(), List.copyOf(lost), "of " + clients.size());
-            } finally {
-                child.destroyForcibly();
+            discovery = scriptedServer(request -> discoveryResponse(request, fullList));
+            startServing(configFile(folder, initialList));
+            sendRequestsFor(UNDISTURBED_MILLIS);
+            discoveryBack.countDown();
+            for (int version = 0; version < VERSIONS; version++) {
+                sendRequestsFor(VERSION_INTERVAL_MILLIS);
+                discoveryUpdates.add(
+                        okResponse(
+                                endpointList(
+                                        11 + version, false, replacedMembers(backends, version))));
             }
+            sendRequestsFor(UNDISTURBED_MILLIS);
+            assertNoRequestLost();
         }
     }
+
+    /** Members that are withdrawn in a version of the list, and those in their place. */
+    private static String[] replacedMembers(ManyBackends backends, int version) {
+        int from = BACKENDS / 4 + version * REPLACED_PER_VERSION;
+        int newFrom = BACKENDS + from;
+        return concatenated(
+                backends.members(
+                        from, from + REPLACED_PER_VERSION, version % 2 == 0 ? "leaving" : "left"),
+                backends.members(newFrom, newFrom + REPLACED_PER_VERSION, "active"));
+    }
 }
--- /dev/null
+++ b/src/test/java/lemondrift/proxy/lifecycle/WarmupTest.java
@@ -0,0 +1,15 @@
+package lemondrift.proxy.lifecycle;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import lemondrift.proxy.TestConfig;
+import lemondrift.proxy.config.ProxyConfig;
+import org.junit.jupiter.api.Test;
+
+/** The warm-up of the process before it serves. */
+class WarmupTest {
+    @Test
+    void leavesNothingInFlight() throws Exception {
+        assertTrue(Warmup.play(ProxyConfig.read(TestConfig.json(TestConfig.UNUSED_PORT))));
+    }
+}
