--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -204,8 +204,8 @@
     }
 
     /** The client has gone; what is in flight for it is cancelled where that is allowed. */
-    public Decision clientLeft(double now, Request request) {
-        return decide(now, () -> deadlines.clientLeft(request, decision));
+    public Decision requestAbandoned(double now, Request request) {
+        return decide(now, () -> deadlines.requestAbandoned(request, decision));
     }
 
     /** The time asked for by {@link Decision#wakeAt} has come. */
--- a/src/main/java/lemondrift/balancer/RequestDeadlines.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -155,7 +155,7 @@
     }
 
     /** Nobody waits for the request any more. */
-    void clientLeft(Request request, Decision decision) {
+    void requestAbandoned(Request request, Decision decision) {
         request.completed = true;
         cancelAttempts(request, decision);
     }
--- a/src/main/java/lemondrift/cli/RecoveryCommand.java
+++ b/src/main/java/lemondrift/cli/RecoveryCommand.java
@@ -15,7 +15,7 @@
 /** The snapshots that proxies keep for their next start. */
 @Command(
         name = "recovery",
-        description = "What a proxy keeps over its end.",
+        description = "What a proxy keeps for its next start.",
         mixinStandardHelpOptions = true,
         subcommands = RecoveryCommand.Show.class)
 final class RecoveryCommand {
--- a/src/main/java/lemondrift/cli/RootCommand.java
+++ b/src/main/java/lemondrift/cli/RootCommand.java
@@ -30,6 +30,7 @@
     /** Exit code: the call or a file that it names cannot be used. */
     static final int USAGE = 2;
 
+    // Main runs these three itself, without the library; here they stand for the usage only.
     @Command(name = "serve", description = "One real proxy; PROXY_CONFIG names its configuration.")
     static final class Serve {}
 
--- a/src/main/java/lemondrift/connection/RequestQueue.java
+++ b/src/main/java/lemondrift/connection/RequestQueue.java
@@ -71,8 +71,8 @@
         return queued >= capacity();
     }
 
-    /** Whether a request may go to the queue now; if so it counts as queued. */
-    public boolean tryEnqueue() {
+    /** Reserves a place in the queue; returns false where there is none. */
+    public boolean tryReserve() {
         if (!heldBack.isEmpty() || isFull()) {
             return false;
         }
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -12,7 +12,7 @@
 import lemondrift.model.EndpointUpdate;
 import lemondrift.model.Request;
 import lemondrift.model.Settings;
-import lemondrift.recovery.PeerPollBackoff;
+import lemondrift.recovery.PeerPollSettings;
 import lemondrift.recovery.PeerStatus;
 import lemondrift.recovery.RecoveryState;
 
@@ -77,7 +77,7 @@
     public ModuleUnderTest recovering(Settings settings) {
         recovery =
                 RecoveryState.starting(
-                        PeerPollBackoff.forLatencyObjective(settings.windowSeconds()),
+                        PeerPollSettings.forLatencyObjective(settings.windowSeconds()),
                         self,
                         settings.proxyCount(),
                         startNumber(),
--- a/src/main/java/lemondrift/lab/fleet/ClientTry.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientTry.java
@@ -213,9 +213,8 @@
     @Override
     public void onClosed(HttpConnection from) {
         connections.unassign(connection);
-        // Guards against repeating what a killed proxy may have had executed: its connection was
-        // not
-        // closed as an idle one.
+        // Guards against repeating what a killed proxy may have had executed: its connections were
+        // not closed as idle ones.
         boolean closedAsIdle =
                 from.isUsed() && !targets.areBackends() && !recorder.isUnableToAnswer(target);
         if (closedAsIdle && !resent) {
--- a/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
@@ -17,6 +17,7 @@
 import lemondrift.lab.simulation.BackendFault;
 import lemondrift.lab.simulation.BackendFaultInjector;
 import lemondrift.lab.simulation.Fault;
+import lemondrift.lab.simulation.Referee;
 import lemondrift.lab.simulation.RunResult;
 import lemondrift.lab.simulation.Scenario;
 import lemondrift.model.EndpointUpdate;
@@ -39,9 +40,6 @@
     /** Up to so many pairs of proxy and backend, each proxy has a network path of its own. */
     private static final int MAX_SEPARATE_PATHS = 128;
 
-    /** The rules that proxies are judged by. */
-    private static final int ALL_RULES = 4;
-
     /** Clients without proxies are judged by none. */
     private static final int NO_RULES = 0;
 
@@ -117,7 +115,7 @@
         return new FleetTestbed(
                 experiment,
                 seed,
-                ALL_RULES,
+                Referee.ALL_RULES,
                 (context, backendFleet) ->
                         new ProxyFleet(context, experiment, launcher, backendFleet),
                 progress);
--- a/src/main/java/lemondrift/lab/fleet/ProxyFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyFleet.java
@@ -121,7 +121,7 @@
 
     private void checkNoneCrashed(int startedCount) {
         for (int proxy = 0; proxy < startedCount; proxy++) {
-            if (processes.hasCrashed(proxy)) {
+            if (processes.hasEnded(proxy)) {
                 throw new IllegalStateException(
                         "proxy " + proxy + " did not start: " + processes.lastLogLine(proxy));
             }
--- a/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
@@ -14,7 +14,7 @@
 
 /**
  * The proxies' processes, each known by the number of its proxy. They are signalled by process id,
- * and none outlives this program. All but {@link #hasCrashed} runs on the process thread.
+ * and none outlives this program. All but {@link #hasEnded} runs on the process thread.
  */
 final class ProxyProcesses implements AutoCloseable {
     /** What one process takes while it serves. */
@@ -157,7 +157,7 @@
     }
 
     /** Whether a process was started and has ended. Any thread. */
-    boolean hasCrashed(int proxy) {
+    boolean hasEnded(int proxy) {
         return process(proxy).map(process -> !process.isAlive()).orElse(false);
     }
 
@@ -233,7 +233,7 @@
     List<String> stopAll() throws InterruptedException {
         boolean[] crashed = new boolean[processes.length];
         for (int proxy = 0; proxy < processes.length; proxy++) {
-            crashed[proxy] = hasCrashed(proxy);
+            crashed[proxy] = hasEnded(proxy);
             stop(proxy);
         }
         List<String> problems = new ArrayList<>();
--- a/src/main/java/lemondrift/lab/fleet/SoakRun.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakRun.java
@@ -15,7 +15,7 @@
  * Plays days on real processes of which all is drawn from a seed: the size of the fleet, latency
  * objectives, faults of backends, discovery, processes and datagrams, and on some days idle
  * clients. Clients use the connections that they have until a process that got SIGTERM is killed,
- * as early as the protocol page allows.
+ * as early as a platform may.
  */
 public final class SoakRun {
     private SoakRun() {}
--- a/src/main/java/lemondrift/model/FailureReason.java
+++ b/src/main/java/lemondrift/model/FailureReason.java
@@ -1,8 +1,7 @@
 package lemondrift.model;
 
 /**
- * Why a request was rejected or failed instead of being answered by a backend; for logs and
- * metrics.
+ * Why a request was rejected or failed instead of being answered by a backend; the log names it.
  */
 public enum FailureReason {
     /** Its attempt deadline had passed before another attempt could be made. */
--- a/src/main/java/lemondrift/proxy/GracefulShutdown.java
+++ b/src/main/java/lemondrift/proxy/GracefulShutdown.java
@@ -17,8 +17,9 @@
  *   <li>From {@link #ACCEPT_SECONDS}: the listener closes as soon as no connection waits for a
  *       response, and the shutdown is done.
  *   <li>At the request deadline + {@link #RESPONSE_GRACE_SECONDS}: requests that are open still are
- *       failed. The request deadline is when the last request that may come now times out.
- *   <li>At the request deadline + {@link #FETCH_GRACE_SECONDS}: done, whatever is open.
+ *       rejected or failed. The request deadline is when the last request that may come now times
+ *       out.
+ *   <li>At the request deadline + {@link #READ_GRACE_SECONDS}: done, whatever is open.
  * </ol>
  *
  * <p>Runs on the thread that handles the signal, which it blocks; the checks run on the I/O thread.
@@ -34,7 +35,7 @@
      * Seconds from the request deadline until clients have read them; a platform that kills 0.7 s
      * after the deadline comes later.
      */
-    private static final double FETCH_GRACE_SECONDS = 0.6;
+    private static final double READ_GRACE_SECONDS = 0.6;
 
     /** Seconds between two checks whether all requests are answered. */
     private static final double CHECK_INTERVAL_SECONDS = 0.01;
@@ -45,7 +46,7 @@
     private final DecisionLoop decisionLoop;
     private final double acceptUntil;
     private final double responseDeadline;
-    private final double fetchDeadline;
+    private final double readDeadline;
 
     /**
      * A shutdown that begins now.
@@ -66,7 +67,7 @@
         this.decisionLoop = decisionLoop;
         acceptUntil = beganAt + ACCEPT_SECONDS;
         responseDeadline = requestDeadline + RESPONSE_GRACE_SECONDS;
-        fetchDeadline = requestDeadline + FETCH_GRACE_SECONDS;
+        readDeadline = requestDeadline + READ_GRACE_SECONDS;
     }
 
     /** Sends clients away; an inherited listening socket is left to the process that follows. */
@@ -84,8 +85,8 @@
                         (long) (CHECK_INTERVAL_SECONDS * 1e9),
                         TimeUnit.NANOSECONDS);
         if (!await(drained, responseDeadline)) {
-            decisionLoop.failOpenRequests();
-            await(drained, fetchDeadline);
+            decisionLoop.endOpenRequests();
+            await(drained, readDeadline);
         }
         checks.remove();
     }
--- a/src/main/java/lemondrift/proxy/backend/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -4,7 +4,6 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
@@ -252,9 +251,4 @@
                 new ConnectionPool.Quarantine(
                         REST_SHARE * config.connectTimeoutSeconds(), config.backendIdleSeconds()));
     }
-
-    /** As {@link LoadReportParser#parse}. */
-    public static double[] report(String text, List<String> fields) {
-        return LoadReportParser.parse(text, fields);
-    }
 }
--- a/src/main/java/lemondrift/proxy/client/ClientConnection.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnection.java
@@ -222,7 +222,7 @@
         }
     }
 
-    void requestRejected() {
+    void requestInvalid() {
         if (!closed) {
             policy.invalidRequest(index, clock.now());
         }
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -79,7 +79,7 @@
                         config.connectionLimits(),
                         config.seed(),
                         metrics,
-                        decisionEvents::clientLeft);
+                        decisionEvents::requestAbandoned);
         responses = new ResponseWriter(worker.getIoThread(), clock, metrics, stallTimeoutSeconds);
         validator = new RequestValidator(config.tenantNames(), connections);
         admission =
--- a/src/main/java/lemondrift/proxy/client/RequestAdmission.java
+++ b/src/main/java/lemondrift/proxy/client/RequestAdmission.java
@@ -55,7 +55,7 @@
                         + Math.min(
                                 request.deadline - request.arrivedAt,
                                 request.terms.requestClass().latencyObjectiveSeconds());
-        if (requestQueue.tryEnqueue()) {
+        if (requestQueue.tryReserve()) {
             decisionEvents.requestArrived(pending);
             return;
         }
@@ -91,6 +91,6 @@
         request.failureReason = FailureReason.OVERDUE;
         metrics.overdueRequestFailed();
         responses.fail(pending.exchange());
-        decisionEvents.clientLeft(request);
+        decisionEvents.requestAbandoned(request);
     }
 }
--- a/src/main/java/lemondrift/proxy/client/RequestReader.java
+++ b/src/main/java/lemondrift/proxy/client/RequestReader.java
@@ -75,9 +75,9 @@
         if (isHealthCheck(exchange)) {
             responses.writeHealth(exchange);
         } else if (!RequestValidator.isUnambiguous(exchange)) {
-            responses.rejectAndClose(exchange, StatusCodes.BAD_REQUEST);
+            responses.refuseAndClose(exchange, StatusCodes.BAD_REQUEST);
         } else if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
-            responses.rejectAndClose(exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE);
+            responses.refuseAndClose(exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE);
         } else if (exchange.isRequestComplete()) {
             requestRead(exchange, new byte[0]);
         } else {
@@ -137,13 +137,13 @@
 
             @Override
             public void tooLong() {
-                responses.rejectAndClose(exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE);
+                responses.refuseAndClose(exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE);
             }
 
             @Override
             public void unreadable() {
                 if (connection.request == null) {
-                    responses.rejectAndClose(exchange, StatusCodes.BAD_REQUEST);
+                    responses.refuseAndClose(exchange, StatusCodes.BAD_REQUEST);
                 } else {
                     IoUtils.safeClose(ClientConnection.socketOf(exchange));
                 }
@@ -158,7 +158,7 @@
     private void offerWhole(HttpServerExchange exchange, byte[] body) {
         Request request = openRequest(exchange);
         if (request == null) {
-            responses.rejectAndPause(exchange);
+            responses.refuseAndPause(exchange);
             return;
         }
         ClientConnection connection = ClientConnection.of(exchange);
@@ -177,7 +177,7 @@
     private void offerStreamed(HttpServerExchange exchange, RequestBody body) {
         Request bounded = openRequest(exchange);
         if (bounded == null) {
-            responses.rejectAndClose(exchange, StatusCodes.BAD_REQUEST);
+            responses.refuseAndClose(exchange, StatusCodes.BAD_REQUEST);
             return;
         }
         body.setResponseTimeoutSeconds(
--- a/src/main/java/lemondrift/proxy/client/ResponseWriter.java
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -63,10 +63,11 @@
     }
 
     /**
-     * Rejects a request that is not read to its end and closes its connection. Guards against a
-     * response without a body, which Undertow would hold back until all of the request has come.
+     * Refuses a request that is not read to its end, with a 4xx, and closes its connection. Guards
+     * against a response without a body, which Undertow would hold back until all of the request
+     * has come.
      */
-    void rejectAndClose(HttpServerExchange exchange, int status) {
+    void refuseAndClose(HttpServerExchange exchange, int status) {
         exchange.setPersistent(false);
         writeReason(
                 exchange,
@@ -80,8 +81,8 @@
                 });
     }
 
-    /** Rejects with 400 what was read but can't be used, and reads no more for a while. */
-    void rejectAndPause(HttpServerExchange exchange) {
+    /** Refuses with 400 what was read but can't be used, and reads no more for a while. */
+    void refuseAndPause(HttpServerExchange exchange) {
         writeReason(
                 exchange, StatusCodes.BAD_REQUEST, sent -> afterReadPause(sent, sent::endExchange));
     }
@@ -99,7 +100,7 @@
     private void writeReason(
             HttpServerExchange exchange, int status, Consumer<HttpServerExchange> whenSent) {
         if (isClientError(status)) {
-            ClientConnection.of(exchange).requestRejected();
+            ClientConnection.of(exchange).requestInvalid();
         }
         write(
                 exchange,
--- a/src/main/java/lemondrift/proxy/config/RecoverySettings.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettings.java
@@ -1,7 +1,7 @@
 package lemondrift.proxy.config;
 
 import java.nio.file.Path;
-import lemondrift.recovery.PeerPollBackoff;
+import lemondrift.recovery.PeerPollSettings;
 
 /**
  * How a proxy that has started learns from its peers, and where it keeps snapshots.
@@ -11,4 +11,4 @@
  * @param snapshotIntervalSeconds the mean time between two snapshots
  */
 public record RecoverySettings(
-        PeerPollBackoff polling, Path snapshotFolder, double snapshotIntervalSeconds) {}
+        PeerPollSettings polling, Path snapshotFolder, double snapshotIntervalSeconds) {}
--- a/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -3,7 +3,7 @@
 import com.google.gson.JsonElement;
 import java.io.IOException;
 import java.nio.file.Path;
-import lemondrift.recovery.PeerPollBackoff;
+import lemondrift.recovery.PeerPollSettings;
 import lemondrift.settings.InvalidSettingsException;
 
 /**
@@ -29,7 +29,7 @@
     private Path snapshotFolder;
 
     private RecoverySettingsFile() {
-        PeerPollBackoff usual = PeerPollBackoff.forLatencyObjective(1);
+        PeerPollSettings usual = PeerPollSettings.forLatencyObjective(1);
         pollIntervalWindows = usual.intervalSeconds();
         pollTimeoutWindows = usual.decisionTimeoutSeconds();
         forgetAfterWindows = usual.expirySeconds();
@@ -74,7 +74,7 @@
 
     private RecoverySettings inSeconds(double windowSeconds) {
         return new RecoverySettings(
-                new PeerPollBackoff(
+                new PeerPollSettings(
                         pollIntervalWindows * windowSeconds,
                         pollTimeoutWindows * windowSeconds,
                         forgetAfterWindows * windowSeconds,
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -33,7 +33,7 @@
 
     private final BackendDirectory directory;
     private final EndpointList list;
-    private final boolean stale;
+    private final boolean knownBeforeStart;
     private final Runnable notifyApplied;
 
     /** Indexes of the backends that a complete list does not name. */
@@ -57,20 +57,23 @@
     /**
      * An update whose first slice is not taken yet.
      *
-     * @param stale whether the list is one of before the start
+     * @param knownBeforeStart whether the list is one of before the start
      * @param notifyApplied run by {@link #notifyApplied}
      */
     public EndpointListUpdate(
-            BackendDirectory directory, EndpointList list, boolean stale, Runnable notifyApplied) {
+            BackendDirectory directory,
+            EndpointList list,
+            boolean knownBeforeStart,
+            Runnable notifyApplied) {
         this.directory = directory;
         this.list = list;
-        this.stale = stale;
+        this.knownBeforeStart = knownBeforeStart;
         this.notifyApplied = notifyApplied;
     }
 
     /** Whether the list is one of before the start. */
     public boolean isStale() {
-        return stale;
+        return knownBeforeStart;
     }
 
     /** Whether the list tells nothing, as a watch call does that ends without news. */
--- a/src/main/java/lemondrift/proxy/events/BackendResponse.java
+++ b/src/main/java/lemondrift/proxy/events/BackendResponse.java
@@ -6,7 +6,7 @@
  * What came of one call to a backend.
  *
  * @param completion how the call ended; all else but this is empty where no response came
- * @param status the HTTP status; {@link #NO_STATUS} where no response came
+ * @param status the HTTP status; 0 where no response came
  * @param body the body, or its beginning where there is a remainder
  * @param remainder what follows of a long body; null where the body is complete
  */
--- a/src/main/java/lemondrift/proxy/events/DecisionEvents.java
+++ b/src/main/java/lemondrift/proxy/events/DecisionEvents.java
@@ -8,7 +8,7 @@
 
 /**
  * What the I/O thread reports to the thread that decides. Each call but {@link #shedThreshold}
- * queues an event and does not wait for it to be handled.
+ * queues an event, waits only where the queue is full, and not for the event to be handled.
  */
 public interface DecisionEvents {
     /** A request was read whole, or as much of it as is buffered. */
@@ -37,8 +37,10 @@
     /** A load probe ended; the load report is null where none came. */
     void probeEnded(int backend, AttemptOutcome outcome, double[] loadReport);
 
-    /** The client closed its connection. */
-    void clientLeft(Request request);
+    /**
+     * Nobody waits for a response any more: the client left, or its request was failed as overdue.
+     */
+    void requestAbandoned(Request request);
 
     /** The request's body is no longer buffered whole, so it cannot be sent once more. */
     void bodyNotReplayable(Request request);
@@ -46,14 +48,14 @@
     /**
      * A new endpoint list came.
      *
-     * @param stale whether it is one from before the start
+     * @param knownBeforeStart whether it is the one of the configuration, from before the start
      * @param applied run on the decisions thread once the balancer has all of the list
      */
-    void endpointListReceived(EndpointList list, boolean stale, Runnable applied);
+    void endpointListReceived(EndpointList list, boolean knownBeforeStart, Runnable applied);
 
     /** A call for the endpoint list failed. */
     void endpointListFailed();
 
-    /** A datagram of another proxy came. */
+    /** A datagram of another proxy came; it is read at the next iteration. */
     void datagramReceived(int from, byte[] datagram);
 }
--- a/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
@@ -148,20 +148,20 @@
             request.failureReason = FailureReason.INTERNAL_ERROR;
             request.completed = true;
             fail(request);
-            shadow.clientLeft(request);
+            shadow.requestAbandoned(request);
         }
         wakeAt = Math.min(wakeAt, clock.now() + WAKE_AFTER_FAILURE_SECONDS);
     }
 
     /**
-     * Fails all open requests at the end of the process; those without an attempt are rejected, so
-     * that clients may retry.
+     * Ends all open requests at the end of the process: those without an attempt are rejected, so
+     * that clients may retry, all others are failed.
      */
-    void failOpenRequests() {
+    void endOpenRequests() {
         for (Request request : List.copyOf(openRequests.keySet())) {
             if (!request.completed) {
                 request.failureReason = FailureReason.SHUTDOWN;
-                execute(balancer.clientLeft(clock.now(), request));
+                execute(balancer.requestAbandoned(clock.now(), request));
                 if (request.attemptCount == 0) {
                     reject(request, NO_RETRY_AFTER);
                 } else {
--- a/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -156,8 +156,8 @@
     }
 
     @Override
-    public void clientLeft(Request request) {
-        put(EventType.CLIENT_LEFT, request, () -> eventHandler.clientLeft(request));
+    public void requestAbandoned(Request request) {
+        put(EventType.CLIENT_LEFT, request, () -> eventHandler.requestAbandoned(request));
     }
 
     @Override
@@ -167,8 +167,11 @@
 
     /** See {@link EndpointListApplier}. */
     @Override
-    public void endpointListReceived(EndpointList list, boolean stale, Runnable applied) {
-        put(EventType.ENDPOINT_LIST_RECEIVED, () -> endpointLists.received(list, stale, applied));
+    public void endpointListReceived(
+            EndpointList list, boolean knownBeforeStart, Runnable applied) {
+        put(
+                EventType.ENDPOINT_LIST_RECEIVED,
+                () -> endpointLists.received(list, knownBeforeStart, applied));
     }
 
     @Override
@@ -217,8 +220,8 @@
     /**
      * Fails all open requests; those without an attempt are rejected. At the end of the process.
      */
-    public void failOpenRequests() {
-        put(EventType.SHUTDOWN, executor::failOpenRequests);
+    public void endOpenRequests() {
+        put(EventType.SHUTDOWN, executor::endOpenRequests);
     }
 
     /**
--- a/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
+++ b/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
@@ -56,8 +56,8 @@
     }
 
     /** Takes a new list, and applies its first slice at once unless another list is under way. */
-    void received(EndpointList list, boolean stale, Runnable notifyApplied) {
-        pending.add(new EndpointListUpdate(directory, list, stale, notifyApplied));
+    void received(EndpointList list, boolean knownBeforeStart, Runnable notifyApplied) {
+        pending.add(new EndpointListUpdate(directory, list, knownBeforeStart, notifyApplied));
         if (pending.size() == 1) {
             applyNextSlice();
         }
--- a/src/main/java/lemondrift/proxy/loop/EventHandler.java
+++ b/src/main/java/lemondrift/proxy/loop/EventHandler.java
@@ -81,10 +81,10 @@
         executor.execute(balancer.probeEnded(clock.now(), backend, outcome, loadReport));
     }
 
-    void clientLeft(Request request) {
-        shadow.clientLeft(request);
+    void requestAbandoned(Request request) {
+        shadow.requestAbandoned(request);
         if (!request.completed) {
-            executor.execute(balancer.clientLeft(clock.now(), request));
+            executor.execute(balancer.requestAbandoned(clock.now(), request));
         }
     }
 
--- a/src/main/java/lemondrift/proxy/loop/ShadowRunner.java
+++ b/src/main/java/lemondrift/proxy/loop/ShadowRunner.java
@@ -77,15 +77,15 @@
         }
     }
 
-    void clientLeft(Request request) {
+    void requestAbandoned(Request request) {
         if (evaluator != null) {
-            run(shadow -> shadow.clientLeft(clock.now(), request));
+            run(shadow -> shadow.requestAbandoned(clock.now(), request));
         }
     }
 
-    void endpointsListed(boolean stale, List<EndpointUpdate> updates) {
+    void endpointsListed(boolean knownBeforeStart, List<EndpointUpdate> updates) {
         if (evaluator != null) {
-            run(shadow -> shadow.endpointsListed(clock.now(), false, stale, updates));
+            run(shadow -> shadow.endpointsListed(clock.now(), false, knownBeforeStart, updates));
         }
     }
 
--- a/src/main/java/lemondrift/recovery/PeerPollBackoff.java
+++ b/src/main/java/lemondrift/recovery/PeerPollSettings.java
@@ -6,11 +6,12 @@
  * @param intervalSeconds seconds from the first poll to the second; each further interval is longer
  *     by as much
  * @param decisionTimeoutSeconds seconds after the start when it goes by whoever has answered
- * @param expirySeconds seconds after which a peer's status no longer counts; at least bound
+ * @param expirySeconds seconds after which a peer's status no longer counts; at least the decision
+ *     timeout
  * @param fanout how many peers it polls at a time
  * @param settledSamples from so many samples of its own it polls no more
  */
-public record PeerPollBackoff(
+public record PeerPollSettings(
         double intervalSeconds,
         double decisionTimeoutSeconds,
         double expirySeconds,
@@ -29,8 +30,8 @@
     private static final int DEFAULT_SETTLED_SAMPLES = 8;
 
     /** The default for a shortest latency objective of so many seconds. */
-    public static PeerPollBackoff forLatencyObjective(double windowSeconds) {
-        return new PeerPollBackoff(
+    public static PeerPollSettings forLatencyObjective(double windowSeconds) {
+        return new PeerPollSettings(
                 DEFAULT_INTERVAL_SHARE * windowSeconds,
                 windowSeconds,
                 DEFAULT_EXPIRY_FACTOR * windowSeconds,
@@ -44,7 +45,7 @@
      * @throws IllegalArgumentException where one is not positive, or expiry is under the decision
      *     timeout
      */
-    public PeerPollBackoff {
+    public PeerPollSettings {
         if (!(intervalSeconds > 0)
                 || !(decisionTimeoutSeconds > 0)
                 || !(expirySeconds >= decisionTimeoutSeconds)
--- a/src/main/java/lemondrift/recovery/RecoveryPhase.java
+++ b/src/main/java/lemondrift/recovery/RecoveryPhase.java
@@ -6,9 +6,9 @@
     UNKNOWN,
     /** It alone is new: most that answer were there before, and can be learned from. */
     ALONE,
-    /** Many of those that answer have just started too. */
+    /** Of those that answer, more than one in four have not measured enough yet. */
     AMONG_SOME,
-    /** All that answer have just started, as after a power loss: none has measured anything. */
+    /** All that answer have just started, as after a power loss: none has measured enough. */
     ALL_NEW,
     /** None answers; that does not show that the others are gone, nor that they are new. */
     CUT_OFF
--- a/src/main/java/lemondrift/recovery/RecoveryState.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -26,7 +26,7 @@
  * @param nextPollAt when it polls next
  */
 public record RecoveryState(
-        PeerPollBackoff backoff,
+        PeerPollSettings backoff,
         int self,
         int proxyCount,
         long startNumber,
@@ -72,7 +72,7 @@
 
     /** The state at the start of a proxy, which polls at once. */
     public static RecoveryState starting(
-            PeerPollBackoff backoff, int self, int proxyCount, long startNumber, double now) {
+            PeerPollSettings backoff, int self, int proxyCount, long startNumber, double now) {
         return new RecoveryState(
                 backoff,
                 self,
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -133,7 +133,7 @@
                         NO_ATTEMPT,
                         reply.request().attemptCount > 0);
             }
-            clientLeft(now, reply.request());
+            requestAbandoned(now, reply.request());
         }
     }
 
@@ -169,13 +169,13 @@
      * The request is over. Its copy stays while an attempt is in flight, which counts until it
      * ends.
      */
-    public void clientLeft(double now, Request request) {
+    public void requestAbandoned(double now, Request request) {
         Copy copy = copies.get(request);
         if (copy == null) {
             return;
         }
         Attempt own = own(copy);
-        settle(now, balancer.clientLeft(now, copy.request));
+        settle(now, balancer.requestAbandoned(now, copy.request));
         if (own != null) {
             takeBack(now, copy.request, own);
         }
--- a/src/main/java/lemondrift/simulator/SimulatorAdapter.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -260,7 +260,7 @@
         if (request == null) {
             return null;
         }
-        Decision decision = proxy.balancer.clientLeft(now, request);
+        Decision decision = proxy.balancer.requestAbandoned(now, request);
         proxy.forgetIfDone(request);
         return decision;
     }
--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -164,7 +164,7 @@
                             new double[] {0, 0}));
         } else if (latestRequest != null && !finalAnswers.containsKey(latestRequest)) {
             finalAnswers.put(latestRequest, 1);
-            proxy.apply(proxy.balancer.clientLeft(proxy.now, latestRequest));
+            proxy.apply(proxy.balancer.requestAbandoned(proxy.now, latestRequest));
         }
     }
 
--- a/src/test/java/lemondrift/LoadBalancerTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -454,7 +454,7 @@
         proxy.wakeUntil(attempt.request.deadline);
         assertEquals(1, proxy.localReplies.size());
         Attempt abandoned = proxy.arrive(IDEMPOTENT);
-        proxy.apply(proxy.balancer.clientLeft(proxy.now, abandoned.request));
+        proxy.apply(proxy.balancer.requestAbandoned(proxy.now, abandoned.request));
         assertTrue(proxy.cancellations.contains(abandoned));
         assertNull(proxy.end(abandoned, AttemptOutcome.CANCELLED));
         assertEquals(1, proxy.localReplies.size(), "no reply to a client that left");
--- a/src/test/java/lemondrift/connection/RequestQueueTest.java
+++ b/src/test/java/lemondrift/connection/RequestQueueTest.java
@@ -18,10 +18,10 @@
     @Test
     void theQueueTakesWhatCanBeDecidedAndTheEarliestDeadlineFirst() {
         RequestQueue<Integer> requestQueue = new RequestQueue<>(0.4);
-        assertTrue(requestQueue.tryEnqueue(), "nothing is known yet");
+        assertTrue(requestQueue.tryReserve(), "nothing is known yet");
         requestQueue.decided(1, 0);
         for (int k = 0; k < 200; k++) {
-            assertTrue(requestQueue.tryEnqueue());
+            assertTrue(requestQueue.tryReserve());
             requestQueue.decided(1, 0.001);
         }
         assertEquals(
@@ -30,7 +30,7 @@
                 1,
                 "an eighth of the latency objective, at a millisecond each");
         int queued = 0;
-        while (requestQueue.tryEnqueue()) {
+        while (requestQueue.tryReserve()) {
             queued++;
         }
         assertEquals(requestQueue.capacity(), queued);
@@ -50,6 +50,6 @@
                 deadlines.stream().sorted(Comparator.naturalOrder()).limit(10).toList(),
                 polledInOrder);
         assertEquals(50, requestQueue.heldBackCount());
-        assertFalse(requestQueue.tryEnqueue(), "none goes before those that wait");
+        assertFalse(requestQueue.tryReserve(), "none goes before those that wait");
     }
 }
--- a/src/test/java/lemondrift/proxy/LoopbackFixture.java
+++ b/src/test/java/lemondrift/proxy/LoopbackFixture.java
@@ -150,7 +150,11 @@
         awaitDiscoveryRequest("from=1");
     }
 
-    /** Waits until discovery has been sent a request with a text, such as "from=2". */
+    /**
+     * Waits until discovery has been sent a request with a text, such as "from=2". The proxy asks
+     * from a revision only when it has handed that list to the decisions, which apply a list as
+     * short as those of the tests at once.
+     */
     protected void awaitDiscoveryRequest(String text) throws InterruptedException {
         for (String request = ""; !request.contains(text); ) {
             request = discovery.requests.take();
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -18,11 +18,9 @@
 import static lemondrift.proxy.TestConfig.IDEMPOTENT_CLASS;
 import static lemondrift.proxy.TestConfig.NOT_IDEMPOTENT_CLASS;
 import static lemondrift.proxy.TestConfig.UNUSED_PORT;
-import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -43,7 +41,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import lemondrift.proxy.backend.BackendClient;
 import lemondrift.proxy.backend.ConnectionPool;
 import lemondrift.proxy.lifecycle.ProxyLauncher;
 import org.junit.jupiter.api.Test;
@@ -430,26 +427,6 @@
         worker.shutdown();
     }
 
-    @Test
-    void ignoresLoadReportWithMissingOrInvalidValues() {
-        List<String> names = List.of("queue", "util");
-        assertArrayEquals(
-                new double[] {2, 0.5}, BackendClient.report("TEXT util=0.5, x=1, queue=2", names));
-        for (String invalid :
-                List.of(
-                        "",
-                        "TEXT",
-                        "TEXT queue=2",
-                        "queue=2, util=NaN",
-                        "queue=-1, util=0.5",
-                        "queue=2, util=Infinity",
-                        "queue=2, util=1e300",
-                        "queue=2, util=",
-                        "\u0001\u0002")) {
-            assertNull(BackendClient.report(invalid, names), invalid);
-        }
-    }
-
     @Test
     void choosesBackendByLoadReports() throws Exception {
         String idleReport = "TEXT queue=0, util=0.1";
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
@@ -250,7 +250,7 @@
         try {
             Socket client = connectWhenListening(port);
             clients.add(client);
-            // It listens before it has received the list, and rejects until then.
+            // It may listen before it has received the list, and rejects until then.
             String response = "";
             for (int tries = 0;
                     !response.startsWith("HTTP/1.1 200") && tries < STARTUP_TRIES;
--- a/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -164,7 +164,7 @@
         decisionLoop.attemptEnded(first, AttemptOutcome.TIMED_OUT, 1.5, null, null);
         assertEquals("failed 1", nextAction());
         Attempt second = attemptFor(2);
-        decisionLoop.clientLeft(second.request);
+        decisionLoop.requestAbandoned(second.request);
         assertEquals("cancelled 2", nextAction());
         decisionLoop.attemptEnded(second, AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         decisionLoop.attemptEnded(attemptFor(3), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
@@ -12,7 +12,7 @@
 import java.util.Arrays;
 import java.util.function.UnaryOperator;
 import lemondrift.proxy.config.RecoverySettings;
-import lemondrift.recovery.PeerPollBackoff;
+import lemondrift.recovery.PeerPollSettings;
 import lemondrift.recovery.Snapshot;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -30,7 +30,7 @@
 
     private static RecoveryCoordinator coordinator(Path folder, String proxyName) {
         return new RecoveryCoordinator(
-                new RecoverySettings(PeerPollBackoff.forLatencyObjective(1), folder, 1),
+                new RecoverySettings(PeerPollSettings.forLatencyObjective(1), folder, 1),
                 proxyName,
                 0,
                 3,
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -34,7 +34,7 @@
     /** One state of so many is played to its end. */
     private static final int PLAYED_TO_THE_END_EVERY = 97;
 
-    private static final PeerPollBackoff BACKOFF = new PeerPollBackoff(1, 1, 2, 1, 2);
+    private static final PeerPollSettings BACKOFF = new PeerPollSettings(1, 1, 2, 1, 2);
 
     private record Message(int from, int to, PeerStatus status) {}
 
--- a/src/test/java/lemondrift/recovery/RecoveryStateTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class RecoveryStateTest {
-    private static final PeerPollBackoff BACKOFF = new PeerPollBackoff(1, 5, 20, 2, 3);
+    private static final PeerPollSettings BACKOFF = new PeerPollSettings(1, 5, 20, 2, 3);
 
     private static PeerStatus status(
             long startNumber,
@@ -206,7 +206,7 @@
             @ForAll @IntRange(min = 0, max = 39) int self) {
         RecoveryState state =
                 RecoveryState.starting(
-                        new PeerPollBackoff(1, 5, 20, 3, 8), self % proxyCount, proxyCount, 1, 0);
+                        new PeerPollSettings(1, 5, 20, 3, 8), self % proxyCount, proxyCount, 1, 0);
         boolean[] polled = new boolean[proxyCount];
         for (int round = 0; round < proxyCount; round++) {
             RecoveryState.Step step = state.wake(state.wakeAt());
