--- a/src/main/java/lemondrift/balancer/AdmissionControl.java
+++ b/src/main/java/lemondrift/balancer/AdmissionControl.java
@@ -67,35 +67,35 @@
 
     @Override
     void offer(Request request, double now, Decision decision) {
-        if (selector.waitsForReports(request, now, decision)) {
+        if (selector.rankAndProbe(request, now, decision)) {
             return;
         }
-        double priority = priority(request, now);
+        double priority = effectivePriority(request, now);
         boolean placeable = request.bestBackend != Request.NO_BACKEND;
         double wait =
-                placeable ? waits.expected(request.bestBackend, now) : Double.POSITIVE_INFINITY;
-        boolean waitTooLong = wait > waitLimit(request, priority, now);
+                placeable ? waits.expectedWait(request.bestBackend, now) : Double.POSITIVE_INFINITY;
+        boolean waitTooLong = wait > maxWaitSeconds(request, priority, now);
         if (!waitTooLong) {
             super.offer(request, now, decision);
-        } else if (selector.widensSubset(request, now)) {
+        } else if (selector.widenSubset(request, now)) {
             offer(request, now, decision);
         } else {
             replyLocally(
                     request,
-                    placeable ? FailureReason.WAIT_TOO_LONG : notPlaceable(request),
+                    placeable ? FailureReason.WAIT_TOO_LONG : noBackendReason(request),
                     Math.min(wait, backends.windowSeconds),
                     decision);
         }
     }
 
-    private static FailureReason notPlaceable(Request request) {
+    private static FailureReason noBackendReason(Request request) {
         return request.attemptCount == 0
                 ? FailureReason.NO_BACKEND
                 : FailureReason.NO_BACKEND_FOR_RETRY;
     }
 
     /** From 0 to 1, scaled where the tenant has passed this proxy's part of its quota. */
-    private double priority(Request request, double now) {
+    private double effectivePriority(Request request, double now) {
         Settings settings = backends.settings;
         double priority = settings.relativePriority(request.terms.requestClass());
         if (request.tenant >= quotaPerSecond.length) {
@@ -103,35 +103,36 @@
         }
         boolean firstOffer = request.attemptCount + request.subsetRedraws == 0;
         DecayingSum rate = tenantRate[request.tenant];
-        rate.spanSeconds = backends.memorySeconds;
+        rate.timeConstantSeconds = backends.memorySeconds;
         rate.add(firstOffer ? 1 / backends.memorySeconds : 0, now);
         double quota = quotaPerSecond[request.tenant] / settings.proxyCount();
         return priority * (rate.value(now) > quota ? settings.overQuotaWeight() : 1);
     }
 
     /** How long the request may wait before work on it begins, in seconds. */
-    private double waitLimit(Request request, double priority, double now) {
+    private double maxWaitSeconds(Request request, double priority, double now) {
         double most = backends.memorySeconds;
         if (estimator.reportsAreStale()) {
             most =
                     request.bestBackend == Request.NO_BACKEND
                             ? 0
-                            : MAX_QUEUED_REQUESTS * serviceTimes.seconds(request.bestBackend, now);
+                            : MAX_QUEUED_REQUESTS
+                                    * serviceTimes.serviceTimeSeconds(request.bestBackend, now);
         }
-        return waitShare(priority) * Math.min(request.attemptDeadline - now, most);
+        return maxWaitShare(priority) * Math.min(request.attemptDeadline - now, most);
     }
 
     /** The share of its time that a request may wait, by its priority. */
-    private double waitShare(double priority) {
-        double min = estimator.peersHeard ? MIN_WAIT_SHARE_WITH_GOSSIP : MIN_WAIT_SHARE;
+    private double maxWaitShare(double priority) {
+        double min = estimator.gossipActive ? MIN_WAIT_SHARE_WITH_GOSSIP : MIN_WAIT_SHARE;
         return min + (MAX_WAIT_SHARE - min) * Math.min(1, priority);
     }
 
     /** What would be rejected now; asks no backend for a report and changes nothing. */
     ShedThreshold shedThreshold(Request request, double now) {
-        double wait = selector.leastWait(request, now);
+        double wait = selector.minExpectedWait(request, now);
         double priority = backends.settings.relativePriority(request.terms.requestClass());
         return new ShedThreshold(
-                wait / waitShare(priority), Math.min(wait, backends.windowSeconds));
+                wait / maxWaitShare(priority), Math.min(wait, backends.windowSeconds));
     }
 }
--- a/src/main/java/lemondrift/balancer/BackendSelector.java
+++ b/src/main/java/lemondrift/balancer/BackendSelector.java
@@ -34,7 +34,7 @@
     private static final double STALE_TIE_REQUESTS = 0.125;
 
     /** Above this freshness (0 to 1) a report is not renewed. */
-    private static final double FRESH_ENOUGH = 0.6;
+    private static final double MIN_FRESHNESS = 0.6;
 
     /** How long a probe is waited for, in windows. */
     private static final double PROBE_WAIT_WINDOWS = 1.0 / 32;
@@ -52,7 +52,7 @@
     private final BackendSubset subset;
 
     /** Requests that wait for probes, the one that waits longest first. */
-    private final Deque<Request> waiting = new ArrayDeque<>();
+    private final Deque<Request> awaitingProbes = new ArrayDeque<>();
 
     BackendSelector(
             BackendTable backends,
@@ -74,11 +74,11 @@
 
     /** Guards against a backend that answers no probe and so looks as idle as it last was. */
     @Override
-    boolean mayTake(Request request, int backend, double now) {
+    boolean isBackendEligible(Request request, int backend, double now) {
         return (backends.probeSentAt[backend] == 0
                         || now - backends.probeSentAt[backend]
                                 < PROBE_WAIT_WINDOWS * backends.windowSeconds)
-                && super.mayTake(request, backend, now);
+                && super.isBackendEligible(request, backend, now);
     }
 
     /** Sorts the subset, the best first, and sets the request's best backend. */
@@ -88,9 +88,12 @@
         for (int next = 0; next < size; next++) {
             int backend = order[next];
             int place = next;
-            backends.rankedBy[backend] = ranking(request, backend, crossZoneCost, now);
+            backends.rankingScore[backend] =
+                    computeRankingScore(request, backend, crossZoneCost, now);
             for (;
-                    place > 0 && backends.rankedBy[order[place - 1]] > backends.rankedBy[backend];
+                    place > 0
+                            && backends.rankingScore[order[place - 1]]
+                                    > backends.rankingScore[backend];
                     place--) {
                 order[place] = order[place - 1];
             }
@@ -98,7 +101,7 @@
         }
         boolean usable =
                 size > 0
-                        && backends.rankedBy[order[reserved(request, size, now)]]
+                        && backends.rankingScore[order[reservedBackendCount(request, size, now)]]
                                 != Double.POSITIVE_INFINITY;
         request.bestBackend = usable ? order[0] : Request.NO_BACKEND;
     }
@@ -107,8 +110,9 @@
      * What a backend is ranked by, the lowest first, in utilization; infinite where it may not take
      * the request.
      */
-    private double ranking(Request request, int backend, double crossZoneCost, double now) {
-        if (!mayTake(request, backend, now)) {
+    private double computeRankingScore(
+            Request request, int backend, double crossZoneCost, double now) {
+        if (!isBackendEligible(request, backend, now)) {
             return Double.POSITIVE_INFINITY;
         }
         boolean sameZone = backends.endpoint[backend].location() == backends.settings.location();
@@ -130,12 +134,12 @@
 
     private double tieBreak(int backend, double now) {
         if (!estimator.reportsAreStale()) {
-            return TIE_WIDTH * random.next();
+            return TIE_WIDTH * random.nextDouble();
         }
         return (1 - estimator.freshness(backend, now))
                 * (outliers.penalty(backend, now)
                         - STALE_TIE_REQUESTS
-                                * Math.log(1 - random.next())
+                                * Math.log(1 - random.nextDouble())
                                 * serviceTimes.utilizationPerRequest(backend, now));
     }
 
@@ -143,7 +147,7 @@
      * How many usable backends the request must leave free. Guards against low priorities taking
      * the last capacity of cold backends from high ones.
      */
-    private int reserved(Request request, int size, double now) {
+    private int reservedBackendCount(Request request, int size, double now) {
         if (backends.warmShare(backends.order[0], now) == 1) {
             return 0;
         }
@@ -157,15 +161,15 @@
      *
      * @return whether the request was kept
      */
-    boolean waitsForReports(Request request, double now, Decision decision) {
+    boolean rankAndProbe(Request request, double now, Decision decision) {
         if (request.probeRounds == 0) {
-            subset.renew(request, now, this);
+            subset.refresh(request, now, this);
         }
         int size = subset.size(now);
         rankSubset(request, size, now);
         if (request.probeRounds >= estimator.probeRounds()
                 || request.bestBackend == Request.NO_BACKEND
-                || estimator.freshness(request.bestBackend, now) > FRESH_ENOUGH) {
+                || estimator.freshness(request.bestBackend, now) > MIN_FRESHNESS) {
             return false;
         }
         request.probeRounds++;
@@ -174,18 +178,18 @@
                         backends.order, Math.min(UtilizationEstimator.PROBES_PER_ROUND, size));
         for (int backend : request.probedBackends) {
             if (backends.probeSentAt[backend] == 0
-                    && estimator.freshness(backend, now) <= FRESH_ENOUGH
-                    && mayTake(request, backend, now)) {
+                    && estimator.freshness(backend, now) <= MIN_FRESHNESS
+                    && isBackendEligible(request, backend, now)) {
                 backends.probeSentAt[backend] = now;
                 decision.probes.add(backend);
             }
         }
         request.probeWaitUntil = now + PROBE_WAIT_WINDOWS * backends.windowSeconds;
-        return waiting.add(request);
+        return awaitingProbes.add(request);
     }
 
     /** Draws backends from outside the subset for the request; whether any was found. */
-    boolean widensSubset(Request request, double now) {
+    boolean widenSubset(Request request, double now) {
         return subset.widen(request, now, this);
     }
 
@@ -193,11 +197,11 @@
      * The least wait to expect in the subset as it stands, in seconds; infinite where no backend
      * may take the request. Probes count as answered: who asks has not read their answers yet.
      */
-    double leastWait(Request request, double now) {
+    double minExpectedWait(Request request, double now) {
         return Arrays.stream(backends.order)
                 .limit(subset.size(now))
-                .filter(backend -> super.mayTake(request, backend, now))
-                .mapToDouble(backend -> waits.byUtilization(backend, now))
+                .filter(backend -> super.isBackendEligible(request, backend, now))
+                .mapToDouble(backend -> waits.expectedWaitFromUtilization(backend, now))
                 .min()
                 .orElse(Double.POSITIVE_INFINITY);
     }
@@ -218,18 +222,18 @@
         request.probeRounds = 0;
         request.subsetRedraws = 0;
         decision.attempts.add(request.latestAttempt);
-        countAttempts(backend, 1, now);
-        slowStart.sent(backend, 1, now);
+        adjustAttempts(backend, 1, now);
+        slowStart.requestsSent(backend, 1, now);
     }
 
     /** So many attempts more are in flight there; fewer where a shadow's own was not made. */
-    void countAttempts(int backend, int attempts, double now) {
-        estimator.sent(backend, attempts);
-        waits.sent(attempts, now);
+    void adjustAttempts(int backend, int attempts, double now) {
+        estimator.attemptsSent(backend, attempts);
+        waits.attemptsSent(attempts, now);
     }
 
     @Override
-    void ended(
+    void attemptEnded(
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
@@ -242,13 +246,13 @@
         estimator.attemptEnded(attempt.backend);
         serviceTimes.attemptEnded(outcome, durationSeconds, queueAhead, stale);
         waits.attemptEnded(attempt, outcome, durationSeconds, now);
-        super.ended(attempt, outcome, durationSeconds, now, decision);
+        super.attemptEnded(attempt, outcome, durationSeconds, now, decision);
     }
 
     /** Takes out a request whose probes are answered or that has waited long enough, or null. */
-    Request released(double now) {
+    Request pollReleased(double now) {
         Request released =
-                waiting.stream()
+                awaitingProbes.stream()
                         .filter(
                                 request ->
                                         request.completed
@@ -256,7 +260,7 @@
                                                 || probesAnswered(request))
                         .findFirst()
                         .orElse(null);
-        waiting.remove(released);
+        awaitingProbes.remove(released);
         return released;
     }
 
@@ -267,6 +271,8 @@
 
     /** When a request has waited long enough for its probes; infinite where none waits. */
     double wakeAt() {
-        return waiting.isEmpty() ? Double.POSITIVE_INFINITY : waiting.peek().probeWaitUntil;
+        return awaitingProbes.isEmpty()
+                ? Double.POSITIVE_INFINITY
+                : awaitingProbes.peek().probeWaitUntil;
     }
 }
--- a/src/main/java/lemondrift/balancer/BackendSubset.java
+++ b/src/main/java/lemondrift/balancer/BackendSubset.java
@@ -25,7 +25,7 @@
     private final DeterministicRandom random;
 
     /** When the next backend is exchanged. */
-    private double exchangeAt;
+    private double nextExchangeAt;
 
     BackendSubset(
             BackendTable backends,
@@ -39,9 +39,9 @@
     }
 
     int size(double now) {
-        backends.arrange();
-        return estimator.peersHeard && backends.gossipedCount > 0
-                ? backends.gossipedCount
+        backends.updateOrder();
+        return estimator.gossipActive && backends.gossipedBackendCount > 0
+                ? backends.gossipedBackendCount
                 : (int)
                         Math.min(
                                 backends.order.length,
@@ -51,19 +51,20 @@
     }
 
     /** Exchanges one backend from time to time, and at once each that may not take the request. */
-    void renew(Request request, double now, DecisionStage chain) {
+    void refresh(Request request, double now, DecisionStage chain) {
         int size = size(now);
         int leavingPlace = -1;
         // Guards against sending blindly: gossip tells of no backend outside the subset.
-        int outside = estimator.peersHeard ? 0 : backends.order.length - size;
-        if (now >= exchangeAt) {
-            exchangeAt = now + random.jitter(backends.memorySeconds);
-            leavingPlace = estimator.peersHeard ? -1 : (int) (random.next() * size);
+        int outside = estimator.gossipActive ? 0 : backends.order.length - size;
+        if (now >= nextExchangeAt) {
+            nextExchangeAt = now + random.jitter(backends.memorySeconds);
+            leavingPlace = estimator.gossipActive ? -1 : (int) (random.nextDouble() * size);
             backends.sortBySubsetScore();
         }
         for (int place = 0; place < size && outside > 0; place++) {
-            if (place == leavingPlace || !chain.mayTake(request, backends.order[place], now)) {
-                backends.swap(place, size + (int) (random.next() * outside));
+            if (place == leavingPlace
+                    || !chain.isBackendEligible(request, backends.order[place], now)) {
+                backends.swap(place, size + (int) (random.nextDouble() * outside));
             }
         }
     }
@@ -78,7 +79,7 @@
         int size = size(now);
         int found = 0;
         // Guards against sending blindly: outside the subset the busiest looks idle to gossip.
-        int wanted = estimator.peersHeard && request.bestBackend != Request.NO_BACKEND ? 0 : size;
+        int wanted = estimator.gossipActive && request.bestBackend != Request.NO_BACKEND ? 0 : size;
         // Guards against holding up all other requests where no backend may take anything.
         int end =
                 (int)
@@ -88,8 +89,9 @@
         for (int place = size;
                 place < end && found < wanted && request.subsetRedraws == 0;
                 place++) {
-            backends.swap(place, place + (int) (random.next() * (backends.order.length - place)));
-            if (chain.mayTake(request, backends.order[place], now)) {
+            backends.swap(
+                    place, place + (int) (random.nextDouble() * (backends.order.length - place)));
+            if (chain.isBackendEligible(request, backends.order[place], now)) {
                 backends.swap(found++, place);
             }
         }
--- a/src/main/java/lemondrift/balancer/BackendTable.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -19,7 +19,7 @@
     private static final int SCORE_BITS = 40;
 
     /** Bits of a place in the order. */
-    private static final int PLACE_BITS = 20;
+    private static final int POSITION_BITS = 20;
 
     /** The settings in force; a request keeps the terms that it arrived under. */
     Settings settings;
@@ -46,7 +46,7 @@
     double[] probeSentAt = {};
 
     /** What each backend was last ranked by; infinite where it could not be used. */
-    double[] rankedBy = {};
+    double[] rankingScore = {};
 
     /** The mean weight of the ready backends; 1 where weights do not count. */
     double meanWeight = 1;
@@ -55,17 +55,17 @@
     int[] order = {};
 
     /** How many ready backends the list gives as used by this proxy and others. */
-    int gossipedCount;
+    int gossipedBackendCount;
 
     private final DeterministicRandom random;
-    private boolean[] inOrder = {};
-    private boolean arranged = true;
+    private boolean[] presentInOrder = {};
+    private boolean orderUpToDate = true;
 
     /** When each backend last started; 0 is long ago or not known. */
     private double[] startedAt = {};
 
     /** Above all starts that were acted on. */
-    private double[] startSeenBefore = {};
+    private double[] firstUnhandledStart = {};
 
     BackendTable(Settings settings, DeterministicRandom random) {
         this.random = random;
@@ -84,10 +84,10 @@
      *
      * @param full whether backends that are not among the updates are no longer listed
      */
-    void listed(boolean full, List<EndpointUpdate> updates) {
+    void applyUpdates(boolean full, List<EndpointUpdate> updates) {
         boolean leaves = full;
         Arrays.fill(ready, 0, full ? size : 0, false);
-        grow(updates);
+        ensureCapacity(updates);
         for (EndpointUpdate update : updates) {
             int backend = update.backend();
             endpoint[backend] = update.withWeightIf(settings.usesEndpointWeights());
@@ -95,17 +95,17 @@
             ready[backend] = update.state() == EndpointUpdate.State.READY;
             startedAt[backend] =
                     Math.max(update.newBackend() ? 0 : startedAt[backend], update.startedAt());
-            startSeenBefore[backend] = update.newBackend() ? 0 : startSeenBefore[backend];
+            firstUnhandledStart[backend] = update.newBackend() ? 0 : firstUnhandledStart[backend];
         }
         if (leaves) {
-            dropUnready();
+            removeUnready();
         }
-        append(updates);
+        insertNewlyReady(updates);
         meanWeight = settings.usesEndpointWeights() ? meanWeightOfReady() : 1;
-        arranged = false;
+        orderUpToDate = false;
     }
 
-    private void grow(List<EndpointUpdate> updates) {
+    private void ensureCapacity(List<EndpointUpdate> updates) {
         int newSize = size;
         for (EndpointUpdate update : updates) {
             newSize = Math.max(newSize, update.backend() + 1);
@@ -115,19 +115,19 @@
         }
         size = newSize;
         ready = Arrays.copyOf(ready, size);
-        inOrder = Arrays.copyOf(inOrder, size);
+        presentInOrder = Arrays.copyOf(presentInOrder, size);
         endpoint = Arrays.copyOf(endpoint, size);
         startedAt = Arrays.copyOf(startedAt, size);
-        startSeenBefore = Arrays.copyOf(startSeenBefore, size);
+        firstUnhandledStart = Arrays.copyOf(firstUnhandledStart, size);
         inFlight = Arrays.copyOf(inFlight, size);
         probeSentAt = Arrays.copyOf(probeSentAt, size);
-        rankedBy = Arrays.copyOf(rankedBy, size);
+        rankingScore = Arrays.copyOf(rankingScore, size);
     }
 
-    private void dropUnready() {
+    private void removeUnready() {
         int kept = 0;
         for (int backend : order) {
-            inOrder[backend] = ready[backend];
+            presentInOrder[backend] = ready[backend];
             if (ready[backend]) {
                 order[kept++] = backend;
             }
@@ -136,11 +136,11 @@
     }
 
     /** Puts each backend that has become ready at a random place. */
-    private void append(List<EndpointUpdate> updates) {
+    private void insertNewlyReady(List<EndpointUpdate> updates) {
         int[] added =
                 updates.stream()
                         .mapToInt(EndpointUpdate::backend)
-                        .filter(backend -> ready[backend] && !inOrder[backend])
+                        .filter(backend -> ready[backend] && !presentInOrder[backend])
                         .sorted()
                         .distinct()
                         .toArray();
@@ -148,8 +148,8 @@
         order = Arrays.copyOf(order, before + added.length);
         System.arraycopy(added, 0, order, before, added.length);
         for (int place = before; place < order.length; place++) {
-            inOrder[order[place]] = true;
-            swap(place, (int) (random.next() * (place + 1)));
+            presentInOrder[order[place]] = true;
+            swap(place, (int) (random.nextDouble() * (place + 1)));
         }
     }
 
@@ -162,14 +162,14 @@
     }
 
     /** Counts and puts first the subset that gossip covers, once for all lists since the last. */
-    void arrange() {
-        if (arranged) {
+    void updateOrder() {
+        if (orderUpToDate) {
             return;
         }
-        arranged = true;
-        gossipedCount = 0;
+        orderUpToDate = true;
+        gossipedBackendCount = 0;
         for (int backend : order) {
-            gossipedCount += endpoint[backend].userShare() > 0 ? 1 : 0;
+            gossipedBackendCount += endpoint[backend].userShare() > 0 ? 1 : 0;
         }
         sortBySubsetScore();
     }
@@ -184,7 +184,7 @@
         for (int place = 0; place < order.length; place++) {
             double score = endpoint[order[place]].subsetScore();
             scored |= score > 0;
-            scoresAndPlaces[place] = (long) (score * (1L << SCORE_BITS)) << PLACE_BITS | place;
+            scoresAndPlaces[place] = (long) (score * (1L << SCORE_BITS)) << POSITION_BITS | place;
         }
         if (!scored) {
             return;
@@ -193,7 +193,7 @@
         int[] before = order;
         order = new int[before.length];
         for (int place = 0; place < order.length; place++) {
-            order[place] = before[(int) (scoresAndPlaces[place] & (1 << PLACE_BITS) - 1)];
+            order[place] = before[(int) (scoresAndPlaces[place] & (1 << POSITION_BITS) - 1)];
         }
     }
 
@@ -206,8 +206,8 @@
 
     /** Whether a start of the backend is listed that nobody has acted on; true once for each. */
     boolean consumeNewStart(int backend) {
-        if (startedAt[backend] >= startSeenBefore[backend]) {
-            startSeenBefore[backend] = Math.nextUp(startedAt[backend]);
+        if (startedAt[backend] >= firstUnhandledStart[backend]) {
+            firstUnhandledStart[backend] = Math.nextUp(startedAt[backend]);
             return true;
         }
         return false;
--- a/src/main/java/lemondrift/balancer/DecayingSum.java
+++ b/src/main/java/lemondrift/balancer/DecayingSum.java
@@ -3,14 +3,14 @@
 /** A sum that decays exponentially with time. */
 final class DecayingSum {
     /** The time after which a value has decayed to 1/e, in seconds. */
-    double spanSeconds = 1;
+    double timeConstantSeconds = 1;
 
     private double sum;
     private double updatedAt;
 
     /** The sum as it has decayed by now. */
     double value(double now) {
-        return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / spanSeconds);
+        return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstantSeconds);
     }
 
     void add(double amount, double now) {
--- a/src/main/java/lemondrift/balancer/DecisionStage.java
+++ b/src/main/java/lemondrift/balancer/DecisionStage.java
@@ -31,18 +31,18 @@
      * Whether a backend may be given the request now, as far as this stage and the previous ones
      * say.
      */
-    boolean mayTake(Request request, int backend, double now) {
-        return previous == null || previous.mayTake(request, backend, now);
+    boolean isBackendEligible(Request request, int backend, double now) {
+        return previous == null || previous.isBackendEligible(request, backend, now);
     }
 
     /** Hears that an attempt has ended. */
-    void ended(
+    void attemptEnded(
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
             double now,
             Decision decision) {
-        previous.ended(attempt, outcome, durationSeconds, now, decision);
+        previous.attemptEnded(attempt, outcome, durationSeconds, now, decision);
     }
 
     /**
--- a/src/main/java/lemondrift/balancer/DeterministicRandom.java
+++ b/src/main/java/lemondrift/balancer/DeterministicRandom.java
@@ -22,7 +22,7 @@
     }
 
     /** From 0 to less than 1. */
-    double next() {
+    double nextDouble() {
         CRC32 crc = new CRC32();
         crc.update(
                 ByteBuffer.allocate(2 * Long.BYTES)
@@ -34,6 +34,6 @@
 
     /** Half to one and a half of a span of time, so that proxies do not act in step. */
     double jitter(double seconds) {
-        return seconds * (0.5 + next());
+        return seconds * (0.5 + nextDouble());
     }
 }
--- a/src/main/java/lemondrift/balancer/DrainCheck.java
+++ b/src/main/java/lemondrift/balancer/DrainCheck.java
@@ -14,7 +14,7 @@
     }
 
     @Override
-    boolean mayTake(Request request, int backend, double now) {
-        return backends.ready[backend] && super.mayTake(request, backend, now);
+    boolean isBackendEligible(Request request, int backend, double now) {
+        return backends.ready[backend] && super.isBackendEligible(request, backend, now);
     }
 }
--- a/src/main/java/lemondrift/balancer/EndpointListPolling.java
+++ b/src/main/java/lemondrift/balancer/EndpointListPolling.java
@@ -9,10 +9,10 @@
  * it does nothing.
  */
 final class EndpointListPolling {
-    private final boolean polls;
+    private final boolean pollingEnabled;
 
     /** A quarter of the time within which the settings demand a poll. */
-    private final double quarterSeconds;
+    private final double quarterPeriodSeconds;
 
     private final DeterministicRandom random;
 
@@ -20,20 +20,20 @@
     double pollAt = Double.POSITIVE_INFINITY;
 
     EndpointListPolling(Settings settings, DeterministicRandom random) {
-        polls = settings.pollsEndpointList();
-        quarterSeconds = settings.rules().pollWithinSeconds() / 4;
+        pollingEnabled = settings.pollsEndpointList();
+        quarterPeriodSeconds = settings.rules().pollWithinSeconds() / 4;
         this.random = random;
     }
 
     /** A list has come; a stale one does not end the polling. */
-    void listed(boolean stale, double now) {
-        pollAt = polls && stale ? now : Double.POSITIVE_INFINITY;
+    void listReceived(boolean stale, double now) {
+        pollAt = pollingEnabled && stale ? now : Double.POSITIVE_INFINITY;
     }
 
     /** Guards against all proxies polling in step, which keeps a small list service down. */
-    void failed(double now, Decision decision) {
-        if (polls) {
-            pollAt = now + random.jitter(quarterSeconds / 2);
+    void callFailed(double now, Decision decision) {
+        if (pollingEnabled) {
+            pollAt = now + random.jitter(quarterPeriodSeconds / 2);
             decision.logMessages.add("list call failed, asking again");
         }
     }
@@ -41,7 +41,7 @@
     void wake(double now, Decision decision) {
         if (pollAt <= now) {
             decision.endpointListCalls.add(Decision.EndpointListCall.WATCH);
-            pollAt = now + 2 * quarterSeconds;
+            pollAt = now + 2 * quarterPeriodSeconds;
         }
     }
 }
--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -60,7 +60,7 @@
         if (request.terms == null) {
             request.terms = backends.settings.termsFor(request.requestClassIndex);
         }
-        return decide(now, () -> deadlines.arrived(request, now, decision));
+        return decide(now, () -> deadlines.requestArrived(request, now, decision));
     }
 
     /**
@@ -79,9 +79,10 @@
         attempt.ended = true;
         attempt.request.attemptsInFlight--;
         attempt.request.completed |= completed;
-        estimator.reported(
+        estimator.loadReported(
                 attempt.backend, loadReport, outcome == AttemptOutcome.SUCCESS, true, now);
-        return decide(now, () -> selector.ended(attempt, outcome, durationSeconds, now, decision));
+        return decide(
+                now, () -> selector.attemptEnded(attempt, outcome, durationSeconds, now, decision));
     }
 
     /** The first bytes of a response go to the client: it no longer ends at its deadline. */
@@ -98,17 +99,17 @@
     public Decision endpointsListed(
             double now, boolean full, boolean stale, List<EndpointUpdate> updates) {
         endpointsChanged(now, full, updates);
-        polling.listed(stale, now);
+        polling.listReceived(stale, now);
         return wake(now);
     }
 
     /** A part of a list of which more comes; {@link #endpointsListed} ends it. */
     public void endpointsChanged(double now, boolean full, List<EndpointUpdate> updates) {
-        backends.listed(full, updates);
-        serviceTimes.backendsListed();
-        estimator.backendsListed();
-        outliers.backendsListed();
-        slowStart.backendsListed();
+        backends.applyUpdates(full, updates);
+        serviceTimes.ensureCapacity();
+        estimator.ensureCapacity();
+        outliers.ensureCapacity();
+        slowStart.ensureCapacity();
         for (EndpointUpdate update : updates) {
             if (backends.consumeNewStart(update.backend())) {
                 backendStarted(update.backend(), now);
@@ -117,15 +118,15 @@
     }
 
     private void backendStarted(int backend, double now) {
-        slowStart.started(backend, now);
-        outliers.forget(backend);
-        estimator.forget(backend);
-        serviceTimes.forget(backend);
+        slowStart.backendStarted(backend, now);
+        outliers.resetBackend(backend);
+        estimator.resetBackend(backend);
+        serviceTimes.resetBackend(backend);
     }
 
     /** A call for the endpoint list has failed. */
     public Decision endpointListFailed(double now) {
-        return decide(now, () -> polling.failed(now, decision));
+        return decide(now, () -> polling.callFailed(now, decision));
     }
 
     /** A probe was answered, with a load report or null, or has failed. */
@@ -135,7 +136,7 @@
         return decide(
                 now,
                 () ->
-                        estimator.reported(
+                        estimator.loadReported(
                                 backend,
                                 loadReport,
                                 outcome == AttemptOutcome.SUCCESS,
@@ -164,30 +165,30 @@
      * Whether other proxies are to tell what they have in flight; not where backends can be probed,
      * which says more.
      */
-    public boolean wantsGossip() {
+    public boolean needsGossip() {
         return estimator.probeRounds() == 0;
     }
 
     /** Whether any other proxy tells what it has in flight. */
-    public void peersHeard(boolean any) {
-        estimator.peersHeard = any;
+    public void setGossipActive(boolean any) {
+        estimator.gossipActive = any;
     }
 
     /** What other proxies have measured of the service time, from at least one response. */
     public void seedServiceTime(double seconds, double samples) {
-        slowStart.seed(seconds, samples);
+        slowStart.seedServiceTime(seconds, samples);
     }
 
     /** The mean service time as this proxy has measured it. */
     public ServiceTime measuredServiceTime() {
-        return slowStart.measured();
+        return slowStart.measuredServiceTime();
     }
 
     /**
      * For a shadow: attempts made at a backend by another's choice; negative to take its own back.
      */
     public void adjustAttempts(double now, int backend, int attempts) {
-        selector.countAttempts(backend, attempts, now);
+        selector.adjustAttempts(backend, attempts, now);
     }
 
     /** What would be rejected of a request class on arrival now; asking changes nothing. */
@@ -227,12 +228,13 @@
     private Decision decide(double now, Runnable event) {
         decision.clear();
         event.run();
-        for (Request request = selector.released(now);
+        for (Request request = selector.pollReleased(now);
                 request != null;
-                request = selector.released(now)) {
+                request = selector.pollReleased(now)) {
             deadlines.offerAgain(request, now, decision);
         }
-        decision.probes.forEach(backend -> slowStart.sent(backend, SlowStart.PROBE_REQUESTS, now));
+        decision.probes.forEach(
+                backend -> slowStart.requestsSent(backend, SlowStart.PROBE_REQUESTS, now));
         decision.wakeAt = Math.min(deadlines.wakeAt(), Math.min(polling.pollAt, selector.wakeAt()));
         return decision;
     }
--- a/src/main/java/lemondrift/balancer/OutlierDetection.java
+++ b/src/main/java/lemondrift/balancer/OutlierDetection.java
@@ -79,7 +79,7 @@
     }
 
     /** Makes room for backends that were listed for the first time. */
-    void backendsListed() {
+    void ensureCapacity() {
         if (lastOutcomeAt.length < backends.size) {
             settingsChanged(List.of());
             lastOutcomeAt = Arrays.copyOf(lastOutcomeAt, backends.size);
@@ -101,13 +101,13 @@
     }
 
     /** The backend has started anew: nothing that was known of it holds. */
-    void forget(int backend) {
+    void resetBackend(int backend) {
         Stream.of(score, ejectedUntil).flatMap(Arrays::stream).forEach(test -> test[backend] = 0);
     }
 
     @Override
-    boolean mayTake(Request request, int backend, double now) {
-        return super.mayTake(request, backend, now)
+    boolean isBackendEligible(Request request, int backend, double now) {
+        return super.isBackendEligible(request, backend, now)
                 && isUsable(ALL_CLASSES, backend, now)
                 && isUsable(1 + request.requestClassIndex, backend, now);
     }
@@ -119,7 +119,7 @@
     }
 
     @Override
-    void ended(
+    void attemptEnded(
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
@@ -138,7 +138,7 @@
             // Guards against a backend that fails one class while the others' successes hide it.
             observe(1 + attempt.request.requestClassIndex, attempt.backend, failed, now, decision);
         }
-        super.ended(attempt, outcome, durationSeconds, now, decision);
+        super.attemptEnded(attempt, outcome, durationSeconds, now, decision);
     }
 
     /** One step of a sequential test. */
@@ -146,7 +146,7 @@
         double until = ejectedUntil[test][backend];
         lastOutcomeAt[backend] = now;
         if (until == NOT_EJECTED) {
-            score[test][backend] = stepped(score[test][backend], failed);
+            score[test][backend] = nextScore(score[test][backend], failed);
             if (score[test][backend] >= EJECTION_SCORE && mayEjectOneMore(test)) {
                 ejectedUntil[test][backend] = now + random.jitter(backends.windowSeconds);
                 decision.logMessages.add("backend " + backend + " suspended" + suffix(test));
@@ -157,7 +157,7 @@
     }
 
     /** The score after one more outcome; an outlier fails halfway from the usual to always. */
-    private double stepped(double score, boolean failed) {
+    private double nextScore(double score, boolean failed) {
         double step =
                 failed ? Math.log((1 + usualFailureShare) / 2 / usualFailureShare) : Math.log(0.5);
         return Math.max(0, Math.min(EJECTION_SCORE, score + step));
--- a/src/main/java/lemondrift/balancer/RequestDeadlines.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -25,7 +25,7 @@
  */
 final class RequestDeadlines extends DecisionStage {
     /** After so many tries in a row with less time, the longest time seen no longer counts. */
-    private static final int MAX_SHORTER_IN_A_ROW = 4;
+    private static final int MAX_CONSECUTIVE_SHORTER = 4;
 
     /** By how much the time left must differ from the usual to tell a retry, as a share of it. */
     private static final double TIME_LEFT_TOLERANCE = 0.01;
@@ -36,10 +36,10 @@
     private double[] usualSecondsLeft = {};
 
     /** By request class: how many tries in a row had less than that. */
-    private int[] shorterInARow = {};
+    private int[] consecutiveShorter = {};
 
     /** The requests that may be open, the one with the nearest deadline first. */
-    private final PriorityQueue<Request> open =
+    private final PriorityQueue<Request> openRequests =
             new PriorityQueue<>(Comparator.comparing(request -> request.deadline));
 
     RequestDeadlines(BackendTable backends) {
@@ -51,15 +51,15 @@
     void settingsChanged(List<Integer> reassigned) {
         usualSecondsLeft =
                 Arrays.copyOf(usualSecondsLeft, backends.settings.requestClasses().size());
-        shorterInARow = Arrays.copyOf(shorterInARow, usualSecondsLeft.length);
+        consecutiveShorter = Arrays.copyOf(consecutiveShorter, usualSecondsLeft.length);
         for (int requestClass : reassigned) {
             usualSecondsLeft[requestClass] = 0;
-            shorterInARow[requestClass] = 0;
+            consecutiveShorter[requestClass] = 0;
         }
     }
 
     /** Sets the attempt deadline of a new request and sends it through the chain. */
-    void arrived(Request request, double now, Decision decision) {
+    void requestArrived(Request request, double now, Decision decision) {
         RequestClass requestClass = request.terms.requestClass();
         double usefulSeconds =
                 requestClass.latePriorityWeight() > 0
@@ -73,7 +73,7 @@
                         : 0;
         request.attemptDeadline =
                 Math.min(request.deadline, request.arrivedAt + usefulSeconds - secondsUsed);
-        open.add(request);
+        openRequests.add(request);
         offerAgain(request, now, decision);
     }
 
@@ -101,12 +101,12 @@
      */
     private boolean looksLikeRetry(int requestClass, double secondsLeft) {
         double usual = usualSecondsLeft[requestClass];
-        shorterInARow[requestClass] =
+        consecutiveShorter[requestClass] =
                 secondsLeft < (1 - TIME_LEFT_TOLERANCE) * usual
-                        ? shorterInARow[requestClass] + 1
+                        ? consecutiveShorter[requestClass] + 1
                         : 0;
         usual =
-                shorterInARow[requestClass] > MAX_SHORTER_IN_A_ROW
+                consecutiveShorter[requestClass] > MAX_CONSECUTIVE_SHORTER
                         ? secondsLeft
                         : Math.max(usual, secondsLeft);
         usualSecondsLeft[requestClass] = usual;
@@ -123,7 +123,7 @@
     }
 
     @Override
-    void ended(
+    void attemptEnded(
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
@@ -174,7 +174,7 @@
     /** Whatever went wrong, ends what is still open at its deadline. */
     void wake(double now, Decision decision) {
         while (wakeAt() <= now) {
-            Request request = open.poll();
+            Request request = openRequests.poll();
             if (!request.responseStarted) {
                 replyLocally(request, FailureReason.EXPIRED, 0, decision);
             }
@@ -183,9 +183,9 @@
 
     /** The nearest deadline of an open request; infinite where there is none. */
     double wakeAt() {
-        while (!open.isEmpty() && open.peek().completed) {
-            open.poll();
+        while (!openRequests.isEmpty() && openRequests.peek().completed) {
+            openRequests.poll();
         }
-        return open.isEmpty() ? Double.POSITIVE_INFINITY : open.peek().deadline;
+        return openRequests.isEmpty() ? Double.POSITIVE_INFINITY : openRequests.peek().deadline;
     }
 }
--- a/src/main/java/lemondrift/balancer/RetryPolicy.java
+++ b/src/main/java/lemondrift/balancer/RetryPolicy.java
@@ -68,18 +68,18 @@
     }
 
     @Override
-    boolean mayTake(Request request, int backend, double now) {
-        return !hasHad(request, backend)
+    boolean isBackendEligible(Request request, int backend, double now) {
+        return !wasAttemptedAt(request, backend)
                 && (request.possiblyExecuted == null
                         || mayRepeat(
                                 request.terms.requestClass(),
                                 request.possiblyExecuted,
                                 backend,
                                 now))
-                && super.mayTake(request, backend, now);
+                && super.isBackendEligible(request, backend, now);
     }
 
-    private static boolean hasHad(Request request, int backend) {
+    private static boolean wasAttemptedAt(Request request, int backend) {
         Attempt attempt = request.latestAttempt;
         while (attempt != null && attempt.backend != backend) {
             attempt = attempt.previous;
@@ -94,11 +94,12 @@
             return requestClass.idempotency() == Idempotency.IDEMPOTENT;
         }
         return now - executed.sentAt < requestClass.idempotencyKeyTtlSeconds()
-                && sharesKeys(requestClass.deduplicationScope(), executed.backend, backend);
+                && shareIdempotencyKeys(
+                        requestClass.deduplicationScope(), executed.backend, backend);
     }
 
     /** Whether two backends recognize the same idempotency keys. */
-    private boolean sharesKeys(DeduplicationScope scope, int backend, int other) {
+    private boolean shareIdempotencyKeys(DeduplicationScope scope, int backend, int other) {
         return scope == DeduplicationScope.ALL
                 || (backends.endpoint[backend].location() == backends.endpoint[other].location()
                         && (scope == DeduplicationScope.LOCATION
@@ -107,7 +108,7 @@
     }
 
     @Override
-    void ended(
+    void attemptEnded(
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
@@ -116,6 +117,6 @@
         if (!outcome.neverExecuted && attempt.request.possiblyExecuted == null) {
             attempt.request.possiblyExecuted = attempt;
         }
-        super.ended(attempt, outcome, durationSeconds, now, decision);
+        super.attemptEnded(attempt, outcome, durationSeconds, now, decision);
     }
 }
--- a/src/main/java/lemondrift/balancer/ServiceTimeEstimator.java
+++ b/src/main/java/lemondrift/balancer/ServiceTimeEstimator.java
@@ -25,7 +25,7 @@
     private static final double MIN_STEP = 0.02;
 
     /** How many steps up balance one step down: it settles at the lower quartile. */
-    private static final double STEPS_DOWN = 3;
+    private static final double DOWN_STEP_FACTOR = 3;
 
     /** Over how many outcomes or reports a mean is taken. */
     private static final double MEAN_OUTCOMES = 8;
@@ -36,13 +36,13 @@
     private final BackendTable backends;
 
     /** A quick response's time, the lower quartile, in seconds. */
-    private double quickSeconds;
+    private double quickResponseSeconds;
 
     /** Own attempts that succeeded or timed out. */
-    private double outcomes;
+    private double outcomeCount;
 
     /** How long an attempt takes for each request ahead of it and itself, in seconds. */
-    private double secondsPerQueued;
+    private double secondsPerQueuedRequest;
 
     /** The mean service time of the backends' reports, in seconds; 0 where they carry no rate. */
     private double reportedSeconds;
@@ -52,20 +52,21 @@
 
     ServiceTimeEstimator(BackendTable backends) {
         this.backends = backends;
-        quickSeconds = backends.windowSeconds / INITIAL_WINDOW_DIVISOR;
-        secondsPerQueued = quickSeconds;
-        reportedSeconds = backends.settings.loadReports().requestRateField() < 0 ? 0 : quickSeconds;
+        quickResponseSeconds = backends.windowSeconds / INITIAL_WINDOW_DIVISOR;
+        secondsPerQueuedRequest = quickResponseSeconds;
+        reportedSeconds =
+                backends.settings.loadReports().requestRateField() < 0 ? 0 : quickResponseSeconds;
     }
 
     /** Makes room for backends that were listed for the first time. */
-    void backendsListed() {
+    void ensureCapacity() {
         if (backendSeconds.length < backends.size) {
             backendSeconds = Arrays.copyOf(backendSeconds, backends.size);
         }
     }
 
     /** The backend has started anew. */
-    void forget(int backend) {
+    void resetBackend(int backend) {
         backendSeconds[backend] = 0;
     }
 
@@ -74,7 +75,7 @@
      *
      * @param requestsPerSecond 0 where the report does not say
      */
-    void reported(int backend, double utilization, double requestsPerSecond) {
+    void loadReported(int backend, double utilization, double requestsPerSecond) {
         double seconds = utilization / requestsPerSecond;
         if (seconds > 0 && seconds < backends.windowSeconds) {
             reportedSeconds += utilization * (seconds - reportedSeconds) / LONG_MEAN_OUTCOMES;
@@ -98,26 +99,27 @@
             boolean staleReports) {
         boolean succeeded = outcome == AttemptOutcome.SUCCESS;
         if (succeeded || outcome == AttemptOutcome.TIMED_OUT) {
-            secondsPerQueued +=
-                    (durationSeconds / (1 + queueAhead) - secondsPerQueued)
+            secondsPerQueuedRequest +=
+                    (durationSeconds / (1 + queueAhead) - secondsPerQueuedRequest)
                             / Math.min(
-                                    ++outcomes, staleReports ? LONG_MEAN_OUTCOMES : MEAN_OUTCOMES);
+                                    ++outcomeCount,
+                                    staleReports ? LONG_MEAN_OUTCOMES : MEAN_OUTCOMES);
         }
         if (succeeded) {
-            double step = Math.max(MIN_STEP, 1 / (3 + outcomes));
-            quickSeconds =
-                    outcomes == 1
+            double step = Math.max(MIN_STEP, 1 / (3 + outcomeCount));
+            quickResponseSeconds =
+                    outcomeCount == 1
                             ? Math.max(durationSeconds, backends.windowSeconds / MIN_WINDOW_DIVISOR)
-                            : quickSeconds
-                                    * (durationSeconds < quickSeconds
-                                            ? 1 - STEPS_DOWN * step
+                            : quickResponseSeconds
+                                    * (durationSeconds < quickResponseSeconds
+                                            ? 1 - DOWN_STEP_FACTOR * step
                                             : 1 + step);
         }
     }
 
     /** How long one request takes at a backend, in seconds; more while it warms up. */
-    double seconds(int backend, double now) {
-        return (reportedSeconds > 0 ? reportedSeconds : secondsPerQueued)
+    double serviceTimeSeconds(int backend, double now) {
+        return (reportedSeconds > 0 ? reportedSeconds : secondsPerQueuedRequest)
                 / backends.warmShare(backend, now);
     }
 
@@ -126,12 +128,16 @@
      * at most a whole window's. More at a slow or cold backend, less at a fast one.
      */
     double utilizationPerRequest(int backend, double now) {
-        double usualSeconds = reportedSeconds > 0 ? reportedSeconds : quickSeconds;
+        double usualSeconds = reportedSeconds > 0 ? reportedSeconds : quickResponseSeconds;
         double ratio =
                 backendSeconds[backend] > 0
                         ? backendSeconds[backend] / usualSeconds
                         : backends.meanWeight / backends.endpoint[backend].weight();
-        return Math.min(1, quickSeconds * backends.settings.proxyCount() / backends.windowSeconds)
+        return Math.min(
+                        1,
+                        quickResponseSeconds
+                                * backends.settings.proxyCount()
+                                / backends.windowSeconds)
                 * Math.max(1 / MAX_RATIO, Math.min(MAX_RATIO, ratio))
                 / backends.warmShare(backend, now);
     }
--- a/src/main/java/lemondrift/balancer/SlowStart.java
+++ b/src/main/java/lemondrift/balancer/SlowStart.java
@@ -62,7 +62,7 @@
     }
 
     /** Makes room for backends that were listed for the first time. */
-    void backendsListed() {
+    void ensureCapacity() {
         if (undrainedRequests.length < backends.size) {
             undrainedRequests = Arrays.copyOf(undrainedRequests, backends.size);
             undrainedAt = Arrays.copyOf(undrainedAt, backends.size);
@@ -74,28 +74,28 @@
      * go at a random time within that: one request of each of hundreds of proxies at once would
      * spend the budget many times.
      */
-    void started(int backend, double now) {
+    void backendStarted(int backend, double now) {
         double windowShare =
                 backends.settings.rules().overloadWindowSeconds() / drainSeconds(backend, now);
-        undrainedRequests[backend] = random.next() * Math.max(0, 1 - windowShare);
+        undrainedRequests[backend] = random.nextDouble() * Math.max(0, 1 - windowShare);
         undrainedAt[backend] = now;
     }
 
     @Override
-    boolean mayTake(Request request, int backend, double now) {
-        return hasBudget(backend, now) && super.mayTake(request, backend, now);
+    boolean isBackendEligible(Request request, int backend, double now) {
+        return hasBudget(backend, now) && super.isBackendEligible(request, backend, now);
     }
 
     /** Whether one more request drains within the window; always where the backend is warm. */
     private boolean hasBudget(int backend, double now) {
         return backends.warmShare(backend, now) == 1
-                || undrained(backend, now) == 0
+                || updateUndrainedRequests(backend, now) == 0
                 || (undrainedRequests[backend] + 1) * drainSeconds(backend, now)
                         <= backends.settings.rules().overloadWindowSeconds();
     }
 
     /** This proxy's requests that have not drained by now. */
-    private double undrained(int backend, double now) {
+    private double updateUndrainedRequests(int backend, double now) {
         undrainedRequests[backend] =
                 Math.max(
                         0,
@@ -128,12 +128,12 @@
     }
 
     /** So many requests were sent there; a probe is a part of one. */
-    void sent(int backend, double requests, double now) {
-        undrainedRequests[backend] = undrained(backend, now) + requests;
+    void requestsSent(int backend, double requests, double now) {
+        undrainedRequests[backend] = updateUndrainedRequests(backend, now) + requests;
     }
 
     @Override
-    void ended(
+    void attemptEnded(
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
@@ -145,17 +145,17 @@
             responseSeconds +=
                     (warmSeconds - responseSeconds) / Math.min(MEAN_RESPONSES, ++responses);
         }
-        super.ended(attempt, outcome, durationSeconds, now, decision);
+        super.attemptEnded(attempt, outcome, durationSeconds, now, decision);
     }
 
     /** What other proxies have measured; it counts until own responses outweigh it. */
-    void seed(double serviceSeconds, double samples) {
+    void seedServiceTime(double serviceSeconds, double samples) {
         seedSeconds = serviceSeconds;
         seedResponses = Math.min(samples, MAX_SEED_RESPONSES);
     }
 
     /** What this proxy has measured. */
-    ServiceTime measured() {
+    ServiceTime measuredServiceTime() {
         return new ServiceTime(responseSeconds, responses);
     }
 }
--- a/src/main/java/lemondrift/balancer/UtilizationEstimator.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -25,7 +25,7 @@
     static final int MAX_PROBE_ROUNDS = 4;
 
     /** Over which part of a window a report loses freshness where it can be renewed. */
-    private static final double FRESH_WINDOWS = 0.125;
+    private static final double FRESHNESS_WINDOWS = 0.125;
 
     /** What the probes of a request may cost, as a share of a request. */
     private static final double MAX_PROBE_COST = 0.03;
@@ -37,10 +37,10 @@
     private static final double REPORTS_TO_FALL = 4;
 
     /** What the mean of no report is, counted as one. */
-    private static final double MEAN_BEFORE_REPORTS = 0.5;
+    private static final double INITIAL_MEAN_LOAD = 0.5;
 
     /** Whether other proxies tell what they have in flight. */
-    boolean peersHeard;
+    boolean gossipActive;
 
     /** By backend: what other proxies have in flight there. */
     double[] peerInFlight = {};
@@ -52,12 +52,12 @@
     private double repeatSeconds;
 
     /** The busyness and the number of the reports heard lately. */
-    private final DecayingSum recentBusyness = new DecayingSum();
+    private final DecayingSum recentLoad = new DecayingSum();
 
     private final DecayingSum recentReports = new DecayingSum();
 
     /** By backend: the utilization of the last report with the work of the requests it holds. */
-    private double[] reportedBusyness = {};
+    private double[] reportedLoad = {};
 
     /** By backend: the utilization of the last report alone; 1 after a failed attempt. */
     private double[] reportedUtilization = {};
@@ -77,11 +77,11 @@
     }
 
     /** Makes room for backends that were listed for the first time. */
-    void backendsListed() {
+    void ensureCapacity() {
         if (reportedAt.length == backends.size) {
             return;
         }
-        reportedBusyness = Arrays.copyOf(reportedBusyness, backends.size);
+        reportedLoad = Arrays.copyOf(reportedLoad, backends.size);
         reportedUtilization = Arrays.copyOf(reportedUtilization, backends.size);
         reportedInFlight = Arrays.copyOf(reportedInFlight, backends.size);
         reportedAt = Arrays.copyOf(reportedAt, backends.size);
@@ -90,7 +90,7 @@
     }
 
     /** The backend has started anew: nothing that was known of it holds. */
-    void forget(int backend) {
+    void resetBackend(int backend) {
         reportedAt[backend] = 0;
         sentSinceReport[backend] = 0;
         peerInFlight[backend] = 0;
@@ -108,13 +108,13 @@
 
     /** Whether backends renew their reports so seldom that they are old when they come. */
     boolean reportsAreStale() {
-        return repeatSeconds > FRESH_WINDOWS * backends.windowSeconds;
+        return repeatSeconds > FRESHNESS_WINDOWS * backends.windowSeconds;
     }
 
     /** Over how many seconds a report loses freshness: until the next where none can be probed. */
-    private double freshSeconds() {
+    private double freshnessSeconds() {
         return reportsAreStale() || probeRounds() > 0
-                ? FRESH_WINDOWS * backends.windowSeconds
+                ? FRESHNESS_WINDOWS * backends.windowSeconds
                 : backends.memorySeconds;
     }
 
@@ -122,7 +122,7 @@
     double freshness(int backend, double now) {
         return reportedAt[backend] == 0
                 ? 0
-                : Math.exp((reportedAt[backend] - now) / freshSeconds());
+                : Math.exp((reportedAt[backend] - now) / freshnessSeconds());
     }
 
     /**
@@ -131,16 +131,18 @@
      * @param succeeded whether the attempt or probe that it came with did
      * @param withAttempt whether it came with an attempt's response, not a probe's
      */
-    void reported(
+    void loadReported(
             int backend, double[] loadReport, boolean succeeded, boolean withAttempt, double now) {
         Settings.LoadReports fields = backends.settings.loadReports();
-        double utilization = Settings.LoadReports.field(loadReport, fields.utilizationField());
+        double utilization =
+                Settings.LoadReports.fieldOrZero(loadReport, fields.utilizationField());
         // Guards against an idle backend that looks busy with the request just answered.
         double answered = fields.countsAnsweredRequest() && withAttempt && succeeded ? 1 : 0;
         double inFlight =
                 Math.max(
                         0,
-                        Settings.LoadReports.field(loadReport, fields.inFlightField()) - answered);
+                        Settings.LoadReports.fieldOrZero(loadReport, fields.inFlightField())
+                                - answered);
         if (loadReport == null || !(utilization + inFlight >= 0)) {
             return;
         }
@@ -154,11 +156,11 @@
             repeatSeconds -=
                     Math.max(0, repeatSeconds - now + reportedAt[backend]) / REPORTS_TO_FALL;
         }
-        serviceTimes.reported(
+        serviceTimes.loadReported(
                 backend,
                 utilization,
-                Settings.LoadReports.field(loadReport, fields.requestRateField()));
-        renew(backend, utilization, inFlight, succeeded, now);
+                Settings.LoadReports.fieldOrZero(loadReport, fields.requestRateField()));
+        storeReport(backend, utilization, inFlight, succeeded, now);
     }
 
     private boolean isRepeated(
@@ -170,23 +172,23 @@
                 && inFlight == reportedInFlight[backend];
     }
 
-    private void renew(
+    private void storeReport(
             int backend, double utilization, double inFlight, boolean succeeded, double now) {
         double busyness = utilization + inFlight * serviceTimes.utilizationPerRequest(backend, now);
         reportedUtilization[backend] = succeeded ? utilization : 1;
         reportedInFlight[backend] = inFlight;
         // Guards against a backend that fails fast, reports the least and draws all requests.
-        reportedBusyness[backend] = succeeded ? busyness : Math.max(busyness, meanReported(now));
+        reportedLoad[backend] = succeeded ? busyness : Math.max(busyness, meanReportedLoad(now));
         reportedAt[backend] = now;
         sentSinceReport[backend] = 0;
-        recentBusyness.spanSeconds = freshSeconds();
-        recentReports.spanSeconds = recentBusyness.spanSeconds;
-        recentBusyness.add(busyness, now);
+        recentLoad.timeConstantSeconds = freshnessSeconds();
+        recentReports.timeConstantSeconds = recentLoad.timeConstantSeconds;
+        recentLoad.add(busyness, now);
         recentReports.add(1, now);
     }
 
-    private double meanReported(double now) {
-        return (MEAN_BEFORE_REPORTS + recentBusyness.value(now)) / (1 + recentReports.value(now));
+    private double meanReportedLoad(double now) {
+        return (INITIAL_MEAN_LOAD + recentLoad.value(now)) / (1 + recentReports.value(now));
     }
 
     /** The requests in flight of a backend's last report. */
@@ -196,16 +198,16 @@
 
     /** Whether other proxies tell what they have in flight at a backend. */
     boolean hasGossip(int backend) {
-        return peersHeard && backends.endpoint[backend].userShare() > 0;
+        return gossipActive && backends.endpoint[backend].userShare() > 0;
     }
 
     /** The estimated utilization of a backend; 1 and above is busy all the time. */
     double estimate(int backend, double now) {
         double freshness = freshness(backend, now);
-        double mean = meanReported(now);
+        double mean = meanReportedLoad(now);
         double base;
         double requests;
-        if (peersHeard) {
+        if (gossipActive) {
             // Gossip counts what is in flight, so of the report only what it says beyond that is
             // added.
             requests =
@@ -218,7 +220,7 @@
             requests =
                     freshness * sentSinceReport[backend]
                             + (1 - freshness) * backends.inFlight[backend];
-            base = mean + freshness * (reportedBusyness[backend] - mean);
+            base = mean + freshness * (reportedLoad[backend] - mean);
         }
         // Guards against a cold backend that reports near nothing and draws more than it bears.
         return (backends.warmShare(backend, now) < 1 ? Math.max(base, mean) : base)
@@ -226,7 +228,7 @@
     }
 
     /** So many attempts more were sent; fewer where a shadow's own was not made. */
-    void sent(int backend, int attempts) {
+    void attemptsSent(int backend, int attempts) {
         sentSinceReport[backend] = Math.max(0, sentSinceReport[backend] + attempts);
         backends.inFlight[backend] += attempts;
     }
--- a/src/main/java/lemondrift/balancer/WaitEstimator.java
+++ b/src/main/java/lemondrift/balancer/WaitEstimator.java
@@ -52,35 +52,35 @@
     }
 
     void settingsChanged() {
-        ownRate.spanSeconds = backends.memorySeconds;
-        observedWait.spanSeconds = backends.memorySeconds;
+        ownRate.timeConstantSeconds = backends.memorySeconds;
+        observedWait.timeConstantSeconds = backends.memorySeconds;
     }
 
     /** The wait to expect at a backend. */
-    double expected(int backend, double now) {
+    double expectedWait(int backend, double now) {
         if (estimator.reportsAreStale()) {
-            return ofOwnAttempts(backend, now);
+            return expectedWaitFromAttempts(backend, now);
         }
         double observed =
                 estimator.hasGossip(backend)
                         ? 0
                         : (1 - estimator.freshness(backend, now)) * observedWait.value(now);
-        return Math.max(observed, byUtilization(backend, now));
+        return Math.max(observed, expectedWaitFromUtilization(backend, now));
     }
 
     /** The wait to expect by a backend's estimated utilization alone. */
-    double byUtilization(int backend, double now) {
+    double expectedWaitFromUtilization(int backend, double now) {
         return Math.max(0, estimator.estimate(backend, now) - 1)
                 / serviceTimes.utilizationPerRequest(backend, now)
-                * serviceTimes.seconds(backend, now);
+                * serviceTimes.serviceTimeSeconds(backend, now);
     }
 
     /** The wait that own attempts meet now, by Little's law. */
-    private double ofOwnAttempts(int backend, double now) {
+    private double expectedWaitFromAttempts(int backend, double now) {
         firstAskedAt = firstAskedAt == 0 ? now : firstAskedAt;
         double elapsedShare = 1 - Math.exp((firstAskedAt - now) / backends.memorySeconds);
         double rate = ownRate.value(now) / (elapsedShare + TINY_SHARE);
-        double serviceSeconds = serviceTimes.seconds(backend, now);
+        double serviceSeconds = serviceTimes.serviceTimeSeconds(backend, now);
         // Guards against one attempt in flight at a proxy with little traffic that looks like a
         // jam.
         return Math.max(
@@ -93,7 +93,7 @@
     }
 
     /** So many attempts more were sent; fewer where a shadow's own was not made. */
-    void sent(int attempts, double now) {
+    void attemptsSent(int attempts, double now) {
         inFlight += attempts;
         ownRate.add(attempts / backends.memorySeconds, now);
     }
@@ -104,10 +104,10 @@
         if (outcome == AttemptOutcome.SUCCESS
                 || outcome == AttemptOutcome.TIMED_OUT
                 || (outcome.neverExecuted && outcome != AttemptOutcome.NOT_SENT)) {
-            double wait = met(attempt.backend, outcome, durationSeconds, now);
+            double wait = measureWait(attempt.backend, outcome, durationSeconds, now);
             double recentSeconds = STALE_WINDOWS * backends.windowSeconds;
             // It fades sooner where no report shows that a jam is over.
-            observedWait.spanSeconds =
+            observedWait.timeConstantSeconds =
                     estimator.reportsAreStale() ? recentSeconds : backends.memorySeconds;
             observedWait.add(
                     (wait - observedWait.value(now))
@@ -116,7 +116,8 @@
         }
     }
 
-    private double met(int backend, AttemptOutcome outcome, double durationSeconds, double now) {
+    private double measureWait(
+            int backend, AttemptOutcome outcome, double durationSeconds, double now) {
         if (outcome == AttemptOutcome.OVERLOADED) {
             return backends.windowSeconds;
         }
@@ -124,7 +125,7 @@
             return durationSeconds;
         }
         return backends.settings.loadReports().inResponses() && !estimator.reportsAreStale()
-                ? byUtilization(backend, now)
-                : Math.max(0, durationSeconds - serviceTimes.seconds(backend, now));
+                ? expectedWaitFromUtilization(backend, now)
+                : Math.max(0, durationSeconds - serviceTimes.serviceTimeSeconds(backend, now));
     }
 }
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -232,7 +232,7 @@
 
     private ModuleUnderTest module(Scenario scenario, int proxy) {
         Settings settings = scenario.settings();
-        Settings ofProxy = settings.inLocation(proxy % settings.locationCount());
+        Settings ofProxy = settings.withLocation(proxy % settings.locationCount());
         long seed = proxySeed(scenario, proxy);
         ModuleUnderTest module = new ModuleUnderTest(ofProxy, seed, proxy, tells);
         return recovers && tells ? module.recovering(ofProxy) : module;
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -55,7 +55,7 @@
     public ModuleUnderTest(Settings settings, long seed, int self, boolean usesGossip) {
         balancer = new LoadBalancer(settings, seed);
         this.self = self;
-        if (usesGossip && balancer.wantsGossip()) {
+        if (usesGossip && balancer.needsGossip()) {
             subsets = new SubsetAssignment(settings.proxyCount(), SUBSET_SIZE);
             gossip =
                     new LoadGossip(
@@ -111,7 +111,7 @@
         }
         if (gossip != null) {
             gossip.expireSilentPeers(now);
-            balancer.peersHeard(gossip.livePeerCount(now) > 0);
+            balancer.setGossipActive(gossip.livePeerCount(now) > 0);
         }
     }
 
--- a/src/main/java/lemondrift/model/Settings.java
+++ b/src/main/java/lemondrift/model/Settings.java
@@ -118,16 +118,16 @@
     }
 
     /** The same for a proxy in another zone. */
-    public Settings inLocation(int location) {
-        return with(proxyCount, location);
+    public Settings withLocation(int location) {
+        return withProxyCountAndLocation(proxyCount, location);
     }
 
     /** The same for one of several processes that share one proxy's traffic and budgets. */
     public Settings dividedAmong(int processes) {
-        return with(proxyCount * processes, location);
+        return withProxyCountAndLocation(proxyCount * processes, location);
     }
 
-    private Settings with(int proxyCount, int location) {
+    private Settings withProxyCountAndLocation(int proxyCount, int location) {
         return new Settings(
                 proxyCount,
                 locationCount,
@@ -161,7 +161,7 @@
             boolean countsAnsweredRequest,
             int requestRateField) {
         /** The field of a report at a place; 0 where there is none. */
-        public static double field(double[] loadReport, int place) {
+        public static double fieldOrZero(double[] loadReport, int place) {
             return place >= 0 && loadReport != null && place < loadReport.length
                     ? loadReport[place]
                     : 0;
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -129,7 +129,7 @@
                         decisionLoop,
                         metrics,
                         clientListener::isClientWaiting);
-        boolean gossips = config.gossip() != null && connector == null && balancer.wantsGossip();
+        boolean gossips = config.gossip() != null && connector == null && balancer.needsGossip();
         gossipTransport = gossips ? new GossipTransport(config.gossip(), decisionLoop) : null;
         if (gossips) {
             enableGossip(config);
--- a/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
@@ -152,7 +152,7 @@
                 "", json.has("settings") ? json.get("settings") : new JsonObject(), settingsPairs);
         SettingsReader settingsReader = new SettingsReader(settingsPairs);
         int sockets = (int) config.number("limits.sockets", DEFAULT_SOCKETS);
-        Settings settings = settingsReader.settings();
+        Settings settings = settingsReader.toSettings();
         return new ProxyConfig(
                 config.text("name", "proxy"),
                 address("listen", config.text("listen", null)),
--- a/src/main/java/lemondrift/proxy/config/ShadowSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ShadowSettingsFile.java
@@ -39,7 +39,7 @@
             }
         }
         try {
-            return new SettingsReader(pairs).settings();
+            return new SettingsReader(pairs).toSettings();
         } catch (InvalidSettingsException e) {
             throw new InvalidSettingsException(file + ": " + e.getMessage());
         }
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -78,7 +78,7 @@
             gossip.receive(next.from, next.datagram, now);
         }
         gossip.expireSilentPeers(now);
-        balancer.peersHeard(gossip.livePeerCount(now) > 0);
+        balancer.setGossipActive(gossip.livePeerCount(now) > 0);
     }
 
     /**
--- a/src/main/java/lemondrift/proxy/loop/ActiveSettings.java
+++ b/src/main/java/lemondrift/proxy/loop/ActiveSettings.java
@@ -67,7 +67,7 @@
         reloadsNotApplied++;
         // Guards against a threshold of the class that had the index before.
         shedThresholds.clear();
-        settings = settings.reloaded(next, requestClasses.byIndex());
+        settings = settings.reloaded(next, requestClasses.classesByIndex());
         balancer.settingsChanged(settings.dividedAmong(processCount), requestClasses.reassigned());
         shadow.settingsChanged(shadowSettings, requestClasses);
         actions.settingsChanged(requestClasses, settings);
--- a/src/main/java/lemondrift/proxy/loop/ShadowRunner.java
+++ b/src/main/java/lemondrift/proxy/loop/ShadowRunner.java
@@ -91,7 +91,7 @@
 
     void decided(Decision decision) {
         if (evaluator != null) {
-            run(shadow -> shadow.decided(clock.now(), decision));
+            run(shadow -> shadow.decisionMade(clock.now(), decision));
         }
     }
 
@@ -105,7 +105,7 @@
                             shadow.settingsChanged(
                                     shadowSettings.reloaded(
                                             shadowSettings,
-                                            requestClasses.byIndex(
+                                            requestClasses.classesByIndex(
                                                     shadowSettings.requestClasses())),
                                     requestClasses.reassigned()));
         }
--- a/src/main/java/lemondrift/settings/RequestClassIndex.java
+++ b/src/main/java/lemondrift/settings/RequestClassIndex.java
@@ -15,16 +15,16 @@
  */
 public final class RequestClassIndex {
     /** Stands for no index. */
-    private static final int NONE = -1;
+    private static final int NO_INDEX = -1;
 
     /** By index; null where no class has the index any more. */
     private final List<String> names;
 
     /** By index; null where no class has the index any more. */
-    private final List<RequestClass> byIndex;
+    private final List<RequestClass> classesByIndex;
 
     /** The index of each class in the order of the file. */
-    private final int[] indexByPlace;
+    private final int[] indexByPosition;
 
     /** The indexes whose class is another one than before. */
     private final List<Integer> reassigned;
@@ -45,14 +45,14 @@
             int[] indexByPlace,
             int size,
             List<Integer> reassigned) {
-        this.indexByPlace = indexByPlace;
+        this.indexByPosition = indexByPlace;
         this.reassigned = reassigned;
         String[] namesByIndex = new String[size];
         for (int place = 0; place < indexByPlace.length; place++) {
             namesByIndex[indexByPlace[place]] = namesByPlace.get(place);
         }
         names = Arrays.asList(namesByIndex);
-        byIndex = byIndex(classesByPlace, size);
+        classesByIndex = classesByIndex(classesByPlace, size);
     }
 
     /**
@@ -64,14 +64,17 @@
             List<String> namesByPlace, List<RequestClass> classesByPlace, IntPredicate isOpen) {
         int[] nextIndexes =
                 IntStream.range(0, namesByPlace.size())
-                        .map(place -> keptIndex(namesByPlace.get(place), classesByPlace.get(place)))
+                        .map(
+                                place ->
+                                        findKeptIndex(
+                                                namesByPlace.get(place), classesByPlace.get(place)))
                         .toArray();
         List<Integer> newlyAssigned = new ArrayList<>();
         int size = names.size();
         for (int place = 0; place < nextIndexes.length; place++) {
-            if (nextIndexes[place] == NONE) {
-                int free = freeIndex(newlyAssigned, isOpen);
-                nextIndexes[place] = free == NONE ? size++ : free;
+            if (nextIndexes[place] == NO_INDEX) {
+                int free = findFreeIndex(newlyAssigned, isOpen);
+                nextIndexes[place] = free == NO_INDEX ? size++ : free;
                 newlyAssigned.add(nextIndexes[place]);
             }
         }
@@ -80,17 +83,17 @@
     }
 
     /** The index that a class keeps; NONE where it is new or not the same any more. */
-    private int keptIndex(String name, RequestClass requestClass) {
+    private int findKeptIndex(String name, RequestClass requestClass) {
         int index = indexOf(name);
-        RequestClass previous = index == NONE ? null : byIndex.get(index);
+        RequestClass previous = index == NO_INDEX ? null : classesByIndex.get(index);
         boolean isSame =
                 previous != null
                         && previous.idempotency() == requestClass.idempotency()
                         && previous.deduplicationScope() == requestClass.deduplicationScope();
-        return isSame ? index : NONE;
+        return isSame ? index : NO_INDEX;
     }
 
-    private int freeIndex(List<Integer> newlyAssigned, IntPredicate isOpen) {
+    private int findFreeIndex(List<Integer> newlyAssigned, IntPredicate isOpen) {
         return IntStream.range(0, names.size())
                 .filter(
                         index ->
@@ -98,7 +101,7 @@
                                         && !newlyAssigned.contains(index)
                                         && !isOpen.test(index))
                 .findFirst()
-                .orElse(NONE);
+                .orElse(NO_INDEX);
     }
 
     /** The names that are in use now. */
@@ -112,19 +115,19 @@
     }
 
     /** The classes by index; null where no class has the index any more. */
-    public List<RequestClass> byIndex() {
-        return byIndex;
+    public List<RequestClass> classesByIndex() {
+        return classesByIndex;
     }
 
     /** Other classes of the same names in the same order, each under its index. */
-    public List<RequestClass> byIndex(List<RequestClass> classesByPlace) {
-        return byIndex(classesByPlace, names.size());
+    public List<RequestClass> classesByIndex(List<RequestClass> classesByPlace) {
+        return classesByIndex(classesByPlace, names.size());
     }
 
-    private List<RequestClass> byIndex(List<RequestClass> classesByPlace, int size) {
+    private List<RequestClass> classesByIndex(List<RequestClass> classesByPlace, int size) {
         RequestClass[] classes = new RequestClass[size];
-        for (int place = 0; place < indexByPlace.length; place++) {
-            classes[indexByPlace[place]] = classesByPlace.get(place);
+        for (int place = 0; place < indexByPosition.length; place++) {
+            classes[indexByPosition[place]] = classesByPlace.get(place);
         }
         return Arrays.asList(classes);
     }
--- a/src/main/java/lemondrift/settings/SettingsReader.java
+++ b/src/main/java/lemondrift/settings/SettingsReader.java
@@ -47,7 +47,7 @@
                 pairs.put(line.substring(0, equals).strip(), line.substring(equals + 1).strip());
             }
         }
-        return new SettingsReader(pairs).settings();
+        return new SettingsReader(pairs).toSettings();
     }
 
     /**
@@ -55,16 +55,16 @@
      *
      * @throws InvalidSettingsException where something cannot be used
      */
-    public Settings settings() {
+    public Settings toSettings() {
         List<RequestClass> requestClasses = requestClasses();
         double[] tenantQuotaPerSecond = tenantQuotaPerSecond();
         boolean pollsEndpointList =
                 choice("membershipMode", "pushed", "on_request").equals("on_request");
         int locationCount = list("localities").size();
         return new Settings(
-                (int) between("siblings", 1, Integer.MAX_VALUE),
+                (int) numberInRange("siblings", 1, Integer.MAX_VALUE),
                 locationCount,
-                (int) between("zone", 0, locationCount - 1),
+                (int) numberInRange("zone", 0, locationCount - 1),
                 pollsEndpointList,
                 requestClasses,
                 tenantQuotaPerSecond,
@@ -92,8 +92,9 @@
         return new RequestClass(
                 number(prefix + "benefit"),
                 number(prefix + "lateBenefit", 0),
-                between(prefix + "contractTime", MIN_POSITIVE, MAX_BOUNDED) / MILLIS_PER_SECOND,
-                between(prefix + "expiry", MIN_POSITIVE, MAX_BOUNDED) / MILLIS_PER_SECOND,
+                numberInRange(prefix + "contractTime", MIN_POSITIVE, MAX_BOUNDED)
+                        / MILLIS_PER_SECOND,
+                numberInRange(prefix + "expiry", MIN_POSITIVE, MAX_BOUNDED) / MILLIS_PER_SECOND,
                 idempotency(prefix + "effect"),
                 deduplicationScope(prefix + "group"),
                 number(prefix + "keyTtl", 0) / MILLIS_PER_SECOND);
@@ -140,7 +141,7 @@
         return new Settings.Limits(
                 flag("limits.mayCancel"),
                 flag("limits.probes"),
-                (int) between("limits.mostForwards", 1, MAX_BOUNDED),
+                (int) numberInRange("limits.mostForwards", 1, MAX_BOUNDED),
                 flag("limits.retryAfter")
                         ? number("limits.maxRetryAfter", 0) / MILLIS_PER_SECOND
                         : 0);
@@ -148,10 +149,11 @@
 
     private Settings.Rules rules() {
         return new Settings.Rules(
-                between("invariants.coldFrom", MIN_POSITIVE, 1),
+                numberInRange("invariants.coldFrom", MIN_POSITIVE, 1),
                 number("invariants.cold") / MILLIS_PER_SECOND,
-                between("invariants.fallMultiple", MIN_POSITIVE, MAX_BOUNDED),
-                between("invariants.overloadFor", MIN_POSITIVE, MAX_BOUNDED) / MILLIS_PER_SECOND,
+                numberInRange("invariants.fallMultiple", MIN_POSITIVE, MAX_BOUNDED),
+                numberInRange("invariants.overloadFor", MIN_POSITIVE, MAX_BOUNDED)
+                        / MILLIS_PER_SECOND,
                 number("invariants.askWithin", DEFAULT_POLL_WITHIN_MILLIS) / MILLIS_PER_SECOND);
     }
 
@@ -194,7 +196,7 @@
         return choice(key, "false", "true").equals("true");
     }
 
-    private double between(String key, double min, double max) {
+    private double numberInRange(String key, double min, double max) {
         double number = number(key);
         if (number < min || number > max) {
             throw new InvalidSettingsException(
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -43,13 +43,13 @@
     private static final int NO_ATTEMPT = -1;
 
     /** A request as the shadow knows it. */
-    private static final class Copy {
+    private static final class ShadowRequest {
         final Request request;
 
         /** What stands for the attempt that is in flight; null where none is. */
-        Attempt followed;
+        Attempt actualAttempt;
 
-        Copy(Request request) {
+        ShadowRequest(Request request) {
             this.request =
                     new Request(
                             request.id,
@@ -66,7 +66,7 @@
     private Settings settings;
 
     /** By the request in force. */
-    private final Map<Request, Copy> copies = new HashMap<>();
+    private final Map<Request, ShadowRequest> shadowRequests = new HashMap<>();
 
     /** By the ordinal of the kind. */
     private final long[] counts = new long[Kind.values().length];
@@ -74,7 +74,7 @@
     /** By backend: its zone. */
     private final Map<Integer, Integer> locations = new HashMap<>();
 
-    private long decisions;
+    private long decisionCount;
     private double wakeAt = Double.POSITIVE_INFINITY;
 
     /**
@@ -101,7 +101,7 @@
     public void endpointsListed(
             double now, boolean full, boolean stale, List<EndpointUpdate> updates) {
         updates.forEach(update -> locations.put(update.backend(), update.location()));
-        settle(now, balancer.endpointsListed(now, full, stale, updates));
+        finishDecision(now, balancer.endpointsListed(now, full, stale, updates));
     }
 
     /** A request has come; one of a class that these settings do not name is left out. */
@@ -109,25 +109,25 @@
         if (settings.requestClasses().get(request.requestClassIndex) == null) {
             return;
         }
-        Copy copy = new Copy(request);
-        copies.put(request, copy);
-        settle(now, balancer.requestArrived(now, copy.request));
+        ShadowRequest copy = new ShadowRequest(request);
+        shadowRequests.put(request, copy);
+        finishDecision(now, balancer.requestArrived(now, copy.request));
     }
 
     /** Compares with what the balancer in force has decided, and follows that. */
-    public void decided(double now, Decision decision) {
+    public void decisionMade(double now, Decision decision) {
         for (Attempt attempt : decision.attempts) {
-            Copy copy = copies.get(attempt.request);
+            ShadowRequest copy = shadowRequests.get(attempt.request);
             if (copy != null) {
-                Attempt own = own(copy);
+                Attempt own = pendingAttempt(copy);
                 compare(own == null ? NO_ATTEMPT : own.backend, attempt.backend, attempt.index > 0);
-                follow(now, copy, own, attempt);
+                adoptAttempt(now, copy, own, attempt);
             }
         }
         for (Decision.LocalReply reply : decision.localReplies) {
-            Copy copy = copies.get(reply.request());
-            if (copy != null && copy.followed == null) {
-                Attempt own = own(copy);
+            ShadowRequest copy = shadowRequests.get(reply.request());
+            if (copy != null && copy.actualAttempt == null) {
+                Attempt own = pendingAttempt(copy);
                 compare(
                         own == null ? NO_ATTEMPT : own.backend,
                         NO_ATTEMPT,
@@ -145,24 +145,24 @@
             double durationSeconds,
             boolean completed,
             double[] loadReport) {
-        Copy copy = copies.get(attempt.request);
-        if (copy == null || copy.followed == null) {
+        ShadowRequest copy = shadowRequests.get(attempt.request);
+        if (copy == null || copy.actualAttempt == null) {
             return;
         }
-        Attempt followed = copy.followed;
-        copy.followed = null;
-        settle(
+        Attempt followed = copy.actualAttempt;
+        copy.actualAttempt = null;
+        finishDecision(
                 now,
                 balancer.attemptEnded(
                         now, followed, outcome, durationSeconds, completed, loadReport));
         if (completed) {
-            copies.remove(attempt.request);
+            shadowRequests.remove(attempt.request);
         }
     }
 
     /** See {@link LoadBalancer#probeEnded}. */
     public void probeEnded(double now, int backend, AttemptOutcome outcome, double[] loadReport) {
-        settle(now, balancer.probeEnded(now, backend, outcome, loadReport));
+        finishDecision(now, balancer.probeEnded(now, backend, outcome, loadReport));
     }
 
     /**
@@ -170,24 +170,24 @@
      * ends.
      */
     public void requestAbandoned(double now, Request request) {
-        Copy copy = copies.get(request);
+        ShadowRequest copy = shadowRequests.get(request);
         if (copy == null) {
             return;
         }
-        Attempt own = own(copy);
-        settle(now, balancer.requestAbandoned(now, copy.request));
+        Attempt own = pendingAttempt(copy);
+        finishDecision(now, balancer.requestAbandoned(now, copy.request));
         if (own != null) {
-            takeBack(now, copy.request, own);
+            undoAttempt(now, copy.request, own);
         }
-        if (copy.followed == null) {
-            copies.remove(request);
+        if (copy.actualAttempt == null) {
+            shadowRequests.remove(request);
         }
     }
 
     /** Wakes the shadow where its time has come. */
     public void wake(double now) {
         if (wakeAt <= now) {
-            settle(now, balancer.wake(now));
+            finishDecision(now, balancer.wake(now));
         }
     }
 
@@ -197,8 +197,8 @@
     }
 
     /** How many decisions were compared. */
-    public long decisions() {
-        return decisions;
+    public long decisionCount() {
+        return decisionCount;
     }
 
     /** How many of them would have been of a kind. */
@@ -210,7 +210,7 @@
      * One line: how many decisions were compared, and those that would have been others, by kind.
      */
     public String summary() {
-        StringBuilder text = new StringBuilder("decisions " + decisions);
+        StringBuilder text = new StringBuilder("decisions " + decisionCount);
         for (Kind kind : Kind.values()) {
             text.append(", would ")
                     .append(kind.name().toLowerCase(Locale.ROOT).replace('_', ' '))
@@ -221,53 +221,53 @@
     }
 
     /** The shadow's own attempt that is not in flight; null where it would make none. */
-    private static Attempt own(Copy copy) {
+    private static Attempt pendingAttempt(ShadowRequest copy) {
         Attempt latest = copy.request.latestAttempt;
-        return latest == null || latest.ended || latest == copy.followed ? null : latest;
+        return latest == null || latest.ended || latest == copy.actualAttempt ? null : latest;
     }
 
     /** Compares the shadow's backend with the one sent to, either of which may be none. */
     private void compare(int own, int done, boolean retry) {
-        decisions++;
+        decisionCount++;
         if (own == NO_ATTEMPT && done != NO_ATTEMPT) {
-            counted(retry ? Kind.NOT_SEND_AGAIN : Kind.SHED);
+            increment(retry ? Kind.NOT_SEND_AGAIN : Kind.SHED);
         } else if (own != NO_ATTEMPT && done == NO_ATTEMPT) {
-            counted(retry ? Kind.SEND_AGAIN : Kind.NOT_SHED);
+            increment(retry ? Kind.SEND_AGAIN : Kind.NOT_SHED);
         } else if (own != done) {
-            counted(Kind.ANOTHER_BACKEND);
+            increment(Kind.ANOTHER_BACKEND);
             boolean crosses = locations.getOrDefault(own, ownLocation) != ownLocation;
             if (crosses != (locations.getOrDefault(done, ownLocation) != ownLocation)) {
-                counted(crosses ? Kind.CROSS : Kind.NOT_CROSS);
+                increment(crosses ? Kind.CROSS : Kind.NOT_CROSS);
             }
         }
     }
 
-    private void counted(Kind kind) {
+    private void increment(Kind kind) {
         counts[kind.ordinal()]++;
     }
 
     /** Puts the attempt that was made in the place of the shadow's own, if there is one. */
-    private void follow(double now, Copy copy, Attempt own, Attempt done) {
+    private void adoptAttempt(double now, ShadowRequest copy, Attempt own, Attempt done) {
         Request request = copy.request;
         if (own != null && own.backend == done.backend) {
-            copy.followed = own;
+            copy.actualAttempt = own;
             return;
         }
         if (own != null) {
-            takeBack(now, request, own);
+            undoAttempt(now, request, own);
         }
         request.completed = false;
-        copy.followed =
+        copy.actualAttempt =
                 new Attempt(
                         request, done.backend, done.sentAt, done.timeoutSeconds, done.queueAhead);
-        request.latestAttempt = copy.followed;
+        request.latestAttempt = copy.actualAttempt;
         request.attemptCount++;
         request.attemptsInFlight++;
         balancer.adjustAttempts(now, done.backend, 1);
     }
 
     /** Undoes an attempt of the shadow's own that was not made. */
-    private void takeBack(double now, Request request, Attempt own) {
+    private void undoAttempt(double now, Request request, Attempt own) {
         own.ended = true;
         request.latestAttempt = own.previous;
         request.attemptCount--;
@@ -279,7 +279,7 @@
      * Ends the probes that the shadow asks for, since none is sent for it. Guards against backends
      * that it would leave out as not answering.
      */
-    private void settle(double now, Decision decision) {
+    private void finishDecision(double now, Decision decision) {
         Deque<Integer> probes = new ArrayDeque<>(decision.probes);
         while (!probes.isEmpty()) {
             probes.addAll(
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -32,51 +32,52 @@
     @TempDir Path folder;
 
     @Test
-    void aDatagramOfRecoveryIsReadAndWrittenAsBefore() throws IOException {
+    void recoveryDatagramIsReadAndWrittenAsBefore() throws IOException {
         PeerStatus hello =
                 new PeerStatus(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
-        LandedBytes.assertHex("recovery-datagram.hex", hello.encoded());
+        GoldenFiles.assertHex("recovery-datagram.hex", hello.encoded());
         assertEquals(
-                Optional.of(hello), PeerStatus.decode(LandedBytes.ofHex("recovery-datagram.hex")));
+                Optional.of(hello),
+                PeerStatus.decode(GoldenFiles.readHex("recovery-datagram.hex")));
     }
 
     @Test
-    void aDatagramOfGossipIsReadAndWrittenAsBefore() throws IOException {
-        LoadGossip sender = holdings(0);
-        LoadGossip receiver = holdings(1);
+    void gossipDatagramIsReadAndWrittenAsBefore() throws IOException {
+        LoadGossip sender = newGossip(0);
+        LoadGossip receiver = newGossip(1);
         sender.attemptSent(LoadGossip.tag("backend-1"));
         sender.attemptSent(LoadGossip.tag("backend-1"));
         sender.attemptSent(LoadGossip.tag("backend-2"));
         List<LoadGossip.Message> due = sender.dueMessages(1);
         assertEquals(1, due.size());
-        LandedBytes.assertHex("gossip-datagram.hex", due.get(0).datagram());
-        receiver.receive(0, LandedBytes.ofHex("gossip-datagram.hex"), 1);
+        GoldenFiles.assertHex("gossip-datagram.hex", due.get(0).datagram());
+        receiver.receive(0, GoldenFiles.readHex("gossip-datagram.hex"), 1);
         assertEquals(2, receiver.peerLoad(LoadGossip.tag("backend-1")));
         assertEquals(1, receiver.peerLoad(LoadGossip.tag("backend-2")));
     }
 
-    private static LoadGossip holdings(int self) {
+    private static LoadGossip newGossip(int self) {
         SubsetAssignment subsets = new SubsetAssignment(2, 2);
         subsets.setActive(new int[] {LoadGossip.tag("backend-1"), LoadGossip.tag("backend-2")});
         return new LoadGossip(2, self, 1764756000123L, 0.01, 0.1, subsets, tag -> {});
     }
 
     @Test
-    void theSimulatorsBatchGetsTheReplyOfBefore() throws IOException {
+    void simulatorBatchGetsTheSameReplyAsBefore() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int code =
                 SimulatorAdapter.run(
-                        new ByteArrayInputStream(LandedBytes.ofHex("simulator-batch.hex")),
+                        new ByteArrayInputStream(GoldenFiles.readHex("simulator-batch.hex")),
                         out,
                         new PrintStream(err));
         assertEquals("", err.toString(UTF_8));
         assertEquals(0, code);
-        LandedBytes.assertHex("simulator-reply.hex", out.toByteArray());
+        GoldenFiles.assertHex("simulator-reply.hex", out.toByteArray());
     }
 
     @Test
-    void whatCantBeUsedEndsCheckWithTheLineOfBefore() throws IOException {
+    void checkPrintsTheSameLineAsBeforeForInvalidInput() throws IOException {
         String usable = Files.readString(Path.of("deploy", "sample.json"));
         Map<String, String> bad = new LinkedHashMap<>();
         bad.put("no JSON", "nonsense");
@@ -98,9 +99,11 @@
         bad.put("most forwards", usable.replace("\"mostForwards\": 3", "\"mostForwards\": 0"));
         StringBuilder lines = new StringBuilder();
         for (Map.Entry<String, String> each : bad.entrySet()) {
-            lines.append(each.getKey()).append(" | ").append(check(each.getValue(), Map.of()));
+            lines.append(each.getKey())
+                    .append(" | ")
+                    .append(checkConfiguration(each.getValue(), Map.of()));
         }
-        lines.append("no file named | ").append(checked(Map.of()));
+        lines.append("no file named | ").append(runCheck(Map.of()));
         for (String file : List.of("PROXY_DOOR", "PROXY_PEERS", "PROXY_RECOVERY", "PROXY_SHADOW")) {
             for (String text : List.of("nonsense", "[]", "{\"nothing\":1}", "{}")) {
                 Path path = Files.writeString(folder.resolve(file), text);
@@ -108,24 +111,27 @@
                         .append(' ')
                         .append(text)
                         .append(" | ")
-                        .append(check(usable, Map.of(file, path.toString())));
+                        .append(checkConfiguration(usable, Map.of(file, path.toString())));
             }
         }
-        lines.append("admin | ").append(check(usable, Map.of("PROXY_ADMIN_ADDR", "nowhere")));
-        lines.append("inherited | ").append(check(usable, Map.of("PROXY_INHERITED_FD", "7")));
-        LandedBytes.assertText("check.txt", lines.toString());
+        lines.append("admin | ")
+                .append(checkConfiguration(usable, Map.of("PROXY_ADMIN_ADDR", "nowhere")));
+        lines.append("inherited | ")
+                .append(checkConfiguration(usable, Map.of("PROXY_INHERITED_FD", "7")));
+        GoldenFiles.assertText("check.txt", lines.toString());
     }
 
-    private String check(String configuration, Map<String, String> others) throws IOException {
+    private String checkConfiguration(String configuration, Map<String, String> others)
+            throws IOException {
         Map<String, String> environment = new HashMap<>(others);
         environment.put(
                 "PROXY_CONFIG",
                 Files.writeString(folder.resolve("proxy.json"), configuration).toString());
-        return checked(environment);
+        return runCheck(environment);
     }
 
     /** The exit code and what is printed, without the folder's name. */
-    private String checked(Map<String, String> environment) {
+    private String runCheck(Map<String, String> environment) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int code =
                 ProxyLauncher.check(
--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -41,7 +41,7 @@
     private Request latestRequest;
 
     @Property(tries = 150, seed = "20261201")
-    void theBalancerKeepsTheRules(
+    void balancerObeysAllFourRules(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 7) int backends,
             @ForAll boolean byProbe,
@@ -57,24 +57,24 @@
                                         : TestDeployment.REPORTS_IN_RESPONSES,
                                 byProbe),
                         7);
-        proxy.onDecision = this::check;
+        proxy.onDecision = this::checkDecision;
         List.of(attemptsOf, outcomes, finalAnswers, endpoints).forEach(Map::clear);
         inFlight.clear();
         TestDeployment.endpoints(backends)
                 .forEach(update -> endpoints.put(update.backend(), update));
-        proxy.list(true, true, TestDeployment.endpoints(backends));
+        proxy.applyEndpointList(true, true, TestDeployment.endpoints(backends));
         for (int step = 0; step < 300; step++) {
-            proxy.loads.put(
+            proxy.probeReports.put(
                     random.nextInt(backends),
                     random.nextInt(4) == 0
                             ? null
                             : new double[] {random.nextDouble(), random.nextInt(4)});
             proxy.wakeUntil(proxy.now + random.nextDouble() * meanStepHundredths / 100);
-            endOverdue();
-            event(random, backends);
+            endTimedOutAttempts();
+            applyRandomEvent(random, backends);
         }
         proxy.wakeUntil(proxy.now + 3);
-        endOverdue();
+        endTimedOutAttempts();
         attemptsOf
                 .keySet()
                 .forEach(
@@ -87,7 +87,7 @@
 
     /** Hundreds of proxies that hear of one start at once share its budget. */
     @Property(tries = 12, seed = "20261201")
-    void manyProxiesTogetherOverloadNoColdBackend(
+    void manyProxiesTogetherDoNotOverloadColdBackend(
             @ForAll @IntRange(min = 2, max = 500) int proxies,
             @ForAll @IntRange(min = 1, max = 4) int requestsPerSecond) {
         List<Double> sent = new ArrayList<>();
@@ -97,16 +97,16 @@
                             TestDeployment.settings(
                                     proxies, false, TestDeployment.REPORTS_IN_RESPONSES, true),
                             i);
-            each.list(
+            each.applyEndpointList(
                     true,
                     i % 2 == 0,
                     List.of(TestDeployment.endpoint(0, EndpointUpdate.State.READY, each.now)));
             for (double at = 0.5 / requestsPerSecond; at < 6; at += 1.0 / requestsPerSecond) {
                 each.wakeUntil(100 + at);
-                Attempt attempt = each.arrive(0);
+                Attempt attempt = each.receiveRequest(0);
                 if (attempt != null) {
                     sent.add(at);
-                    each.end(attempt, AttemptOutcome.SUCCESS, 0, 0);
+                    each.endAttempt(attempt, AttemptOutcome.SUCCESS, 0, 0);
                 }
             }
         }
@@ -129,7 +129,7 @@
         }
     }
 
-    private void event(Random random, int backends) {
+    private void applyRandomEvent(Random random, int backends) {
         int kind = random.nextInt(20);
         if (kind < 9) {
             latestRequest =
@@ -146,7 +146,7 @@
             AttemptOutcome outcome =
                     AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
             if (outcome != AttemptOutcome.SUCCESS || proxy.now - attempt.sentAt >= WORK_SECONDS) {
-                end(attempt, outcome, random.nextDouble());
+                endAttempt(attempt, outcome, random.nextDouble());
             }
         } else if (kind < 18) {
             int backend = random.nextInt(backends + 2);
@@ -154,7 +154,7 @@
             endpoints.put(
                     backend,
                     TestDeployment.endpoint(backend, state, random.nextBoolean() ? proxy.now : 0));
-            proxy.list(false, false, List.of(endpoints.get(backend)));
+            proxy.applyEndpointList(false, false, List.of(endpoints.get(backend)));
         } else if (kind == 18) {
             proxy.apply(
                     proxy.balancer.probeEnded(
@@ -169,15 +169,15 @@
     }
 
     /** An attempt past its timeout ends as timed out, so that its request can be answered. */
-    private void endOverdue() {
+    private void endTimedOutAttempts() {
         for (Attempt attempt : List.copyOf(inFlight)) {
             if (proxy.now >= attempt.sentAt + attempt.timeoutSeconds) {
-                end(attempt, AttemptOutcome.TIMED_OUT, 1);
+                endAttempt(attempt, AttemptOutcome.TIMED_OUT, 1);
             }
         }
     }
 
-    private void end(Attempt attempt, AttemptOutcome outcome, double utilization) {
+    private void endAttempt(Attempt attempt, AttemptOutcome outcome, double utilization) {
         inFlight.remove(attempt);
         outcomes.put(attempt, outcome);
         if (outcome == AttemptOutcome.SUCCESS) {
@@ -193,7 +193,7 @@
                         new double[] {utilization, 0}));
     }
 
-    private void check(Decision decision) {
+    private void checkDecision(Decision decision) {
         for (Attempt attempt : decision.attempts) {
             List<Attempt> earlier = attemptsOf.get(attempt.request);
             assertTrue(
--- a/src/test/java/lemondrift/LandedBytes.java
+++ b/src/test/java/lemondrift/GoldenFiles.java
@@ -13,29 +13,28 @@
  * What the program printed, sent or stored when it landed as 5714488; later ones have to do the
  * same.
  */
-public final class LandedBytes {
+public final class GoldenFiles {
     private static final String FOLDER = "/compatibility/";
 
-    private LandedBytes() {}
+    private GoldenFiles() {}
 
     /** A resource as it was stored. */
-    public static byte[] stored(String name) throws IOException {
-        try (InputStream in = LandedBytes.class.getResourceAsStream(FOLDER + name)) {
+    public static byte[] read(String name) throws IOException {
+        try (InputStream in = GoldenFiles.class.getResourceAsStream(FOLDER + name)) {
             return in == null ? new byte[0] : in.readAllBytes();
         }
     }
 
     /** Bytes that are stored as lines of hexadecimal digits. */
-    public static byte[] ofHex(String name) throws IOException {
+    public static byte[] readHex(String name) throws IOException {
         return HexFormat.of()
-                .parseHex(
-                        new String(stored(name), StandardCharsets.US_ASCII).replaceAll("\\s", ""));
+                .parseHex(new String(read(name), StandardCharsets.US_ASCII).replaceAll("\\s", ""));
     }
 
     /** Compares text with what is stored; where it differs the actual one is left under target. */
     public static void assertText(String name, String actual) throws IOException {
-        keep(name, actual.getBytes(StandardCharsets.UTF_8));
-        assertEquals(new String(stored(name), StandardCharsets.UTF_8), actual);
+        saveActual(name, actual.getBytes(StandardCharsets.UTF_8));
+        assertEquals(new String(read(name), StandardCharsets.UTF_8), actual);
     }
 
     /** Compares bytes with what is stored in hexadecimal digits, 32 bytes a line. */
@@ -45,7 +44,7 @@
                 HexFormat.of().formatHex(actual).replaceAll("(.{64})", "$1\n").strip() + "\n");
     }
 
-    private static void keep(String name, byte[] actual) throws IOException {
+    private static void saveActual(String name, byte[] actual) throws IOException {
         Path folder = Files.createDirectories(Path.of("target", "compatibility"));
         Files.write(folder.resolve(name), actual);
     }
--- a/src/test/java/lemondrift/LayersTest.java
+++ b/src/test/java/lemondrift/LayersTest.java
@@ -14,7 +14,7 @@
  * Arrows between packages point down: adapters use cores, cores use the model alone and do no I/O.
  */
 class LayersTest {
-    private static final String[] CORES = {
+    private static final String[] CORE_PACKAGES = {
         "lemondrift.model..",
         "lemondrift.balancer..",
         "lemondrift.connection..",
@@ -31,7 +31,7 @@
      * What each room of the proxy may use of the other rooms; the rest, lifecycle and the server,
      * know all.
      */
-    private static final Map<String, String> ROOMS =
+    private static final Map<String, String> ALLOWED_PROXY_DEPENDENCIES =
             Map.ofEntries(
                     Map.entry("time", ""),
                     Map.entry("http", ""),
@@ -48,16 +48,16 @@
                     Map.entry("gossip", "config discovery events"),
                     Map.entry("loop", "config discovery events gossip recovery time"));
 
-    private final JavaClasses all =
+    private final JavaClasses productionClasses =
             new ClassFileImporter()
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("lemondrift");
 
     @Test
-    void coresUseNoAdapterAndNothingThatWaitsOrTellsTheTime() {
+    void corePackagesUseNoAdapterIoThreadOrClock() {
         noClasses()
                 .that()
-                .resideInAnyPackage(CORES)
+                .resideInAnyPackage(CORE_PACKAGES)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -75,10 +75,10 @@
                         "lemondrift.proxy..",
                         "lemondrift.simulator..",
                         "lemondrift.settings..")
-                .check(all);
+                .check(productionClasses);
         noClasses()
                 .that()
-                .resideInAnyPackage(CORES)
+                .resideInAnyPackage(CORE_PACKAGES)
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -86,33 +86,35 @@
                 .orShould()
                 .dependOnClassesThat()
                 .areAssignableTo(Thread.class)
-                .check(all);
+                .check(productionClasses);
     }
 
     @Test
-    void coresDoNotUseEachOther() {
+    void connectionAndBalancerDoNotDependOnEachOther() {
         noClasses()
                 .that()
                 .resideInAPackage("lemondrift.connection..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("lemondrift.balancer..")
-                .check(all);
+                .check(productionClasses);
         noClasses()
                 .that()
                 .resideInAPackage("lemondrift.balancer..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("lemondrift.connection..")
-                .check(all);
+                .check(productionClasses);
     }
 
     @Test
-    void roomsOfTheProxyUseOnlyWhatIsListed() {
-        ROOMS.forEach(
+    void proxyPackagesUseOnlyAllowedDependencies() {
+        ALLOWED_PROXY_DEPENDENCIES.forEach(
                 (room, allowed) -> {
                     String[] others =
-                            Stream.concat(ROOMS.keySet().stream(), Stream.of("lifecycle"))
+                            Stream.concat(
+                                            ALLOWED_PROXY_DEPENDENCIES.keySet().stream(),
+                                            Stream.of("lifecycle"))
                                     .filter(
                                             each ->
                                                     !each.equals(room)
@@ -130,12 +132,12 @@
                             .orShould()
                             .dependOnClassesThat()
                             .resideInAPackage("lemondrift.proxy")
-                            .check(all);
+                            .check(productionClasses);
                 });
     }
 
     @Test
-    void thereIsNoCircle() {
-        slices().matching("lemondrift.(*)..").should().beFreeOfCycles().check(all);
+    void packagesHaveNoCycles() {
+        slices().matching("lemondrift.(*)..").should().beFreeOfCycles().check(productionClasses);
     }
 }
--- a/src/test/java/lemondrift/LoadBalancerTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -26,10 +26,10 @@
     private static final int WITH_KEY = 1;
     private static final int NOT_IDEMPOTENT = 2;
 
-    private static double share(TestDeployment proxy, int backend, int requests) {
+    private static double shareSentTo(TestDeployment proxy, int backend, int requests) {
         int attempts = 0;
         for (int i = 0; i < requests; i++) {
-            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
             attempts += attempt != null && attempt.backend == backend ? 1 : 0;
         }
         return (double) attempts / requests;
@@ -38,65 +38,66 @@
     /**
      * The backends that so many requests go to, one every so many seconds, each answered at once.
      */
-    private static Set<Integer> used(TestDeployment proxy, int requests, double secondsApart) {
+    private static Set<Integer> backendsUsed(
+            TestDeployment proxy, int requests, double secondsApart) {
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < requests; i++) {
             proxy.wakeUntil(proxy.now + secondsApart);
-            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
             used.add(attempt.backend);
-            proxy.end(attempt, AttemptOutcome.SUCCESS);
+            proxy.endAttempt(attempt, AttemptOutcome.SUCCESS);
         }
         return used;
     }
 
     @Test
-    void theLowestEstimateIsChosenUntilOwnAttemptsRaiseIt() {
-        TestDeployment proxy = TestDeployment.of(3).load(0.8, 0.1, 0.8);
-        assertEquals(1, proxy.arrive(IDEMPOTENT).backend);
-        assertTrue(share(proxy, 1, 9) < 1, "own attempts raise the estimate");
+    void lowestEstimateIsChosenUntilOwnAttemptsRaiseIt() {
+        TestDeployment proxy = TestDeployment.withBackends(3).setUtilization(0.8, 0.1, 0.8);
+        assertEquals(1, proxy.receiveRequest(IDEMPOTENT).backend);
+        assertTrue(shareSentTo(proxy, 1, 9) < 1, "own attempts raise the estimate");
     }
 
     @Test
-    void aLoadReportReplacesTheEstimateAndClearsWhatWasSent() {
-        TestDeployment proxy = TestDeployment.of(2).load(0.5, 0.6);
-        Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+    void loadReportReplacesEstimateAndClearsCountOfSentAttempts() {
+        TestDeployment proxy = TestDeployment.withBackends(2).setUtilization(0.5, 0.6);
+        Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
         assertEquals(0, attempt.backend);
-        assertEquals(1, proxy.arrive(NOT_IDEMPOTENT).backend);
-        proxy.end(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
-        assertEquals(0, proxy.arrive(NOT_IDEMPOTENT).backend);
+        assertEquals(1, proxy.receiveRequest(NOT_IDEMPOTENT).backend);
+        proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
+        assertEquals(0, proxy.receiveRequest(NOT_IDEMPOTENT).backend);
     }
 
     @Test
-    void aResponsesReportDoesNotCountTheRequestItAnswers() {
+    void loadReportInResponseDoesNotCountTheAnsweredRequest() {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 14, false, new Settings.LoadReports(true, 0, 1, true, -1), false),
                         7);
-        proxy.list(true, false, TestDeployment.endpoints(2));
-        Attempt first = proxy.arrive(NOT_IDEMPOTENT);
-        Attempt second = proxy.arrive(NOT_IDEMPOTENT);
+        proxy.applyEndpointList(true, false, TestDeployment.endpoints(2));
+        Attempt first = proxy.receiveRequest(NOT_IDEMPOTENT);
+        Attempt second = proxy.receiveRequest(NOT_IDEMPOTENT);
         proxy.now += 0.1;
-        proxy.end(first, AttemptOutcome.SUCCESS, 0.5, 1);
-        proxy.end(second, AttemptOutcome.SUCCESS, 0.4, 2);
+        proxy.endAttempt(first, AttemptOutcome.SUCCESS, 0.5, 1);
+        proxy.endAttempt(second, AttemptOutcome.SUCCESS, 0.4, 2);
         assertEquals(
                 0,
                 proxy.balancer.shedThreshold(proxy.now, NOT_IDEMPOTENT).retryAfterSeconds(),
                 "nothing is rejected where all are idle");
         assertEquals(
                 first.backend,
-                proxy.arrive(NOT_IDEMPOTENT).backend,
+                proxy.receiveRequest(NOT_IDEMPOTENT).backend,
                 "idle, though its report says one");
     }
 
     @Test
-    void peersInFlightCountsLikeOwnAndNeverWarmsAColdBackend() {
+    void peerAttemptsCountLikeOwnAndDoNotOverloadColdBackend() {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 14, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        proxy.list(
+        proxy.applyEndpointList(
                 true,
                 false,
                 List.of(
@@ -105,58 +106,60 @@
                         TestDeployment.endpoint(2, EndpointUpdate.State.READY, proxy.now)));
         proxy.balancer.peerLoadReported(0, 3);
         proxy.balancer.peerLoadReported(2, 0);
-        proxy.balancer.peersHeard(true);
-        assertEquals(1, proxy.arrive(NOT_IDEMPOTENT).backend, "idle as peers report");
+        proxy.balancer.setGossipActive(true);
+        assertEquals(1, proxy.receiveRequest(NOT_IDEMPOTENT).backend, "idle as peers report");
         int toTheCold = 0;
         for (int i = 0; i < 30; i++) {
-            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
             toTheCold += attempt != null && attempt.backend == 2 ? 1 : 0;
         }
         assertTrue(toTheCold <= 1, toTheCold + " went to one that looks idle and is cold");
     }
 
     @Test
-    void requestsInFlightTellBackendsApartWhereUtilizationSaturates() {
-        TestDeployment proxy = TestDeployment.of(2).load(0.9, 1);
-        proxy.loads.put(0, new double[] {0.9, 2});
-        assertEquals(1, proxy.arrive(NOT_IDEMPOTENT).backend);
+    void requestsInFlightDistinguishBackendsWhenUtilizationSaturates() {
+        TestDeployment proxy = TestDeployment.withBackends(2).setUtilization(0.9, 1);
+        proxy.probeReports.put(0, new double[] {0.9, 2});
+        assertEquals(1, proxy.receiveRequest(NOT_IDEMPOTENT).backend);
     }
 
     @Test
-    void crossingZonesIsWeighedAgainstPriority() {
-        TestDeployment proxy = TestDeployment.of(2).load(0.5, 0.4);
-        assertEquals(0, proxy.arrive(IDEMPOTENT).backend, "a low priority stays in its zone");
-        proxy = TestDeployment.of(2).load(0.5, 0.4);
+    void crossZoneCostIsWeighedAgainstPriority() {
+        TestDeployment proxy = TestDeployment.withBackends(2).setUtilization(0.5, 0.4);
+        assertEquals(
+                0, proxy.receiveRequest(IDEMPOTENT).backend, "a low priority stays in its zone");
+        proxy = TestDeployment.withBackends(2).setUtilization(0.5, 0.4);
         assertEquals(
                 1,
-                proxy.arrive(NOT_IDEMPOTENT).backend,
+                proxy.receiveRequest(NOT_IDEMPOTENT).backend,
                 "a high priority crosses for the lower utilization");
     }
 
     @Test
-    void reportsThatAreNotFreshAreRenewedByProbesBeforeAnAttempt() {
-        TestDeployment proxy = TestDeployment.of(9).load(1, 1, 1, 1, 1, 1, 1, 1, 1);
-        proxy.loads.put(7, new double[] {0, 0});
-        proxy.loads.put(8, null);
-        assertNull(proxy.arrive(NOT_IDEMPOTENT), "waits while a probe is not answered");
+    void probesRenewStaleLoadReportsBeforeAnAttempt() {
+        TestDeployment proxy =
+                TestDeployment.withBackends(9).setUtilization(1, 1, 1, 1, 1, 1, 1, 1, 1);
+        proxy.probeReports.put(7, new double[] {0, 0});
+        proxy.probeReports.put(8, null);
+        assertNull(proxy.receiveRequest(NOT_IDEMPOTENT), "waits while a probe is not answered");
         proxy.wakeUntil(proxy.now + 0.2);
         assertEquals(
                 7,
                 proxy.attempts.get(0).backend,
                 "probed in turn until the lowest estimate is fresh");
         int probesOfFirst = proxy.probes.size();
-        proxy.arrive(NOT_IDEMPOTENT);
+        proxy.receiveRequest(NOT_IDEMPOTENT);
         assertTrue(
                 probesOfFirst <= 12 && proxy.probes.size() <= probesOfFirst + 12,
                 "a few at a time");
     }
 
     @Test
-    void backendsThatAnswerNoProbeAreNotChosenThoughTheyLookIdle() {
-        TestDeployment proxy = TestDeployment.of(2).load(0.9);
-        proxy.loads.put(1, null);
+    void backendsThatAnswerNoProbeAreNotChosenEvenIfTheyLookIdle() {
+        TestDeployment proxy = TestDeployment.withBackends(2).setUtilization(0.9);
+        proxy.probeReports.put(1, null);
         for (int i = 0; i < 20; i++) {
-            proxy.arrive(NOT_IDEMPOTENT);
+            proxy.receiveRequest(NOT_IDEMPOTENT);
             proxy.wakeUntil(proxy.now + 0.3);
         }
         assertTrue(
@@ -165,79 +168,83 @@
     }
 
     @Test
-    void ofManyBackendsASubsetIsUsedThatChangesFromTimeToTime() {
-        TestDeployment proxy = TestDeployment.of(60);
-        assertTrue(used(proxy, 30, 0.01).size() <= 9, "a subset");
-        int usedCount = used(proxy, 300, 1).size();
+    void proxyUsesSubsetOfManyBackendsThatChangesOverTime() {
+        TestDeployment proxy = TestDeployment.withBackends(60);
+        assertTrue(backendsUsed(proxy, 30, 0.01).size() <= 9, "a subset");
+        int usedCount = backendsUsed(proxy, 300, 1).size();
         assertTrue(usedCount > 9, usedCount + " by exchanging one at a time");
-        Set<Integer> subset = used(TestDeployment.of(60), 30, 0.01);
+        Set<Integer> subset = backendsUsed(TestDeployment.withBackends(60), 30, 0.01);
         TestDeployment other =
                 new TestDeployment(
                         TestDeployment.settings(
                                 3, false, TestDeployment.REPORTS_IN_RESPONSES, true),
                         8);
-        other.list(true, false, TestDeployment.endpoints(60));
-        assertNotEquals(subset, used(other, 30, 0.01), "each proxy draws its own");
+        other.applyEndpointList(true, false, TestDeployment.endpoints(60));
+        assertNotEquals(subset, backendsUsed(other, 30, 0.01), "each proxy draws its own");
     }
 
     @Test
-    void nothingIsRejectedThatBackendsOutsideTheSubsetCouldTake() {
-        TestDeployment proxy = TestDeployment.of(60);
+    void requestIsNotRejectedIfBackendOutsideTheSubsetCanTakeIt() {
+        TestDeployment proxy = TestDeployment.withBackends(60);
         for (int i = 0; i < 60; i++) {
-            proxy.loads.put(i, new double[] {1, i == 41 ? 0 : 40});
+            proxy.probeReports.put(i, new double[] {1, i == 41 ? 0 : 40});
         }
         int accepted = 0;
         for (int i = 0; i < 40; i++) {
             proxy.wakeUntil(proxy.now + 1);
-            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
             if (attempt != null) {
                 accepted++;
-                proxy.end(attempt, AttemptOutcome.SUCCESS, 1, 0);
+                proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 1, 0);
             }
         }
         assertTrue(accepted > 8, accepted + " taken by the one that is idle");
-        TestDeployment draining = TestDeployment.of(60);
-        Set<Integer> used = used(draining, 30, 0.01);
-        draining.list(
+        TestDeployment draining = TestDeployment.withBackends(60);
+        Set<Integer> used = backendsUsed(draining, 30, 0.01);
+        draining.applyEndpointList(
                 false,
                 false,
                 used.stream()
                         .map(i -> TestDeployment.endpoint(i, EndpointUpdate.State.DRAINING, 0))
                         .toList());
-        assertTrue(used(draining, 30, 0.01).stream().noneMatch(used::contains), "replaced at once");
+        assertTrue(
+                backendsUsed(draining, 30, 0.01).stream().noneMatch(used::contains),
+                "replaced at once");
     }
 
     @Test
-    void withoutProbesRequestsAreSentAtOnce() {
+    void requestsAreSentImmediatelyIfProbesAreNotAllowed() {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 400, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        proxy.list(true, false, TestDeployment.endpoints(60));
-        int usedCount = used(proxy, 40, 0.5).size();
+        proxy.applyEndpointList(true, false, TestDeployment.endpoints(60));
+        int usedCount = backendsUsed(proxy, 40, 0.5).size();
         assertTrue(usedCount > 3, usedCount + " used");
         assertTrue(proxy.probes.isEmpty());
     }
 
     @Test
-    void theReportOfAFailedAttemptDrawsNoTraffic() {
-        TestDeployment proxy = TestDeployment.of(3).load(0.5, 0.9, 0.2);
-        Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+    void loadReportOfFailedAttemptAttractsNoTraffic() {
+        TestDeployment proxy = TestDeployment.withBackends(3).setUtilization(0.5, 0.9, 0.2);
+        Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
         assertEquals(2, attempt.backend);
-        proxy.end(attempt, AttemptOutcome.ERROR, 0, 0);
+        proxy.endAttempt(attempt, AttemptOutcome.ERROR, 0, 0);
         assertEquals(
-                0, proxy.arrive(NOT_IDEMPOTENT).backend, "the mean stands for the one that errors");
+                0,
+                proxy.receiveRequest(NOT_IDEMPOTENT).backend,
+                "the mean stands for the one that errors");
     }
 
     @Test
-    void failuresEjectABackendAndATrialRestoresIt() {
-        TestDeployment proxy = TestDeployment.of(4);
+    void failuresEjectBackendAndTrialRestoresIt() {
+        TestDeployment proxy = TestDeployment.withBackends(4);
         int failed = 0;
         for (int i = 0; i < 200; i++) {
-            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
             proxy.now += 0.001;
-            proxy.end(
+            proxy.endAttempt(
                     attempt,
                     attempt.backend == 2 ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS,
                     0.3,
@@ -246,41 +253,43 @@
         }
         assertTrue(failed >= 3 && failed <= 8, failed + " went to the failing one");
         proxy.wakeUntil(proxy.now + 3);
-        proxy.load(0.9, 0.9, 0, 0.9);
-        assertEquals(2, proxy.arrive(IDEMPOTENT).backend, "tried once its ejection is over");
-        assertNotEquals(2, proxy.arrive(IDEMPOTENT).backend, "one trial at a time");
+        proxy.setUtilization(0.9, 0.9, 0, 0.9);
+        assertEquals(
+                2, proxy.receiveRequest(IDEMPOTENT).backend, "tried once its ejection is over");
+        assertNotEquals(2, proxy.receiveRequest(IDEMPOTENT).backend, "one trial at a time");
     }
 
     @Test
-    void anotherBackendAtAnIndexInheritsNothing() {
-        TestDeployment proxy = TestDeployment.of(2).load(0.9, 0);
+    void newBackendAtReusedIndexInheritsNoState() {
+        TestDeployment proxy = TestDeployment.withBackends(2).setUtilization(0.9, 0);
         for (int i = 0; i < 20; i++) {
-            Attempt attempt = proxy.arrive(IDEMPOTENT);
-            proxy.end(
+            Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
+            proxy.endAttempt(
                     attempt,
                     attempt.backend == 1 ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS,
                     0.9,
                     0);
         }
-        assertEquals(0, proxy.arrive(IDEMPOTENT).backend, "the other is ejected");
-        proxy.list(
+        assertEquals(0, proxy.receiveRequest(IDEMPOTENT).backend, "the other is ejected");
+        proxy.applyEndpointList(
                 false,
                 false,
                 List.of(new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0)));
-        assertEquals(1, proxy.arrive(IDEMPOTENT).backend);
+        assertEquals(1, proxy.receiveRequest(IDEMPOTENT).backend);
     }
 
     @Test
-    void aBackendThatFailsOneRequestClassTakesTheOthers() {
-        TestDeployment proxy = TestDeployment.of(4);
+    void backendThatFailsOneRequestClassStillTakesTheOthers() {
+        TestDeployment proxy = TestDeployment.withBackends(4);
         int[] failed = new int[4];
         int[] succeeded = new int[4];
         for (int i = 0; i < 400; i++) {
             int requestClass = i % 4 == 0 ? NOT_IDEMPOTENT : IDEMPOTENT;
-            Attempt attempt = proxy.arrive(requestClass);
+            Attempt attempt = proxy.receiveRequest(requestClass);
             proxy.now += 0.001;
             boolean fails = attempt.backend == 2 && requestClass == NOT_IDEMPOTENT;
-            proxy.end(attempt, fails ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS, 0.3, 0);
+            proxy.endAttempt(
+                    attempt, fails ? AttemptOutcome.RESET : AttemptOutcome.SUCCESS, 0.3, 0);
             failed[attempt.backend] += fails ? 1 : 0;
             succeeded[attempt.backend] += fails ? 0 : 1;
         }
@@ -289,13 +298,15 @@
     }
 
     @Test
-    void aSharedFaultEjectsAtMostHalf() {
-        TestDeployment proxy = TestDeployment.of(4);
+    void faultOfAllBackendsEjectsAtMostHalf() {
+        TestDeployment proxy = TestDeployment.withBackends(4);
         Set<Integer> used = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
             proxy.wakeUntil(proxy.now + 0.2);
-            if (attempt != null && proxy.end(attempt, AttemptOutcome.RESET) == null && i > 100) {
+            if (attempt != null
+                    && proxy.endAttempt(attempt, AttemptOutcome.RESET) == null
+                    && i > 100) {
                 used.add(attempt.backend);
             }
         }
@@ -303,35 +314,37 @@
     }
 
     @Test
-    void aColdBackendIsNotOverloadedByOneOfTheProxies() {
-        TestDeployment proxy = TestDeployment.of(2).load(0.9, 0.9);
-        proxy.list(
+    void oneProxyKeepsItsShareOfColdBackendBudget() {
+        TestDeployment proxy = TestDeployment.withBackends(2).setUtilization(0.9, 0.9);
+        proxy.applyEndpointList(
                 false,
                 false,
                 List.of(TestDeployment.endpoint(2, EndpointUpdate.State.READY, proxy.now)));
-        assertTrue(share(proxy, 2, 30) <= 0.1, "its near-zero load draws no more than its budget");
+        assertTrue(
+                shareSentTo(proxy, 2, 30) <= 0.1,
+                "its near-zero load draws no more than its budget");
     }
 
     @Test
-    void aDrainingBackendGetsNothingNew() {
-        TestDeployment proxy = TestDeployment.of(2);
-        proxy.list(
+    void drainingBackendGetsNoNewRequests() {
+        TestDeployment proxy = TestDeployment.withBackends(2);
+        proxy.applyEndpointList(
                 false,
                 false,
                 List.of(TestDeployment.endpoint(0, EndpointUpdate.State.DRAINING, 0)));
-        assertEquals(0, share(proxy, 0, 4));
+        assertEquals(0, shareSentTo(proxy, 0, 4));
     }
 
     @Test
-    void whatNeverExecutedIsRetriedAndTheRestByIdempotency() {
+    void unexecutedRequestIsRetriedAndOthersOnlyAsIdempotencyAllows() {
         for (AttemptOutcome neverExecuted :
                 List.of(
                         AttemptOutcome.OVERLOADED,
                         AttemptOutcome.CONNECT_FAILED,
                         AttemptOutcome.NOT_SENT)) {
-            TestDeployment proxy = TestDeployment.of(2);
-            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
-            assertEquals(1 - attempt.backend, proxy.end(attempt, neverExecuted).backend);
+            TestDeployment proxy = TestDeployment.withBackends(2);
+            Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
+            assertEquals(1 - attempt.backend, proxy.endAttempt(attempt, neverExecuted).backend);
         }
         for (AttemptOutcome possiblyExecuted :
                 List.of(
@@ -339,31 +352,32 @@
                         AttemptOutcome.RESET,
                         AttemptOutcome.TIMED_OUT,
                         AttemptOutcome.CANCELLED)) {
-            TestDeployment proxy = TestDeployment.of(60);
-            assertNull(proxy.end(proxy.arrive(NOT_IDEMPOTENT), possiblyExecuted));
+            TestDeployment proxy = TestDeployment.withBackends(60);
+            assertNull(proxy.endAttempt(proxy.receiveRequest(NOT_IDEMPOTENT), possiblyExecuted));
             assertFalse(
                     proxy.localReplies.get(0).rejected(),
                     "no promise where it may have been executed");
-            Attempt attempt = proxy.arrive(WITH_KEY);
+            Attempt attempt = proxy.receiveRequest(WITH_KEY);
             assertEquals(
                     attempt.backend % 2,
-                    proxy.end(attempt, possiblyExecuted).backend % 2,
+                    proxy.endAttempt(attempt, possiblyExecuted).backend % 2,
                     "a retry stays in its deduplication scope");
-            Attempt late = proxy.arrive(WITH_KEY);
+            Attempt late = proxy.receiveRequest(WITH_KEY);
             proxy.now += 0.6;
-            assertNull(proxy.end(late, possiblyExecuted), "the idempotency key is forgotten");
-            assertNotNull(proxy.end(proxy.arrive(IDEMPOTENT), possiblyExecuted));
+            assertNull(
+                    proxy.endAttempt(late, possiblyExecuted), "the idempotency key is forgotten");
+            assertNotNull(proxy.endAttempt(proxy.receiveRequest(IDEMPOTENT), possiblyExecuted));
         }
     }
 
     @Test
-    void attemptsAreBoundedByALimitAndARetryBudget() {
-        TestDeployment proxy = TestDeployment.of(8);
+    void attemptsAreBoundedByLimitAndRetryBudget() {
+        TestDeployment proxy = TestDeployment.withBackends(8);
         int attempts = 0;
         for (int i = 0; i < 40; i++) {
-            for (Attempt attempt = proxy.arrive(IDEMPOTENT);
+            for (Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
                     attempt != null;
-                    attempt = proxy.end(attempt, AttemptOutcome.OVERLOADED)) {
+                    attempt = proxy.endAttempt(attempt, AttemptOutcome.OVERLOADED)) {
                 attempts++;
                 assertTrue(attempt.index < 4);
             }
@@ -374,56 +388,58 @@
 
     /** Guards against a reason that hides which limit or rule a retry came to. */
     @Test
-    void theReasonSaysWhetherAttemptsOrBackendsOrTheBudgetRanOut() {
-        TestDeployment none = TestDeployment.of(0);
-        none.arrive(IDEMPOTENT);
-        assertEquals(FailureReason.NO_BACKEND, none.lastReason());
-        TestDeployment one = TestDeployment.of(1);
-        one.end(one.arrive(IDEMPOTENT), AttemptOutcome.OVERLOADED);
-        assertEquals(FailureReason.NO_BACKEND_FOR_RETRY, one.lastReason());
-        TestDeployment many = TestDeployment.of(8);
-        many.end(
-                many.end(many.arrive(IDEMPOTENT), AttemptOutcome.OVERLOADED),
+    void failureReasonTellsWhichLimitEndedTheRetries() {
+        TestDeployment none = TestDeployment.withBackends(0);
+        none.receiveRequest(IDEMPOTENT);
+        assertEquals(FailureReason.NO_BACKEND, none.lastFailureReason());
+        TestDeployment one = TestDeployment.withBackends(1);
+        one.endAttempt(one.receiveRequest(IDEMPOTENT), AttemptOutcome.OVERLOADED);
+        assertEquals(FailureReason.NO_BACKEND_FOR_RETRY, one.lastFailureReason());
+        TestDeployment many = TestDeployment.withBackends(8);
+        many.endAttempt(
+                many.endAttempt(many.receiveRequest(IDEMPOTENT), AttemptOutcome.OVERLOADED),
                 AttemptOutcome.SUCCESS);
         assertEquals(
                 FailureReason.ATTEMPTS_USED,
-                reasonWhereAllAttemptsEndOverloaded(many),
+                failureReasonIfAllAttemptsEndOverloaded(many),
                 "though its last retry was the last of the budget too");
-        assertEquals(FailureReason.RETRY_BUDGET_SPENT, reasonWhereAllAttemptsEndOverloaded(many));
+        assertEquals(
+                FailureReason.RETRY_BUDGET_SPENT, failureReasonIfAllAttemptsEndOverloaded(many));
     }
 
-    private static FailureReason reasonWhereAllAttemptsEndOverloaded(TestDeployment proxy) {
-        for (Attempt attempt = proxy.arrive(IDEMPOTENT);
+    private static FailureReason failureReasonIfAllAttemptsEndOverloaded(TestDeployment proxy) {
+        for (Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
                 attempt != null;
-                attempt = proxy.end(attempt, AttemptOutcome.OVERLOADED)) {}
-        return proxy.lastReason();
+                attempt = proxy.endAttempt(attempt, AttemptOutcome.OVERLOADED)) {}
+        return proxy.lastFailureReason();
     }
 
     @Test
-    void whatCannotBeAnsweredInTimeIsRejectedAtOnceWithARetryAfter() {
-        TestDeployment proxy = TestDeployment.of(2);
-        proxy.loads.put(0, new double[] {1, 9});
-        proxy.loads.put(1, new double[] {1, 9});
-        assertNull(proxy.arrive(IDEMPOTENT));
+    void requestThatCannotBeAnsweredInTimeIsRejectedWithRetryAfter() {
+        TestDeployment proxy = TestDeployment.withBackends(2);
+        proxy.probeReports.put(0, new double[] {1, 9});
+        proxy.probeReports.put(1, new double[] {1, 9});
+        assertNull(proxy.receiveRequest(IDEMPOTENT));
         assertTrue(
                 proxy.localReplies.get(0).rejected()
                         && proxy.localReplies.get(0).retryAfterSeconds() > 0);
-        proxy.loads.put(0, new double[] {1, 8});
-        assertNotNull(proxy.arrive(NOT_IDEMPOTENT), "the lowest priority is rejected first");
-        proxy.load(0.5, 0.5).now += 1;
-        assertNotNull(proxy.arrive(IDEMPOTENT), "rejecting can't lock itself in");
+        proxy.probeReports.put(0, new double[] {1, 8});
+        assertNotNull(
+                proxy.receiveRequest(NOT_IDEMPOTENT), "the lowest priority is rejected first");
+        proxy.setUtilization(0.5, 0.5).now += 1;
+        assertNotNull(proxy.receiveRequest(IDEMPOTENT), "rejecting can't lock itself in");
     }
 
     @Test
-    void theShedThresholdIsWhatWouldBeRejectedAndAskingChangesNothing() {
-        TestDeployment proxy = TestDeployment.of(2);
+    void shedThresholdMatchesRejectionsAndReadingItChangesNothing() {
+        TestDeployment proxy = TestDeployment.withBackends(2);
         assertEquals(
                 0,
                 proxy.balancer.shedThreshold(proxy.now, IDEMPOTENT).minSecondsLeft(),
                 "nothing is rejected where all are idle");
-        proxy.loads.put(0, new double[] {1, 9});
-        proxy.loads.put(1, new double[] {1, 9});
-        assertNull(proxy.arrive(IDEMPOTENT));
+        proxy.probeReports.put(0, new double[] {1, 9});
+        proxy.probeReports.put(1, new double[] {1, 9});
+        assertNull(proxy.receiveRequest(IDEMPOTENT));
         ShedThreshold threshold = proxy.balancer.shedThreshold(proxy.now, IDEMPOTENT);
         assertTrue(threshold.minSecondsLeft() > 1, "not with the whole latency objective left");
         assertEquals(
@@ -432,20 +448,20 @@
                 proxy.balancer.shedThreshold(proxy.now, NOT_IDEMPOTENT).minSecondsLeft()
                         < threshold.minSecondsLeft(),
                 "the lowest priority is rejected first");
-        proxy.list(true, false, List.of());
+        proxy.applyEndpointList(true, false, List.of());
         assertEquals(
                 Double.POSITIVE_INFINITY,
                 proxy.balancer.shedThreshold(proxy.now, NOT_IDEMPOTENT).minSecondsLeft());
-        TestDeployment questioned = TestDeployment.of(20);
-        TestDeployment other = TestDeployment.of(20);
+        TestDeployment questioned = TestDeployment.withBackends(20);
+        TestDeployment other = TestDeployment.withBackends(20);
         for (int k = 0; k < 200; k++) {
             questioned.balancer.shedThreshold(questioned.now, k % 4);
-            Attempt attempt = questioned.arrive(k % 4);
-            Attempt same = other.arrive(k % 4);
+            Attempt attempt = questioned.receiveRequest(k % 4);
+            Attempt same = other.receiveRequest(k % 4);
             assertEquals(attempt == null ? -1 : attempt.backend, same == null ? -1 : same.backend);
             for (TestDeployment each : List.of(questioned, other)) {
                 if (k % 3 == 0 && attempt != null) {
-                    each.end(
+                    each.endAttempt(
                             each == questioned ? attempt : same,
                             AttemptOutcome.SUCCESS,
                             k % 10 / 10.0,
@@ -459,39 +475,39 @@
     }
 
     @Test
-    void whereAllBackendsTurnSlowOnlyIdleOnesAreUsed() {
-        TestDeployment proxy = TestDeployment.of(1);
-        proxy.loads.put(0, new double[] {1, 1});
-        assertNotNull(proxy.arrive(IDEMPOTENT), "one ahead is a short wait");
-        proxy.load(0);
+    void onlyIdleBackendsAreUsedWhenAllBackendsBecomeSlow() {
+        TestDeployment proxy = TestDeployment.withBackends(1);
+        proxy.probeReports.put(0, new double[] {1, 1});
+        assertNotNull(proxy.receiveRequest(IDEMPOTENT), "one ahead is a short wait");
+        proxy.setUtilization(0);
         for (int i = 0; i < 12; i++) {
-            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
             proxy.wakeUntil(proxy.now + 1);
-            proxy.end(attempt, AttemptOutcome.TIMED_OUT);
+            proxy.endAttempt(attempt, AttemptOutcome.TIMED_OUT);
         }
-        assertNotNull(proxy.arrive(IDEMPOTENT));
-        proxy.loads.put(0, new double[] {1, 1});
+        assertNotNull(proxy.receiveRequest(IDEMPOTENT));
+        proxy.probeReports.put(0, new double[] {1, 1});
         proxy.wakeUntil(proxy.now + 1);
-        assertNull(proxy.arrive(IDEMPOTENT), "time-outs tell how long the one ahead takes");
+        assertNull(proxy.receiveRequest(IDEMPOTENT), "time-outs tell how long the one ahead takes");
     }
 
     @Test
-    void everyRequestIsAnsweredByItsDeadlineAndCancelledWhenItsClientLeaves() {
-        TestDeployment proxy = TestDeployment.of(2);
-        Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+    void requestIsAnsweredByItsDeadlineAndCancelledIfItsClientLeaves() {
+        TestDeployment proxy = TestDeployment.withBackends(2);
+        Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
         proxy.wakeUntil(attempt.request.deadline);
         assertEquals(1, proxy.localReplies.size());
-        Attempt abandoned = proxy.arrive(IDEMPOTENT);
+        Attempt abandoned = proxy.receiveRequest(IDEMPOTENT);
         proxy.apply(proxy.balancer.requestAbandoned(proxy.now, abandoned.request));
         assertTrue(proxy.cancellations.contains(abandoned));
-        assertNull(proxy.end(abandoned, AttemptOutcome.CANCELLED));
+        assertNull(proxy.endAttempt(abandoned, AttemptOutcome.CANCELLED));
         assertEquals(1, proxy.localReplies.size(), "no reply to a client that left");
     }
 
     @Test
-    void aRetryWhoseFirstTrysObjectiveHasPassedIsRejectedAtOnce() {
-        TestDeployment proxy = TestDeployment.of(2);
-        assertNotNull(proxy.arrive(NOT_IDEMPOTENT));
+    void clientRetryIsRejectedIfLatencyObjectiveOfFirstTryHasPassed() {
+        TestDeployment proxy = TestDeployment.withBackends(2);
+        assertNotNull(proxy.receiveRequest(NOT_IDEMPOTENT));
         proxy.apply(
                 proxy.balancer.requestArrived(
                         proxy.now, new Request(9, NOT_IDEMPOTENT, 0, proxy.now, 0.9)));
@@ -500,31 +516,31 @@
     }
 
     @Test
-    void oneRequestWithMoreTimeDoesNotMakeRetriesOfAllThatFollow() {
-        TestDeployment proxy = TestDeployment.of(2);
+    void oneRequestWithMoreTimeDoesNotMakeLaterRequestsLookLikeRetries() {
+        TestDeployment proxy = TestDeployment.withBackends(2);
         proxy.apply(
                 proxy.balancer.requestArrived(
                         proxy.now, new Request(9, NOT_IDEMPOTENT, 0, proxy.now, 9)));
         int attempts = 0;
         for (int i = 0; i < 20; i++) {
-            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
             attempts += attempt == null ? 0 : 1;
             if (attempt != null) {
-                proxy.end(attempt, AttemptOutcome.SUCCESS, 0, 0);
+                proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 0, 0);
             }
         }
         assertTrue(attempts >= 10, attempts + " of 20 were sent");
     }
 
     @Test
-    void aMarkedRetryWithMoreTimeDoesNotMakeRetriesOfFirstTries() {
+    void markedRetryWithMoreTimeDoesNotMakeFirstTriesLookLikeRetries() {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.withMarkedRetries(
                                 TestDeployment.settings(
                                         3, false, TestDeployment.REPORTS_IN_RESPONSES, true)),
                         7);
-        proxy.list(true, false, TestDeployment.endpoints(2));
+        proxy.applyEndpointList(true, false, TestDeployment.endpoints(2));
         for (int i = 0; i < 20; i++) {
             proxy.apply(
                     proxy.balancer.requestArrived(
@@ -535,7 +551,7 @@
                             new Request(2L * i + 1, NOT_IDEMPOTENT, 0, proxy.now, 1.9, true)));
             proxy.now += 0.1;
             List.copyOf(proxy.attempts.subList(2 * i, proxy.attempts.size()))
-                    .forEach(attempt -> proxy.end(attempt, AttemptOutcome.SUCCESS, 0, 0));
+                    .forEach(attempt -> proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 0, 0));
         }
         assertEquals(
                 40,
@@ -550,25 +566,25 @@
     }
 
     @Test
-    void aResponseThatHasStartedHasNoDeadline() {
-        TestDeployment proxy = TestDeployment.of(1);
-        Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+    void requestDoesNotExpireOnceItsResponseHasStarted() {
+        TestDeployment proxy = TestDeployment.withBackends(1);
+        Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
         proxy.apply(proxy.balancer.responseStarted(proxy.now, attempt));
         proxy.wakeUntil(proxy.now + 9);
         assertTrue(proxy.localReplies.isEmpty());
     }
 
     @Test
-    void theEndpointListIsWatchedAndPolledAgainAfterAFailure() {
+    void endpointListIsWatchedAndPolledAgainAfterFailure() {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(3, true, TestDeployment.REPORTS_BY_PROBE, true), 7);
-        proxy.list(true, true, TestDeployment.endpoints(3));
+        proxy.applyEndpointList(true, true, TestDeployment.endpoints(3));
         assertEquals(List.of(Decision.EndpointListCall.WATCH), proxy.endpointListCalls);
         proxy.apply(proxy.balancer.endpointListFailed(proxy.now));
         proxy.wakeUntil(proxy.now + 3);
         assertEquals(2, proxy.endpointListCalls.size());
-        proxy.list(false, false, List.of());
+        proxy.applyEndpointList(false, false, List.of());
         proxy.wakeUntil(proxy.now + 60);
         assertEquals(2, proxy.endpointListCalls.size(), "subscribed");
     }
--- a/src/test/java/lemondrift/ThinProxyTest.java
+++ b/src/test/java/lemondrift/LowTrafficProxyTest.java
@@ -18,11 +18,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Proxies with little traffic each, and backends whose load reports are stale. */
-class ThinProxyTest {
+class LowTrafficProxyTest {
     private static final int IDEMPOTENT = 0;
     private static final int NOT_IDEMPOTENT = 2;
 
-    private static TestDeployment proxy(boolean usesEndpointWeights, EndpointUpdate... endpoints) {
+    private static TestDeployment newProxy(
+            boolean usesEndpointWeights, EndpointUpdate... endpoints) {
         Settings settings =
                 TestDeployment.settings(70, false, TestDeployment.REPORTS_IN_RESPONSES, false);
         TestDeployment proxy =
@@ -42,14 +43,14 @@
                                 settings.costs(),
                                 usesEndpointWeights),
                         7);
-        proxy.list(true, false, List.of(endpoints));
+        proxy.applyEndpointList(true, false, List.of(endpoints));
         return proxy;
     }
 
     /** A proxy whose backends have repeated their reports for some windows. */
-    private static TestDeployment withStaleReports(int backends) {
+    private static TestDeployment proxyWithStaleReports(int backends) {
         TestDeployment proxy =
-                proxy(false, TestDeployment.endpoints(backends).toArray(new EndpointUpdate[0]));
+                newProxy(false, TestDeployment.endpoints(backends).toArray(new EndpointUpdate[0]));
         send(proxy, NOT_IDEMPOTENT, 20 * backends, 0.1, i -> AttemptOutcome.SUCCESS);
         return proxy;
     }
@@ -74,17 +75,17 @@
         int[] attemptsTo = new int[60];
         for (int n = 0; n < requests; n++) {
             proxy.wakeUntil(proxy.now + secondsApart);
-            Attempt attempt = proxy.arrive(requestClass);
+            Attempt attempt = proxy.receiveRequest(requestClass);
             for (proxy.now += durationSeconds; attempt != null; ) {
                 attemptsTo[attempt.backend]++;
-                attempt = proxy.end(attempt, outcomeOf.apply(attempt.backend), 0.5, 0);
+                attempt = proxy.endAttempt(attempt, outcomeOf.apply(attempt.backend), 0.5, 0);
             }
         }
         return attemptsTo;
     }
 
     @Test
-    void endpointWeightsSetTheShareWhereReportsAreStale() {
+    void endpointWeightsSetTrafficSharesIfReportsAreStale() {
         for (double badWeight : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
             assertEquals(
                     1,
@@ -92,7 +93,7 @@
                             .weight());
         }
         TestDeployment proxy =
-                proxy(
+                newProxy(
                         true,
                         IntStream.range(0, 3)
                                 .mapToObj(
@@ -114,18 +115,19 @@
     }
 
     @Test
-    void aReportCountsUntilTheNextWhereProbesAreNotAllowed() {
+    void loadReportCountsUntilTheNextIfProbesAreNotAllowed() {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 100, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        proxy.list(true, false, TestDeployment.endpoints(2));
-        List<Attempt> both = List.of(proxy.arrive(IDEMPOTENT), proxy.arrive(IDEMPOTENT));
+        proxy.applyEndpointList(true, false, TestDeployment.endpoints(2));
+        List<Attempt> both =
+                List.of(proxy.receiveRequest(IDEMPOTENT), proxy.receiveRequest(IDEMPOTENT));
         proxy.now += 0.1;
         both.forEach(
                 attempt ->
-                        proxy.end(
+                        proxy.endAttempt(
                                 attempt,
                                 AttemptOutcome.SUCCESS,
                                 attempt.backend == 0 ? 1 : 0.1,
@@ -133,19 +135,21 @@
         proxy.now += 1;
         assertEquals(
                 1,
-                proxy.arrive(IDEMPOTENT).backend,
+                proxy.receiveRequest(IDEMPOTENT).backend,
                 "a window later: near and busy, or across and idle");
     }
 
     @Test
-    void withGossipOnlyTheSubsetIsUsedAndStaysAfterAnEndpointList() {
+    void gossipRestrictsTrafficToSubsetThatSurvivesEndpointList() {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 100, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        assertTrue(proxy.balancer.wantsGossip(), "without probes peers are to gossip");
-        assertFalse(TestDeployment.of(2).balancer.wantsGossip(), "with probes nobody need gossip");
+        assertTrue(proxy.balancer.needsGossip(), "without probes peers are to gossip");
+        assertFalse(
+                TestDeployment.withBackends(2).balancer.needsGossip(),
+                "with probes nobody need gossip");
         List<EndpointUpdate> updates =
                 IntStream.range(0, 60)
                         .mapToObj(
@@ -155,8 +159,8 @@
                                                         (i * 37 % 60) / 60.0,
                                                         i * 37 % 60 < 16 ? 0.2 : 0))
                         .toList();
-        proxy.list(true, false, updates);
-        proxy.balancer.peersHeard(true);
+        proxy.applyEndpointList(true, false, updates);
+        proxy.balancer.setGossipActive(true);
         for (int round = 0; round < 3; round++) {
             int[] attemptsTo = send(proxy, NOT_IDEMPOTENT, 200, 0.1, i -> AttemptOutcome.SUCCESS);
             int usedCount = (int) Arrays.stream(attemptsTo).filter(n -> n > 0).count();
@@ -169,51 +173,51 @@
                                             0,
                                             attemptsTo[update.backend()],
                                             "gossip does not cover " + update));
-            proxy.list(true, false, updates);
+            proxy.applyEndpointList(true, false, updates);
         }
     }
 
     /** How many of 600 requests go to the only backend, which has just started. */
-    private static int sentToColdBackend(double userShare, boolean peersHeard) {
+    private static int countSentToColdBackend(double userShare, boolean peersHeard) {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 6, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        proxy.list(
+        proxy.applyEndpointList(
                 true,
                 false,
                 List.of(
                         TestDeployment.endpoint(0, EndpointUpdate.State.READY, proxy.now)
                                 .withSubset(0, userShare)));
-        proxy.balancer.peersHeard(peersHeard);
+        proxy.balancer.setGossipActive(peersHeard);
         int sent = 0;
         for (int n = 0; n < 600; n++) {
             proxy.now += 0.01;
-            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
             sent += attempt == null ? 0 : 1;
             for (proxy.now += 0.0001; attempt != null; ) {
-                attempt = proxy.end(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
+                attempt = proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
             }
         }
         return sent;
     }
 
     @Test
-    void aColdBackendsBudgetIsDividedAmongItsUsersOnlyWhilePeersAreHeard() {
-        int usedByAll = sentToColdBackend(1, true);
-        int usedByAFifth = sentToColdBackend(0.2, true);
+    void coldBackendBudgetIsDividedAmongItsUsersOnlyWhileGossipIsActive() {
+        int usedByAll = countSentToColdBackend(1, true);
+        int usedByAFifth = countSentToColdBackend(0.2, true);
         assertTrue(
                 usedByAll > 0 && usedByAFifth > 3 * usedByAll, usedByAll + " and " + usedByAFifth);
         assertEquals(
-                sentToColdBackend(1, false),
-                sentToColdBackend(0.2, false),
+                countSentToColdBackend(1, false),
+                countSentToColdBackend(0.2, false),
                 "no peer heard: user shares are not known to hold");
     }
 
     @Test
-    void aBackendThatFailsFastIsAvoidedAfterOneErrorAndUsedAgainOnceSound() {
-        TestDeployment proxy = withStaleReports(8);
+    void backendThatFailsFastIsAvoidedAfterOneErrorAndUsedAgainOnceHealthy() {
+        TestDeployment proxy = proxyWithStaleReports(8);
         int errors =
                 send(
                         proxy,
@@ -229,23 +233,23 @@
     }
 
     @Test
-    void aRepeatedReportDoesNotClearWhatWasSent() {
+    void repeatedLoadReportDoesNotClearCountOfSentAttempts() {
         int sentToRepeated = 0;
         for (int n = 0; n < 40; n++) {
-            TestDeployment proxy = withStaleReports(2);
+            TestDeployment proxy = proxyWithStaleReports(2);
             send(proxy, NOT_IDEMPOTENT, n, 0.1, i -> AttemptOutcome.SUCCESS);
             proxy.wakeUntil(proxy.now + 1);
             List<Attempt> inFlight = new ArrayList<>();
             for (int k = 0; k < 4; k++) {
-                inFlight.add(proxy.arrive(NOT_IDEMPOTENT));
+                inFlight.add(proxy.receiveRequest(NOT_IDEMPOTENT));
             }
             Attempt first = inFlight.get(0);
-            proxy.end(first, AttemptOutcome.SUCCESS, 0.5, 0);
+            proxy.endAttempt(first, AttemptOutcome.SUCCESS, 0.5, 0);
             assertEquals(
                     first.backend,
-                    proxy.arrive(NOT_IDEMPOTENT).backend,
+                    proxy.receiveRequest(NOT_IDEMPOTENT).backend,
                     "one in flight against two");
-            sentToRepeated += proxy.arrive(NOT_IDEMPOTENT).backend == first.backend ? 1 : 0;
+            sentToRepeated += proxy.receiveRequest(NOT_IDEMPOTENT).backend == first.backend ? 1 : 0;
         }
         assertTrue(
                 sentToRepeated > 5 && sentToRepeated < 35,
@@ -255,13 +259,13 @@
     }
 
     @Test
-    void requestsAreRejectedDuringAJamAndAdmittedLongAfterIt() {
-        TestDeployment proxy = withStaleReports(4);
+    void requestsAreRejectedDuringOverloadAndAdmittedLongAfterIt() {
+        TestDeployment proxy = proxyWithStaleReports(4);
         List<Attempt> timingOut = new ArrayList<>();
         for (int n = 0; n < 60; n++) {
             proxy.now += 0.02;
             int repliesBefore = proxy.localReplies.size();
-            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
             assertTrue(
                     attempt != null || proxy.localReplies.size() == repliesBefore + 1,
                     "rejected at once");
@@ -269,14 +273,15 @@
         }
         assertTrue(timingOut.size() < 60, "sixty in flight and none answered is a jam");
         proxy.now += 0.5;
-        timingOut.forEach(attempt -> proxy.end(attempt, AttemptOutcome.TIMED_OUT));
+        timingOut.forEach(attempt -> proxy.endAttempt(attempt, AttemptOutcome.TIMED_OUT));
         proxy.wakeUntil(proxy.now + 20);
-        assertNotNull(proxy.arrive(IDEMPOTENT), "nothing in flight, and no wait observed lately");
+        assertNotNull(
+                proxy.receiveRequest(IDEMPOTENT), "nothing in flight, and no wait observed lately");
     }
 
     @Test
-    void failedGroupsAreAvoidedWithStaleReportsAndWarmUpOnceBack() {
-        TestDeployment proxy = withStaleReports(9);
+    void failedBackendsAreAvoidedWithStaleReportsAndSlowStartAfterRestart() {
+        TestDeployment proxy = proxyWithStaleReports(9);
         // No report is new from here on, and three refuse.
         int[] attemptsTo =
                 send(
@@ -289,7 +294,7 @@
                 attemptsTo[0] + attemptsTo[1] + attemptsTo[2] <= 30,
                 "of 300, to the failed " + attemptsTo[0] + attemptsTo[1] + attemptsTo[2]);
         double restartedAt = proxy.now;
-        proxy.list(
+        proxy.applyEndpointList(
                 false,
                 false,
                 IntStream.range(0, 3)
@@ -310,7 +315,7 @@
     }
 
     @Test
-    void requestsCrossZonesOnlyForWhatTheOwnZoneCannotCarry() {
+    void requestsCrossZonesOnlyIfOwnZoneLacksCapacity() {
         EndpointUpdate[] endpoints =
                 IntStream.range(0, 6)
                         .mapToObj(
@@ -323,7 +328,7 @@
                                                 EndpointUpdate.State.READY,
                                                 0))
                         .toArray(EndpointUpdate[]::new);
-        TestDeployment proxy = proxy(false, endpoints);
+        TestDeployment proxy = newProxy(false, endpoints);
         assertTrue(
                 send(proxy, IDEMPOTENT, 200, 0.5, i -> AttemptOutcome.SUCCESS)[0] >= 190,
                 "one at a time stays");
@@ -331,18 +336,18 @@
         int crossed = 0;
         for (int n = 0; n < 200; n++) {
             proxy.wakeUntil(proxy.now + 0.003);
-            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
             crossed += attempt != null && attempt.backend != 0 ? 1 : 0;
             inFlight.addAll(attempt == null ? List.of() : List.of(attempt));
             if (inFlight.size() > 2) {
-                proxy.end(inFlight.remove(0), AttemptOutcome.SUCCESS, 0.5, 0);
+                proxy.endAttempt(inFlight.remove(0), AttemptOutcome.SUCCESS, 0.5, 0);
             }
         }
         assertTrue(crossed > 80, crossed + " of 200 left a backend with several in flight");
     }
 
     @Test
-    void allProxiesTogetherKeepTheSlowStartBudgetThoughFewCarryMostTraffic() {
+    void allProxiesTogetherKeepSlowStartBudgetEvenIfFewCarryMostTraffic() {
         int toTheCold = 0;
         for (int proxyIndex = 0; proxyIndex < 70; proxyIndex++) {
             TestDeployment proxy =
@@ -350,9 +355,9 @@
                             TestDeployment.settings(
                                     70, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                             1000 + proxyIndex);
-            proxy.list(true, false, TestDeployment.endpoints(8));
+            proxy.applyEndpointList(true, false, TestDeployment.endpoints(8));
             send(proxy, NOT_IDEMPOTENT, 60, 0.01, 0.1, i -> AttemptOutcome.SUCCESS);
-            proxy.list(
+            proxy.applyEndpointList(
                     false,
                     false,
                     List.of(TestDeployment.endpoint(0, EndpointUpdate.State.READY, proxy.now)));
@@ -377,13 +382,13 @@
     }
 
     /** A proxy among forty that gossip; it uses sixteen of thirty backends. */
-    private static TestDeployment withGossip(double startedAt) {
+    private static TestDeployment proxyWithGossip(double startedAt) {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 40, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        proxy.list(
+        proxy.applyEndpointList(
                 true,
                 false,
                 IntStream.range(0, 30)
@@ -393,52 +398,52 @@
                                                         i, EndpointUpdate.State.READY, startedAt)
                                                 .withSubset(i / 30.0, i < 16 ? 0.5 : 0))
                         .toList());
-        proxy.balancer.peersHeard(true);
+        proxy.balancer.setGossipActive(true);
         return proxy;
     }
 
     /** Guards against rejecting all after an overload, for the waits of that time. */
     @Test
-    void waitsObservedBeforeRejectNothingWhereNothingIsInFlight() {
-        TestDeployment proxy = withGossip(0);
+    void waitsObservedEarlierRejectNothingIfNothingIsInFlight() {
+        TestDeployment proxy = proxyWithGossip(0);
         for (int n = 0; n < 60; n++) {
             proxy.now += 0.01;
-            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
             if (attempt != null) {
                 proxy.now += 1;
-                proxy.end(attempt, AttemptOutcome.TIMED_OUT);
+                proxy.endAttempt(attempt, AttemptOutcome.TIMED_OUT);
             }
         }
         for (int requestClass : new int[] {0, NOT_IDEMPOTENT}) {
-            assertNotNull(proxy.arrive(requestClass), "request class " + requestClass);
+            assertNotNull(proxy.receiveRequest(requestClass), "request class " + requestClass);
         }
     }
 
     /** Guards against backends that look idle since no peer tells of them. */
     @Test
-    void noBackendOutsideGossipIsDrawnWhereOneOfTheSubsetCouldTakeTheRequest() {
-        TestDeployment proxy = withGossip(0);
+    void backendOutsideGossipIsNotDrawnIfSubsetCanTakeTheRequest() {
+        TestDeployment proxy = proxyWithGossip(0);
         IntStream.range(0, 30).forEach(i -> proxy.balancer.peerLoadReported(i, i < 16 ? 30 : 0));
-        assertNull(proxy.arrive(0), "all that gossip covers are busy");
+        assertNull(proxy.receiveRequest(0), "all that gossip covers are busy");
         IntStream.range(0, 16).forEach(i -> proxy.balancer.peerLoadReported(i, 0));
-        assertTrue(proxy.arrive(0).backend < 16);
+        assertTrue(proxy.receiveRequest(0).backend < 16);
     }
 
     /** Guards against low priorities taking the last capacity of cold backends. */
     @Test
-    void theLastCapacityOfColdBackendsIsForTheHighestPriority() {
+    void lastCapacityOfColdBackendsIsReservedForHighestPriority() {
         int[] attemptsOf = new int[4];
         for (int seed = 0; seed < 20; seed++) {
-            TestDeployment proxy = withGossip(99);
+            TestDeployment proxy = proxyWithGossip(99);
             proxy.balancer.seedServiceTime(0.1, 8);
             for (int n = 0; n < 30; n++) {
                 proxy.now += 0.1;
                 int requestClass = n % 2 == 0 ? IDEMPOTENT : NOT_IDEMPOTENT;
-                Attempt attempt = proxy.arrive(requestClass);
+                Attempt attempt = proxy.receiveRequest(requestClass);
                 attemptsOf[requestClass] += attempt == null ? 0 : 1;
                 if (attempt != null) {
                     proxy.now += 0.1;
-                    proxy.end(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
+                    proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
                     proxy.now -= 0.1;
                 }
             }
@@ -449,21 +454,21 @@
     }
 
     @Test
-    void aSeededServiceTimeOpensColdBackendsUntilOwnResponsesSayOtherwise() {
+    void seededServiceTimeAdmitsMoreToColdBackendsUntilOwnResponsesDisagree() {
         int[] sent = new int[3];
         for (int i = 0; i < 3; i++) {
-            TestDeployment proxy = withGossip(99);
+            TestDeployment proxy = proxyWithGossip(99);
             if (i > 0) {
                 proxy.balancer.seedServiceTime(0.02, 8);
             }
             double serviceSeconds = i == 2 ? 0.8 : 0.02;
             for (int n = 0; n < 300; n++) {
                 proxy.now += 0.01;
-                Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+                Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
                 sent[i] += attempt == null ? 0 : 1;
                 if (attempt != null) {
                     proxy.now += serviceSeconds;
-                    proxy.end(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
+                    proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
                     proxy.now -= serviceSeconds;
                 }
             }
--- a/src/test/java/lemondrift/ShadowEvaluatorTest.java
+++ b/src/test/java/lemondrift/ShadowEvaluatorTest.java
@@ -33,25 +33,26 @@
     }
 
     /** Plays random events; what was decided, as text. */
-    private static String play(Settings settings, ShadowEvaluator shadow, boolean allSucceed) {
+    private static String runRandomEvents(
+            Settings settings, ShadowEvaluator shadow, boolean allSucceed) {
         TestDeployment proxy = new TestDeployment(settings, 7, shadow);
         Random random = new Random(11);
         List<Attempt> inFlight = new ArrayList<>();
-        proxy.list(true, false, TestDeployment.endpoints(6));
+        proxy.applyEndpointList(true, false, TestDeployment.endpoints(6));
         for (int event = 0; event < 3000; event++) {
-            proxy.load(random.doubles(6).toArray())
+            proxy.setUtilization(random.doubles(6).toArray())
                     .wakeUntil(proxy.now + 0.004 * random.nextDouble());
             int kind = random.nextInt(10);
             int attemptsBefore = proxy.attempts.size();
             if (kind < 4 || inFlight.isEmpty()) {
-                proxy.arrive(random.nextBoolean() ? 0 : 2);
+                proxy.receiveRequest(random.nextBoolean() ? 0 : 2);
             } else {
                 AttemptOutcome outcome =
                         allSucceed || kind < 8
                                 ? AttemptOutcome.SUCCESS
                                 : AttemptOutcome.values()[random.nextInt(6)];
                 Attempt attempt = inFlight.remove(random.nextInt(inFlight.size()));
-                proxy.end(attempt, outcome, random.nextDouble(), random.nextInt(3));
+                proxy.endAttempt(attempt, outcome, random.nextDouble(), random.nextInt(3));
             }
             inFlight.addAll(proxy.attempts.subList(attemptsBefore, proxy.attempts.size()));
         }
@@ -67,52 +68,56 @@
         return decided.toString();
     }
 
-    private static ShadowEvaluator shadowOf(
+    private static ShadowEvaluator runShadow(
             Settings inForce, Settings shadowed, boolean allSucceed) {
         ShadowEvaluator shadow = new ShadowEvaluator(shadowed, 7);
-        play(inForce, shadow, allSucceed);
+        runRandomEvents(inForce, shadow, allSucceed);
         return shadow;
     }
 
-    private static void assertCounts(
+    private static void assertCountAtLeast(
             long atLeast, ShadowEvaluator.Kind kind, ShadowEvaluator shadow) {
         assertTrue(shadow.count(kind) >= atLeast, shadow.summary());
     }
 
     @Test
-    void theDecisionsAreTheSameWithAShadowAndWithout() {
+    void shadowDoesNotChangeDecisions() {
         for (boolean canProbe : new boolean[] {false, true}) {
             Settings inForce = settings(0.05, 4, canProbe);
             ShadowEvaluator shadow = new ShadowEvaluator(settings(0, 1, true), 7);
-            assertEquals(play(inForce, null, false), play(inForce, shadow, false));
-            assertTrue(shadow.decisions() > 500, shadow.summary());
+            assertEquals(
+                    runRandomEvents(inForce, null, false), runRandomEvents(inForce, shadow, false));
+            assertTrue(shadow.decisionCount() > 500, shadow.summary());
         }
     }
 
     @Test
-    void theSameSettingsWouldDecideTheSame() {
+    void shadowWithEqualSettingsDecidesTheSame() {
         ShadowEvaluator shadow =
-                shadowOf(settings(0.05, 4, false), settings(0.05, 4, false), false);
+                runShadow(settings(0.05, 4, false), settings(0.05, 4, false), false);
         for (ShadowEvaluator.Kind kind : ShadowEvaluator.Kind.values()) {
             assertEquals(0, shadow.count(kind), shadow.summary());
         }
     }
 
     @Test
-    void eachKindIsCounted() {
+    void differingDecisionsAreCountedByKind() {
         Settings freeCrossing = settings(0, 4, false);
         Settings dearCrossing = settings(9, 4, false);
         Settings oneAttempt = settings(0, 1, false);
-        ShadowEvaluator staysInZone = shadowOf(freeCrossing, dearCrossing, true);
-        assertCounts(100, ShadowEvaluator.Kind.NOT_CROSS, staysInZone);
-        assertCounts(
+        ShadowEvaluator staysInZone = runShadow(freeCrossing, dearCrossing, true);
+        assertCountAtLeast(100, ShadowEvaluator.Kind.NOT_CROSS, staysInZone);
+        assertCountAtLeast(
                 staysInZone.count(ShadowEvaluator.Kind.NOT_CROSS),
                 ShadowEvaluator.Kind.ANOTHER_BACKEND,
                 staysInZone);
-        assertCounts(100, ShadowEvaluator.Kind.CROSS, shadowOf(dearCrossing, freeCrossing, true));
-        assertCounts(
-                10, ShadowEvaluator.Kind.NOT_SEND_AGAIN, shadowOf(freeCrossing, oneAttempt, false));
-        assertCounts(
-                10, ShadowEvaluator.Kind.SEND_AGAIN, shadowOf(oneAttempt, freeCrossing, false));
+        assertCountAtLeast(
+                100, ShadowEvaluator.Kind.CROSS, runShadow(dearCrossing, freeCrossing, true));
+        assertCountAtLeast(
+                10,
+                ShadowEvaluator.Kind.NOT_SEND_AGAIN,
+                runShadow(freeCrossing, oneAttempt, false));
+        assertCountAtLeast(
+                10, ShadowEvaluator.Kind.SEND_AGAIN, runShadow(oneAttempt, freeCrossing, false));
     }
 }
--- a/src/test/java/lemondrift/SimulatorAdapterTest.java
+++ b/src/test/java/lemondrift/SimulatorAdapterTest.java
@@ -16,13 +16,13 @@
 
 /** The adapter, byte for byte. */
 class SimulatorAdapterTest {
-    private static final String LIST =
+    private static final String LIST_RECORD =
             "0b 1d000000 00 01000000 0a124a07 931f 0000 00 0000 01 0000803f" + " 0000000000000000";
-    private static final String CACHED = "02 0e000000 03000000 00 02 2900000000000000";
-    private static final String ARRIVAL =
+    private static final String CACHED_LIST_RECORD = "02 0e000000 03000000 00 02 2900000000000000";
+    private static final String ARRIVAL_RECORD =
             "03 2b000000 03000000 c4913a5d5a520000 0000 00000000"
                     + " 640ad2557c3bf091 0000000000006e40 0000000000002840 01";
-    private static final String SEND = "4a 1a000000 03000000 c4913a5d5a520000 0a124a07 931f";
+    private static final String SEND_RECORD = "4a 1a000000 03000000 c4913a5d5a520000 0a124a07 931f";
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
@@ -40,22 +40,27 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReplyAndTheEndBetweenFramesIsGood() {
-        assertEquals(0, run(TestDeployment.batch(0)));
-        assertArrayEquals(TestDeployment.hex("04000000 00000000"), out.toByteArray());
+    void emptyBatchGetsEmptyReplyAndInputMayEndBetweenFrames() {
+        assertEquals(0, run(TestDeployment.batchFrame(0)));
+        assertArrayEquals(TestDeployment.parseHex("04000000 00000000"), out.toByteArray());
     }
 
     @Test
-    void anArrivalIsSentAndItsDeliveryEndsIt() {
+    void arrivedRequestIsSentAndItsDeliveryEndsIt() {
         String ok =
                 "05 1f000000 03000000 c4913a5d5a520000 00 0a124a07 931f 0100 0000000000803240 01"
                         + " 00";
         assertEquals(
                 0,
                 run(
-                        TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL),
-                        TestDeployment.batch(1, ok)));
-        byte[] send = TestDeployment.hex(SEND);
+                        TestDeployment.batchFrame(
+                                4,
+                                TestDeployment.startRecordHex(3),
+                                LIST_RECORD,
+                                CACHED_LIST_RECORD,
+                                ARRIVAL_RECORD),
+                        TestDeployment.batchFrame(1, ok)));
+        byte[] send = TestDeployment.parseHex(SEND_RECORD);
         assertArrayEquals(send, Arrays.copyOfRange(out.toByteArray(), 8, 8 + send.length));
         assertEquals(240, replies().getDouble(8 + send.length), 1e-6, "the time-out in ms");
         assertEquals(2, replies().getInt(4), "the send and the safe alarm");
@@ -64,17 +69,17 @@
     }
 
     @Test
-    void bellsOfOldAndEventsForIdsNoLongerHeldArePassedOver() {
+    void staleAlarmsAndEventsForUnknownIdsAreIgnored() {
         String bell = "07 0c000000 03000000 4d00000000000000";
         String vanished = "06 0c000000 05000000 192b6f0ecc230400";
         String unknown = "63 03000000 010203";
         assertEquals(
                 0,
                 run(
-                        TestDeployment.batch(
+                        TestDeployment.batchFrame(
                                 5,
-                                TestDeployment.born(3),
-                                TestDeployment.born(5),
+                                TestDeployment.startRecordHex(3),
+                                TestDeployment.startRecordHex(5),
                                 bell,
                                 vanished,
                                 unknown)));
@@ -82,46 +87,70 @@
     }
 
     @Test
-    void aCrashForgetsAndASecondBirthInTheSameBatchStartsEmpty() {
+    void instanceRestartedInTheSameBatchStartsWithoutState() {
         assertEquals(
                 0,
                 run(
-                        TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL),
-                        TestDeployment.batch(
+                        TestDeployment.batchFrame(
+                                4,
+                                TestDeployment.startRecordHex(3),
+                                LIST_RECORD,
+                                CACHED_LIST_RECORD,
+                                ARRIVAL_RECORD),
+                        TestDeployment.batchFrame(
                                 4,
                                 "0a 04000000 03000000",
-                                TestDeployment.born(3),
-                                CACHED,
-                                ARRIVAL)));
+                                TestDeployment.startRecordHex(3),
+                                CACHED_LIST_RECORD,
+                                ARRIVAL_RECORD)));
         int second = 4 + replies().getInt(0);
         assertEquals(2, replies().getInt(second + 4), "the same id is a new exchange, sent anew");
     }
 
     @Test
-    void anInstanceActsAlikeWhateverElseItsProcessHosts() {
-        run(TestDeployment.batch(4, TestDeployment.born(3), LIST, CACHED, ARRIVAL));
+    void instanceDecidesTheSameWhicheverOthersItsProcessHosts() {
+        run(
+                TestDeployment.batchFrame(
+                        4,
+                        TestDeployment.startRecordHex(3),
+                        LIST_RECORD,
+                        CACHED_LIST_RECORD,
+                        ARRIVAL_RECORD));
         byte[] alone = out.toByteArray();
         out.reset();
         run(
-                TestDeployment.batch(
-                        5, TestDeployment.born(9), TestDeployment.born(3), LIST, CACHED, ARRIVAL));
+                TestDeployment.batchFrame(
+                        5,
+                        TestDeployment.startRecordHex(9),
+                        TestDeployment.startRecordHex(3),
+                        LIST_RECORD,
+                        CACHED_LIST_RECORD,
+                        ARRIVAL_RECORD));
         assertArrayEquals(alone, out.toByteArray());
     }
 
     @Test
-    void badInputGetsOnePlainLineAndAnExitCode() {
-        byte[] whole = TestDeployment.batch(1, "07 0c000000 03000000 4d00000000000000");
-        bad("ends after 20 of", Arrays.copyOf(whole, 24));
-        bad("ends after 2 of 4", Arrays.copyOf(whole, 2));
-        bad("has length 99", TestDeployment.batch(1, "07 63000000 03000000"));
-        bad("too short", TestDeployment.batch(2, TestDeployment.born(3), "03 04000000 03000000"));
-        bad("cut short", TestDeployment.batch(2, "07 0c000000 03000000 4d00000000000000"));
+    void invalidInputGetsOneLineAndAnExitCode() {
+        byte[] whole = TestDeployment.batchFrame(1, "07 0c000000 03000000 4d00000000000000");
+        assertRejected("ends after 20 of", Arrays.copyOf(whole, 24));
+        assertRejected("ends after 2 of 4", Arrays.copyOf(whole, 2));
+        assertRejected("has length 99", TestDeployment.batchFrame(1, "07 63000000 03000000"));
+        assertRejected(
+                "too short",
+                TestDeployment.batchFrame(
+                        2, TestDeployment.startRecordHex(3), "03 04000000 03000000"));
+        assertRejected(
+                "cut short", TestDeployment.batchFrame(2, "07 0c000000 03000000 4d00000000000000"));
         String key = "serviceGrades.0.contractTime";
-        bad(key + ": missing", TestDeployment.batch(1, TestDeployment.born(3, key)));
-        bad("list 0 was never defined", TestDeployment.batch(2, TestDeployment.born(3), CACHED));
+        assertRejected(
+                key + ": missing",
+                TestDeployment.batchFrame(1, TestDeployment.startRecordHex(3, key)));
+        assertRejected(
+                "list 0 was never defined",
+                TestDeployment.batchFrame(2, TestDeployment.startRecordHex(3), CACHED_LIST_RECORD));
     }
 
-    private void bad(String message, byte[] frames) {
+    private void assertRejected(String message, byte[] frames) {
         err.reset();
         assertEquals(1, run(frames));
         assertTrue(
--- a/src/test/java/lemondrift/TestDeployment.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -43,7 +43,7 @@
     final List<Decision.LocalReply> localReplies = new ArrayList<>();
 
     /** Why the last request that got a local reply was not served. */
-    FailureReason lastReason() {
+    FailureReason lastFailureReason() {
         return localReplies.get(localReplies.size() - 1).request().failureReason;
     }
 
@@ -55,7 +55,7 @@
     /**
      * What each backend answers to a probe: utilization and requests in flight; null is no answer.
      */
-    final Map<Integer, double[]> loads = new HashMap<>();
+    final Map<Integer, double[]> probeReports = new HashMap<>();
 
     double now = 100;
     double wakeAt;
@@ -72,16 +72,16 @@
         this.shadow = shadow;
     }
 
-    private void tellShadow(Consumer<ShadowEvaluator> event) {
+    private void notifyShadow(Consumer<ShadowEvaluator> event) {
         if (shadow != null) {
             event.accept(shadow);
         }
     }
 
-    static TestDeployment of(int backends) {
+    static TestDeployment withBackends(int backends) {
         TestDeployment proxy =
                 new TestDeployment(settings(3, false, REPORTS_IN_RESPONSES, true), 7);
-        proxy.list(true, false, endpoints(backends));
+        proxy.applyEndpointList(true, false, endpoints(backends));
         return proxy;
     }
 
@@ -136,7 +136,7 @@
 
     void apply(Decision decision) {
         onDecision.accept(decision);
-        tellShadow(s -> s.decided(now, decision));
+        notifyShadow(s -> s.decisionMade(now, decision));
         localReplies.addAll(decision.localReplies);
         attempts.addAll(decision.attempts);
         cancellations.addAll(decision.cancellations);
@@ -144,44 +144,44 @@
         endpointListCalls.addAll(decision.endpointListCalls);
         wakeAt = decision.wakeAt;
         for (int i : List.copyOf(decision.probes)) {
-            double[] report = loads.getOrDefault(i, new double[] {0, 0});
+            double[] report = probeReports.getOrDefault(i, new double[] {0, 0});
             if (report != null) {
                 // No two reports are quite the same, unless one is repeated.
                 double[] distinct = report.clone();
                 distinct[0] += 1e-9 * probes.size();
-                tellShadow(s -> s.probeEnded(now, i, AttemptOutcome.SUCCESS, distinct));
+                notifyShadow(s -> s.probeEnded(now, i, AttemptOutcome.SUCCESS, distinct));
                 apply(balancer.probeEnded(now, i, AttemptOutcome.SUCCESS, distinct));
             }
         }
     }
 
-    TestDeployment load(double... utilization) {
+    TestDeployment setUtilization(double... utilization) {
         for (int i = 0; i < utilization.length; i++) {
-            loads.put(i, new double[] {utilization[i], 0});
+            probeReports.put(i, new double[] {utilization[i], 0});
         }
         return this;
     }
 
-    void list(boolean full, boolean stale, List<EndpointUpdate> updates) {
-        tellShadow(s -> s.endpointsListed(now, full, stale, updates));
+    void applyEndpointList(boolean full, boolean stale, List<EndpointUpdate> updates) {
+        notifyShadow(s -> s.endpointsListed(now, full, stale, updates));
         apply(balancer.endpointsListed(now, full, stale, updates));
     }
 
     /** The first attempt of a new request, or null. */
-    Attempt arrive(int requestClass) {
+    Attempt receiveRequest(int requestClass) {
         int attemptsBefore = attempts.size();
         Request request = new Request(attempts.size(), requestClass, 0, now, 2);
-        tellShadow(s -> s.requestArrived(now, request));
+        notifyShadow(s -> s.requestArrived(now, request));
         apply(balancer.requestArrived(now, request));
         return attempts.size() > attemptsBefore ? attempts.get(attemptsBefore) : null;
     }
 
     /** The attempt that follows, or null. */
-    Attempt end(Attempt attempt, AttemptOutcome outcome, double... loadReport) {
+    Attempt endAttempt(Attempt attempt, AttemptOutcome outcome, double... loadReport) {
         int attemptsBefore = attempts.size();
         boolean completed = outcome == AttemptOutcome.SUCCESS || attempt.request.completed;
         double[] report = loadReport.length == 0 ? null : loadReport;
-        tellShadow(
+        notifyShadow(
                 s ->
                         s.attemptEnded(
                                 now, attempt, outcome, now - attempt.sentAt, completed, report));
@@ -198,18 +198,18 @@
             }
             now = Math.max(now, wakeAt);
             apply(balancer.wake(now));
-            tellShadow(s -> s.wake(now));
+            notifyShadow(s -> s.wake(now));
         }
         now = time;
     }
 
-    static byte[] hex(String text) {
+    static byte[] parseHex(String text) {
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
     }
 
     /** A batch at 61,233.0 ms of records given in hex; each states its own code and length. */
-    static byte[] batch(int count, String... records) {
-        byte[] body = hex(String.join("", records));
+    static byte[] batchFrame(int count, String... records) {
+        byte[] body = parseHex(String.join("", records));
         return ByteBuffer.allocate(16 + body.length)
                 .order(ByteOrder.LITTLE_ENDIAN)
                 .putInt(12 + body.length)
@@ -219,7 +219,7 @@
                 .array();
     }
 
-    static String born(int instance, String... dropped) {
+    static String startRecordHex(int instance, String... dropped) {
         String text =
                 "siblings=3\n"
                         + "zone=0\n"
--- a/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
+++ b/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
@@ -18,7 +18,7 @@
      * held.
      */
     @Property(tries = 300, seed = "48")
-    void neitherBoundIsExceededAndAllIsReleased(
+    void noBoundIsExceededAndAllBytesAreReleased(
             @ForAll List<@IntRange(min = 0, max = 999) Integer> steps) {
         BodyBufferBudget bufferBudget = new BodyBufferBudget(100, 250);
         int[] reserved = new int[8];
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void withoutBudgetNothingIsBuffered() {
+    void nothingIsBufferedWithoutBudget() {
         assertFalse(new BodyBufferBudget(0, 100).tryReserve(0, 1));
         assertFalse(new BodyBufferBudget(100, 0).tryReserve(0, 1));
         assertThrows(IllegalArgumentException.class, () -> new BodyBufferBudget(-1, 5));
--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lemondrift.LandedBytes;
+import lemondrift.GoldenFiles;
 import lemondrift.metrics.EventLoopMetrics;
 import lemondrift.metrics.ProxyMetrics;
 import org.junit.jupiter.api.Test;
@@ -96,7 +96,7 @@
             adminServer.setOperations(new KnownProxy());
             awaitIoThread(worker);
             askAll(adminServer, all.append("with one\n"));
-            LandedBytes.assertText("admin.txt", all.toString().replace("\r\n", "\n"));
+            GoldenFiles.assertText("admin.txt", all.toString().replace("\r\n", "\n"));
         } finally {
             worker.shutdown();
         }
--- a/src/test/java/lemondrift/proxy/config/ShadowSettingsFileTest.java
+++ b/src/test/java/lemondrift/proxy/config/ShadowSettingsFileTest.java
@@ -58,7 +58,7 @@
                 overloaded.requests.size(),
                 shadow.count(ShadowEvaluator.Kind.NOT_SEND_AGAIN),
                 shadow.summary());
-        assertEquals(6 + overloaded.requests.size(), shadow.decisions(), shadow.summary());
+        assertEquals(6 + overloaded.requests.size(), shadow.decisionCount(), shadow.summary());
     }
 
     @Test
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import lemondrift.LandedBytes;
+import lemondrift.GoldenFiles;
 import lemondrift.recovery.Snapshot;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -18,8 +18,8 @@
     void readsAndWritesSnapshotOfLandedProgramUnchanged() throws IOException {
         Snapshot snapshot =
                 new Snapshot("n1", "3f1c9b1e-boot", 1764756000123L, 1764756000.5, 0.21875, 40);
-        LandedBytes.assertHex("snapshot.hex", SnapshotFile.encoded(snapshot));
-        Path file = Files.write(folder.resolve("n1.snap"), LandedBytes.ofHex("snapshot.hex"));
+        GoldenFiles.assertHex("snapshot.hex", SnapshotFile.encoded(snapshot));
+        Path file = Files.write(folder.resolve("n1.snap"), GoldenFiles.readHex("snapshot.hex"));
         assertEquals(snapshot, SnapshotFile.read(file));
     }
 }
--- a/src/test/java/lemondrift/settings/RequestClassIndexTest.java
+++ b/src/test/java/lemondrift/settings/RequestClassIndexTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aClassKeepsItsIndexWhereverItStands() {
+    void classKeepsItsIndexAtAnyPositionInTheFile() {
         RequestClassIndex first =
                 new RequestClassIndex(List.of("a", "b"), List.of(IDEMPOTENT, IDEMPOTENT));
         RequestClassIndex next =
@@ -44,11 +44,11 @@
         assertEquals(1, next.indexOf("b"));
         assertEquals(
                 7,
-                next.byIndex().get(1).priorityWeight(),
+                next.classesByIndex().get(1).priorityWeight(),
                 "requests come under what is stated now");
         assertEquals(2, next.indexOf("c"), "an index dropped just now may still be on its way");
         assertEquals(-1, next.indexOf("a"));
-        assertNull(next.byIndex().get(0));
+        assertNull(next.classesByIndex().get(0));
         assertEquals(List.of(2), next.reassigned());
         assertEquals(List.of("b", "c"), next.names());
         assertEquals(0, reloaded(next, false, "b", "c", "d").indexOf("d"), "assigned again later");
@@ -56,21 +56,22 @@
     }
 
     @Test
-    void anotherIdempotencyIsAnotherClass() {
+    void classWithOtherIdempotencyGetsANewIndex() {
         RequestClassIndex next =
                 new RequestClassIndex(List.of("a"), List.of(IDEMPOTENT))
                         .reloaded(List.of("a"), List.of(NOT_IDEMPOTENT), i -> false);
         assertEquals(1, next.indexOf("a"));
-        assertNull(next.byIndex().get(0));
+        assertNull(next.classesByIndex().get(0));
     }
 
     @Test
-    void otherClassesOfTheSameNamesStandUnderTheSameIndexes() {
+    void otherClassesWithTheSameNamesGetTheSameIndexes() {
         RequestClassIndex next =
                 new RequestClassIndex(List.of("a", "b"), List.of(IDEMPOTENT, IDEMPOTENT))
                         .reloaded(List.of("b"), List.of(IDEMPOTENT), i -> false);
         assertEquals(
-                Stream.of(null, NOT_IDEMPOTENT).toList(), next.byIndex(List.of(NOT_IDEMPOTENT)));
+                Stream.of(null, NOT_IDEMPOTENT).toList(),
+                next.classesByIndex(List.of(NOT_IDEMPOTENT)));
     }
 
     /**
@@ -78,7 +79,7 @@
      * needed.
      */
     @Property(tries = 200, seed = "48")
-    void indexesAreBoundedAndTellNamesApart(
+    void indexesAreBoundedAndUniquePerName(
             @ForAll @Size(min = 1, max = 40)
                     List<@Size(min = 1, max = 5) @UniqueElements List<@IntRange(max = 7) Integer>>
                             reloads) {
@@ -92,7 +93,7 @@
                             each.stream().map(String::valueOf).toArray(String[]::new));
             for (int name : each) {
                 int index = requestClasses.indexOf("" + name);
-                assertNotNull(requestClasses.byIndex().get(index));
+                assertNotNull(requestClasses.classesByIndex().get(index));
                 assertTrue(
                         previous.indexOf("" + name) < 0
                                 ? requestClasses.reassigned().contains(index)
@@ -101,10 +102,10 @@
             }
             assertEquals(
                     each.size(),
-                    requestClasses.byIndex().stream()
+                    requestClasses.classesByIndex().stream()
                             .filter(requestClass -> requestClass != null)
                             .count());
         }
-        assertTrue(requestClasses.byIndex().size() <= 10, "two files' classes at the most");
+        assertTrue(requestClasses.classesByIndex().size() <= 10, "two files' classes at the most");
     }
 }
--- a/src/test/java/lemondrift/settings/SettingsReaderTest.java
+++ b/src/test/java/lemondrift/settings/SettingsReaderTest.java
@@ -24,7 +24,7 @@
                     + "serviceGrades.0.effect=retryable\n";
 
     @Test
-    void endpointWeightsAreUsedOnlyWhereTheSettingsSaySo() {
+    void endpointWeightsAreUsedOnlyIfTheSettingsSaySo() {
         assertFalse(SettingsReader.read(VALID).usesEndpointWeights());
         for (String weights : "off none live nominal rough".split(" ")) {
             String text = VALID + "weights=" + weights + "\n";
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void unusableKeysAreNamed() {
+    void errorMessageNamesTheInvalidKey() {
         for (String line :
                 ("charges.crossZone=NaN charges.crossZone=-0.1 charges.probe=much"
                      + " charges.probe=Infinity weights=heavy membershipMode=sometimes"
