--- a/src/main/java/lemondrift/connection/ClientSource.java
+++ b/src/main/java/lemondrift/connection/ClientSource.java
@@ -6,7 +6,7 @@
  */
 final class ClientSource {
     /** The most credit, and the most cost, that counts: no source may outweigh all others. */
-    private static final double MAX_CREDIT = 16;
+    private static final double MAX_CREDIT_OR_COST = 16;
 
     int connections;
     private double credit;
@@ -28,13 +28,13 @@
     /** A request of it was answered; the value is a ratio to a usual request's priority weight. */
     void addCredit(double value, double now, double halfLifeSeconds) {
         decay(now, halfLifeSeconds);
-        credit = Math.min(MAX_CREDIT, credit + value);
+        credit = Math.min(MAX_CREDIT_OR_COST, credit + value);
     }
 
     /** A request of it was rejected, or a connection ended without one. */
     void addCost(double now, double halfLifeSeconds) {
         decay(now, halfLifeSeconds);
-        cost = Math.min(MAX_CREDIT, cost + 1);
+        cost = Math.min(MAX_CREDIT_OR_COST, cost + 1);
     }
 
     /** Its fair share of connections relative to other sources, 1/17 to 17. */
--- a/src/main/java/lemondrift/connection/ClientSourceTable.java
+++ b/src/main/java/lemondrift/connection/ClientSourceTable.java
@@ -10,13 +10,13 @@
  * there are connections, and the one that left first is forgotten first.
  */
 final class ClientSourceTable {
-    private final boolean eachConnectionAlone;
+    private final boolean sourcePerConnection;
     private final int maxRemembered;
     private final Map<Long, ClientSource> connected = new HashMap<>();
     private final Map<Long, ClientSource> remembered = new LinkedHashMap<>();
 
     ClientSourceTable(ConnectionLimits.Sharing sharing, int maxRemembered) {
-        eachConnectionAlone = sharing == ConnectionLimits.Sharing.CONNECTION;
+        sourcePerConnection = sharing == ConnectionLimits.Sharing.CONNECTION;
         this.maxRemembered = maxRemembered;
     }
 
@@ -27,7 +27,7 @@
 
     /** The source of a key, with one connection more. */
     ClientSource connect(long key) {
-        ClientSource source = eachConnectionAlone ? new ClientSource() : sourceOf(key);
+        ClientSource source = sourcePerConnection ? new ClientSource() : sourceOf(key);
         source.connections++;
         return source;
     }
@@ -44,7 +44,7 @@
 
     /** One of a source's connections is closed, or counts for another source from now on. */
     void disconnect(long key, ClientSource source) {
-        if (eachConnectionAlone) {
+        if (sourcePerConnection) {
             return;
         }
         if (--source.connections == 0 && connected.remove(key) != null) {
--- a/src/main/java/lemondrift/connection/ConnectionDeadlines.java
+++ b/src/main/java/lemondrift/connection/ConnectionDeadlines.java
@@ -32,35 +32,35 @@
         this.drain = drain;
     }
 
-    void awaitFirstByte(int connection, double now) {
+    void setFirstByteDeadline(int connection, double now) {
         connections.deadlines[connection] = now + limits.firstByteTimeoutSeconds();
     }
 
     /** Guards against a client that sends one byte late and so holds its place twice as long. */
-    void awaitFirstHead(int connection, double now) {
+    void setFirstHeadDeadline(int connection, double now) {
         connections.deadlines[connection] =
                 Math.min(
                         now + limits.readTimeoutSeconds(),
                         connections.acceptedAt[connection] + limits.firstHeadTimeoutSeconds());
     }
 
-    void awaitRequestBytes(int connection, double now) {
+    void setReadDeadline(int connection, double now) {
         connections.deadlines[connection] = now + limits.readTimeoutSeconds();
     }
 
-    void requestProgress(int connection, int bytes, double now) {
-        progress(connection, bytes, limits.readTimeoutSeconds(), now);
+    void extendReadDeadline(int connection, int bytes, double now) {
+        extendDeadline(connection, bytes, limits.readTimeoutSeconds(), now);
     }
 
-    void awaitResponseTaken(int connection, double now) {
+    void setWriteDeadline(int connection, double now) {
         connections.deadlines[connection] = now + limits.writeTimeoutSeconds();
     }
 
-    void responseProgress(int connection, int bytes, double now) {
-        progress(connection, bytes, limits.writeTimeoutSeconds(), now);
+    void extendWriteDeadline(int connection, int bytes, double now) {
+        extendDeadline(connection, bytes, limits.writeTimeoutSeconds(), now);
     }
 
-    private void progress(int connection, int bytes, double timeoutSeconds, double now) {
+    private void extendDeadline(int connection, int bytes, double timeoutSeconds, double now) {
         connections.deadlines[connection] =
                 Math.min(
                         now + timeoutSeconds,
@@ -68,18 +68,18 @@
     }
 
     /** Why a connection is to be closed now; null if it may stay. */
-    CloseReason overdue(int connection, double now) {
+    CloseReason reasonToClose(int connection, double now) {
         boolean late = now > connections.deadlines[connection];
         return switch (connections.state(connection)) {
-            case NEW -> late ? CloseReason.NO_REQUEST : drained(connection, now);
+            case NEW -> late ? CloseReason.NO_REQUEST : reasonToCloseInDrain(connection, now);
             case READING_HEAD, READING_BODY -> late ? CloseReason.SLOW_REQUEST : null;
             case SENDING_RESPONSE -> late ? CloseReason.SLOW_READER : null;
-            case IDLE -> idleTooLong(connection, now);
+            case IDLE -> reasonToCloseIdle(connection, now);
             case FREE, AWAITING_RESPONSE, READ_PAUSED -> null;
         };
     }
 
-    private CloseReason idleTooLong(int connection, double now) {
+    private CloseReason reasonToCloseIdle(int connection, double now) {
         double idleSeconds = connections.secondsInState(connection, now);
         if (idleSeconds > limits.maxIdleSeconds()) {
             return CloseReason.IDLE_TIMEOUT;
@@ -88,10 +88,10 @@
                 && !connections.keepAliveAnnounced[connection]) {
             return CloseReason.REUSE_UNLIKELY;
         }
-        return drained(connection, now);
+        return reasonToCloseInDrain(connection, now);
     }
 
-    private CloseReason drained(int connection, double now) {
+    private CloseReason reasonToCloseInDrain(int connection, double now) {
         return drain.isDue(connection, now) ? CloseReason.DRAINING : null;
     }
 }
--- a/src/main/java/lemondrift/connection/ConnectionDrain.java
+++ b/src/main/java/lemondrift/connection/ConnectionDrain.java
@@ -59,7 +59,7 @@
     }
 
     /** A connection was accepted, which during a drain has a moment to bring its request. */
-    void accepted(int connection, double now) {
+    void connectionAccepted(int connection, double now) {
         closeAt[connection] =
                 isDraining(now)
                         ? Math.max(endsAt, now + limits.firstByteTimeoutSeconds() / 2)
@@ -75,7 +75,7 @@
     boolean isDone(double now) {
         for (int connection = 0; connection < connections.capacity(); connection++) {
             if (!connections.isIn(connection, ConnectionState.FREE)
-                    && !isAnswered(connection, now)) {
+                    && !hasTakenClosingResponse(connection, now)) {
                 return false;
             }
         }
@@ -87,7 +87,7 @@
      * reset that destroys a response on its way: the process's end with bytes unread would send
      * one.
      */
-    private boolean isAnswered(int connection, double now) {
+    private boolean hasTakenClosingResponse(int connection, double now) {
         return connections.closeReasons[connection] == CloseReason.DRAINING
                 && connections.secondsInState(connection, now) >= limits.firstReadPauseSeconds()
                 && (connections.isIn(connection, ConnectionState.IDLE)
--- a/src/main/java/lemondrift/connection/ConnectionEviction.java
+++ b/src/main/java/lemondrift/connection/ConnectionEviction.java
@@ -17,23 +17,23 @@
     private final ConnectionLimits limits;
     private final ConnectionTable connections;
     private final FairEviction fairEviction;
-    private final IntPredicate isSilent;
+    private final IntPredicate hasNoUnreadBytes;
     private final IntConsumer close;
 
     /**
      * Evicts from a table.
      *
-     * @param isSilent whether no unread byte waits on a connection
+     * @param hasNoUnreadBytes whether no unread byte waits on a connection
      * @param close closes a connection at once
      */
     ConnectionEviction(
             ConnectionLimits limits,
             ConnectionTable connections,
-            IntPredicate isSilent,
+            IntPredicate hasNoUnreadBytes,
             IntConsumer close) {
         this.limits = limits;
         this.connections = connections;
-        this.isSilent = isSilent;
+        this.hasNoUnreadBytes = hasNoUnreadBytes;
         this.close = close;
         fairEviction = new FairEviction(connections.capacity(), limits.halfLifeSeconds());
     }
@@ -43,16 +43,18 @@
         if (!connections.isOverLimit()) {
             return;
         }
-        addWithoutByte(now);
+        addConnectionsWithoutFirstByte(now);
         for (ConnectionState state : READING_REQUEST) {
             addSlowFirstRequests(state, now);
         }
-        addIdle();
+        addIdleConnections();
         fairEviction.evict(
-                connections.openCount() - connections.maxConnections(), now, this::evictIfSilent);
+                connections.openCount() - connections.maxConnections(),
+                now,
+                this::evictIfNoUnreadBytes);
     }
 
-    private void addWithoutByte(double now) {
+    private void addConnectionsWithoutFirstByte(double now) {
         for (int connection = connections.first(ConnectionState.NEW);
                 connection != ConnectionTable.NONE;
                 connection = connections.after(connection)) {
@@ -67,14 +69,14 @@
         for (int connection = connections.first(state);
                 connection != ConnectionTable.NONE;
                 connection = connections.after(connection)) {
-            if (connections.responses[connection] == 0
+            if (connections.responseCounts[connection] == 0
                     && ageSeconds(connection, now) > 2 * limits.evictionGraceSeconds()) {
                 addCandidate(connection);
             }
         }
     }
 
-    private void addIdle() {
+    private void addIdleConnections() {
         for (int connection = connections.first(ConnectionState.IDLE);
                 connection != ConnectionTable.NONE;
                 connection = connections.after(connection)) {
@@ -93,11 +95,11 @@
     }
 
     /** Guards against losing a request that came and waits unread after a pause of the process. */
-    private boolean evictIfSilent(int connection) {
+    private boolean evictIfNoUnreadBytes(int connection) {
         boolean isFirstRequest =
-                connections.responses[connection] == 0
+                connections.responseCounts[connection] == 0
                         && !connections.isIn(connection, ConnectionState.NEW);
-        boolean evicts = isFirstRequest || isSilent.test(connection);
+        boolean evicts = isFirstRequest || hasNoUnreadBytes.test(connection);
         if (evicts) {
             close.accept(connection);
         }
--- a/src/main/java/lemondrift/connection/ConnectionLimits.java
+++ b/src/main/java/lemondrift/connection/ConnectionLimits.java
@@ -14,7 +14,7 @@
  *     which is then held to
  * @param minBytesPerSecond bytes a second by which a request that comes, or a response that is
  *     taken, must make progress; over 0
- * @param usualPriorityWeight the priority weight of a usual request, over 0; what a request earns
+ * @param typicalPriorityWeight the priority weight of a usual request, over 0; what a request earns
  *     for its source is a ratio to it
  */
 public record ConnectionLimits(
@@ -25,7 +25,7 @@
         Sharing sharing,
         boolean announcesKeepAlive,
         double minBytesPerSecond,
-        double usualPriorityWeight) {
+        double typicalPriorityWeight) {
     /** What counts as one source of connections. */
     public enum Sharing {
         /** Each connection by itself: behind a front proxy all clients have one address. */
@@ -50,7 +50,7 @@
                 || !(maxIdleSeconds > 0)
                 || !(minIdleSeconds >= 0 && minIdleSeconds <= maxIdleSeconds)
                 || !(minBytesPerSecond > 0)
-                || !(usualPriorityWeight > 0)
+                || !(typicalPriorityWeight > 0)
                 || sharing == null) {
             throw new IllegalArgumentException("the connection limits contradict each other");
         }
--- a/src/main/java/lemondrift/connection/ConnectionOrder.java
+++ b/src/main/java/lemondrift/connection/ConnectionList.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** The connections of one state as a linked list, the one that entered it first at the front. */
-final class ConnectionOrder {
+final class ConnectionList {
     private final int[] next;
     private final int[] previous;
     private int first = ConnectionTable.NONE;
@@ -11,7 +11,7 @@
     private int size;
 
     /** The lists of one table share their links, as each connection is in exactly one list. */
-    ConnectionOrder(int[] next, int[] previous) {
+    ConnectionList(int[] next, int[] previous) {
         this.next = next;
         this.previous = previous;
     }
--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -10,7 +10,7 @@
     /** What the policy has done to the sockets. */
     public interface Actions {
         /** Whether no unread byte waits on a connection; looks at the socket. */
-        boolean isSilent(int connection);
+        boolean hasNoUnreadBytes(int connection);
 
         /**
          * Closes a connection at once; {@link ConnectionPolicy#closed} is called before this
@@ -25,7 +25,7 @@
     /**
      * How many requests in a row may be rejected before the connection closes with the response.
      */
-    private static final int MAX_REJECTIONS_IN_ROW = 6;
+    private static final int MAX_CONSECUTIVE_INVALID_REQUESTS = 6;
 
     /**
      * The credit of a request that was rejected or failed beside that of a usual one that was
@@ -62,7 +62,7 @@
                 new ConnectionEviction(
                         limits,
                         connections,
-                        actions::isSilent,
+                        actions::hasNoUnreadBytes,
                         connection -> close(connection, CloseReason.EVICTED));
     }
 
@@ -90,8 +90,8 @@
         connections.sourceKeys[connection] = address;
         connections.sources[connection] = sources.connect(address);
         connections.reset(connection, time);
-        drain.accepted(connection, time);
-        deadlines.awaitFirstByte(connection, time);
+        drain.connectionAccepted(connection, time);
+        deadlines.setFirstByteDeadline(connection, time);
         connections.enter(connection, ConnectionState.NEW, time);
         return connection;
     }
@@ -116,14 +116,14 @@
         double time = pauseClock.runningTime(now);
         ConnectionState state = connections.state(connection);
         if (state == ConnectionState.NEW) {
-            deadlines.awaitFirstHead(connection, time);
+            deadlines.setFirstHeadDeadline(connection, time);
             connections.enter(connection, ConnectionState.READING_HEAD, time);
         } else if (state == ConnectionState.IDLE) {
             keepAlive.reused(connection, time);
-            deadlines.awaitRequestBytes(connection, time);
+            deadlines.setReadDeadline(connection, time);
             connections.enter(connection, ConnectionState.READING_HEAD, time);
         } else if (state == ConnectionState.READING_HEAD || state == ConnectionState.READING_BODY) {
-            deadlines.requestProgress(connection, bytes, time);
+            deadlines.extendReadDeadline(connection, bytes, time);
         } else {
             connections.pipelined[connection] = true;
         }
@@ -142,14 +142,14 @@
             keepAlive.reused(connection, time);
         }
         connections.pipelined[connection] = false;
-        deadlines.awaitRequestBytes(connection, time);
+        deadlines.setReadDeadline(connection, time);
         connections.enter(connection, ConnectionState.READING_BODY, time);
     }
 
     /** A request was read whole, of a tenant given as a number that is not negative. */
     public void requestRead(int connection, int tenant, double now) {
         double time = pauseClock.runningTime(now);
-        connections.rejectionsInRow[connection] = 0;
+        connections.consecutiveInvalidRequests[connection] = 0;
         long tenantKey = ClientSourceTable.tenantKey(tenant);
         if (limits.sharing() == ConnectionLimits.Sharing.TENANT
                 && connections.sourceKeys[connection] != tenantKey) {
@@ -168,10 +168,10 @@
      */
     public boolean responseReady(int connection, double now) {
         double time = pauseClock.runningTime(now);
-        connections.responses[connection]++;
-        deadlines.awaitResponseTaken(connection, time);
+        connections.responseCounts[connection]++;
+        deadlines.setWriteDeadline(connection, time);
         connections.enter(connection, ConnectionState.SENDING_RESPONSE, time);
-        CloseReason reason = closeWithResponse(connection, time);
+        CloseReason reason = reasonToCloseWithResponse(connection, time);
         boolean keepsOpen = reason == CloseReason.CLIENT_CLOSED;
         connections.closeReasons[connection] = reason;
         connections.keepAliveAnnounced[connection] = keepsOpen && keepAlive.mayAnnounce();
@@ -179,11 +179,12 @@
     }
 
     /** Why a connection closes with its response; CLIENT_CLOSED where it stays open. */
-    private CloseReason closeWithResponse(int connection, double time) {
+    private CloseReason reasonToCloseWithResponse(int connection, double time) {
         if (drain.isDraining(time)) {
             return CloseReason.DRAINING;
         }
-        if (connections.rejectionsInRow[connection] >= MAX_REJECTIONS_IN_ROW) {
+        if (connections.consecutiveInvalidRequests[connection]
+                >= MAX_CONSECUTIVE_INVALID_REQUESTS) {
             return CloseReason.REPEATEDLY_INVALID;
         }
         return keepAlive.keepsOpen(connection, time)
@@ -202,7 +203,7 @@
      */
     public void responseBytesAvailable(int connection, double now) {
         if (connections.isIn(connection, ConnectionState.SENDING_RESPONSE)) {
-            deadlines.awaitResponseTaken(connection, pauseClock.runningTime(now));
+            deadlines.setWriteDeadline(connection, pauseClock.runningTime(now));
         }
     }
 
@@ -210,7 +211,7 @@
     public void bytesSent(int connection, int bytes, double now) {
         double time = pauseClock.runningTime(now);
         if (connections.isIn(connection, ConnectionState.SENDING_RESPONSE)) {
-            deadlines.responseProgress(connection, bytes, time);
+            deadlines.extendWriteDeadline(connection, bytes, time);
         }
     }
 
@@ -225,13 +226,13 @@
         if (priorityWeight >= 0) {
             double credit =
                     priorityWeight > 0
-                            ? priorityWeight / limits.usualPriorityWeight()
+                            ? priorityWeight / limits.typicalPriorityWeight()
                             : UNSERVED_CREDIT;
             connections.sources[connection].addCredit(credit, time, limits.halfLifeSeconds());
         }
         // What came before the response was out is the next request's beginning, unless its head is
         // read right away.
-        deadlines.awaitRequestBytes(connection, time);
+        deadlines.setReadDeadline(connection, time);
         connections.enter(
                 connection,
                 connections.pipelined[connection]
@@ -241,11 +242,11 @@
     }
 
     /** A request is to be rejected; {@link #responseReady} follows, as with any response. */
-    public void invalidRequest(int connection, double now) {
+    public void invalidRequestReceived(int connection, double now) {
         if (connections.isIn(connection, ConnectionState.FREE)) {
             return;
         }
-        connections.rejectionsInRow[connection]++;
+        connections.consecutiveInvalidRequests[connection]++;
         connections.sources[connection].addCost(
                 pauseClock.runningTime(now), limits.halfLifeSeconds());
     }
@@ -256,12 +257,12 @@
      *
      * @return for how many seconds the connection is not to be read, doubled by each rejection
      */
-    public double readPauseSeconds(int connection, double now) {
+    public double startReadPause(int connection, double now) {
         double time = pauseClock.runningTime(now);
         connections.enter(connection, ConnectionState.READ_PAUSED, time);
         double rejections =
                 Math.max(
-                        connections.rejectionsInRow[connection],
+                        connections.consecutiveInvalidRequests[connection],
                         connections.sources[connection].netCost(time, limits.halfLifeSeconds()));
         double pauseSeconds =
                 limits.firstReadPauseSeconds() * Math.scalb(1.0, (int) Math.max(0, rejections - 1));
@@ -282,7 +283,8 @@
             keepAlive.closedIdle(connection, time);
         }
         ClientSource source = connections.sources[connection];
-        if (connections.responses[connection] == 0 && state != ConnectionState.AWAITING_RESPONSE) {
+        if (connections.responseCounts[connection] == 0
+                && state != ConnectionState.AWAITING_RESPONSE) {
             source.addCost(time, limits.halfLifeSeconds());
         }
         counts.countClosed(reason);
@@ -310,8 +312,9 @@
         evictExcess(now);
         keepAlive.updateIdleLimits(time);
         for (int connection = 0; connection < connections.capacity(); connection++) {
-            CloseReason reason = deadlines.overdue(connection, time);
-            if (reason != null && (hasRequest(connection) || actions.isSilent(connection))) {
+            CloseReason reason = deadlines.reasonToClose(connection, time);
+            if (reason != null
+                    && (hasRequest(connection) || actions.hasNoUnreadBytes(connection))) {
                 close(connection, reason);
             }
         }
@@ -326,12 +329,12 @@
      * Starts a drain: every response closes its connection from now on, and connections without a
      * request are closed one by one until a time.
      */
-    public void drain(double now, double until) {
+    public void startDrain(double now, double until) {
         drain.start(pauseClock.runningTime(now), now, until);
     }
 
     /** Ends the drain: those that are still there stay. */
-    public void resume() {
+    public void stopDrain() {
         drain.stop();
     }
 
--- a/src/main/java/lemondrift/connection/ConnectionTable.java
+++ b/src/main/java/lemondrift/connection/ConnectionTable.java
@@ -33,8 +33,8 @@
     /** Whether bytes of the next request came before the response to the present one was out. */
     final boolean[] pipelined;
 
-    final int[] responses;
-    final int[] rejectionsInRow;
+    final int[] responseCounts;
+    final int[] consecutiveInvalidRequests;
     final double[] acceptedAt;
     final double[] enteredStateAt;
 
@@ -42,7 +42,7 @@
     final double[] deadlines;
 
     private final ConnectionState[] states;
-    private final Map<ConnectionState, ConnectionOrder> orders =
+    private final Map<ConnectionState, ConnectionList> connectionsByState =
             new EnumMap<>(ConnectionState.class);
     private final int configuredMaxConnections;
     private int maxConnections;
@@ -59,20 +59,20 @@
         closeReasons = new CloseReason[capacity];
         keepAliveAnnounced = new boolean[capacity];
         pipelined = new boolean[capacity];
-        responses = new int[capacity];
-        rejectionsInRow = new int[capacity];
+        responseCounts = new int[capacity];
+        consecutiveInvalidRequests = new int[capacity];
         acceptedAt = new double[capacity];
         enteredStateAt = new double[capacity];
         deadlines = new double[capacity];
         states = new ConnectionState[capacity];
-        int[] next = ConnectionOrder.newLinks(capacity);
-        int[] previous = ConnectionOrder.newLinks(capacity);
+        int[] next = ConnectionList.newLinks(capacity);
+        int[] previous = ConnectionList.newLinks(capacity);
         for (ConnectionState state : ConnectionState.values()) {
-            orders.put(state, new ConnectionOrder(next, previous));
+            connectionsByState.put(state, new ConnectionList(next, previous));
         }
         Arrays.fill(states, ConnectionState.FREE);
         for (int connection = 0; connection < capacity; connection++) {
-            orders.get(ConnectionState.FREE).add(connection);
+            connectionsByState.get(ConnectionState.FREE).add(connection);
         }
     }
 
@@ -89,8 +89,8 @@
     }
 
     void enter(int connection, ConnectionState state, double now) {
-        orders.get(states[connection]).remove(connection);
-        orders.get(state).add(connection);
+        connectionsByState.get(states[connection]).remove(connection);
+        connectionsByState.get(state).add(connection);
         states[connection] = state;
         enteredStateAt[connection] = now;
     }
@@ -104,23 +104,23 @@
         closeReasons[connection] = CloseReason.CLIENT_CLOSED;
         keepAliveAnnounced[connection] = false;
         pipelined[connection] = false;
-        responses[connection] = 0;
-        rejectionsInRow[connection] = 0;
+        responseCounts[connection] = 0;
+        consecutiveInvalidRequests[connection] = 0;
         acceptedAt[connection] = now;
     }
 
     /** The connection that has been longest in a state, or NONE. */
     int first(ConnectionState state) {
-        return orders.get(state).first();
+        return connectionsByState.get(state).first();
     }
 
     /** The next one in the same state, or NONE. */
     int after(int connection) {
-        return orders.get(states[connection]).after(connection);
+        return connectionsByState.get(states[connection]).after(connection);
     }
 
     int count(ConnectionState state) {
-        return orders.get(state).size();
+        return connectionsByState.get(state).size();
     }
 
     int openCount() {
--- a/src/main/java/lemondrift/connection/IdleReuseEstimator.java
+++ b/src/main/java/lemondrift/connection/IdleReuseEstimator.java
@@ -27,7 +27,7 @@
     private final double[] reused = new double[BINS];
 
     /** By bin, the weight of connections that lasted through it or were reused in it. */
-    private final double[] observed = new double[BINS];
+    private final double[] atRisk = new double[BINS];
 
     /** What a sample counted now weighs; it grows instead of the decay of all others. */
     private double sampleWeight = 1;
@@ -40,15 +40,15 @@
         this.halfLifeSeconds = halfLifeSeconds;
     }
 
-    private double startOf(int bin) {
+    private double binStartSeconds(int bin) {
         return bin == 0 ? 0 : maxIdleSeconds * Math.scalb(1.0, bin - BINS);
     }
 
     /** A connection was reused after so many idle seconds. */
-    void reusedAfter(double idleSeconds, double now) {
-        int bin = countOutlasted(idleSeconds, now);
+    void recordReuse(double idleSeconds, double now) {
+        int bin = countSurvivedBins(idleSeconds, now);
         if (bin < BINS) {
-            observed[bin] += sampleWeight;
+            atRisk[bin] += sampleWeight;
             reused[bin] += sampleWeight;
         }
     }
@@ -57,16 +57,16 @@
      * A connection was closed after so many idle seconds. Guards against short limits that prove
      * themselves: it does not count as never reused in the bins that it did not outlast.
      */
-    void closedAfter(double idleSeconds, double now) {
-        countOutlasted(idleSeconds, now);
+    void recordClose(double idleSeconds, double now) {
+        countSurvivedBins(idleSeconds, now);
     }
 
     /** Counts the bins that were outlasted and returns the bin after them, up to BINS. */
-    private int countOutlasted(double idleSeconds, double now) {
+    private int countSurvivedBins(double idleSeconds, double now) {
         updateSampleWeight(now);
         int bin = 0;
-        for (; bin < BINS && startOf(bin + 1) <= idleSeconds; bin++) {
-            observed[bin] += sampleWeight;
+        for (; bin < BINS && binStartSeconds(bin + 1) <= idleSeconds; bin++) {
+            atRisk[bin] += sampleWeight;
         }
         return bin;
     }
@@ -77,7 +77,7 @@
         if (sampleWeight > MAX_SAMPLE_WEIGHT) {
             for (int bin = 0; bin < BINS; bin++) {
                 reused[bin] /= sampleWeight;
-                observed[bin] /= sampleWeight;
+                atRisk[bin] /= sampleWeight;
             }
             sampleWeight = 1;
         }
@@ -85,10 +85,10 @@
 
     /** How likely a connection that is idle at a bin's start is reused within the bin, 0 to 1. */
     private double hazard(int bin) {
-        double lengthSeconds = startOf(bin + 1) - startOf(bin);
+        double lengthSeconds = binStartSeconds(bin + 1) - binStartSeconds(bin);
         double priorWeight = PRIOR_CONNECTIONS * sampleWeight;
         double priorHazard = 1 - Math.exp(-PRIOR_REUSES * lengthSeconds / maxIdleSeconds);
-        return (reused[bin] + priorWeight * priorHazard) / (observed[bin] + priorWeight);
+        return (reused[bin] + priorWeight * priorHazard) / (atRisk[bin] + priorWeight);
     }
 
     /**
@@ -104,16 +104,16 @@
         double limitSeconds = maxIdleSeconds;
         for (int bin = BINS - 1; bin >= 0; bin--) {
             double hazard = hazard(bin);
-            double lengthSeconds = startOf(bin + 1) - startOf(bin);
+            double lengthSeconds = binStartSeconds(bin + 1) - binStartSeconds(bin);
             value =
                     hazard
                             - pricePerSecond * lengthSeconds * (1 - hazard / 2)
                             + (1 - hazard) * value;
             // Between the response and the least idle time it can't be closed.
-            boolean mayClose = bin == 0 || startOf(bin) >= minIdleSeconds;
+            boolean mayClose = bin == 0 || binStartSeconds(bin) >= minIdleSeconds;
             if (value <= 0 && mayClose) {
                 value = 0;
-                limitSeconds = startOf(bin);
+                limitSeconds = binStartSeconds(bin);
             }
         }
         return limitSeconds;
--- a/src/main/java/lemondrift/connection/KeepAlivePolicy.java
+++ b/src/main/java/lemondrift/connection/KeepAlivePolicy.java
@@ -13,7 +13,7 @@
     private static final int REUSE_GROUPS = 3;
 
     /** The share kept whatever is expected. Guards against never seeing a reuse to learn from. */
-    private static final double EXPLORED_SHARE = 1.0 / 16;
+    private static final double EXPLORATION_SHARE = 1.0 / 16;
 
     /** The price of a place rises with this power of the unused places. */
     private static final int PRICE_EXPONENT = 4;
@@ -41,23 +41,24 @@
         Arrays.fill(idleLimitSeconds, limits.maxIdleSeconds());
     }
 
-    private static int group(int responses) {
+    private static int reuseGroup(int responses) {
         if (responses < 2) {
             return 0;
         }
         return responses < 4 ? 1 : 2;
     }
 
-    private int groupOf(int connection) {
-        return group(connections.responses[connection]);
+    private int reuseGroupOf(int connection) {
+        return reuseGroup(connections.responseCounts[connection]);
     }
 
     /** Whether a connection is to stay open after the response that is ready now. */
     boolean keepsOpen(int connection, double now) {
         boolean worthKeeping =
-                estimators[groupOf(connection)].idleLimitSeconds(pricePerSecond(), now) > 0;
+                estimators[reuseGroupOf(connection)].idleLimitSeconds(pricePerSecond(), now) > 0;
         boolean explores =
-                unusedRatio() < MAX_UNUSED_RATIO_TO_EXPLORE && random.nextDouble() < EXPLORED_SHARE;
+                unusedRatio() < MAX_UNUSED_RATIO_TO_EXPLORE
+                        && random.nextDouble() < EXPLORATION_SHARE;
         return worthKeeping || explores;
     }
 
@@ -68,13 +69,13 @@
 
     /** An idle connection was used again. */
     void reused(int connection, double now) {
-        estimators[groupOf(connection)].reusedAfter(
+        estimators[reuseGroupOf(connection)].recordReuse(
                 connections.secondsInState(connection, now), now);
     }
 
     /** An idle connection was closed without having been used again. */
     void closedIdle(int connection, double now) {
-        estimators[groupOf(connection)].closedAfter(
+        estimators[reuseGroupOf(connection)].recordClose(
                 connections.secondsInState(connection, now), now);
     }
 
@@ -89,7 +90,7 @@
     }
 
     double idleLimitSeconds(int connection) {
-        return idleLimitSeconds[groupOf(connection)];
+        return idleLimitSeconds[reuseGroupOf(connection)];
     }
 
     /** Places that stand unused, as a ratio to how many may before they have their full price. */
--- a/src/main/java/lemondrift/connection/ProcessPauseClock.java
+++ b/src/main/java/lemondrift/connection/ProcessPauseClock.java
@@ -7,7 +7,7 @@
  */
 final class ProcessPauseClock {
     /** Silence, in sweep intervals, from which the process is taken to have stood still. */
-    private static final double PAUSE_SWEEPS = 2;
+    private static final double PAUSE_THRESHOLD_SWEEPS = 2;
 
     /** The part of a sweep interval in which what waited through a pause is read. */
     private static final double CATCH_UP_SWEEPS = 0.25;
@@ -24,7 +24,7 @@
 
     /** The clock's time at an event; it never runs backwards. */
     double runningTime(double now) {
-        if (now - lastEventAt > PAUSE_SWEEPS * sweepIntervalSeconds
+        if (now - lastEventAt > PAUSE_THRESHOLD_SWEEPS * sweepIntervalSeconds
                 && lastEventAt > Double.NEGATIVE_INFINITY) {
             pausedSeconds += now - lastEventAt - sweepIntervalSeconds;
             pauseStartedAt = lastEventAt;
--- a/src/main/java/lemondrift/connection/RequestQueue.java
+++ b/src/main/java/lemondrift/connection/RequestQueue.java
@@ -18,7 +18,7 @@
     /**
      * Wait, in longest waits, from which the balancer is asked whether it would shed the request.
      */
-    private static final double BACKLOG_WAITS = 2;
+    private static final double BACKLOG_WAIT_FACTOR = 2;
 
     /** The least capacity of the queue, in requests. */
     private static final int MIN_CAPACITY = 16;
@@ -51,10 +51,10 @@
     }
 
     /** The balancer took so many requests out of the queue, in so many seconds for all. */
-    public void decided(int requests, double seconds) {
-        queued -= requests;
-        if (requests > 0) {
-            decisionSeconds += (seconds / requests - decisionSeconds) * NEWEST_WEIGHT;
+    public void requestsDecided(int requestCount, double totalSeconds) {
+        queued -= requestCount;
+        if (requestCount > 0) {
+            decisionSeconds += (totalSeconds / requestCount - decisionSeconds) * NEWEST_WEIGHT;
         }
     }
 
@@ -87,7 +87,7 @@
 
     /** Whether so many wait that one more should be held back only if it would not be shed. */
     public boolean isBacklogged() {
-        return expectedWaitSeconds() > BACKLOG_WAITS * maxWaitSeconds;
+        return expectedWaitSeconds() > BACKLOG_WAIT_FACTOR * maxWaitSeconds;
     }
 
     /** Holds a request back until there is room for it. */
--- a/src/main/java/lemondrift/hotrestart/ResourceSplit.java
+++ b/src/main/java/lemondrift/hotrestart/ResourceSplit.java
@@ -24,7 +24,7 @@
      * @param followerWaits whether another one waits to follow it; matters only if this one serves
      * @return whether the state has changed
      */
-    public boolean observed(boolean serving, boolean followerWaits) {
+    public boolean update(boolean serving, boolean followerWaits) {
         State before = state;
         if (!serving) {
             state = State.BESIDE;
--- a/src/main/java/lemondrift/metrics/ProxyMetrics.java
+++ b/src/main/java/lemondrift/metrics/ProxyMetrics.java
@@ -106,9 +106,9 @@
     }
 
     /** How many backends are listed, and how many of them are not usable now. */
-    public void backendsCounted(int listed, int disabled) {
-        backendsListed = listed;
-        backendsDisabled = disabled;
+    public void setBackendCounts(int listedCount, int disabledCount) {
+        backendsListed = listedCount;
+        backendsDisabled = disabledCount;
     }
 
     /** A configuration was reloaded, or could not be used. */
--- a/src/main/java/lemondrift/proxy/IoThreadActions.java
+++ b/src/main/java/lemondrift/proxy/IoThreadActions.java
@@ -114,8 +114,8 @@
     }
 
     @Override
-    public void backendsCounted(int listed, int disabled) {
-        pendingActions.add(() -> metrics.backendsCounted(listed, disabled));
+    public void updateBackendCounts(int listed, int disabled) {
+        pendingActions.add(() -> metrics.setBackendCounts(listed, disabled));
     }
 
     @Override
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -335,7 +335,7 @@
 
     /** The shadow's figures, once the loop has stopped; null where there is no shadow. */
     ShadowEvaluator shadow() {
-        return decisionLoop.shadow();
+        return decisionLoop.shadowEvaluator();
     }
 
     InetSocketAddress address() {
--- a/src/main/java/lemondrift/proxy/backend/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -144,7 +144,7 @@
                                 STREAM_AFTER_SHARE * responseSeconds),
                         () -> isClientWaiting.test(pending),
                         () -> {
-                            pending.attemptSent();
+                            pending.markAttemptSent();
                             metrics.attemptSent();
                         },
                         response -> ended(attempt, streamedBody != null, response));
--- a/src/main/java/lemondrift/proxy/backend/RequestWriter.java
+++ b/src/main/java/lemondrift/proxy/backend/RequestWriter.java
@@ -113,7 +113,7 @@
     private void streamBody() {
         // Guards against an attempt that stays out after its client left in the middle of the body,
         // where attempts cannot be cancelled.
-        streamedBody.whenReleased(
+        streamedBody.onRelease(
                 () -> {
                     if (!isSent()) {
                         call.endNotSent();
--- a/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
+++ b/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void fullyRelayed() {
+    public void relayCompleted() {
         boolean reusable =
                 !unread.getBuffer().hasRemaining()
                         && !reader.closesConnection()
--- a/src/main/java/lemondrift/proxy/client/ClientConnection.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnection.java
@@ -224,13 +224,13 @@
 
     void requestInvalid() {
         if (!closed) {
-            policy.invalidRequest(index, clock.now());
+            policy.invalidRequestReceived(index, clock.now());
         }
     }
 
     /** For how many seconds it is not read, its request having been rejected. */
     double readPauseSeconds() {
-        return closed ? 0 : policy.readPauseSeconds(index, clock.now());
+        return closed ? 0 : policy.startReadPause(index, clock.now());
     }
 
     /** The response is out, and no request is open from now on. */
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -220,7 +220,7 @@
     }
 
     @Override
-    public boolean isSilent(int connection) {
+    public boolean hasNoUnreadBytes(int connection) {
         return byIndex[connection].isSilent();
     }
 
@@ -236,7 +236,7 @@
      */
     void drain(double until) {
         LOG.info("client connections drain: {}", policy.summary());
-        policy.drain(clock.now(), until);
+        policy.startDrain(clock.now(), until);
         sweepTimer.remove();
         sweepEvery(sweepIntervalSeconds / DRAINING_SWEEPS);
     }
@@ -244,7 +244,7 @@
     /** Ends the drain. */
     void resume() {
         LOG.info("client connections are kept open again: {}", policy.summary());
-        policy.resume();
+        policy.stopDrain();
         sweepTimer.remove();
         sweepEvery(sweepIntervalSeconds);
     }
--- a/src/main/java/lemondrift/proxy/client/RequestAdmission.java
+++ b/src/main/java/lemondrift/proxy/client/RequestAdmission.java
@@ -73,7 +73,7 @@
 
     /** The balancer decided so many requests in so many seconds, and has room for more. */
     void decided(int requests, double seconds) {
-        requestQueue.decided(requests, seconds);
+        requestQueue.requestsDecided(requests, seconds);
         for (PendingRequest next = requestQueue.pollNext();
                 next != null;
                 next = requestQueue.pollNext()) {
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -262,7 +262,7 @@
     }
 
     @Override
-    public void whenReleased(Runnable action) {
+    public void onRelease(Runnable action) {
         onRelease = action;
     }
 
--- a/src/main/java/lemondrift/proxy/client/ResponseWriter.java
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -244,7 +244,7 @@
 
     private void relayEnded(HttpServerExchange exchange, BackendResponse response, boolean whole) {
         if (whole) {
-            response.remainder().fullyRelayed();
+            response.remainder().relayCompleted();
             exchange.endExchange();
         } else {
             // A close the client can see: the length is short, or the last chunk is missing.
--- a/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
@@ -117,7 +117,7 @@
                 sharing,
                 announcesTimeout,
                 minBytesPerSecond,
-                usual.usualPriorityWeight());
+                usual.typicalPriorityWeight());
     }
 
     private static ConnectionLimits.Sharing sharing(JsonElement value) {
--- a/src/main/java/lemondrift/proxy/events/BackendResponse.java
+++ b/src/main/java/lemondrift/proxy/events/BackendResponse.java
@@ -49,7 +49,7 @@
      * A call that was given up before its request was sent whole, through no fault of its backend.
      */
     public static BackendResponse notSent() {
-        return none(Completion.NOT_SENT);
+        return withoutResponse(Completion.NOT_SENT);
     }
 
     /**
@@ -60,12 +60,12 @@
      */
     public static BackendResponse connectionFailed(boolean requestSent, boolean timedOut) {
         if (!requestSent) {
-            return none(Completion.FAILED_BEFORE_SENT);
+            return withoutResponse(Completion.FAILED_BEFORE_SENT);
         }
-        return none(timedOut ? Completion.TIMED_OUT : Completion.CONNECTION_BROKEN);
+        return withoutResponse(timedOut ? Completion.TIMED_OUT : Completion.CONNECTION_BROKEN);
     }
 
-    private static BackendResponse none(Completion completion) {
+    private static BackendResponse withoutResponse(Completion completion) {
         return new BackendResponse(completion, NO_STATUS, new HeaderMap(), new byte[0], null);
     }
 
--- a/src/main/java/lemondrift/proxy/events/DecisionEvents.java
+++ b/src/main/java/lemondrift/proxy/events/DecisionEvents.java
@@ -49,13 +49,13 @@
      * A new endpoint list came.
      *
      * @param knownBeforeStart whether it is the one of the configuration, from before the start
-     * @param applied run on the decisions thread once the balancer has all of the list
+     * @param onApplied run on the decisions thread once the balancer has all of the list
      */
-    void endpointListReceived(EndpointList list, boolean knownBeforeStart, Runnable applied);
+    void endpointListReceived(EndpointList list, boolean knownBeforeStart, Runnable onApplied);
 
     /** A call for the endpoint list failed. */
     void endpointListFailed();
 
     /** A datagram of another proxy came; it is read at the next iteration. */
-    void datagramReceived(int from, byte[] datagram);
+    void datagramReceived(int fromProxy, byte[] datagram);
 }
--- a/src/main/java/lemondrift/proxy/events/PendingRequest.java
+++ b/src/main/java/lemondrift/proxy/events/PendingRequest.java
@@ -11,7 +11,7 @@
     private final StreamedRequestBody streamedBody;
 
     /** I/O thread only. */
-    private boolean sent;
+    private boolean attemptSent;
 
     /**
      * One of which nothing has been sent to a backend.
@@ -49,8 +49,8 @@
     }
 
     /** The last byte of an attempt is with the kernel. I/O thread only. */
-    public void attemptSent() {
-        sent = true;
+    public void markAttemptSent() {
+        attemptSent = true;
     }
 
     /**
@@ -58,6 +58,6 @@
      * thread only.
      */
     public boolean mayHaveBeenExecuted() {
-        return sent;
+        return attemptSent;
     }
 }
--- a/src/main/java/lemondrift/proxy/events/ProxyActions.java
+++ b/src/main/java/lemondrift/proxy/events/ProxyActions.java
@@ -45,10 +45,10 @@
     void retirePool(int backend);
 
     /** So many arrived requests were decided in an iteration that took so many seconds in all. */
-    void requestsDecided(int requests, double seconds);
+    void requestsDecided(int requestCount, double totalSeconds);
 
     /** So many backends are listed, and so many of them are not usable now. */
-    void backendsCounted(int listed, int disabled);
+    void updateBackendCounts(int listedCount, int disabledCount);
 
     /** These settings are in force from now on. */
     void settingsChanged(RequestClassIndex requestClasses, Settings settings);
--- a/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
+++ b/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
@@ -8,7 +8,7 @@
     int declaredLength();
 
     /** All of it has been passed on to the client. */
-    void fullyRelayed();
+    void relayCompleted();
 
     /** Nobody wants the rest of it. */
     void abandonResponse();
--- a/src/main/java/lemondrift/proxy/events/StreamedRequestBody.java
+++ b/src/main/java/lemondrift/proxy/events/StreamedRequestBody.java
@@ -20,5 +20,5 @@
     double responseTimeoutSeconds();
 
     /** Sets what is to be done when its request is over. */
-    void whenReleased(Runnable action);
+    void onRelease(Runnable action);
 }
--- a/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
@@ -62,7 +62,7 @@
         try {
             acquireFreeLocks();
             boolean serving = servingLock != null;
-            boolean changed = resourceSplit.observed(serving, serving && isFollowed());
+            boolean changed = resourceSplit.update(serving, serving && isFollowed());
             if (changed) {
                 LOG.info(
                         "resource split among the processes of this proxy: {}",
@@ -76,7 +76,7 @@
                         e.toString());
             }
             failureLogged = true;
-            return resourceSplit.observed(false, false);
+            return resourceSplit.update(false, false);
         }
     }
 
--- a/src/main/java/lemondrift/proxy/loop/ActiveSettings.java
+++ b/src/main/java/lemondrift/proxy/loop/ActiveSettings.java
@@ -62,12 +62,13 @@
      * @param classNames the names of the new request classes, in the order of the settings
      * @param shadowSettings null where the new configuration has none
      */
-    void reload(Settings next, List<String> classNames, Settings shadowSettings) {
-        requestClasses = requestClasses.reloaded(classNames, next.requestClasses(), this::isInUse);
+    void reload(Settings newSettings, List<String> classNames, Settings shadowSettings) {
+        requestClasses =
+                requestClasses.reloaded(classNames, newSettings.requestClasses(), this::isInUse);
         reloadsNotApplied++;
         // Guards against a threshold of the class that had the index before.
         shedThresholds.clear();
-        settings = settings.reloaded(next, requestClasses.classesByIndex());
+        settings = settings.reloaded(newSettings, requestClasses.classesByIndex());
         balancer.settingsChanged(settings.dividedAmong(processCount), requestClasses.reassigned());
         shadow.settingsChanged(shadowSettings, requestClasses);
         actions.settingsChanged(requestClasses, settings);
@@ -84,7 +85,7 @@
     }
 
     /** The I/O thread has applied a reload and has requests of these classes. */
-    void applied(Set<Integer> classesInUse) {
+    void reloadApplied(Set<Integer> classesInUse) {
         reloadsNotApplied--;
         this.classesInUse = classesInUse;
     }
--- a/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
@@ -79,7 +79,7 @@
                 .anyMatch(request -> request.requestClassIndex == requestClass);
     }
 
-    void opened(PendingRequest pending) {
+    void requestOpened(PendingRequest pending) {
         openRequests.put(pending.request(), pending);
     }
 
@@ -88,7 +88,7 @@
      * log lines.
      */
     void execute(Decision decision) {
-        shadow.decided(decision);
+        shadow.decisionMade(decision);
         decision.cancellations.forEach(actions::cancel);
         for (Attempt attempt : decision.attempts) {
             send(attempt);
@@ -99,7 +99,7 @@
             } else {
                 fail(reply.request());
             }
-            release(reply.request());
+            releaseIfFinished(reply.request());
         }
         decision.probes.forEach(this::probe);
         decision.endpointListCalls.forEach(actions::requestEndpointList);
@@ -221,7 +221,7 @@
     /**
      * Forgets a request that is completed and has no attempt in flight, and releases its backends.
      */
-    void release(Request request) {
+    void releaseIfFinished(Request request) {
         if (request.completed
                 && request.attemptsInFlight == 0
                 && openRequests.remove(request) != null) {
@@ -237,7 +237,7 @@
 
     /** Has the metrics count how many backends are listed, and how many of them are not usable. */
     void reportBackendCount() {
-        actions.backendsCounted(
+        actions.updateBackendCounts(
                 directory.listedCount(), directory.listedCount() - balancer.usableBackendCount());
     }
 }
--- a/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -83,12 +83,12 @@
 
     /** Exchanges load with the other proxies; before the start. */
     public void enableGossip(GossipSettings gossip) {
-        peers.enable(gossip);
+        peers.enableGossip(gossip);
     }
 
     /** Exchanges load with the other proxies, and recovers with their help; before the start. */
     public void enableGossip(GossipSettings gossip, RecoveryCoordinator recoveryCoordinator) {
-        peers.enable(gossip, recoveryCoordinator);
+        peers.enableGossip(gossip, recoveryCoordinator);
     }
 
     /** Null where there is none. Any thread. */
@@ -102,7 +102,7 @@
     }
 
     /** Null where there is none. Once the loop has stopped. */
-    public ShadowEvaluator shadow() {
+    public ShadowEvaluator shadowEvaluator() {
         return shadow.evaluator();
     }
 
@@ -121,7 +121,7 @@
 
     @Override
     public void requestArrived(PendingRequest pending) {
-        eventLoop.put(
+        eventLoop.enqueue(
                 new Event(
                         EventType.REQUEST_ARRIVED,
                         pending.request().arrivedAt,
@@ -142,7 +142,7 @@
             double durationSeconds,
             double[] loadReport,
             BackendResponse response) {
-        put(
+        enqueue(
                 EventType.ATTEMPT_ENDED,
                 attempt.request,
                 () ->
@@ -152,31 +152,34 @@
 
     @Override
     public void probeEnded(int backend, AttemptOutcome outcome, double[] loadReport) {
-        put(EventType.PROBE_ENDED, () -> eventHandler.probeEnded(backend, outcome, loadReport));
+        enqueue(EventType.PROBE_ENDED, () -> eventHandler.probeEnded(backend, outcome, loadReport));
     }
 
     @Override
     public void requestAbandoned(Request request) {
-        put(EventType.CLIENT_LEFT, request, () -> eventHandler.requestAbandoned(request));
+        enqueue(EventType.CLIENT_LEFT, request, () -> eventHandler.requestAbandoned(request));
     }
 
     @Override
     public void bodyNotReplayable(Request request) {
-        put(EventType.BODY_NOT_REPLAYABLE, request, () -> eventHandler.bodyNotReplayable(request));
+        enqueue(
+                EventType.BODY_NOT_REPLAYABLE,
+                request,
+                () -> eventHandler.bodyNotReplayable(request));
     }
 
     /** See {@link EndpointListApplier}. */
     @Override
     public void endpointListReceived(
-            EndpointList list, boolean knownBeforeStart, Runnable applied) {
-        put(
+            EndpointList list, boolean knownBeforeStart, Runnable onApplied) {
+        enqueue(
                 EventType.ENDPOINT_LIST_RECEIVED,
-                () -> endpointLists.received(list, knownBeforeStart, applied));
+                () -> endpointLists.endpointListReceived(list, knownBeforeStart, onApplied));
     }
 
     @Override
     public void endpointListFailed() {
-        put(EventType.ENDPOINT_LIST_FAILED, eventHandler::endpointListFailed);
+        enqueue(EventType.ENDPOINT_LIST_FAILED, eventHandler::endpointListFailed);
     }
 
     /**
@@ -184,9 +187,9 @@
      * loop decides.
      */
     @Override
-    public void datagramReceived(int from, byte[] datagram) {
-        if (peers.received(from, datagram)) {
-            put(EventType.RECOVERY_DATAGRAM_RECEIVED, () -> {});
+    public void datagramReceived(int fromProxy, byte[] datagram) {
+        if (peers.datagramReceived(fromProxy, datagram)) {
+            enqueue(EventType.RECOVERY_DATAGRAM_RECEIVED, () -> {});
         }
     }
 
@@ -195,7 +198,9 @@
      * budget too.
      */
     public void setProcessCount(int processCount) {
-        put(EventType.PROCESS_COUNT_CHANGED, () -> activeSettings.setProcessCount(processCount));
+        enqueue(
+                EventType.PROCESS_COUNT_CHANGED,
+                () -> activeSettings.setProcessCount(processCount));
     }
 
     /**
@@ -204,29 +209,29 @@
      * @param classNames the names of the new request classes, in the order of the settings
      * @param shadowSettings null where the new configuration has none
      */
-    public void reload(Settings next, List<String> classNames, Settings shadowSettings) {
-        put(
+    public void reload(Settings newSettings, List<String> classNames, Settings shadowSettings) {
+        enqueue(
                 EventType.SETTINGS_RELOADED,
-                () -> activeSettings.reload(next, classNames, shadowSettings));
+                () -> activeSettings.reload(newSettings, classNames, shadowSettings));
     }
 
     /**
      * The I/O thread goes by the settings of one more reload, and has requests of these classes.
      */
     public void settingsApplied(Set<Integer> classesInUse) {
-        put(EventType.SETTINGS_APPLIED, () -> activeSettings.applied(classesInUse));
+        enqueue(EventType.SETTINGS_APPLIED, () -> activeSettings.reloadApplied(classesInUse));
     }
 
     /** Ends all open requests, as rejected where a retry is harmless. At the end of the process. */
     public void endOpenRequests() {
-        put(EventType.SHUTDOWN, executor::endOpenRequests);
+        enqueue(EventType.SHUTDOWN, executor::endOpenRequests);
     }
 
     /**
      * Runs a task on the loop's thread, once all actions so far are on their way to the I/O thread.
      */
     public void runOnLoop(Runnable task) {
-        put(
+        enqueue(
                 EventType.TASK,
                 () -> {
                     actions.flush();
@@ -249,11 +254,11 @@
         return eventLoop.metricsJson();
     }
 
-    private void put(EventType type, Runnable action) {
-        put(type, null, action);
+    private void enqueue(EventType type, Runnable action) {
+        enqueue(type, null, action);
     }
 
-    private void put(EventType type, Request request, Runnable action) {
-        eventLoop.put(new Event(type, Event.UNKNOWN_TIME, request, action));
+    private void enqueue(EventType type, Request request, Runnable action) {
+        eventLoop.enqueue(new Event(type, Event.UNKNOWN_TIME, request, action));
     }
 }
--- a/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
+++ b/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
@@ -31,7 +31,7 @@
     private final DecisionExecutor executor;
 
     /** Lists that are not applied whole yet, the oldest first. */
-    private final Queue<EndpointListUpdate> pending = new ArrayDeque<>();
+    private final Queue<EndpointListUpdate> pendingLists = new ArrayDeque<>();
 
     EndpointListApplier(
             LoadBalancer balancer,
@@ -52,20 +52,20 @@
 
     /** Whether a list waits for its next slice. */
     boolean hasPending() {
-        return !pending.isEmpty();
+        return !pendingLists.isEmpty();
     }
 
     /** Takes a new list, and applies its first slice at once unless another list is under way. */
-    void received(EndpointList list, boolean knownBeforeStart, Runnable notifyApplied) {
-        pending.add(new EndpointListUpdate(directory, list, knownBeforeStart, notifyApplied));
-        if (pending.size() == 1) {
+    void endpointListReceived(EndpointList list, boolean knownBeforeStart, Runnable onApplied) {
+        pendingLists.add(new EndpointListUpdate(directory, list, knownBeforeStart, onApplied));
+        if (pendingLists.size() == 1) {
             applyNextSlice();
         }
     }
 
     /** Applies the next slice of the oldest list; one has to be pending. */
     void applyNextSlice() {
-        EndpointListUpdate list = pending.peek();
+        EndpointListUpdate list = pendingLists.peek();
         List<EndpointUpdate> updates = peers.withSubsets(list.nextSlice());
         shadow.endpointsListed(list.isStale(), updates);
         balancer.endpointsChanged(clock.now(), false, updates);
@@ -79,7 +79,7 @@
             }
         }
         if (list.isDone()) {
-            finish(pending.remove());
+            finish(pendingLists.remove());
         }
     }
 
--- a/src/main/java/lemondrift/proxy/loop/EventHandler.java
+++ b/src/main/java/lemondrift/proxy/loop/EventHandler.java
@@ -43,13 +43,13 @@
     /** The request is open from now on; the balancer decides where it goes, or rejects it. */
     void requestArrived(PendingRequest pending) {
         arrivedCount++;
-        executor.opened(pending);
+        executor.requestOpened(pending);
         shadow.requestArrived(pending.request());
         executor.execute(balancer.requestArrived(clock.now(), pending.request()));
     }
 
     /** How many requests have arrived since the last call. */
-    int takeArrivedCount() {
+    int getAndResetArrivedCount() {
         int count = arrivedCount;
         arrivedCount = 0;
         return count;
@@ -80,12 +80,12 @@
      * Ends what an error kept from being sent. Guards against attempts that stay in flight for good
      * and backends that look busy for as long.
      */
-    void endUnsent() {
+    void endUnsentAttemptsAndProbes() {
         for (Attempt attempt = executor.pollUnsentAttempt();
                 attempt != null;
                 attempt = executor.pollUnsentAttempt()) {
             attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
-            executor.release(attempt.request);
+            executor.releaseIfFinished(attempt.request);
         }
         for (OptionalInt backend = executor.pollUnsentProbe();
                 backend.isPresent();
--- a/src/main/java/lemondrift/proxy/loop/EventLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/EventLoop.java
@@ -24,7 +24,7 @@
     /**
      * Events handled after the first of an iteration before the I/O thread hears what was decided.
      */
-    private static final int MAX_FURTHER_EVENTS = 32;
+    private static final int MAX_FURTHER_EVENTS_PER_ITERATION = 32;
 
     /** Longest wait for an event, in seconds. */
     private static final double MAX_WAIT_SECONDS = 10;
@@ -91,7 +91,7 @@
     }
 
     /** Blocks while the queue is full. Any thread but the loop's. */
-    void put(Event event) {
+    void enqueue(Event event) {
         try {
             queue.put(event);
         } catch (InterruptedException e) {
@@ -124,7 +124,7 @@
     private void iterate(Event firstEvent) {
         iterationStartedAt = clock.now();
         peers.processReceived();
-        handleQueued(firstEvent);
+        handleBatch(firstEvent);
         if (executor.wakeAt() <= clock.now()) {
             handle(
                     new Event(
@@ -143,28 +143,28 @@
                             endpointLists::applyNextSlice));
         }
         shadow.iterationEnded();
-        int arrivedCount = eventHandler.takeArrivedCount();
+        int arrivedCount = eventHandler.getAndResetArrivedCount();
         if (arrivedCount > 0) {
             actions.requestsDecided(arrivedCount, clock.now() - iterationStartedAt);
         }
-        peers.sendDue();
+        peers.sendDueMessages();
         actions.flush();
-        measureIteration(clock.now());
+        recordIteration(clock.now());
     }
 
     /**
      * Handles one batch of the queue; where it was full, the queue is long and the thresholds are
      * computed anew.
      */
-    private void handleQueued(Event firstEvent) {
+    private void handleBatch(Event firstEvent) {
         Event event = firstEvent;
         int handledCount = 0;
         while (event != null) {
             handle(event);
-            event = handledCount < MAX_FURTHER_EVENTS ? queue.poll() : null;
+            event = handledCount < MAX_FURTHER_EVENTS_PER_ITERATION ? queue.poll() : null;
             handledCount++;
         }
-        if (handledCount > MAX_FURTHER_EVENTS) {
+        if (handledCount > MAX_FURTHER_EVENTS_PER_ITERATION) {
             shedThresholds.update(activeSettings.settings());
         }
     }
@@ -173,7 +173,7 @@
         loopMetrics.eventHandled(event.type().metricsKind, iterationStartedAt - event.dueAt());
         try {
             event.action().run();
-            eventHandler.endUnsent();
+            eventHandler.endUnsentAttemptsAndProbes();
         } catch (RuntimeException | Error e) {
             // Wide, as no error about one request may end the thread that decides for all.
             executor.eventFailed(event, e);
@@ -181,11 +181,11 @@
         // Guards against a request that is forgotten before its decision is carried out, and never
         // answered.
         if (event.request() != null) {
-            executor.release(event.request());
+            executor.releaseIfFinished(event.request());
         }
     }
 
-    private void measureIteration(double now) {
+    private void recordIteration(double now) {
         String line = loopMetrics.iterationEnded(now - iterationStartedAt, queue.size(), now);
         if (line != null) {
             LOG.info("decision loop {}", line);
--- a/src/main/java/lemondrift/proxy/loop/PeerExchange.java
+++ b/src/main/java/lemondrift/proxy/loop/PeerExchange.java
@@ -39,13 +39,13 @@
     }
 
     /** Before the loop starts. The wall clock gives the start number. */
-    void enable(GossipSettings settings) {
+    void enableGossip(GossipSettings settings) {
         gossipSession =
                 new GossipSession(settings, System.currentTimeMillis(), balancer, directory);
     }
 
     /** Before the loop starts. Recovery gives the start number. */
-    void enable(GossipSettings settings, RecoveryCoordinator recoveryCoordinator) {
+    void enableGossip(GossipSettings settings, RecoveryCoordinator recoveryCoordinator) {
         this.recoveryCoordinator = recoveryCoordinator;
         gossipSession =
                 new GossipSession(settings, recoveryCoordinator.startNumber(), balancer, directory);
@@ -60,7 +60,7 @@
      * Keeps a datagram for the next iteration; returns whether the loop has to be woken for it. Any
      * thread.
      */
-    boolean received(int fromProxy, byte[] datagram) {
+    boolean datagramReceived(int fromProxy, byte[] datagram) {
         if (recoveryCoordinator != null && RecoveryCoordinator.isRecoveryDatagram(datagram)) {
             recoveryCoordinator.received(fromProxy, datagram);
             return true;
@@ -111,7 +111,7 @@
     }
 
     /** Advances recovery, and has all messages sent that are due. */
-    void sendDue() {
+    void sendDueMessages() {
         if (recoveryCoordinator != null) {
             recoveryCoordinator.advance(
                     clock.now(), balancer, gossipSession::peerRestarted, actions::sendGossip);
--- a/src/main/java/lemondrift/proxy/loop/ShadowRunner.java
+++ b/src/main/java/lemondrift/proxy/loop/ShadowRunner.java
@@ -89,7 +89,7 @@
         }
     }
 
-    void decided(Decision decision) {
+    void decisionMade(Decision decision) {
         if (evaluator != null) {
             run(shadow -> shadow.decisionMade(clock.now(), decision));
         }
--- a/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -51,17 +51,25 @@
     }
 
     /** One where each connection is a source by itself. */
-    static ConnectionPolicyModel of(int places) {
-        return new ConnectionPolicyModel(limits(places, ConnectionLimits.Sharing.CONNECTION));
+    static ConnectionPolicyModel withSourcePerConnection(int maxConnections) {
+        return new ConnectionPolicyModel(
+                limits(maxConnections, ConnectionLimits.Sharing.CONNECTION));
     }
 
-    static ConnectionLimits limits(int places, ConnectionLimits.Sharing sharing) {
+    static ConnectionLimits limits(int maxConnections, ConnectionLimits.Sharing sharing) {
         return new ConnectionLimits(
-                places, places + places / 10 + 1, 2.2, 2, sharing, false, 2048, 1);
+                maxConnections,
+                maxConnections + maxConnections / 10 + 1,
+                2.2,
+                2,
+                sharing,
+                false,
+                2048,
+                1);
     }
 
     @Override
-    public boolean isSilent(int connection) {
+    public boolean hasNoUnreadBytes(int connection) {
         Client client = clients.get(connection);
         if (client.hasUnreadBytes) {
             client.hasUnreadBytes = false;
@@ -172,7 +180,7 @@
         return deadline;
     }
 
-    void check() {
+    void assertInvariants() {
         for (Map.Entry<Integer, Client> each : clients.entrySet()) {
             Client client = each.getValue();
             assertEquals(client.state, policy.state(each.getKey()));
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -20,7 +20,7 @@
  */
 class ConnectionPolicyTest {
     @Property(tries = 400, seed = "48")
-    void rulesHoldForAnyHistory(
+    void invariantsHoldForAnyEventSequence(
             @ForAll @IntRange(min = 1, max = 40) int places,
             @ForAll ConnectionLimits.Sharing sharing,
             @ForAll @Size(min = 50, max = 400) List<@IntRange(max = 9999) Integer> steps) {
@@ -65,7 +65,7 @@
                 default -> model.policy.evictExcess(model.now);
             }
             if (step % 10 == 7) {
-                model.check();
+                model.assertInvariants();
             }
         }
         // All that send nothing are evicted, down to the limit.
@@ -83,8 +83,8 @@
     }
 
     @Test
-    void clientsThatNeverReuseLeavePlacesToThoseThatDo() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(200);
+    void connectionsThatAreNeverReusedGiveWayToReusedOnes() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(200);
         int[] steady = IntStream.range(0, 20).map(i -> model.accept()).toArray();
         int onOpenConnections = 0;
         int requests = 0;
@@ -120,7 +120,7 @@
 
     @Test
     void connectionsWithoutARequestAreEvicted() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(60);
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(60);
         int served = 0;
         int expected = 0;
         for (int round = 0; round < 100; round++) {
@@ -142,8 +142,8 @@
     }
 
     @Test
-    void idleForLessThanTheLimitStaysOpen() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(100);
+    void connectionIdleForLessThanTheLimitStaysOpen() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(100);
         int connection = model.accept();
         for (int k = 0; k < 4; k++) {
             assertTrue(model.exchange(connection));
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void manySourcesWithOneConnectionHoldAgainstFewWithMany() {
+    void fewSourcesCannotDisplaceManySourcesWithOneConnectionEach() {
         ConnectionPolicyModel model =
                 new ConnectionPolicyModel(
                         ConnectionPolicyModel.limits(1000, ConnectionLimits.Sharing.ADDRESS));
@@ -185,8 +185,8 @@
     }
 
     @Test
-    void aPauseOfTheProcessMakesNobodyOverdue() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
+    void processPauseMakesNoConnectionOverdue() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(20);
         int withoutByte = model.accept();
         int withPartialHead = model.accept();
         int idle = model.accept();
@@ -203,8 +203,8 @@
     }
 
     @Test
-    void unreadBytesAreLookedForBeforeAnyClose() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
+    void connectionWithUnreadBytesIsNotClosed() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(20);
         int withoutByte = model.accept();
         int idle = model.accept();
         model.exchange(idle);
@@ -219,9 +219,9 @@
 
     /** Guards against a client that sends one byte late and holds its place without a request. */
     @Test
-    void aClientWhoseFirstByteComesLateIsClosedWithinThreeSeconds() {
+    void connectionWithLateFirstByteIsClosedWithinThreeSeconds() {
         for (double firstByteAt : new double[] {0, 0.5, 1, 1.7}) {
-            ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
+            ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(20);
             int connection = model.accept();
             double acceptedAt = model.now;
             model.advance(firstByteAt);
@@ -233,8 +233,8 @@
     }
 
     @Test
-    void aByteEach90MillisecondsIsNoProgress() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
+    void requestBelowMinimumRateIsClosed() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(20);
         int connection = model.accept();
         double startedAt = model.now;
         for (int k = 0; k < 50 && model.clients.containsKey(connection); k++) {
@@ -254,8 +254,8 @@
     }
 
     @Test
-    void idleConnectionsAreEvictedWhenTheLimitFalls() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
+    void idleConnectionsAreEvictedWhenTheLimitIsLowered() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(20);
         for (int i = 0; i < 4; i++) {
             assertTrue(model.exchange(model.accept()));
         }
@@ -275,8 +275,8 @@
     }
 
     @Test
-    void aHeadMayTakeTwoSecondsAndABodyPauseAsLong() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
+    void headMayTakeTwoSecondsAndBodyMayPauseForTwoSeconds() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(20);
         int slow = model.accept();
         int stalled = model.accept();
         model.sendBytes(stalled, 100);
@@ -300,8 +300,8 @@
     }
 
     @Test
-    void aResponseThatIsNotTakenEndsTheConnection() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
+    void connectionIsClosedWhenClientDoesNotReadItsResponse() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(20);
         int slow = model.accept();
         int fast = model.accept();
         for (int connection : new int[] {slow, fast}) {
@@ -323,8 +323,8 @@
     }
 
     @Test
-    void repeatedRejectionsPauseReadingAndThenClose() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(20);
+    void repeatedInvalidRequestsPauseReadingAndThenCloseTheConnection() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(20);
         int connection = model.accept();
         double lastPauseSeconds = 0;
         boolean staysOpen = true;
@@ -332,9 +332,9 @@
         for (; staysOpen && rejections < 50; rejections++) {
             model.sendBytes(connection, 10);
             model.policy.headRead(connection, model.now);
-            model.policy.invalidRequest(connection, model.now);
+            model.policy.invalidRequestReceived(connection, model.now);
             staysOpen = model.policy.responseReady(connection, model.now);
-            double pauseSeconds = model.policy.readPauseSeconds(connection, model.now);
+            double pauseSeconds = model.policy.startReadPause(connection, model.now);
             assertTrue(
                     pauseSeconds >= lastPauseSeconds
                             && pauseSeconds <= model.limits.maxReadPauseSeconds());
@@ -348,8 +348,8 @@
     }
 
     @Test
-    void aDrainSpreadsClosesOverItsTime() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(300);
+    void drainSpreadsClosesEvenlyOverItsDuration() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(300);
         List<Integer> idle = new ArrayList<>();
         for (int step = 0; step < 40; step++) {
             idle.add(model.accept());
@@ -357,7 +357,7 @@
         }
         int awaitingResponse = model.accept();
         model.sendRequest(awaitingResponse, 0);
-        model.policy.drain(model.now, model.now + 0.5);
+        model.policy.startDrain(model.now, model.now + 0.5);
         int[] open = new int[6];
         for (int step = 0; step < 5; step++) {
             open[step] = model.clients.size();
@@ -380,9 +380,9 @@
     }
 
     @Test
-    void connectionLimitsHold() {
+    void openConnectionsStayWithinTheLimit() {
         for (int places : new int[] {14, 129, 9806}) {
-            ConnectionPolicyModel model = ConnectionPolicyModel.of(places);
+            ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(places);
             for (int k = 0; k < 2 * places; k++) {
                 if (model.clients.size() >= model.limits.acceptLimit()) {
                     model.advance(0.2);
@@ -398,7 +398,7 @@
     }
 
     @Test
-    void announcedKeepAliveIsHeldTo() {
+    void connectionStaysOpenForItsAnnouncedKeepAliveTime() {
         ConnectionLimits limits =
                 new ConnectionLimits(
                         8, 10, 2.2, 0, ConnectionLimits.Sharing.CONNECTION, true, 2048, 1);
@@ -414,12 +414,12 @@
     }
 
     @Test
-    void eventsOfAClosedConnectionChangeNothing() {
-        ConnectionPolicyModel model = ConnectionPolicyModel.of(8);
+    void eventsOfAClosedConnectionAreIgnored() {
+        ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(8);
         int connection = model.policy.accepted(7, model.now);
         model.policy.closed(connection, model.now);
         model.policy.headRead(connection, model.now);
-        model.policy.invalidRequest(connection, model.now);
+        model.policy.invalidRequestReceived(connection, model.now);
         // The model knows no client there, so that to close it would fail, and end all further
         // sweeps.
         assertDoesNotThrow(() -> model.policy.sweep(model.now + 100));
--- a/src/test/java/lemondrift/connection/RequestQueueTest.java
+++ b/src/test/java/lemondrift/connection/RequestQueueTest.java
@@ -16,13 +16,13 @@
 /** The bound of the queue before the balancer. */
 class RequestQueueTest {
     @Test
-    void theQueueTakesWhatCanBeDecidedAndTheEarliestDeadlineFirst() {
+    void admitsUpToCapacityAndThenByEarliestDeadline() {
         RequestQueue<Integer> requestQueue = new RequestQueue<>(0.4);
         assertTrue(requestQueue.tryReserve(), "nothing is known yet");
-        requestQueue.decided(1, 0);
+        requestQueue.requestsDecided(1, 0);
         for (int k = 0; k < 200; k++) {
             assertTrue(requestQueue.tryReserve());
-            requestQueue.decided(1, 0.001);
+            requestQueue.requestsDecided(1, 0.001);
         }
         assertEquals(
                 50,
@@ -39,7 +39,7 @@
         deadlines.forEach(deadline -> requestQueue.holdBack(deadline, deadline));
         assertNull(requestQueue.pollNext());
         assertTrue(requestQueue.isBacklogged());
-        requestQueue.decided(10, 0.010);
+        requestQueue.requestsDecided(10, 0.010);
         List<Integer> polledInOrder = new ArrayList<>();
         for (Integer polled = requestQueue.pollNext();
                 polled != null;
--- a/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
+++ b/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
@@ -8,25 +8,25 @@
 
 class ResourceSplitTest {
     @Test
-    void halfIsUsedUntilItIsSureThatNobodyElseHasTheRest() {
+    void splitsResourcesInTwoUnlessKnownToBeAlone() {
         ResourceSplit split = new ResourceSplit();
         assertEquals(2, split.processCount(), "nobody has looked yet");
-        assertTrue(split.observed(true, false));
+        assertTrue(split.update(true, false));
         assertEquals(1, split.processCount());
-        assertFalse(split.observed(true, false));
-        assertTrue(split.observed(true, true));
+        assertFalse(split.update(true, false));
+        assertTrue(split.update(true, true));
         assertEquals(ResourceSplit.State.FOLLOWED, split.state());
         assertEquals(2, split.processCount());
-        assertTrue(split.observed(true, false), "the follower has ended");
+        assertTrue(split.update(true, false), "the follower has ended");
         assertEquals(1, split.processCount());
     }
 
     @Test
-    void aFollowerHasAllOnceTheServingProcessHasEnded() {
+    void followerUsesAllResourcesOnceItServesAlone() {
         ResourceSplit follower = new ResourceSplit();
-        assertFalse(follower.observed(false, true));
+        assertFalse(follower.update(false, true));
         assertEquals(2, follower.processCount());
-        assertTrue(follower.observed(true, false));
+        assertTrue(follower.update(true, false));
         assertEquals(1, follower.processCount());
     }
 }
--- a/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/EventLoopMetricsTest.java
@@ -13,7 +13,7 @@
     private final EventLoopMetrics loopMetrics = new EventLoopMetrics();
 
     @Test
-    void aLongWaitIsLoggedOnceAndStaysInTheJson() {
+    void longWaitIsLoggedOnceAndStaysInTheJson() {
         loopMetrics.eventHandled(EventLoopMetrics.Kind.ARRIVAL, 0.001);
         assertNull(loopMetrics.iterationEnded(0.001, 0, 10), "nothing worth a line");
         loopMetrics.eventHandled(EventLoopMetrics.Kind.TIMER, 0.3);
--- a/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
@@ -16,7 +16,7 @@
      * left.
      */
     @Property(seed = "48")
-    void requestsInFlightAreThoseAcceptedLessThoseCompleted(
+    void requestsInFlightEqualAcceptedMinusCompleted(
             @ForAll List<@IntRange(min = 0, max = 2) Integer> events) {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look"));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aClassThatIsDroppedKeepsItsCountsAndANewOneBeginsAtZero() {
+    void droppedClassKeepsItsCountsAndNewClassStartsAtZero() {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look", "order"));
         metrics.replySent("look", ProxyMetrics.Reply.OVERLOAD);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aSnapshotDoesNotChange() {
+    void snapshotIsNotAffectedByLaterCounts() {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look"));
         ProxyMetrics.Snapshot snapshot = metrics.snapshot();
--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -44,7 +44,7 @@
             metrics.replySent("write", ProxyMetrics.Reply.OVERLOAD);
             metrics.replySent("write", ProxyMetrics.Reply.ERROR);
             metrics.attemptSent();
-            metrics.backendsCounted(5, 2);
+            metrics.setBackendCounts(5, 2);
             metrics.configurationReloaded(true);
             metrics.configurationReloaded(false);
             metrics.configurationReloaded(false);
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
@@ -171,7 +171,7 @@
                                     usual.sharing(),
                                     true,
                                     usual.minBytesPerSecond(),
-                                    usual.usualPriorityWeight()));
+                                    usual.typicalPriorityWeight()));
                 };
         start(backend(OK));
         Socket client = client();
--- a/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -107,7 +107,7 @@
     }
 
     /** The attempt that is sent for a request; null where none is. */
-    private Attempt attemptFor(long id) throws InterruptedException {
+    private Attempt receiveRequestAndAwaitAttempt(long id) throws InterruptedException {
         receiveRequest(id);
         return nextAttempt();
     }
@@ -139,7 +139,7 @@
      * 502 for a request of which nothing was sent.
      */
     @Test
-    void rejectsOnlyTheRequestWhoseAttemptThrowsAndEndsTheAttempt() throws Exception {
+    void rejectsRequestAndEndsAttemptWhenSendThrows() throws Exception {
         decisionLoop.start();
         receiveList("active");
         sendFails = true;
@@ -150,19 +150,21 @@
         assertEquals(0, openRequestsAndReferences());
         assertTrue(unsent.ended, "the balancer has heard of its end");
         assertEquals(0, unsent.request.attemptsInFlight);
-        decisionLoop.attemptEnded(attemptFor(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        decisionLoop.attemptEnded(
+                receiveRequestAndAwaitAttempt(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         assertEquals("delivered 2", nextAction());
         assertEquals(0, openRequestsAndReferences());
     }
 
     /** Guards against a request that is never answered because a decision about it throws. */
     @Test
-    void failsTheRequestAboutWhichTheBalancerThrowsAndGoesOn() throws Exception {
+    void failsRequestWhenBalancerThrowsAndKeepsRunning() throws Exception {
         decisionLoop.start();
         receiveList("active");
         receiveRequest(1, UNKNOWN_CLASS);
         assertEquals("failed 1", nextAction());
-        decisionLoop.attemptEnded(attemptFor(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        decisionLoop.attemptEnded(
+                receiveRequestAndAwaitAttempt(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         assertEquals("delivered 2", nextAction());
         assertEquals(0, openRequestsAndReferences());
     }
@@ -185,7 +187,7 @@
                 new GossipSettings(null, List.of(anyAddress, anyAddress), 1, 0, 1, 12));
         decisionLoop.start();
         receiveList("active");
-        Attempt attempt = attemptFor(1);
+        Attempt attempt = receiveRequestAndAwaitAttempt(1);
         SubsetAssignment subsets = new SubsetAssignment(2, 12);
         LoadGossip otherProxy = new LoadGossip(2, 0, 1, 0, 1, subsets, tag -> {});
         otherProxy.receive(1, nextGossipDatagram(), now);
@@ -204,22 +206,23 @@
     void answersRequestOnceAndDiscardsLateResponses() throws Exception {
         decisionLoop.start();
         receiveList("active");
-        Attempt first = attemptFor(1);
+        Attempt first = receiveRequestAndAwaitAttempt(1);
         now += 1.5;
         decisionLoop.attemptEnded(first, AttemptOutcome.TIMED_OUT, 1.5, null, null);
         assertEquals("failed 1", nextAction());
-        Attempt second = attemptFor(2);
+        Attempt second = receiveRequestAndAwaitAttempt(2);
         decisionLoop.requestAbandoned(second.request);
         assertEquals("cancelled 2", nextAction());
         decisionLoop.attemptEnded(second, AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
-        decisionLoop.attemptEnded(attemptFor(3), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        decisionLoop.attemptEnded(
+                receiveRequestAndAwaitAttempt(3), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         assertEquals(
                 "delivered 3", nextAction(), "nothing more for the request whose client has left");
     }
 
     /** Guards against 502 at the end of the process for what a client may send again. */
     @Test
-    void endsOpenRequestsByTheirIdempotencyAtShutdown() throws Exception {
+    void rejectsIdempotentAndFailsOtherOpenRequestsAtShutdown() throws Exception {
         decisionLoop.start();
         receiveList("active");
         receiveRequest(1, NOT_IDEMPOTENT_CLASS);
@@ -275,7 +278,7 @@
 
     /** Guards against an older list that is applied after a newer one. */
     @Test
-    void appliesListsInTheOrderInWhichTheyCame() throws Exception {
+    void appliesListsInOrderOfArrival() throws Exception {
         decisionLoop.endpointListReceived(
                 longList("active"), false, () -> actions.add("applied 1"));
         decisionLoop.endpointListReceived(
@@ -285,7 +288,9 @@
             assertTrue(List.of("applied 1", "pool retired").contains(action), action);
         }
         assertEquals(
-                0, attemptFor(1).backend, "the only one left, under the first index that is free");
+                0,
+                receiveRequestAndAwaitAttempt(1).backend,
+                "the only one left, under the first index that is free");
     }
 
     @Override
@@ -335,7 +340,7 @@
     public void requestsDecided(int requests, double seconds) {}
 
     @Override
-    public void backendsCounted(int listed, int disabled) {}
+    public void updateBackendCounts(int listed, int disabled) {}
 
     @Override
     public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
