--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -185,7 +185,7 @@
     public void serve(ServerSocketChannel inheritedSocket) throws IOException {
         if (gossipTransport != null) {
             gossipTransport.start(worker);
-            clientListener.beforeEachRequest(gossipTransport::receive);
+            clientListener.runBeforeEachRequest(gossipTransport::receive);
         }
         decisionLoop.endpointListReceived(EndpointListBuilder.of(initialEndpoints), true, () -> {});
         initialEndpoints = null;
@@ -330,7 +330,7 @@
 
     /** How many request classes have an index. */
     int classesKnown() {
-        return clientListener.classesKnown();
+        return clientListener.requestClassCount();
     }
 
     /** The shadow's figures, once the loop has stopped; null where there is no shadow. */
--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -31,22 +31,22 @@
     private static final Logger LOG = LoggerFactory.getLogger(BackendCall.class);
 
     private final ConnectionPool pool;
-    private final RequestWriter request;
+    private final RequestWriter requestWriter;
     private final ResponseReader reader;
     private final CallTimeouts timeouts;
 
     /** Whether anybody waits for the response. */
-    private final BooleanSupplier isWanted;
+    private final BooleanSupplier isResponseAwaited;
 
     private final Runnable onSent;
     private final Consumer<BackendResponse> onEnd;
     private State state = State.CONNECTING;
 
     /** Null while connecting. */
-    private ConnectionPool.PooledConnection link;
+    private ConnectionPool.PooledConnection pooledConnection;
 
     /** Null until the connect has begun. */
-    private IoFuture<StreamConnection> connect;
+    private IoFuture<StreamConnection> connectFuture;
 
     /** The buffer that a streamed response has taken over; null where there is none. */
     private PooledByteBuffer streamedBuffer;
@@ -56,14 +56,14 @@
             RequestWriter.Request request,
             ResponseReader reader,
             CallTimeouts timeouts,
-            BooleanSupplier isWanted,
+            BooleanSupplier isResponseAwaited,
             Runnable onSent,
             Consumer<BackendResponse> onEnd) {
         this.pool = pool;
-        this.request = new RequestWriter(this, pool.io, request);
+        this.requestWriter = new RequestWriter(this, pool.ioThread, request);
         this.reader = reader;
         this.timeouts = timeouts;
-        this.isWanted = isWanted;
+        this.isResponseAwaited = isResponseAwaited;
         this.onSent = onSent;
         this.onEnd = onEnd;
     }
@@ -86,7 +86,7 @@
             Consumer<BackendResponse> onEnd) {
         CallTimeouts timeouts =
                 new CallTimeouts(
-                        pool.io,
+                        pool.ioThread,
                         pool.clock,
                         connectTimeoutSeconds,
                         timeoutSeconds,
@@ -109,7 +109,7 @@
      * its length is unknown and it has lasted for some time. Nothing more of the request is sent
      * once it is not wanted or its time is over.
      *
-     * @param isWanted whether anybody waits for the response; asked before each write
+     * @param isResponseAwaited whether anybody waits for the response; asked before each write
      * @param onSent hears once the last byte of the request is with the kernel
      * @param onEnd hears of the response or the failure once, not after {@link #abandon}
      * @return null if no connection is free and none may be opened
@@ -119,7 +119,7 @@
             RequestWriter.Request request,
             int maxBufferedBytes,
             CallTimeouts timeouts,
-            BooleanSupplier isWanted,
+            BooleanSupplier isResponseAwaited,
             Runnable onSent,
             Consumer<BackendResponse> onEnd) {
         BackendCall call =
@@ -128,37 +128,38 @@
                         request,
                         new ResponseReader(maxBufferedBytes, true),
                         timeouts,
-                        isWanted,
+                        isResponseAwaited,
                         onSent,
                         onEnd);
         return call.reserve() ? call : null;
     }
 
     /** The bytes of a GET request without a body. */
-    public static byte[] getRequest(String path, String host) {
+    public static byte[] buildGetRequest(String path, String host) {
         return ("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
     /** Takes an idle connection or a place for a new one, and starts the timers. */
     private boolean reserve() {
-        link = pool.takeRested();
-        if (link == null && !pool.reserve()) {
-            link = pool.takeIdle();
-            if (link == null) {
+        pooledConnection = pool.takeUnquarantined();
+        if (pooledConnection == null && !pool.tryReserveSlot()) {
+            pooledConnection = pool.takeAnyIdle();
+            if (pooledConnection == null) {
                 return false;
             }
         }
-        if (link != null) {
+        if (pooledConnection != null) {
             state = State.CONNECTED;
         }
-        timeouts.start(request.streamsBody(), link == null, () -> endFailed(true));
+        timeouts.start(
+                requestWriter.streamsBody(), pooledConnection == null, () -> endFailed(true));
         return true;
     }
 
     /** Sends the request, on the connection at hand or once one is established. */
     public void start() {
-        if (link != null) {
+        if (pooledConnection != null) {
             send();
         } else {
             connect();
@@ -167,8 +168,8 @@
 
     private void connect() {
         try {
-            connect = pool.connector.open(pool.address, this::connected);
-            connect.addNotifier(
+            connectFuture = pool.connector.open(pool.address, this::connected);
+            connectFuture.addNotifier(
                     (future, unused) -> {
                         if (future.getStatus() == IoFuture.Status.FAILED) {
                             endConnectionBroken();
@@ -188,7 +189,7 @@
             IoUtils.safeClose(connection);
             return;
         }
-        link = pool.opened(connection);
+        pooledConnection = pool.addConnection(connection);
         state = State.CONNECTED;
         timeouts.connected();
         send();
@@ -201,10 +202,10 @@
             return;
         }
         // Guards against a stale time: less is left than before the connection was established.
-        request.makeHead(timeouts.secondsLeft());
-        link.connection.getSourceChannel().setReadListener(source -> read());
-        link.connection.getSourceChannel().resumeReads();
-        request.start(link.connection.getSinkChannel());
+        requestWriter.makeHead(timeouts.secondsLeft());
+        pooledConnection.connection.getSourceChannel().setReadListener(source -> read());
+        pooledConnection.connection.getSourceChannel().resumeReads();
+        requestWriter.start(pooledConnection.connection.getSinkChannel());
     }
 
     /** Whether the call has ended. */
@@ -214,12 +215,13 @@
 
     /** Whether the request is worth sending: somebody waits for the response and it has time. */
     boolean isStillWanted() {
-        return isWanted.getAsBoolean() && (request.streamsBody() || !timeouts.isTooLateToSend());
+        return isResponseAwaited.getAsBoolean()
+                && (requestWriter.streamsBody() || !timeouts.isTooLateToSend());
     }
 
     /** The last byte of the request is with the kernel. */
     void requestSent() {
-        if (request.streamsBody()) {
+        if (requestWriter.streamsBody()) {
             timeouts.bodyStreamed();
         }
         onSent.run();
@@ -231,11 +233,15 @@
     }
 
     private void read() {
-        PooledByteBuffer pooled = pool.buffers.allocate();
+        PooledByteBuffer pooled = pool.bufferPool.allocate();
         try {
             int count = 1;
             while (!isDone() && count > 0) {
-                count = link.connection.getSourceChannel().read(pooled.getBuffer().clear());
+                count =
+                        pooledConnection
+                                .connection
+                                .getSourceChannel()
+                                .read(pooled.getBuffer().clear());
                 if (count > 0) {
                     bytesRead(pooled);
                 } else if (count < 0) {
@@ -258,7 +264,7 @@
         if (reader.read(buffer)) {
             boolean unexpectedBytes = buffer.hasRemaining();
             if (unexpectedBytes) {
-                pool.sawUnexpectedBytes();
+                pool.startQuarantine();
             }
             endComplete(unexpectedBytes);
         } else if (reader.isTooLongToBuffer()) {
@@ -267,7 +273,7 @@
     }
 
     private void connectionEnded() {
-        if (reader.endsWithConnection()) {
+        if (reader.endsAtConnectionClose()) {
             endComplete(true);
         } else {
             endConnectionBroken();
@@ -278,7 +284,7 @@
      * Guards against a client that hears nothing until too late of a response that comes slowly.
      */
     private void scheduleStreaming() {
-        if (!isDone() && reader.isLengthUnknown() && request.isSent()) {
+        if (!isDone() && reader.isLengthUnknown() && requestWriter.isSent()) {
             timeouts.scheduleStreaming(this::streamIncomplete);
         }
     }
@@ -286,7 +292,7 @@
     private void streamIncomplete() {
         if (!isDone()) {
             reader.forceStreaming();
-            PooledByteBuffer empty = pool.buffers.allocate();
+            PooledByteBuffer empty = pool.bufferPool.allocate();
             empty.getBuffer().limit(0);
             endStreamed(empty);
         }
@@ -296,9 +302,11 @@
     private void endStreamed(PooledByteBuffer unread) {
         streamedBuffer = unread;
         finish();
-        link.connection.getSourceChannel().suspendReads();
+        pooledConnection.connection.getSourceChannel().suspendReads();
         onEnd.accept(
-                reader.streamedResponse(new StreamedResponse(pool, link, request, reader, unread)));
+                reader.streamedResponse(
+                        new StreamedResponse(
+                                pool, pooledConnection, requestWriter, reader, unread)));
     }
 
     /**
@@ -307,7 +315,8 @@
      */
     private void endComplete(boolean spent) {
         finish();
-        pool.giveBack(link, !spent && request.isSent() && !reader.closesConnection());
+        pool.release(
+                pooledConnection, !spent && requestWriter.isSent() && !reader.closesConnection());
         onEnd.accept(reader.bufferedResponse());
     }
 
@@ -319,7 +328,7 @@
     private void endFailed(boolean timedOut) {
         if (!isDone()) {
             abandon();
-            onEnd.accept(BackendResponse.connectionFailed(request.isSent(), timedOut));
+            onEnd.accept(BackendResponse.connectionFailed(requestWriter.isSent(), timedOut));
         }
     }
 
@@ -339,18 +348,18 @@
         boolean connecting = state == State.CONNECTING;
         finish();
         if (!connecting) {
-            link.close();
+            pooledConnection.close();
             return;
         }
-        pool.releasePlace();
-        if (connect != null) {
-            connect.cancel();
+        pool.releaseSlot();
+        if (connectFuture != null) {
+            connectFuture.cancel();
         }
     }
 
     private void finish() {
         state = State.DONE;
         timeouts.stop();
-        request.stop();
+        requestWriter.stop();
     }
 }
--- a/src/main/java/lemondrift/proxy/backend/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -33,19 +33,19 @@
     private static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
     /** The share of the proxy's connections that go to backends. */
-    private static final double BACKENDS_SHARE = 0.33;
+    private static final double BACKEND_CONNECTIONS_SHARE = 0.33;
 
     /** The share of the backends' connections that one backend may have. */
-    private static final double ONE_BACKEND_SHARE = 0.25;
+    private static final double PER_BACKEND_SHARE = 0.25;
 
     /** Idle connections are closed at this share of the time after which a backend closes them. */
-    private static final double IDLE_SHARE = 0.5;
+    private static final double MAX_IDLE_SHARE = 0.5;
 
     /** How many times in the longest idle time idle connections are looked through. */
-    private static final int SWEEPS_PER_IDLE_TIME = 8;
+    private static final int SWEEPS_PER_MAX_IDLE_TIME = 8;
 
     /** How long a connection in quarantine rests, as a share of the connect timeout. */
-    private static final double REST_SHARE = 1.0 / 16;
+    private static final double QUARANTINE_SHARE = 1.0 / 16;
 
     /** The share of its time after which a response of unknown length is streamed. */
     private static final double STREAM_AFTER_SHARE = 0.8;
@@ -58,9 +58,9 @@
 
     private final ProxyConfig config;
     private final MonotonicClock clock;
-    private final XnioIoThread io;
+    private final XnioIoThread ioThread;
     private final BackendConnector connector;
-    private final ByteBufferPool buffers;
+    private final ByteBufferPool bufferPool;
     private final DecisionEvents decisionEvents;
     private final ProxyMetrics metrics;
     private final Predicate<PendingRequest> isClientWaiting;
@@ -77,28 +77,28 @@
     public BackendClient(
             ProxyConfig config,
             MonotonicClock clock,
-            XnioIoThread io,
+            XnioIoThread ioThread,
             BackendConnector connector,
-            ByteBufferPool buffers,
+            ByteBufferPool bufferPool,
             DecisionEvents decisionEvents,
             ProxyMetrics metrics,
             Predicate<PendingRequest> isClientWaiting) {
         this.isClientWaiting = isClientWaiting;
         this.config = config;
         this.clock = clock;
-        this.io = io;
+        this.ioThread = ioThread;
         this.connector = connector;
-        this.buffers = buffers;
+        this.bufferPool = bufferPool;
         this.decisionEvents = decisionEvents;
         this.metrics = metrics;
         budget =
                 new ConnectionPool.ConnectionBudget(
-                        (int) (BACKENDS_SHARE * config.maxConnections()));
-        double maxIdleSeconds = IDLE_SHARE * config.backendIdleSeconds();
+                        (int) (BACKEND_CONNECTIONS_SHARE * config.maxConnections()));
+        double maxIdleSeconds = MAX_IDLE_SHARE * config.backendIdleSeconds();
         idleSweep =
-                io.executeAtInterval(
+                ioThread.executeAtInterval(
                         () -> closeIdle(maxIdleSeconds),
-                        Durations.toNanos(maxIdleSeconds / SWEEPS_PER_IDLE_TIME),
+                        Durations.toNanos(maxIdleSeconds / SWEEPS_PER_MAX_IDLE_TIME),
                         TimeUnit.NANOSECONDS);
     }
 
@@ -107,18 +107,18 @@
     }
 
     /** Sends an attempt; the decisions hear of its end once, or of its {@link #cancel}. */
-    public void send(Attempt attempt, PendingRequest pending, InetSocketAddress to) {
+    public void send(Attempt attempt, PendingRequest pending, InetSocketAddress address) {
         try {
-            begin(attempt, pending, to);
+            startAttempt(attempt, pending, address);
         } catch (RuntimeException e) {
             // Wide: guards against an attempt that never ends and keeps its request until the
             // deadline.
             LOG.error("attempt at backend {} could not be started", attempt.backend, e);
-            notSent(attempt);
+            reportNotSent(attempt);
         }
     }
 
-    private void begin(Attempt attempt, PendingRequest pending, InetSocketAddress to) {
+    private void startAttempt(Attempt attempt, PendingRequest pending, InetSocketAddress address) {
         StreamedRequestBody streamedBody = pending.streamedBody();
         // The time that passed in the queues is the request's own.
         double responseSeconds =
@@ -126,17 +126,17 @@
                         ? attempt.sentAt + attempt.timeoutSeconds - clock.now()
                         : streamedBody.responseTimeoutSeconds();
         if (streamedBody != null && !streamedBody.restart()) {
-            notSent(attempt);
+            reportNotSent(attempt);
             return;
         }
         BackendCall call =
                 BackendCall.makeStreaming(
-                        pool(attempt.backend, to),
+                        poolFor(attempt.backend, address),
                         new RequestWriter.Request(
                                 RequestHead.of(pending), pending.body(), streamedBody),
                         MAX_BUFFERED_BYTES,
                         new CallTimeouts(
-                                io,
+                                ioThread,
                                 clock,
                                 config.connectTimeoutSeconds(),
                                 responseSeconds,
@@ -147,28 +147,28 @@
                             pending.markAttemptSent();
                             metrics.attemptSent();
                         },
-                        response -> ended(attempt, streamedBody != null, response));
+                        response -> attemptEnded(attempt, streamedBody != null, response));
         if (call == null) {
-            notSent(attempt);
+            reportNotSent(attempt);
         } else {
             callsByAttempt.put(attempt, call);
             call.start();
         }
     }
 
-    private void ended(Attempt attempt, boolean isBodyStreamed, BackendResponse response) {
+    private void attemptEnded(Attempt attempt, boolean isBodyStreamed, BackendResponse response) {
         BackendCall call = callsByAttempt.remove(attempt);
         // The time that a streamed body took is its client's, not the backend's.
         double startedAt = isBodyStreamed ? call.startedAt() : attempt.sentAt;
         decisionEvents.attemptEnded(
                 attempt,
-                ResponseOutcome.of(response),
+                ResponseOutcome.toAttemptOutcome(response),
                 clock.now() - startedAt,
-                LoadReportParser.ofHeader(response, config.loadReportFields()),
+                LoadReportParser.parseHeader(response, config.loadReportFields()),
                 response);
     }
 
-    private void notSent(Attempt attempt) {
+    private void reportNotSent(Attempt attempt) {
         decisionEvents.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
     }
 
@@ -183,13 +183,13 @@
     }
 
     /** Asks a backend for its load report, or where it has none whether it is healthy. */
-    public void probe(int backend, InetSocketAddress to) {
+    public void probe(int backend, InetSocketAddress address) {
         String path = config.loadReportFields().isEmpty() ? HEALTH_PATH : LOAD_REPORT_PATH;
         // A probe may take as long as a connect.
         BackendCall call =
                 BackendCall.make(
-                        pool(backend, to),
-                        BackendCall.getRequest(path, "backend"),
+                        poolFor(backend, address),
+                        BackendCall.buildGetRequest(path, "backend"),
                         MAX_BUFFERED_BYTES,
                         config.connectTimeoutSeconds(),
                         config.connectTimeoutSeconds(),
@@ -205,7 +205,7 @@
         String body = new String(response.body(), StandardCharsets.ISO_8859_1);
         decisionEvents.probeEnded(
                 backend,
-                ResponseOutcome.of(response),
+                ResponseOutcome.toAttemptOutcome(response),
                 LoadReportParser.parse(body, config.loadReportFields()));
     }
 
@@ -224,7 +224,8 @@
 
     /** Only this share of the connections, 0 to 1, is this process's from now on. */
     public void setResourceShare(double share) {
-        budget.setMaxConnections((int) (share * BACKENDS_SHARE * config.maxConnections()));
+        budget.setMaxConnections(
+                (int) (share * BACKEND_CONNECTIONS_SHARE * config.maxConnections()));
     }
 
     /** Stops looking for idle connections. */
@@ -232,7 +233,7 @@
         idleSweep.remove();
     }
 
-    private ConnectionPool pool(int backend, InetSocketAddress address) {
+    private ConnectionPool poolFor(int backend, InetSocketAddress address) {
         ConnectionPool pool = poolsByBackend.get(backend);
         if (pool == null || !pool.address.equals(address)) {
             retirePool(backend);
@@ -245,13 +246,14 @@
     private ConnectionPool newPool(InetSocketAddress address) {
         return new ConnectionPool(
                 address,
-                io,
+                ioThread,
                 connector,
-                buffers,
+                bufferPool,
                 clock,
                 budget,
-                (int) (ONE_BACKEND_SHARE * BACKENDS_SHARE * config.maxConnections()),
+                (int) (PER_BACKEND_SHARE * BACKEND_CONNECTIONS_SHARE * config.maxConnections()),
                 new ConnectionPool.Quarantine(
-                        REST_SHARE * config.connectTimeoutSeconds(), config.backendIdleSeconds()));
+                        QUARANTINE_SHARE * config.connectTimeoutSeconds(),
+                        config.backendIdleSeconds()));
     }
 }
--- a/src/main/java/lemondrift/proxy/backend/BackendConnector.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendConnector.java
@@ -11,5 +11,6 @@
      * Starts to connect. The listener hears of the connection once it is established; the future
      * also of a failure. I/O thread only.
      */
-    IoFuture<StreamConnection> open(InetSocketAddress to, ChannelListener<StreamConnection> opened);
+    IoFuture<StreamConnection> open(
+            InetSocketAddress address, ChannelListener<StreamConnection> openListener);
 }
--- a/src/main/java/lemondrift/proxy/backend/CallTimeouts.java
+++ b/src/main/java/lemondrift/proxy/backend/CallTimeouts.java
@@ -8,7 +8,7 @@
 
 /** The time limits of one call and the timers that enforce them. I/O thread only. */
 final class CallTimeouts {
-    private final XnioIoThread io;
+    private final XnioIoThread ioThread;
     private final MonotonicClock clock;
     private final double connectSeconds;
     private final double responseSeconds;
@@ -37,13 +37,13 @@
      *     is streamed; 0 or less for never
      */
     CallTimeouts(
-            XnioIoThread io,
+            XnioIoThread ioThread,
             MonotonicClock clock,
             double connectSeconds,
             double responseSeconds,
             double sendSeconds,
             double streamAfterSeconds) {
-        this.io = io;
+        this.ioThread = ioThread;
         this.clock = clock;
         this.connectSeconds = connectSeconds;
         this.responseSeconds = responseSeconds;
@@ -98,7 +98,7 @@
 
     private XnioExecutor.Key startTimer(double seconds, Runnable action) {
         long nanos = Durations.toNanos(Math.max(0, seconds));
-        return io.executeAfter(action, nanos, TimeUnit.NANOSECONDS);
+        return ioThread.executeAfter(action, nanos, TimeUnit.NANOSECONDS);
     }
 
     /** Stops all timers. */
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -69,13 +69,13 @@
         private int maxConnections;
 
         /** Until this instant connections rest after a response; see {@link Quarantine}. */
-        private double restsUntil = Double.NEGATIVE_INFINITY;
+        private double quarantineUntil = Double.NEGATIVE_INFINITY;
 
         /** Idle longest first. */
         private final Set<PooledConnection> idle = new LinkedHashSet<>();
 
         /** Places that are taken, by connections or by attempts to connect. */
-        private int reserved;
+        private int reservedSlots;
 
         /** A budget of so many connections. */
         public ConnectionBudget(int maxConnections) {
@@ -85,17 +85,17 @@
         /** Sets another bound; idle connections beyond it are closed. */
         void setMaxConnections(int maxConnections) {
             this.maxConnections = maxConnections;
-            while (reserved > maxConnections && !idle.isEmpty()) {
+            while (reservedSlots > maxConnections && !idle.isEmpty()) {
                 closeLongestIdle();
             }
         }
 
         /** Guards against idle connections to other backends that keep the chosen one from use. */
-        private boolean makePlace() {
-            if (reserved >= maxConnections && !idle.isEmpty()) {
+        private boolean makeRoom() {
+            if (reservedSlots >= maxConnections && !idle.isEmpty()) {
                 closeLongestIdle();
             }
-            return reserved < maxConnections;
+            return reservedSlots < maxConnections;
         }
 
         private void closeLongestIdle() {
@@ -107,10 +107,10 @@
      * The quarantine of answered connections: for some seconds a connection is not used again,
      * while a backend has sent more than its response not long ago.
      *
-     * @param restSeconds how long a connection rests after a response
-     * @param memorySeconds how long after unexpected bytes connections still rest
+     * @param minIdleSeconds how long a connection rests after a response
+     * @param activeSeconds how long after unexpected bytes connections still rest
      */
-    public record Quarantine(double restSeconds, double memorySeconds) {
+    public record Quarantine(double minIdleSeconds, double activeSeconds) {
         /** Connections are used again at once. */
         public static final Quarantine NONE = new Quarantine(0, 0);
     }
@@ -118,9 +118,9 @@
     /** Where all its connections lead. */
     public final InetSocketAddress address;
 
-    final XnioIoThread io;
+    final XnioIoThread ioThread;
     final BackendConnector connector;
-    final ByteBufferPool buffers;
+    final ByteBufferPool bufferPool;
     final MonotonicClock clock;
     private final ConnectionBudget budget;
     private final int maxConnections;
@@ -130,24 +130,24 @@
     private final Deque<PooledConnection> idle = new ArrayDeque<>();
 
     /** Places that are taken here, by connections or by attempts to connect. */
-    private int reserved;
+    private int reservedSlots;
 
     private boolean retired;
 
     /** A pool of at most so many connections, all of which also count against the budget. */
     public ConnectionPool(
             InetSocketAddress address,
-            XnioIoThread io,
+            XnioIoThread ioThread,
             BackendConnector connector,
-            ByteBufferPool buffers,
+            ByteBufferPool bufferPool,
             MonotonicClock clock,
             ConnectionBudget budget,
             int maxConnections,
             Quarantine quarantine) {
         this.address = address;
-        this.io = io;
+        this.ioThread = ioThread;
         this.connector = connector;
-        this.buffers = buffers;
+        this.bufferPool = bufferPool;
         this.clock = clock;
         this.budget = budget;
         this.maxConnections = maxConnections;
@@ -158,13 +158,13 @@
      * Takes the connection that has been idle longest, if it has rested; null if there is none.
      * Guards against bytes or a close that follow a response late and would meet the next request.
      */
-    PooledConnection takeRested() {
+    PooledConnection takeUnquarantined() {
         double now = clock.now();
-        return takeIdleSince(now < budget.restsUntil ? now - quarantine.restSeconds : now);
+        return takeIdleSince(now < budget.quarantineUntil ? now - quarantine.minIdleSeconds : now);
     }
 
     /** Takes the connection that has been idle longest, rested or not; null if there is none. */
-    PooledConnection takeIdle() {
+    PooledConnection takeAnyIdle() {
         return takeIdleSince(Double.POSITIVE_INFINITY);
     }
 
@@ -182,32 +182,32 @@
     }
 
     /** A backend has sent more than its response: connections rest from now on. */
-    void sawUnexpectedBytes() {
-        budget.restsUntil = clock.now() + quarantine.memorySeconds;
+    void startQuarantine() {
+        budget.quarantineUntil = clock.now() + quarantine.activeSeconds;
     }
 
     /** Whether another connection may be opened; its place is taken from now on. */
-    public boolean reserve() {
-        if (reserved >= maxConnections || !budget.makePlace()) {
+    public boolean tryReserveSlot() {
+        if (reservedSlots >= maxConnections || !budget.makeRoom()) {
             return false;
         }
-        reserved++;
-        budget.reserved++;
+        reservedSlots++;
+        budget.reservedSlots++;
         return true;
     }
 
     /** Frees a reserved place: its connection is closed, or was not established. */
-    void releasePlace() {
-        reserved--;
-        budget.reserved--;
+    void releaseSlot() {
+        reservedSlots--;
+        budget.reservedSlots--;
     }
 
     /** Adds a connection that was established for a reserved place; it is in use. */
-    public PooledConnection opened(StreamConnection connection) {
+    public PooledConnection addConnection(StreamConnection connection) {
         PooledConnection link = new PooledConnection(connection);
         connection.setCloseListener(
                 closed -> {
-                    releasePlace();
+                    releaseSlot();
                     idle.remove(link);
                     budget.idle.remove(link);
                 });
@@ -215,35 +215,37 @@
     }
 
     /** Takes back a connection after its request: closes it unless it can be used again. */
-    void giveBack(PooledConnection link, boolean reusable) {
+    void release(PooledConnection pooledConnection, boolean reusable) {
         if (reusable) {
-            giveBackReusable(link);
+            releaseReusable(pooledConnection);
         } else {
-            link.close();
+            pooledConnection.close();
         }
     }
 
     /** Takes back a connection that can be used again; it is idle from now on. */
-    public void giveBackReusable(PooledConnection link) {
-        if (retired || !link.connection.isOpen()) {
-            link.close();
+    public void releaseReusable(PooledConnection pooledConnection) {
+        if (retired || !pooledConnection.connection.isOpen()) {
+            pooledConnection.close();
             return;
         }
-        link.idleSince = clock.now();
-        idle.addFirst(link);
-        budget.idle.add(link);
+        pooledConnection.idleSince = clock.now();
+        idle.addFirst(pooledConnection);
+        budget.idle.add(pooledConnection);
         // Whatever comes now, its end or more bytes, makes it useless.
-        link.connection
+        pooledConnection
+                .connection
                 .getSourceChannel()
-                .setReadListener(source -> closeIdle(link, link.idleState()));
-        link.connection.getSourceChannel().resumeReads();
+                .setReadListener(
+                        source -> closeIdle(pooledConnection, pooledConnection.idleState()));
+        pooledConnection.connection.getSourceChannel().resumeReads();
     }
 
-    private void closeIdle(PooledConnection link, IdleState state) {
+    private void closeIdle(PooledConnection pooledConnection, IdleState state) {
         if (state == IdleState.UNEXPECTED_BYTES) {
-            sawUnexpectedBytes();
+            startQuarantine();
         }
-        link.close();
+        pooledConnection.close();
     }
 
     /** Sends nothing more here: idle connections close now, busy ones when their request ends. */
--- a/src/main/java/lemondrift/proxy/backend/LoadReportParser.java
+++ b/src/main/java/lemondrift/proxy/backend/LoadReportParser.java
@@ -18,7 +18,7 @@
     private LoadReportParser() {}
 
     /** The report in a response's header; null where there is none or it cannot be read. */
-    static double[] ofHeader(BackendResponse response, List<String> fields) {
+    static double[] parseHeader(BackendResponse response, List<String> fields) {
         // Guards against two reports, of which it is not known which one is meant.
         return response.headers().count(ProxyHeaders.LOAD_REPORT) != 1
                 ? null
--- a/src/main/java/lemondrift/proxy/backend/RequestHead.java
+++ b/src/main/java/lemondrift/proxy/backend/RequestHead.java
@@ -11,7 +11,7 @@
 /** Makes the head of a request when it can be written, as it states the time that is left then. */
 interface RequestHead {
     /** The head's bytes, with so many seconds left for the response. */
-    byte[] bytes(double secondsLeft);
+    byte[] encode(double secondsLeft);
 
     /**
      * The head of a client's request as it came, but for the fields that belong to one connection
@@ -20,11 +20,11 @@
     static RequestHead of(PendingRequest pending) {
         StreamedRequestBody streamedBody = pending.streamedBody();
         return streamedBody == null
-                ? secondsLeft -> bytes(pending, secondsLeft)
-                : secondsLeft -> bytes(pending, streamedBody.responseTimeoutSeconds());
+                ? secondsLeft -> encode(pending, secondsLeft)
+                : secondsLeft -> encode(pending, streamedBody.responseTimeoutSeconds());
     }
 
-    private static byte[] bytes(PendingRequest pending, double secondsLeft) {
+    private static byte[] encode(PendingRequest pending, double secondsLeft) {
         HttpServerExchange client = pending.exchange();
         String query = client.getQueryString();
         StringBuilder head =
--- a/src/main/java/lemondrift/proxy/backend/RequestWriter.java
+++ b/src/main/java/lemondrift/proxy/backend/RequestWriter.java
@@ -28,10 +28,10 @@
     }
 
     /** Stands for a head that is not made yet; it is never written. */
-    private static final ByteBuffer HEAD_NOT_MADE = ByteBuffer.allocate(1).asReadOnlyBuffer();
+    private static final ByteBuffer HEAD_PLACEHOLDER = ByteBuffer.allocate(1).asReadOnlyBuffer();
 
     private final BackendCall call;
-    private final XnioIoThread io;
+    private final XnioIoThread ioThread;
     private final RequestHead head;
 
     /** The head, once it can be written, and the buffered body. */
@@ -47,11 +47,11 @@
 
     private boolean isBodyStreamed;
 
-    RequestWriter(BackendCall call, XnioIoThread io, Request request) {
+    RequestWriter(BackendCall call, XnioIoThread ioThread, Request request) {
         this.call = call;
-        this.io = io;
+        this.ioThread = ioThread;
         head = request.head();
-        headAndBody = new ByteBuffer[] {HEAD_NOT_MADE, ByteBuffer.wrap(request.body())};
+        headAndBody = new ByteBuffer[] {HEAD_PLACEHOLDER, ByteBuffer.wrap(request.body())};
         streamedBody = request.streamedBody();
     }
 
@@ -72,7 +72,7 @@
 
     /** Makes the head, which states the seconds that are left for the response. */
     void makeHead(double secondsLeft) {
-        headAndBody[0] = ByteBuffer.wrap(head.bytes(secondsLeft));
+        headAndBody[0] = ByteBuffer.wrap(head.encode(secondsLeft));
     }
 
     /** Starts to write; goes on by itself whenever the connection takes more. */
@@ -122,7 +122,9 @@
         // Guards against a backend that takes nothing; the client's side has timeouts of its own.
         BodyRelay.StallTimeouts patience =
                 new BodyRelay.StallTimeouts(0, streamedBody.stallTimeoutSeconds());
-        bodyRelay = new BodyRelay(streamedBody, sink, io, patience, () -> {}, this::bodyRelayEnded);
+        bodyRelay =
+                new BodyRelay(
+                        streamedBody, sink, ioThread, patience, () -> {}, this::bodyRelayEnded);
         bodyRelay.run();
     }
 
--- a/src/main/java/lemondrift/proxy/backend/ResponseOutcome.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseOutcome.java
@@ -14,9 +14,9 @@
      * have executed it, whatever is seen after; only the backend's own word, on a 503 or a 504,
      * says otherwise.
      */
-    static AttemptOutcome of(BackendResponse response) {
+    static AttemptOutcome toAttemptOutcome(BackendResponse response) {
         return switch (response.completion()) {
-            case RECEIVED -> ofStatus(response);
+            case RECEIVED -> outcomeOfStatus(response);
             case NOT_SENT -> AttemptOutcome.NOT_SENT;
             case FAILED_BEFORE_SENT -> AttemptOutcome.CONNECT_FAILED;
             case CONNECTION_BROKEN -> AttemptOutcome.RESET;
@@ -24,7 +24,7 @@
         };
     }
 
-    private static AttemptOutcome ofStatus(BackendResponse response) {
+    private static AttemptOutcome outcomeOfStatus(BackendResponse response) {
         return switch (response.status()) {
             case BackendResponse.OK -> AttemptOutcome.SUCCESS;
             case StatusCodes.SERVICE_UNAVAILABLE, StatusCodes.GATEWAY_TIME_OUT ->
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -52,7 +52,7 @@
     private final boolean mayStream;
     private final StringBuilder line = new StringBuilder(80);
     private final ByteArrayOutputStream bufferedBody = new ByteArrayOutputStream(512);
-    private Part next = Part.STATUS_LINE;
+    private Part nextPart = Part.STATUS_LINE;
     private HeaderMap headers = new HeaderMap();
     private boolean isHttp10;
     private int status;
@@ -122,27 +122,27 @@
      * @throws IOException where the response cannot be read, or not in one way only
      */
     public ByteBuffer nextPiece(ByteBuffer source) throws IOException {
-        while (next != Part.NOTHING && source.hasRemaining()) {
-            if (next == Part.BODY_OF_KNOWN_LENGTH || next == Part.CHUNK) {
-                ByteBuffer piece = slice(source, Math.min(bytesLeft, source.remaining()));
+        while (nextPart != Part.NOTHING && source.hasRemaining()) {
+            if (nextPart == Part.BODY_OF_KNOWN_LENGTH || nextPart == Part.CHUNK) {
+                ByteBuffer piece = takePiece(source, Math.min(bytesLeft, source.remaining()));
                 bytesLeft -= piece.remaining();
                 if (bytesLeft == 0) {
-                    next = next == Part.CHUNK ? Part.CHUNK_END : Part.NOTHING;
+                    nextPart = nextPart == Part.CHUNK ? Part.CHUNK_END : Part.NOTHING;
                 }
                 return piece;
             }
-            if (next == Part.BODY_UNTIL_CLOSE) {
-                return slice(source, source.remaining());
+            if (nextPart == Part.BODY_UNTIL_CLOSE) {
+                return takePiece(source, source.remaining());
             }
-            String completeLine = line(source);
+            String completeLine = readLine(source);
             if (completeLine != null) {
-                parse(completeLine);
+                parseLine(completeLine);
             }
         }
         return null;
     }
 
-    private ByteBuffer slice(ByteBuffer source, int count) throws IOException {
+    private ByteBuffer takePiece(ByteBuffer source, int count) throws IOException {
         bodyBytes += count;
         require(bodyBytes <= MAX_STREAMED_BYTES, "over " + MAX_STREAMED_BYTES + " bytes");
         ByteBuffer piece = source.slice(source.position(), count);
@@ -161,9 +161,9 @@
     boolean isLengthUnknown() {
         return status == BackendResponse.OK
                 && contentLength < 0
-                && next != Part.STATUS_LINE
-                && next != Part.FIELDS
-                && next != Part.NOTHING;
+                && nextPart != Part.STATUS_LINE
+                && nextPart != Part.FIELDS
+                && nextPart != Part.NOTHING;
     }
 
     /** From now on the body is streamed, however long it is. */
@@ -173,7 +173,7 @@
 
     /** Whether the whole response has been read. */
     public boolean isComplete() {
-        return next == Part.NOTHING;
+        return nextPart == Part.NOTHING;
     }
 
     /** The Content-Length of the body; -1 where the head states none. */
@@ -182,13 +182,13 @@
     }
 
     /** Whether the end of the connection, if it came now, would be the end of the response. */
-    boolean endsWithConnection() {
-        return next == Part.BODY_UNTIL_CLOSE;
+    boolean endsAtConnectionClose() {
+        return nextPart == Part.BODY_UNTIL_CLOSE;
     }
 
     /** The connection has ended, and the response with it. */
-    void connectionEnded() {
-        next = Part.NOTHING;
+    void connectionClosed() {
+        nextPart = Part.NOTHING;
     }
 
     /** Whether the connection cannot be used again after the response. */
@@ -208,11 +208,11 @@
     }
 
     /** The next line without its end; null until it has come. */
-    private String line(ByteBuffer source) throws IOException {
+    private String readLine(ByteBuffer source) throws IOException {
         while (source.hasRemaining()) {
             char c = (char) (source.get() & 0xFF);
             // Guards against lines without an end, in the head or between chunks.
-            boolean inHead = next == Part.STATUS_LINE || next == Part.FIELDS;
+            boolean inHead = nextPart == Part.STATUS_LINE || nextPart == Part.FIELDS;
             int lineBytes = inHead ? ++headBytes : ++chunkLineBytes;
             if (lineBytes > HttpFieldRules.MAX_HEAD_BYTES) {
                 throw new IOException("a head of over " + HttpFieldRules.MAX_HEAD_BYTES + " bytes");
@@ -229,8 +229,8 @@
         return null;
     }
 
-    private void parse(String completeLine) throws IOException {
-        switch (next) {
+    private void parseLine(String completeLine) throws IOException {
+        switch (nextPart) {
             case STATUS_LINE -> parseStatus(completeLine);
             case FIELDS -> {
                 if (completeLine.isEmpty()) {
@@ -242,9 +242,9 @@
             case CHUNK_SIZE -> parseChunkSize(completeLine);
             case CHUNK_END -> {
                 require(completeLine.isEmpty(), completeLine);
-                next = Part.CHUNK_SIZE;
+                nextPart = Part.CHUNK_SIZE;
             }
-            default -> next = completeLine.isEmpty() ? Part.NOTHING : next;
+            default -> nextPart = completeLine.isEmpty() ? Part.NOTHING : nextPart;
         }
     }
 
@@ -253,21 +253,21 @@
         require(
                 (isHttp10 || statusLine.startsWith("HTTP/1.1 "))
                         && statusLine.length() >= STATUS_END
-                        && HttpFieldRules.isValue(statusLine)
+                        && HttpFieldRules.isFieldValue(statusLine)
                         && (statusLine.length() == STATUS_END
                                 || statusLine.charAt(STATUS_END) == ' '),
                 statusLine);
         status =
-                HttpFieldRules.number(
+                HttpFieldRules.parseNumber(
                         statusLine.substring(STATUS_START, STATUS_END), STATUS_END - STATUS_START);
         require(status >= 100 && status < 600, statusLine);
-        next = Part.FIELDS;
+        nextPart = Part.FIELDS;
     }
 
     private void parseField(String field) throws IOException {
         int colon = field.indexOf(':');
         String name = field.substring(0, Math.max(0, colon));
-        require(HttpFieldRules.isToken(name) && HttpFieldRules.isValue(field), field);
+        require(HttpFieldRules.isToken(name) && HttpFieldRules.isFieldValue(field), field);
         headers.add(new HttpString(name), field.substring(colon + 1).strip());
     }
 
@@ -277,7 +277,7 @@
         bytesLeft = Integer.parseInt(size.group(1), 16);
         require(bytesLeft <= MAX_STREAMED_BYTES - bodyBytes, sizeLine);
         chunkLineBytes = 0;
-        next = bytesLeft == 0 ? Part.TRAILER : Part.CHUNK;
+        nextPart = bytesLeft == 0 ? Part.TRAILER : Part.CHUNK;
     }
 
     /**
@@ -290,7 +290,7 @@
         if (status < 200) {
             require(status != 101, "an upgrade");
             headers = new HeaderMap();
-            next = Part.STATUS_LINE;
+            nextPart = Part.STATUS_LINE;
         } else if (codings != null) {
             require(
                     lengths == null
@@ -298,29 +298,29 @@
                             && codings.getFirst().equalsIgnoreCase("chunked")
                             && !isHttp10,
                     codings);
-            next = Part.CHUNK_SIZE;
+            nextPart = Part.CHUNK_SIZE;
         } else if (lengths != null) {
             startBodyOfKnownLength(lengths);
         } else if (status == 204 || status == 304) {
-            next = Part.NOTHING;
+            nextPart = Part.NOTHING;
         } else {
             require(closesConnection(), "a response without a length");
-            next = Part.BODY_UNTIL_CLOSE;
+            nextPart = Part.BODY_UNTIL_CLOSE;
         }
     }
 
     private void startBodyOfKnownLength(HeaderValues lengths) throws IOException {
-        contentLength = HttpFieldRules.number(lengths.getFirst(), MAX_LENGTH_DIGITS);
+        contentLength = HttpFieldRules.parseNumber(lengths.getFirst(), MAX_LENGTH_DIGITS);
         bytesLeft = contentLength;
         // Guards against a body that is known to be too long and would be read to the bound.
         int maxBytes = isStreamable() ? MAX_STREAMED_BYTES : maxBufferedBytes;
         require(lengths.size() == 1 && bytesLeft >= 0 && bytesLeft <= maxBytes, lengths);
-        next = bytesLeft == 0 ? Part.NOTHING : Part.BODY_OF_KNOWN_LENGTH;
+        nextPart = bytesLeft == 0 ? Part.NOTHING : Part.BODY_OF_KNOWN_LENGTH;
     }
 
-    private static void require(boolean holds, Object what) throws IOException {
-        if (!holds) {
-            throw new IOException("a response that cannot be read: " + what);
+    private static void require(boolean condition, Object detail) throws IOException {
+        if (!condition) {
+            throw new IOException("a response that cannot be read: " + detail);
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
+++ b/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
@@ -13,8 +13,8 @@
  */
 final class StreamedResponse implements ResponseRemainder {
     private final ConnectionPool pool;
-    private final ConnectionPool.PooledConnection link;
-    private final RequestWriter request;
+    private final ConnectionPool.PooledConnection pooledConnection;
+    private final RequestWriter requestWriter;
     private final ResponseReader reader;
 
     /** What has been read from the connection and not been passed on; null once released. */
@@ -22,13 +22,13 @@
 
     StreamedResponse(
             ConnectionPool pool,
-            ConnectionPool.PooledConnection link,
-            RequestWriter request,
+            ConnectionPool.PooledConnection pooledConnection,
+            RequestWriter requestWriter,
             ResponseReader reader,
             PooledByteBuffer unread) {
         this.pool = pool;
-        this.link = link;
-        this.request = request;
+        this.pooledConnection = pooledConnection;
+        this.requestWriter = requestWriter;
         this.reader = reader;
         this.unread = unread;
     }
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public ByteBuffer next() throws IOException {
+    public ByteBuffer nextPiece() throws IOException {
         ByteBuffer buffer = unread.getBuffer();
         int count = 1;
         while (count > 0) {
@@ -47,20 +47,20 @@
             if (piece != null || reader.isComplete()) {
                 return piece;
             }
-            count = link.connection.getSourceChannel().read(buffer.clear());
+            count = pooledConnection.connection.getSourceChannel().read(buffer.clear());
             buffer.flip();
             if (count < 0) {
-                endOfConnection();
+                handleConnectionClosed();
             }
         }
         return null;
     }
 
-    private void endOfConnection() throws IOException {
-        if (!reader.endsWithConnection()) {
+    private void handleConnectionClosed() throws IOException {
+        if (!reader.endsAtConnectionClose()) {
             throw new IOException("the response breaks off");
         }
-        reader.connectionEnded();
+        reader.connectionClosed();
     }
 
     @Override
@@ -69,12 +69,12 @@
     }
 
     @Override
-    public void awaitMore(Runnable then) {
-        ConduitStreamSourceChannel source = link.connection.getSourceChannel();
+    public void awaitMore(Runnable action) {
+        ConduitStreamSourceChannel source = pooledConnection.connection.getSourceChannel();
         source.setReadListener(
                 channel -> {
                     channel.suspendReads();
-                    then.run();
+                    action.run();
                 });
         source.resumeReads();
     }
@@ -84,15 +84,15 @@
         boolean reusable =
                 !unread.getBuffer().hasRemaining()
                         && !reader.closesConnection()
-                        && request.isSent();
+                        && requestWriter.isSent();
         releaseBuffer();
-        pool.giveBack(link, reusable);
+        pool.release(pooledConnection, reusable);
     }
 
     @Override
     public void abandonResponse() {
         releaseBuffer();
-        link.close();
+        pooledConnection.close();
     }
 
     private void releaseBuffer() {
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -33,10 +33,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(ClientConnections.class);
 
     /** While it drains, sweeps in each interval that the policy asks for. */
-    private static final int DRAINING_SWEEPS = 4;
+    private static final int DRAIN_SWEEPS_PER_INTERVAL = 4;
 
     /** Seconds after its deadline from which a request that is still open is ended here. */
-    private static final double OVERDUE_SECONDS = 0.1;
+    private static final double OVERDUE_GRACE_SECONDS = 0.1;
 
     /** The least time between two log lines about too many connections. */
     private static final double LOG_INTERVAL_SECONDS = 1;
@@ -52,12 +52,12 @@
     private final Set<String> openRequestIds = new HashSet<>();
 
     /** Hears of a request whose client has closed its connection. */
-    private final Consumer<Request> clientLeft;
+    private final Consumer<Request> onClientClosed;
 
     private XnioExecutor.Key sweepTimer;
     private boolean evictionQueued;
     private boolean stopped;
-    private double loggedAt = Double.NEGATIVE_INFINITY;
+    private double overLimitLoggedAt = Double.NEGATIVE_INFINITY;
 
     ClientConnections(
             MonotonicClock clock,
@@ -65,10 +65,10 @@
             ConnectionLimits limits,
             long seed,
             ProxyMetrics metrics,
-            Consumer<Request> clientLeft) {
+            Consumer<Request> onClientClosed) {
         this.clock = clock;
         this.ioThread = ioThread;
-        this.clientLeft = clientLeft;
+        this.onClientClosed = onClientClosed;
         policy = new ConnectionPolicy(limits, this, seed);
         context = new ClientConnection.Context(policy, clock, metrics, openRequestIds);
         sweepIntervalSeconds = limits.sweepIntervalSeconds();
@@ -110,7 +110,7 @@
     }
 
     /** Whether what is read now may have waited while the process stood still. */
-    boolean stoodStill() {
+    boolean wasProcessPaused() {
         double now = clock.now();
         return policy.unreadSince(now) < now;
     }
@@ -121,7 +121,7 @@
     }
 
     /** The connection of a socket, null if it has been closed. */
-    ClientConnection of(StreamConnection socket) {
+    ClientConnection find(StreamConnection socket) {
         return bySocket.get(socket);
     }
 
@@ -188,7 +188,7 @@
         for (ClientConnection connection : byIndex) {
             if (connection != null
                     && connection.endOverdue != null
-                    && now > connection.request.deadline + OVERDUE_SECONDS) {
+                    && now > connection.request.deadline + OVERDUE_GRACE_SECONDS) {
                 connection.endOverdue.run();
             }
         }
@@ -196,8 +196,8 @@
 
     private void logOverLimit() {
         double now = clock.now();
-        if (policy.isOverLimit() && now >= loggedAt + LOG_INTERVAL_SECONDS) {
-            loggedAt = now;
+        if (policy.isOverLimit() && now >= overLimitLoggedAt + LOG_INTERVAL_SECONDS) {
+            overLimitLoggedAt = now;
             LOG.info("too many client connections: {}", policy.summary());
         }
     }
@@ -215,7 +215,7 @@
         }
         Request request = connection.closeRequest();
         if (request != null) {
-            clientLeft.accept(request);
+            onClientClosed.accept(request);
         }
     }
 
@@ -238,7 +238,7 @@
         LOG.info("client connections drain: {}", policy.summary());
         policy.startDrain(clock.now(), until);
         sweepTimer.remove();
-        sweepEvery(sweepIntervalSeconds / DRAINING_SWEEPS);
+        sweepEvery(sweepIntervalSeconds / DRAIN_SWEEPS_PER_INTERVAL);
     }
 
     /** Ends the drain. */
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -132,8 +132,8 @@
     }
 
     /** How many request classes are known. Any thread. */
-    public int classesKnown() {
-        return validator.classesKnown();
+    public int requestClassCount() {
+        return validator.requestClassCount();
     }
 
     /**
@@ -197,13 +197,13 @@
      * connections without a request are closed one by one. New connections are still accepted and
      * their requests answered. Any thread.
      *
-     * @param closedBy when connections without a request are to be closed
+     * @param closeIdleBy when connections without a request are to be closed
      * @param lastResponsesAt the deadline of whatever is read from now on, at the latest
      */
-    public void drain(double closedBy, double lastResponsesAt) {
+    public void drain(double closeIdleBy, double lastResponsesAt) {
         responses.setDraining(true);
         validator.setLastResponsesAt(lastResponsesAt);
-        worker.getIoThread().execute(() -> connections.drain(closedBy));
+        worker.getIoThread().execute(() -> connections.drain(closeIdleBy));
     }
 
     /** Ends a drain. Any thread. */
@@ -253,13 +253,13 @@
     }
 
     /** What is to be done before a request is decided; set before listening. */
-    public void beforeEachRequest(Runnable task) {
-        admission.beforeEachRequest(task);
+    public void runBeforeEachRequest(Runnable task) {
+        admission.runBeforeEachRequest(task);
     }
 
     /** The balancer decided so many requests, in so many seconds for all, and has room for more. */
     public void requestsDecided(int requests, double seconds) {
-        admission.decided(requests, seconds);
+        admission.requestsDecided(requests, seconds);
     }
 
     /** Whether a request's client is there and has no response yet; looks at the socket. */
--- a/src/main/java/lemondrift/proxy/client/LongResponse.java
+++ b/src/main/java/lemondrift/proxy/client/LongResponseBody.java
@@ -3,29 +3,29 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import lemondrift.proxy.events.BackendResponse;
-import lemondrift.proxy.http.BodyChunks;
+import lemondrift.proxy.http.BodySource;
 
 /** A long response from its beginning, which was read whole, to its end. I/O thread only. */
-final class LongResponse implements BodyChunks {
+final class LongResponseBody implements BodySource {
     private final BackendResponse response;
-    private boolean beginningGiven;
+    private boolean beginningReturned;
 
-    LongResponse(BackendResponse response) {
+    LongResponseBody(BackendResponse response) {
         this.response = response;
     }
 
     @Override
-    public ByteBuffer next() throws IOException {
-        if (!beginningGiven) {
-            beginningGiven = true;
+    public ByteBuffer nextPiece() throws IOException {
+        if (!beginningReturned) {
+            beginningReturned = true;
             return ByteBuffer.wrap(response.body());
         }
-        return response.remainder().next();
+        return response.remainder().nextPiece();
     }
 
     @Override
     public boolean isComplete() {
-        return beginningGiven && response.remainder().isComplete();
+        return beginningReturned && response.remainder().isComplete();
     }
 
     @Override
--- a/src/main/java/lemondrift/proxy/client/RequestAdmission.java
+++ b/src/main/java/lemondrift/proxy/client/RequestAdmission.java
@@ -36,7 +36,7 @@
     }
 
     /** What is to be done before a request is decided; set before listening. */
-    void beforeEachRequest(Runnable task) {
+    void runBeforeEachRequest(Runnable task) {
         beforeEachRequest = task;
     }
 
@@ -72,7 +72,7 @@
     }
 
     /** The balancer decided so many requests in so many seconds, and has room for more. */
-    void decided(int requests, double seconds) {
+    void requestsDecided(int requests, double seconds) {
         requestQueue.requestsDecided(requests, seconds);
         for (PendingRequest next = requestQueue.pollNext();
                 next != null;
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -68,9 +68,9 @@
      */
     private ByteBuffer unbuffered;
 
-    private boolean passedBuffered;
+    private boolean startedUnbuffered;
     private boolean sourceEnded;
-    private boolean allGiven;
+    private boolean allReturned;
 
     /** Nothing more is read: it failed, or its request is over. */
     private boolean stopped;
@@ -94,7 +94,7 @@
     }
 
     /** Reads until all is buffered, or as much as may be. */
-    void buffer() {
+    void readIntoBuffer() {
         try (PooledByteBuffer pooled = bufferPool.allocate()) {
             ByteBuffer piece = pooled.getBuffer();
             for (int count = channel.read(piece.clear());
@@ -111,12 +111,12 @@
                 receivedBytes += count;
                 piece.flip();
                 if (!bufferBudget.tryReserve(bufferedBytes, count)) {
-                    stream(piece);
+                    startStreaming(piece);
                     return;
                 }
                 append(piece, count);
             }
-            channel.getReadSetter().set(source -> buffer());
+            channel.getReadSetter().set(source -> readIntoBuffer());
             channel.resumeReads();
         } catch (IOException | RuntimeException e) {
             // Wide: whatever the decoder of the body throws, its client must have a response.
@@ -133,7 +133,7 @@
         bufferedBytes += count;
     }
 
-    private void stream(ByteBuffer piece) {
+    private void startStreaming(ByteBuffer piece) {
         unbuffered = ByteBuffer.allocate(piece.capacity()).put(piece).flip();
         channel.suspendReads();
         listener.streamed(this);
@@ -160,11 +160,11 @@
 
     @Override
     public boolean restart() {
-        if (passedBuffered) {
+        if (startedUnbuffered) {
             return false;
         }
         nextPieces.clear();
-        allGiven = false;
+        allReturned = false;
         if (bufferedBytes > 0) {
             addPiece(ByteBuffer.wrap(buffered, 0, bufferedBytes).slice());
         }
@@ -173,7 +173,7 @@
 
     private void addPiece(ByteBuffer piece) {
         if (chunked) {
-            nextPieces.add(ascii(Integer.toHexString(piece.remaining()) + "\r\n"));
+            nextPieces.add(asciiBuffer(Integer.toHexString(piece.remaining()) + "\r\n"));
         }
         nextPieces.add(piece);
         if (chunked) {
@@ -181,13 +181,13 @@
         }
     }
 
-    private static ByteBuffer ascii(String text) {
+    private static ByteBuffer asciiBuffer(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    public ByteBuffer next() {
-        if (nextPieces.isEmpty() && !allGiven) {
+    public ByteBuffer nextPiece() {
+        if (nextPieces.isEmpty() && !allReturned) {
             readNext();
         }
         return nextPieces.poll();
@@ -196,8 +196,8 @@
     /** Guards against blaming the backend for an error of the client: none is thrown here. */
     private void readNext() {
         try {
-            if (!passedBuffered) {
-                passedBuffered = true;
+            if (!startedUnbuffered) {
+                startedUnbuffered = true;
                 listener.notReplayable();
             } else if (!sourceEnded) {
                 int count = stopped ? 0 : channel.read(unbuffered.clear());
@@ -211,10 +211,10 @@
                 addPiece(unbuffered.slice());
                 unbuffered.position(unbuffered.limit());
             } else if (sourceEnded) {
-                allGiven = true;
+                allReturned = true;
                 listener.streamComplete();
                 if (chunked) {
-                    nextPieces.add(ascii("0\r\n\r\n"));
+                    nextPieces.add(asciiBuffer("0\r\n\r\n"));
                 }
             }
         } catch (IOException | RuntimeException e) {
@@ -244,7 +244,7 @@
 
     @Override
     public boolean isComplete() {
-        return allGiven && nextPieces.isEmpty();
+        return allReturned && nextPieces.isEmpty();
     }
 
     @Override
--- a/src/main/java/lemondrift/proxy/client/RequestReader.java
+++ b/src/main/java/lemondrift/proxy/client/RequestReader.java
@@ -59,7 +59,7 @@
 
     /** Undertow has read a request's head. */
     void handle(HttpServerExchange exchange) {
-        ClientConnection connection = connections.of(ClientConnection.socketOf(exchange));
+        ClientConnection connection = connections.find(ClientConnection.socketOf(exchange));
         if (connection == null) {
             // Guards against a head that Undertow had read before its connection was closed.
             IoUtils.safeClose(ClientConnection.socketOf(exchange));
@@ -69,7 +69,7 @@
         connection.attachTo(exchange);
         exchange.addExchangeCompleteListener(
                 (completed, next) -> {
-                    completed(completed, connection);
+                    exchangeCompleted(completed, connection);
                     next.proceed();
                 });
         if (isHealthCheck(exchange)) {
@@ -81,7 +81,7 @@
             responses.refuseAndClose(
                     exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE, RefusalReason.BODY_TOO_LONG);
         } else if (exchange.isRequestComplete()) {
-            requestRead(exchange, new byte[0]);
+            dispatchBuffered(exchange, new byte[0]);
         } else {
             readBody(exchange, connection);
         }
@@ -93,7 +93,7 @@
     }
 
     /** Guards against what was closed midway: it completes too, before its close is reported. */
-    private void completed(HttpServerExchange exchange, ClientConnection connection) {
+    private void exchangeCompleted(HttpServerExchange exchange, ClientConnection connection) {
         ClientCloseWatch.stop(exchange);
         if (ClientConnection.socketOf(exchange).isOpen()) {
             responses.countCompleted(exchange);
@@ -110,7 +110,7 @@
                         MAX_BODY_BYTES,
                         backendStallTimeoutSeconds,
                         bodyListener(exchange, connection));
-        connection.body.buffer();
+        connection.body.readIntoBuffer();
     }
 
     private RequestBody.Listener bodyListener(
@@ -118,7 +118,7 @@
         return new RequestBody.Listener() {
             @Override
             public void buffered(byte[] body) {
-                requestRead(exchange, body);
+                dispatchBuffered(exchange, body);
             }
 
             @Override
@@ -157,11 +157,11 @@
         };
     }
 
-    private void requestRead(HttpServerExchange exchange, byte[] body) {
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> offerWhole(exchange, body));
+    private void dispatchBuffered(HttpServerExchange exchange, byte[] body) {
+        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> offerBuffered(exchange, body));
     }
 
-    private void offerWhole(HttpServerExchange exchange, byte[] body) {
+    private void offerBuffered(HttpServerExchange exchange, byte[] body) {
         Request request = openRequest(exchange);
         if (request == null) {
             responses.refuseAndPause(exchange, RefusalReason.BAD_FIELD_OR_OPEN_ID);
@@ -170,7 +170,7 @@
         ClientConnection connection = ClientConnection.of(exchange);
         connection.requestRead();
         ClientCloseWatch.start(exchange);
-        if (connections.stoodStill()) {
+        if (connections.wasProcessPaused()) {
             // Guards against a request whose client has closed while the process stood still.
             ClientCloseWatch.checkNow(exchange);
         }
--- a/src/main/java/lemondrift/proxy/client/RequestValidator.java
+++ b/src/main/java/lemondrift/proxy/client/RequestValidator.java
@@ -60,7 +60,7 @@
     }
 
     /** Any thread. */
-    int classesKnown() {
+    int requestClassCount() {
         return termsByClass.length;
     }
 
@@ -70,16 +70,16 @@
     }
 
     /** The value of a field that is there once, else an empty text. */
-    static String single(HeaderMap headers, HttpString field) {
+    static String singleValue(HeaderMap headers, HttpString field) {
         return headers.count(field) == 1 ? headers.getFirst(field) : "";
     }
 
     static String requestIdOf(HttpServerExchange exchange) {
-        return single(exchange.getRequestHeaders(), REQUEST_ID);
+        return singleValue(exchange.getRequestHeaders(), REQUEST_ID);
     }
 
     static String requestClassOf(HttpServerExchange exchange) {
-        return single(exchange.getRequestHeaders(), REQUEST_CLASS);
+        return singleValue(exchange.getRequestHeaders(), REQUEST_CLASS);
     }
 
     /**
@@ -110,7 +110,7 @@
                 return false;
             }
             for (String value : values) {
-                if (!HttpFieldRules.isValue(value)) {
+                if (!HttpFieldRules.isFieldValue(value)) {
                     return false;
                 }
             }
@@ -120,14 +120,15 @@
 
     /** Makes a request of a head's fields; null where one is missing, malformed or there twice. */
     Request parse(HeaderMap headers) {
-        int requestClass = requestClasses.indexOf(single(headers, REQUEST_CLASS));
+        int requestClass = requestClasses.indexOf(singleValue(headers, REQUEST_CLASS));
         int tenant =
                 tenantNames.isEmpty()
                         ? SINGLE_TENANT
-                        : tenantNames.indexOf(single(headers, TENANT));
+                        : tenantNames.indexOf(singleValue(headers, TENANT));
         int timeoutMillis =
-                HttpFieldRules.number(single(headers, ProxyHeaders.TIMEOUT), MAX_TIMEOUT_DIGITS);
-        if (single(headers, REQUEST_ID).isEmpty()
+                HttpFieldRules.parseNumber(
+                        singleValue(headers, ProxyHeaders.TIMEOUT), MAX_TIMEOUT_DIGITS);
+        if (singleValue(headers, REQUEST_ID).isEmpty()
                 || requestClass < 0
                 || tenant < 0
                 || timeoutMillis < 0) {
@@ -145,7 +146,7 @@
                         tenant,
                         arrivedAt,
                         timeoutSeconds,
-                        single(headers, RETRY).equals("1"));
+                        singleValue(headers, RETRY).equals("1"));
         request.terms = termsByClass[requestClass];
         return request;
     }
--- a/src/main/java/lemondrift/proxy/client/ResponseWriter.java
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -134,7 +134,7 @@
     }
 
     private void count(HttpServerExchange exchange) {
-        count(exchange, reply(exchange.getStatusCode()));
+        count(exchange, replyFor(exchange.getStatusCode()));
     }
 
     private void count(HttpServerExchange exchange, ProxyMetrics.Reply reply) {
@@ -145,7 +145,7 @@
         return status / 100 == 4;
     }
 
-    private static ProxyMetrics.Reply reply(int status) {
+    private static ProxyMetrics.Reply replyFor(int status) {
         return switch (status) {
             case BackendResponse.OK -> ProxyMetrics.Reply.SUCCESS;
             case StatusCodes.SERVICE_UNAVAILABLE -> ProxyMetrics.Reply.OVERLOAD;
@@ -216,7 +216,7 @@
     /** Passes a long response on as it comes. */
     private void relay(HttpServerExchange exchange, BackendResponse response) {
         ClientConnection connection = ClientConnection.of(exchange);
-        if (!start(exchange, BackendResponse.OK)) {
+        if (!startResponse(exchange, BackendResponse.OK)) {
             response.remainder().abandonResponse();
             return;
         }
@@ -225,7 +225,7 @@
         }
         BodyRelay relay =
                 new BodyRelay(
-                        new LongResponse(response),
+                        new LongResponseBody(response),
                         exchange.getResponseChannel(),
                         ioThread,
                         new BodyRelay.StallTimeouts(backendStallTimeoutSeconds, 0),
@@ -259,7 +259,7 @@
     }
 
     private void write(HttpServerExchange exchange, int status, byte[] body, IoCallback whenSent) {
-        if (!start(exchange, status)) {
+        if (!startResponse(exchange, status)) {
             return;
         }
         exchange.setResponseContentLength(body.length);
@@ -271,7 +271,7 @@
     }
 
     /** Sets a response's head; false where there is a response already, or nobody to have it. */
-    private boolean start(HttpServerExchange exchange, int status) {
+    private boolean startResponse(HttpServerExchange exchange, int status) {
         ClientConnection connection = ClientConnection.of(exchange);
         if (exchange.isResponseStarted()
                 || exchange.isComplete()
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -198,7 +198,7 @@
         call =
                 BackendCall.make(
                         pool,
-                        BackendCall.getRequest(path, pool.address.getHostString()),
+                        BackendCall.buildGetRequest(path, pool.address.getHostString()),
                         MAX_LIST_BYTES,
                         RESPONSE_TIMEOUT_SECONDS,
                         full ? fullListTimeoutSeconds() : holdSeconds + HOLD_SLACK_SECONDS,
--- a/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
+++ b/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
@@ -1,9 +1,9 @@
 package lemondrift.proxy.events;
 
-import lemondrift.proxy.http.BodyChunks;
+import lemondrift.proxy.http.BodySource;
 
 /** What follows of a response whose beginning has been passed on. I/O thread only. */
-public interface ResponseRemainder extends BodyChunks {
+public interface ResponseRemainder extends BodySource {
     /** The Content-Length of the whole body, in bytes; below 0 where the backend states none. */
     int declaredLength();
 
--- a/src/main/java/lemondrift/proxy/events/StreamedRequestBody.java
+++ b/src/main/java/lemondrift/proxy/events/StreamedRequestBody.java
@@ -1,12 +1,12 @@
 package lemondrift.proxy.events;
 
-import lemondrift.proxy.http.BodyChunks;
+import lemondrift.proxy.http.BodySource;
 
 /**
  * A request body that is too long to be buffered whole and is passed on as it comes. I/O thread
  * only.
  */
-public interface StreamedRequestBody extends BodyChunks {
+public interface StreamedRequestBody extends BodySource {
     /** Starts again at the first byte; returns false where that is no longer buffered. */
     boolean restart();
 
--- a/src/main/java/lemondrift/proxy/http/BodyRelay.java
+++ b/src/main/java/lemondrift/proxy/http/BodyRelay.java
@@ -22,13 +22,13 @@
     public record StallTimeouts(double sourceSeconds, double sinkSeconds) {}
 
     /** Guards against one quick pair of connections that keeps all others from the I/O thread. */
-    private static final int MAX_PIECES_IN_A_ROW = 16;
+    private static final int MAX_PIECES_PER_RUN = 16;
 
-    private final BodyChunks source;
+    private final BodySource source;
     private final StreamSinkChannel sink;
-    private final XnioIoThread io;
+    private final XnioIoThread ioThread;
     private final StallTimeouts timeouts;
-    private final Runnable onPieceRead;
+    private final Runnable onRead;
     private final Consumer<Boolean> onEnd;
 
     /** What was read and is not written whole; null where there is none. */
@@ -40,21 +40,21 @@
     /**
      * A relay, to be started by {@link #run}.
      *
-     * @param onPieceRead runs after each attempt to read a piece
+     * @param onRead runs after each attempt to read a piece
      * @param onEnd hears once whether the whole body was passed on, not after {@link #stop}
      */
     public BodyRelay(
-            BodyChunks source,
+            BodySource source,
             StreamSinkChannel sink,
-            XnioIoThread io,
+            XnioIoThread ioThread,
             StallTimeouts timeouts,
-            Runnable onPieceRead,
+            Runnable onRead,
             Consumer<Boolean> onEnd) {
         this.source = source;
         this.sink = sink;
-        this.io = io;
+        this.ioThread = ioThread;
         this.timeouts = timeouts;
-        this.onPieceRead = onPieceRead;
+        this.onRead = onRead;
         this.onEnd = onEnd;
         sink.getWriteSetter().set(channel -> run());
     }
@@ -66,14 +66,14 @@
         }
         stopTimer();
         try {
-            for (int count = 0; count < MAX_PIECES_IN_A_ROW && !ended; count++) {
-                if (!isPieceWritten()) {
+            for (int count = 0; count < MAX_PIECES_PER_RUN && !ended; count++) {
+                if (!writePiece()) {
                     awaitSink();
                     return;
                 }
                 sink.suspendWrites();
-                piece = source.next();
-                onPieceRead.run();
+                piece = source.nextPiece();
+                onRead.run();
                 if (piece == null && source.isComplete()) {
                     end(true);
                 } else if (piece == null && !ended) {
@@ -82,7 +82,7 @@
                 }
             }
             if (!ended) {
-                io.execute(this::run);
+                ioThread.execute(this::run);
             }
         } catch (IOException | RuntimeException e) {
             // Wide, as either side's library may throw anything: whatever it is, the body broke
@@ -94,7 +94,7 @@
     }
 
     /** Writes what the sink takes of the piece; whether nothing is left of it. */
-    private boolean isPieceWritten() throws IOException {
+    private boolean writePiece() throws IOException {
         if (piece != null && piece.hasRemaining()) {
             sink.write(piece);
             return !piece.hasRemaining();
@@ -120,7 +120,8 @@
     private void startTimer(double seconds) {
         if (seconds > 0) {
             stallTimer =
-                    io.executeAfter(() -> end(false), (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+                    ioThread.executeAfter(
+                            () -> end(false), (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
         }
     }
 
--- a/src/main/java/lemondrift/proxy/http/HttpFieldRules.java
+++ b/src/main/java/lemondrift/proxy/http/HttpFieldRules.java
@@ -32,7 +32,7 @@
     }
 
     /** Whether a text holds no control character but the tab, as values of fields. */
-    public static boolean isValue(CharSequence text) {
+    public static boolean isFieldValue(CharSequence text) {
         for (int index = 0; index < text.length(); index++) {
             if (text.charAt(index) < ' ' && text.charAt(index) != '\t') {
                 return false;
@@ -44,7 +44,7 @@
     /**
      * The number that a text of decimal digits is; -1 where it is empty, longer or something else.
      */
-    public static int number(String text, int maxDigits) {
+    public static int parseNumber(String text, int maxDigits) {
         int number = 0;
         for (int index = 0; index < text.length(); index++) {
             int digit = text.charAt(index) - '0';
--- a/src/main/java/lemondrift/proxy/http/ProxyHeaders.java
+++ b/src/main/java/lemondrift/proxy/http/ProxyHeaders.java
@@ -21,7 +21,7 @@
     public static final HttpString NEVER_EXECUTED = new HttpString("X-Never-Ran");
 
     /** Fields that belong to one connection, or that the proxy writes itself. */
-    private static final Set<HttpString> NOT_PASSED_ON =
+    private static final Set<HttpString> NOT_FORWARDED =
             Set.of(
                     Headers.CONNECTION,
                     Headers.KEEP_ALIVE,
@@ -38,7 +38,7 @@
 
     /** Whether a field is passed on between client and backend. */
     public static boolean isEndToEnd(HttpString name) {
-        return !NOT_PASSED_ON.contains(name);
+        return !NOT_FORWARDED.contains(name);
     }
 
     /** Copies the fields that are passed on. */
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -417,12 +417,12 @@
         ConnectionPool.ConnectionBudget budget = new ConnectionPool.ConnectionBudget(1);
         ConnectionPool firstPool = pool(worker, budget);
         ConnectionPool secondPool = pool(worker, budget);
-        assertTrue(firstPool.reserve());
+        assertTrue(firstPool.tryReserveSlot());
         ConnectionPool.PooledConnection pooled =
-                firstPool.opened(worker.createFullDuplexPipeConnection().getLeftSide());
-        assertFalse(secondPool.reserve(), "the only connection is in use");
-        firstPool.giveBackReusable(pooled);
-        assertTrue(secondPool.reserve());
+                firstPool.addConnection(worker.createFullDuplexPipeConnection().getLeftSide());
+        assertFalse(secondPool.tryReserveSlot(), "the only connection is in use");
+        firstPool.releaseReusable(pooled);
+        assertTrue(secondPool.tryReserveSlot());
         assertFalse(pooled.connection.isOpen());
         worker.shutdown();
     }
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
@@ -94,7 +94,7 @@
         }
     }
 
-    private interface Script {
+    private interface ResponseScript {
         String body(String head);
     }
 
@@ -108,7 +108,7 @@
      * The port of a server on loopback that answers 200 with what the script says, or holds on
      * null.
      */
-    private static int startServer(Script script) throws IOException {
+    private static int startServer(ResponseScript script) throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         startDaemon(
                 () -> {
@@ -164,7 +164,7 @@
      * Processor time in microseconds a request, and delay in microseconds at the median and 99th
      * percentile.
      */
-    private static double[] load(Build build, double rate) throws Exception {
+    private static double[] measureLoad(Build build, double rate) throws Exception {
         double before = build.processorSeconds();
         Load.Result result =
                 Load.play(
@@ -184,7 +184,7 @@
     }
 
     /** Processor time in milliseconds for a thousand events of a kind. */
-    private static double flood(Build build, FloodEvent event) throws Exception {
+    private static double measureFlood(Build build, FloodEvent event) throws Exception {
         double before = build.processorSeconds();
         for (int i = 0; i < FLOOD_EVENTS; i++) {
             event.send(build.port, i);
@@ -203,9 +203,9 @@
     }
 
     /** So many requests at once, each on a connection of its own; all are answered. */
-    private static void burst(int port, int many) throws IOException {
+    private static void sendBurst(int port, int requestCount) throws IOException {
         List<Socket> sockets = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < requestCount; i++) {
             sockets.add(new Socket("127.0.0.1", port));
         }
         for (Socket socket : sockets) {
@@ -226,13 +226,13 @@
             builds.add(new Build(Path.of(jar), backend));
         }
         for (Build build : builds) {
-            load(build, 1500);
-            load(build, 1500);
+            measureLoad(build, 1500);
+            measureLoad(build, 1500);
         }
         for (double rate : new double[] {300, 1500}) {
             for (int round = 0; round < ROUNDS; round++) {
                 for (int b = 0; b < builds.size(); b++) {
-                    double[] costs = load(builds.get(b), rate);
+                    double[] costs = measureLoad(builds.get(b), rate);
                     System.out.printf(
                             "%s at %.0f/s: processor %.0f us, delay %.0f us, 99%% %.0f us%n",
                             jars[b], rate, costs[0], costs[1], costs[2]);
@@ -253,13 +253,15 @@
                         (port, i) -> sendOnce(port, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", true),
                         (port, i) ->
                                 sendOnce(port, get("f" + port + "-" + System.nanoTime()), true),
-                        (port, i) -> burst(port, i % BURST == 0 ? BURST : 0));
+                        (port, i) -> sendBurst(port, i % BURST == 0 ? BURST : 0));
         for (int kind = 0; kind < events.size(); kind++) {
             for (int round = 0; round < 2; round++) {
                 for (int b = 0; b < builds.size(); b++) {
                     System.out.printf(
                             "%s, a thousand of '%s': processor %.0f ms%n",
-                            jars[b], names.get(kind), flood(builds.get(b), events.get(kind)));
+                            jars[b],
+                            names.get(kind),
+                            measureFlood(builds.get(b), events.get(kind)));
                 }
             }
         }
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
@@ -69,14 +69,14 @@
         closeAll(clients);
     }
 
-    private Socket client() throws IOException {
+    private Socket connectClient() throws IOException {
         Socket client = connect(READ_TIMEOUT_MILLIS);
         clients.add(client);
         return client;
     }
 
     /** A client that takes so few bytes ahead of its reading. */
-    private Socket slowClient(int receiveBufferBytes) throws IOException {
+    private Socket connectSlowClient(int receiveBufferBytes) throws IOException {
         Socket client = new Socket();
         clients.add(client);
         client.setReceiveBufferSize(receiveBufferBytes);
@@ -91,13 +91,13 @@
 
     /** Guards against a second request that is forwarded though the first response closes. */
     @Test
-    void doesNotForwardRequestThatCrossesAClosingResponse() throws Exception {
+    void doesNotForwardPipelinedRequestWhenResponseClosesConnection() throws Exception {
         CountDownLatch mayRespond = new CountDownLatch(1);
         ScriptedServer backend = backend(mayRespond);
         start(backend);
         List<Socket> pipelining = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            pipelining.add(client());
+            pipelining.add(connectClient());
             writeText(pipelining.get(i), get(2 * i));
             writeText(pipelining.get(i), get(2 * i + 1));
         }
@@ -123,7 +123,7 @@
     @Test
     void answersPipelinedRequestThatArrivesInPieces() throws Exception {
         start(backend(OK));
-        Socket client = client();
+        Socket client = connectClient();
         String second = get(2);
         int cut = 30;
         writeText(client, get(1));
@@ -134,9 +134,9 @@
     }
 
     @Test
-    void servesOthersWhileOneClientPipelinesMany() throws Exception {
+    void servesOtherClientsWhileOnePipelinesManyRequests() throws Exception {
         start(backend(OK));
-        Socket client = client();
+        Socket client = connectClient();
         String pipelined = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".repeat(PIPELINED_REQUESTS);
         Thread writer =
                 new Thread(
@@ -174,7 +174,7 @@
                                     usual.typicalPriorityWeight()));
                 };
         start(backend(OK));
-        Socket client = client();
+        Socket client = connectClient();
         for (int i = 0; i < 2; i++) {
             writeText(client, get(i));
             String response = readMessage(client);
@@ -183,10 +183,10 @@
     }
 
     @Test
-    void servesOthersWhileResponsesAreNotRead() throws Exception {
+    void servesOtherClientsWhileResponsesAreNotRead() throws Exception {
         start(backend(okResponse("x".repeat(64 * 1024))));
         for (int i = 0; i < 8; i++) {
-            Socket slow = slowClient(1024);
+            Socket slow = connectSlowClient(1024);
             writeText(slow, get(i));
             assertEquals(
                     'H',
@@ -201,7 +201,7 @@
     @Test
     void closesConnectionAfterRepeatedRejections() throws Exception {
         start(backend(OK));
-        Socket client = client();
+        Socket client = connectClient();
         int rejections = 0;
         try {
             for (String response = ""; response != null; rejections++) {
@@ -221,11 +221,11 @@
         CountDownLatch mayRespond = new CountDownLatch(1);
         ScriptedServer backend = backend(mayRespond);
         start(backend);
-        Socket accepted = client();
+        Socket accepted = connectClient();
         writeText(accepted, get(1));
         assertNotNull(backend.nextRequest());
         for (int i = 0; i < 60; i++) {
-            client();
+            connectClient();
         }
         Thread drain = startDrain();
         mayRespond.countDown();
--- a/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
@@ -63,18 +63,18 @@
     /** The longest response that the reader of the property buffers, in bytes. */
     private static final int MAX_BUFFERED_BYTES = 1000;
 
-    private static byte[] bytes(int count) {
+    private static byte[] randomBytes(int count) {
         byte[] bytes = new byte[count];
         new Random(count).nextBytes(bytes);
         return bytes;
     }
 
-    private static String text(byte[] bytes) {
+    private static String latin1Text(byte[] bytes) {
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
     private static String responseWithLength(byte[] body) {
-        return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n" + text(body);
+        return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n" + latin1Text(body);
     }
 
     private static String chunkedResponse(byte[] body, int chunkBytes) {
@@ -84,7 +84,7 @@
             byte[] chunk = Arrays.copyOfRange(body, at, Math.min(body.length, at + chunkBytes));
             response.append(Integer.toHexString(chunk.length))
                     .append(";x=y\r\n")
-                    .append(text(chunk))
+                    .append(latin1Text(chunk))
                     .append("\r\n");
         }
         return response.append("0\r\nTrailer: x\r\n\r\n").toString();
@@ -129,15 +129,15 @@
     }
 
     @Test
-    void relaysLongResponsesWholeInAnyFraming() throws Exception {
-        byte[] body = bytes(LONG_BODY_BYTES);
+    void relaysCompleteLongResponsesInAnyFraming() throws Exception {
+        byte[] body = randomBytes(LONG_BODY_BYTES);
         AtomicInteger requests = new AtomicInteger();
         String[] responses = {
             responseWithLength(body),
             chunkedResponse(body, 50_000),
             chunkedResponse(body, 7000),
             OK,
-            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text(body)
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + latin1Text(body)
         };
         ScriptedServer backend =
                 backend(request -> responses[requests.getAndIncrement() % responses.length]);
@@ -164,7 +164,7 @@
         try (Socket client = sendGet("half")) {
             byte[] received = client.getInputStream().readAllBytes();
             assertTrue(
-                    text(received).startsWith("HTTP/1.1 200 OK\r\n")
+                    latin1Text(received).startsWith("HTTP/1.1 200 OK\r\n")
                             && received.length < declaredBytes,
                     "received " + received.length);
         }
@@ -247,8 +247,8 @@
     }
 
     @Test
-    void streamsLongRequestBodiesWholeInAnyFraming() throws Exception {
-        byte[] body = bytes(LONG_BODY_BYTES);
+    void streamsCompleteLongRequestBodiesInAnyFraming() throws Exception {
+        byte[] body = randomBytes(LONG_BODY_BYTES);
         for (boolean chunked : new boolean[] {false, true}) {
             try (RecordingBackend backend = new RecordingBackend()) {
                 startWithPorts(backend.port());
@@ -277,12 +277,12 @@
     }
 
     @Test
-    void retriesStreamedBodyWhileAllOfItIsBuffered() throws Exception {
+    void retriesStreamedBodyWhileItIsFullyBuffered() throws Exception {
         try (RecordingBackend backend = new RecordingBackend()) {
             ScriptedServer closed = backend(OK);
             closed.close();
             startWithPorts(closed.port(), backend.port());
-            byte[] body = bytes(700_000);
+            byte[] body = randomBytes(700_000);
             for (int i = 0; i < 3; i++) {
                 backend.body.reset();
                 assertEquals(
@@ -302,7 +302,7 @@
         int pieceBytes = 250_000;
         try (RecordingBackend backend = new RecordingBackend()) {
             startWithPorts(backend.port());
-            byte[] body = bytes(1_000_000);
+            byte[] body = randomBytes(1_000_000);
             try (Socket client = sendPostHead("slow", "Content-Length: " + body.length)) {
                 for (int at = 0; at < body.length; at += pieceBytes) {
                     client.getOutputStream().write(body, at, pieceBytes);
@@ -334,7 +334,7 @@
                         "only one has received any of it");
             }
             awaitReplies(NOT_IDEMPOTENT_CLASS, ProxyMetrics.Reply.OVERLOAD, 1);
-            assertEquals(0, first.requests.get() + second.requests.get());
+            assertEquals(0, first.completeRequests.get() + second.completeRequests.get());
         }
     }
 
@@ -347,7 +347,7 @@
                 awaitBodyBytes(400_000, backend);
             }
             assertTrue(backend.connectionEnded.await(STATE_TIMEOUT_SECONDS, TimeUnit.SECONDS));
-            assertEquals(0, backend.requests.get());
+            assertEquals(0, backend.completeRequests.get());
             assertEquals(200, sendNotIdempotent("x").statusCode());
         }
     }
@@ -377,7 +377,7 @@
                             }
                         });
             }
-            assertEquals(0, backend.requests.get());
+            assertEquals(0, backend.completeRequests.get());
             awaitReplies(NOT_IDEMPOTENT_CLASS, ProxyMetrics.Reply.ERROR, 1);
         }
     }
@@ -393,7 +393,7 @@
                                                 "\"sockets\":64,\"memory_mb\":0.1"));
         try (RecordingBackend backend = new RecordingBackend()) {
             startWithPorts(backend.port());
-            byte[] body = bytes(60_000);
+            byte[] body = randomBytes(60_000);
             int halfBytes = body.length / 2;
             try (Socket client = sendPostHead("little", "Content-Length: " + body.length)) {
                 client.getOutputStream().write(body, 0, halfBytes);
@@ -406,7 +406,7 @@
     }
 
     @Property(tries = 300, seed = "48")
-    void readsTheSameResponseHoweverItsBytesAreSplit(
+    void readsSameResponseForAnySplitOfItsBytes(
             @ForAll @IntRange(min = 0, max = 3000) int length,
             @ForAll @IntRange(min = 1, max = 700) int chunkBytes,
             @ForAll boolean chunked,
@@ -414,7 +414,7 @@
             @ForAll @IntRange(min = 1, max = 400) int maxPieceBytes,
             @ForAll long seed)
             throws IOException {
-        byte[] body = bytes(length);
+        byte[] body = randomBytes(length);
         byte[] response =
                 ("HTTP/1.1 100 Continue\r\n\r\n"
                                 + (chunked
--- a/src/test/java/lemondrift/proxy/http/RecordingBackend.java
+++ b/src/test/java/lemondrift/proxy/http/RecordingBackend.java
@@ -22,7 +22,7 @@
     final AtomicInteger bodyBytes = new AtomicInteger();
 
     /** How many requests have come whole. */
-    final AtomicInteger requests = new AtomicInteger();
+    final AtomicInteger completeRequests = new AtomicInteger();
 
     final CountDownLatch connectionEnded = new CountDownLatch(1);
     volatile String head = "";
@@ -78,7 +78,7 @@
             int start = head.indexOf(LENGTH_FIELD) + LENGTH_FIELD.length();
             readBody(in, Integer.parseInt(head.substring(start, head.indexOf('\r', start))));
         }
-        requests.incrementAndGet();
+        completeRequests.incrementAndGet();
     }
 
     private void readBody(InputStream in, int length) throws IOException {
