--- a/src/main/java/lemondrift/gossip/AbandonedAttempts.java
+++ b/src/main/java/lemondrift/gossip/AbandonedAttempts.java
@@ -10,15 +10,15 @@
  */
 final class AbandonedAttempts {
     /** An attempt by its backend's tag, and until when it counts. */
-    private record Abandoned(int tag, double countsUntil) {}
+    private record Abandoned(int tag, double expiresAt) {}
 
     /** In order of expiry. */
     private final Queue<Abandoned> queue = new ArrayDeque<>();
 
     private final TagCounts counts = new TagCounts();
 
-    void add(int tag, double countsUntil) {
-        queue.add(new Abandoned(tag, countsUntil));
+    void add(int tag, double expiresAt) {
+        queue.add(new Abandoned(tag, expiresAt));
         counts.increment(tag);
     }
 
@@ -28,15 +28,15 @@
 
     /** When the next one expires, in seconds; infinite where there is none. */
     double nextExpiryAt() {
-        return queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().countsUntil;
+        return queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().expiresAt;
     }
 
     /** Removes what has expired, and passes on the tag of each. */
-    void expire(double now, IntConsumer expired) {
-        while (!queue.isEmpty() && queue.peek().countsUntil <= now) {
+    void expire(double now, IntConsumer onExpired) {
+        while (!queue.isEmpty() && queue.peek().expiresAt <= now) {
             int tag = queue.remove().tag;
             counts.decrement(tag);
-            expired.accept(tag);
+            onExpired.accept(tag);
         }
     }
 }
--- a/src/main/java/lemondrift/gossip/GossipDatagram.java
+++ b/src/main/java/lemondrift/gossip/GossipDatagram.java
@@ -31,16 +31,16 @@
     private static final int COUNTER_BITS = 12;
 
     /** The counter begins again after so many messages. */
-    private static final int COUNTERS = 1 << COUNTER_BITS;
+    private static final int COUNTER_VALUES = 1 << COUNTER_BITS;
 
     /** How many starts a sequence number tells apart. */
-    private static final int STARTS = 16;
+    private static final int DISTINCT_STARTS = 16;
 
     private GossipDatagram() {}
 
     /** The bits of a start number that a sequence number has room for. */
     static int startBits(long startNumber) {
-        return (int) (startNumber % STARTS);
+        return (int) (startNumber % DISTINCT_STARTS);
     }
 
     /** The start bits of a sequence number. */
@@ -50,14 +50,15 @@
 
     /** Whether one sequence number of a start comes after another of it. */
     static boolean isAfter(int sequenceNumber, int other) {
-        int ahead = sequenceNumber - other & COUNTERS - 1;
-        return ahead > 0 && ahead < COUNTERS / 2;
+        int ahead = sequenceNumber - other & COUNTER_VALUES - 1;
+        return ahead > 0 && ahead < COUNTER_VALUES / 2;
     }
 
     /** A datagram with the tags of the attempts in flight, at most {@link #MAX_TAGS}. */
-    static byte[] encoded(int startBits, int counter, int[] tags) {
+    static byte[] encode(int startBits, int counter, int[] tags) {
         ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES + tags.length * TAG_BYTES);
-        out.put(KIND).putShort((short) (startBits << COUNTER_BITS | (counter & COUNTERS - 1)));
+        out.put(KIND)
+                .putShort((short) (startBits << COUNTER_BITS | (counter & COUNTER_VALUES - 1)));
         for (int tag : tags) {
             out.put((byte) (tag >> 16)).put((byte) (tag >> 8)).put((byte) tag);
         }
@@ -65,16 +66,16 @@
     }
 
     /** Whether it is a gossip message and whole. */
-    static boolean isReadable(byte[] datagram) {
+    static boolean isWellFormed(byte[] datagram) {
         int tagBytes = datagram.length - HEADER_BYTES;
         return tagBytes >= 0 && tagBytes % TAG_BYTES == 0 && datagram[0] == KIND;
     }
 
-    static int sequenceNumber(byte[] datagram) {
+    static int readSequenceNumber(byte[] datagram) {
         return ByteBuffer.wrap(datagram).getShort(1) & 0xffff;
     }
 
-    static int[] tags(byte[] datagram) {
+    static int[] readTags(byte[] datagram) {
         ByteBuffer in = ByteBuffer.wrap(datagram, HEADER_BYTES, datagram.length - HEADER_BYTES);
         int[] tags = new int[in.remaining() / TAG_BYTES];
         Arrays.setAll(
--- a/src/main/java/lemondrift/gossip/IdSet.java
+++ b/src/main/java/lemondrift/gossip/IdSet.java
@@ -7,13 +7,13 @@
 /** A set of ids that is iterated without an object for each. */
 final class IdSet {
     /** Where an id stands in the array. */
-    private final Map<Integer, Integer> places = new HashMap<>();
+    private final Map<Integer, Integer> positions = new HashMap<>();
 
     private int[] ids = new int[16];
     private int size;
 
     boolean contains(int id) {
-        return places.containsKey(id);
+        return positions.containsKey(id);
     }
 
     int size() {
@@ -21,8 +21,8 @@
     }
 
     /** The id at a place, from 0; places change when ids are removed. */
-    int get(int place) {
-        return ids[place];
+    int get(int position) {
+        return ids[position];
     }
 
     int[] toArray() {
@@ -31,7 +31,7 @@
 
     /** Whether the id was not there before. */
     boolean add(int id) {
-        if (places.putIfAbsent(id, size) != null) {
+        if (positions.putIfAbsent(id, size) != null) {
             return false;
         }
         ids = size < ids.length ? ids : Arrays.copyOf(ids, 2 * size);
@@ -41,14 +41,14 @@
 
     /** Whether the id was there; the last one takes its place. */
     boolean remove(int id) {
-        Integer place = places.remove(id);
+        Integer place = positions.remove(id);
         if (place == null) {
             return false;
         }
         int last = ids[--size];
         if (last != id) {
             ids[place] = last;
-            places.put(last, place);
+            positions.put(last, place);
         }
         return true;
     }
--- a/src/main/java/lemondrift/gossip/LoadGossip.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -20,13 +20,13 @@
     public static final int MAX_DATAGRAM_BYTES = GossipDatagram.MAX_BYTES;
 
     /** For so many expiries a silent peer's start and sequence number are remembered. */
-    private static final double REMEMBERED_EXPIRIES = 2;
+    private static final double SEQUENCE_MEMORY_EXPIRIES = 2;
 
     /** An abandoned attempt counts as in flight for this share of the expiry. */
-    private static final double ABANDONED_SHARE = 0.125;
+    private static final double ABANDONED_EXPIRY_SHARE = 0.125;
 
     /** What has not changed is sent again after this share of the expiry. */
-    private static final double REPEAT_SHARE = 0.4;
+    private static final double REPEAT_EXPIRY_SHARE = 0.4;
 
     /**
      * What goes to one peer.
@@ -42,8 +42,8 @@
     private final double minIntervalSeconds;
     private final double expirySeconds;
     private final SubsetAssignment subsets;
-    private final IntConsumer peerLoadChanged;
-    private final PeerSilence silence;
+    private final IntConsumer onPeerLoadChanged;
+    private final PeerSilenceDetector silenceDetector;
 
     /** What the peers have in flight. */
     private final TagCounts peerAttempts = new TagCounts();
@@ -56,31 +56,31 @@
     /**
      * The gossip of one proxy.
      *
-     * @param proxies the number of proxies
+     * @param proxyCount the number of proxies
      * @param self this proxy's number among them
      * @param startNumber its start number
      * @param minIntervalSeconds the least time between two messages to one peer
      * @param expirySeconds after this long without a message what a peer reported counts no more
      * @param subsets who uses which backend
-     * @param peerLoadChanged hears each tag whose {@link #peerLoad} may have changed
+     * @param onPeerLoadChanged hears each tag whose {@link #peerLoad} may have changed
      */
     public LoadGossip(
-            int proxies,
+            int proxyCount,
             int self,
             long startNumber,
             double minIntervalSeconds,
             double expirySeconds,
             SubsetAssignment subsets,
-            IntConsumer peerLoadChanged) {
-        peers = new PeerState[proxies];
+            IntConsumer onPeerLoadChanged) {
+        peers = new PeerState[proxyCount];
         Arrays.setAll(peers, proxy -> new PeerState());
         this.self = self;
         startBits = GossipDatagram.startBits(startNumber);
         this.minIntervalSeconds = minIntervalSeconds;
         this.expirySeconds = expirySeconds;
         this.subsets = subsets;
-        this.peerLoadChanged = peerLoadChanged;
-        silence = new PeerSilence(minIntervalSeconds, expirySeconds);
+        this.onPeerLoadChanged = onPeerLoadChanged;
+        silenceDetector = new PeerSilenceDetector(minIntervalSeconds, expirySeconds);
     }
 
     /** The tag of a backend's id, the same at all proxies; two backends may share one. */
@@ -93,13 +93,13 @@
     /** An attempt was sent to the backend of a tag. */
     public void attemptSent(int tag) {
         ownAttempts.increment(tag);
-        reportChanged(tag);
+        markReportsChanged(tag);
     }
 
     /** An attempt at the backend of a tag has ended. */
     public void attemptEnded(int tag) {
         ownAttempts.decrement(tag);
-        reportChanged(tag);
+        markReportsChanged(tag);
     }
 
     /**
@@ -107,8 +107,8 @@
      * so it counts as in flight for a while.
      */
     public void attemptAbandoned(int tag, double now) {
-        abandoned.add(tag, now + ABANDONED_SHARE * expirySeconds);
-        peerLoadChanged.accept(tag);
+        abandoned.add(tag, now + ABANDONED_EXPIRY_SHARE * expirySeconds);
+        onPeerLoadChanged.accept(tag);
     }
 
     private void expireAbandoned(double now) {
@@ -116,14 +116,14 @@
                 now,
                 tag -> {
                     attemptEnded(tag);
-                    peerLoadChanged.accept(tag);
+                    onPeerLoadChanged.accept(tag);
                 });
     }
 
-    private void reportChanged(int tag) {
+    private void markReportsChanged(int tag) {
         for (int user : subsets.users(tag)) {
             if (user != self) {
-                peers[user].reportChanged();
+                peers[user].markReportChanged();
             }
         }
     }
@@ -138,11 +138,11 @@
 
     /** How many peers were heard within the expiry; none where all have fallen silent. */
     public int livePeerCount(double now) {
-        return silence.isSilent(now)
+        return silenceDetector.isSilent(now)
                 ? 0
                 : (int)
                         Arrays.stream(peers)
-                                .filter(peer -> peer.wasReceivedWithin(expirySeconds, now))
+                                .filter(peer -> peer.wasHeardFromWithin(expirySeconds, now))
                                 .count();
     }
 
@@ -152,17 +152,17 @@
      */
     public void receive(int from, byte[] datagram, double now) {
         boolean fromPeer = from >= 0 && from < peers.length && from != self;
-        if (!fromPeer || !GossipDatagram.isReadable(datagram)) {
+        if (!fromPeer || !GossipDatagram.isWellFormed(datagram)) {
             return;
         }
         PeerState peer = peers[from];
-        int sequenceNumber = GossipDatagram.sequenceNumber(datagram);
-        boolean remembered = peer.wasReceivedWithin(REMEMBERED_EXPIRIES * expirySeconds, now);
+        int sequenceNumber = GossipDatagram.readSequenceNumber(datagram);
+        boolean remembered = peer.wasHeardFromWithin(SEQUENCE_MEMORY_EXPIRIES * expirySeconds, now);
         if (remembered && peer.isOutdated(sequenceNumber)) {
             return;
         }
-        silence.received(now);
-        int[] tags = GossipDatagram.tags(datagram);
+        silenceDetector.messageReceived(now);
+        int[] tags = GossipDatagram.readTags(datagram);
         int[] before = peer.update(sequenceNumber, tags, remembered, now);
         replacePeerAttempts(before, tags);
     }
@@ -172,15 +172,15 @@
      * expire, and against its former messages being taken for the new start's.
      */
     public void peerRestarted(int proxy, long startNumber) {
-        int[] before = peers[proxy].restart(GossipDatagram.startBits(startNumber));
+        int[] before = peers[proxy].handleRestart(GossipDatagram.startBits(startNumber));
         replacePeerAttempts(before, new int[0]);
     }
 
     /** Drops what silent peers, as killed ones, have reported, and what has been abandoned long. */
-    public void expireSilentPeers(double now) {
+    public void expireStaleLoad(double now) {
         expireAbandoned(now);
         for (PeerState peer : peers) {
-            if (peer.hasReportedAny() && !peer.wasReceivedWithin(expirySeconds, now)) {
+            if (peer.hasReportedAttempts() && !peer.wasHeardFromWithin(expirySeconds, now)) {
                 replacePeerAttempts(peer.clearTags(), new int[0]);
             }
         }
@@ -189,8 +189,8 @@
     private void replacePeerAttempts(int[] before, int[] after) {
         Arrays.stream(before).forEach(peerAttempts::decrement);
         Arrays.stream(after).forEach(peerAttempts::increment);
-        Arrays.stream(before).forEach(peerLoadChanged);
-        Arrays.stream(after).forEach(peerLoadChanged);
+        Arrays.stream(before).forEach(onPeerLoadChanged);
+        Arrays.stream(after).forEach(onPeerLoadChanged);
     }
 
     /** When messages are due next, in seconds; infinite where nothing is to be sent. */
@@ -202,22 +202,22 @@
     }
 
     private double nextSendAt(PeerState peer) {
-        return peer.nextSendAt(minIntervalSeconds, REPEAT_SHARE * expirySeconds);
+        return peer.nextSendAt(minIntervalSeconds, REPEAT_EXPIRY_SHARE * expirySeconds);
     }
 
     /** The messages that are due now, which count as sent; attempts that don't fit are left out. */
-    public List<Message> dueMessages(double now) {
+    public List<Message> takeDueMessages(double now) {
         expireAbandoned(now);
         List<Message> due = new ArrayList<>();
         for (int to = 0; to < peers.length; to++) {
             if (nextSendAt(peers[to]) <= now) {
-                due.add(message(to, now));
+                due.add(createMessage(to, now));
             }
         }
         return due;
     }
 
-    private Message message(int to, double now) {
+    private Message createMessage(int to, double now) {
         int[] tags =
                 ownAttempts.entries().stream()
                         .filter(entry -> subsets.uses(to, entry.getKey()))
@@ -226,8 +226,8 @@
                         .limit(GossipDatagram.MAX_TAGS)
                         .toArray();
         PeerState peer = peers[to];
-        byte[] datagram = GossipDatagram.encoded(startBits, peer.nextCounter(), tags);
-        peer.sent(tags.length > 0, now);
+        byte[] datagram = GossipDatagram.encode(startBits, peer.nextCounter(), tags);
+        peer.messageSent(tags.length > 0, now);
         return new Message(to, datagram);
     }
 }
--- a/src/main/java/lemondrift/gossip/PeerState.java
+++ b/src/main/java/lemondrift/gossip/PeerState.java
@@ -26,16 +26,16 @@
     private double sentAt = Double.NEGATIVE_INFINITY;
 
     /** Whether what concerns the peer has changed since the last message to it. */
-    private boolean changed;
+    private boolean reportChanged;
 
     /** Whether the last message to it reported any attempt. */
-    private boolean lastReportedAny;
+    private boolean lastReportHadAttempts;
 
-    boolean wasReceivedWithin(double seconds, double now) {
+    boolean wasHeardFromWithin(double seconds, double now) {
         return now - receivedAt <= seconds;
     }
 
-    boolean hasReportedAny() {
+    boolean hasReportedAttempts() {
         return tags.length > 0;
     }
 
@@ -69,7 +69,7 @@
      *
      * @return the tags reported before
      */
-    int[] restart(int newStartBits) {
+    int[] handleRestart(int newStartBits) {
         // Guards against dropping the new start's messages where both starts share their bits.
         boolean distinct = startBits != newStartBits;
         previousStartBits = distinct ? startBits : NO_START;
@@ -90,8 +90,8 @@
     }
 
     /** What is to be reported to the peer has changed. */
-    void reportChanged() {
-        changed = true;
+    void markReportChanged() {
+        reportChanged = true;
     }
 
     /**
@@ -101,10 +101,10 @@
      * @param repeatIntervalSeconds after the last one where nothing has, if it reported any attempt
      */
     double nextSendAt(double minIntervalSeconds, double repeatIntervalSeconds) {
-        if (changed) {
+        if (reportChanged) {
             return sentAt + minIntervalSeconds;
         }
-        return lastReportedAny ? sentAt + repeatIntervalSeconds : Double.POSITIVE_INFINITY;
+        return lastReportHadAttempts ? sentAt + repeatIntervalSeconds : Double.POSITIVE_INFINITY;
     }
 
     /** Counts the next message to the peer, from 1 on. */
@@ -113,9 +113,9 @@
     }
 
     /** A message to the peer has been made, which reports some attempts or none. */
-    void sent(boolean reportedAny, double now) {
-        changed = false;
-        lastReportedAny = reportedAny;
+    void messageSent(boolean hadAttempts, double now) {
+        reportChanged = false;
+        lastReportHadAttempts = hadAttempts;
         sentAt = now;
     }
 }
--- a/src/main/java/lemondrift/gossip/RankedKeys.java
+++ b/src/main/java/lemondrift/gossip/RankedKeys.java
@@ -17,7 +17,7 @@
     private int size;
 
     /** Whether keys beyond the limit were left out. */
-    private boolean leftOut;
+    private boolean truncated;
 
     RankedKeys(int limit) {
         keys = new long[limit];
@@ -32,8 +32,8 @@
         return size;
     }
 
-    boolean hasLeftOut() {
-        return leftOut;
+    boolean isTruncated() {
+        return truncated;
     }
 
     /** The key at a rank, from 0. */
@@ -48,18 +48,18 @@
 
     void clear() {
         size = 0;
-        leftOut = false;
+        truncated = false;
     }
 
     void add(long key) {
         // Once keys were left out, one behind all that are kept may be behind those as well.
         boolean behindAll = size == 0 || key > keys[size - 1];
-        if (behindAll && (leftOut || size == keys.length)) {
-            leftOut = true;
+        if (behindAll && (truncated || size == keys.length)) {
+            truncated = true;
             return;
         }
         int rank = -1 - Arrays.binarySearch(keys, 0, size, key);
-        leftOut |= size == keys.length;
+        truncated |= size == keys.length;
         size = Math.min(keys.length, size + 1);
         System.arraycopy(keys, rank, keys, rank + 1, size - 1 - rank);
         keys[rank] = key;
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -21,14 +21,14 @@
  */
 public final class SubsetAssignment {
     /** So many ranked backends are kept for each place of a subset. */
-    private static final int KEPT_PER_PLACE = 2;
+    private static final int RANKED_KEYS_PER_SUBSET_MEMBER = 2;
 
     /** Low bits of a hash that a score drops, as a double has room for 53 of 64. */
     private static final int DROPPED_HASH_BITS = 11;
 
-    private static final int[] NOBODY = {};
+    private static final int[] NO_PROXIES = {};
 
-    private final int proxies;
+    private final int proxyCount;
     private final int subsetSize;
 
     /** The least keys of each proxy, by its number. */
@@ -41,7 +41,7 @@
     private final Map<Integer, int[]> cachedUsers = new HashMap<>();
 
     /** What is listed, by the backend's index. */
-    private final Map<Integer, Listed> listed = new HashMap<>();
+    private final Map<Integer, ListedBackend> listed = new HashMap<>();
 
     /** The indexes of the backends that are ready, by id; two backends may have one id. */
     private final Map<Integer, Set<Integer>> readyById = new HashMap<>();
@@ -51,18 +51,18 @@
      *
      * @param id its id then; its index may stand for another backend later
      */
-    private record Listed(EndpointUpdate update, int id) {
+    private record ListedBackend(EndpointUpdate update, int id) {
         private boolean isReady() {
             return update.state() == EndpointUpdate.State.READY;
         }
     }
 
     /** The subsets of a number of proxies, each of so many backends. */
-    public SubsetAssignment(int proxies, int subsetSize) {
-        this.proxies = proxies;
+    public SubsetAssignment(int proxyCount, int subsetSize) {
+        this.proxyCount = proxyCount;
         this.subsetSize = subsetSize;
-        ranked = new RankedKeys[proxies];
-        Arrays.setAll(ranked, proxy -> new RankedKeys(subsetSize * KEPT_PER_PLACE));
+        ranked = new RankedKeys[proxyCount];
+        Arrays.setAll(ranked, proxy -> new RankedKeys(subsetSize * RANKED_KEYS_PER_SUBSET_MEMBER));
     }
 
     /** The score of a backend's id at a proxy, from 0 to 1; the same wherever it is computed. */
@@ -98,39 +98,39 @@
      * Takes over updates of the endpoint list. Returns them with the scores and user shares of one
      * proxy, and after them each backend listed before whose user share has changed by them.
      *
-     * @param whole whether nothing but these backends is listed
+     * @param complete whether nothing but these backends is listed
      * @param idOf the id of the backend of an index
      */
-    public List<EndpointUpdate> withUserShares(
-            int proxy, boolean whole, List<EndpointUpdate> updates, IntUnaryOperator idOf) {
+    public List<EndpointUpdate> applyUpdates(
+            int proxy, boolean complete, List<EndpointUpdate> updates, IntUnaryOperator idOf) {
         Set<Integer> affected = subsetOf(proxy);
-        if (whole) {
+        if (complete) {
             List.copyOf(listed.keySet()).forEach(this::withdraw);
         }
-        updates.forEach(update -> replace(update, idOf.applyAsInt(update.backend())));
+        updates.forEach(update -> applyUpdate(update, idOf.applyAsInt(update.backend())));
         List<EndpointUpdate> assigned = new ArrayList<>(updates.size() + subsetSize);
         affected.addAll(subsetOf(proxy));
         for (EndpointUpdate update : updates) {
             affected.remove(update.backend());
-            assigned.add(withSubset(proxy, update, idOf.applyAsInt(update.backend())));
+            assigned.add(assignSubset(proxy, update, idOf.applyAsInt(update.backend())));
         }
         affected.forEach(backend -> addIfShareChanged(proxy, backend, assigned));
         return assigned;
     }
 
-    private void replace(EndpointUpdate update, int id) {
+    private void applyUpdate(EndpointUpdate update, int id) {
         withdraw(update.backend());
         if (update.state() == EndpointUpdate.State.READY) {
             readyById.computeIfAbsent(id, none -> new HashSet<>()).add(update.backend());
             add(id);
         }
         if (update.state() != EndpointUpdate.State.GONE) {
-            listed.put(update.backend(), new Listed(update.asKnownBackend(), id));
+            listed.put(update.backend(), new ListedBackend(update.asKnownBackend(), id));
         }
     }
 
     private void withdraw(int backend) {
-        Listed former = listed.remove(backend);
+        ListedBackend former = listed.remove(backend);
         if (former == null || !former.isReady()) {
             return;
         }
@@ -142,19 +142,20 @@
         }
     }
 
-    private EndpointUpdate withSubset(int proxy, EndpointUpdate update, int id) {
+    private EndpointUpdate assignSubset(int proxy, EndpointUpdate update, int id) {
         double score = score(proxy, id);
         double userShare = userShare(proxy, id);
         listed.computeIfPresent(
                 update.backend(),
-                (backend, last) -> new Listed(last.update.withSubset(score, userShare), last.id));
+                (backend, last) ->
+                        new ListedBackend(last.update.withSubset(score, userShare), last.id));
         return update.withSubset(score, userShare);
     }
 
     private void addIfShareChanged(int proxy, int backend, List<EndpointUpdate> assigned) {
-        Listed last = listed.get(backend);
+        ListedBackend last = listed.get(backend);
         if (last != null && last.update.userShare() != userShare(proxy, last.id)) {
-            assigned.add(withSubset(proxy, last.update, last.id));
+            assigned.add(assignSubset(proxy, last.update, last.id));
         }
     }
 
@@ -169,7 +170,7 @@
 
     /** The share of all proxies that use a backend, from 0 to 1; 0 where this one does not. */
     private double userShare(int proxy, int id) {
-        return uses(proxy, id) ? (double) users(id).length / proxies : 0;
+        return uses(proxy, id) ? (double) users(id).length / proxyCount : 0;
     }
 
     /** Whether a proxy uses the backend of an id; nobody uses one that is not listed. */
@@ -186,11 +187,11 @@
     public int[] users(int id) {
         int[] cached = cachedUsers.get(id);
         if (cached != null || !active.contains(id)) {
-            return cached == null ? NOBODY : cached;
+            return cached == null ? NO_PROXIES : cached;
         }
-        int[] all = new int[proxies];
+        int[] all = new int[proxyCount];
         int count = 0;
-        for (int proxy = 0; proxy < proxies; proxy++) {
+        for (int proxy = 0; proxy < proxyCount; proxy++) {
             if (uses(proxy, id)) {
                 all[count++] = proxy;
             }
@@ -205,7 +206,7 @@
             return;
         }
         cachedUsers.clear();
-        for (int proxy = 0; proxy < proxies; proxy++) {
+        for (int proxy = 0; proxy < proxyCount; proxy++) {
             ranked[proxy].add(key(proxy, id));
         }
     }
@@ -215,15 +216,15 @@
             return;
         }
         cachedUsers.clear();
-        for (int proxy = 0; proxy < proxies; proxy++) {
+        for (int proxy = 0; proxy < proxyCount; proxy++) {
             ranked[proxy].remove(key(proxy, id));
-            if (ranked[proxy].size() < subsetSize && ranked[proxy].hasLeftOut()) {
-                rankAll(proxy);
+            if (ranked[proxy].size() < subsetSize && ranked[proxy].isTruncated()) {
+                rankAllActive(proxy);
             }
         }
     }
 
-    private void rankAll(int proxy) {
+    private void rankAllActive(int proxy) {
         ranked[proxy].clear();
         for (int place = 0; place < active.size(); place++) {
             ranked[proxy].add(key(proxy, active.get(place)));
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -89,7 +89,7 @@
         recovery = step.next();
         for (RecoveryState.StatusMessage message : step.messages()) {
             pendingStatusMessages.add(
-                    new LoadGossip.Message(message.to(), message.status().encoded()));
+                    new LoadGossip.Message(message.to(), message.status().encode()));
         }
         if (recovery.isSettled()) {
             return;
@@ -105,12 +105,12 @@
     private void updatePeerState(double now) {
         if (recovery != null) {
             recovery =
-                    recovery.withMeasured(
+                    recovery.withMeasuredServiceTime(
                             balancer.measuredServiceTime().seconds(),
                             (int) balancer.measuredServiceTime().samples());
         }
         if (gossip != null) {
-            gossip.expireSilentPeers(now);
+            gossip.expireStaleLoad(now);
             balancer.setGossipActive(gossip.livePeerCount(now) > 0);
         }
     }
@@ -164,7 +164,7 @@
         List<EndpointUpdate> used =
                 gossip == null
                         ? updates
-                        : subsets.withUserShares(self, whole, updates, backend -> backend);
+                        : subsets.applyUpdates(self, whole, updates, backend -> backend);
         return recordAttempts(balancer.endpointsListed(now, whole, false, used));
     }
 
@@ -183,7 +183,7 @@
         }
         List<LoadGossip.Message> messages = new ArrayList<>(pendingStatusMessages);
         pendingStatusMessages.clear();
-        messages.addAll(gossip.dueMessages(now));
+        messages.addAll(gossip.takeDueMessages(now));
         return messages;
     }
 
--- a/src/main/java/lemondrift/proxy/ConfigReload.java
+++ b/src/main/java/lemondrift/proxy/ConfigReload.java
@@ -79,7 +79,7 @@
         ioThread.execute(
                 () -> {
                     metrics.configurationReloaded(true);
-                    endpointListWatch.moveTo(next.discovery());
+                    endpointListWatch.switchTo(next.discovery());
                 });
     }
 
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -187,11 +187,12 @@
             gossipTransport.start(worker);
             clientListener.runBeforeEachRequest(gossipTransport::receive);
         }
-        decisionLoop.endpointListReceived(EndpointListBuilder.of(initialEndpoints), true, () -> {});
+        decisionLoop.endpointListReceived(
+                EndpointListBuilder.fromJson(initialEndpoints), true, () -> {});
         initialEndpoints = null;
         decisionLoop.start();
         worker.getIoThread().execute(endpointListWatch::start);
-        endpointListWatch.awaitFirst();
+        endpointListWatch.awaitFirstList();
         if (inheritedSocket == null) {
             clientListener.listen();
         } else {
@@ -232,7 +233,8 @@
      */
     public void startWithoutListener(JsonObject endpointList) {
         decisionLoop.start();
-        decisionLoop.endpointListReceived(EndpointListBuilder.of(endpointList), false, () -> {});
+        decisionLoop.endpointListReceived(
+                EndpointListBuilder.fromJson(endpointList), false, () -> {});
     }
 
     public void accept(StreamConnection connection) {
--- a/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -35,8 +35,8 @@
         /** Whether it has left the list. */
         private boolean gone;
 
-        /** Whether its address has changed since {@link #takeMoved}. */
-        private boolean moved;
+        /** Whether its address has changed since {@link #consumeAddressChange}. */
+        private boolean addressChanged;
 
         private boolean logged;
 
@@ -92,10 +92,10 @@
     }
 
     /** Whether the address of a backend has changed since the last call. */
-    public boolean takeMoved(int backend) {
+    public boolean consumeAddressChange(int backend) {
         Entry entry = byIndex.get(backend);
-        boolean moved = entry.moved;
-        entry.moved = false;
+        boolean moved = entry.addressChanged;
+        entry.addressChanged = false;
         return moved;
     }
 
@@ -194,7 +194,7 @@
         Entry entry = known == null ? add(endpoint.id()) : known;
         entry.lastListNumber = lastListNumber;
         InetSocketAddress address = endpoint.address() != null ? endpoint.address() : entry.address;
-        entry.moved |= known != null && address != null && !address.equals(entry.address);
+        entry.addressChanged |= known != null && address != null && !address.equals(entry.address);
         setPresence(entry, endpoint.state() == EndpointUpdate.State.GONE, address);
         entry.location = location(entry, endpoint);
         entry.cell = cell(entry, endpoint);
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
@@ -52,7 +52,7 @@
      *
      * @throws RuntimeException if the object has no "members" or no "complete"
      */
-    public static EndpointList of(JsonObject list) {
+    public static EndpointList fromJson(JsonObject list) {
         EndpointListBuilder builder = new EndpointListBuilder();
         list.getAsJsonArray("members").forEach(builder::add);
         return builder.build(
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
@@ -29,7 +29,7 @@
     private Long revision;
 
     private Boolean complete;
-    private boolean hadMembers;
+    private boolean membersSeen;
 
     /** A parser of the body of one response, in UTF-8. */
     public EndpointListParser(byte[] body) {
@@ -82,7 +82,7 @@
             case "complete" -> complete = reader.nextBoolean();
             case "members" -> {
                 reader.beginArray();
-                hadMembers = true;
+                membersSeen = true;
                 position = Position.IN_MEMBERS;
             }
             default -> reader.skipValue();
@@ -98,7 +98,7 @@
     public EndpointList list() throws IOException {
         require(
                 position == Position.AFTER_LIST
-                        && hadMembers
+                        && membersSeen
                         && revision != null
                         && complete != null,
                 "a list without its fields");
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -72,7 +72,7 @@
     }
 
     /** Whether the list is one of before the start. */
-    public boolean isStale() {
+    public boolean isKnownBeforeStart() {
         return knownBeforeStart;
     }
 
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -90,7 +90,7 @@
     private OptionalLong lastRevision = OptionalLong.empty();
 
     /** Whether the last call failed. */
-    private boolean failing;
+    private boolean lastCallFailed;
 
     /** Connections to the present address of discovery. */
     private ConnectionPool pool;
@@ -113,10 +113,10 @@
         this.buffers = buffers;
         this.decisionEvents = decisionEvents;
         polling = config.settings().pollsEndpointList();
-        pool = poolTo(config.discovery());
+        pool = createPool(config.discovery());
     }
 
-    private ConnectionPool poolTo(InetSocketAddress discovery) {
+    private ConnectionPool createPool(InetSocketAddress discovery) {
         return new ConnectionPool(
                 discovery,
                 io,
@@ -140,7 +140,7 @@
      * most. Guards against requests to backends that the list known from before names and that have
      * drained since. Any thread but the I/O thread.
      */
-    public void awaitFirst() {
+    public void awaitFirstList() {
         try {
             firstCallEnded.await((long) (FIRST_LIST_TIMEOUT_SECONDS * 1e9), TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
@@ -149,7 +149,7 @@
     }
 
     /** Leaves discovery for another address; what is out at the old one is dropped. */
-    public void moveTo(InetSocketAddress discovery) {
+    public void switchTo(InetSocketAddress discovery) {
         if (state == State.STOPPED) {
             return;
         }
@@ -159,7 +159,7 @@
         }
         state = State.IDLE;
         pool.retire();
-        pool = poolTo(discovery);
+        pool = createPool(discovery);
         // Guards against revisions that the new address counts otherwise.
         lastRevision = OptionalLong.empty();
         startCall();
@@ -228,7 +228,7 @@
         state = State.PARSING;
         ConnectionPool from = pool;
         parserTask.start(
-                response.body(), list -> parsed(list, from), cause -> unparsable(cause, from));
+                response.body(), list -> parsed(list, from), cause -> parsingFailed(cause, from));
     }
 
     private void parsed(EndpointList list, ConnectionPool from) {
@@ -237,20 +237,20 @@
         }
         lastRevision =
                 list.revision() < 0 ? OptionalLong.empty() : OptionalLong.of(list.revision());
-        if (failing || !list.endpoints().isEmpty()) {
+        if (lastCallFailed || !list.endpoints().isEmpty()) {
             LOG.info(
                     "endpoint list of revision {} received, endpoints: {}",
                     list.revision(),
                     list.endpoints().size());
         }
-        failing = false;
+        lastCallFailed = false;
         decisionEvents.endpointListReceived(list, false, firstCallEnded::countDown);
         // Guards against a gap: what changes more than 200 ms before the next watch begins counts
         // as known.
         startCall();
     }
 
-    private void unparsable(Throwable cause, ConnectionPool from) {
+    private void parsingFailed(Throwable cause, ConnectionPool from) {
         if (endParsing(from)) {
             callFailed(cause.toString());
         }
@@ -270,10 +270,10 @@
     /** Calls again after a pause, or leaves that to the balancer where it polls. */
     private void callFailed(String reason) {
         // Guards against a line for every call while discovery is down.
-        if (!failing) {
+        if (!lastCallFailed) {
             LOG.info("list call failed, asking again: {}", reason);
         }
-        failing = true;
+        lastCallFailed = true;
         firstCallEnded.countDown();
         if (polling) {
             decisionEvents.endpointListFailed();
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -16,7 +16,7 @@
 
 /**
  * What this proxy reports to its peers and hears of them, by the backends' indexes. Decision loop's
- * thread only, but for {@link #received}.
+ * thread only, but for {@link #receivedDatagrams}.
  */
 public final class GossipSession {
     private record ReceivedDatagram(int from, byte[] datagram) {}
@@ -28,7 +28,7 @@
     private final LoadGossip gossip;
 
     /** Datagrams that are not processed yet. */
-    private final Queue<ReceivedDatagram> received = new ConcurrentLinkedQueue<>();
+    private final Queue<ReceivedDatagram> receivedDatagrams = new ConcurrentLinkedQueue<>();
 
     /** The index of the ready backend of a tag. */
     private final Map<Integer, Integer> backendByTag = new HashMap<>();
@@ -68,16 +68,18 @@
      * Queues a datagram until the loop decides next; it is not woken, as what peers have in flight
      * matters only then. Any thread.
      */
-    public void received(int from, byte[] datagram) {
-        received.add(new ReceivedDatagram(from, datagram));
+    public void enqueueDatagram(int from, byte[] datagram) {
+        receivedDatagrams.add(new ReceivedDatagram(from, datagram));
     }
 
     /** Passes on to the decisions what has come, and what has expired. */
     public void processReceived(double now) {
-        for (ReceivedDatagram next = received.poll(); next != null; next = received.poll()) {
+        for (ReceivedDatagram next = receivedDatagrams.poll();
+                next != null;
+                next = receivedDatagrams.poll()) {
             gossip.receive(next.from, next.datagram, now);
         }
-        gossip.expireSilentPeers(now);
+        gossip.expireStaleLoad(now);
         balancer.setGossipActive(gossip.livePeerCount(now) > 0);
     }
 
@@ -85,7 +87,7 @@
      * Tags the backends of changed endpoints, and adds this proxy's scores and the share of proxies
      * that use each backend, also for other backends where that has changed.
      */
-    public List<EndpointUpdate> withSubsets(List<EndpointUpdate> updates) {
+    public List<EndpointUpdate> assignSubsets(List<EndpointUpdate> updates) {
         for (EndpointUpdate update : updates) {
             int backend = update.backend();
             if (backend >= tags.length) {
@@ -97,7 +99,7 @@
                 backendByTag.put(tags[backend], backend);
             }
         }
-        return subsets.withUserShares(self, false, updates, backend -> tags[backend]);
+        return subsets.applyUpdates(self, false, updates, backend -> tags[backend]);
     }
 
     /** The decisions have applied these endpoints, and learn what peers have in flight there. */
@@ -132,7 +134,7 @@
     }
 
     /** The messages that are due now, which count as sent. */
-    public List<LoadGossip.Message> dueMessages(double now) {
-        return gossip.dueMessages(now);
+    public List<LoadGossip.Message> takeDueMessages(double now) {
+        return gossip.takeDueMessages(now);
     }
 }
--- a/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
+++ b/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
@@ -67,14 +67,14 @@
     void applyNextSlice() {
         EndpointListUpdate list = pendingLists.peek();
         List<EndpointUpdate> updates = peers.withSubsets(list.nextSlice());
-        shadow.endpointsListed(list.isStale(), updates);
+        shadow.endpointsListed(list.isKnownBeforeStart(), updates);
         balancer.endpointsChanged(clock.now(), false, updates);
         peers.endpointsApplied(updates);
         for (EndpointUpdate update : updates) {
             // Guards against an attempt that waits for a connection and reaches whoever has the
             // address now.
             if (update.state() != EndpointUpdate.State.READY
-                    || directory.takeMoved(update.backend())) {
+                    || directory.consumeAddressChange(update.backend())) {
                 actions.retirePool(update.backend());
             }
         }
@@ -99,6 +99,7 @@
                     balancer.usableBackendCount());
         }
         list.notifyApplied();
-        executor.execute(balancer.endpointsListed(clock.now(), false, list.isStale(), List.of()));
+        executor.execute(
+                balancer.endpointsListed(clock.now(), false, list.isKnownBeforeStart(), List.of()));
     }
 }
--- a/src/main/java/lemondrift/proxy/loop/PeerExchange.java
+++ b/src/main/java/lemondrift/proxy/loop/PeerExchange.java
@@ -62,10 +62,10 @@
      */
     boolean datagramReceived(int fromProxy, byte[] datagram) {
         if (recoveryCoordinator != null && RecoveryCoordinator.isRecoveryDatagram(datagram)) {
-            recoveryCoordinator.received(fromProxy, datagram);
+            recoveryCoordinator.enqueueDatagram(fromProxy, datagram);
             return true;
         }
-        gossipSession.received(fromProxy, datagram);
+        gossipSession.enqueueDatagram(fromProxy, datagram);
         return false;
     }
 
@@ -91,7 +91,7 @@
     List<EndpointUpdate> withSubsets(List<EndpointUpdate> updates) {
         return gossipSession == null || updates.isEmpty()
                 ? updates
-                : gossipSession.withSubsets(updates);
+                : gossipSession.assignSubsets(updates);
     }
 
     /** The balancer has these updates. */
@@ -117,7 +117,7 @@
                     clock.now(), balancer, gossipSession::peerRestarted, actions::sendGossip);
         }
         if (gossipSession != null) {
-            gossipSession.dueMessages(clock.now()).forEach(actions::sendGossip);
+            gossipSession.takeDueMessages(clock.now()).forEach(actions::sendGossip);
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -30,13 +30,13 @@
 
     private record ReceivedStatus(int from, PeerStatus status) {}
 
-    private final Queue<ReceivedStatus> received = new ConcurrentLinkedQueue<>();
+    private final Queue<ReceivedStatus> receivedStatuses = new ConcurrentLinkedQueue<>();
 
     /** Null where no disk lasts. */
     private final SnapshotStore snapshotStore;
 
     /** What is used of the former self's snapshot. */
-    private final Snapshot.Trusted trusted;
+    private final Snapshot.RestoredValues restored;
 
     private final double snapshotIntervalSeconds;
     private double nextSnapshotAt;
@@ -51,10 +51,10 @@
     private volatile RecoveryState.PeerEstimate peerEstimate;
 
     /** When the phase changed last. */
-    private volatile double phaseSince;
+    private volatile double phaseChangedAt;
 
     /** Whether the decisions have been given a first service time, if there was one. */
-    private boolean seeded;
+    private boolean seedAttempted;
 
     /**
      * The recovery of a proxy, which begins now. Before it returns, the start number is on disk
@@ -67,27 +67,29 @@
                 settings.snapshotFolder() == null
                         ? null
                         : new SnapshotStore(settings.snapshotFolder(), proxyName);
-        trusted = snapshotStore == null ? Snapshot.Trusted.NOTHING : snapshotStore.readTrusted();
+        restored =
+                snapshotStore == null
+                        ? Snapshot.RestoredValues.NONE
+                        : snapshotStore.restoreNewest();
         // Guards against a wall clock that went back, which would repeat a number.
-        long startNumber = Math.max(trusted.previousStart() + 1, System.currentTimeMillis());
+        long startNumber = Math.max(restored.previousStartNumber() + 1, System.currentTimeMillis());
         state = RecoveryState.starting(settings.polling(), self, proxyCount, startNumber, now);
-        phaseSince = now;
+        phaseChangedAt = now;
         nextSnapshotAt = now + snapshotIntervalSeconds;
         if (snapshotStore != null) {
-            snapshotStore.writeNow(
-                    startNumber, trusted.serviceTimeSeconds(), trustedSamplesWithServiceTime());
+            snapshotStore.writeNow(startNumber, restored.serviceTimeSeconds(), restoredSamples());
         }
         LOG.info(
                 "recovery begins start_number={} snapshot=\"{}\" service_time_seconds={}"
                         + " samples={}",
                 startNumber,
-                trusted.reason(),
-                trusted.serviceTimeSeconds(),
-                trusted.samples());
+                restored.reason(),
+                restored.serviceTimeSeconds(),
+                restored.samples());
     }
 
-    private int trustedSamplesWithServiceTime() {
-        return trusted.serviceTimeSeconds() > 0 ? trusted.samples() : 0;
+    private int restoredSamples() {
+        return restored.serviceTimeSeconds() > 0 ? restored.samples() : 0;
     }
 
     /** Whether a datagram is a peer's status, not gossip. Any thread. */
@@ -96,9 +98,9 @@
     }
 
     /** Queues a peer's status until the next advance; drops one that can't be read. Any thread. */
-    public void received(int from, byte[] datagram) {
+    public void enqueueDatagram(int from, byte[] datagram) {
         PeerStatus.decode(datagram)
-                .ifPresent(status -> received.add(new ReceivedStatus(from, status)));
+                .ifPresent(status -> receivedStatuses.add(new ReceivedStatus(from, status)));
     }
 
     public long startNumber() {
@@ -128,7 +130,7 @@
         boolean wasSettled = state.isSettled();
         if (!wasSettled) {
             ServiceTime measured = balancer.measuredServiceTime();
-            state = state.withMeasured(measured.seconds(), (int) measured.samples());
+            state = state.withMeasuredServiceTime(measured.seconds(), (int) measured.samples());
         }
         processReceived(now, listener, sender);
         apply(state.wake(now), now, sender);
@@ -154,7 +156,9 @@
 
     private void processReceived(
             double now, PeerRestartListener listener, Consumer<LoadGossip.Message> sender) {
-        for (ReceivedStatus next = received.poll(); next != null; next = received.poll()) {
+        for (ReceivedStatus next = receivedStatuses.poll();
+                next != null;
+                next = receivedStatuses.poll()) {
             RecoveryState.Step step = state.statusReceived(next.from, next.status, now);
             if (step.peerRestarted()) {
                 listener.peerRestarted(next.from, next.status.startNumber());
@@ -166,7 +170,7 @@
     private void apply(RecoveryState.Step step, double now, Consumer<LoadGossip.Message> sender) {
         RecoveryState next = step.next();
         if (next.phase() != state.phase()) {
-            phaseSince = now;
+            phaseChangedAt = now;
             LOG.info(
                     "recovery phase={} previous={} after={} peers_heard={}",
                     next.phase(),
@@ -176,7 +180,7 @@
         }
         state = next;
         for (RecoveryState.StatusMessage each : step.messages()) {
-            sender.accept(new LoadGossip.Message(each.to(), each.status().encoded()));
+            sender.accept(new LoadGossip.Message(each.to(), each.status().encode()));
         }
     }
 
@@ -185,21 +189,21 @@
         Optional<RecoveryState.PeerEstimate> current = state.peerEstimate(now);
         if (current.isPresent()) {
             balancer.seedServiceTime(current.get().serviceTimeSeconds(), current.get().samples());
-        } else if (!seeded && trusted.serviceTimeSeconds() > 0) {
-            balancer.seedServiceTime(trusted.serviceTimeSeconds(), trusted.samples());
+        } else if (!seedAttempted && restored.serviceTimeSeconds() > 0) {
+            balancer.seedServiceTime(restored.serviceTimeSeconds(), restored.samples());
         }
-        seeded = true;
+        seedAttempted = true;
         peerEstimate = current.orElse(null);
     }
 
     private void storeSnapshot(double now) {
         // Jitter guards against all proxies of a machine writing at once to its one disk.
         nextSnapshotAt = now + snapshotIntervalSeconds * (0.5 + Math.random());
-        writeMeasured();
+        writeMeasuredSnapshot();
     }
 
-    private void writeMeasured() {
-        snapshotStore.writeSoon(
+    private void writeMeasuredSnapshot() {
+        snapshotStore.writeAsync(
                 state.startNumber(),
                 lastMeasured.seconds(),
                 (int) Math.min(lastMeasured.samples(), Short.MAX_VALUE));
@@ -217,13 +221,13 @@
         json.addProperty("start", current.startNumber());
         json.addProperty("up", now - current.startedAt());
         json.addProperty("standing", current.phase().name().toLowerCase(Locale.ROOT));
-        json.addProperty("for", now - phaseSince);
+        json.addProperty("for", now - phaseChangedAt);
         json.addProperty("settled", current.isSettled());
         json.addProperty("work", current.serviceTimeSeconds());
         json.addProperty("answers", current.samples());
         json.addProperty("asked", current.pollRounds());
         json.addProperty("heard", current.observations().size());
-        json.addProperty("snapshot", trusted.reason());
+        json.addProperty("snapshot", restored.reason());
         if (estimate != null) {
             json.addProperty("learned", estimate.serviceTimeSeconds());
             json.addProperty("from_answers", estimate.samples());
@@ -236,12 +240,10 @@
     public void close() {
         if (snapshotStore != null) {
             if (lastMeasured.samples() > 0) {
-                writeMeasured();
+                writeMeasuredSnapshot();
             } else {
-                snapshotStore.writeSoon(
-                        state.startNumber(),
-                        trusted.serviceTimeSeconds(),
-                        trustedSamplesWithServiceTime());
+                snapshotStore.writeAsync(
+                        state.startNumber(), restored.serviceTimeSeconds(), restoredSamples());
             }
             snapshotStore.close();
         }
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
@@ -37,12 +37,12 @@
     /** A snapshot under the names, and in the order, in which it is stored. */
     private record StoredSnapshot(
             @JsonProperty("name") String proxyName,
-            @JsonProperty("boot") String boot,
+            @JsonProperty("boot") String bootId,
             @JsonProperty("start") long startNumber,
             @JsonProperty("at") double writtenAt,
             @JsonProperty("work") double serviceTimeSeconds,
             @JsonProperty("answers") int samples) {
-        private static StoredSnapshot of(Snapshot snapshot) {
+        private static StoredSnapshot from(Snapshot snapshot) {
             return new StoredSnapshot(
                     snapshot.proxyName(),
                     snapshot.bootId(),
@@ -52,14 +52,14 @@
                     snapshot.samples());
         }
 
-        private Snapshot snapshot() {
+        private Snapshot toSnapshot() {
             return new Snapshot(
-                    proxyName, boot, startNumber, writtenAt, serviceTimeSeconds, samples);
+                    proxyName, bootId, startNumber, writtenAt, serviceTimeSeconds, samples);
         }
     }
 
-    static byte[] encoded(Snapshot snapshot) throws IOException {
-        byte[] body = CBOR.writeValueAsBytes(StoredSnapshot.of(snapshot));
+    static byte[] encode(Snapshot snapshot) throws IOException {
+        byte[] body = CBOR.writeValueAsBytes(StoredSnapshot.from(snapshot));
         return ByteBuffer.allocate(HEADER_BYTES + body.length)
                 .put(MAGIC)
                 .putShort((short) VERSION)
@@ -106,14 +106,14 @@
                     file + ": torn or changed: " + body.length + " bytes of " + bodyLength);
         }
         try {
-            return CBOR.readValue(body, StoredSnapshot.class).snapshot();
+            return CBOR.readValue(body, StoredSnapshot.class).toSnapshot();
         } catch (IllegalArgumentException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
     }
 
     /** Where the snapshot before the one in a file is kept. */
-    static Path previous(Path file) {
+    static Path previousFile(Path file) {
         return file.resolveSibling(file.getFileName() + ".1");
     }
 
@@ -130,14 +130,14 @@
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer bytes = ByteBuffer.wrap(encoded(snapshot));
+            ByteBuffer bytes = ByteBuffer.wrap(encode(snapshot));
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
             out.force(true);
         }
         if (Files.exists(file)) {
-            Files.move(file, previous(file), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(file, previousFile(file), StandardCopyOption.ATOMIC_MOVE);
         }
         Files.move(unfinished, file, StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent())) {
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
@@ -23,13 +23,13 @@
     private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
     /** Seconds that the last write may take at the end. */
-    private static final long CLOSE_SECONDS = 1;
+    private static final long CLOSE_TIMEOUT_SECONDS = 1;
 
     private final Path file;
     private final String proxyName;
 
     /** Empty where the machine does not tell. */
-    private final String boot;
+    private final String bootId;
 
     private final ExecutorService writer =
             Executors.newSingleThreadExecutor(
@@ -40,15 +40,15 @@
                     });
 
     /** Whether the last write failed. */
-    private volatile boolean failed;
+    private volatile boolean lastWriteFailed;
 
     SnapshotStore(Path folder, String proxyName) {
         file = folder.resolve(proxyName + ".snap");
         this.proxyName = proxyName;
-        boot = readBoot();
+        bootId = readBootId();
     }
 
-    private static String readBoot() {
+    private static String readBootId() {
         try {
             return Files.readString(BOOT_ID_FILE).strip();
         } catch (IOException | SecurityException e) {
@@ -61,20 +61,20 @@
     }
 
     /** What is used of the newest snapshot that can be read; any other is set aside. */
-    Snapshot.Trusted readTrusted() {
-        for (Path candidate : List.of(file, SnapshotFile.previous(file))) {
+    Snapshot.RestoredValues restoreNewest() {
+        for (Path candidate : List.of(file, SnapshotFile.previousFile(file))) {
             if (!Files.exists(candidate)) {
                 continue;
             }
             try {
-                return SnapshotFile.read(candidate).trusted(proxyName, boot, wallSeconds());
+                return SnapshotFile.read(candidate).restore(proxyName, bootId, wallSeconds());
             } catch (IOException | RuntimeException e) {
                 // Wide, as whatever a file holds must not keep the proxy from starting.
                 LOG.warn("recovery snapshot set aside: {}", e.toString().replace('\n', ' '));
                 setAside(candidate);
             }
         }
-        return Snapshot.Trusted.NOTHING;
+        return Snapshot.RestoredValues.NONE;
     }
 
     private static void setAside(Path file) {
@@ -98,13 +98,13 @@
             Snapshot snapshot =
                     new Snapshot(
                             proxyName,
-                            boot,
+                            bootId,
                             startNumber,
                             wallSeconds(),
                             serviceTimeSeconds,
                             samples);
             SnapshotFile.write(file, snapshot);
-            failed = false;
+            lastWriteFailed = false;
             return true;
         } catch (IOException | RuntimeException e) {
             // Wide, as the proxy serves on without a snapshot.
@@ -115,14 +115,14 @@
 
     /** Guards against a full disk filling the log as well. */
     private void logFirstFailure(Exception cause) {
-        if (!failed) {
+        if (!lastWriteFailed) {
             LOG.warn("recovery snapshot not kept, {}", cause.toString());
         }
-        failed = true;
+        lastWriteFailed = true;
     }
 
     /** Has a snapshot written soon, as the decision loop's thread must not wait for a disk. */
-    void writeSoon(long startNumber, double serviceTimeSeconds, int samples) {
+    void writeAsync(long startNumber, double serviceTimeSeconds, int samples) {
         writer.execute(() -> writeNow(startNumber, serviceTimeSeconds, samples));
     }
 
@@ -131,7 +131,7 @@
     public void close() {
         writer.shutdown();
         try {
-            writer.awaitTermination(CLOSE_SECONDS, TimeUnit.SECONDS);
+            writer.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/lemondrift/recovery/PeerPollSettings.java
+++ b/src/main/java/lemondrift/recovery/PeerPollSettings.java
@@ -30,11 +30,11 @@
     private static final int DEFAULT_SETTLED_SAMPLES = 8;
 
     /** The default for a shortest latency objective of so many seconds. */
-    public static PeerPollSettings forLatencyObjective(double windowSeconds) {
+    public static PeerPollSettings forLatencyObjective(double objectiveSeconds) {
         return new PeerPollSettings(
-                DEFAULT_INTERVAL_SHARE * windowSeconds,
-                windowSeconds,
-                DEFAULT_EXPIRY_FACTOR * windowSeconds,
+                DEFAULT_INTERVAL_SHARE * objectiveSeconds,
+                objectiveSeconds,
+                DEFAULT_EXPIRY_FACTOR * objectiveSeconds,
                 DEFAULT_FANOUT,
                 DEFAULT_SETTLED_SAMPLES);
     }
--- a/src/main/java/lemondrift/recovery/PeerStatus.java
+++ b/src/main/java/lemondrift/recovery/PeerStatus.java
@@ -47,7 +47,7 @@
     }
 
     /** The datagram. */
-    public byte[] encoded() {
+    public byte[] encode() {
         int flags = (wantsReply ? WANTS_REPLY_FLAG : 0) + (settled ? SETTLED_FLAG : 0);
         return ByteBuffer.allocate(LENGTH)
                 .put(KIND)
--- a/src/main/java/lemondrift/recovery/RecoveryState.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -13,7 +13,7 @@
  * of a request, until it has measured that itself. A value; each event gives another one. Times are
  * in seconds of one clock.
  *
- * @param backoff how it polls
+ * @param pollSettings how it polls
  * @param self its number among the proxies
  * @param proxyCount how many proxies there are
  * @param startNumber its own, which rises with each start
@@ -26,7 +26,7 @@
  * @param nextPollAt when it polls next
  */
 public record RecoveryState(
-        PeerPollSettings backoff,
+        PeerPollSettings pollSettings,
         int self,
         int proxyCount,
         long startNumber,
@@ -38,10 +38,10 @@
         int pollRounds,
         double nextPollAt) {
     /** It counts as the only new one while at most one peer in so many is new. */
-    private static final int PEERS_PER_NEW_ONE = 4;
+    private static final int MIN_ANSWERS_PER_UNSETTLED_PEER = 4;
 
     /** As how many samples those of one peer count at the most. */
-    private static final int MAX_SAMPLES_OF_ONE_PEER = 8;
+    private static final int MAX_SAMPLES_PER_PEER = 8;
 
     /** In place of the recipient's start number where that is not known. */
     private static final long ANY_START = 0;
@@ -72,9 +72,9 @@
 
     /** The state at the start of a proxy, which polls at once. */
     public static RecoveryState starting(
-            PeerPollSettings backoff, int self, int proxyCount, long startNumber, double now) {
+            PeerPollSettings pollSettings, int self, int proxyCount, long startNumber, double now) {
         return new RecoveryState(
-                backoff,
+                pollSettings,
                 self,
                 proxyCount,
                 startNumber,
@@ -93,7 +93,7 @@
             int pollRounds,
             double nextPollAt) {
         return new RecoveryState(
-                backoff,
+                pollSettings,
                 self,
                 proxyCount,
                 startNumber,
@@ -108,16 +108,16 @@
 
     /** Whether it has samples enough of its own, and polls no more. */
     public boolean isSettled() {
-        return samples >= backoff.settledSamples();
+        return samples >= pollSettings.settledSamples();
     }
 
     /** The state with the mean service time that its own samples show; the same once settled. */
-    public RecoveryState withMeasured(double serviceTimeSeconds, int samples) {
+    public RecoveryState withMeasuredServiceTime(double serviceTimeSeconds, int samples) {
         if (isSettled()) {
             return this;
         }
         return new RecoveryState(
-                backoff,
+                pollSettings,
                 self,
                 proxyCount,
                 startNumber,
@@ -127,7 +127,7 @@
                 observations,
                 phase,
                 pollRounds,
-                samples >= backoff.settledSamples() ? Double.POSITIVE_INFINITY : nextPollAt);
+                samples >= pollSettings.settledSamples() ? Double.POSITIVE_INFINITY : nextPollAt);
     }
 
     /**
@@ -148,9 +148,9 @@
         updated.put(from, new PeerObservation(status, now));
         boolean restarted =
                 before == null
-                        ? status.uptimeSeconds() <= backoff.expirySeconds()
+                        ? status.uptimeSeconds() <= pollSettings.expirySeconds()
                         : before.status().startNumber() != status.startNumber();
-        RecoveryState next = with(updated, phase, pollRounds, nextPollAt).judged(now);
+        RecoveryState next = with(updated, phase, pollRounds, nextPollAt).withCurrentPhase(now);
         List<StatusMessage> replies =
                 status.wantsReply()
                         ? List.of(
@@ -163,12 +163,12 @@
     /** Polls the next few peers where that is due; each interval is longer than the one before. */
     public Step wake(double now) {
         if (now < nextPollAt || proxyCount < 2) {
-            return new Step(judged(now), List.of(), false);
+            return new Step(withCurrentPhase(now), List.of(), false);
         }
         int peerCount = proxyCount - 1;
         List<StatusMessage> polls = new ArrayList<>();
-        for (int i = 0; i < Math.min(backoff.fanout(), peerCount); i++) {
-            int to = (self + 1 + (pollRounds * backoff.fanout() + i) % peerCount) % proxyCount;
+        for (int i = 0; i < Math.min(pollSettings.fanout(), peerCount); i++) {
+            int to = (self + 1 + (pollRounds * pollSettings.fanout() + i) % peerCount) % proxyCount;
             PeerObservation observation = observations.get(to);
             long recipientStart =
                     observation != null && isCurrent(observation, now)
@@ -177,8 +177,11 @@
             polls.add(new StatusMessage(to, ownStatus(recipientStart, true, now)));
         }
         double interval =
-                Math.min(backoff.expirySeconds(), backoff.intervalSeconds() * (1 + pollRounds));
-        RecoveryState next = with(observations, phase, pollRounds + 1, now + interval).judged(now);
+                Math.min(
+                        pollSettings.expirySeconds(),
+                        pollSettings.intervalSeconds() * (1 + pollRounds));
+        RecoveryState next =
+                with(observations, phase, pollRounds + 1, now + interval).withCurrentPhase(now);
         return new Step(next, polls, false);
     }
 
@@ -199,7 +202,7 @@
     }
 
     private boolean isCurrent(PeerObservation observation, double now) {
-        return now - observation.receivedAt() <= backoff.expirySeconds();
+        return now - observation.receivedAt() <= pollSettings.expirySeconds();
     }
 
     private Stream<PeerStatus> currentStatuses(double now) {
@@ -209,19 +212,20 @@
     }
 
     /** With the phase that the answers show, which is corrected until it is settled. */
-    private RecoveryState judged(double now) {
+    private RecoveryState withCurrentPhase(double now) {
         if (isSettled()) {
             return this;
         }
-        RecoveryPhase judged = judgedPhase(now);
+        RecoveryPhase judged = determinePhase(now);
         return judged == phase ? this : with(observations, judged, pollRounds, nextPollAt);
     }
 
-    private RecoveryPhase judgedPhase(double now) {
+    private RecoveryPhase determinePhase(double now) {
         long answered = currentStatuses(now).count();
         long settled = currentStatuses(now).filter(PeerStatus::settled).count();
         boolean early =
-                now - startedAt < backoff.decisionTimeoutSeconds() && answered < proxyCount - 1;
+                now - startedAt < pollSettings.decisionTimeoutSeconds()
+                        && answered < proxyCount - 1;
         if (early && settled == 0) {
             return RecoveryPhase.UNKNOWN;
         }
@@ -231,7 +235,7 @@
         if (settled == 0) {
             return RecoveryPhase.ALL_NEW;
         }
-        return (answered - settled) * PEERS_PER_NEW_ONE <= answered
+        return (answered - settled) * MIN_ANSWERS_PER_UNSETTLED_PEER <= answered
                 ? RecoveryPhase.ALONE
                 : RecoveryPhase.AMONG_SOME;
     }
@@ -256,7 +260,7 @@
         }
         int samples =
                 measured.stream()
-                        .mapToInt(status -> Math.min(MAX_SAMPLES_OF_ONE_PEER, status.samples()))
+                        .mapToInt(status -> Math.min(MAX_SAMPLES_PER_PEER, status.samples()))
                         .sum();
         return Optional.of(
                 new PeerEstimate(measured.get(measured.size() / 2).serviceTimeSeconds(), samples));
--- a/src/main/java/lemondrift/recovery/Snapshot.java
+++ b/src/main/java/lemondrift/recovery/Snapshot.java
@@ -21,7 +21,7 @@
     private static final double MAX_AGE_SECONDS = 24 * 3600;
 
     /** As how many samples an old service time, or one of another run of the machine, counts. */
-    private static final int MAX_SAMPLES_WHERE_DOUBTED = 1;
+    private static final int MAX_UNRELIABLE_SAMPLES = 1;
 
     /**
      * Checks the ranges.
@@ -43,37 +43,38 @@
     /**
      * What is used of a snapshot at a start.
      *
-     * @param previousStart the new start number has to be above this
+     * @param previousStartNumber the new start number has to be above this
      * @param serviceTimeSeconds service time to go by until peers or own samples say more, 0 for
      *     none
      * @param samples as how many samples that counts
      * @param reason in words for the log
      */
-    public record Trusted(
-            long previousStart, double serviceTimeSeconds, int samples, String reason) {
+    public record RestoredValues(
+            long previousStartNumber, double serviceTimeSeconds, int samples, String reason) {
         /** Where there is no snapshot that can be read. */
-        public static final Trusted NOTHING = new Trusted(0, 0, 0, "no snapshot");
+        public static final RestoredValues NONE = new RestoredValues(0, 0, 0, "no snapshot");
     }
 
     /**
      * What a starting proxy uses of it.
      *
-     * @param startingProxy the name of the proxy that starts
-     * @param currentBoot tells the current run of the machine, empty where that is not known
+     * @param startingProxyName the name of the proxy that starts
+     * @param currentBootId tells the current run of the machine, empty where that is not known
      * @param wallSeconds the wall clock, in seconds since 1970
      */
-    public Trusted trusted(String startingProxy, String currentBoot, double wallSeconds) {
-        if (!proxyName.equals(startingProxy)) {
-            return new Trusted(0, 0, 0, "of another proxy, " + proxyName);
+    public RestoredValues restore(
+            String startingProxyName, String currentBootId, double wallSeconds) {
+        if (!proxyName.equals(startingProxyName)) {
+            return new RestoredValues(0, 0, 0, "of another proxy, " + proxyName);
         }
         double ageSeconds = wallSeconds - writtenAt;
-        boolean rebooted = bootId.isEmpty() || !bootId.equals(currentBoot);
+        boolean rebooted = bootId.isEmpty() || !bootId.equals(currentBootId);
         // Guards against a clock that has gone back: it tells no age, so any age is assumed.
         boolean old = !(ageSeconds >= 0 && ageSeconds <= MAX_AGE_SECONDS);
-        return new Trusted(
+        return new RestoredValues(
                 startNumber,
                 serviceTimeSeconds,
-                old || rebooted ? Math.min(MAX_SAMPLES_WHERE_DOUBTED, samples) : samples,
+                old || rebooted ? Math.min(MAX_UNRELIABLE_SAMPLES, samples) : samples,
                 reason(ageSeconds, old, rebooted));
     }
 
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -35,7 +35,7 @@
     void recoveryDatagramIsReadAndWrittenAsBefore() throws IOException {
         PeerStatus hello =
                 new PeerStatus(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
-        GoldenFiles.assertHex("recovery-datagram.hex", hello.encoded());
+        GoldenFiles.assertHex("recovery-datagram.hex", hello.encode());
         assertEquals(
                 Optional.of(hello),
                 PeerStatus.decode(GoldenFiles.readHex("recovery-datagram.hex")));
@@ -48,7 +48,7 @@
         sender.attemptSent(LoadGossip.tag("backend-1"));
         sender.attemptSent(LoadGossip.tag("backend-1"));
         sender.attemptSent(LoadGossip.tag("backend-2"));
-        List<LoadGossip.Message> due = sender.dueMessages(1);
+        List<LoadGossip.Message> due = sender.takeDueMessages(1);
         assertEquals(1, due.size());
         GoldenFiles.assertHex("gossip-datagram.hex", due.get(0).datagram());
         receiver.receive(0, GoldenFiles.readHex("gossip-datagram.hex"), 1);
--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -21,18 +21,18 @@
     private record Undelivered(int from, LoadGossip.Message message) {}
 
     /** The gossip of one of a few proxies that all use all backends. */
-    private static LoadGossip gossip(int proxies, int self, int backends) {
+    private static LoadGossip newGossip(int proxies, int self, int backends) {
         return new LoadGossip(
                 proxies,
                 self,
                 1,
                 0.01,
                 EXPIRY_SECONDS,
-                everyoneUsesAll(proxies, backends),
+                subsetsOfAllBackends(proxies, backends),
                 tag -> {});
     }
 
-    private static SubsetAssignment everyoneUsesAll(int proxies, int backends) {
+    private static SubsetAssignment subsetsOfAllBackends(int proxies, int backends) {
         SubsetAssignment subsets = new SubsetAssignment(proxies, backends);
         subsets.setActive(IntStream.range(0, backends).toArray());
         return subsets;
@@ -40,15 +40,15 @@
 
     /** The only message that is due now. */
     private static byte[] onlyDueMessage(LoadGossip sender, double now) {
-        List<LoadGossip.Message> due = sender.dueMessages(now);
+        List<LoadGossip.Message> due = sender.takeDueMessages(now);
         assertEquals(1, due.size(), "due");
         return due.get(0).datagram();
     }
 
     @Test
-    void unreadableLateAndRepeatedMessagesChangeNothing() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void ignoresUnreadableLateAndRepeatedMessages() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         sender.attemptSent(7);
         byte[] old = onlyDueMessage(sender, 1);
         sender.attemptSent(7);
@@ -69,20 +69,20 @@
     }
 
     @Test
-    void attemptsOfAKilledProxyExpireAndItsNewStartIsHeard() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void expiresAttemptsOfKilledProxyAndAcceptsItsRestart() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         for (int i = 0; i < 50; i++) {
             sender.attemptSent(7);
             receiver.receive(0, onlyDueMessage(sender, 1 + 0.02 * i), 1 + 0.02 * i);
         }
-        receiver.expireSilentPeers(2.09);
+        receiver.expireStaleLoad(2.09);
         assertEquals(0, receiver.peerLoad(7));
         assertEquals(
                 0,
                 receiver.livePeerCount(2.09),
                 "a silent peer counts no more than what it reported");
-        LoadGossip restarted = gossip(2, 0, 10);
+        LoadGossip restarted = newGossip(2, 0, 10);
         restarted.attemptSent(8);
         receiver.receive(0, onlyDueMessage(restarted, 3), 3);
         assertEquals(1, receiver.peerLoad(8));
@@ -90,21 +90,21 @@
     }
 
     @Test
-    void messagesStayWithinTheirBytesAndRate() {
-        LoadGossip sender = gossip(2, 0, 1000);
+    void limitsMessageSizeAndRate() {
+        LoadGossip sender = newGossip(2, 0, 1000);
         for (int i = 0; i < 1000; i++) {
             sender.attemptSent(i);
         }
         assertTrue(onlyDueMessage(sender, 1).length <= LoadGossip.MAX_DATAGRAM_BYTES);
         sender.attemptSent(1);
-        assertEquals(List.of(), sender.dueMessages(1.005));
+        assertEquals(List.of(), sender.takeDueMessages(1.005));
         onlyDueMessage(sender, 1.011);
         assertEquals(
-                List.of(), sender.dueMessages(1.02), "what has not changed is repeated seldom");
+                List.of(), sender.takeDueMessages(1.02), "what has not changed is repeated seldom");
     }
 
     /** How many backends have a lesser score at a proxy than the one of a tag. */
-    private static long better(int proxy, int tag, int[] tags) {
+    private static long countBackendsWithLowerScore(int proxy, int tag, int[] tags) {
         double score = SubsetAssignment.score(proxy, tag);
         return Arrays.stream(tags)
                 .filter(other -> SubsetAssignment.score(proxy, other) < score)
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void onlyPeersThatUseTheBackendGetMessagesHoweverManyThereAre() {
+    void sendsOnlyToPeersThatUseTheBackendWhateverTheFleetSize() {
         for (int proxies : new int[] {20, 100, 300}) {
             int backends = 2 * proxies;
             int messages = 0;
@@ -122,10 +122,15 @@
             for (int tag : tags) {
                 LoadGossip one = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> {});
                 one.attemptSent(tag);
-                int[] to = one.dueMessages(1).stream().mapToInt(LoadGossip.Message::to).toArray();
+                int[] to =
+                        one.takeDueMessages(1).stream().mapToInt(LoadGossip.Message::to).toArray();
                 int[] users =
                         IntStream.range(0, proxies)
-                                .filter(p -> p != 3 && better(p, tag, tags) < 16)
+                                .filter(
+                                        p ->
+                                                p != 3
+                                                        && countBackendsWithLowerScore(p, tag, tags)
+                                                                < 16)
                                 .toArray();
                 assertArrayEquals(users, to);
                 messages += to.length;
@@ -141,12 +146,12 @@
      * others have in flight as soon as the last message before can have expired.
      */
     @Property(tries = 2000, seed = "48")
-    void onceMessagesArriveAllKnowWhatTheOthersHaveInFlight(@ForAll long seed) {
+    void convergesOnAttemptsInFlightOnceMessagesArrive(@ForAll long seed) {
         Random random = new Random(seed);
         int proxies = 4;
         int backends = 5;
         LoadGossip[] all = new LoadGossip[proxies];
-        Arrays.setAll(all, proxy -> gossip(proxies, proxy, backends));
+        Arrays.setAll(all, proxy -> newGossip(proxies, proxy, backends));
         int[][] inFlight = new int[proxies][backends];
         List<Undelivered> undelivered = new ArrayList<>();
         double now = 1;
@@ -161,7 +166,7 @@
                 all[proxy].attemptSent(backend);
             }
             all[proxy]
-                    .dueMessages(now)
+                    .takeDueMessages(now)
                     .forEach(message -> undelivered.add(new Undelivered(proxy, message)));
             if (!undelivered.isEmpty() && random.nextInt(3) > 0) {
                 // Any of them, perhaps again, perhaps never: lost, late, twice.
@@ -170,7 +175,7 @@
             }
         }
         for (double end = now + EXPIRY_SECONDS + 0.01; now < end; now += 0.005) {
-            arrive(all, now);
+            deliverDueMessages(all, now);
         }
         for (int receiver = 0; receiver < proxies; receiver++) {
             for (int backend = 0; backend < backends; backend++) {
@@ -187,38 +192,38 @@
     }
 
     /** All that is due is sent and arrives, and what is too old expires. */
-    private static void arrive(LoadGossip[] all, double now) {
+    private static void deliverDueMessages(LoadGossip[] all, double now) {
         for (int i = 0; i < all.length; i++) {
-            for (LoadGossip.Message each : all[i].dueMessages(now)) {
+            for (LoadGossip.Message each : all[i].takeDueMessages(now)) {
                 all[each.to()].receive(i, each.datagram(), now);
             }
         }
         for (LoadGossip each : all) {
-            each.expireSilentPeers(now);
+            each.expireStaleLoad(now);
         }
     }
 
     /** Guards against a lost last message of a peer that then has nothing more to report. */
     @Test
-    void aLostLastMessageIsMadeUpForByTheExpiryAndNoLater() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void dropsPeerLoadAtExpiryWhenLastMessageIsLost() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         sender.attemptSent(7);
         receiver.receive(0, onlyDueMessage(sender, 1), 1);
         sender.attemptEnded(7);
         assertTrue(onlyDueMessage(sender, 1.02).length > 0, "sent, and lost");
-        assertEquals(List.of(), sender.dueMessages(1.1), "it has nothing more to report");
-        receiver.expireSilentPeers(1 + EXPIRY_SECONDS - 0.001);
+        assertEquals(List.of(), sender.takeDueMessages(1.1), "it has nothing more to report");
+        receiver.expireStaleLoad(1 + EXPIRY_SECONDS - 0.001);
         assertEquals(1, receiver.peerLoad(7), "believed until then");
-        receiver.expireSilentPeers(1 + EXPIRY_SECONDS + 0.001);
+        receiver.expireStaleLoad(1 + EXPIRY_SECONDS + 0.001);
         assertEquals(0, receiver.peerLoad(7));
     }
 
     /** Guards against a backend looking idle that still works on abandoned attempts. */
     @Test
-    void abandonedAttemptsCountForAWhileHereAndAtPeers() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void countsAbandonedAttemptsLocallyAndAtPeersUntilTheyExpire() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         sender.attemptSent(7);
         sender.attemptAbandoned(7, 1);
         receiver.receive(0, onlyDueMessage(sender, 1), 1);
@@ -235,9 +240,9 @@
 
     /** Guards against a restarted peer that is not heard, or whose former attempts still count. */
     @Test
-    void aRestartedPeerHasNothingInFlightAndIsHeardAtOnce() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void clearsAttemptsOfRestartedPeerAndAcceptsItsNextMessage() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         for (int i = 0; i < 9; i++) {
             sender.attemptSent(7);
             receiver.receive(0, onlyDueMessage(sender, 1 + 0.02 * i), 1 + 0.02 * i);
@@ -248,7 +253,7 @@
         receiver.peerRestarted(0, 2);
         assertEquals(0, receiver.peerLoad(7));
         LoadGossip restarted =
-                new LoadGossip(2, 0, 2, 0.01, 0.1, everyoneUsesAll(2, 10), tag -> {});
+                new LoadGossip(2, 0, 2, 0.01, 0.1, subsetsOfAllBackends(2, 10), tag -> {});
         restarted.attemptSent(3);
         receiver.receive(0, late, 1.2);
         assertEquals(0, receiver.peerLoad(7), "a message of its former start comes late");
@@ -260,14 +265,14 @@
 
     /** Guards against going on by what the peers had in flight when they fell silent. */
     @Test
-    void manyMeanIntervalsWithoutAMessageAreSilenceLongBeforeTheExpiry() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void detectsSilenceAfterManyMeanIntervalsBeforeExpiry() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         assertEquals(0, receiver.livePeerCount(0));
         double now = 1;
         for (int i = 0; i < 200; i++, now += 0.0025) {
             sender.attemptSent(i % 10);
-            for (LoadGossip.Message each : sender.dueMessages(now)) {
+            for (LoadGossip.Message each : sender.takeDueMessages(now)) {
                 receiver.receive(0, each.datagram(), now);
             }
             assertEquals(1, receiver.livePeerCount(now), "a few intervals are no silence");
--- a/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -36,7 +36,7 @@
                 .toList();
     }
 
-    private static EndpointUpdate lastOf(List<EndpointUpdate> updates, int backend) {
+    private static EndpointUpdate updateOf(List<EndpointUpdate> updates, int backend) {
         return updates.stream()
                 .filter(update -> update.backend() == backend)
                 .findFirst()
@@ -45,14 +45,14 @@
 
     /** Guards against all proxies together sending a backend in slow start more than it bears. */
     @Property(tries = 50, seed = "48")
-    void theSharesOfABackendsUsersAddUpToOne(
+    void userSharesOfABackendSumToOne(
             @ForAll @IntRange(min = 2, max = 60) int proxies,
             @ForAll @IntRange(min = 1, max = 40) int backends) {
         double[] shares = new double[backends];
         for (int proxy = 0; proxy < proxies; proxy++) {
             for (EndpointUpdate update :
                     new SubsetAssignment(proxies, SUBSET_SIZE)
-                            .withUserShares(proxy, true, readyUpdates(0, backends), i -> i)) {
+                            .applyUpdates(proxy, true, readyUpdates(0, backends), i -> i)) {
                 // One that does not use it has the part that it had before parts were known.
                 shares[update.backend()] +=
                         update.userShare() > 0 ? 1 / (proxies * update.userShare()) : 0;
@@ -65,19 +65,19 @@
     }
 
     /** Whom a proxy uses of those that are ready, by sorting all of them. */
-    private static List<Integer> subset(int proxy, Set<Integer> ready) {
+    private static List<Integer> expectedSubset(int proxy, Set<Integer> ready) {
         return ready.stream()
                 .sorted(Comparator.comparing(id -> SubsetAssignment.score(proxy, id)))
                 .limit(SUBSET_SIZE)
                 .toList();
     }
 
-    private static double userShare(int proxy, int proxies, int id, Set<Integer> ready) {
-        return !subset(proxy, ready).contains(id)
+    private static double expectedUserShare(int proxy, int proxies, int id, Set<Integer> ready) {
+        return !expectedSubset(proxy, ready).contains(id)
                 ? 0
                 : (double)
                                 IntStream.range(0, proxies)
-                                        .filter(p -> subset(p, ready).contains(id))
+                                        .filter(p -> expectedSubset(p, ready).contains(id))
                                         .count()
                         / proxies;
     }
@@ -87,7 +87,7 @@
      * more.
      */
     @Property(tries = 40, seed = "48")
-    void updatesOverManyChangesAreWhatSortingAllGives(@ForAll long seed) {
+    void matchesFullSortAfterManyChanges(@ForAll long seed) {
         Random random = new Random(seed);
         int proxies = 1 + random.nextInt(8);
         int own = random.nextInt(proxies);
@@ -116,15 +116,17 @@
                             });
             Map<Integer, EndpointUpdate> before = Map.copyOf(lastUpdates);
             List<EndpointUpdate> assigned =
-                    subsets.withUserShares(own, whole, List.copyOf(changes.values()), i -> i);
+                    subsets.applyUpdates(own, whole, List.copyOf(changes.values()), i -> i);
             assigned.forEach(update -> lastUpdates.put(update.backend(), update));
             for (int id : ready) {
                 assertEquals(
-                        userShare(own, proxies, id, ready),
+                        expectedUserShare(own, proxies, id, ready),
                         lastUpdates.get(id).userShare(),
                         "seed " + seed);
                 assertEquals(
-                        subset(own, ready).contains(id), subsets.uses(own, id), "seed " + seed);
+                        expectedSubset(own, ready).contains(id),
+                        subsets.uses(own, id),
+                        "seed " + seed);
             }
             for (EndpointUpdate update : assigned) {
                 assertTrue(
@@ -135,7 +137,7 @@
             int some = random.nextInt(backends);
             assertArrayEquals(
                     IntStream.range(0, proxies)
-                            .filter(p -> subset(p, ready).contains(some))
+                            .filter(p -> expectedSubset(p, ready).contains(some))
                             .toArray(),
                     subsets.users(some),
                     "seed " + seed);
@@ -144,7 +146,7 @@
 
     /** Guards against proxies of two versions side by side computing different scores. */
     @Test
-    void scoresAreThoseOfSplitMix64() {
+    void scoresEqualSplitMix64() {
         new Random(1)
                 .ints(1000, 0, 1 << 24)
                 .forEach(
@@ -159,20 +161,20 @@
 
     /** Guards against one change among thousands of backends costing more than one. */
     @Test
-    void aListUpdatesWhatItChangesAndNoMore() {
+    void returnsUpdatesOfChangedBackendsOnly() {
         SubsetAssignment subsets = new SubsetAssignment(50, SUBSET_SIZE);
-        List<EndpointUpdate> first = subsets.withUserShares(3, true, readyUpdates(0, 60), i -> i);
+        List<EndpointUpdate> first = subsets.applyUpdates(3, true, readyUpdates(0, 60), i -> i);
         List<EndpointUpdate> gone =
                 new ArrayList<>(
                         IntStream.range(0, 40)
                                 .mapToObj(i -> update(i, EndpointUpdate.State.GONE))
                                 .toList());
-        List<EndpointUpdate> then = subsets.withUserShares(3, false, gone, i -> i);
+        List<EndpointUpdate> then = subsets.applyUpdates(3, false, gone, i -> i);
         List<Integer> stay =
                 then.stream().map(EndpointUpdate::backend).filter(i -> i >= 40).toList();
         assertEquals(stay.size(), stay.stream().distinct().count());
         TreeSet<Integer> ready = new TreeSet<>(IntStream.range(40, 60).boxed().toList());
-        assertTrue(stay.containsAll(subset(3, ready)), "each that is used by more now");
+        assertTrue(stay.containsAll(expectedSubset(3, ready)), "each that is used by more now");
         assertTrue(
                 then.stream()
                                 .filter(update -> update.backend() >= 40)
@@ -185,42 +187,42 @@
                 "twenty are used by more");
         assertEquals(
                 List.of(),
-                subsets.withUserShares(3, false, List.of(), i -> i),
+                subsets.applyUpdates(3, false, List.of(), i -> i),
                 "nothing has changed");
         assertEquals(
                 1,
-                subsets.withUserShares(3, true, readyUpdates(47, 48), i -> i).size(),
+                subsets.applyUpdates(3, true, readyUpdates(47, 48), i -> i).size(),
                 "a whole list is all");
         SubsetAssignment large = new SubsetAssignment(100, SUBSET_SIZE);
-        large.withUserShares(3, true, readyUpdates(0, 3200), i -> i);
+        large.applyUpdates(3, true, readyUpdates(0, 3200), i -> i);
         List<EndpointUpdate> one = List.of(update(7, EndpointUpdate.State.GONE));
         assertTrue(
-                large.withUserShares(3, false, one, i -> i).size() <= 1 + SUBSET_SIZE,
+                large.applyUpdates(3, false, one, i -> i).size() <= 1 + SUBSET_SIZE,
                 "one line of thousands");
     }
 
     @Test
-    void aBackendThatComesAndGoesWithinOneListIsGone() {
+    void usesLastUpdateWhenAListNamesABackendTwice() {
         SubsetAssignment subsets = new SubsetAssignment(10, SUBSET_SIZE);
         EndpointUpdate comes = update(4, EndpointUpdate.State.READY);
         EndpointUpdate goes = update(4, EndpointUpdate.State.GONE);
-        subsets.withUserShares(0, false, List.of(comes, goes), i -> i);
+        subsets.applyUpdates(0, false, List.of(comes, goes), i -> i);
         assertFalse(subsets.uses(0, 4));
         List<EndpointUpdate> assigned =
-                subsets.withUserShares(0, false, List.of(goes, comes), i -> i);
+                subsets.applyUpdates(0, false, List.of(goes, comes), i -> i);
         assertTrue(subsets.uses(0, 4));
         assertEquals(EndpointUpdate.State.READY, assigned.get(assigned.size() - 1).state());
     }
 
     /** Guards against the former backend of a reassigned index staying in the subsets. */
     @Test
-    void anIndexThatIsReassignedLeavesItsFormerBackendOut() {
+    void removesFormerBackendOfReassignedIndex() {
         int[] ids = {500, 501, 502};
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
-        subsets.withUserShares(0, true, readyUpdates(0, 3), i -> ids[i]);
+        subsets.applyUpdates(0, true, readyUpdates(0, 3), i -> ids[i]);
         ids[1] = 777;
         EndpointUpdate newcomer = new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0);
-        subsets.withUserShares(
+        subsets.applyUpdates(
                 0, false, List.of(update(1, EndpointUpdate.State.GONE), newcomer), i -> ids[i]);
         int users =
                 Arrays.stream(new int[] {500, 502, 777}).map(id -> subsets.users(id).length).sum();
@@ -229,11 +231,11 @@
     }
 
     @Test
-    void anUpdateThatIsRepeatedIsNoNewBackend() {
+    void repeatedUpdateIsNotMarkedAsNewBackend() {
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
         EndpointUpdate newcomer = new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
         assertTrue(
-                lastOf(subsets.withUserShares(0, false, List.of(newcomer), i -> i), 4)
+                updateOf(subsets.applyUpdates(0, false, List.of(newcomer), i -> i), 4)
                         .newBackend());
         int lower =
                 IntStream.range(5, 1000)
@@ -241,7 +243,7 @@
                         .findFirst()
                         .orElseThrow();
         EndpointUpdate again =
-                lastOf(subsets.withUserShares(0, false, readyUpdates(lower, lower + 1), i -> i), 4);
+                updateOf(subsets.applyUpdates(0, false, readyUpdates(lower, lower + 1), i -> i), 4);
         assertFalse(again.newBackend(), "its index stands for it already");
         assertEquals(12, again.startedAt());
         assertEquals(0, again.userShare(), "another has the least score now");
--- a/src/test/java/lemondrift/proxy/discovery/EndpointListParserTest.java
+++ b/src/test/java/lemondrift/proxy/discovery/EndpointListParserTest.java
@@ -67,7 +67,7 @@
                                 : otherFields + "," + members)
                         + "}";
         EndpointList atOnce =
-                EndpointListBuilder.of(JsonParser.parseString(text).getAsJsonObject());
+                EndpointListBuilder.fromJson(JsonParser.parseString(text).getAsJsonObject());
         assertEquals(atOnce, parse(text, 1 + random.nextInt(30)), "seed " + seed + ": " + text);
     }
 
--- a/src/test/java/lemondrift/proxy/discovery/EndpointLists.java
+++ b/src/test/java/lemondrift/proxy/discovery/EndpointLists.java
@@ -19,7 +19,7 @@
                 Arrays.stream(idPhasePort)
                         .map(each -> each.replaceFirst("(.+) (.+) (.+)", member))
                         .collect(Collectors.joining(","));
-        return EndpointListBuilder.of(
+        return EndpointListBuilder.fromJson(
                 JsonParser.parseString(
                                 "{\"complete\":" + complete + ",\"members\":[" + members + "]}")
                         .getAsJsonObject());
--- a/src/test/java/lemondrift/proxy/recovery/RecoveryCoordinatorTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/RecoveryCoordinatorTest.java
@@ -65,7 +65,7 @@
 
     /** Guards against a last snapshot with the service time of long ago, when it settled. */
     @Test
-    void theLastSnapshotHasTheNewestServiceTime(@TempDir Path folder) throws Exception {
+    void storesNewestServiceTimeInLastSnapshot(@TempDir Path folder) throws Exception {
         listOneBackend();
         RecoveryCoordinator coordinator = coordinator(folder);
         serve(coordinator, RESPONSES, 0.02);
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
@@ -15,10 +15,10 @@
     @TempDir Path folder;
 
     @Test
-    void readsAndWritesSnapshotOfLandedProgramUnchanged() throws IOException {
+    void readsAndWritesStoredSnapshotUnchanged() throws IOException {
         Snapshot snapshot =
                 new Snapshot("n1", "3f1c9b1e-boot", 1764756000123L, 1764756000.5, 0.21875, 40);
-        GoldenFiles.assertHex("snapshot.hex", SnapshotFile.encoded(snapshot));
+        GoldenFiles.assertHex("snapshot.hex", SnapshotFile.encode(snapshot));
         Path file = Files.write(folder.resolve("n1.snap"), GoldenFiles.readHex("snapshot.hex"));
         assertEquals(snapshot, SnapshotFile.read(file));
     }
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
@@ -45,7 +45,7 @@
         SnapshotFile.write(file(), OLDER);
         SnapshotFile.write(file(), NEWER);
         assertEquals(NEWER, SnapshotFile.read(file()));
-        assertEquals(OLDER, SnapshotFile.read(SnapshotFile.previous(file())));
+        assertEquals(OLDER, SnapshotFile.read(SnapshotFile.previousFile(file())));
     }
 
     /** A damaged snapshot is never used, and the one before it is. */
@@ -54,14 +54,14 @@
         Files.write(file(), damage.apply(Files.readAllBytes(file())));
         assertThrows(IOException.class, () -> SnapshotFile.read(file()));
         try (SnapshotStore store = new SnapshotStore(folder, "n1")) {
-            assertEquals(7, store.readTrusted().previousStart());
+            assertEquals(7, store.restoreNewest().previousStartNumber());
         }
         assertFalse(Files.exists(file()), "set aside");
     }
 
     @Test
     void usesPreviousSnapshotWhenLatestIsDamaged() throws IOException {
-        int length = SnapshotFile.encoded(NEWER).length;
+        int length = SnapshotFile.encode(NEWER).length;
         for (int i = 0; i < length; i++) {
             int at = i;
             assertDamagedIsSetAside(all -> Arrays.copyOf(all, at));
@@ -91,9 +91,9 @@
         writeBoth();
         Files.write(folder.resolve("n1.snap.new"), new byte[] {1, 2, 3});
         assertEquals(NEWER, SnapshotFile.read(file()), "before the new one is synced");
-        Files.move(file(), SnapshotFile.previous(file()), StandardCopyOption.REPLACE_EXISTING);
+        Files.move(file(), SnapshotFile.previousFile(file()), StandardCopyOption.REPLACE_EXISTING);
         try (SnapshotStore store = new SnapshotStore(folder, "n1")) {
-            assertEquals(8, store.readTrusted().previousStart(), "between its two renames");
+            assertEquals(8, store.restoreNewest().previousStartNumber(), "between its two renames");
             assertTrue(store.writeNow(9, 0, 0));
         }
         assertEquals(9, SnapshotFile.read(file()).startNumber());
@@ -114,7 +114,7 @@
             assertEquals(ahead + 2, startNumber(coordinator));
         }
         Files.write(file(), new byte[0]);
-        Files.write(SnapshotFile.previous(file()), new byte[0]);
+        Files.write(SnapshotFile.previousFile(file()), new byte[0]);
         try (RecoveryCoordinator coordinator = coordinator(folder, "n1")) {
             assertTrue(startNumber(coordinator) <= System.currentTimeMillis());
         }
@@ -124,8 +124,8 @@
     void ignoresSnapshotCopiedFromAnotherProxy() throws IOException {
         SnapshotFile.write(folder.resolve("n2.snap"), NEWER);
         try (SnapshotStore store = new SnapshotStore(folder, "n2")) {
-            assertEquals(0, store.readTrusted().previousStart());
-            assertTrue(store.readTrusted().reason().contains("n1"));
+            assertEquals(0, store.restoreNewest().previousStartNumber());
+            assertTrue(store.restoreNewest().reason().contains("n1"));
         }
     }
 
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -23,38 +23,39 @@
     private static final int PROXIES = 3;
 
     /** Time ends after so many ticks. */
-    private static final int TICKS = 5;
+    private static final int MAX_TICKS = 5;
 
     /** So many states are known at the most. */
     private static final int MAX_STATES = 600_000;
 
     /** Ticks without faults in which a history is played to its end. */
-    private static final int FAIR_ROUNDS = 12;
+    private static final int FAULT_FREE_TICKS = 12;
 
     /** One state of so many is played to its end. */
-    private static final int PLAYED_TO_THE_END_EVERY = 97;
+    private static final int STATES_PER_FAULT_FREE_RUN = 97;
 
-    private static final PeerPollSettings BACKOFF = new PeerPollSettings(1, 1, 2, 1, 2);
+    private static final PeerPollSettings POLL_SETTINGS = new PeerPollSettings(1, 1, 2, 1, 2);
 
     private record Message(int from, int to, PeerStatus status) {}
 
     /** All there is at one time, and how much may still go wrong. */
-    private record World(
+    private record SystemState(
             List<RecoveryState> proxies,
-            Map<Message, Integer> underWay,
+            Map<Message, Integer> inFlight,
             int now,
-            int starts,
-            int repeats,
-            int samples,
+            int restartsLeft,
+            int repeatsLeft,
+            int samplesLeft,
             int nextStartNumber) {}
 
     /** The core, or one that is broken on purpose. */
-    private static class Core {
-        RecoveryState.PeerEstimate lesson(RecoveryState proxy, double now) {
+    private static class Transitions {
+        RecoveryState.PeerEstimate peerEstimate(RecoveryState proxy, double now) {
             return proxy.peerEstimate(now).orElse(null);
         }
 
-        RecoveryState.Step heard(RecoveryState proxy, int from, PeerStatus status, double now) {
+        RecoveryState.Step statusReceived(
+                RecoveryState proxy, int from, PeerStatus status, double now) {
             return proxy.statusReceived(from, status, now);
         }
 
@@ -63,15 +64,17 @@
         }
     }
 
-    private Core core = new Core();
-    private String broken;
-    private int seen;
+    private Transitions transitions = new Transitions();
+    private String firstViolation;
+    private int exploredStates;
 
-    private void check(boolean holds, String invariant, World at) {
-        broken = broken == null && !holds ? invariant + " at " + at : broken;
+    private void check(boolean holds, String invariant, SystemState at) {
+        firstViolation =
+                firstViolation == null && !holds ? invariant + " at " + at : firstViolation;
     }
 
-    private World with(World at, int p, RecoveryState.Step step, Map<Message, Integer> underWay) {
+    private SystemState applyStep(
+            SystemState at, int p, RecoveryState.Step step, Map<Message, Integer> underWay) {
         List<RecoveryState> all = new ArrayList<>(at.proxies);
         all.set(p, step.next());
         for (RecoveryState.StatusMessage each : step.messages()) {
@@ -84,21 +87,28 @@
                     at);
             underWay.merge(new Message(p, each.to(), status), 1, Integer::sum);
         }
-        return new World(
-                all, underWay, at.now, at.starts, at.repeats, at.samples, at.nextStartNumber);
+        return new SystemState(
+                all,
+                underWay,
+                at.now,
+                at.restartsLeft,
+                at.repeatsLeft,
+                at.samplesLeft,
+                at.nextStartNumber);
     }
 
-    private World deliver(World at, Message message, boolean again) {
-        Map<Message, Integer> underWay = new HashMap<>(at.underWay);
+    private SystemState deliver(SystemState at, Message message, boolean again) {
+        Map<Message, Integer> underWay = new HashMap<>(at.inFlight);
         if (!again) {
             underWay.computeIfPresent(message, (m, n) -> n > 1 ? n - 1 : null);
         }
         RecoveryState proxy = at.proxies.get(message.to);
         PeerObservation before = proxy.observations().get(message.from);
-        RecoveryState.Step step = core.heard(proxy, message.from, message.status, at.now);
+        RecoveryState.Step step =
+                transitions.statusReceived(proxy, message.from, message.status, at.now);
         boolean former =
                 (before != null
-                                && at.now - before.receivedAt() <= BACKOFF.expirySeconds()
+                                && at.now - before.receivedAt() <= POLL_SETTINGS.expirySeconds()
                                 && message.status.startNumber() < before.status().startNumber())
                         || (message.status.recipientStart() != 0
                                 && message.status.recipientStart() != proxy.startNumber());
@@ -106,96 +116,101 @@
                 !former || (step.next().equals(proxy) && step.messages().isEmpty()),
                 "an earlier start changes nothing",
                 at);
-        World then = with(at, message.to, step, underWay);
-        return new World(
+        SystemState then = applyStep(at, message.to, step, underWay);
+        return new SystemState(
                 then.proxies,
-                then.underWay,
+                then.inFlight,
                 at.now,
-                at.starts,
-                at.repeats - (again ? 1 : 0),
-                at.samples,
+                at.restartsLeft,
+                at.repeatsLeft - (again ? 1 : 0),
+                at.samplesLeft,
                 at.nextStartNumber);
     }
 
     /** Time goes on for all, and who is due polls. */
-    private World tick(World at) {
-        World then =
-                new World(
+    private SystemState tick(SystemState at) {
+        SystemState then =
+                new SystemState(
                         at.proxies,
-                        at.underWay,
+                        at.inFlight,
                         at.now + 1,
-                        at.starts,
-                        at.repeats,
-                        at.samples,
+                        at.restartsLeft,
+                        at.repeatsLeft,
+                        at.samplesLeft,
                         at.nextStartNumber);
         for (int p = 0; p < PROXIES; p++) {
             then =
-                    with(
+                    applyStep(
                             then,
                             p,
-                            core.wake(then.proxies.get(p), then.now),
-                            new HashMap<>(then.underWay));
+                            transitions.wake(then.proxies.get(p), then.now),
+                            new HashMap<>(then.inFlight));
         }
         return then;
     }
 
-    private World measures(World at, int p) {
+    private SystemState measure(SystemState at, int p) {
         RecoveryState proxy = at.proxies.get(p);
         List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, proxy.withMeasured((double) proxy.startNumber(), proxy.samples() + 1));
-        return new World(
+        all.set(
+                p,
+                proxy.withMeasuredServiceTime((double) proxy.startNumber(), proxy.samples() + 1));
+        return new SystemState(
                 all,
-                at.underWay,
+                at.inFlight,
                 at.now,
-                at.starts,
-                at.repeats,
-                at.samples - 1,
+                at.restartsLeft,
+                at.repeatsLeft,
+                at.samplesLeft - 1,
                 at.nextStartNumber);
     }
 
-    private World restarts(World at, int p) {
+    private SystemState restart(SystemState at, int p) {
         List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, RecoveryState.starting(BACKOFF, p, PROXIES, at.nextStartNumber, at.now));
-        return new World(
+        all.set(p, RecoveryState.starting(POLL_SETTINGS, p, PROXIES, at.nextStartNumber, at.now));
+        return new SystemState(
                 all,
-                at.underWay,
+                at.inFlight,
                 at.now,
-                at.starts - 1,
-                at.repeats,
-                at.samples,
+                at.restartsLeft - 1,
+                at.repeatsLeft,
+                at.samplesLeft,
                 at.nextStartNumber + 1);
     }
 
-    private List<World> successors(World at) {
-        List<World> all = new ArrayList<>();
-        for (Message each : at.underWay.keySet()) {
+    private List<SystemState> successors(SystemState at) {
+        List<SystemState> all = new ArrayList<>();
+        for (Message each : at.inFlight.keySet()) {
             all.add(deliver(at, each, false));
-            if (at.repeats > 0) {
+            if (at.repeatsLeft > 0) {
                 all.add(deliver(at, each, true));
             }
         }
         for (int p = 0; p < PROXIES; p++) {
-            if (at.samples > 0 && !at.proxies.get(p).isSettled()) {
-                all.add(measures(at, p));
+            if (at.samplesLeft > 0 && !at.proxies.get(p).isSettled()) {
+                all.add(measure(at, p));
             }
-            if (at.starts > 0) {
-                all.add(restarts(at, p));
+            if (at.restartsLeft > 0) {
+                all.add(restart(at, p));
             }
         }
-        if (at.now < TICKS) {
+        if (at.now < MAX_TICKS) {
             all.add(tick(at));
         }
         return all;
     }
 
-    private void checkInvariants(World at) {
+    private void checkInvariants(SystemState at) {
         for (RecoveryState proxy : at.proxies) {
             List<PeerStatus> fresh =
                     proxy.observations().values().stream()
-                            .filter(each -> at.now - each.receivedAt() <= BACKOFF.expirySeconds())
+                            .filter(
+                                    each ->
+                                            at.now - each.receivedAt()
+                                                    <= POLL_SETTINGS.expirySeconds())
                             .map(PeerObservation::status)
                             .toList();
-            RecoveryState.PeerEstimate lesson = core.lesson(proxy, at.now);
+            RecoveryState.PeerEstimate lesson = transitions.peerEstimate(proxy, at.now);
             check(
                     lesson == null
                             || fresh.stream()
@@ -214,7 +229,7 @@
                                 .anyMatch(
                                         each ->
                                                 at.now - each.receivedAt()
-                                                        <= BACKOFF.expirySeconds() + 1);
+                                                        <= POLL_SETTINGS.expirySeconds() + 1);
                 boolean warm =
                         proxy.observations().values().stream()
                                 .anyMatch(each -> each.status().settled());
@@ -231,14 +246,14 @@
     }
 
     /** Guards against a history without further faults that does not end with all recovered. */
-    private void playToTheEnd(World from) {
-        World at = from;
-        for (int i = 0; i < FAIR_ROUNDS; i++) {
-            for (int n = 0; n < 200 && !at.underWay.isEmpty(); n++) {
-                at = deliver(at, at.underWay.keySet().iterator().next(), false);
+    private void runWithoutFaults(SystemState from) {
+        SystemState at = from;
+        for (int i = 0; i < FAULT_FREE_TICKS; i++) {
+            for (int n = 0; n < 200 && !at.inFlight.isEmpty(); n++) {
+                at = deliver(at, at.inFlight.keySet().iterator().next(), false);
             }
-            for (int p = 0; p < PROXIES - 1 && i > FAIR_ROUNDS / 2; p++) {
-                at = at.proxies.get(p).isSettled() ? at : measures(at, p);
+            for (int p = 0; p < PROXIES - 1 && i > FAULT_FREE_TICKS / 2; p++) {
+                at = at.proxies.get(p).isSettled() ? at : measure(at, p);
             }
             at = tick(at);
         }
@@ -259,46 +274,46 @@
     private String explore() {
         List<RecoveryState> all = new ArrayList<>();
         for (int p = 0; p < PROXIES; p++) {
-            all.add(RecoveryState.starting(BACKOFF, p, PROXIES, 1 + p, 0));
+            all.add(RecoveryState.starting(POLL_SETTINGS, p, PROXIES, 1 + p, 0));
         }
-        World first = new World(all, Map.of(), 0, 1, 1, 3, 1 + PROXIES);
-        Set<World> known = new HashSet<>(Set.of(first));
-        Deque<World> open = new ArrayDeque<>(known);
-        while (!open.isEmpty() && known.size() < MAX_STATES && broken == null) {
-            World at = open.remove();
+        SystemState first = new SystemState(all, Map.of(), 0, 1, 1, 3, 1 + PROXIES);
+        Set<SystemState> known = new HashSet<>(Set.of(first));
+        Deque<SystemState> open = new ArrayDeque<>(known);
+        while (!open.isEmpty() && known.size() < MAX_STATES && firstViolation == null) {
+            SystemState at = open.remove();
             checkInvariants(at);
-            if (++seen % PLAYED_TO_THE_END_EVERY == 0) {
-                playToTheEnd(at);
+            if (++exploredStates % STATES_PER_FAULT_FREE_RUN == 0) {
+                runWithoutFaults(at);
             }
-            for (World each : successors(at)) {
+            for (SystemState each : successors(at)) {
                 if (known.add(each)) {
                     open.add(each);
                 }
             }
         }
-        return broken;
+        return firstViolation;
     }
 
     @Test
-    void allInvariantsHoldInEveryOrderOfEventsToTheBound() {
+    void invariantsHoldInEveryOrderOfEvents() {
         assertNull(explore());
-        assertTrue(seen > 5_000, seen + " states seen");
+        assertTrue(exploredStates > 5_000, exploredStates + " states seen");
     }
 
-    private static void assertCaught(String invariant, Core mutant) {
+    private static void assertViolationFound(String invariant, Transitions mutant) {
         RecoveryExplorationTest exploration = new RecoveryExplorationTest();
-        exploration.core = mutant;
+        exploration.transitions = mutant;
         String broken = exploration.explore();
         assertTrue(broken != null && broken.startsWith(invariant), "caught by: " + broken);
     }
 
     @Test
-    void aMutantThatHearsEarlierStartsIsCaught() {
-        assertCaught(
+    void detectsMutantThatAcceptsEarlierStarts() {
+        assertViolationFound(
                 "an earlier start",
-                new Core() {
+                new Transitions() {
                     @Override
-                    RecoveryState.Step heard(
+                    RecoveryState.Step statusReceived(
                             RecoveryState proxy, int from, PeerStatus status, double now) {
                         PeerObservation before = proxy.observations().get(from);
                         long start =
@@ -322,7 +337,7 @@
                 });
     }
 
-    private static RecoveryState.StatusMessage passingOn(
+    private static RecoveryState.StatusMessage withPeerEstimate(
             RecoveryState proxy,
             RecoveryState.StatusMessage message,
             RecoveryState.PeerEstimate estimate) {
@@ -339,10 +354,10 @@
     }
 
     @Test
-    void aMutantThatPassesOnWhatPeersMeasuredIsCaught() {
-        assertCaught(
+    void detectsMutantThatForwardsPeerMeasurements() {
+        assertViolationFound(
                 "a proxy reports only",
-                new Core() {
+                new Transitions() {
                     @Override
                     RecoveryState.Step wake(RecoveryState proxy, double now) {
                         RecoveryState.Step step = proxy.wake(now);
@@ -352,7 +367,7 @@
                         }
                         List<RecoveryState.StatusMessage> messages =
                                 step.messages().stream()
-                                        .map(each -> passingOn(proxy, each, estimate))
+                                        .map(each -> withPeerEstimate(proxy, each, estimate))
                                         .toList();
                         return new RecoveryState.Step(step.next(), messages, step.peerRestarted());
                     }
@@ -360,22 +375,22 @@
     }
 
     @Test
-    void aMutantThatExpiresNothingIsCaught() {
-        assertCaught(
+    void detectsMutantThatNeverExpiresStatuses() {
+        assertViolationFound(
                 "no figure",
-                new Core() {
+                new Transitions() {
                     @Override
-                    RecoveryState.PeerEstimate lesson(RecoveryState proxy, double now) {
+                    RecoveryState.PeerEstimate peerEstimate(RecoveryState proxy, double now) {
                         return proxy.peerEstimate(proxy.startedAt()).orElse(null);
                     }
                 });
     }
 
     @Test
-    void aMutantThatTakesSilenceForAllNewIsCaught() {
-        assertCaught(
+    void detectsMutantThatReportsAllNewWhenNoPeerAnswers() {
+        assertViolationFound(
                 "not heard",
-                new Core() {
+                new Transitions() {
                     @Override
                     RecoveryState.Step wake(RecoveryState proxy, double now) {
                         RecoveryState.Step step = proxy.wake(now);
@@ -384,7 +399,7 @@
                                 ? step
                                 : new RecoveryState.Step(
                                         new RecoveryState(
-                                                next.backoff(),
+                                                next.pollSettings(),
                                                 next.self(),
                                                 next.proxyCount(),
                                                 next.startNumber(),
@@ -402,12 +417,12 @@
     }
 
     @Test
-    void aMutantThatRepliesToNobodyIsCaught() {
-        assertCaught(
+    void detectsMutantThatNeverReplies() {
+        assertViolationFound(
                 "one without samples",
-                new Core() {
+                new Transitions() {
                     @Override
-                    RecoveryState.Step heard(
+                    RecoveryState.Step statusReceived(
                             RecoveryState proxy, int from, PeerStatus status, double now) {
                         RecoveryState.Step step = proxy.statusReceived(from, status, now);
                         return new RecoveryState.Step(step.next(), List.of(), step.peerRestarted());
--- a/src/test/java/lemondrift/recovery/RecoveryStateTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class RecoveryStateTest {
-    private static final PeerPollSettings BACKOFF = new PeerPollSettings(1, 5, 20, 2, 3);
+    private static final PeerPollSettings POLL_SETTINGS = new PeerPollSettings(1, 5, 20, 2, 3);
 
     private static PeerStatus status(
             long startNumber,
@@ -30,7 +30,7 @@
     }
 
     private static RecoveryState starting(int proxyCount) {
-        return RecoveryState.starting(BACKOFF, 0, proxyCount, 100, 0);
+        return RecoveryState.starting(POLL_SETTINGS, 0, proxyCount, 100, 0);
     }
 
     private static RecoveryState received(RecoveryState state, double now, PeerStatus... statuses) {
@@ -41,8 +41,8 @@
     }
 
     @Test
-    void aDatagramThatIsCutForeignOfAnotherVersionOrOutOfRangeIsNotRead() {
-        byte[] good = new PeerStatus(7, 9, true, 1.5f, 0.25f, 300, false).encoded();
+    void rejectsDatagramThatIsTruncatedForeignOrOutOfRange() {
+        byte[] good = new PeerStatus(7, 9, true, 1.5f, 0.25f, 300, false).encode();
         assertEquals(
                 Optional.of(new PeerStatus(7, 9, true, 1.5f, 0.25f, 255, false)),
                 PeerStatus.decode(good));
@@ -60,12 +60,12 @@
         }
         assertEquals(
                 Optional.empty(),
-                PeerStatus.decode(status(1, 1, 0, 5, false).encoded()),
+                PeerStatus.decode(status(1, 1, 0, 5, false).encode()),
                 "samples without service time");
     }
 
     @Property(tries = 300, seed = "48")
-    void anyBytesAreReadInRangeOrNotAtAll(@ForAll @Size(28) byte[] bytes) {
+    void decodedStatusIsAlwaysInRange(@ForAll @Size(28) byte[] bytes) {
         bytes[0] = PeerStatus.KIND;
         bytes[1] = PeerStatus.VERSION;
         assertTrue(
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void thePhaseFollowsFromWhoAnswers() {
+    void derivesPhaseFromPeersThatAnswer() {
         assertEquals(RecoveryPhase.UNKNOWN, starting(4).wake(1).next().phase());
         assertEquals(RecoveryPhase.CUT_OFF, starting(4).wake(5).next().phase(), "nobody answers");
         PeerStatus warm = status(50, 99, 0.2f, 40, true);
@@ -108,9 +108,10 @@
     }
 
     @Test
-    void aSettledProxyPollsNobodyAndKeepsItsPhase() {
+    void settledProxyStopsPollingAndKeepsItsPhase() {
         RecoveryState state =
-                received(starting(4), 1, status(50, 99, 0.2f, 40, true)).withMeasured(0.3, 3);
+                received(starting(4), 1, status(50, 99, 0.2f, 40, true))
+                        .withMeasuredServiceTime(0.3, 3);
         assertTrue(state.isSettled());
         assertEquals(Double.POSITIVE_INFINITY, state.wakeAt());
         assertEquals(List.of(), state.wake(40).messages());
@@ -125,7 +126,7 @@
     }
 
     @Test
-    void aStatusFromOrForAnEarlierStartChangesNothing() {
+    void ignoresStatusFromOrForAnEarlierStart() {
         RecoveryState state = received(starting(4), 1, status(200, 3, 0.2f, 4, false));
         assertSame(
                 state,
@@ -153,7 +154,7 @@
 
     /** Guards against ignoring a proxy whose wall clock went back with a power loss. */
     @Test
-    void aLowerStartNumberIsHeardOnceTheHigherOneHasBeenSilent() {
+    void acceptsLowerStartNumberOnceTheHigherOneHasExpired() {
         RecoveryState state = received(starting(4), 1, status(200, 3, 0.2f, 4, true));
         PeerStatus back = status(150, 1, 0, 0, false);
         assertSame(state, state.statusReceived(1, back, 15).next());
@@ -161,9 +162,9 @@
     }
 
     @Test
-    void newProxiesReportOnlyWhatTheyHaveMeasuredThemselves() {
+    void reportsOnlyItsOwnMeasurements() {
         RecoveryState first = starting(2);
-        RecoveryState second = RecoveryState.starting(BACKOFF, 1, 2, 101, 0);
+        RecoveryState second = RecoveryState.starting(POLL_SETTINGS, 1, 2, 101, 0);
         for (double now = 0; now < 15; now++) {
             RecoveryState.Step poll = first.wake(now);
             first = poll.next();
@@ -185,7 +186,7 @@
     }
 
     @Test
-    void noSinglePeerOfSeveralMovesTheEstimate() {
+    void onePeerCannotDistortTheEstimate() {
         PeerStatus[] statuses = {
             status(1, 9, 0.2f, 40, true),
             status(1, 9, 0.3f, 3, true),
@@ -201,7 +202,7 @@
     }
 
     @Property(tries = 100, seed = "48")
-    void eachRoundPollsOtherPeersInTurn(
+    void pollsAllPeersInTurn(
             @ForAll @IntRange(min = 2, max = 40) int proxyCount,
             @ForAll @IntRange(min = 0, max = 39) int self) {
         RecoveryState state =
@@ -225,28 +226,28 @@
     }
 
     @Test
-    void aSnapshotIsTrustedAsFarAsItsAgeAndMachineAllow() {
+    void weighsSnapshotByAgeBootAndProxyName() {
         Snapshot snapshot = new Snapshot("n1", "boot-1", 77, 1000, 0.2, 40);
-        assertEquals(40, snapshot.trusted("n1", "boot-1", 1010).samples());
+        assertEquals(40, snapshot.restore("n1", "boot-1", 1010).samples());
         assertEquals(
                 1,
-                snapshot.trusted("n1", "boot-2", 1010).samples(),
+                snapshot.restore("n1", "boot-2", 1010).samples(),
                 "the machine has lost power too");
         assertEquals(
-                1, snapshot.trusted("n1", "boot-1", 1000 + 25 * 3600).samples(), "over a day old");
+                1, snapshot.restore("n1", "boot-1", 1000 + 25 * 3600).samples(), "over a day old");
         assertEquals(
                 1,
-                snapshot.trusted("n1", "boot-1", 1000 - 3600).samples(),
+                snapshot.restore("n1", "boot-1", 1000 - 3600).samples(),
                 "the clock went back an hour");
         assertEquals(
                 77,
-                snapshot.trusted("n1", "boot-1", -5).previousStart(),
+                snapshot.restore("n1", "boot-1", -5).previousStartNumber(),
                 "no clock takes the start number back");
         assertEquals(
                 0,
-                snapshot.trusted("n2", "boot-1", 1010).previousStart(),
+                snapshot.restore("n2", "boot-1", 1010).previousStartNumber(),
                 "copied from another proxy");
-        assertEquals(0, snapshot.trusted("n2", "boot-1", 1010).serviceTimeSeconds());
+        assertEquals(0, snapshot.restore("n2", "boot-1", 1010).serviceTimeSeconds());
         assertThrows(IllegalArgumentException.class, () -> new Snapshot("n", "b", 1, 1, -1, 1));
         assertThrows(IllegalArgumentException.class, () -> new Snapshot("n", "b", 1, 1, 0, 1));
     }
