--- a/src/main/java/lemondrift/proxy/ConfigReload.java
+++ b/src/main/java/lemondrift/proxy/ConfigReload.java
@@ -68,7 +68,7 @@
                 "configuration read again, discovery at {}, classes {}",
                 next.discovery(),
                 next.requestClassNames());
-        List<String> keysAppliedAtStart = next.keysAppliedAtStart(current);
+        List<String> keysAppliedAtStart = next.keysRequiringRestart(current);
         if (!keysAppliedAtStart.isEmpty()) {
             LOG.warn("holds from the next start only: {}", keysAppliedAtStart);
         }
@@ -84,7 +84,7 @@
     }
 
     /** Counts a new configuration that could not be used. */
-    void failed() {
+    void recordFailure() {
         ioThread.execute(() -> metrics.configurationReloaded(false));
     }
 }
--- a/src/main/java/lemondrift/proxy/GracefulShutdown.java
+++ b/src/main/java/lemondrift/proxy/GracefulShutdown.java
@@ -51,7 +51,7 @@
     /**
      * A shutdown that begins now.
      *
-     * @param beganAt now, in seconds of the clock
+     * @param startedAt now, in seconds of the clock
      * @param requestDeadline when the last request that may come now times out
      */
     GracefulShutdown(
@@ -59,13 +59,13 @@
             XnioIoThread ioThread,
             ClientListener clientListener,
             DecisionLoop decisionLoop,
-            double beganAt,
+            double startedAt,
             double requestDeadline) {
         this.clock = clock;
         this.ioThread = ioThread;
         this.clientListener = clientListener;
         this.decisionLoop = decisionLoop;
-        acceptUntil = beganAt + ACCEPT_SECONDS;
+        acceptUntil = startedAt + ACCEPT_SECONDS;
         responseDeadline = requestDeadline + RESPONSE_GRACE_SECONDS;
         readDeadline = requestDeadline + READ_GRACE_SECONDS;
     }
--- a/src/main/java/lemondrift/proxy/IoThreadActions.java
+++ b/src/main/java/lemondrift/proxy/IoThreadActions.java
@@ -50,7 +50,7 @@
      *
      * @param gossipTransport null where no gossip is sent
      */
-    void connect(
+    void setTargets(
             DecisionLoop decisionLoop,
             ClientListener clientListener,
             BackendClient backendClient,
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -75,7 +75,7 @@
     private volatile Phase phase = Phase.STARTING;
 
     public ProxyServer(ProxyConfig config) throws IOException {
-        this(config, worker(), null);
+        this(config, createWorker(), null);
     }
 
     /** One on a worker that may exist already. */
@@ -134,7 +134,7 @@
         if (gossips) {
             enableGossip(config);
         }
-        actions.connect(
+        actions.setTargets(
                 decisionLoop, clientListener, backendClient, endpointListWatch, gossipTransport);
         configReload =
                 new ConfigReload(config, clock, ioThread, decisionLoop, endpointListWatch, metrics);
@@ -159,7 +159,7 @@
     }
 
     /** A worker with one I/O thread and one task thread, as a proxy has a part of a core. */
-    public static XnioWorker worker() throws IOException {
+    public static XnioWorker createWorker() throws IOException {
         return Xnio.getInstance()
                 .createWorker(
                         OptionMap.builder()
@@ -198,7 +198,7 @@
         } else {
             clientListener.listen(inheritedSocket);
         }
-        enter(Phase.SERVING);
+        advanceTo(Phase.SERVING);
         LOG.info("serving");
     }
 
@@ -218,8 +218,8 @@
     }
 
     /** Counts a new configuration that could not be used; the running one stays. */
-    public void reloadFailed() {
-        configReload.failed();
+    public void recordReloadFailure() {
+        configReload.recordFailure();
     }
 
     /** What operators may ask of it, on the I/O thread. */
@@ -242,8 +242,8 @@
     }
 
     /** Divides what the platform gives this proxy among so many processes. */
-    void setProcessCount(int processes) {
-        resourceSharing.setProcessCount(processes);
+    void setProcessCount(int processCount) {
+        resourceSharing.setProcessCount(processCount);
     }
 
     /** Keeps to its share while another process of this proxy lives. Before serving. */
@@ -266,16 +266,16 @@
                         now,
                         configReload.requestDeadline(now));
         shutdown.begin();
-        enter(Phase.DRAINING);
+        advanceTo(Phase.DRAINING);
         LOG.info("draining");
         shutdown.awaitResponses();
         close();
-        enter(Phase.STOPPED);
+        advanceTo(Phase.STOPPED);
         LOG.info("stopped");
     }
 
     /** Guards against a signal during the start, after which the phase must not go back. */
-    private synchronized void enter(Phase next) {
+    private synchronized void advanceTo(Phase next) {
         phase = next.compareTo(phase) > 0 ? next : phase;
     }
 
@@ -309,11 +309,11 @@
     }
 
     /** How many of each are in flight. */
-    record InFlight(int connections, int requests, int calls, int backendReferences) {}
+    record InFlightCounts(int connections, int requests, int calls, int backendReferences) {}
 
     /** What is in flight on the I/O thread and, a moment later, in the decision loop. */
-    CompletableFuture<InFlight> inFlight() {
-        CompletableFuture<InFlight> result = new CompletableFuture<>();
+    CompletableFuture<InFlightCounts> countInFlight() {
+        CompletableFuture<InFlightCounts> result = new CompletableFuture<>();
         runOnIoThread(
                 () -> {
                     int connections = clientListener.openRequestCount();
@@ -321,7 +321,7 @@
                     runOnLoop(
                             () ->
                                     result.complete(
-                                            new InFlight(
+                                            new InFlightCounts(
                                                     connections,
                                                     decisionLoop.openRequestCount(),
                                                     calls,
@@ -331,7 +331,7 @@
     }
 
     /** How many request classes have an index. */
-    int classesKnown() {
+    int indexedClassCount() {
         return clientListener.requestClassCount();
     }
 
--- a/src/main/java/lemondrift/proxy/ResourceSharing.java
+++ b/src/main/java/lemondrift/proxy/ResourceSharing.java
@@ -13,7 +13,7 @@
  */
 final class ResourceSharing {
     /** Seconds between two looks for another process; a start takes several times as long. */
-    private static final double LOOK_INTERVAL_SECONDS = 0.25;
+    private static final double POLL_INTERVAL_SECONDS = 0.25;
 
     private final XnioWorker worker;
     private final ConfigReload configReload;
@@ -40,26 +40,26 @@
         setProcessCount(takeoverLock.processCount());
         worker.getIoThread()
                 .executeAtInterval(
-                        () -> worker.execute(() -> lookAgain(takeoverLock)),
-                        (long) (LOOK_INTERVAL_SECONDS * 1e9),
+                        () -> worker.execute(() -> poll(takeoverLock)),
+                        (long) (POLL_INTERVAL_SECONDS * 1e9),
                         TimeUnit.NANOSECONDS);
     }
 
-    private void lookAgain(TakeoverLock takeoverLock) {
+    private void poll(TakeoverLock takeoverLock) {
         if (takeoverLock.refresh()) {
             setProcessCount(takeoverLock.processCount());
         }
     }
 
     /** Divides what the platform gives this proxy among so many processes. */
-    void setProcessCount(int processes) {
-        double share = configReload.current().connectionShare(processes);
+    void setProcessCount(int processCount) {
+        double share = configReload.current().connectionShare(processCount);
         worker.getIoThread()
                 .execute(
                         () -> {
-                            clientListener.setResourceShare(share, processes);
+                            clientListener.setResourceShare(share, processCount);
                             backendClient.setResourceShare(share);
                         });
-        decisionLoop.setProcessCount(processes);
+        decisionLoop.setProcessCount(processCount);
     }
 }
--- a/src/main/java/lemondrift/proxy/admin/AdminServer.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminServer.java
@@ -136,7 +136,7 @@
 
     private void handle(HttpServerExchange call) {
         call.setPersistent(false);
-        HttpString method = methodOf(call.getRequestPath());
+        HttpString method = allowedMethod(call.getRequestPath());
         if (method == null) {
             sendStatus(call, StatusCodes.NOT_FOUND);
         } else if (!call.getRequestMethod().equals(method)) {
@@ -148,7 +148,7 @@
     }
 
     /** The method that a call takes; null where there is no such call. */
-    private static HttpString methodOf(String path) {
+    private static HttpString allowedMethod(String path) {
         return switch (path) {
             case HEALTH, STATS, RECOVERY, LOOP, NOT_SERVED -> Methods.GET;
             case QUIESCE, RESUME -> Methods.PUT;
@@ -161,7 +161,7 @@
             case STATS ->
                     sendJson(
                             call,
-                            json(
+                            toJson(
                                     operations == null
                                             ? new ProxyMetrics().snapshot()
                                             : operations.metrics()));
@@ -195,7 +195,7 @@
     }
 
     /** The metrics under the names that operators' tools read. */
-    static String json(ProxyMetrics.Snapshot metrics) {
+    static String toJson(ProxyMetrics.Snapshot metrics) {
         JsonObject repliesByClass = new JsonObject();
         metrics.replies()
                 .forEach(
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -127,7 +127,8 @@
         bufferBudget.setMaxTotalBytes(
                 (long) (BUFFERED_MEMORY_SHARE * config.memoryBytes() / processes));
         if (inheritedServer != null) {
-            inheritedServer.most((int) (share * config.connectionLimits().acceptLimit()));
+            inheritedServer.setMaxConnections(
+                    (int) (share * config.connectionLimits().acceptLimit()));
         }
     }
 
--- a/src/main/java/lemondrift/proxy/client/ResponseWriter.java
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -88,7 +88,7 @@
     }
 
     private void logRefused(HttpServerExchange exchange, int status, RefusalReason reason) {
-        failureLog.refused(
+        failureLog.logRefused(
                 status, reason.name(), RequestValidator.requestIdOf(exchange), clock.now());
     }
 
@@ -182,7 +182,7 @@
     }
 
     private void logNotServed(PendingRequest pending, boolean rejected) {
-        failureLog.notServed(
+        failureLog.logNotServed(
                 pending.request(),
                 RequestValidator.requestIdOf(pending.exchange()),
                 RequestValidator.requestClassOf(pending.exchange()),
--- a/src/main/java/lemondrift/proxy/config/ConfigFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConfigFile.java
@@ -43,19 +43,19 @@
      * @throws InvalidSettingsException where it is no JSON object
      */
     public static JsonObject read(Map<String, String> environment) throws IOException {
-        return object(Files.readString(path(environment)));
+        return parseObject(Files.readString(path(environment)));
     }
 
     /** The JSON object that a text is. */
-    static JsonObject object(String text) {
+    static JsonObject parseObject(String text) {
         try {
             return JsonParser.parseString(text).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException | UnsupportedOperationException e) {
-            throw unusable(e);
+            throw notAnObject(e);
         }
     }
 
-    static InvalidSettingsException unusable(Exception cause) {
+    static InvalidSettingsException notAnObject(Exception cause) {
         return new InvalidSettingsException(
                 "not the JSON object that is wanted: " + cause.getMessage());
     }
@@ -77,7 +77,7 @@
                 if (key.equals(INITIAL_ENDPOINTS)) {
                     skipEndpointList(reader);
                 } else {
-                    config.add(key, value(reader));
+                    config.add(key, readValue(reader));
                 }
             }
             reader.endObject();
@@ -86,11 +86,11 @@
             }
             return config;
         } catch (JsonParseException | IllegalStateException e) {
-            throw unusable(e);
+            throw notAnObject(e);
         }
     }
 
-    private static JsonElement value(JsonReader reader) {
+    private static JsonElement readValue(JsonReader reader) {
         return JsonParser.parseReader(reader);
     }
 
--- a/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
@@ -42,15 +42,15 @@
     private ConnectionLimits.Sharing sharing;
     private boolean announcesTimeout;
 
-    private ConnectionSettingsFile(ConnectionLimits usual) {
-        idleSeconds = usual.maxIdleSeconds();
-        minBytesPerSecond = usual.minBytesPerSecond();
-        sharing = usual.sharing();
-        announcesTimeout = usual.announcesKeepAlive();
+    private ConnectionSettingsFile(ConnectionLimits defaults) {
+        idleSeconds = defaults.maxIdleSeconds();
+        minBytesPerSecond = defaults.minBytesPerSecond();
+        sharing = defaults.sharing();
+        announcesTimeout = defaults.announcesKeepAlive();
     }
 
     /** The limits where no file says otherwise, for a proxy of so many connections. */
-    static ConnectionLimits usual(int connections, Settings settings) {
+    static ConnectionLimits defaults(int connections, Settings settings) {
         double meanPriorityWeight =
                 settings.requestClasses().stream()
                         .mapToDouble(RequestClass::priorityWeight)
@@ -73,21 +73,21 @@
      *
      * @throws InvalidSettingsException where something cannot be used; one line with file and key
      */
-    public static ConnectionLimits read(Path file, ConnectionLimits usual) throws IOException {
-        ConnectionSettingsFile settings = new ConnectionSettingsFile(usual);
+    public static ConnectionLimits read(Path file, ConnectionLimits defaults) throws IOException {
+        ConnectionSettingsFile settings = new ConnectionSettingsFile(defaults);
         SettingsFile.readKeys(file, settings::readKey);
         settings.requireMinIdleInRange(file);
-        return settings.limits(usual);
+        return settings.toLimits(defaults);
     }
 
     private void readKey(String key, JsonElement value) {
         switch (key) {
-            case "quiet" -> idleSeconds = SettingsFile.number(value, 0.1, 3600);
+            case "quiet" -> idleSeconds = SettingsFile.parseNumber(value, 0.1, 3600);
             case "earliest" ->
-                    minIdleSeconds = OptionalDouble.of(SettingsFile.number(value, 0, 3600));
-            case "leastRate" -> minBytesPerSecond = SettingsFile.number(value, 1, 1e9);
-            case "sharing" -> sharing = sharing(value);
-            case "announces" -> announcesTimeout = SettingsFile.bool(value);
+                    minIdleSeconds = OptionalDouble.of(SettingsFile.parseNumber(value, 0, 3600));
+            case "leastRate" -> minBytesPerSecond = SettingsFile.parseNumber(value, 1, 1e9);
+            case "sharing" -> sharing = parseSharing(value);
+            case "announces" -> announcesTimeout = SettingsFile.parseBoolean(value);
             default ->
                     throw new InvalidSettingsException(
                             "not a key; there are quiet, earliest, leastRate, sharing, "
@@ -107,20 +107,20 @@
     }
 
     /** Where only the idle time is stated, the least idle time keeps its ratio to it. */
-    private ConnectionLimits limits(ConnectionLimits usual) {
+    private ConnectionLimits toLimits(ConnectionLimits defaults) {
         return new ConnectionLimits(
-                usual.maxConnections(),
-                usual.acceptLimit(),
+                defaults.maxConnections(),
+                defaults.acceptLimit(),
                 idleSeconds,
                 minIdleSeconds.orElse(
-                        usual.minIdleSeconds() / usual.maxIdleSeconds() * idleSeconds),
+                        defaults.minIdleSeconds() / defaults.maxIdleSeconds() * idleSeconds),
                 sharing,
                 announcesTimeout,
                 minBytesPerSecond,
-                usual.typicalPriorityWeight());
+                defaults.typicalPriorityWeight());
     }
 
-    private static ConnectionLimits.Sharing sharing(JsonElement value) {
+    private static ConnectionLimits.Sharing parseSharing(JsonElement value) {
         return Arrays.stream(ConnectionLimits.Sharing.values())
                 .filter(each -> each.name().toLowerCase(Locale.ROOT).equals(value.getAsString()))
                 .findFirst()
--- a/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
@@ -51,9 +51,9 @@
 
     private void readKey(String key, JsonElement value) {
         switch (key) {
-            case "pace" -> minIntervalWindows = SettingsFile.number(value, 0.001, 1);
-            case "forget" -> expiryWindows = SettingsFile.number(value, 0.1, 100);
-            case "part" -> subsetSize = (int) SettingsFile.number(value, 1, 1000);
+            case "pace" -> minIntervalWindows = SettingsFile.parseNumber(value, 0.001, 1);
+            case "forget" -> expiryWindows = SettingsFile.parseNumber(value, 0.1, 100);
+            case "part" -> subsetSize = (int) SettingsFile.parseNumber(value, 1, 1000);
             default ->
                     throw new InvalidSettingsException("not a key; there are pace, forget, part");
         }
@@ -62,7 +62,7 @@
     private GossipSettings withAddresses(JsonObject config, double windowSeconds) {
         JsonObject settings =
                 config.has("settings") ? config.getAsJsonObject("settings") : new JsonObject();
-        if (!isAllowed(settings)
+        if (!isGossipAllowed(settings)
                 || !config.has("peer_listen")
                 || !config.has("peers")
                 || !settings.has("slotNo")) {
@@ -70,7 +70,7 @@
         }
         List<InetSocketAddress> proxies = new ArrayList<>();
         for (JsonElement address : config.getAsJsonArray("peers")) {
-            proxies.add(ProxyConfig.address("peers", address.getAsString()));
+            proxies.add(ProxyConfig.parseAddress("peers", address.getAsString()));
         }
         int self = settings.get("slotNo").getAsInt();
         if (self < 0 || self >= proxies.size()) {
@@ -78,7 +78,7 @@
         }
         String listen = config.get("peer_listen").getAsString();
         return new GossipSettings(
-                ProxyConfig.address("peer_listen", listen),
+                ProxyConfig.parseAddress("peer_listen", listen),
                 proxies,
                 self,
                 minIntervalWindows * windowSeconds,
@@ -86,7 +86,7 @@
                 subsetSize);
     }
 
-    private static boolean isAllowed(JsonObject settings) {
+    private static boolean isGossipAllowed(JsonObject settings) {
         return settings.has("limits")
                 && settings.getAsJsonObject("limits").has("mayTell")
                 && settings.getAsJsonObject("limits").get("mayTell").getAsBoolean();
--- a/src/main/java/lemondrift/proxy/config/KeyComparison.java
+++ b/src/main/java/lemondrift/proxy/config/KeyComparison.java
@@ -13,12 +13,12 @@
  */
 final class KeyComparison {
     /** The keys whose values hold from a start on, as a regular expression. */
-    private static final String APPLIED_AT_START =
+    private static final String RESTART_KEYS =
             "name|listen|admin_addr|limits\\..*|peer.*"
                 + "|settings\\.(localities|zone|membershipMode|weights|realms|report|limits\\.conn).*";
 
     /** The place in a list of objects that is part of a key. */
-    private static final String PLACE = "\\.\\d+\\.";
+    private static final String LIST_INDEX = "\\.\\d+\\.";
 
     private final Map<String, String> next;
     private final Map<String, String> running;
@@ -51,24 +51,24 @@
     }
 
     /** The keys whose values differ and hold from the next start on, in alphabetical order. */
-    List<String> keysAppliedAtStart() {
+    List<String> keysRequiringRestart() {
         return Stream.concat(next.keySet().stream(), running.keySet().stream())
                 .distinct()
                 .sorted()
-                .filter(key -> key.matches(APPLIED_AT_START))
+                .filter(key -> key.matches(RESTART_KEYS))
                 .filter(key -> !Objects.equals(next.get(key), running.get(key)))
                 .toList();
     }
 
     /** How many entries the list has that a key lies in; 1 where it lies in none. */
     private static int entryCount(Map<String, String> pairs, String key) {
-        String[] parts = key.split(PLACE, 2);
+        String[] parts = key.split(LIST_INDEX, 2);
         return parts.length == 1
                 ? 1
                 : Integer.parseInt(pairs.getOrDefault(parts[0] + ".count", "0"));
     }
 
-    private static String keyAt(String key, int place) {
-        return key.replaceFirst(PLACE, "." + place + ".");
+    private static String keyAt(String key, int index) {
+        return key.replaceFirst(LIST_INDEX, "." + index + ".");
     }
 }
--- a/src/main/java/lemondrift/proxy/config/ProxyConfig.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfig.java
@@ -29,7 +29,7 @@
  * @param backendIdleSeconds after which a backend closes an idle connection
  * @param connectTimeoutSeconds how long connecting to a backend may take
  * @param initialEndpoints the endpoint list known from before, as discovery would send it
- * @param statedKeys all keys that the configuration states but the initial endpoints, and values
+ * @param valuesByKey all keys that the configuration states but the initial endpoints, and values
  * @param connectionLimits what clients' connections may use
  * @param gossip load gossip with other proxies; null where there is none
  * @param recovery how the proxy recovers after its start; null where it does not
@@ -51,7 +51,7 @@
         double backendIdleSeconds,
         double connectTimeoutSeconds,
         JsonObject initialEndpoints,
-        Map<String, String> statedKeys,
+        Map<String, String> valuesByKey,
         ConnectionLimits connectionLimits,
         GossipSettings gossip,
         RecoverySettings recovery,
@@ -90,11 +90,11 @@
     /**
      * The address that a text of host and port is.
      *
-     * @param what names it in the error
+     * @param key names it in the error
      * @throws InvalidSettingsException where it is none
      */
-    public static InetSocketAddress address(String what, String text) {
-        return ProxyConfigReader.address(what, text);
+    public static InetSocketAddress parseAddress(String key, String text) {
+        return ProxyConfigReader.parseAddress(key, text);
     }
 
     /** How many connections the proxy may hold, of clients and to backends. */
@@ -106,10 +106,10 @@
      * The share of the connections, 0 to 1, that each of so many processes may hold; as each has
      * descriptors of its own, it is less than an equal part.
      */
-    public double connectionShare(int processes) {
-        return processes == 1
+    public double connectionShare(int processCount) {
+        return processCount == 1
                 ? 1
-                : (double) maxConnections(sockets / processes) / maxConnections(sockets);
+                : (double) maxConnections(sockets / processCount) / maxConnections(sockets);
     }
 
     static int maxConnections(int sockets) {
@@ -128,17 +128,17 @@
      * @throws InvalidSettingsException where one is missing
      */
     public void requireAllKeysOf(ProxyConfig running) {
-        new KeyComparison(statedKeys, running.statedKeys).requireAllKeys();
+        new KeyComparison(valuesByKey, running.valuesByKey).requireAllKeys();
     }
 
     /** The keys that differ from the running configuration's and hold from the next start on. */
-    public List<String> keysAppliedAtStart(ProxyConfig running) {
-        return new KeyComparison(statedKeys, running.statedKeys).keysAppliedAtStart();
+    public List<String> keysRequiringRestart(ProxyConfig running) {
+        return new KeyComparison(valuesByKey, running.valuesByKey).keysRequiringRestart();
     }
 
     /** A copy that does not keep the initial endpoints, which are thousands on a large fleet. */
     public ProxyConfig withoutInitialEndpoints() {
-        return copy(admin, noEndpoints(), connectionLimits, gossip, recovery, shadow);
+        return copy(admin, emptyEndpointList(), connectionLimits, gossip, recovery, shadow);
     }
 
     /** A copy with other limits of clients' connections. */
@@ -187,7 +187,7 @@
                 backendIdleSeconds,
                 connectTimeoutSeconds,
                 otherEndpoints,
-                statedKeys,
+                valuesByKey,
                 otherLimits,
                 otherGossip,
                 otherRecovery,
@@ -195,7 +195,7 @@
     }
 
     /** A complete endpoint list that names none. */
-    static JsonObject noEndpoints() {
+    static JsonObject emptyEndpointList() {
         JsonObject list = new JsonObject();
         list.addProperty("complete", true);
         list.add("members", new JsonArray());
--- a/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
@@ -60,9 +60,9 @@
         ProxyConfig config = read(json);
         config =
                 config.withFiles(
-                        connectionLimits(environment, config),
-                        gossip(environment, config, json),
-                        recovery(environment, config));
+                        readConnectionLimits(environment, config),
+                        readGossip(environment, config, json),
+                        readRecovery(environment, config));
         return withAdminAndShadow(config, environment, json);
     }
 
@@ -84,9 +84,9 @@
                         environment,
                         json);
         try {
-            connectionLimits(environment, config);
-            gossip(environment, config, json);
-            recovery(environment, config);
+            readConnectionLimits(environment, config);
+            readGossip(environment, config, json);
+            readRecovery(environment, config);
         } catch (IOException | RuntimeException e) {
             // Wide, as whatever the readers throw would also keep the next start from serving.
             LOG.warn("would keep the next start from serving: {}", e.toString().replace('\n', ' '));
@@ -94,7 +94,7 @@
         return config;
     }
 
-    private static ConnectionLimits connectionLimits(
+    private static ConnectionLimits readConnectionLimits(
             Map<String, String> environment, ProxyConfig config) throws IOException {
         String file = environment.get(CONNECTION_FILE);
         return file == null
@@ -102,7 +102,7 @@
                 : ConnectionSettingsFile.read(Path.of(file), config.connectionLimits());
     }
 
-    private static GossipSettings gossip(
+    private static GossipSettings readGossip(
             Map<String, String> environment, ProxyConfig config, JsonObject json)
             throws IOException {
         String file = environment.get(GOSSIP_FILE);
@@ -111,8 +111,8 @@
                 : GossipSettingsFile.read(Path.of(file), config.settings(), json);
     }
 
-    private static RecoverySettings recovery(Map<String, String> environment, ProxyConfig config)
-            throws IOException {
+    private static RecoverySettings readRecovery(
+            Map<String, String> environment, ProxyConfig config) throws IOException {
         String file = environment.get(RECOVERY_FILE);
         return file == null || file.isEmpty()
                 ? null
@@ -125,7 +125,9 @@
         String admin = environment.get(ADMIN_ADDRESS);
         String shadowFile = environment.get(SHADOW_FILE);
         ProxyConfig withAdmin =
-                admin == null ? config : config.withAdminAddress(address(ADMIN_ADDRESS, admin));
+                admin == null
+                        ? config
+                        : config.withAdminAddress(parseAddress(ADMIN_ADDRESS, admin));
         return shadowFile == null
                 ? withAdmin
                 : withAdmin.withShadow(ShadowSettingsFile.read(Path.of(shadowFile), json));
@@ -133,14 +135,14 @@
 
     /** Reads the configuration alone, from its text. */
     static ProxyConfig read(String json) {
-        return read(ConfigFile.object(json));
+        return read(ConfigFile.parseObject(json));
     }
 
     private static ProxyConfig read(JsonObject json) {
         try {
             return readParts(json);
         } catch (JsonParseException | IllegalStateException | UnsupportedOperationException e) {
-            throw ConfigFile.unusable(e);
+            throw ConfigFile.notAnObject(e);
         }
     }
 
@@ -155,12 +157,12 @@
         Settings settings = settingsReader.toSettings();
         return new ProxyConfig(
                 config.text("name", "proxy"),
-                address("listen", config.text("listen", null)),
+                parseAddress("listen", config.text("listen", null)),
                 json.has("admin_addr")
-                        ? address("admin_addr", config.text("admin_addr", null))
+                        ? parseAddress("admin_addr", config.text("admin_addr", null))
                         : null,
-                address("discovery", config.text("discovery", null)),
-                seed(config.text("seed", "0")),
+                parseAddress("discovery", config.text("discovery", null)),
+                parseSeed(config.text("seed", "0")),
                 sockets,
                 (long) (config.number("limits.memory_mb", DEFAULT_MEMORY_MIB) * (1 << 20)),
                 settings,
@@ -173,7 +175,7 @@
                         / 1000,
                 initialEndpoints(json),
                 pairs,
-                ConnectionSettingsFile.usual(ProxyConfig.maxConnections(sockets), settings),
+                ConnectionSettingsFile.defaults(ProxyConfig.maxConnections(sockets), settings),
                 null,
                 null,
                 null);
@@ -194,7 +196,7 @@
     private static JsonObject initialEndpoints(JsonObject json) {
         return json.has(ConfigFile.INITIAL_ENDPOINTS)
                 ? json.getAsJsonObject(ConfigFile.INITIAL_ENDPOINTS)
-                : ProxyConfig.noEndpoints();
+                : ProxyConfig.emptyEndpointList();
     }
 
     private static List<String> requestClassNames(Map<String, String> settingsPairs) {
@@ -221,17 +223,17 @@
     }
 
     /** The address that a text of host and port is; what names it in the error. */
-    static InetSocketAddress address(String what, String text) {
+    static InetSocketAddress parseAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             return new InetSocketAddress(text.substring(0, colon), port);
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            throw new InvalidSettingsException(what + ": not host:port: " + text);
+            throw new InvalidSettingsException(key + ": not host:port: " + text);
         }
     }
 
-    private static long seed(String hex) {
+    private static long parseSeed(String hex) {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
--- a/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -20,7 +20,7 @@
 
     private double pollIntervalWindows;
     private double pollTimeoutWindows;
-    private double forgetAfterWindows;
+    private double expiryWindows;
     private int peersPerPoll;
     private int sufficientResponses;
     private double snapshotIntervalSeconds = DEFAULT_SNAPSHOT_INTERVAL_SECONDS;
@@ -32,7 +32,7 @@
         PeerPollSettings usual = PeerPollSettings.forLatencyObjective(1);
         pollIntervalWindows = usual.intervalSeconds();
         pollTimeoutWindows = usual.decisionTimeoutSeconds();
-        forgetAfterWindows = usual.expirySeconds();
+        expiryWindows = usual.expirySeconds();
         peersPerPoll = usual.fanout();
         sufficientResponses = usual.settledSamples();
     }
@@ -45,11 +45,11 @@
     static RecoverySettings read(Path file, double windowSeconds) throws IOException {
         RecoverySettingsFile settings = new RecoverySettingsFile();
         SettingsFile.readKeys(file, settings::readKey);
-        if (settings.forgetAfterWindows < settings.pollTimeoutWindows) {
+        if (settings.expiryWindows < settings.pollTimeoutWindows) {
             throw new InvalidSettingsException(
                     file
                             + ": forget: "
-                            + settings.forgetAfterWindows
+                            + settings.expiryWindows
                             + " is under bound, "
                             + settings.pollTimeoutWindows);
         }
@@ -58,12 +58,13 @@
 
     private void readKey(String key, JsonElement value) {
         switch (key) {
-            case "ask" -> pollIntervalWindows = SettingsFile.number(value, 0.01, 10);
-            case "bound" -> pollTimeoutWindows = SettingsFile.number(value, 0.1, 100);
-            case "forget" -> forgetAfterWindows = SettingsFile.number(value, 0.1, 1000);
-            case "fanout" -> peersPerPoll = (int) SettingsFile.number(value, 1, MAX_COUNT);
-            case "enough" -> sufficientResponses = (int) SettingsFile.number(value, 1, MAX_COUNT);
-            case "period" -> snapshotIntervalSeconds = SettingsFile.number(value, 0.1, 3600);
+            case "ask" -> pollIntervalWindows = SettingsFile.parseNumber(value, 0.01, 10);
+            case "bound" -> pollTimeoutWindows = SettingsFile.parseNumber(value, 0.1, 100);
+            case "forget" -> expiryWindows = SettingsFile.parseNumber(value, 0.1, 1000);
+            case "fanout" -> peersPerPoll = (int) SettingsFile.parseNumber(value, 1, MAX_COUNT);
+            case "enough" ->
+                    sufficientResponses = (int) SettingsFile.parseNumber(value, 1, MAX_COUNT);
+            case "period" -> snapshotIntervalSeconds = SettingsFile.parseNumber(value, 0.1, 3600);
             case "folder" -> snapshotFolder = Path.of(value.getAsString());
             default ->
                     throw new InvalidSettingsException(
@@ -77,7 +78,7 @@
                 new PeerPollSettings(
                         pollIntervalWindows * windowSeconds,
                         pollTimeoutWindows * windowSeconds,
-                        forgetAfterWindows * windowSeconds,
+                        expiryWindows * windowSeconds,
                         peersPerPoll,
                         sufficientResponses),
                 snapshotFolder,
--- a/src/main/java/lemondrift/proxy/config/SettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/SettingsFile.java
@@ -29,7 +29,7 @@
      * @throws InvalidSettingsException where something cannot be used; one line with file and key
      */
     static void readKeys(Path file, KeyReader reader) throws IOException {
-        for (Map.Entry<String, JsonElement> entry : object(file).entrySet()) {
+        for (Map.Entry<String, JsonElement> entry : readObject(file).entrySet()) {
             try {
                 reader.read(entry.getKey(), entry.getValue());
             } catch (InvalidSettingsException
@@ -46,7 +46,7 @@
      *
      * @throws InvalidSettingsException where it holds something else
      */
-    static JsonObject object(Path file) throws IOException {
+    static JsonObject readObject(Path file) throws IOException {
         try {
             return JsonParser.parseString(Files.readString(file)).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
@@ -60,7 +60,7 @@
      *
      * @throws InvalidSettingsException where the value is something else
      */
-    static double number(JsonElement value, double min, double max) {
+    static double parseNumber(JsonElement value, double min, double max) {
         double number;
         try {
             number = value.getAsDouble();
@@ -79,7 +79,7 @@
      *
      * @throws InvalidSettingsException where the value is something else
      */
-    static boolean bool(JsonElement value) {
+    static boolean parseBoolean(JsonElement value) {
         if (!value.isJsonPrimitive() || !value.getAsJsonPrimitive().isBoolean()) {
             throw new InvalidSettingsException("neither true nor false: " + value);
         }
--- a/src/main/java/lemondrift/proxy/config/ShadowSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ShadowSettingsFile.java
@@ -31,7 +31,7 @@
         JsonPairs.flatten(
                 "", config.has("settings") ? config.get("settings") : new JsonObject(), pairs);
         Map<String, String> ownPairs = Map.copyOf(pairs);
-        JsonPairs.flatten("", SettingsFile.object(file), pairs);
+        JsonPairs.flatten("", SettingsFile.readObject(file), pairs);
         for (String key : pairs.keySet()) {
             if (key.matches(UNCHANGEABLE_KEYS) && !pairs.get(key).equals(ownPairs.get(key))) {
                 throw new InvalidSettingsException(
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
@@ -71,7 +71,8 @@
         InetSocketAddress address =
                 state == EndpointUpdate.State.GONE && !member.has("host_port")
                         ? null
-                        : ProxyConfig.address("host_port", member.get("host_port").getAsString());
+                        : ProxyConfig.parseAddress(
+                                "host_port", member.get("host_port").getAsString());
         return new EndpointList.Endpoint(
                 member.get("id").getAsString(),
                 state,
--- a/src/main/java/lemondrift/proxy/lifecycle/CoalescingTask.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/CoalescingTask.java
@@ -37,7 +37,7 @@
             try {
                 task.run();
             } finally {
-                ended();
+                markFinished();
             }
         }
     }
@@ -52,7 +52,7 @@
         return true;
     }
 
-    private synchronized void ended() {
+    private synchronized void markFinished() {
         running = false;
     }
 }
--- a/src/main/java/lemondrift/proxy/lifecycle/HangUpSignal.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/HangUpSignal.java
@@ -20,7 +20,7 @@
      * Runs the handler at each SIGHUP from now on, each time on a thread of its own. By reflection,
      * as the compiler does not let sun.misc be named.
      */
-    static void handleWith(Runnable handler) {
+    static void setHandler(Runnable handler) {
         try {
             if (install(handler)) {
                 System.loadLibrary(LIBRARY);
--- a/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
@@ -46,7 +46,7 @@
             launcher.start();
             return 0;
         } catch (IOException | RuntimeException e) {
-            return failed(e, err);
+            return reportFailure(e, err);
         }
     }
 
@@ -59,12 +59,12 @@
         try {
             ProxyConfig config = ProxyConfig.read(environment);
             if (inheritedSocket(environment) != null) {
-                takeoverLock(environment, config);
+                openTakeoverLock(environment, config);
             }
             warmUp(config);
             return 0;
         } catch (IOException | RuntimeException e) {
-            return failed(e, err);
+            return reportFailure(e, err);
         }
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** Wide by intent: whatever keeps the proxy from starting is one line and an exit code. */
-    private static int failed(Exception cause, PrintStream err) {
+    private static int reportFailure(Exception cause, PrintStream err) {
         err.println("lemondrift serve: " + cause.toString().replace('\n', ' '));
         return 1;
     }
@@ -84,11 +84,11 @@
     private void start() throws IOException {
         ProxyConfig config = ProxyConfig.read(environment);
         // Asynchronous, as a stopped reader of the log would stop each thread that logs.
-        asyncLog = AsyncLog.ofStandardError();
+        asyncLog = AsyncLog.redirectStandardError();
         ServerSocketChannel inheritedSocket = inheritedSocket(environment);
-        XnioWorker worker = ProxyServer.worker();
+        XnioWorker worker = ProxyServer.createWorker();
         TakeoverLock takeoverLock =
-                inheritedSocket == null ? null : takeoverLock(environment, config);
+                inheritedSocket == null ? null : openTakeoverLock(environment, config);
         // Before the warm-up, so that who asks meanwhile hears that the proxy is not ready.
         AdminServer adminServer =
                 config.admin() == null ? null : new AdminServer(config.admin(), worker);
@@ -111,7 +111,7 @@
      * else, the logger included, which takes its time.
      */
     private void handleSignals() {
-        HangUpSignal.handleWith(reload::request);
+        HangUpSignal.setHandler(reload::request);
         Runtime.getRuntime().addShutdownHook(new Thread(this::onTerminate, "drain"));
     }
 
@@ -145,7 +145,7 @@
         } catch (IOException | RuntimeException | LinkageError e) {
             // Wide, as the proxy serves on whatever the file holds; LinkageError where the archive
             // was replaced under the running program and lacks a class.
-            proxyServer.reloadFailed();
+            proxyServer.recordReloadFailure();
             log().warn(
                             "new configuration not used, the old one stays: {}",
                             e.toString().replace('\n', ' '));
@@ -153,7 +153,8 @@
     }
 
     /** Tells other processes of this proxy at once that this one starts, so that they make room. */
-    private static TakeoverLock takeoverLock(Map<String, String> environment, ProxyConfig config) {
+    private static TakeoverLock openTakeoverLock(
+            Map<String, String> environment, ProxyConfig config) {
         String folder = environment.get("TMPDIR");
         TakeoverLock takeoverLock =
                 new TakeoverLock(Path.of(folder == null ? "/tmp" : folder), config.name());
@@ -188,7 +189,7 @@
     /** Guards against a failed warm-up keeping the proxy from serving, which it can without. */
     private static void warmUp(ProxyConfig config) {
         try {
-            Warmup.play(config);
+            Warmup.run(config);
         } catch (IOException | RuntimeException e) {
             log().warn("warm-up failed: {}", e.toString());
         } catch (InterruptedException e) {
--- a/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
@@ -62,7 +62,7 @@
         try {
             acquireFreeLocks();
             boolean serving = servingLock != null;
-            boolean changed = resourceSplit.update(serving, serving && isFollowed());
+            boolean changed = resourceSplit.update(serving, serving && hasFollower());
             if (changed) {
                 LOG.info(
                         "resource split among the processes of this proxy: {}",
@@ -94,7 +94,7 @@
         }
     }
 
-    private boolean isFollowed() throws IOException {
+    private boolean hasFollower() throws IOException {
         // Guards against the system releasing all locks of a process on a file when one of its
         // channels is closed: this process holds none on this file.
         waitingChannel = waitingChannel == null ? open(waitingFile) : waitingChannel;
--- a/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
@@ -46,20 +46,20 @@
     private static final double MAX_SECONDS = 1.5;
 
     /** Seconds that the responses to the last requests may take after that. */
-    private static final double LAST_RESPONSES_SECONDS = 0.5;
+    private static final double FINAL_RESPONSES_SECONDS = 0.5;
 
     /** Longest message of either side, in bytes. */
     private static final int MAX_MESSAGE_BYTES = 4096;
 
     private final ProxyConfig config;
     private final XnioWorker worker;
-    private final CountDownLatch requestsLeft = new CountDownLatch(REQUESTS);
+    private final CountDownLatch remainingRequests = new CountDownLatch(REQUESTS);
 
     /** Counts the clients whose last response has come. */
-    private final CountDownLatch clientsBusy = new CountDownLatch(CLIENTS);
+    private final CountDownLatch busyClients = new CountDownLatch(CLIENTS);
 
     /** Whether clients are to send nothing more. */
-    private volatile boolean over;
+    private volatile boolean stopping;
 
     /** I/O thread only. */
     private long requestsSent;
@@ -77,8 +77,8 @@
      *
      * @return whether every request that was sent had its response
      */
-    public static boolean play(ProxyConfig config) throws IOException, InterruptedException {
-        XnioWorker worker = ProxyServer.worker();
+    public static boolean run(ProxyConfig config) throws IOException, InterruptedException {
+        XnioWorker worker = ProxyServer.createWorker();
         Warmup warmup = new Warmup(config, worker);
         ProxyServer proxyServer = new ProxyServer(config, worker, warmup::connectBackend);
         proxyServer.startWithoutListener(warmup.endpointList());
@@ -89,14 +89,14 @@
                                 warmup.startClient(proxyServer);
                             }
                         });
-        warmup.requestsLeft.await((long) (MAX_SECONDS * 1e3), TimeUnit.MILLISECONDS);
+        warmup.remainingRequests.await((long) (MAX_SECONDS * 1e3), TimeUnit.MILLISECONDS);
         // Guards against a log line for each attempt that begins while the threads end.
-        warmup.over = true;
+        warmup.stopping = true;
         boolean quiet =
-                warmup.clientsBusy.await(
-                        (long) (LAST_RESPONSES_SECONDS * 1e3), TimeUnit.MILLISECONDS);
+                warmup.busyClients.await(
+                        (long) (FINAL_RESPONSES_SECONDS * 1e3), TimeUnit.MILLISECONDS);
         proxyServer.close();
-        LOG.info("warmed up, {} requests", REQUESTS - warmup.requestsLeft.getCount());
+        LOG.info("warmed up, {} requests", REQUESTS - warmup.remainingRequests.getCount());
         return quiet;
     }
 
@@ -122,7 +122,7 @@
         try {
             ChannelPipe<StreamConnection, StreamConnection> pipe =
                     worker.createFullDuplexPipeConnection();
-            replyToEachMessage(pipe.getRightSide(), request -> response());
+            replyToEachMessage(pipe.getRightSide(), request -> nextResponse());
             result.setResult(pipe.getLeftSide());
             opened.handleEvent(pipe.getLeftSide());
         } catch (IOException e) {
@@ -132,7 +132,7 @@
     }
 
     /** Each with another load, as a report that repeats is taken for an old one. */
-    private String response() {
+    private String nextResponse() {
         double load = 0.1 + ++responsesSent % 1000 / 1e4;
         String report =
                 config.loadReportFields().stream()
@@ -153,21 +153,21 @@
             replyToEachMessage(
                     pipe.getLeftSide(),
                     response -> {
-                        requestsLeft.countDown();
-                        if (over) {
-                            clientsBusy.countDown();
+                        remainingRequests.countDown();
+                        if (stopping) {
+                            busyClients.countDown();
                             return null;
                         }
-                        return request();
+                        return nextRequest();
                     });
-            write(pipe.getLeftSide(), request());
+            write(pipe.getLeftSide(), nextRequest());
             proxyServer.accept(pipe.getRightSide());
         } catch (IOException e) {
-            requestsLeft.countDown();
+            remainingRequests.countDown();
         }
     }
 
-    private String request() {
+    private String nextRequest() {
         int requestClass = (int) (++requestsSent % config.requestClassNames().size());
         String tenant = config.tenantNames().isEmpty() ? "" : config.tenantNames().get(0);
         boolean idempotent =
--- a/src/main/java/lemondrift/proxy/logging/AsyncLog.java
+++ b/src/main/java/lemondrift/proxy/logging/AsyncLog.java
@@ -23,7 +23,7 @@
     private final BlockingQueue<byte[]> queuedLines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
 
     /** What has come of the line that is not complete. */
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(256);
+    private final ByteArrayOutputStream incompleteLine = new ByteArrayOutputStream(256);
 
     private final AtomicLong droppedLines = new AtomicLong();
 
@@ -39,7 +39,7 @@
     }
 
     /** Has all that is written to standard error go through a new log from now on. */
-    public static AsyncLog ofStandardError() {
+    public static AsyncLog redirectStandardError() {
         AsyncLog log = new AsyncLog(System.err);
         System.setErr(new PrintStream(log, true));
         return log;
@@ -47,7 +47,7 @@
 
     @Override
     public synchronized void write(int b) {
-        line.write(b);
+        incompleteLine.write(b);
         if (b == '\n') {
             queueLine();
         }
@@ -55,17 +55,17 @@
 
     @Override
     public synchronized void write(byte[] bytes, int offset, int length) {
-        line.write(bytes, offset, length);
+        incompleteLine.write(bytes, offset, length);
         if (length > 0 && bytes[offset + length - 1] == '\n') {
             queueLine();
         }
     }
 
     private void queueLine() {
-        if (!queuedLines.offer(line.toByteArray())) {
+        if (!queuedLines.offer(incompleteLine.toByteArray())) {
             droppedLines.incrementAndGet();
         }
-        line.reset();
+        incompleteLine.reset();
     }
 
     private void writeQueuedLines() {
--- a/src/main/java/lemondrift/proxy/logging/FailureLog.java
+++ b/src/main/java/lemondrift/proxy/logging/FailureLog.java
@@ -35,10 +35,10 @@
      *     or it is idempotent; else it failed
      * @param now the instant, in seconds
      */
-    public void notServed(
+    public void logNotServed(
             Request request, String trace, String requestClass, boolean rejected, double now) {
         metrics.requestNotServed(request.failureReason);
-        if (hasLine(now)) {
+        if (countAndCheckLimit(now)) {
             LOG.info(
                     "not served trace="
                             + trace
@@ -61,14 +61,14 @@
      * @param trace the id by which its client knows it; empty where it states none
      * @param now the instant, in seconds
      */
-    public void refused(int status, String why, String trace, double now) {
-        if (hasLine(now)) {
-            LOG.info("refused status=" + status + " why=" + why + " trace=" + trace);
+    public void logRefused(int status, String reason, String trace, double now) {
+        if (countAndCheckLimit(now)) {
+            LOG.info("refused status=" + status + " why=" + reason + " trace=" + trace);
         }
     }
 
     /** Counts a line of this second; whether it is to be written. */
-    private boolean hasLine(double now) {
+    private boolean countAndCheckLimit(double now) {
         if (now >= secondStartedAt + 1) {
             endSecond();
             secondStartedAt = now;
--- a/src/main/java/org/xnio/nio/InheritedServer.java
+++ b/src/main/java/org/xnio/nio/InheritedServer.java
@@ -19,22 +19,22 @@
  */
 public final class InheritedServer {
     /** How many are accepted at a time, so that one process of two does not take a whole burst. */
-    private static final int AT_A_TIME = 4;
+    private static final int MAX_ACCEPTS_PER_EVENT = 4;
 
     /** Seconds without accepting where the system has no descriptor left. */
-    private static final double PAUSE = 0.25;
+    private static final double RETRY_DELAY_SECONDS = 0.25;
 
     private final ServerSocketChannel socket;
-    private final WorkerThread io;
-    private final ChannelListener<StreamConnection> accepted;
+    private final WorkerThread ioThread;
+    private final ChannelListener<StreamConnection> acceptListener;
     private final Handle handle;
-    private int most;
-    private int open;
+    private int maxConnections;
+    private int openConnections;
     private boolean stopped;
 
     private final class Handle extends NioHandle implements ChannelClosed {
         private Handle(SelectionKey key) {
-            super(io, key);
+            super(ioThread, key);
         }
 
         @Override
@@ -54,7 +54,7 @@
 
         @Override
         public void channelClosed() {
-            open--;
+            openConnections--;
             listen();
         }
     }
@@ -62,16 +62,16 @@
     /** Accepts, from the call of listen on, as long as there are fewer open than most. */
     public InheritedServer(
             ServerSocketChannel socket,
-            XnioIoThread io,
-            int most,
-            ChannelListener<StreamConnection> accepted)
+            XnioIoThread ioThread,
+            int maxConnections,
+            ChannelListener<StreamConnection> acceptListener)
             throws IOException {
         this.socket = socket;
-        this.io = (WorkerThread) io;
-        this.most = most;
-        this.accepted = accepted;
+        this.ioThread = (WorkerThread) ioThread;
+        this.maxConnections = maxConnections;
+        this.acceptListener = acceptListener;
         socket.configureBlocking(false);
-        SelectionKey key = this.io.registerChannel(socket);
+        SelectionKey key = this.ioThread.registerChannel(socket);
         handle = new Handle(key);
         key.attach(handle);
     }
@@ -81,8 +81,8 @@
     }
 
     /** Another bound on how many may be open. */
-    public void most(int other) {
-        most = other;
+    public void setMaxConnections(int newMaxConnections) {
+        maxConnections = newMaxConnections;
         listen();
     }
 
@@ -91,7 +91,7 @@
         if (stopped) {
             return;
         }
-        if (open < most) {
+        if (openConnections < maxConnections) {
             handle.resume(SelectionKey.OP_ACCEPT);
         } else {
             handle.suspend(SelectionKey.OP_ACCEPT);
@@ -109,29 +109,32 @@
 
     private void accept() {
         try {
-            for (int i = 0; i < AT_A_TIME && !stopped && open < most; i++) {
+            for (int i = 0;
+                    i < MAX_ACCEPTS_PER_EVENT && !stopped && openConnections < maxConnections;
+                    i++) {
                 // Another process that has the socket as well may have been quicker.
                 SocketChannel next = socket.accept();
                 if (next == null) {
                     return;
                 }
-                came(next);
+                register(next);
             }
             listen();
         } catch (IOException e) {
             handle.suspend(SelectionKey.OP_ACCEPT);
-            io.executeAfter(this::listen, (long) (PAUSE * 1e9), TimeUnit.NANOSECONDS);
+            ioThread.executeAfter(
+                    this::listen, (long) (RETRY_DELAY_SECONDS * 1e9), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void came(SocketChannel client) {
+    private void register(SocketChannel client) {
         try {
             client.configureBlocking(false);
             client.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            SelectionKey key = io.registerChannel(client);
-            StreamConnection connection = new NioSocketStreamConnection(io, key, handle);
-            open++;
-            ChannelListeners.invokeChannelListener(connection, accepted);
+            SelectionKey key = ioThread.registerChannel(client);
+            StreamConnection connection = new NioSocketStreamConnection(ioThread, key, handle);
+            openConnections++;
+            ChannelListeners.invokeChannelListener(connection, acceptListener);
         } catch (IOException e) {
             // One that has gone already is no reason to stop.
             IoUtils.safeClose(client);
--- a/src/test/java/lemondrift/lab/fleet/Fleets.java
+++ b/src/test/java/lemondrift/lab/fleet/Fleets.java
@@ -73,7 +73,7 @@
                         "lemondrift.Main",
                         "serve");
         return new ProcessLauncher(
-                ProxyProcess.asDeployed(command),
+                ProxyProcess.deployedCommand(command),
                 Path.of("."),
                 Map.of("PROXY_PEERS", peers.toString(), "PROXY_RECOVERY", recovery.toString()));
     }
--- a/src/test/java/lemondrift/proxy/ConfigReloadTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigReloadTest.java
@@ -75,7 +75,7 @@
                     boolean isFirstAttempt =
                             request.contains("X-Qos: look") && release.getCount() > 0;
                     attempted.release(isFirstAttempt ? 1 : 0);
-                    return isFirstAttempt && isReleased(release, RELEASE_TIMEOUT_SECONDS)
+                    return isFirstAttempt && awaitRelease(release, RELEASE_TIMEOUT_SECONDS)
                             ? CLOSE
                             : OK;
                 };
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void namesKeysThatApplyAtTheNextStart() throws Exception {
+    void reportsKeysThatRequireARestart() throws Exception {
         start(backend(OK));
         JsonObject next = runningConfig();
         next.addProperty("listen", "127.0.0.1:9");
@@ -223,7 +223,7 @@
         assertEquals(
                 List.of("listen"),
                 ProxyConfig.read(next.toString())
-                        .keysAppliedAtStart(ProxyConfig.read(runningConfig().toString())));
+                        .keysRequiringRestart(ProxyConfig.read(runningConfig().toString())));
     }
 
     @Test
@@ -234,6 +234,6 @@
             replaceClass(next, 0, "class-" + i, i % 2 == 0 ? "fragile" : "retryable");
             reload(next, "class-" + i);
         }
-        assertTrue(proxy.classesKnown() <= 4, "indexes of " + proxy.classesKnown());
+        assertTrue(proxy.indexedClassCount() <= 4, "indexes of " + proxy.indexedClassCount());
     }
 }
--- a/src/test/java/lemondrift/proxy/HeldConnector.java
+++ b/src/test/java/lemondrift/proxy/HeldConnector.java
@@ -50,7 +50,7 @@
     }
 
     /** The next one that is held; null where none comes in time. */
-    HeldConnection next() throws InterruptedException {
+    HeldConnection nextConnection() throws InterruptedException {
         return held.poll(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 }
--- a/src/test/java/lemondrift/proxy/LargeFleetTest.java
+++ b/src/test/java/lemondrift/proxy/LargeFleetTest.java
@@ -70,7 +70,7 @@
 
     private final Queue<String> lost = new ConcurrentLinkedQueue<>();
     private final List<Thread> clients = new ArrayList<>();
-    private final CountDownLatch discoveryBack = new CountDownLatch(1);
+    private final CountDownLatch discoveryAvailable = new CountDownLatch(1);
     private int port;
 
     @AfterEach
@@ -108,7 +108,7 @@
     }
 
     /** A process on one core of the machine that it shares with others. */
-    private Process startProxyOnPartOfACore(Path config) throws IOException {
+    private Process startProxyOnSharedCore(Path config) throws IOException {
         for (int i = 0; i < BUSY_PROCESSES; i++) {
             processes.add(
                     new ProcessBuilder(
@@ -194,7 +194,7 @@
             if (request.contains("from=")) {
                 return discoveryUpdates.take();
             }
-            return discoveryBack.await(0, TimeUnit.SECONDS) ? okResponse(fullList) : SILENCE;
+            return discoveryAvailable.await(0, TimeUnit.SECONDS) ? okResponse(fullList) : SILENCE;
         } catch (InterruptedException e) {
             return CLOSE;
         }
@@ -208,7 +208,7 @@
 
     /** Starts the proxy, returns once it serves, and reads its log from then on. */
     private Process startServing(Path config) throws IOException {
-        Process child = startProxyOnPartOfACore(config);
+        Process child = startProxyOnSharedCore(config);
         BufferedReader log = child.inputReader();
         ProxyProcess.awaitLine(log, "serving");
         startDaemon(() -> log.lines().forEach(line -> {}));
@@ -228,7 +228,7 @@
         try (ManyBackends backends = new ManyBackends(BACKENDS)) {
             String initialList = endpointList(1, true, backends.members(0, BACKENDS, "active"));
             discovery = scriptedServer(request -> discoveryResponse(request, initialList));
-            discoveryBack.countDown();
+            discoveryAvailable.countDown();
             Process child = startServing(configFile(folder, initialList));
             sendRequestsFor(UNDISTURBED_MILLIS);
             for (int i = 0; i < RELOADS; i++) {
@@ -253,7 +253,7 @@
             discovery = scriptedServer(request -> discoveryResponse(request, fullList));
             startServing(configFile(folder, initialList));
             sendRequestsFor(UNDISTURBED_MILLIS);
-            discoveryBack.countDown();
+            discoveryAvailable.countDown();
             for (int version = 0; version < VERSIONS; version++) {
                 sendRequestsFor(VERSION_INTERVAL_MILLIS);
                 discoveryUpdates.add(
--- a/src/test/java/lemondrift/proxy/LoopbackFixture.java
+++ b/src/test/java/lemondrift/proxy/LoopbackFixture.java
@@ -97,11 +97,12 @@
 
     /** A backend that responds once it is released. */
     protected ScriptedServer backend(CountDownLatch release) throws IOException {
-        return scriptedServer(request -> isReleased(release, RELEASE_TIMEOUT_SECONDS) ? OK : CLOSE);
+        return scriptedServer(
+                request -> awaitRelease(release, RELEASE_TIMEOUT_SECONDS) ? OK : CLOSE);
     }
 
     /** Whether a latch is released within a time. */
-    protected static boolean isReleased(CountDownLatch release, int timeoutSeconds) {
+    protected static boolean awaitRelease(CountDownLatch release, int timeoutSeconds) {
         try {
             return release.await(timeoutSeconds, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
@@ -237,7 +238,7 @@
     }
 
     /** So many connections to the proxy on which nothing has been sent. */
-    protected List<Socket> connectSilent(int count) throws IOException {
+    protected List<Socket> openSilentConnections(int count) throws IOException {
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             clients.add(connect());
--- a/src/test/java/lemondrift/proxy/ProxyProcess.java
+++ b/src/test/java/lemondrift/proxy/ProxyProcess.java
@@ -41,7 +41,7 @@
 
     /** The same, started by the shell as the deploy file says. */
     public static Process startAsDeployed(Path configFile) throws IOException {
-        return start(configFile, asDeployed(serveCommand()));
+        return start(configFile, deployedCommand(serveCommand()));
     }
 
     private static List<String> serveCommand() {
@@ -58,7 +58,7 @@
      * A java command as {@code run} of the deploy file starts one: by the shell, which does what
      * that says before.
      */
-    public static List<String> asDeployed(List<String> javaCommand) throws IOException {
+    public static List<String> deployedCommand(List<String> javaCommand) throws IOException {
         String deployed =
                 new TomlMapper()
                         .readTree(Files.readString(Path.of("deploy/balancer.toml")))
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -199,7 +199,7 @@
     @Test
     void evictsIdleConnectionsForNewClients() throws Exception {
         start(backend(OK));
-        List<Socket> idle = connectSilent(80);
+        List<Socket> idle = openSilentConnections(80);
         for (int i = 0; i < 3; i++) {
             assertEquals(200, sendNotIdempotent("x").statusCode());
         }
@@ -229,7 +229,7 @@
         int cut = request.indexOf("X-Expires-In-Ms");
         try (Socket client = connect()) {
             writeText(client, request.substring(0, cut));
-            List<Socket> idle = connectSilent(40);
+            List<Socket> idle = openSilentConnections(40);
             assertEquals(-1, idle.get(0).getInputStream().read(), "an idle one makes room");
             writeText(client, request.substring(cut));
             assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
@@ -413,7 +413,7 @@
 
     @Test
     void closesOldestIdleConnectionOfAnotherPoolWhenBudgetIsExhausted() throws Exception {
-        XnioWorker worker = ProxyServer.worker();
+        XnioWorker worker = ProxyServer.createWorker();
         ConnectionPool.ConnectionBudget budget = new ConnectionPool.ConnectionBudget(1);
         ConnectionPool firstPool = pool(worker, budget);
         ConnectionPool secondPool = pool(worker, budget);
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -110,11 +110,11 @@
                 TestConfig.withSockets(json, 1024), latencyObjectiveMillis, timeoutMillis);
     }
 
-    private Socket client() throws IOException {
+    private Socket connectClient() throws IOException {
         return connect(READ_TIMEOUT_MILLIS);
     }
 
-    private static String get(String traceId) {
+    private static String getRequestWithLongTimeout(String traceId) {
         return getRequest(traceId, CLIENT_TIMEOUT_MILLIS);
     }
 
@@ -130,23 +130,23 @@
         assertTrue(response != null && response.startsWith(start), String.valueOf(response));
     }
 
-    private ProxyServer.InFlight inFlight() throws Exception {
-        return proxy.inFlight().get(THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    private ProxyServer.InFlightCounts countInFlight() throws Exception {
+        return proxy.countInFlight().get(THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /** Waits for a state that is to be reached at last. */
-    private void awaitInFlight(Predicate<ProxyServer.InFlight> state) throws Exception {
-        ProxyServer.InFlight now = inFlight();
+    private void awaitInFlight(Predicate<ProxyServer.InFlightCounts> state) throws Exception {
+        ProxyServer.InFlightCounts now = countInFlight();
         for (long deadline = System.nanoTime() + STATE_TIMEOUT_NANOS;
                 !state.test(now);
                 Thread.sleep(STATE_POLL_MILLIS)) {
             assertTrue(System.nanoTime() < deadline, "not reached, but " + now);
-            now = inFlight();
+            now = countInFlight();
         }
     }
 
     private void awaitNothingInFlight() throws Exception {
-        awaitInFlight(new ProxyServer.InFlight(0, 0, 0, 0)::equals);
+        awaitInFlight(new ProxyServer.InFlightCounts(0, 0, 0, 0)::equals);
     }
 
     /** Waits until both threads have handled what they were given before. */
@@ -185,7 +185,7 @@
     }
 
     private void holdConnections() throws IOException {
-        heldConnector = new HeldConnector(ProxyServer.worker());
+        heldConnector = new HeldConnector(ProxyServer.createWorker());
     }
 
     private void release(HeldConnector.HeldConnection connection) {
@@ -214,9 +214,9 @@
         ScriptedServer backend = backend(SILENCE);
         start(backend);
         HeldConnector.HeldConnection connection;
-        try (Socket client = client()) {
-            writeText(client, get("a"));
-            connection = heldConnector.next();
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a"));
+            connection = heldConnector.nextConnection();
         }
         awaitInFlight(now -> now.connections() == 0);
         release(connection);
@@ -231,8 +231,8 @@
         start(backend);
         openReusableConnection(backend);
         CountDownLatch mayDecide = blockDecisionLoop();
-        try (Socket client = client()) {
-            writeText(client, get("b"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("b"));
             awaitRequestsOnIoThread(1);
         }
         awaitRequestsOnIoThread(0);
@@ -249,21 +249,27 @@
         ScriptedServer backend = backend(SILENCE);
         start(backend);
         for (String pipelined :
-                new String[] {"G", get("next").substring(0, 60), get("next") + get("third")}) {
-            try (Socket client = client()) {
-                writeText(client, get("a"));
+                new String[] {
+                    "G",
+                    getRequestWithLongTimeout("next").substring(0, 60),
+                    getRequestWithLongTimeout("next") + getRequestWithLongTimeout("third")
+                }) {
+            try (Socket client = connectClient()) {
+                writeText(client, getRequestWithLongTimeout("a"));
                 assertNotNull(backend.nextRequest());
                 writeText(client, pipelined);
             }
             awaitNothingInFlight();
         }
-        try (Socket client = client()) {
-            writeText(client, get("a") + get("in one piece"));
+        try (Socket client = connectClient()) {
+            writeText(
+                    client,
+                    getRequestWithLongTimeout("a") + getRequestWithLongTimeout("in one piece"));
             assertNotNull(backend.nextRequest());
         }
         awaitNothingInFlight();
-        Socket reset = client();
-        writeText(reset, get("a"));
+        Socket reset = connectClient();
+        writeText(reset, getRequestWithLongTimeout("a"));
         assertNotNull(backend.nextRequest());
         writeText(reset, "GE");
         reset.setSoLinger(true, 0);
@@ -285,10 +291,10 @@
         CountDownLatch mayRespond = new CountDownLatch(1);
         ScriptedServer backend = backend(mayRespond);
         start(backend);
-        try (Socket client = client()) {
-            writeText(client, get("a"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a"));
             assertNotNull(backend.nextRequest());
-            String pipelined = get("b") + get("c");
+            String pipelined = getRequestWithLongTimeout("b") + getRequestWithLongTimeout("c");
             for (int at = 0; at < pipelined.length(); at += pieceBytes) {
                 writeText(
                         client,
@@ -307,7 +313,7 @@
         mayCancel = false;
         ScriptedServer backend = backend(SILENCE);
         start(backend);
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             writeText(
                     client, partialPost("a", TIMEOUT_MILLIS, STREAMED_BODY_BYTES, SENT_BODY_BYTES));
             awaitInFlight(now -> now.calls() == 1);
@@ -333,7 +339,7 @@
                             () -> {
                                 try {
                                     for (int i = 0; i < 40; i++) {
-                                        leaveAtRandomStep(random, traceId);
+                                        closeAtRandomStep(random, traceId);
                                     }
                                 } catch (Exception e) {
                                     failures.add(e);
@@ -357,19 +363,23 @@
         }
     }
 
-    private void leaveAtRandomStep(Random random, String traceId) throws IOException {
-        try (Socket client = client()) {
+    private void closeAtRandomStep(Random random, String traceId) throws IOException {
+        try (Socket client = connectClient()) {
             switch (random.nextInt(6)) {
-                case 0 -> writeText(client, get(traceId));
-                case 1 -> writeText(client, get(traceId) + get(traceId + "-ahead"));
+                case 0 -> writeText(client, getRequestWithLongTimeout(traceId));
+                case 1 ->
+                        writeText(
+                                client,
+                                getRequestWithLongTimeout(traceId)
+                                        + getRequestWithLongTimeout(traceId + "-ahead"));
                 case 2 -> writeText(client, partialPost(traceId, TIMEOUT_MILLIS, 300_000, 290_000));
                 case 3 -> {
-                    writeText(client, get(traceId));
+                    writeText(client, getRequestWithLongTimeout(traceId));
                     readMessage(client);
                 }
-                case 4 -> writeText(client, get(traceId).substring(0, 50));
+                case 4 -> writeText(client, getRequestWithLongTimeout(traceId).substring(0, 50));
                 default -> {
-                    writeText(client, get(traceId));
+                    writeText(client, getRequestWithLongTimeout(traceId));
                     client.setSoLinger(true, 0);
                 }
             }
@@ -385,7 +395,7 @@
         ScriptedServer backend = backend(SILENCE);
         start(backend);
         var response = sendAsync(request(NOT_IDEMPOTENT_CLASS));
-        HeldConnector.HeldConnection connection = heldConnector.next();
+        HeldConnector.HeldConnection connection = heldConnector.nextConnection();
         proxy.runOnIoThread(
                 () -> {
                     // The I/O thread stands still until the time is over; no timer runs before the
@@ -414,8 +424,8 @@
         openReusableConnection(backend);
         CountDownLatch mayDecide = blockDecisionLoop();
         CountDownLatch clientLeft = new CountDownLatch(1);
-        try (Socket client = client()) {
-            writeText(client, get("b"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("b"));
             awaitRequestsOnIoThread(1);
             proxy.runOnIoThread(
                     () -> {
@@ -440,7 +450,7 @@
         ScriptedServer backend = backend(OK);
         start(backend);
         var response = sendAsync(request(IDEMPOTENT_CLASS));
-        HeldConnector.HeldConnection connection = heldConnector.next();
+        HeldConnector.HeldConnection connection = heldConnector.nextConnection();
         Thread.sleep(handshakeMillis);
         release(connection);
         assertEquals(200, response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode());
@@ -461,7 +471,7 @@
         ScriptedServer backend = backend(OK);
         start(backend);
         CountDownLatch mayDecide = blockDecisionLoop();
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             writeText(client, getRequest("a", requestClass, 300));
             assertResponseStartsWith("HTTP/1.1 503", client);
             mayDecide.countDown();
@@ -471,7 +481,7 @@
     }
 
     /** The lines with a text that are logged while a task runs. */
-    private static List<String> logged(String text, Callable<Void> task) throws Exception {
+    private static List<String> captureLogLines(String text, Callable<Void> task) throws Exception {
         PrintStream standardError = System.err;
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
@@ -494,10 +504,10 @@
         start(backend(SILENCE));
         CountDownLatch mayDecide = blockDecisionLoop();
         List<String> notServed =
-                logged(
+                captureLogLines(
                         "not served",
                         () -> {
-                            try (Socket client = client()) {
+                            try (Socket client = connectClient()) {
                                 writeText(client, getRequest("a", 300));
                                 assertResponseStartsWith("HTTP/1.1 503", client);
                                 writeText(client, getRequest("b", 300));
@@ -522,14 +532,14 @@
     void logsWhyARequestIsRefused() throws Exception {
         start(backend(OK));
         List<String> refused =
-                logged(
+                captureLogLines(
                         "refused",
                         () -> {
-                            try (Socket client = client()) {
+                            try (Socket client = connectClient()) {
                                 writeText(client, getRequest("a", "nothing-known", 300));
                                 assertResponseStartsWith("HTTP/1.1 400", client);
                             }
-                            try (Socket client = client()) {
+                            try (Socket client = connectClient()) {
                                 writeText(
                                         client,
                                         postHead("b", 300, "Content-Length: " + (41 << 20)));
@@ -555,7 +565,7 @@
         latencyObjectiveMillis = 400;
         ScriptedServer backend = backend(SILENCE);
         start(backend);
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             writeText(client, getRequest("a", requestClass, 300));
             assertNotNull(backend.nextRequest());
             CountDownLatch mayDecide = blockDecisionLoop();
@@ -584,7 +594,7 @@
         ScriptedServer second = backend(OK);
         start(first, second);
         var response = sendAsync(request(NOT_IDEMPOTENT_CLASS));
-        HeldConnector.HeldConnection connection = heldConnector.next();
+        HeldConnector.HeldConnection connection = heldConnector.nextConnection();
         ScriptedServer changed = connection.address().getPort() == first.port() ? first : second;
         discoveryUpdates.add(
                 okResponse(
@@ -598,7 +608,7 @@
         awaitDiscoveryRequest("from=2");
         awaitQueuedTasks();
         release(connection);
-        release(heldConnector.next());
+        release(heldConnector.nextConnection());
         assertEquals(200, response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode());
         assertTrue(changed.requests.isEmpty(), "the list came before the first byte was sent");
         awaitNothingInFlight();
@@ -609,7 +619,7 @@
     @Test
     void endsAttemptOnceWhenConnectorThrows() throws Exception {
         heldConnector =
-                new HeldConnector(ProxyServer.worker()) {
+                new HeldConnector(ProxyServer.createWorker()) {
                     @Override
                     public IoFuture<StreamConnection> open(
                             InetSocketAddress address, ChannelListener<StreamConnection> opened) {
@@ -618,7 +628,7 @@
                 };
         start(backend(OK));
         assertEquals(503, sendIdempotent().statusCode());
-        assertEquals(0, inFlight().calls(), "none ends again with its timers");
+        assertEquals(0, countInFlight().calls(), "none ends again with its timers");
         awaitNothingInFlight();
     }
 
@@ -631,8 +641,8 @@
         assertEquals(200, sendIdempotent().statusCode());
         CountDownLatch mayRead = new CountDownLatch(1);
         proxy.runOnIoThread(() -> awaitLatch(mayRead));
-        try (Socket client = client()) {
-            writeText(client, get("a"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a"));
             Thread drain = startDrain();
             drain.join(UNREAD_MILLIS);
             mayRead.countDown();
@@ -649,7 +659,7 @@
             if (proxy.phase() == ProxyServer.Phase.STOPPED) {
                 start(backend(OK));
             }
-            try (Socket client = client()) {
+            try (Socket client = connectClient()) {
                 writeText(client, whole.substring(0, cut));
                 Thread drain = startDrain();
                 client.setSoTimeout(INCOMPLETE_MILLIS);
@@ -669,13 +679,13 @@
     void answersRequestThatIsAcceptedLateInDrain() throws Exception {
         setClassTimes(1500);
         start(backend(SILENCE));
-        try (Socket client = client()) {
-            writeText(client, get("a").substring(0, 40));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a").substring(0, 40));
             Thread drain = startDrain();
             client.setSoTimeout(LATE_IN_DRAIN_MILLIS);
             assertThrows(SocketTimeoutException.class, () -> client.getInputStream().read());
             client.setSoTimeout(READ_TIMEOUT_MILLIS);
-            writeText(client, get("a").substring(40));
+            writeText(client, getRequestWithLongTimeout("a").substring(40));
             assertResponseStartsWith("HTTP/1.1 50", client);
             drain.join();
         }
@@ -685,7 +695,7 @@
     void answersOpenUploadWhenDrainEnds() throws Exception {
         setClassTimes(1000);
         start(backend(SILENCE));
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             writeText(client, partialPost("a", 1000, STREAMED_BODY_BYTES, SENT_BODY_BYTES));
             awaitInFlight(now -> now.calls() == 1);
             Thread drain = startDrain();
@@ -699,8 +709,8 @@
         CountDownLatch mayRespond = new CountDownLatch(1);
         ScriptedServer backend = backend(mayRespond);
         start(backend);
-        try (Socket client = client()) {
-            writeText(client, get("a"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a"));
             assertNotNull(backend.nextRequest());
             writeText(client, partialPost("b", TIMEOUT_MILLIS, 100_000, 50_000));
             Thread drain = startDrain();
@@ -714,7 +724,7 @@
 
     /** Guards against a late second response that is delivered to the next request. */
     @Test
-    void discardsSecondResponseThatComesAfterTheNextRequest() throws Exception {
+    void discardsSecondResponseThatArrivesAfterTheNextRequest() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             startDaemon(
                     () -> {
@@ -758,8 +768,8 @@
         CountDownLatch mayDecide = blockDecisionLoop();
         proxy.reload(ProxyConfig.read(withoutFirst.toString()));
         proxy.reload(ProxyConfig.read(withNewClass.toString()));
-        try (Socket client = client()) {
-            writeText(client, get("a"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a"));
             awaitRequestsOnIoThread(1);
             mayDecide.countDown();
             assertTrue(
@@ -767,7 +777,7 @@
                     "under the rules that held when it arrived");
         }
         awaitQueuedTasks();
-        assertEquals(3, proxy.classesKnown(), "the new class has an index of its own");
+        assertEquals(3, proxy.indexedClassCount(), "the new class has an index of its own");
     }
 
     // Endpoint lists.
--- a/src/test/java/lemondrift/proxy/ShutdownTest.java
+++ b/src/test/java/lemondrift/proxy/ShutdownTest.java
@@ -113,7 +113,7 @@
         }
     }
 
-    private ScriptedServer discoveryOf(ScriptedServer... backends) throws IOException {
+    private ScriptedServer discoveryWith(ScriptedServer... backends) throws IOException {
         return discoveryWithoutChanges(endpointList(1, true, activeMembers(ports(backends))));
     }
 
@@ -129,7 +129,7 @@
     @Test
     void losesNoRequestUnderLoad(@TempDir Path folder) throws Exception {
         ScriptedServer discoveryServer =
-                discoveryOf(backend(OK), backend(OK), backend(SILENCE), backend(SILENCE));
+                discoveryWith(backend(OK), backend(OK), backend(SILENCE), backend(SILENCE));
         Process child = ProxyProcess.start(configFile(folder, discoveryServer));
         try {
             BufferedReader log = child.inputReader();
@@ -169,7 +169,7 @@
 
     @Test
     void exitsWithZeroAtEachStepOfTheStart(@TempDir Path folder) throws Exception {
-        ScriptedServer discoveryServer = discoveryOf();
+        ScriptedServer discoveryServer = discoveryWith();
         for (String step : List.of("warm-up-0", "warmed up, ", "starts, listens on", "serving")) {
             Process child = ProxyProcess.start(configFile(folder, discoveryServer));
             try {
--- a/src/test/java/lemondrift/proxy/SlowDiscoveryTest.java
+++ b/src/test/java/lemondrift/proxy/SlowDiscoveryTest.java
@@ -21,7 +21,7 @@
     /** Seconds after which a change counts as known to the proxy. */
     private static final int KNOWN_AFTER_SECONDS = 6;
 
-    private static String afterAWhile(String response) {
+    private static String delayed(String response) {
         try {
             Thread.sleep(RESPONSE_MILLIS);
             return response;
@@ -40,10 +40,7 @@
         String fullList = endpointList(7, true, member(0, next.port(), "active"));
         ScriptedServer slow =
                 scriptedServer(
-                        request ->
-                                request.contains("?")
-                                        ? SILENCE
-                                        : afterAWhile(okResponse(fullList)));
+                        request -> request.contains("?") ? SILENCE : delayed(okResponse(fullList)));
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(KNOWN_AFTER_SECONDS);
         proxy.reload(ProxyConfig.read(config(slow.port())));
         while (next.requests.isEmpty()) {
--- a/src/test/java/lemondrift/proxy/UpgradeTest.java
+++ b/src/test/java/lemondrift/proxy/UpgradeTest.java
@@ -91,7 +91,7 @@
                 backend(
                         request ->
                                 firstReceived.getAndSet(true)
-                                                || isReleased(mayRespond, RELEASE_TIMEOUT_SECONDS)
+                                                || awaitRelease(mayRespond, RELEASE_TIMEOUT_SECONDS)
                                         ? OK
                                         : CLOSE);
         ProxyServer serving = startFirst(slow);
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void exitsWhenInheritedDescriptorIsNoListeningSocket(@TempDir Path folder) throws Exception {
+    void exitsWhenInheritedDescriptorIsNotAListeningSocket(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), config(UNUSED_PORT));
         for (String descriptor : List.of("0", "1", "none", "")) {
             var errorOutput = new ByteArrayOutputStream();
--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -26,7 +26,7 @@
     private static final long IO_THREAD_TIMEOUT_SECONDS = 5;
 
     /** A proxy whose figures are all known. */
-    private static final class KnownProxy implements AdminOperations {
+    private static final class FixedMetricsProxy implements AdminOperations {
         @Override
         public boolean isReady() {
             return true;
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void answersMatchLandedProgram() throws Exception {
+    void responsesMatchReferenceOutput() throws Exception {
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         try {
@@ -92,10 +92,10 @@
                     new AdminServer(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
             StringBuilder all = new StringBuilder();
-            askAll(adminServer, all.append("before there is a proxy\n"));
-            adminServer.setOperations(new KnownProxy());
+            appendAllResponses(adminServer, all.append("before there is a proxy\n"));
+            adminServer.setOperations(new FixedMetricsProxy());
             awaitIoThread(worker);
-            askAll(adminServer, all.append("with one\n"));
+            appendAllResponses(adminServer, all.append("with one\n"));
             GoldenFiles.assertText("admin.txt", all.toString().replace("\r\n", "\n"));
         } finally {
             worker.shutdown();
@@ -109,7 +109,8 @@
         assertTrue(ranTasks.await(IO_THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
-    private static void askAll(AdminServer adminServer, StringBuilder all) throws IOException {
+    private static void appendAllResponses(AdminServer adminServer, StringBuilder all)
+            throws IOException {
         for (String path :
                 List.of("health", "stats", "recovery", "loop", "quiesce", "resume", "nothing")) {
             for (String method : List.of("GET", "PUT")) {
@@ -119,13 +120,13 @@
                         .append(' ')
                         .append(path)
                         .append('\n')
-                        .append(ask(adminServer, request))
+                        .append(call(adminServer, request))
                         .append('\n');
             }
         }
     }
 
-    private static String ask(AdminServer adminServer, String request) throws IOException {
+    private static String call(AdminServer adminServer, String request) throws IOException {
         try (Socket caller =
                 new Socket(InetAddress.getLoopbackAddress(), adminServer.address().getPort())) {
             caller.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/lemondrift/proxy/admin/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminServerTest.java
@@ -48,7 +48,7 @@
     }
 
     private void startAdminServer() throws IOException {
-        worker = ProxyServer.worker();
+        worker = ProxyServer.createWorker();
         adminServer =
                 new AdminServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
     }
@@ -154,7 +154,7 @@
     @Test
     void servesCallsWhileClientsAreAtTheirLimit() throws Exception {
         startWithAdminServer(backend(OK));
-        List<Socket> clients = connectSilent(80);
+        List<Socket> clients = openSilentConnections(80);
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200 "));
         closeAll(clients);
     }
@@ -224,8 +224,8 @@
     void countsReloadsAndFailedReloads() throws Exception {
         startWithAdminServer(backend(OK));
         proxy.reload(ProxyConfig.read(config(discovery.port())));
-        proxy.reloadFailed();
-        proxy.reloadFailed();
+        proxy.recordReloadFailure();
+        proxy.recordReloadFailure();
         awaitStat("reload_failure", value -> value >= 2);
         assertEquals(1, stats().get("reload_success").getAsInt());
     }
--- a/src/test/java/lemondrift/proxy/lifecycle/CoalescingTaskTest.java
+++ b/src/test/java/lemondrift/proxy/lifecycle/CoalescingTaskTest.java
@@ -13,7 +13,7 @@
 
     /** Guards against a reading of the file for each signal of a series during the start. */
     @Test
-    void runsOnceForAllRequestsBeforeItsRelease() {
+    void runsOnceForAllRequestsBeforeRelease() {
         CoalescingTask task = new CoalescingTask(runs::incrementAndGet);
         task.request();
         task.request();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void doesNotRunAtItsReleaseWhereNothingWasRequested() {
+    void doesNotRunOnReleaseIfNothingWasRequested() {
         new CoalescingTask(runs::incrementAndGet).release();
         assertEquals(0, runs.get());
     }
--- a/src/test/java/lemondrift/proxy/lifecycle/TakeoverLockTest.java
+++ b/src/test/java/lemondrift/proxy/lifecycle/TakeoverLockTest.java
@@ -32,7 +32,7 @@
         }
     }
 
-    private static Process startOther(Path folder) throws IOException {
+    private static Process startOtherProcess(Path folder) throws IOException {
         return new ProcessBuilder(
                         ProxyProcess.javaCommand(),
                         "-Xmx32m",
@@ -58,7 +58,7 @@
         TakeoverLock own = new TakeoverLock(folder, "n/0");
         assertTrue(own.refresh());
         assertEquals(1, own.processCount());
-        Process follower = startOther(folder);
+        Process follower = startOtherProcess(folder);
         assertEquals(2, reportedCount(follower), "the follower sees that another process serves");
         assertTrue(own.refresh());
         assertEquals(2, own.processCount());
@@ -70,7 +70,7 @@
 
     @Test
     void countsOneProcessAfterServingProcessIsKilled(@TempDir Path folder) throws Exception {
-        Process serving = startOther(folder);
+        Process serving = startOtherProcess(folder);
         assertEquals(1, reportedCount(serving));
         TakeoverLock own = new TakeoverLock(folder, "n/0");
         own.refresh();
@@ -85,7 +85,7 @@
 
     @Test
     void doesNotCountProcessOfAnotherProxy(@TempDir Path folder) throws Exception {
-        Process other = startOther(folder);
+        Process other = startOtherProcess(folder);
         reportedCount(other);
         TakeoverLock own = new TakeoverLock(folder, "n/1");
         own.refresh();
--- a/src/test/java/lemondrift/proxy/lifecycle/WarmupTest.java
+++ b/src/test/java/lemondrift/proxy/lifecycle/WarmupTest.java
@@ -10,6 +10,6 @@
 class WarmupTest {
     @Test
     void leavesNothingInFlight() throws Exception {
-        assertTrue(Warmup.play(ProxyConfig.read(TestConfig.json(TestConfig.UNUSED_PORT))));
+        assertTrue(Warmup.run(ProxyConfig.read(TestConfig.json(TestConfig.UNUSED_PORT))));
     }
 }
