--- a/src/main/java/lemondrift/balancer/AdmissionControl.java
+++ b/src/main/java/lemondrift/balancer/AdmissionControl.java
@@ -71,9 +71,11 @@
             return;
         }
         double priority = effectivePriority(request, now);
-        boolean placeable = request.bestBackend != Request.NO_BACKEND;
+        boolean hasBackend = request.bestBackend != Request.NO_BACKEND;
         double wait =
-                placeable ? waits.expectedWait(request.bestBackend, now) : Double.POSITIVE_INFINITY;
+                hasBackend
+                        ? waits.expectedWait(request.bestBackend, now)
+                        : Double.POSITIVE_INFINITY;
         boolean waitTooLong = wait > maxWaitSeconds(request, priority, now);
         if (!waitTooLong) {
             super.offer(request, now, decision);
@@ -82,7 +84,7 @@
         } else {
             replyLocally(
                     request,
-                    placeable ? FailureReason.WAIT_TOO_LONG : noBackendReason(request),
+                    hasBackend ? FailureReason.WAIT_TOO_LONG : noBackendReason(request),
                     Math.min(wait, backends.windowSeconds),
                     decision);
         }
@@ -111,21 +113,21 @@
 
     /** How long the request may wait before work on it begins, in seconds. */
     private double maxWaitSeconds(Request request, double priority, double now) {
-        double most = backends.memorySeconds;
+        double maxSeconds = backends.memorySeconds;
         if (estimator.reportsAreStale()) {
-            most =
+            maxSeconds =
                     request.bestBackend == Request.NO_BACKEND
                             ? 0
                             : MAX_QUEUED_REQUESTS
                                     * serviceTimes.serviceTimeSeconds(request.bestBackend, now);
         }
-        return maxWaitShare(priority) * Math.min(request.attemptDeadline - now, most);
+        return maxWaitShare(priority) * Math.min(request.attemptDeadline - now, maxSeconds);
     }
 
     /** The share of its time that a request may wait, by its priority. */
     private double maxWaitShare(double priority) {
-        double min = estimator.gossipActive ? MIN_WAIT_SHARE_WITH_GOSSIP : MIN_WAIT_SHARE;
-        return min + (MAX_WAIT_SHARE - min) * Math.min(1, priority);
+        double minShare = estimator.gossipActive ? MIN_WAIT_SHARE_WITH_GOSSIP : MIN_WAIT_SHARE;
+        return minShare + (MAX_WAIT_SHARE - minShare) * Math.min(1, priority);
     }
 
     /** What would be rejected now; asks no backend for a report and changes nothing. */
--- a/src/main/java/lemondrift/balancer/BackendSelector.java
+++ b/src/main/java/lemondrift/balancer/BackendSelector.java
@@ -87,17 +87,17 @@
         int[] order = backends.order;
         for (int next = 0; next < size; next++) {
             int backend = order[next];
-            int place = next;
+            int position = next;
             backends.rankingScore[backend] =
                     computeRankingScore(request, backend, crossZoneCost, now);
             for (;
-                    place > 0
-                            && backends.rankingScore[order[place - 1]]
+                    position > 0
+                            && backends.rankingScore[order[position - 1]]
                                     > backends.rankingScore[backend];
-                    place--) {
-                order[place] = order[place - 1];
+                    position--) {
+                order[position] = order[position - 1];
             }
-            order[place] = backend;
+            order[position] = backend;
         }
         boolean usable =
                 size > 0
--- a/src/main/java/lemondrift/balancer/BackendSubset.java
+++ b/src/main/java/lemondrift/balancer/BackendSubset.java
@@ -53,18 +53,18 @@
     /** Exchanges one backend from time to time, and at once each that may not take the request. */
     void refresh(Request request, double now, DecisionStage chain) {
         int size = size(now);
-        int leavingPlace = -1;
+        int exchangedPosition = -1;
         // Guards against sending blindly: gossip tells of no backend outside the subset.
-        int outside = estimator.gossipActive ? 0 : backends.order.length - size;
+        int outsideCount = estimator.gossipActive ? 0 : backends.order.length - size;
         if (now >= nextExchangeAt) {
             nextExchangeAt = now + random.jitter(backends.memorySeconds);
-            leavingPlace = estimator.gossipActive ? -1 : (int) (random.nextDouble() * size);
+            exchangedPosition = estimator.gossipActive ? -1 : (int) (random.nextDouble() * size);
             backends.sortBySubsetScore();
         }
-        for (int place = 0; place < size && outside > 0; place++) {
-            if (place == leavingPlace
-                    || !chain.isBackendEligible(request, backends.order[place], now)) {
-                backends.swap(place, size + (int) (random.nextDouble() * outside));
+        for (int position = 0; position < size && outsideCount > 0; position++) {
+            if (position == exchangedPosition
+                    || !chain.isBackendEligible(request, backends.order[position], now)) {
+                backends.swap(position, size + (int) (random.nextDouble() * outsideCount));
             }
         }
     }
@@ -77,26 +77,28 @@
      */
     boolean widen(Request request, double now, DecisionStage chain) {
         int size = size(now);
-        int found = 0;
+        int foundCount = 0;
         // Guards against sending blindly: outside the subset the busiest looks idle to gossip.
-        int wanted = estimator.gossipActive && request.bestBackend != Request.NO_BACKEND ? 0 : size;
+        int wantedCount =
+                estimator.gossipActive && request.bestBackend != Request.NO_BACKEND ? 0 : size;
         // Guards against holding up all other requests where no backend may take anything.
         int end =
                 (int)
                         Math.min(
                                 backends.order.length,
                                 size + (long) MAX_SEARCH_FACTOR * Math.max(size, MIN_SIZE));
-        for (int place = size;
-                place < end && found < wanted && request.subsetRedraws == 0;
-                place++) {
+        for (int position = size;
+                position < end && foundCount < wantedCount && request.subsetRedraws == 0;
+                position++) {
             backends.swap(
-                    place, place + (int) (random.nextDouble() * (backends.order.length - place)));
-            if (chain.isBackendEligible(request, backends.order[place], now)) {
-                backends.swap(found++, place);
+                    position,
+                    position + (int) (random.nextDouble() * (backends.order.length - position)));
+            if (chain.isBackendEligible(request, backends.order[position], now)) {
+                backends.swap(foundCount++, position);
             }
         }
         request.subsetRedraws++;
         request.probeRounds = 0;
-        return found > 0;
+        return foundCount > 0;
     }
 }
--- a/src/main/java/lemondrift/balancer/BackendTable.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -85,19 +85,19 @@
      * @param full whether backends that are not among the updates are no longer listed
      */
     void applyUpdates(boolean full, List<EndpointUpdate> updates) {
-        boolean leaves = full;
+        boolean backendLeaves = full;
         Arrays.fill(ready, 0, full ? size : 0, false);
         ensureCapacity(updates);
         for (EndpointUpdate update : updates) {
             int backend = update.backend();
             endpoint[backend] = update.withWeightIf(settings.usesEndpointWeights());
-            leaves |= ready[backend] && update.state() != EndpointUpdate.State.READY;
+            backendLeaves |= ready[backend] && update.state() != EndpointUpdate.State.READY;
             ready[backend] = update.state() == EndpointUpdate.State.READY;
             startedAt[backend] =
                     Math.max(update.newBackend() ? 0 : startedAt[backend], update.startedAt());
             firstUnhandledStart[backend] = update.newBackend() ? 0 : firstUnhandledStart[backend];
         }
-        if (leaves) {
+        if (backendLeaves) {
             removeUnready();
         }
         insertNewlyReady(updates);
@@ -144,12 +144,12 @@
                         .sorted()
                         .distinct()
                         .toArray();
-        int before = order.length;
-        order = Arrays.copyOf(order, before + added.length);
-        System.arraycopy(added, 0, order, before, added.length);
-        for (int place = before; place < order.length; place++) {
-            presentInOrder[order[place]] = true;
-            swap(place, (int) (random.nextDouble() * (place + 1)));
+        int oldLength = order.length;
+        order = Arrays.copyOf(order, oldLength + added.length);
+        System.arraycopy(added, 0, order, oldLength, added.length);
+        for (int position = oldLength; position < order.length; position++) {
+            presentInOrder[order[position]] = true;
+            swap(position, (int) (random.nextDouble() * (position + 1)));
         }
     }
 
@@ -179,29 +179,31 @@
      * those and of no more.
      */
     void sortBySubsetScore() {
-        long[] scoresAndPlaces = new long[order.length];
-        boolean scored = false;
-        for (int place = 0; place < order.length; place++) {
-            double score = endpoint[order[place]].subsetScore();
-            scored |= score > 0;
-            scoresAndPlaces[place] = (long) (score * (1L << SCORE_BITS)) << POSITION_BITS | place;
+        long[] scoresAndPositions = new long[order.length];
+        boolean hasScores = false;
+        for (int position = 0; position < order.length; position++) {
+            double score = endpoint[order[position]].subsetScore();
+            hasScores |= score > 0;
+            scoresAndPositions[position] =
+                    (long) (score * (1L << SCORE_BITS)) << POSITION_BITS | position;
         }
-        if (!scored) {
+        if (!hasScores) {
             return;
         }
-        Arrays.sort(scoresAndPlaces);
-        int[] before = order;
-        order = new int[before.length];
-        for (int place = 0; place < order.length; place++) {
-            order[place] = before[(int) (scoresAndPlaces[place] & (1 << POSITION_BITS) - 1)];
+        Arrays.sort(scoresAndPositions);
+        int[] previousOrder = order;
+        order = new int[previousOrder.length];
+        for (int position = 0; position < order.length; position++) {
+            order[position] =
+                    previousOrder[(int) (scoresAndPositions[position] & (1 << POSITION_BITS) - 1)];
         }
     }
 
     /** Exchanges the backends at two places of the order. */
-    void swap(int place, int otherPlace) {
-        int backend = order[place];
-        order[place] = order[otherPlace];
-        order[otherPlace] = backend;
+    void swap(int position, int otherPosition) {
+        int backend = order[position];
+        order[position] = order[otherPosition];
+        order[otherPosition] = backend;
     }
 
     /** Whether a start of the backend is listed that nobody has acted on; true once for each. */
--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -170,8 +170,8 @@
     }
 
     /** Whether any other proxy tells what it has in flight. */
-    public void setGossipActive(boolean any) {
-        estimator.gossipActive = any;
+    public void setGossipActive(boolean active) {
+        estimator.gossipActive = active;
     }
 
     /** What other proxies have measured of the service time, from at least one response. */
--- a/src/main/java/lemondrift/balancer/OutlierDetection.java
+++ b/src/main/java/lemondrift/balancer/OutlierDetection.java
@@ -87,15 +87,15 @@
     }
 
     /** One row for each test, one place for each backend; what is known stays. */
-    private double[][] resized(double[][] before, List<Integer> reassigned) {
+    private double[][] resized(double[][] previous, List<Integer> reassigned) {
         double[][] rows = new double[1 + backends.settings.requestClasses().size()][];
         Arrays.setAll(
                 rows,
                 test ->
                         Arrays.copyOf(
-                                test >= before.length || reassigned.contains(test - 1)
+                                test >= previous.length || reassigned.contains(test - 1)
                                         ? new double[0]
-                                        : before[test],
+                                        : previous[test],
                                 backends.size));
         return rows;
     }
--- a/src/main/java/lemondrift/balancer/SlowStart.java
+++ b/src/main/java/lemondrift/balancer/SlowStart.java
@@ -111,17 +111,17 @@
      * backend bears.
      */
     private double drainSeconds(int backend, double now) {
-        double users =
+        double sharingProxies =
                 backends.settings.proxyCount()
                         * (estimator.hasGossip(backend)
                                 ? backends.endpoint[backend].userShare()
                                 : 1);
-        double counted = Math.min(responses, MEAN_RESPONSES);
+        double countedResponses = Math.min(responses, MEAN_RESPONSES);
         double serviceSeconds =
-                (seedSeconds * seedResponses + responseSeconds * counted)
-                        / (seedResponses + counted);
+                (seedSeconds * seedResponses + responseSeconds * countedResponses)
+                        / (seedResponses + countedResponses);
         return serviceSeconds
-                * users
+                * sharingProxies
                 * 2
                 / backends.settings.rules().overloadFactor()
                 / backends.warmShare(backend, now);
--- a/src/main/java/lemondrift/balancer/UtilizationEstimator.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -137,12 +137,13 @@
         double utilization =
                 Settings.LoadReports.fieldOrZero(loadReport, fields.utilizationField());
         // Guards against an idle backend that looks busy with the request just answered.
-        double answered = fields.countsAnsweredRequest() && withAttempt && succeeded ? 1 : 0;
+        double answeredRequests =
+                fields.countsAnsweredRequest() && withAttempt && succeeded ? 1 : 0;
         double inFlight =
                 Math.max(
                         0,
                         Settings.LoadReports.fieldOrZero(loadReport, fields.inFlightField())
-                                - answered);
+                                - answeredRequests);
         if (loadReport == null || !(utilization + inFlight >= 0)) {
             return;
         }
@@ -174,16 +175,16 @@
 
     private void storeReport(
             int backend, double utilization, double inFlight, boolean succeeded, double now) {
-        double busyness = utilization + inFlight * serviceTimes.utilizationPerRequest(backend, now);
+        double load = utilization + inFlight * serviceTimes.utilizationPerRequest(backend, now);
         reportedUtilization[backend] = succeeded ? utilization : 1;
         reportedInFlight[backend] = inFlight;
         // Guards against a backend that fails fast, reports the least and draws all requests.
-        reportedLoad[backend] = succeeded ? busyness : Math.max(busyness, meanReportedLoad(now));
+        reportedLoad[backend] = succeeded ? load : Math.max(load, meanReportedLoad(now));
         reportedAt[backend] = now;
         sentSinceReport[backend] = 0;
         recentLoad.timeConstantSeconds = freshnessSeconds();
         recentReports.timeConstantSeconds = recentLoad.timeConstantSeconds;
-        recentLoad.add(busyness, now);
+        recentLoad.add(load, now);
         recentReports.add(1, now);
     }
 
--- a/src/main/java/lemondrift/model/Settings.java
+++ b/src/main/java/lemondrift/model/Settings.java
@@ -100,20 +100,20 @@
      * These after a reload: what may change while the process runs is taken from the new settings,
      * with the request classes at the indexes given.
      */
-    public Settings reloaded(Settings to, List<RequestClass> byIndex) {
+    public Settings reloaded(Settings newSettings, List<RequestClass> classesByIndex) {
         return new Settings(
-                to.proxyCount,
+                newSettings.proxyCount,
                 locationCount,
                 location,
                 pollsEndpointList,
-                byIndex,
+                classesByIndex,
                 tenantQuotaPerSecond,
-                to.overQuotaWeight,
-                to.clientsMarkRetries,
+                newSettings.overQuotaWeight,
+                newSettings.clientsMarkRetries,
                 loadReports,
-                to.limits,
-                to.rules,
-                to.costs,
+                newSettings.limits,
+                newSettings.rules,
+                newSettings.costs,
                 usesEndpointWeights);
     }
 
@@ -161,9 +161,9 @@
             boolean countsAnsweredRequest,
             int requestRateField) {
         /** The field of a report at a place; 0 where there is none. */
-        public static double fieldOrZero(double[] loadReport, int place) {
-            return place >= 0 && loadReport != null && place < loadReport.length
-                    ? loadReport[place]
+        public static double fieldOrZero(double[] loadReport, int position) {
+            return position >= 0 && loadReport != null && position < loadReport.length
+                    ? loadReport[position]
                     : 0;
         }
     }
--- a/src/main/java/lemondrift/settings/RequestClassIndex.java
+++ b/src/main/java/lemondrift/settings/RequestClassIndex.java
@@ -40,19 +40,19 @@
     }
 
     private RequestClassIndex(
-            List<String> namesByPlace,
-            List<RequestClass> classesByPlace,
+            List<String> namesByPosition,
+            List<RequestClass> classesByPosition,
             int[] indexByPlace,
             int size,
             List<Integer> reassigned) {
         this.indexByPosition = indexByPlace;
         this.reassigned = reassigned;
         String[] namesByIndex = new String[size];
-        for (int place = 0; place < indexByPlace.length; place++) {
-            namesByIndex[indexByPlace[place]] = namesByPlace.get(place);
+        for (int position = 0; position < indexByPlace.length; position++) {
+            namesByIndex[indexByPlace[position]] = namesByPosition.get(position);
         }
         names = Arrays.asList(namesByIndex);
-        classesByIndex = classesByIndex(classesByPlace, size);
+        classesByIndex = classesByIndex(classesByPosition, size);
     }
 
     /**
@@ -61,25 +61,28 @@
      * a request that still is on its way to the decisions under a class dropped just now.
      */
     public RequestClassIndex reloaded(
-            List<String> namesByPlace, List<RequestClass> classesByPlace, IntPredicate isOpen) {
-        int[] nextIndexes =
-                IntStream.range(0, namesByPlace.size())
+            List<String> namesByPosition,
+            List<RequestClass> classesByPosition,
+            IntPredicate isOpen) {
+        int[] newIndexes =
+                IntStream.range(0, namesByPosition.size())
                         .map(
-                                place ->
+                                position ->
                                         findKeptIndex(
-                                                namesByPlace.get(place), classesByPlace.get(place)))
+                                                namesByPosition.get(position),
+                                                classesByPosition.get(position)))
                         .toArray();
         List<Integer> newlyAssigned = new ArrayList<>();
         int size = names.size();
-        for (int place = 0; place < nextIndexes.length; place++) {
-            if (nextIndexes[place] == NO_INDEX) {
-                int free = findFreeIndex(newlyAssigned, isOpen);
-                nextIndexes[place] = free == NO_INDEX ? size++ : free;
-                newlyAssigned.add(nextIndexes[place]);
+        for (int position = 0; position < newIndexes.length; position++) {
+            if (newIndexes[position] == NO_INDEX) {
+                int freeIndex = findFreeIndex(newlyAssigned, isOpen);
+                newIndexes[position] = freeIndex == NO_INDEX ? size++ : freeIndex;
+                newlyAssigned.add(newIndexes[position]);
             }
         }
         return new RequestClassIndex(
-                namesByPlace, classesByPlace, nextIndexes, size, newlyAssigned);
+                namesByPosition, classesByPosition, newIndexes, size, newlyAssigned);
     }
 
     /** The index that a class keeps; NONE where it is new or not the same any more. */
@@ -120,14 +123,14 @@
     }
 
     /** Other classes of the same names in the same order, each under its index. */
-    public List<RequestClass> classesByIndex(List<RequestClass> classesByPlace) {
-        return classesByIndex(classesByPlace, names.size());
+    public List<RequestClass> classesByIndex(List<RequestClass> classesByPosition) {
+        return classesByIndex(classesByPosition, names.size());
     }
 
-    private List<RequestClass> classesByIndex(List<RequestClass> classesByPlace, int size) {
+    private List<RequestClass> classesByIndex(List<RequestClass> classesByPosition, int size) {
         RequestClass[] classes = new RequestClass[size];
-        for (int place = 0; place < indexByPosition.length; place++) {
-            classes[indexByPosition[place]] = classesByPlace.get(place);
+        for (int position = 0; position < indexByPosition.length; position++) {
+            classes[indexByPosition[position]] = classesByPosition.get(position);
         }
         return Arrays.asList(classes);
     }
--- a/src/main/java/lemondrift/settings/SettingsReader.java
+++ b/src/main/java/lemondrift/settings/SettingsReader.java
@@ -79,8 +79,8 @@
 
     private List<RequestClass> requestClasses() {
         List<RequestClass> requestClasses = new ArrayList<>();
-        for (int place = 0; place < (int) number("serviceGrades.count"); place++) {
-            requestClasses.add(requestClass("serviceGrades." + place + "."));
+        for (int position = 0; position < (int) number("serviceGrades.count"); position++) {
+            requestClasses.add(requestClass("serviceGrades." + position + "."));
         }
         if (requestClasses.isEmpty()) {
             throw new InvalidSettingsException("setting serviceGrades.count: no service grade");
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -92,8 +92,8 @@
      *
      * @param reassigned the indexes at which another request class stands than before
      */
-    public void settingsChanged(Settings reloaded, List<Integer> reassigned) {
-        settings = settings.reloaded(reloaded, reloaded.requestClasses());
+    public void settingsChanged(Settings newSettings, List<Integer> reassigned) {
+        settings = settings.reloaded(newSettings, newSettings.requestClasses());
         balancer.settingsChanged(settings, reassigned);
     }
 
@@ -227,16 +227,16 @@
     }
 
     /** Compares the shadow's backend with the one sent to, either of which may be none. */
-    private void compare(int own, int done, boolean retry) {
+    private void compare(int own, int actual, boolean retry) {
         decisionCount++;
-        if (own == NO_ATTEMPT && done != NO_ATTEMPT) {
+        if (own == NO_ATTEMPT && actual != NO_ATTEMPT) {
             increment(retry ? Kind.NOT_SEND_AGAIN : Kind.SHED);
-        } else if (own != NO_ATTEMPT && done == NO_ATTEMPT) {
+        } else if (own != NO_ATTEMPT && actual == NO_ATTEMPT) {
             increment(retry ? Kind.SEND_AGAIN : Kind.NOT_SHED);
-        } else if (own != done) {
+        } else if (own != actual) {
             increment(Kind.ANOTHER_BACKEND);
             boolean crosses = locations.getOrDefault(own, ownLocation) != ownLocation;
-            if (crosses != (locations.getOrDefault(done, ownLocation) != ownLocation)) {
+            if (crosses != (locations.getOrDefault(actual, ownLocation) != ownLocation)) {
                 increment(crosses ? Kind.CROSS : Kind.NOT_CROSS);
             }
         }
@@ -247,9 +247,9 @@
     }
 
     /** Puts the attempt that was made in the place of the shadow's own, if there is one. */
-    private void adoptAttempt(double now, ShadowRequest copy, Attempt own, Attempt done) {
+    private void adoptAttempt(double now, ShadowRequest copy, Attempt own, Attempt actual) {
         Request request = copy.request;
-        if (own != null && own.backend == done.backend) {
+        if (own != null && own.backend == actual.backend) {
             copy.actualAttempt = own;
             return;
         }
@@ -259,11 +259,15 @@
         request.completed = false;
         copy.actualAttempt =
                 new Attempt(
-                        request, done.backend, done.sentAt, done.timeoutSeconds, done.queueAhead);
+                        request,
+                        actual.backend,
+                        actual.sentAt,
+                        actual.timeoutSeconds,
+                        actual.queueAhead);
         request.latestAttempt = copy.actualAttempt;
         request.attemptCount++;
         request.attemptsInFlight++;
-        balancer.adjustAttempts(now, done.backend, 1);
+        balancer.adjustAttempts(now, actual.backend, 1);
     }
 
     /** Undoes an attempt of the shadow's own that was not made. */
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -33,11 +33,11 @@
 
     @Test
     void recoveryDatagramIsReadAndWrittenAsBefore() throws IOException {
-        PeerStatus hello =
+        PeerStatus status =
                 new PeerStatus(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
-        GoldenFiles.assertHex("recovery-datagram.hex", hello.encode());
+        GoldenFiles.assertHex("recovery-datagram.hex", status.encode());
         assertEquals(
-                Optional.of(hello),
+                Optional.of(status),
                 PeerStatus.decode(GoldenFiles.readHex("recovery-datagram.hex")));
     }
 
@@ -79,26 +79,26 @@
     @Test
     void checkPrintsTheSameLineAsBeforeForInvalidInput() throws IOException {
         String usable = Files.readString(Path.of("deploy", "sample.json"));
-        Map<String, String> bad = new LinkedHashMap<>();
-        bad.put("no JSON", "nonsense");
-        bad.put("cut off", usable.substring(0, usable.length() / 2));
-        bad.put("an array", "[]");
-        bad.put("no listen", usable.replace("\"listen\"", "\"heard\""));
-        bad.put("listen without a port", usable.replace("127.0.0.1:7070", "127.0.0.1"));
-        bad.put("discovery's port", usable.replace("127.0.0.1:8500", "127.0.0.1:high"));
-        bad.put("seed", usable.replace("8c1f30d27a5be964", "xyz"));
-        bad.put("no number", usable.replace("\"coldFrom\": 0.25", "\"coldFrom\": \"some\""));
-        bad.put("below its bound", usable.replace("\"cold\": 10000", "\"cold\": -1"));
-        bad.put("unknown word", usable.replace("\"fragile\"", "\"sometimes\""));
-        bad.put("missing", usable.replaceFirst("\"contractTime\": 500,", ""));
-        bad.put("no name", usable.replaceFirst("\"name\": \"read\",", ""));
-        bad.put("a name twice", usable.replace("\"write\"", "\"read\""));
-        bad.put("no classes", usable.replace("\"serviceGrades\"", "\"others\""));
-        bad.put("membership mode", usable.replace("\"pushed\"", "\"pulled\""));
-        bad.put("zone", usable.replace("\"zone\": 0", "\"zone\": 7"));
-        bad.put("most forwards", usable.replace("\"mostForwards\": 3", "\"mostForwards\": 0"));
+        Map<String, String> invalid = new LinkedHashMap<>();
+        invalid.put("no JSON", "nonsense");
+        invalid.put("cut off", usable.substring(0, usable.length() / 2));
+        invalid.put("an array", "[]");
+        invalid.put("no listen", usable.replace("\"listen\"", "\"heard\""));
+        invalid.put("listen without a port", usable.replace("127.0.0.1:7070", "127.0.0.1"));
+        invalid.put("discovery's port", usable.replace("127.0.0.1:8500", "127.0.0.1:high"));
+        invalid.put("seed", usable.replace("8c1f30d27a5be964", "xyz"));
+        invalid.put("no number", usable.replace("\"coldFrom\": 0.25", "\"coldFrom\": \"some\""));
+        invalid.put("below its bound", usable.replace("\"cold\": 10000", "\"cold\": -1"));
+        invalid.put("unknown word", usable.replace("\"fragile\"", "\"sometimes\""));
+        invalid.put("missing", usable.replaceFirst("\"contractTime\": 500,", ""));
+        invalid.put("no name", usable.replaceFirst("\"name\": \"read\",", ""));
+        invalid.put("a name twice", usable.replace("\"write\"", "\"read\""));
+        invalid.put("no classes", usable.replace("\"serviceGrades\"", "\"others\""));
+        invalid.put("membership mode", usable.replace("\"pushed\"", "\"pulled\""));
+        invalid.put("zone", usable.replace("\"zone\": 0", "\"zone\": 7"));
+        invalid.put("most forwards", usable.replace("\"mostForwards\": 3", "\"mostForwards\": 0"));
         StringBuilder lines = new StringBuilder();
-        for (Map.Entry<String, String> each : bad.entrySet()) {
+        for (Map.Entry<String, String> each : invalid.entrySet()) {
             lines.append(each.getKey())
                     .append(" | ")
                     .append(checkConfiguration(each.getValue(), Map.of()));
--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -32,7 +32,7 @@
         TestDeployment.WITH_KEY_BY_CELL
     };
 
-    private final Map<Request, List<Attempt>> attemptsOf = new HashMap<>();
+    private final Map<Request, List<Attempt>> attemptsByRequest = new HashMap<>();
     private final Map<Attempt, AttemptOutcome> outcomes = new HashMap<>();
     private final Map<Request, Integer> finalAnswers = new HashMap<>();
     private final Map<Integer, EndpointUpdate> endpoints = new HashMap<>();
@@ -58,7 +58,7 @@
                                 byProbe),
                         7);
         proxy.onDecision = this::checkDecision;
-        List.of(attemptsOf, outcomes, finalAnswers, endpoints).forEach(Map::clear);
+        List.of(attemptsByRequest, outcomes, finalAnswers, endpoints).forEach(Map::clear);
         inFlight.clear();
         TestDeployment.endpoints(backends)
                 .forEach(update -> endpoints.put(update.backend(), update));
@@ -75,7 +75,7 @@
         }
         proxy.wakeUntil(proxy.now + 3);
         endTimedOutAttempts();
-        attemptsOf
+        attemptsByRequest
                 .keySet()
                 .forEach(
                         request ->
@@ -119,12 +119,12 @@
                             + (1 - TestDeployment.RULES.slowStartMinShare())
                                     * from
                                     / TestDeployment.RULES.slowStartSeconds();
-            double bearableSeconds =
+            double windowBudgetSeconds =
                     TestDeployment.RULES.overloadFactor()
                             * warmShare
                             * TestDeployment.RULES.overloadWindowSeconds();
             assertTrue(
-                    count * WORK_SECONDS <= bearableSeconds + WORK_SECONDS,
+                    count * WORK_SECONDS <= windowBudgetSeconds + WORK_SECONDS,
                     count + " from " + from);
         }
     }
@@ -134,12 +134,12 @@
         if (kind < 9) {
             latestRequest =
                     new Request(
-                            attemptsOf.size(),
+                            attemptsByRequest.size(),
                             random.nextInt(4),
                             0,
                             proxy.now,
                             random.nextInt(4) == 0 ? 1.2 : 2);
-            attemptsOf.put(latestRequest, new ArrayList<>());
+            attemptsByRequest.put(latestRequest, new ArrayList<>());
             proxy.apply(proxy.balancer.requestArrived(proxy.now, latestRequest));
         } else if (kind < 16 && !inFlight.isEmpty()) {
             Attempt attempt = inFlight.get(random.nextInt(inFlight.size()));
@@ -195,7 +195,7 @@
 
     private void checkDecision(Decision decision) {
         for (Attempt attempt : decision.attempts) {
-            List<Attempt> earlier = attemptsOf.get(attempt.request);
+            List<Attempt> earlier = attemptsByRequest.get(attempt.request);
             assertTrue(
                     !finalAnswers.containsKey(attempt.request)
                             && proxy.now < attempt.request.deadline,
@@ -232,7 +232,7 @@
                     finalAnswers.merge(reply.request(), 1, Integer::sum),
                     "rule 1: answered twice");
             boolean harmless =
-                    attemptsOf.get(reply.request()).stream()
+                    attemptsByRequest.get(reply.request()).stream()
                             .allMatch(
                                     attempt ->
                                             outcomes.containsKey(attempt)
@@ -244,20 +244,20 @@
     }
 
     private boolean mayRepeat(RequestClass requestClass, Attempt executed, Attempt retry) {
-        EndpointUpdate from = endpoints.get(executed.backend);
-        EndpointUpdate to = endpoints.get(retry.backend);
+        EndpointUpdate executedEndpoint = endpoints.get(executed.backend);
+        EndpointUpdate retryEndpoint = endpoints.get(retry.backend);
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && proxy.now - executed.sentAt <= requestClass.idempotencyKeyTtlSeconds()
-                        && from.location() == to.location()
+                        && executedEndpoint.location() == retryEndpoint.location()
                         && (requestClass.deduplicationScope() == DeduplicationScope.LOCATION
-                                || from.cell() == to.cell()));
+                                || executedEndpoint.cell() == retryEndpoint.cell()));
     }
 
     /** All that was sent to a backend within the window up to now, since it started. */
     private double workSeconds(int backend) {
         return WORK_SECONDS
-                * attemptsOf.values().stream()
+                * attemptsByRequest.values().stream()
                         .flatMap(List::stream)
                         .filter(
                                 attempt ->
--- a/src/test/java/lemondrift/LayersTest.java
+++ b/src/test/java/lemondrift/LayersTest.java
@@ -110,25 +110,27 @@
     @Test
     void proxyPackagesUseOnlyAllowedDependencies() {
         ALLOWED_PROXY_DEPENDENCIES.forEach(
-                (room, allowed) -> {
-                    String[] others =
+                (packageName, allowedPackages) -> {
+                    String[] forbiddenPackages =
                             Stream.concat(
                                             ALLOWED_PROXY_DEPENDENCIES.keySet().stream(),
                                             Stream.of("lifecycle"))
                                     .filter(
                                             each ->
-                                                    !each.equals(room)
-                                                            && !Stream.of(allowed.split(" "))
+                                                    !each.equals(packageName)
+                                                            && !Stream.of(
+                                                                            allowedPackages.split(
+                                                                                    " "))
                                                                     .toList()
                                                                     .contains(each))
                                     .map(each -> "lemondrift.proxy." + each + "..")
                                     .toArray(String[]::new);
                     noClasses()
                             .that()
-                            .resideInAPackage("lemondrift.proxy." + room + "..")
+                            .resideInAPackage("lemondrift.proxy." + packageName + "..")
                             .should()
                             .dependOnClassesThat()
-                            .resideInAnyPackage(others)
+                            .resideInAnyPackage(forbiddenPackages)
                             .orShould()
                             .dependOnClassesThat()
                             .resideInAPackage("lemondrift.proxy")
--- a/src/test/java/lemondrift/LoadBalancerTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -108,12 +108,14 @@
         proxy.balancer.peerLoadReported(2, 0);
         proxy.balancer.setGossipActive(true);
         assertEquals(1, proxy.receiveRequest(NOT_IDEMPOTENT).backend, "idle as peers report");
-        int toTheCold = 0;
+        int sentToColdBackend = 0;
         for (int i = 0; i < 30; i++) {
             Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
-            toTheCold += attempt != null && attempt.backend == 2 ? 1 : 0;
+            sentToColdBackend += attempt != null && attempt.backend == 2 ? 1 : 0;
         }
-        assertTrue(toTheCold <= 1, toTheCold + " went to one that looks idle and is cold");
+        assertTrue(
+                sentToColdBackend <= 1,
+                sentToColdBackend + " went to one that looks idle and is cold");
     }
 
     @Test
@@ -452,26 +454,28 @@
         assertEquals(
                 Double.POSITIVE_INFINITY,
                 proxy.balancer.shedThreshold(proxy.now, NOT_IDEMPOTENT).minSecondsLeft());
-        TestDeployment questioned = TestDeployment.withBackends(20);
+        TestDeployment queried = TestDeployment.withBackends(20);
         TestDeployment other = TestDeployment.withBackends(20);
         for (int k = 0; k < 200; k++) {
-            questioned.balancer.shedThreshold(questioned.now, k % 4);
-            Attempt attempt = questioned.receiveRequest(k % 4);
-            Attempt same = other.receiveRequest(k % 4);
-            assertEquals(attempt == null ? -1 : attempt.backend, same == null ? -1 : same.backend);
-            for (TestDeployment each : List.of(questioned, other)) {
+            queried.balancer.shedThreshold(queried.now, k % 4);
+            Attempt attempt = queried.receiveRequest(k % 4);
+            Attempt otherAttempt = other.receiveRequest(k % 4);
+            assertEquals(
+                    attempt == null ? -1 : attempt.backend,
+                    otherAttempt == null ? -1 : otherAttempt.backend);
+            for (TestDeployment each : List.of(queried, other)) {
                 if (k % 3 == 0 && attempt != null) {
                     each.endAttempt(
-                            each == questioned ? attempt : same,
+                            each == queried ? attempt : otherAttempt,
                             AttemptOutcome.SUCCESS,
                             k % 10 / 10.0,
                             0);
                 }
                 each.wakeUntil(each.now + 0.013);
             }
-            assertEquals(questioned.wakeAt, other.wakeAt);
+            assertEquals(queried.wakeAt, other.wakeAt);
         }
-        assertEquals(questioned.probes, other.probes);
+        assertEquals(queried.probes, other.probes);
     }
 
     @Test
--- a/src/test/java/lemondrift/LowTrafficProxyTest.java
+++ b/src/test/java/lemondrift/LowTrafficProxyTest.java
@@ -72,16 +72,16 @@
             double secondsApart,
             double durationSeconds,
             Function<Integer, AttemptOutcome> outcomeOf) {
-        int[] attemptsTo = new int[60];
+        int[] attemptsByBackend = new int[60];
         for (int n = 0; n < requests; n++) {
             proxy.wakeUntil(proxy.now + secondsApart);
             Attempt attempt = proxy.receiveRequest(requestClass);
             for (proxy.now += durationSeconds; attempt != null; ) {
-                attemptsTo[attempt.backend]++;
+                attemptsByBackend[attempt.backend]++;
                 attempt = proxy.endAttempt(attempt, outcomeOf.apply(attempt.backend), 0.5, 0);
             }
         }
-        return attemptsTo;
+        return attemptsByBackend;
     }
 
     @Test
@@ -108,10 +108,11 @@
                                                         i == 2 ? 2 : 1))
                                 .toArray(EndpointUpdate[]::new));
         send(proxy, NOT_IDEMPOTENT, 60, 1, i -> AttemptOutcome.SUCCESS);
-        int toTheLarge = send(proxy, NOT_IDEMPOTENT, 400, 1, i -> AttemptOutcome.SUCCESS)[2];
+        int sentToLargeBackend =
+                send(proxy, NOT_IDEMPOTENT, 400, 1, i -> AttemptOutcome.SUCCESS)[2];
         assertTrue(
-                toTheLarge > 160 && toTheLarge < 240,
-                toTheLarge + " of 400 went to one of half the fleet's size");
+                sentToLargeBackend > 160 && sentToLargeBackend < 240,
+                sentToLargeBackend + " of 400 went to one of half the fleet's size");
     }
 
     @Test
@@ -162,8 +163,9 @@
         proxy.applyEndpointList(true, false, updates);
         proxy.balancer.setGossipActive(true);
         for (int round = 0; round < 3; round++) {
-            int[] attemptsTo = send(proxy, NOT_IDEMPOTENT, 200, 0.1, i -> AttemptOutcome.SUCCESS);
-            int usedCount = (int) Arrays.stream(attemptsTo).filter(n -> n > 0).count();
+            int[] attemptsByBackend =
+                    send(proxy, NOT_IDEMPOTENT, 200, 0.1, i -> AttemptOutcome.SUCCESS);
+            int usedCount = (int) Arrays.stream(attemptsByBackend).filter(n -> n > 0).count();
             assertTrue(usedCount >= 6 && usedCount <= 16, usedCount + " are used");
             updates.stream()
                     .filter(update -> update.subsetScore() * 60 > 15.5)
@@ -171,7 +173,7 @@
                             update ->
                                     assertEquals(
                                             0,
-                                            attemptsTo[update.backend()],
+                                            attemptsByBackend[update.backend()],
                                             "gossip does not cover " + update));
             proxy.applyEndpointList(true, false, updates);
         }
@@ -283,7 +285,7 @@
     void failedBackendsAreAvoidedWithStaleReportsAndSlowStartAfterRestart() {
         TestDeployment proxy = proxyWithStaleReports(9);
         // No report is new from here on, and three refuse.
-        int[] attemptsTo =
+        int[] attemptsByBackend =
                 send(
                         proxy,
                         NOT_IDEMPOTENT,
@@ -291,8 +293,11 @@
                         0.05,
                         i -> i < 3 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.SUCCESS);
         assertTrue(
-                attemptsTo[0] + attemptsTo[1] + attemptsTo[2] <= 30,
-                "of 300, to the failed " + attemptsTo[0] + attemptsTo[1] + attemptsTo[2]);
+                attemptsByBackend[0] + attemptsByBackend[1] + attemptsByBackend[2] <= 30,
+                "of 300, to the failed "
+                        + attemptsByBackend[0]
+                        + attemptsByBackend[1]
+                        + attemptsByBackend[2]);
         double restartedAt = proxy.now;
         proxy.applyEndpointList(
                 false,
@@ -303,14 +308,14 @@
                                         TestDeployment.endpoint(
                                                 i, EndpointUpdate.State.READY, restartedAt))
                         .toList());
-        attemptsTo = send(proxy, NOT_IDEMPOTENT, 20, 0.05, i -> AttemptOutcome.SUCCESS);
+        attemptsByBackend = send(proxy, NOT_IDEMPOTENT, 20, 0.05, i -> AttemptOutcome.SUCCESS);
         assertTrue(
-                attemptsTo[0] + attemptsTo[1] + attemptsTo[2] <= 3,
+                attemptsByBackend[0] + attemptsByBackend[1] + attemptsByBackend[2] <= 3,
                 "cold, though the last report is an idle one's");
         proxy.wakeUntil(restartedAt + 2 * TestDeployment.RULES.slowStartSeconds());
-        attemptsTo = send(proxy, NOT_IDEMPOTENT, 300, 0.05, i -> AttemptOutcome.SUCCESS);
+        attemptsByBackend = send(proxy, NOT_IDEMPOTENT, 300, 0.05, i -> AttemptOutcome.SUCCESS);
         assertTrue(
-                attemptsTo[0] > 0 && attemptsTo[1] > 0 && attemptsTo[2] > 0,
+                attemptsByBackend[0] > 0 && attemptsByBackend[1] > 0 && attemptsByBackend[2] > 0,
                 "warm, and used again");
     }
 
@@ -348,7 +353,7 @@
 
     @Test
     void allProxiesTogetherKeepSlowStartBudgetEvenIfFewCarryMostTraffic() {
-        int toTheCold = 0;
+        int sentToColdBackend = 0;
         for (int proxyIndex = 0; proxyIndex < 70; proxyIndex++) {
             TestDeployment proxy =
                     new TestDeployment(
@@ -363,7 +368,7 @@
                     List.of(TestDeployment.endpoint(0, EndpointUpdate.State.READY, proxy.now)));
             double windowSeconds = TestDeployment.RULES.overloadWindowSeconds();
             double secondsApart = proxyIndex < 5 ? 0.01 : 0.5;
-            toTheCold +=
+            sentToColdBackend +=
                     send(
                             proxy,
                             NOT_IDEMPOTENT,
@@ -377,8 +382,8 @@
                         * TestDeployment.RULES.slowStartMinShare()
                         * TestDeployment.RULES.overloadWindowSeconds();
         assertTrue(
-                toTheCold > 0 && toTheCold * 0.1 <= budgetSeconds,
-                toTheCold + " requests of 0.1 s for a budget of " + budgetSeconds);
+                sentToColdBackend > 0 && sentToColdBackend * 0.1 <= budgetSeconds,
+                sentToColdBackend + " requests of 0.1 s for a budget of " + budgetSeconds);
     }
 
     /** A proxy among forty that gossip; it uses sixteen of thirty backends. */
@@ -432,7 +437,7 @@
     /** Guards against low priorities taking the last capacity of cold backends. */
     @Test
     void lastCapacityOfColdBackendsIsReservedForHighestPriority() {
-        int[] attemptsOf = new int[4];
+        int[] attemptsByClass = new int[4];
         for (int seed = 0; seed < 20; seed++) {
             TestDeployment proxy = proxyWithGossip(99);
             proxy.balancer.seedServiceTime(0.1, 8);
@@ -440,7 +445,7 @@
                 proxy.now += 0.1;
                 int requestClass = n % 2 == 0 ? IDEMPOTENT : NOT_IDEMPOTENT;
                 Attempt attempt = proxy.receiveRequest(requestClass);
-                attemptsOf[requestClass] += attempt == null ? 0 : 1;
+                attemptsByClass[requestClass] += attempt == null ? 0 : 1;
                 if (attempt != null) {
                     proxy.now += 0.1;
                     proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
@@ -449,8 +454,9 @@
             }
         }
         assertTrue(
-                attemptsOf[NOT_IDEMPOTENT] > 1.3 * attemptsOf[0] && attemptsOf[0] > 0,
-                attemptsOf[NOT_IDEMPOTENT] + " and " + attemptsOf[0]);
+                attemptsByClass[NOT_IDEMPOTENT] > 1.3 * attemptsByClass[0]
+                        && attemptsByClass[0] > 0,
+                attemptsByClass[NOT_IDEMPOTENT] + " and " + attemptsByClass[0]);
     }
 
     @Test
--- a/src/test/java/lemondrift/ShadowEvaluatorTest.java
+++ b/src/test/java/lemondrift/ShadowEvaluatorTest.java
@@ -103,16 +103,16 @@
     @Test
     void differingDecisionsAreCountedByKind() {
         Settings freeCrossing = settings(0, 4, false);
-        Settings dearCrossing = settings(9, 4, false);
+        Settings expensiveCrossing = settings(9, 4, false);
         Settings oneAttempt = settings(0, 1, false);
-        ShadowEvaluator staysInZone = runShadow(freeCrossing, dearCrossing, true);
+        ShadowEvaluator staysInZone = runShadow(freeCrossing, expensiveCrossing, true);
         assertCountAtLeast(100, ShadowEvaluator.Kind.NOT_CROSS, staysInZone);
         assertCountAtLeast(
                 staysInZone.count(ShadowEvaluator.Kind.NOT_CROSS),
                 ShadowEvaluator.Kind.ANOTHER_BACKEND,
                 staysInZone);
         assertCountAtLeast(
-                100, ShadowEvaluator.Kind.CROSS, runShadow(dearCrossing, freeCrossing, true));
+                100, ShadowEvaluator.Kind.CROSS, runShadow(expensiveCrossing, freeCrossing, true));
         assertCountAtLeast(
                 10,
                 ShadowEvaluator.Kind.NOT_SEND_AGAIN,
--- a/src/test/java/lemondrift/SimulatorAdapterTest.java
+++ b/src/test/java/lemondrift/SimulatorAdapterTest.java
@@ -70,8 +70,8 @@
 
     @Test
     void staleAlarmsAndEventsForUnknownIdsAreIgnored() {
-        String bell = "07 0c000000 03000000 4d00000000000000";
-        String vanished = "06 0c000000 05000000 192b6f0ecc230400";
+        String alarm = "07 0c000000 03000000 4d00000000000000";
+        String clientLeft = "06 0c000000 05000000 192b6f0ecc230400";
         String unknown = "63 03000000 010203";
         assertEquals(
                 0,
@@ -80,8 +80,8 @@
                                 5,
                                 TestDeployment.startRecordHex(3),
                                 TestDeployment.startRecordHex(5),
-                                bell,
-                                vanished,
+                                alarm,
+                                clientLeft,
                                 unknown)));
         assertEquals(0, replies().getInt(4));
     }
@@ -131,9 +131,10 @@
 
     @Test
     void invalidInputGetsOneLineAndAnExitCode() {
-        byte[] whole = TestDeployment.batchFrame(1, "07 0c000000 03000000 4d00000000000000");
-        assertRejected("ends after 20 of", Arrays.copyOf(whole, 24));
-        assertRejected("ends after 2 of 4", Arrays.copyOf(whole, 2));
+        byte[] completeFrame =
+                TestDeployment.batchFrame(1, "07 0c000000 03000000 4d00000000000000");
+        assertRejected("ends after 20 of", Arrays.copyOf(completeFrame, 24));
+        assertRejected("ends after 2 of 4", Arrays.copyOf(completeFrame, 2));
         assertRejected("has length 99", TestDeployment.batchFrame(1, "07 63000000 03000000"));
         assertRejected(
                 "too short",
--- a/src/test/java/lemondrift/TestDeployment.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -219,7 +219,7 @@
                 .array();
     }
 
-    static String startRecordHex(int instance, String... dropped) {
+    static String startRecordHex(int instance, String... omittedKeys) {
         String text =
                 "siblings=3\n"
                         + "zone=0\n"
@@ -240,11 +240,11 @@
                         + "serviceGrades.0.expiry=880\n"
                         + "serviceGrades.0.effect=retryable\n"
                         + "something.new=1\n";
-        for (String key : dropped) {
+        for (String key : omittedKeys) {
             text = text.replaceAll(key + "=.*\n", "");
         }
         byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        ByteBuffer b =
+        ByteBuffer buffer =
                 ByteBuffer.allocate(21 + bytes.length)
                         .order(ByteOrder.LITTLE_ENDIAN)
                         .put((byte) 1)
@@ -253,6 +253,6 @@
                         .putLong(42)
                         .putInt(bytes.length)
                         .put(bytes);
-        return HexFormat.of().formatHex(b.array());
+        return HexFormat.of().formatHex(buffer.array());
     }
 }
