--- a/src/main/java/lemondrift/Main.java
+++ b/src/main/java/lemondrift/Main.java
@@ -5,15 +5,17 @@
 import lemondrift.simulator.SimulatorAdapter;
 
 /**
- * Dispatches serve, check and drill (the simulator's adapter) itself, so that a proxy starts
- * without loading the command line library that the other commands use.
+ * The entry point. Dispatches {@code serve}, {@code check} and {@code drill} (the simulator
+ * adapter) directly, so that a proxy starts without loading the command line library that the other
+ * commands use.
  */
 public final class Main {
     private Main() {}
 
     /**
-     * Runs the command that the arguments name. Exits with its code, but for serve, which returns
-     * once the proxy serves and lives until SIGTERM.
+     * Runs the command that the arguments name and exits with its exit code. The command {@code
+     * serve} exits only if it fails; otherwise it returns once the proxy is serving, and the
+     * process runs until SIGTERM.
      */
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
--- a/src/main/java/lemondrift/balancer/AdmissionControl.java
+++ b/src/main/java/lemondrift/balancer/AdmissionControl.java
@@ -8,33 +8,37 @@
 import lemondrift.model.ShedThreshold;
 
 /**
- * Where a request is rejected because no answer is to be expected in time, the lowest priority
- * first.
+ * Rejects requests that are not expected to be answered in time, the lowest priority first.
  *
- * <p>A request is rejected at once, with WAIT_TOO_LONG, when the wait to expect at the best backend
- * ({@link WaitEstimator}, seconds) passes its limit: a share of the time until its attempt deadline
- * (at most {@link BackendTable#memorySeconds}), the rest being room for its own work. The share
- * rises with priority from {@link #MIN_WAIT_SHARE}, or {@link #MIN_WAIT_SHARE_WITH_GOSSIP} where
- * peers gossip and waits are better known, to {@link #MAX_WAIT_SHARE}. Where reports are stale, the
- * same share of {@link #MAX_QUEUED_REQUESTS} service times bounds it as well, since a queue that
- * grows unseen slows the backend for all. The priority of a tenant beyond its quota is scaled by
- * the settings' overQuotaWeight. Before a request is rejected, backends outside the subset are
- * tried once.
+ * <p>A request is rejected at once, with WAIT_TOO_LONG, if the expected wait at the best backend
+ * ({@link WaitEstimator}, seconds) exceeds its limit: a share of the time until its attempt
+ * deadline (at most {@link BackendTable#memorySeconds}). The rest of that time is left for the work
+ * on the request itself. The share rises with priority from {@link #MIN_WAIT_SHARE}, or {@link
+ * #MIN_WAIT_SHARE_WITH_GOSSIP} if peers gossip and waits are better known, to {@link
+ * #MAX_WAIT_SHARE}. If reports are stale, the time is limited to {@link #MAX_QUEUED_REQUESTS}
+ * service times instead, because a queue that grows unnoticed slows the backend for all proxies.
+ * The priority of a tenant that exceeds its quota is multiplied by the setting overQuotaWeight.
+ * Before a request is rejected, backends outside the subset are tried once.
  *
- * <p>Where no backend may take it the wait is infinite, and the reason NO_BACKEND or, for a retry,
- * NO_BACKEND_FOR_RETRY. The Retry-After of the reply is the wait, at most a window.
+ * <p>If no backend is eligible, the wait is infinite and the reason is NO_BACKEND or, for a retry,
+ * NO_BACKEND_FOR_RETRY. The Retry-After of the reply is the expected wait, at most one window.
  */
 final class AdmissionControl extends DecisionStage {
-    /** The share of its time that a request of no priority may wait. */
+    /** The share of its time that a request of priority 0 may wait. */
     private static final double MIN_WAIT_SHARE = 0.4;
 
-    /** The same where other proxies gossip of what they have in flight. */
+    /**
+     * The share of its time that a request of priority 0 may wait if other proxies gossip about
+     * their requests in flight.
+     */
     private static final double MIN_WAIT_SHARE_WITH_GOSSIP = 0.2;
 
     /** The share of its time that a request of the highest priority may wait. */
     private static final double MAX_WAIT_SHARE = 0.65;
 
-    /** Where reports are stale: how many requests' work the share is of at the most. */
+    /**
+     * If reports are stale, the share is taken of the service time of at most this many requests.
+     */
     private static final double MAX_QUEUED_REQUESTS = 3;
 
     private final BackendTable backends;
@@ -43,10 +47,10 @@
     private final WaitEstimator waits;
     private final BackendSelector selector;
 
-    /** By tenant: the requests a second that all proxies together owe it. */
+    /** By tenant: its quota in requests per second, over all proxies together. */
     private final double[] quotaPerSecond;
 
-    /** By tenant: the requests a second that this proxy has seen. */
+    /** By tenant: the requests per second that this proxy has received. */
     private final DecayingSum[] tenantRate;
 
     AdmissionControl(
@@ -96,7 +100,11 @@
                 : FailureReason.NO_BACKEND_FOR_RETRY;
     }
 
-    /** From 0 to 1, scaled where the tenant has passed this proxy's part of its quota. */
+    /**
+     * Returns the priority of the request, from 0 to 1, multiplied by the setting overQuotaWeight
+     * if the tenant exceeds this proxy's part of its quota. Counts the request for its tenant when
+     * it is offered for the first time.
+     */
     private double effectivePriority(Request request, double now) {
         Settings settings = backends.settings;
         double priority = settings.relativePriority(request.terms.requestClass());
@@ -111,7 +119,7 @@
         return priority * (rate.value(now) > quota ? settings.overQuotaWeight() : 1);
     }
 
-    /** How long the request may wait before work on it begins, in seconds. */
+    /** Returns how long the request may wait before work on it begins, in seconds. */
     private double maxWaitSeconds(Request request, double priority, double now) {
         double maxSeconds = backends.memorySeconds;
         if (estimator.reportsAreStale()) {
@@ -124,13 +132,16 @@
         return maxWaitShare(priority) * Math.min(request.attemptDeadline - now, maxSeconds);
     }
 
-    /** The share of its time that a request may wait, by its priority. */
+    /** Returns the share of its time that a request may wait, by its priority. */
     private double maxWaitShare(double priority) {
         double minShare = estimator.gossipActive ? MIN_WAIT_SHARE_WITH_GOSSIP : MIN_WAIT_SHARE;
         return minShare + (MAX_WAIT_SHARE - minShare) * Math.min(1, priority);
     }
 
-    /** What would be rejected now; asks no backend for a report and changes nothing. */
+    /**
+     * Returns which requests would be rejected now. Sends no probe and does not affect later
+     * decisions.
+     */
     ShedThreshold shedThreshold(Request request, double now) {
         double wait = selector.minExpectedWait(request, now);
         double priority = backends.settings.relativePriority(request.terms.requestClass());
--- a/src/main/java/lemondrift/balancer/BackendSelector.java
+++ b/src/main/java/lemondrift/balancer/BackendSelector.java
@@ -9,37 +9,43 @@
 import lemondrift.model.Request;
 
 /**
- * Which backend an attempt goes to: the one of the subset with the lowest estimated utilization
- * among those that may take it.
+ * Chooses the backend of an attempt: the one with the lowest estimated utilization among the
+ * eligible backends of the subset.
  *
- * <p>A backend in another zone is ranked worse by the cost of crossing, which weighs less the
- * higher the request's priority. Ties break at random; where reports are stale most are ties, so
- * the draw is wider, and failures short of an ejection count.
+ * <p>A backend in another zone is ranked lower by the cost of crossing zones, which weighs less the
+ * higher the request's priority is. Ties are broken at random. If reports are stale, most backends
+ * are tied; the range of the random tie-break is then wider, and failures that have not led to an
+ * ejection count as well.
  *
- * <p>Where the best backend's report is not fresh and probes are allowed, the best ones are probed
- * first and the request waits, up to {@link #PROBE_WAIT_WINDOWS} of a window for each round. A
- * backend whose probe is unanswered for longer is left out until it answers.
+ * <p>If the report of the best backend is not fresh and probes are allowed, the best backends are
+ * probed first and the request waits, up to {@link #PROBE_WAIT_WINDOWS} of a window for each round.
+ * A backend that leaves a probe unanswered for longer is not chosen until it answers.
  */
 final class BackendSelector extends DecisionStage {
-    /** The share of requests that a utilization higher by 1 makes late. */
+    /** The share of requests that become late if the utilization is higher by 1. */
     private static final double LATE_SHARE_PER_UTILIZATION = 0.5;
 
-    /** The mean priority weight over this is the least that crossing is weighed against. */
+    /**
+     * The cost of crossing zones is divided by at least the mean priority weight over this divisor.
+     */
     private static final double MIN_WEIGHT_DIVISOR = 100;
 
-    /** The width of a tie where reports are fresh, in utilization. */
+    /** The range of the random tie-break if reports are fresh, in utilization. */
     private static final double TIE_WIDTH = 1e-6;
 
-    /** The width of a tie where reports are stale, in requests. */
+    /** The mean of the random tie-break if reports are stale, in requests. */
     private static final double STALE_TIE_REQUESTS = 0.125;
 
-    /** Above this freshness (0 to 1) a report is not renewed. */
+    /** A report with a freshness (0 to 1) above this is not renewed by a probe. */
     private static final double MIN_FRESHNESS = 0.6;
 
-    /** How long a probe is waited for, in windows. */
+    /** How long to wait for the answer to a probe, in windows. */
     private static final double PROBE_WAIT_WINDOWS = 1.0 / 32;
 
-    /** The share of the subset that is left free for higher priorities where the best is cold. */
+    /**
+     * The share of the subset that a request of priority 0 leaves free for higher priorities if the
+     * best backend is cold.
+     */
     private static final double RESERVED_SHARE = 0.25;
 
     private final BackendTable backends;
@@ -51,7 +57,7 @@
     private final DeterministicRandom random;
     private final BackendSubset subset;
 
-    /** Requests that wait for probes, the one that waits longest first. */
+    /** Requests that wait for probes, the longest-waiting one first. */
     private final Deque<Request> awaitingProbes = new ArrayDeque<>();
 
     BackendSelector(
@@ -72,7 +78,10 @@
         subset = new BackendSubset(backends, estimator, waits, random);
     }
 
-    /** Guards against a backend that answers no probe and so looks as idle as it last was. */
+    /**
+     * Guards against a backend that answers no probe and therefore keeps looking as idle as in its
+     * last report.
+     */
     @Override
     boolean isBackendEligible(Request request, int backend, double now) {
         return (backends.probeSentAt[backend] == 0
@@ -81,7 +90,7 @@
                 && super.isBackendEligible(request, backend, now);
     }
 
-    /** Sorts the subset, the best first, and sets the request's best backend. */
+    /** Sorts the subset, the best backend first, and sets the request's best backend. */
     private void rankSubset(Request request, int size, double now) {
         double crossZoneCost = crossZoneCost(request);
         int[] order = backends.order;
@@ -107,8 +116,8 @@
     }
 
     /**
-     * What a backend is ranked by, the lowest first, in utilization; infinite where it may not take
-     * the request.
+     * Returns the score that a backend is ranked by, in utilization; the lowest score is the best.
+     * Infinite if the backend is not eligible for the request.
      */
     private double computeRankingScore(
             Request request, int backend, double crossZoneCost, double now) {
@@ -121,7 +130,7 @@
                 + tieBreak(backend, now);
     }
 
-    /** The cost of crossing zones as a share of the request's priority, in utilization. */
+    /** Returns the cost of crossing zones relative to the request's priority, in utilization. */
     private double crossZoneCost(Request request) {
         double meanWeight = backends.settings.priorityWeights().average().orElse(1);
         return backends.settings.costs().crossZone()
@@ -144,8 +153,8 @@
     }
 
     /**
-     * How many usable backends the request must leave free. Guards against low priorities taking
-     * the last capacity of cold backends from high ones.
+     * Returns how many usable backends the request must leave free. Guards against low priorities
+     * taking the last capacity of cold backends from high ones.
      */
     private int reservedBackendCount(Request request, int size, double now) {
         if (backends.warmShare(backends.order[0], now) == 1) {
@@ -156,8 +165,9 @@
     }
 
     /**
-     * Ranks the subset for the request; then probes the best backends and keeps the request, as
-     * long as the best one's report is not fresh and rounds are left.
+     * Ranks the subset for the request. If the best backend's report is not fresh and rounds of
+     * probes are left, also probes the best backends and keeps the request until it is released by
+     * {@link #pollReleased}.
      *
      * @return whether the request was kept
      */
@@ -188,14 +198,19 @@
         return awaitingProbes.add(request);
     }
 
-    /** Draws backends from outside the subset for the request; whether any was found. */
+    /**
+     * Draws backends from outside the subset for the request.
+     *
+     * @return whether any was found
+     */
     boolean widenSubset(Request request, double now) {
         return subset.widen(request, now, this);
     }
 
     /**
-     * The least wait to expect in the subset as it stands, in seconds; infinite where no backend
-     * may take the request. Probes count as answered: who asks has not read their answers yet.
+     * Returns the shortest expected wait in the current subset, in seconds; infinite if no backend
+     * is eligible for the request. An unanswered probe does not exclude a backend here, because the
+     * caller may not have read the answer yet.
      */
     double minExpectedWait(Request request, double now) {
         return Arrays.stream(backends.order)
@@ -206,7 +221,7 @@
                 .orElse(Double.POSITIVE_INFINITY);
     }
 
-    /** Makes the attempt, at the request's best backend. */
+    /** Makes the attempt at the request's best backend. */
     @Override
     void offer(Request request, double now, Decision decision) {
         int backend = request.bestBackend;
@@ -226,7 +241,11 @@
         slowStart.requestsSent(backend, 1, now);
     }
 
-    /** So many attempts more are in flight there; fewer where a shadow's own was not made. */
+    /**
+     * Adds attempts to those in flight at a backend.
+     *
+     * @param attempts negative to take back attempts of a shadow that were not made
+     */
     void adjustAttempts(int backend, int attempts, double now) {
         estimator.attemptsSent(backend, attempts);
         waits.attemptsSent(attempts, now);
@@ -240,7 +259,8 @@
             double now,
             Decision decision) {
         boolean stale = estimator.reportsAreStale();
-        // A stale report is no measure of what was ahead; the response's own report is.
+        // A stale report does not show how many requests were ahead; the report in the response
+        // does.
         double queueAhead =
                 stale ? estimator.reportedInFlight(attempt.backend) : attempt.queueAhead;
         estimator.attemptEnded(attempt.backend);
@@ -249,7 +269,10 @@
         super.attemptEnded(attempt, outcome, durationSeconds, now, decision);
     }
 
-    /** Takes out a request whose probes are answered or that has waited long enough, or null. */
+    /**
+     * Removes and returns a request that need not wait any longer, because its probes are answered,
+     * it has waited long enough or it is completed; returns null if there is none.
+     */
     Request pollReleased(double now) {
         Request released =
                 awaitingProbes.stream()
@@ -269,7 +292,10 @@
                 .allMatch(backend -> backends.probeSentAt[backend] == 0);
     }
 
-    /** When a request has waited long enough for its probes; infinite where none waits. */
+    /**
+     * Returns when the next request has waited long enough for its probes, in seconds; infinite if
+     * no request waits.
+     */
     double wakeAt() {
         return awaitingProbes.isEmpty()
                 ? Double.POSITIVE_INFINITY
--- a/src/main/java/lemondrift/balancer/BackendSubset.java
+++ b/src/main/java/lemondrift/balancer/BackendSubset.java
@@ -3,20 +3,24 @@
 import lemondrift.model.Request;
 
 /**
- * The part of the backends that this proxy uses: the first ones of the table's order. Of all
- * backends each proxy would hear too seldom to know their load.
+ * The subset of the backends that this proxy uses: the first ones in the table's order. If a proxy
+ * used all backends, it would hear from each one too rarely to know its load.
  *
- * <p>Where other proxies gossip, it is what the list says that this proxy uses, since gossip tells
- * of no others. Else it is {@link #MIN_SIZE} at the least, and as many as this proxy sends requests
- * in the time that it remembers where that is more. One backend of it is exchanged at random from
- * time to time, and at once each that cannot be used.
+ * <p>If other proxies gossip, the subset is the backends that this proxy uses according to the
+ * endpoint list, because gossip covers no others. Otherwise it has at least {@link #MIN_SIZE}
+ * backends, and as many as this proxy sends requests within {@link BackendTable#memorySeconds} if
+ * that is more. From time to time one of its backends is exchanged at random, and each backend that
+ * cannot be used is exchanged at once.
  */
 final class BackendSubset {
-    /** As many as can be probed for one attempt. */
+    /** As many backends as can be probed for one attempt. */
     static final int MIN_SIZE =
             UtilizationEstimator.PROBES_PER_ROUND * UtilizationEstimator.MAX_PROBE_ROUNDS;
 
-    /** How many times the subset's size is looked at for backends that can take a request. */
+    /**
+     * How many times the size of the subset is searched for backends that are eligible for a
+     * request.
+     */
     private static final int MAX_SEARCH_FACTOR = 32;
 
     private final BackendTable backends;
@@ -24,7 +28,7 @@
     private final WaitEstimator waits;
     private final DeterministicRandom random;
 
-    /** When the next backend is exchanged. */
+    /** When the next backend is exchanged, in seconds. */
     private double nextExchangeAt;
 
     BackendSubset(
@@ -50,11 +54,15 @@
                                         waits.ownRate.value(now) * backends.memorySeconds));
     }
 
-    /** Exchanges one backend from time to time, and at once each that may not take the request. */
+    /**
+     * Exchanges one backend from time to time, and at once each backend that is not eligible for
+     * the request.
+     */
     void refresh(Request request, double now, DecisionStage chain) {
         int size = size(now);
         int exchangedPosition = -1;
-        // Guards against sending blindly: gossip tells of no backend outside the subset.
+        // Guards against sending without load information: gossip covers no backend outside the
+        // subset.
         int outsideCount = estimator.gossipActive ? 0 : backends.order.length - size;
         if (now >= nextExchangeAt) {
             nextExchangeAt = now + random.jitter(backends.memorySeconds);
@@ -70,18 +78,20 @@
     }
 
     /**
-     * Draws backends from outside that may take the request, once for each attempt, in place of
-     * those of the subset. Guards against rejecting what others could take.
+     * Draws backends that are eligible for the request from outside the subset, once for each
+     * attempt, and puts them in the place of backends of the subset. Guards against rejecting a
+     * request that other backends could take.
      *
-     * @return whether any was found
+     * @return whether any backend was found
      */
     boolean widen(Request request, double now, DecisionStage chain) {
         int size = size(now);
         int foundCount = 0;
-        // Guards against sending blindly: outside the subset the busiest looks idle to gossip.
+        // Guards against sending without load information: gossip does not cover a backend outside
+        // the subset, so that even the busiest one looks idle.
         int wantedCount =
                 estimator.gossipActive && request.bestBackend != Request.NO_BACKEND ? 0 : size;
-        // Guards against holding up all other requests where no backend may take anything.
+        // Guards against delaying all other requests by a long search if no backend is eligible.
         int end =
                 (int)
                         Math.min(
--- a/src/main/java/lemondrift/balancer/BackendTable.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -6,65 +6,69 @@
 import lemondrift.model.Settings;
 
 /**
- * What all stages share: the settings in force, and the endpoint list in parallel arrays by backend
- * index, with what this proxy has in flight at each backend.
+ * The state that all stages share: the settings in force, and the endpoint list in parallel arrays
+ * by backend index, with this proxy's attempts in flight at each backend.
  */
 final class BackendTable {
-    /** How many windows back the proxy's own observations count. */
+    /** How many windows back this proxy's own observations count. */
     private static final double MEMORY_WINDOWS = 8;
 
     /**
-     * Bits of a subset score, which stands above a place in one number so that it sorts cheaply.
+     * The bits of a subset score. The score is placed above a position in one number, so that
+     * sorting is cheap.
      */
     private static final int SCORE_BITS = 40;
 
-    /** Bits of a place in the order. */
+    /** The bits of a position in the order. */
     private static final int POSITION_BITS = 20;
 
-    /** The settings in force; a request keeps the terms that it arrived under. */
+    /** The settings in force. A request keeps the terms under which it arrived. */
     Settings settings;
 
     /** The shortest latency objective of a request class, in seconds. */
     double windowSeconds;
 
-    /** How far back the proxy's own observations count, in seconds. */
+    /** How far back this proxy's own observations count, in seconds. */
     double memorySeconds;
 
-    /** How many backend indexes there are. */
+    /** The number of backend indexes. */
     int size;
 
-    /** The last update of each backend. */
+    /** By backend: its last update. */
     EndpointUpdate[] endpoint = {};
 
-    /** Whether the list gives the backend as ready. */
+    /** By backend: whether the list gives it as ready. */
     boolean[] ready = {};
 
-    /** This proxy's attempts in flight. */
+    /** By backend: this proxy's attempts in flight. */
     int[] inFlight = {};
 
-    /** When the probe that is out was sent; 0 where none is. */
+    /** By backend: when the unanswered probe was sent, in seconds; 0 if there is none. */
     double[] probeSentAt = {};
 
-    /** What each backend was last ranked by; infinite where it could not be used. */
+    /** By backend: the score that it was last ranked by; infinite if it was not eligible. */
     double[] rankingScore = {};
 
-    /** The mean weight of the ready backends; 1 where weights do not count. */
+    /** The mean weight of the ready backends; 1 if weights are not used. */
     double meanWeight = 1;
 
-    /** The ready backends in this proxy's own random order, the subset that it uses first. */
+    /** The ready backends in this proxy's own random order; the subset that it uses comes first. */
     int[] order = {};
 
-    /** How many ready backends the list gives as used by this proxy and others. */
+    /**
+     * The number of ready backends that the list gives as used by this proxy, so that gossip covers
+     * them.
+     */
     int gossipedBackendCount;
 
     private final DeterministicRandom random;
     private boolean[] presentInOrder = {};
     private boolean orderUpToDate = true;
 
-    /** When each backend last started; 0 is long ago or not known. */
+    /** By backend: when it last started, in seconds; 0 if that is long ago or not known. */
     private double[] startedAt = {};
 
-    /** Above all starts that were acted on. */
+    /** By backend: a start at this time or later has not been handled yet, in seconds. */
     private double[] firstUnhandledStart = {};
 
     BackendTable(Settings settings, DeterministicRandom random) {
@@ -79,8 +83,8 @@
     }
 
     /**
-     * Takes over a part of the endpoint list. The work is that of the updates given, and one pass
-     * over the order where a backend leaves it.
+     * Applies a part of the endpoint list. The cost is proportional to the number of updates, plus
+     * one pass over the order if a backend leaves it.
      *
      * @param full whether backends that are not among the updates are no longer listed
      */
@@ -135,7 +139,7 @@
         order = Arrays.copyOf(order, kept);
     }
 
-    /** Puts each backend that has become ready at a random place. */
+    /** Inserts each backend that has become ready at a random position of the order. */
     private void insertNewlyReady(List<EndpointUpdate> updates) {
         int[] added =
                 updates.stream()
@@ -161,7 +165,10 @@
         return order.length == 0 ? 1 : sum / order.length;
     }
 
-    /** Counts and puts first the subset that gossip covers, once for all lists since the last. */
+    /**
+     * Counts the backends that gossip covers and moves this proxy's subset to the front of the
+     * order. Does nothing if no list was applied since the last call.
+     */
     void updateOrder() {
         if (orderUpToDate) {
             return;
@@ -175,8 +182,8 @@
     }
 
     /**
-     * Puts the backends of the lowest subset scores first, where scores are given: gossip tells of
-     * those and of no more.
+     * Moves the backends with the lowest subset scores to the front if scores are given: gossip
+     * covers these backends and no others.
      */
     void sortBySubsetScore() {
         long[] scoresAndPositions = new long[order.length];
@@ -199,14 +206,17 @@
         }
     }
 
-    /** Exchanges the backends at two places of the order. */
+    /** Exchanges the backends at two positions of the order. */
     void swap(int position, int otherPosition) {
         int backend = order[position];
         order[position] = order[otherPosition];
         order[otherPosition] = backend;
     }
 
-    /** Whether a start of the backend is listed that nobody has acted on; true once for each. */
+    /**
+     * Returns whether the list gives a start of the backend that has not been handled yet; true
+     * only once for each start.
+     */
     boolean consumeNewStart(int backend) {
         if (startedAt[backend] >= firstUnhandledStart[backend]) {
             firstUnhandledStart[backend] = Math.nextUp(startedAt[backend]);
@@ -216,8 +226,9 @@
     }
 
     /**
-     * The share (0 to 1) of its full capacity that a backend has at the least. It rises linearly
-     * over the slow start of the settings, from their least share to 1, which is warm.
+     * Returns the share (0 to 1) of its full capacity that a backend has at least. It rises
+     * linearly from the setting slowStartMinShare to 1, when the backend is warm, within
+     * slowStartSeconds.
      */
     double warmShare(int backend, double now) {
         double elapsedShare =
--- a/src/main/java/lemondrift/balancer/DecayingSum.java
+++ b/src/main/java/lemondrift/balancer/DecayingSum.java
@@ -1,14 +1,14 @@
 package lemondrift.balancer;
 
-/** A sum that decays exponentially with time. */
+/** A sum that decays exponentially over time. */
 final class DecayingSum {
-    /** The time after which a value has decayed to 1/e, in seconds. */
+    /** The time after which a value has decayed to 1/e of itself, in seconds. */
     double timeConstantSeconds = 1;
 
     private double sum;
     private double updatedAt;
 
-    /** The sum as it has decayed by now. */
+    /** Returns the sum, decayed up to the given time. */
     double value(double now) {
         return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstantSeconds);
     }
--- a/src/main/java/lemondrift/balancer/DecisionStage.java
+++ b/src/main/java/lemondrift/balancer/DecisionStage.java
@@ -7,35 +7,39 @@
 import lemondrift.model.Request;
 
 /**
- * One stage of the chain of decisions. A request goes from the first stage, which has the
- * deadlines, to the next ones until a stage ends it or makes an attempt; the end of an attempt, and
- * a local reply, come back through the previous ones.
+ * One stage of the chain of decisions. A request passes from the first stage, which checks
+ * deadlines, to the next ones until a stage ends it or makes an attempt. The end of an attempt and
+ * a local reply pass back through the previous stages.
  */
 abstract class DecisionStage {
     private DecisionStage previous;
     private DecisionStage next;
 
-    /** Puts a stage behind this one; returns that stage. */
+    /**
+     * Appends a stage to this one.
+     *
+     * @return the appended stage
+     */
     final DecisionStage then(DecisionStage following) {
         next = following;
         following.previous = this;
         return following;
     }
 
-    /** Passes the request on, keeps it, or ends it; it has no attempt in flight. */
+    /** Passes the request on, keeps it or ends it. The request has no attempt in flight. */
     void offer(Request request, double now, Decision decision) {
         next.offer(request, now, decision);
     }
 
     /**
-     * Whether a backend may be given the request now, as far as this stage and the previous ones
-     * say.
+     * Returns whether a backend may receive the request now, according to this stage and the
+     * previous ones.
      */
     boolean isBackendEligible(Request request, int backend, double now) {
         return previous == null || previous.isBackendEligible(request, backend, now);
     }
 
-    /** Hears that an attempt has ended. */
+    /** Handles the end of an attempt. */
     void attemptEnded(
             Attempt attempt,
             AttemptOutcome outcome,
@@ -46,9 +50,9 @@
     }
 
     /**
-     * Ends the request with a reply of the proxy's own.
+     * Ends the request with a local reply.
      *
-     * @param retryAfterSeconds when a retry makes sense; 0 where that is not known
+     * @param retryAfterSeconds after how many seconds a retry makes sense; 0 if that is not known
      */
     void replyLocally(
             Request request, FailureReason reason, double retryAfterSeconds, Decision decision) {
--- a/src/main/java/lemondrift/balancer/DeterministicRandom.java
+++ b/src/main/java/lemondrift/balancer/DeterministicRandom.java
@@ -8,7 +8,10 @@
  * the same decisions.
  */
 final class DeterministicRandom {
-    /** Guards against a pattern in the draws: checksums of successive numbers differ alike. */
+    /**
+     * Spreads the values of the counter. Guards against a pattern in the random numbers: the
+     * checksums of successive numbers differ in similar ways.
+     */
     private static final long COUNTER_FACTOR = 0x9E3779B97F4A7C15L;
 
     /** One more than the largest checksum. */
@@ -21,7 +24,7 @@
         this.seed = seed;
     }
 
-    /** From 0 to less than 1. */
+    /** Returns a random number from 0 to less than 1. */
     double nextDouble() {
         CRC32 crc = new CRC32();
         crc.update(
@@ -32,7 +35,10 @@
         return crc.getValue() / CHECKSUM_RANGE;
     }
 
-    /** Half to one and a half of a span of time, so that proxies do not act in step. */
+    /**
+     * Returns a random duration between half and one and a half of the given duration, so that
+     * proxies do not act in step.
+     */
     double jitter(double seconds) {
         return seconds * (0.5 + nextDouble());
     }
--- a/src/main/java/lemondrift/balancer/DrainCheck.java
+++ b/src/main/java/lemondrift/balancer/DrainCheck.java
@@ -3,8 +3,9 @@
 import lemondrift.model.Request;
 
 /**
- * Rule 3: a backend that the endpoint list does not give as ready, since it is draining or gone,
- * gets no new attempt or probe from the moment of that list on. Attempts in flight there go on.
+ * Rule 3: a backend that the endpoint list does not give as ready, because it is draining or gone,
+ * gets no new attempt or probe from the moment that list arrives. Attempts in flight there
+ * continue.
  */
 final class DrainCheck extends DecisionStage {
     private final BackendTable backends;
--- a/src/main/java/lemondrift/balancer/EndpointListPolling.java
+++ b/src/main/java/lemondrift/balancer/EndpointListPolling.java
@@ -4,19 +4,19 @@
 import lemondrift.model.Settings;
 
 /**
- * Keeps this proxy subscribed to the endpoint list where it must poll for it: at the start, again
- * where no answer comes, and after a failed call with a jittered backoff. Where the list is pushed
- * it does nothing.
+ * Keeps this proxy subscribed to an endpoint list that must be polled: polls at the start, again if
+ * no answer arrives, and with a jittered backoff after a failed call. Does nothing if the list is
+ * pushed.
  */
 final class EndpointListPolling {
     private final boolean pollingEnabled;
 
-    /** A quarter of the time within which the settings demand a poll. */
+    /** A quarter of the time within which the settings require a poll, in seconds. */
     private final double quarterPeriodSeconds;
 
     private final DeterministicRandom random;
 
-    /** When the next call is due; infinite where none is. */
+    /** When the next call is due, in seconds; infinite if none is. */
     double pollAt = Double.POSITIVE_INFINITY;
 
     EndpointListPolling(Settings settings, DeterministicRandom random) {
@@ -25,12 +25,15 @@
         this.random = random;
     }
 
-    /** A list has come; a stale one does not end the polling. */
+    /** Handles a received list. Polling continues if the list is stale. */
     void listReceived(boolean stale, double now) {
         pollAt = pollingEnabled && stale ? now : Double.POSITIVE_INFINITY;
     }
 
-    /** Guards against all proxies polling in step, which keeps a small list service down. */
+    /**
+     * Schedules the next call after a failed one, with jitter. Guards against all proxies polling
+     * in step, which would keep a small list service down.
+     */
     void callFailed(double now, Decision decision) {
         if (pollingEnabled) {
             pollAt = now + random.jitter(quarterPeriodSeconds / 2);
--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -12,9 +12,9 @@
 import lemondrift.model.ShedThreshold;
 
 /**
- * The decisions of one proxy. It hears each event in order, with the time in seconds, and answers
- * with a {@link Decision} to be carried out before the next call, which reuses it. {@link #wake} is
- * to be called at {@link Decision#wakeAt} or after. Not thread-safe.
+ * Makes the decisions of one proxy. The caller passes each event in order, with the time in
+ * seconds, and carries out the returned {@link Decision} before the next call, which reuses the
+ * object. It must call {@link #wake} at {@link Decision#wakeAt} or later. Not thread-safe.
  */
 public final class LoadBalancer {
     private final Decision decision = new Decision();
@@ -30,7 +30,10 @@
     private final EndpointListPolling polling;
 
     /**
-     * @param seed of all randomness; each proxy needs its own, so that they do not act in step
+     * Creates a load balancer that knows no backends yet.
+     *
+     * @param seed the seed of all randomness; each proxy needs its own, so that proxies do not make
+     *     the same random choices at the same time
      */
     public LoadBalancer(Settings settings, long seed) {
         DeterministicRandom random = new DeterministicRandom(seed);
@@ -55,7 +58,10 @@
                 .then(selector);
     }
 
-    /** A client's request has come; it keeps the terms of its class that hold now. */
+    /**
+     * Handles a new request of a client. A request without terms gets the current terms of its
+     * class and keeps them until it ends.
+     */
     public Decision requestArrived(double now, Request request) {
         if (request.terms == null) {
             request.terms = backends.settings.termsFor(request.requestClassIndex);
@@ -64,10 +70,12 @@
     }
 
     /**
-     * An attempt has ended, whether by its backend, its timeout or its cancellation.
+     * Handles the end of an attempt, whether it was caused by the backend, the attempt's timeout or
+     * a cancellation.
      *
      * @param completed whether the client has its answer or has left
-     * @param loadReport the fields of the report that came with the response; null where none did
+     * @param loadReport the fields of the load report that came with the response; null if there
+     *     was none
      */
     public Decision attemptEnded(
             double now,
@@ -85,16 +93,19 @@
                 now, () -> selector.attemptEnded(attempt, outcome, durationSeconds, now, decision));
     }
 
-    /** The first bytes of a response go to the client: it no longer ends at its deadline. */
+    /**
+     * Handles the start of a response to the client: from now on the request does not expire at its
+     * deadline.
+     */
     public Decision responseStarted(double now, Attempt attempt) {
         return decide(now, () -> attempt.request.responseStarted = true);
     }
 
     /**
-     * An endpoint list or its last part has come.
+     * Handles an endpoint list, or the last part of one.
      *
      * @param full whether backends that are not among the updates are no longer listed
-     * @param stale whether the list may be out of date, so that it must be polled for
+     * @param stale whether the list may be out of date, so that it must be polled
      */
     public Decision endpointsListed(
             double now, boolean full, boolean stale, List<EndpointUpdate> updates) {
@@ -103,7 +114,10 @@
         return wake(now);
     }
 
-    /** A part of a list of which more comes; {@link #endpointsListed} ends it. */
+    /**
+     * Handles a part of an endpoint list that is followed by further parts. The last part is passed
+     * to {@link #endpointsListed}.
+     */
     public void endpointsChanged(double now, boolean full, List<EndpointUpdate> updates) {
         backends.applyUpdates(full, updates);
         serviceTimes.ensureCapacity();
@@ -124,12 +138,16 @@
         serviceTimes.resetBackend(backend);
     }
 
-    /** A call for the endpoint list has failed. */
+    /** Handles a failed call for the endpoint list. */
     public Decision endpointListFailed(double now) {
         return decide(now, () -> polling.callFailed(now, decision));
     }
 
-    /** A probe was answered, with a load report or null, or has failed. */
+    /**
+     * Handles the answer to a probe or its failure.
+     *
+     * @param loadReport the fields of the load report; null if there was none
+     */
     public Decision probeEnded(
             double now, int backend, AttemptOutcome outcome, double[] loadReport) {
         backends.probeSentAt[backend] = 0;
@@ -145,9 +163,9 @@
     }
 
     /**
-     * Other settings hold.
+     * Replaces the settings.
      *
-     * @param reassigned the indexes at which another request class stands than before
+     * @param reassigned the indexes that now stand for another request class than before
      */
     public void settingsChanged(Settings settings, List<Integer> reassigned) {
         backends.settingsChanged(settings);
@@ -156,42 +174,57 @@
         outliers.settingsChanged(reassigned);
     }
 
-    /** How many requests the other proxies have in flight at a backend, as far as they tell. */
+    /**
+     * Sets how many requests the other proxies have in flight at a backend, as far as they report
+     * it.
+     */
     public void peerLoadReported(int backend, int requests) {
         estimator.peerInFlight[backend] = requests;
     }
 
     /**
-     * Whether other proxies are to tell what they have in flight; not where backends can be probed,
-     * which says more.
+     * Returns whether the other proxies should report their requests in flight. If backends can be
+     * probed, this is not needed, because a load report contains more information.
      */
     public boolean needsGossip() {
         return estimator.probeRounds() == 0;
     }
 
-    /** Whether any other proxy tells what it has in flight. */
+    /** Sets whether any other proxy currently reports its requests in flight. */
     public void setGossipActive(boolean active) {
         estimator.gossipActive = active;
     }
 
-    /** What other proxies have measured of the service time, from at least one response. */
+    /**
+     * Sets the service time that other proxies have measured. It is used until this proxy's own
+     * responses outweigh it.
+     *
+     * @param seconds the mean service time
+     * @param samples the number of responses that it was measured from; at least 1
+     */
     public void seedServiceTime(double seconds, double samples) {
         slowStart.seedServiceTime(seconds, samples);
     }
 
-    /** The mean service time as this proxy has measured it. */
+    /** Returns the mean service time that this proxy has measured. */
     public ServiceTime measuredServiceTime() {
         return slowStart.measuredServiceTime();
     }
 
     /**
-     * For a shadow: attempts made at a backend by another's choice; negative to take its own back.
+     * Adjusts the attempts in flight at a backend. For a shadow, whose own attempts are not sent.
+     *
+     * @param attempts the number of attempts that were made there because another balancer decided
+     *     so; negative to take back attempts of the shadow
      */
     public void adjustAttempts(double now, int backend, int attempts) {
         selector.adjustAttempts(backend, attempts, now);
     }
 
-    /** What would be rejected of a request class on arrival now; asking changes nothing. */
+    /**
+     * Returns which requests of a class would be rejected if they arrived now. Does not affect
+     * later decisions.
+     */
     public ShedThreshold shedThreshold(double now, int requestClass) {
         Request request = new Request(0, requestClass, 0, now, 0);
         request.terms = backends.settings.termsFor(requestClass);
@@ -200,22 +233,31 @@
                 .withMaxRetryAfter(backends.settings.limits().maxRetryAfterSeconds());
     }
 
-    /** How many ready backends are not ejected; ejected for one request class alone counts. */
+    /**
+     * Returns the number of ready backends that are not ejected. A backend that is ejected only for
+     * a single request class counts as usable.
+     */
     public int usableBackendCount() {
         return outliers.notEjectedCount();
     }
 
-    /** The client has gone; what is in flight for it is cancelled where that is allowed. */
+    /**
+     * Handles a client that has left: cancels the attempts in flight for its request if that is
+     * allowed.
+     */
     public Decision requestAbandoned(double now, Request request) {
         return decide(now, () -> deadlines.requestAbandoned(request, decision));
     }
 
-    /** A request that is still open ends with a reply of the proxy's own, for this reason. */
+    /**
+     * Ends a request with a local reply for the given reason. Does nothing if the request has
+     * already ended.
+     */
     public Decision endRequest(double now, Request request, FailureReason reason) {
         return decide(now, () -> deadlines.replyLocally(request, reason, 0, decision));
     }
 
-    /** The time asked for by {@link Decision#wakeAt} has come. */
+    /** Handles everything that is due at the time asked for by {@link Decision#wakeAt}. */
     public Decision wake(double now) {
         return decide(
                 now,
--- a/src/main/java/lemondrift/balancer/OutlierDetection.java
+++ b/src/main/java/lemondrift/balancer/OutlierDetection.java
@@ -9,43 +9,48 @@
 import lemondrift.model.Request;
 
 /**
- * What ejects a backend, and for how long.
+ * Decides which backends are ejected because they fail, and for how long.
  *
- * <p>A sequential test (CUSUM) over the outcomes of attempts, for each backend over all its
- * outcomes and once more for each request class over that class's alone. Failures are errors,
- * resets, failed connects and time-outs; OVERLOADED, CANCELLED and NOT_SENT are no outcomes of
- * health. Each outcome adds to a score, never below 0, the logarithm of how many times likelier it
- * is at an outlier than at a sound backend. A sound one fails as often as all backends do lately
- * (at least {@link #MIN_FAILURE_SHARE}), so that a fault which all share ejects nobody; an outlier
- * fails halfway from there to always.
+ * <p>The decision is a sequential test (CUSUM) over the outcomes of attempts. For each backend
+ * there is one test over all its outcomes and one for each request class over the outcomes of that
+ * class. Failures are errors, resets, failed connects and timeouts; OVERLOADED, CANCELLED and
+ * NOT_SENT say nothing about health and are ignored. Each outcome adds to a score, which is never
+ * below 0, the logarithm of how many times likelier the outcome is at an outlier than at a healthy
+ * backend. A healthy backend is assumed to fail as often as all backends recently did (at least
+ * {@link #MIN_FAILURE_SHARE}), so that a fault shared by all backends ejects none; an outlier is
+ * assumed to fail halfway between that share and always.
  *
- * <p>Ejected at a score of {@link #EJECTION_SCORE}, which from 0 takes four failures in a row at
- * the least, if then no more than {@link #MAX_EJECTED_SHARE} of the ready backends are. It lasts
- * half to one and a half windows (a window is the shortest latency objective), then comes a trial:
- * one attempt at a time. A good trial ends the ejection, with half the score left; a failed one
- * doubles it, up to {@link #MAX_EJECTION_WINDOWS} windows, again half to one and a half times that.
- * A new start of the backend ends it as well.
+ * <p>A backend is ejected at a score of {@link #EJECTION_SCORE}, if then no more than {@link
+ * #MAX_EJECTED_SHARE} of the ready backends are ejected. Starting from 0, reaching that score takes
+ * at least four failures in a row. An ejection lasts half to one and a half windows (a window is
+ * the shortest latency objective), then a trial follows: one attempt at a time. A successful trial
+ * ends the ejection, with half the score left. A failed trial doubles the ejection, up to {@link
+ * #MAX_EJECTION_WINDOWS} windows, again multiplied by half to one and a half. A restart of the
+ * backend ends the ejection as well.
  */
 final class OutlierDetection extends DecisionStage {
-    /** The least share of failures that a sound backend is supposed to have. */
+    /** The least share of failures that a healthy backend is assumed to have. */
     private static final double MIN_FAILURE_SHARE = 0.05;
 
-    /** Over how many outcomes the usual share of failures is a mean. */
+    /** The number of outcomes that the usual share of failures is a mean of. */
     private static final double USUAL_OUTCOMES = 100;
 
-    /** The most of the ready backends that one test may eject, as a share. */
+    /** The largest share of the ready backends that one test may eject. */
     private static final double MAX_EJECTED_SHARE = 0.5;
 
-    /** An outlier explains the outcomes 1,000 times better; natural logarithm. */
+    /** The natural logarithm of 1,000: the outcomes are 1,000 times likelier at an outlier. */
     private static final double EJECTION_SCORE = Math.log(1000);
 
-    /** To how many windows an ejection doubles at the most. */
+    /** The number of windows up to which an ejection doubles. */
     private static final double MAX_EJECTION_WINDOWS = 8;
 
-    /** What a backend's rank is worsened by when it is about to be ejected, in utilization. */
+    /** How much worse a backend is ranked when it is about to be ejected, in utilization. */
     private static final double MAX_PENALTY = 2;
 
-    /** The test over all outcomes; the one of a request class stands at its index plus one. */
+    /**
+     * The index of the test over all outcomes; the test of a request class is at the index of the
+     * class plus one.
+     */
     private static final int ALL_CLASSES = 0;
 
     /** In {@link #ejectedUntil}: the backend is not ejected. */
@@ -54,16 +59,16 @@
     private final BackendTable backends;
     private final DeterministicRandom random;
 
-    /** The share of failures among all backends' outcomes lately. */
+    /** The recent share of failures among the outcomes of all backends. */
     private double usualFailureShare = MIN_FAILURE_SHARE;
 
-    /** By test and backend: the log-likelihood ratio; doubled by each failed trial. */
+    /** By test and backend: the log-likelihood ratio, doubled by each failed trial. */
     private double[][] score = {};
 
-    /** By test and backend: until when it is ejected, in seconds; then on trial. */
+    /** By test and backend: when the ejection ends and the trial begins, in seconds. */
     private double[][] ejectedUntil = {};
 
-    /** By backend: when its last outcome was heard. */
+    /** By backend: when its last outcome was recorded, in seconds. */
     private double[] lastOutcomeAt = {};
 
     OutlierDetection(BackendTable backends, DeterministicRandom random) {
@@ -72,13 +77,16 @@
         settingsChanged(List.of());
     }
 
-    /** Other request classes hold; what is known of those at reassigned indexes is forgotten. */
+    /**
+     * Handles a change of the request classes. Discards the state of the classes at reassigned
+     * indexes.
+     */
     void settingsChanged(List<Integer> reassigned) {
         score = resized(score, reassigned);
         ejectedUntil = resized(ejectedUntil, reassigned);
     }
 
-    /** Makes room for backends that were listed for the first time. */
+    /** Grows the arrays for newly listed backends. */
     void ensureCapacity() {
         if (lastOutcomeAt.length < backends.size) {
             settingsChanged(List.of());
@@ -86,7 +94,10 @@
         }
     }
 
-    /** One row for each test, one place for each backend; what is known stays. */
+    /**
+     * Returns an array with one row for each test and one column for each backend. Keeps the values
+     * of the tests that are not reassigned.
+     */
     private double[][] resized(double[][] previous, List<Integer> reassigned) {
         double[][] rows = new double[1 + backends.settings.requestClasses().size()][];
         Arrays.setAll(
@@ -100,7 +111,7 @@
         return rows;
     }
 
-    /** The backend has started anew: nothing that was known of it holds. */
+    /** Discards the state of a backend that has restarted. */
     void resetBackend(int backend) {
         Stream.of(score, ejectedUntil).flatMap(Arrays::stream).forEach(test -> test[backend] = 0);
     }
@@ -112,7 +123,7 @@
                 && isUsable(1 + request.requestClassIndex, backend, now);
     }
 
-    /** Not ejected, or on trial with nothing in flight. */
+    /** Returns whether the backend is not ejected, or is on trial with no attempt in flight. */
     private boolean isUsable(int test, int backend, double now) {
         double until = ejectedUntil[test][backend];
         return until == NOT_EJECTED || (until <= now && backends.inFlight[backend] == 0);
@@ -135,13 +146,14 @@
                             usualFailureShare
                                     + ((failed ? 1 : 0) - usualFailureShare) / USUAL_OUTCOMES);
             observe(ALL_CLASSES, attempt.backend, failed, now, decision);
-            // Guards against a backend that fails one class while the others' successes hide it.
+            // Guards against a backend that fails one class of requests, which the successes of the
+            // other classes would hide.
             observe(1 + attempt.request.requestClassIndex, attempt.backend, failed, now, decision);
         }
         super.attemptEnded(attempt, outcome, durationSeconds, now, decision);
     }
 
-    /** One step of a sequential test. */
+    /** Performs one step of a sequential test. */
     private void observe(int test, int backend, boolean failed, double now, Decision decision) {
         double until = ejectedUntil[test][backend];
         lastOutcomeAt[backend] = now;
@@ -156,14 +168,20 @@
         }
     }
 
-    /** The score after one more outcome; an outlier fails halfway from the usual to always. */
+    /**
+     * Returns the score after one more outcome; an outlier fails halfway between the usual share
+     * and always.
+     */
     private double nextScore(double score, boolean failed) {
         double step =
                 failed ? Math.log((1 + usualFailureShare) / 2 / usualFailureShare) : Math.log(0.5);
         return Math.max(0, Math.min(EJECTION_SCORE, score + step));
     }
 
-    /** Guards against ejecting most backends for a shared fault, which overloads the rest. */
+    /**
+     * Returns whether the test may eject one more backend. Guards against ejecting most backends
+     * for a shared fault, which would overload the rest.
+     */
     private boolean mayEjectOneMore(int test) {
         return backends.order.length + 1 - notEjectedCount(test)
                 <= MAX_EJECTED_SHARE * backends.order.length;
@@ -187,9 +205,10 @@
     }
 
     /**
-     * What a backend's rank is worsened by for its failures before they eject it, in utilization:
-     * the share of the ejection score that it has reached, fading with time. Guards against many
-     * errors at a proxy that sends seldom.
+     * Returns how much worse a backend is ranked for failures that have not ejected it, in
+     * utilization. It is proportional to the share of the ejection score that the backend has
+     * reached, and decays with time. Guards against many errors at a proxy that rarely sends
+     * requests.
      */
     double penalty(int backend, double now) {
         return MAX_PENALTY
@@ -198,7 +217,10 @@
                 * Math.exp((lastOutcomeAt[backend] - now) / backends.memorySeconds);
     }
 
-    /** How many ready backends are not ejected for all request classes. */
+    /**
+     * Returns the number of ready backends that are not ejected by the test over all request
+     * classes.
+     */
     int notEjectedCount() {
         return notEjectedCount(ALL_CLASSES);
     }
--- a/src/main/java/lemondrift/balancer/RequestDeadlines.java
+++ b/src/main/java/lemondrift/balancer/RequestDeadlines.java
@@ -12,33 +12,43 @@
 import lemondrift.model.RequestClass;
 
 /**
- * Rule 1: each request has one final answer, no later than its deadline, and no attempt is made
+ * Rule 1: each request gets one final answer, no later than its deadline, and no attempt is made
  * after its attempt deadline.
  *
- * <p>The deadline is when the client stops waiting. The attempt deadline is the arrival plus the
- * latency objective of the request class, or its timeout where a late response still counts, less
- * what the client's earlier tries have used up; never later than the deadline. All in seconds.
+ * <p>The deadline is when the client stops waiting. The attempt deadline is the arrival time plus
+ * the latency objective of the request class, or plus its timeout if a late response still has a
+ * value, minus the time that earlier tries of the client have used. It is never later than the
+ * deadline. All times are in seconds.
  *
- * <p>After each attempt that did not answer it, a request goes through the chain again. It ends
- * here with NO_TIME_LEFT once the attempt deadline has passed, and with EXPIRED where it is still
- * open at its deadline and no response has started.
+ * <p>After each attempt that did not answer it, a request passes through the chain again. This
+ * stage ends a request with NO_TIME_LEFT if its attempt deadline has passed, and with EXPIRED if it
+ * is still open at its deadline and no response has started.
  */
 final class RequestDeadlines extends DecisionStage {
-    /** After so many tries in a row with less time, the longest time seen no longer counts. */
+    /**
+     * After more than this many consecutive tries with less time, the longest time seen no longer
+     * counts.
+     */
     private static final int MAX_CONSECUTIVE_SHORTER = 4;
 
-    /** By how much the time left must differ from the usual to tell a retry, as a share of it. */
+    /**
+     * The time left must differ from the usual by more than this share of it to show that a try is
+     * a retry.
+     */
     private static final double TIME_LEFT_TOLERANCE = 0.01;
 
     private final BackendTable backends;
 
-    /** By request class: the time that a first try has left when it arrives, in seconds. */
+    /** By request class: the time that a first try has left on arrival, in seconds. */
     private double[] usualSecondsLeft = {};
 
-    /** By request class: how many tries in a row had less than that. */
+    /**
+     * By request class: the number of consecutive tries that had less time left than {@link
+     * #usualSecondsLeft}.
+     */
     private int[] consecutiveShorter = {};
 
-    /** The requests that may be open, the one with the nearest deadline first. */
+    /** The requests that may be open, the one with the earliest deadline first. */
     private final PriorityQueue<Request> openRequests =
             new PriorityQueue<>(Comparator.comparing(request -> request.deadline));
 
@@ -47,7 +57,10 @@
         settingsChanged(List.of());
     }
 
-    /** Other request classes hold; what is known of those at reassigned indexes is forgotten. */
+    /**
+     * Handles a change of the request classes. Discards the state of the classes at reassigned
+     * indexes.
+     */
     void settingsChanged(List<Integer> reassigned) {
         usualSecondsLeft =
                 Arrays.copyOf(usualSecondsLeft, backends.settings.requestClasses().size());
@@ -65,7 +78,8 @@
                 requestClass.latePriorityWeight() > 0
                         ? requestClass.timeoutSeconds()
                         : requestClass.latencyObjectiveSeconds();
-        // Guards against work after the first try's time, which is lost.
+        // Guards against work after the end of the first try's time, when a response has no value
+        // any more.
         double secondsLeft = request.deadline - now;
         double secondsUsed =
                 isClientRetry(request, secondsLeft)
@@ -84,8 +98,9 @@
     }
 
     /**
-     * Whether a request is marked as a retry and its time tells that it shares its first try's.
-     * Clients may stop waiting for a first try sooner than for the next, which then has its own.
+     * Returns whether a request is marked as a retry and its time left shows that it shares the
+     * time of its first try. Clients may stop waiting for a first try earlier than for the retry,
+     * which then has a time of its own.
      */
     private boolean isMarkedRetry(Request request, double secondsLeft) {
         double usual = usualSecondsLeft[request.requestClassIndex];
@@ -97,7 +112,8 @@
     }
 
     /**
-     * Where clients do not mark retries, a try with less time left than others is taken for one.
+     * Returns whether a try looks like a retry because it has less time left than others. For
+     * clients that do not mark retries.
      */
     private boolean looksLikeRetry(int requestClass, double secondsLeft) {
         double usual = usualSecondsLeft[requestClass];
@@ -113,7 +129,10 @@
         return secondsLeft < (1 - TIME_LEFT_TOLERANCE) * usual;
     }
 
-    /** Sends a request through the chain, with nothing in flight, or ends it for lack of time. */
+    /**
+     * Sends a request that has no attempt in flight through the chain, or ends it if it has no time
+     * left.
+     */
     void offerAgain(Request request, double now, Decision decision) {
         if (!request.completed && now < request.attemptDeadline) {
             offer(request, now, decision);
@@ -135,8 +154,8 @@
     }
 
     /**
-     * Ends a request that is still open: as rejected, with a Retry-After, where a retry of the
-     * client is harmless; else as failed. Guards against a second effect by the retry that a
+     * Ends a request that is still open: as rejected, with a Retry-After, if a retry of the client
+     * is harmless, otherwise as failed. Guards against a second effect caused by the retry that a
      * rejection invites.
      */
     @Override
@@ -154,7 +173,7 @@
         }
     }
 
-    /** Nobody waits for the request any more. */
+    /** Ends a request whose client no longer waits for it. */
     void requestAbandoned(Request request, Decision decision) {
         request.completed = true;
         cancelAttempts(request, decision);
@@ -171,7 +190,7 @@
         }
     }
 
-    /** Whatever went wrong, ends what is still open at its deadline. */
+    /** Ends every request that is still open at its deadline, regardless of the cause. */
     void wake(double now, Decision decision) {
         while (wakeAt() <= now) {
             Request request = openRequests.poll();
@@ -181,7 +200,7 @@
         }
     }
 
-    /** The nearest deadline of an open request; infinite where there is none. */
+    /** Returns the earliest deadline of an open request, in seconds; infinite if there is none. */
     double wakeAt() {
         while (!openRequests.isEmpty() && openRequests.peek().completed) {
             openRequests.poll();
--- a/src/main/java/lemondrift/balancer/RetryPolicy.java
+++ b/src/main/java/lemondrift/balancer/RetryPolicy.java
@@ -11,21 +11,24 @@
 import lemondrift.model.RequestTerms;
 
 /**
- * Rule 2: when a request may be attempted again, and where, so that no effect happens twice.
+ * Rule 2: decides whether and where a request may be attempted again, so that no effect happens
+ * twice.
  *
- * <p>A retry is made where all of these hold; else the request ends here or, where no backend is
- * left, in {@link AdmissionControl}:
+ * <p>A retry is made if all of the following conditions hold. Otherwise the request ends here or,
+ * if no backend is left, in {@link AdmissionControl}:
  *
  * <ul>
- *   <li>it has had fewer attempts than its terms allow, or it ends with ATTEMPTS_USED;
- *   <li>the retry budget holds a whole retry, or it ends with RETRY_BUDGET_SPENT. Each first
- *       attempt earns {@link #RETRIES_PER_REQUEST}, up to as many as a request may have attempts,
- *       so that a storm of retries is never of this proxy's making;
+ *   <li>the request has had fewer attempts than its terms allow; otherwise it ends with
+ *       ATTEMPTS_USED;
+ *   <li>the retry budget holds a whole retry; otherwise the request ends with RETRY_BUDGET_SPENT.
+ *       Each first attempt earns {@link #RETRIES_PER_REQUEST} retries, up to as many as a request
+ *       may have attempts, so that this proxy never causes a retry storm;
  *   <li>the backend has not had this request before;
- *   <li>no attempt before may have been executed ({@link AttemptOutcome#neverExecuted}); or the
+ *   <li>no earlier attempt may have been executed ({@link AttemptOutcome#neverExecuted}); or the
  *       request is idempotent; or it carries an idempotency key, the first attempt that may have
  *       been executed is not older than the key's time to live (seconds), and the backend shares
- *       the memory of keys with that attempt's: all do, or those of its location, or of its cell.
+ *       its memory of keys with the backend of that attempt: all backends do, or those of its
+ *       location, or those of its cell.
  * </ul>
  */
 final class RetryPolicy extends DecisionStage {
@@ -43,8 +46,8 @@
     }
 
     /**
-     * Whether a reply may say that the request was rejected, which promises the client that a retry
-     * is harmless.
+     * Returns whether a reply may say that the request was rejected, which promises the client that
+     * a retry is harmless.
      */
     static boolean isClientRetryHarmless(Request request) {
         return request.terms.requestClass().isClientRetryHarmless()
@@ -87,7 +90,10 @@
         return attempt != null;
     }
 
-    /** Whether a backend may execute what another may have executed already. */
+    /**
+     * Returns whether a backend may execute a request that another backend may have executed
+     * already.
+     */
     private boolean mayRepeat(
             RequestClass requestClass, Attempt executed, int backend, double now) {
         if (requestClass.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY) {
@@ -98,7 +104,7 @@
                         requestClass.deduplicationScope(), executed.backend, backend);
     }
 
-    /** Whether two backends recognize the same idempotency keys. */
+    /** Returns whether two backends recognize the same idempotency keys. */
     private boolean shareIdempotencyKeys(DeduplicationScope scope, int backend, int other) {
         return scope == DeduplicationScope.ALL
                 || (backends.endpoint[backend].location() == backends.endpoint[other].location()
--- a/src/main/java/lemondrift/balancer/ServiceTimeEstimator.java
+++ b/src/main/java/lemondrift/balancer/ServiceTimeEstimator.java
@@ -4,50 +4,64 @@
 import lemondrift.model.AttemptOutcome;
 
 /**
- * How long a backend works on one request, and so by how much one request raises its utilization.
+ * Estimates how long a backend works on one request, and therefore by how much one request raises
+ * its utilization.
  *
- * <p>Where load reports carry a request rate, the service time is utilization divided by requests a
- * second, as a mean over all backends and for each alone. Where they carry none, it is taken from
- * the proxy's own attempts: their quick responses for what a request adds, and the time for each
- * request thought to be ahead for how long one waits.
+ * <p>If load reports contain a request rate, the service time is utilization divided by requests
+ * per second, as a mean over all backends and for each backend alone. If they contain none, the
+ * service time is derived from this proxy's own attempts: the time of quick responses gives the
+ * utilization that a request adds, and the time per request estimated to be ahead gives how long a
+ * request waits.
  */
 final class ServiceTimeEstimator {
-    /** A single backend's service time is taken as half to twice the usual one. */
+    /** The service time of a single backend is limited to between half and twice the usual one. */
     private static final double MAX_RATIO = 2;
 
-    /** A service time is taken as the window over this before anything is measured. */
+    /** Before anything is measured, the service time is the window divided by this. */
     private static final double INITIAL_WINDOW_DIVISOR = 16;
 
-    /** The first quick response time is taken as the window over this at the least. */
+    /** The first quick response time is at least the window divided by this. */
     private static final double MIN_WINDOW_DIVISOR = 1000;
 
-    /** The least step of the quick response time upward, as a share of it. */
+    /** The smallest upward step of the quick response time, as a share of it. */
     private static final double MIN_STEP = 0.02;
 
-    /** How many steps up balance one step down: it settles at the lower quartile. */
+    /**
+     * How many upward steps balance one downward step: the quick response time settles at the lower
+     * quartile.
+     */
     private static final double DOWN_STEP_FACTOR = 3;
 
-    /** Over how many outcomes or reports a mean is taken. */
+    /** The number of outcomes or reports that a mean is taken over. */
     private static final double MEAN_OUTCOMES = 8;
 
-    /** The same where reports are stale, or for the mean over all backends. */
+    /**
+     * The number of outcomes that a mean is taken over if reports are stale, and the number of
+     * reports for the mean over all backends.
+     */
     private static final double LONG_MEAN_OUTCOMES = MEAN_OUTCOMES * MEAN_OUTCOMES;
 
     private final BackendTable backends;
 
-    /** A quick response's time, the lower quartile, in seconds. */
+    /** The quick response time: the lower quartile of the response times, in seconds. */
     private double quickResponseSeconds;
 
-    /** Own attempts that succeeded or timed out. */
+    /** The number of this proxy's attempts that succeeded or timed out. */
     private double outcomeCount;
 
-    /** How long an attempt takes for each request ahead of it and itself, in seconds. */
+    /**
+     * The mean duration of an attempt divided by the number of requests ahead of it plus itself, in
+     * seconds.
+     */
     private double secondsPerQueuedRequest;
 
-    /** The mean service time of the backends' reports, in seconds; 0 where they carry no rate. */
+    /**
+     * The mean service time from the reports of all backends, in seconds; 0 if reports contain no
+     * request rate.
+     */
     private double reportedSeconds;
 
-    /** By backend: its reported service time in seconds; 0 where there is none. */
+    /** By backend: the service time from its reports, in seconds; 0 if there is none. */
     private double[] backendSeconds = {};
 
     ServiceTimeEstimator(BackendTable backends) {
@@ -58,22 +72,22 @@
                 backends.settings.loadReports().requestRateField() < 0 ? 0 : quickResponseSeconds;
     }
 
-    /** Makes room for backends that were listed for the first time. */
+    /** Grows the arrays for newly listed backends. */
     void ensureCapacity() {
         if (backendSeconds.length < backends.size) {
             backendSeconds = Arrays.copyOf(backendSeconds, backends.size);
         }
     }
 
-    /** The backend has started anew. */
+    /** Discards the service time of a backend that has restarted. */
     void resetBackend(int backend) {
         backendSeconds[backend] = 0;
     }
 
     /**
-     * A new load report.
+     * Updates the service times from a new load report.
      *
-     * @param requestsPerSecond 0 where the report does not say
+     * @param requestsPerSecond 0 if the report does not contain it
      */
     void loadReported(int backend, double utilization, double requestsPerSecond) {
         double seconds = utilization / requestsPerSecond;
@@ -86,11 +100,11 @@
     }
 
     /**
-     * An own attempt has ended. Time-outs count too: where all backends turn slow, only the
-     * quickest attempts succeed.
+     * Updates the service times from an ended attempt of this proxy. Timed-out attempts count too:
+     * if all backends become slow, only the quickest attempts succeed.
      *
-     * @param queueAhead how many requests were ahead of it at the backend
-     * @param staleReports whether load reports are old when they come
+     * @param queueAhead how many requests were ahead of the attempt at the backend
+     * @param staleReports whether load reports are already old when they arrive
      */
     void attemptEnded(
             AttemptOutcome outcome,
@@ -117,15 +131,18 @@
         }
     }
 
-    /** How long one request takes at a backend, in seconds; more while it warms up. */
+    /**
+     * Returns how long one request takes at a backend, in seconds; more while the backend warms up.
+     */
     double serviceTimeSeconds(int backend, double now) {
         return (reportedSeconds > 0 ? reportedSeconds : secondsPerQueuedRequest)
                 / backends.warmShare(backend, now);
     }
 
     /**
-     * The utilization that one request adds at a backend over a window if all proxies send alike;
-     * at most a whole window's. More at a slow or cold backend, less at a fast one.
+     * Returns the utilization that one request adds at a backend over a window if all proxies send
+     * at the same rate. It is limited to 1, a whole window, before it is scaled up for a slow or
+     * cold backend or down for a fast one.
      */
     double utilizationPerRequest(int backend, double now) {
         double usualSeconds = reportedSeconds > 0 ? reportedSeconds : quickResponseSeconds;
--- a/src/main/java/lemondrift/balancer/SlowStart.java
+++ b/src/main/java/lemondrift/balancer/SlowStart.java
@@ -8,27 +8,31 @@
 import lemondrift.model.ServiceTime;
 
 /**
- * Rule 4: how much a backend gets while it warms up.
+ * Rule 4: limits how many requests a backend receives while it warms up.
  *
  * <p>A backend that has just started has the share of its capacity that {@link
- * BackendTable#warmShare} gives, rising from slowStartMinShare to 1 over slowStartSeconds. It must
- * not be given more than overloadFactor times that within overloadWindowSeconds (all of them
- * settings), by all proxies that use it together. So this proxy's part in one window is, in seconds
- * of a warm backend's work, overloadFactor times warmShare times overloadWindowSeconds divided by
- * the number of those proxies: half of it may go out at once, the other half over the window.
+ * BackendTable#warmShare} returns, which rises from slowStartMinShare to 1 over slowStartSeconds.
+ * All proxies that use the backend must together send it at most overloadFactor times that capacity
+ * within overloadWindowSeconds (all of these are settings). This proxy's part in one window, in
+ * seconds of a warm backend's work, is therefore overloadFactor times warmShare times
+ * overloadWindowSeconds, divided by the number of those proxies. Half of it may be sent at once,
+ * the other half over the window.
  *
- * <p>Each request thus drains after {@link #drainSeconds}, and another may be sent where what has
- * not drained, with it, drains within the window. The undrained work is counted in requests and
- * drains at the present pace, so that what is learnt of the service time holds for it at once.
+ * <p>Each request therefore drains after {@link #drainSeconds}. Another request may be sent if it
+ * drains within the window together with the requests that have not drained yet. The undrained work
+ * is counted in requests and drains at the current rate, so that a new estimate of the service time
+ * applies to it at once.
  */
 final class SlowStart extends DecisionStage {
-    /** A probe's work as a share of a request's. */
+    /** The work of a probe as a share of the work of a request. */
     static final double PROBE_REQUESTS = 0.01;
 
-    /** Over how many responses the service time is a mean. */
+    /** The number of responses that the mean service time is taken over. */
     private static final double MEAN_RESPONSES = 50;
 
-    /** As how many own responses those of other proxies count at the most. */
+    /**
+     * The service time from other proxies counts as at most this many of this proxy's responses.
+     */
     private static final double MAX_SEED_RESPONSES = 8;
 
     private final BackendTable backends;
@@ -36,17 +40,17 @@
     private final DeterministicRandom random;
 
     /**
-     * The mean response time of a warm backend, in seconds: it holds some waiting, so that as the
-     * work of a request it is never too little.
+     * The mean response time of a warm backend, in seconds. It includes some waiting, so that it
+     * never underestimates the work of a request.
      */
     private double responseSeconds;
 
     private double responses;
 
-    /** What is supposed of the service time before there are responses, in seconds. */
+    /** The service time that is assumed before there are responses, in seconds. */
     private double seedSeconds;
 
-    /** As how many responses the seed counts. */
+    /** The number of responses that {@link #seedSeconds} counts as. */
     private double seedResponses = 1;
 
     /** By backend: this proxy's requests that had not drained at {@link #undrainedAt}. */
@@ -61,7 +65,7 @@
         seedSeconds = backends.windowSeconds / 2;
     }
 
-    /** Makes room for backends that were listed for the first time. */
+    /** Grows the arrays for newly listed backends. */
     void ensureCapacity() {
         if (undrainedRequests.length < backends.size) {
             undrainedRequests = Arrays.copyOf(undrainedRequests, backends.size);
@@ -70,9 +74,9 @@
     }
 
     /**
-     * A backend has started. Where one request takes longer than the window to drain, the first may
-     * go at a random time within that: one request of each of hundreds of proxies at once would
-     * spend the budget many times.
+     * Handles the start of a backend. If one request takes longer than the window to drain, the
+     * first request may be sent at a random time within its drain time: one request from each of
+     * hundreds of proxies at once would use up the budget many times over.
      */
     void backendStarted(int backend, double now) {
         double windowShare =
@@ -86,7 +90,11 @@
         return hasBudget(backend, now) && super.isBackendEligible(request, backend, now);
     }
 
-    /** Whether one more request drains within the window; always where the backend is warm. */
+    /**
+     * Returns whether the backend may receive one more request: if it is warm, if no earlier
+     * request is undrained, or if the request drains within the window together with the undrained
+     * ones.
+     */
     private boolean hasBudget(int backend, double now) {
         return backends.warmShare(backend, now) == 1
                 || updateUndrainedRequests(backend, now) == 0
@@ -94,7 +102,7 @@
                         <= backends.settings.rules().overloadWindowSeconds();
     }
 
-    /** This proxy's requests that have not drained by now. */
+    /** Updates and returns the number of this proxy's requests that have not drained by now. */
     private double updateUndrainedRequests(int backend, double now) {
         undrainedRequests[backend] =
                 Math.max(
@@ -107,8 +115,8 @@
     }
 
     /**
-     * How long one request takes to drain, in seconds, at half of this proxy's part of what the
-     * backend bears.
+     * Returns how long one request takes to drain, in seconds, at half of this proxy's part of the
+     * load that the backend can take.
      */
     private double drainSeconds(int backend, double now) {
         double sharingProxies =
@@ -127,7 +135,7 @@
                 / backends.warmShare(backend, now);
     }
 
-    /** So many requests were sent there; a probe is a part of one. */
+    /** Counts requests that were sent to a backend; a probe counts as a fraction of a request. */
     void requestsSent(int backend, double requests, double now) {
         undrainedRequests[backend] = updateUndrainedRequests(backend, now) + requests;
     }
@@ -140,7 +148,8 @@
             double now,
             Decision decision) {
         if (outcome == AttemptOutcome.SUCCESS) {
-            // Guards against a proxy that has just started and knows responses of cold ones alone.
+            // Guards against a proxy that has just started and has seen only responses of cold
+            // backends.
             double warmSeconds = durationSeconds * backends.warmShare(attempt.backend, now);
             responseSeconds +=
                     (warmSeconds - responseSeconds) / Math.min(MEAN_RESPONSES, ++responses);
@@ -148,13 +157,16 @@
         super.attemptEnded(attempt, outcome, durationSeconds, now, decision);
     }
 
-    /** What other proxies have measured; it counts until own responses outweigh it. */
+    /**
+     * Sets the service time that other proxies have measured. It counts until this proxy's own
+     * responses outweigh it.
+     */
     void seedServiceTime(double serviceSeconds, double samples) {
         seedSeconds = serviceSeconds;
         seedResponses = Math.min(samples, MAX_SEED_RESPONSES);
     }
 
-    /** What this proxy has measured. */
+    /** Returns the service time that this proxy has measured. */
     ServiceTime measuredServiceTime() {
         return new ServiceTime(responseSeconds, responses);
     }
--- a/src/main/java/lemondrift/balancer/UtilizationEstimator.java
+++ b/src/main/java/lemondrift/balancer/UtilizationEstimator.java
@@ -4,18 +4,18 @@
 import lemondrift.model.Settings;
 
 /**
- * The estimated utilization of each backend, by which the selector chooses (Salem, Wong and
- * Bochmann, "Least Utilization"): the last load report, plus what this proxy has sent there since,
- * times the utilization that one request adds. 1 is busy all the time, and each request waiting
- * beyond that adds to it.
+ * Estimates the utilization of each backend, by which the selector chooses (Salem, Wong and
+ * Bochmann, "Least Utilization"): the utilization of the last load report, plus the number of
+ * requests that this proxy has sent there since then times the utilization that one request adds. A
+ * backend with utilization 1 is busy all the time, and each waiting request adds to that.
  *
- * <p>A report loses freshness with age (1 when it comes, then exponentially towards 0). As far as
- * it has, the mean of the reports heard lately stands in for it, and the attempts in flight for
- * those sent since. Where other proxies gossip of what they have in flight, that counts like own
- * attempts.
+ * <p>A report loses freshness with age: freshness is 1 when the report arrives and then decays
+ * exponentially towards 0. To the degree that the report has lost freshness, the mean of the recent
+ * reports replaces it, and the attempts in flight replace the attempts sent since the report. If
+ * other proxies gossip about their requests in flight, these count like this proxy's own attempts.
  *
- * <p>Reports are called stale where the backends renew them so seldom that they are old when they
- * come; that is seen from reports that repeat the one before.
+ * <p>Reports are called stale if the backends renew them so rarely that they are old when they
+ * arrive. This is detected from reports that repeat the previous one.
  */
 final class UtilizationEstimator {
     /** How many backends are probed in one round. */
@@ -24,51 +24,54 @@
     /** How many rounds of probes one attempt may wait for. */
     static final int MAX_PROBE_ROUNDS = 4;
 
-    /** Over which part of a window a report loses freshness where it can be renewed. */
+    /** The time constant with which a renewable report loses freshness, in windows. */
     private static final double FRESHNESS_WINDOWS = 0.125;
 
-    /** What the probes of a request may cost, as a share of a request. */
+    /** The highest cost of the probes for one request, as a share of a request. */
     private static final double MAX_PROBE_COST = 0.03;
 
-    /** Over how many repeated reports the repetition time rises. */
+    /** The number of repeated reports over which the repeat time rises. */
     private static final double REPEATS_TO_RISE = 8;
 
-    /** Over how many new reports it falls. */
+    /** The number of new reports over which the repeat time falls. */
     private static final double REPORTS_TO_FALL = 4;
 
-    /** What the mean of no report is, counted as one. */
+    /** The mean load before there are reports; it counts as one report. */
     private static final double INITIAL_MEAN_LOAD = 0.5;
 
-    /** Whether other proxies tell what they have in flight. */
+    /** Whether other proxies report their requests in flight. */
     boolean gossipActive;
 
-    /** By backend: what other proxies have in flight there. */
+    /** By backend: the requests that other proxies have in flight there. */
     double[] peerInFlight = {};
 
     private final BackendTable backends;
     private final ServiceTimeEstimator serviceTimes;
 
-    /** How long backends repeat a report, in seconds. */
+    /** How long backends repeat the same report, in seconds. */
     private double repeatSeconds;
 
-    /** The busyness and the number of the reports heard lately. */
+    /** The sum of the loads in recent reports; {@link #recentReports} is their number. */
     private final DecayingSum recentLoad = new DecayingSum();
 
     private final DecayingSum recentReports = new DecayingSum();
 
-    /** By backend: the utilization of the last report with the work of the requests it holds. */
+    /**
+     * By backend: the load in the last report, which is the reported utilization plus the
+     * utilization that the reported requests in flight add.
+     */
     private double[] reportedLoad = {};
 
     /** By backend: the utilization of the last report alone; 1 after a failed attempt. */
     private double[] reportedUtilization = {};
 
-    /** By backend: the requests in flight of the last report. */
+    /** By backend: the requests in flight according to the last report. */
     private double[] reportedInFlight = {};
 
-    /** By backend: when the last report came, in seconds; 0 where none has. */
+    /** By backend: when the last report arrived, in seconds; 0 if there was none. */
     private double[] reportedAt = {};
 
-    /** By backend: own attempts sent since the last report. */
+    /** By backend: this proxy's attempts sent since the last report. */
     private double[] sentSinceReport = {};
 
     UtilizationEstimator(BackendTable backends, ServiceTimeEstimator serviceTimes) {
@@ -76,7 +79,7 @@
         this.serviceTimes = serviceTimes;
     }
 
-    /** Makes room for backends that were listed for the first time. */
+    /** Grows the arrays for newly listed backends. */
     void ensureCapacity() {
         if (reportedAt.length == backends.size) {
             return;
@@ -89,14 +92,17 @@
         peerInFlight = Arrays.copyOf(peerInFlight, backends.size);
     }
 
-    /** The backend has started anew: nothing that was known of it holds. */
+    /** Discards the state of a backend that has restarted. */
     void resetBackend(int backend) {
         reportedAt[backend] = 0;
         sentSinceReport[backend] = 0;
         peerInFlight[backend] = 0;
     }
 
-    /** How many rounds of probes an attempt may wait for; 0 where none is worth its cost. */
+    /**
+     * Returns how many rounds of probes an attempt may wait for; 0 if reports are stale or a probe
+     * is not worth its cost.
+     */
     int probeRounds() {
         return reportsAreStale()
                 ? 0
@@ -106,19 +112,28 @@
                                 MAX_PROBE_COST / PROBES_PER_ROUND / backends.settings.probeCost());
     }
 
-    /** Whether backends renew their reports so seldom that they are old when they come. */
+    /**
+     * Returns whether backends renew their reports so rarely that the reports are old when they
+     * arrive.
+     */
     boolean reportsAreStale() {
         return repeatSeconds > FRESHNESS_WINDOWS * backends.windowSeconds;
     }
 
-    /** Over how many seconds a report loses freshness: until the next where none can be probed. */
+    /**
+     * Returns the time constant with which a report loses freshness, in seconds. It is longer if
+     * backends cannot be probed, because a report must then count until the next one arrives.
+     */
     private double freshnessSeconds() {
         return reportsAreStale() || probeRounds() > 0
                 ? FRESHNESS_WINDOWS * backends.windowSeconds
                 : backends.memorySeconds;
     }
 
-    /** How far the last report of a backend still counts: 1 when it comes, 0 without one. */
+    /**
+     * Returns how much the last report of a backend still counts: 1 when it arrives, 0 if there is
+     * none.
+     */
     double freshness(int backend, double now) {
         return reportedAt[backend] == 0
                 ? 0
@@ -126,17 +141,18 @@
     }
 
     /**
-     * Hears a load report; one that is missing, negative or no number is ignored.
+     * Handles a load report. Ignores a report that is missing, negative or not a number.
      *
-     * @param succeeded whether the attempt or probe that it came with did
-     * @param withAttempt whether it came with an attempt's response, not a probe's
+     * @param succeeded whether the attempt or probe that the report came with succeeded
+     * @param withAttempt whether the report came with the response to an attempt, not to a probe
      */
     void loadReported(
             int backend, double[] loadReport, boolean succeeded, boolean withAttempt, double now) {
         Settings.LoadReports fields = backends.settings.loadReports();
         double utilization =
                 Settings.LoadReports.fieldOrZero(loadReport, fields.utilizationField());
-        // Guards against an idle backend that looks busy with the request just answered.
+        // Guards against an idle backend that looks busy because its report counts the request just
+        // answered.
         double answeredRequests =
                 fields.countsAnsweredRequest() && withAttempt && succeeded ? 1 : 0;
         double inFlight =
@@ -147,7 +163,8 @@
         if (loadReport == null || !(utilization + inFlight >= 0)) {
             return;
         }
-        // Guards against a herd: a repeated report says nothing new, so what was sent still counts.
+        // Guards against herding: a repeated report contains nothing new, so the attempts sent
+        // since the first one still count.
         if (isRepeated(backend, utilization, inFlight, succeeded)) {
             repeatSeconds +=
                     Math.max(0, now - reportedAt[backend] - repeatSeconds) / REPEATS_TO_RISE;
@@ -178,7 +195,8 @@
         double load = utilization + inFlight * serviceTimes.utilizationPerRequest(backend, now);
         reportedUtilization[backend] = succeeded ? utilization : 1;
         reportedInFlight[backend] = inFlight;
-        // Guards against a backend that fails fast, reports the least and draws all requests.
+        // Guards against a backend that fails fast, reports the lowest load and attracts all
+        // requests.
         reportedLoad[backend] = succeeded ? load : Math.max(load, meanReportedLoad(now));
         reportedAt[backend] = now;
         sentSinceReport[backend] = 0;
@@ -192,25 +210,28 @@
         return (INITIAL_MEAN_LOAD + recentLoad.value(now)) / (1 + recentReports.value(now));
     }
 
-    /** The requests in flight of a backend's last report. */
+    /** Returns the requests in flight according to a backend's last report. */
     double reportedInFlight(int backend) {
         return reportedInFlight[backend];
     }
 
-    /** Whether other proxies tell what they have in flight at a backend. */
+    /** Returns whether other proxies report their requests in flight at a backend. */
     boolean hasGossip(int backend) {
         return gossipActive && backends.endpoint[backend].userShare() > 0;
     }
 
-    /** The estimated utilization of a backend; 1 and above is busy all the time. */
+    /**
+     * Returns the estimated utilization of a backend; at 1 and above the backend is busy all the
+     * time.
+     */
     double estimate(int backend, double now) {
         double freshness = freshness(backend, now);
         double mean = meanReportedLoad(now);
         double base;
         double requests;
         if (gossipActive) {
-            // Gossip counts what is in flight, so of the report only what it says beyond that is
-            // added.
+            // Gossip counts the requests in flight, so the report adds only the requests beyond
+            // that count.
             requests =
                     Math.max(
                             backends.inFlight[backend] + peerInFlight[backend],
@@ -223,18 +244,23 @@
                             + (1 - freshness) * backends.inFlight[backend];
             base = mean + freshness * (reportedLoad[backend] - mean);
         }
-        // Guards against a cold backend that reports near nothing and draws more than it bears.
+        // Guards against a cold backend that reports almost no load and attracts more than it can
+        // take.
         return (backends.warmShare(backend, now) < 1 ? Math.max(base, mean) : base)
                 + requests * serviceTimes.utilizationPerRequest(backend, now);
     }
 
-    /** So many attempts more were sent; fewer where a shadow's own was not made. */
+    /**
+     * Counts sent attempts.
+     *
+     * @param attempts negative to take back attempts of a shadow that were not made
+     */
     void attemptsSent(int backend, int attempts) {
         sentSinceReport[backend] = Math.max(0, sentSinceReport[backend] + attempts);
         backends.inFlight[backend] += attempts;
     }
 
-    /** An own attempt has ended. */
+    /** Removes an ended attempt of this proxy from those in flight. */
     void attemptEnded(int backend) {
         backends.inFlight[backend]--;
     }
--- a/src/main/java/lemondrift/balancer/WaitEstimator.java
+++ b/src/main/java/lemondrift/balancer/WaitEstimator.java
@@ -4,41 +4,44 @@
 import lemondrift.model.AttemptOutcome;
 
 /**
- * How long a request would wait at a backend before work on it begins, in seconds.
+ * Estimates how long a request would wait at a backend before work on it begins, in seconds.
  *
- * <p>Where load reports are fresh, it is the estimated utilization above 1, in requests, times the
- * service time. As far as the report has lost freshness and no gossip stands in for it, the mean
- * wait that own attempts met lately counts at least. Where reports are stale, it is the wait that
- * own attempts meet now, by Little's law: those in flight divided by those sent a second, less the
- * service time.
+ * <p>If load reports are fresh, the wait is the estimated utilization above 1, in requests, times
+ * the service time. To the degree that a report has lost freshness, and unless gossip replaces it,
+ * the mean wait that this proxy's attempts recently met is a lower bound. If reports are stale, the
+ * wait is the one that this proxy's attempts meet now, by Little's law: attempts in flight divided
+ * by attempts sent per second, minus the service time.
  */
 final class WaitEstimator {
-    /** Over how many windows waits count where reports are stale. */
+    /** The number of windows over which waits count if reports are stale. */
     private static final double STALE_WINDOWS = 2;
 
-    /** The least number of outcomes over which the observed wait is a mean: none decides alone. */
+    /**
+     * The least number of outcomes that the observed wait is a mean of, so that no single outcome
+     * decides.
+     */
     private static final double MIN_MEAN_OUTCOMES = 4;
 
-    /** As how many attempts the observed wait counts beside those in flight. */
+    /** The number of attempts that the observed wait counts as, in addition to those in flight. */
     private static final double OBSERVED_ATTEMPTS = 8;
 
-    /** Keeps the share of time since the first question above 0. */
+    /** Keeps the share of time since the first query above 0. */
     private static final double TINY_SHARE = 1e-9;
 
-    /** Own attempts a second. */
+    /** This proxy's attempts per second. */
     final DecayingSum ownRate = new DecayingSum();
 
     private final BackendTable backends;
     private final UtilizationEstimator estimator;
     private final ServiceTimeEstimator serviceTimes;
 
-    /** The mean wait that own attempts met lately, in seconds. */
+    /** The mean wait that this proxy's attempts recently met, in seconds. */
     private final DecayingSum observedWait = new DecayingSum();
 
-    /** Own attempts in flight at all backends. */
+    /** This proxy's attempts in flight at all backends. */
     private double inFlight;
 
-    /** When the wait of own attempts was first asked for, in seconds; 0 before. */
+    /** When the wait of this proxy's attempts was first queried, in seconds; 0 before. */
     private double firstAskedAt;
 
     WaitEstimator(
@@ -56,7 +59,7 @@
         observedWait.timeConstantSeconds = backends.memorySeconds;
     }
 
-    /** The wait to expect at a backend. */
+    /** Returns the expected wait at a backend, in seconds. */
     double expectedWait(int backend, double now) {
         if (estimator.reportsAreStale()) {
             return expectedWaitFromAttempts(backend, now);
@@ -68,21 +71,20 @@
         return Math.max(observed, expectedWaitFromUtilization(backend, now));
     }
 
-    /** The wait to expect by a backend's estimated utilization alone. */
+    /** Returns the wait expected from a backend's estimated utilization alone, in seconds. */
     double expectedWaitFromUtilization(int backend, double now) {
         return Math.max(0, estimator.estimate(backend, now) - 1)
                 / serviceTimes.utilizationPerRequest(backend, now)
                 * serviceTimes.serviceTimeSeconds(backend, now);
     }
 
-    /** The wait that own attempts meet now, by Little's law. */
+    /** Returns the wait that this proxy's attempts meet now, by Little's law, in seconds. */
     private double expectedWaitFromAttempts(int backend, double now) {
         firstAskedAt = firstAskedAt == 0 ? now : firstAskedAt;
         double elapsedShare = 1 - Math.exp((firstAskedAt - now) / backends.memorySeconds);
         double rate = ownRate.value(now) / (elapsedShare + TINY_SHARE);
         double serviceSeconds = serviceTimes.serviceTimeSeconds(backend, now);
-        // Guards against one attempt in flight at a proxy with little traffic that looks like a
-        // jam.
+        // Guards against one attempt in flight at a proxy with little traffic looking like a queue.
         return Math.max(
                 0,
                 (inFlight + OBSERVED_ATTEMPTS)
@@ -92,13 +94,20 @@
                         - serviceSeconds);
     }
 
-    /** So many attempts more were sent; fewer where a shadow's own was not made. */
+    /**
+     * Counts sent attempts.
+     *
+     * @param attempts negative to take back attempts of a shadow that were not made
+     */
     void attemptsSent(int attempts, double now) {
         inFlight += attempts;
         ownRate.add(attempts / backends.memorySeconds, now);
     }
 
-    /** An own attempt has ended; what it met counts where the backend was reached or refused. */
+    /**
+     * Handles the end of an attempt of this proxy. Its wait counts if the attempt succeeded, timed
+     * out, was rejected as overloaded or could not connect.
+     */
     void attemptEnded(Attempt attempt, AttemptOutcome outcome, double durationSeconds, double now) {
         inFlight--;
         if (outcome == AttemptOutcome.SUCCESS
@@ -106,7 +115,8 @@
                 || (outcome.neverExecuted && outcome != AttemptOutcome.NOT_SENT)) {
             double wait = measureWait(attempt.backend, outcome, durationSeconds, now);
             double recentSeconds = STALE_WINDOWS * backends.windowSeconds;
-            // It fades sooner where no report shows that a jam is over.
+            // The wait decays faster if reports are stale, because then no report shows that an
+            // overload is over.
             observedWait.timeConstantSeconds =
                     estimator.reportsAreStale() ? recentSeconds : backends.memorySeconds;
             observedWait.add(
