--- a/src/main/java/lemondrift/buffer/BodyBufferBudget.java
+++ b/src/main/java/lemondrift/buffer/BodyBufferBudget.java
@@ -1,8 +1,9 @@
 package lemondrift.buffer;
 
 /**
- * The memory for buffered request bodies. A request whose body is buffered whole can be sent again,
- * and a slow client keeps no backend waiting; a body that exceeds the budget is streamed.
+ * The memory budget for buffered request bodies. A request whose whole body is buffered can be sent
+ * again, and a slow client does not keep a backend waiting. A body that exceeds the budget is
+ * streamed.
  */
 public final class BodyBufferBudget {
     private final int maxBodyBytes;
@@ -10,19 +11,26 @@
     private long bufferedBytes;
 
     /**
-     * An unused budget.
+     * Creates an unused budget.
      *
-     * @throws IllegalArgumentException if a bound is below 0
+     * @throws IllegalArgumentException if a limit is below 0
      */
     public BodyBufferBudget(int maxBodyBytes, long maxTotalBytes) {
         if (maxBodyBytes < 0 || maxTotalBytes < 0) {
-            throw new IllegalArgumentException("bounds of buffered bodies below zero");
+            throw new IllegalArgumentException(
+                    "limits of buffered bodies must not be negative: maxBodyBytes "
+                            + maxBodyBytes
+                            + ", maxTotalBytes "
+                            + maxTotalBytes);
         }
         this.maxBodyBytes = maxBodyBytes;
         this.maxTotalBytes = maxTotalBytes;
     }
 
-    /** Sets another bound of all bodies; what is buffered already may exceed it for a while. */
+    /**
+     * Sets a new limit for all bodies together. Bytes that are buffered already may exceed it for a
+     * while.
+     */
     public void setMaxTotalBytes(long bytes) {
         maxTotalBytes = bytes;
     }
@@ -30,8 +38,8 @@
     /**
      * Reserves more bytes for a body.
      *
-     * @param bodyBytes what is reserved for the body already
-     * @return false, with nothing reserved, where a bound would be exceeded
+     * @param bodyBytes the number of bytes already reserved for the body
+     * @return false, with nothing reserved, if a limit would be exceeded
      */
     public boolean tryReserve(int bodyBytes, int moreBytes) {
         if (moreBytes > maxBodyBytes - bodyBytes || moreBytes > maxTotalBytes - bufferedBytes) {
@@ -41,7 +49,7 @@
         return true;
     }
 
-    /** Bytes that were reserved are not buffered any more. */
+    /** Releases reserved bytes that are no longer buffered. */
     public void release(int bytes) {
         bufferedBytes -= bytes;
     }
--- a/src/main/java/lemondrift/model/Attempt.java
+++ b/src/main/java/lemondrift/model/Attempt.java
@@ -7,7 +7,7 @@
     /** The index of the backend. */
     public final int backend;
 
-    /** How many attempts the request had before this one; above 0 it is a retry. */
+    /** The number of attempts of the request before this one; above 0 for a retry. */
     public final int index;
 
     public final double sentAt;
@@ -15,16 +15,16 @@
     /** How long the backend may take, counted from {@link #sentAt}. */
     public final double timeoutSeconds;
 
-    /** How many requests were thought to be ahead of it at the backend. */
+    /** The estimated number of requests that were ahead of it at the backend. */
     public final double queueAhead;
 
-    /** The attempt made before this one for the same request; null for the first. */
+    /** The previous attempt of the same request; null for the first. */
     public final Attempt previous;
 
-    /** Whether its end has been heard. */
+    /** Whether the balancer has handled its end. */
     public boolean ended;
 
-    /** The next attempt of a request; the request does not count it yet. */
+    /** Creates the next attempt of a request. Does not change the request's own counts. */
     public Attempt(
             Request request, int backend, double sentAt, double timeoutSeconds, double queueAhead) {
         this.request = request;
--- a/src/main/java/lemondrift/model/Decision.java
+++ b/src/main/java/lemondrift/model/Decision.java
@@ -3,22 +3,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one call to the decisions asks for. It is reused: carry it out before the next call. */
+/**
+ * The actions that one call to the balancer asks for. The object is reused: carry it out before the
+ * next call.
+ */
 public final class Decision {
     /**
      * A final answer by the proxy itself.
      *
-     * @param rejected whether it tells the client that a retry is harmless; else the request failed
-     *     and nothing is promised
-     * @param retryAfterSeconds when a retry makes sense; 0 where that is not known
+     * @param rejected whether it tells the client that a retry is harmless; otherwise the request
+     *     failed and nothing is promised
+     * @param retryAfterSeconds after how many seconds a retry makes sense; 0 if that is not known
      */
     public record LocalReply(Request request, boolean rejected, double retryAfterSeconds) {}
 
-    /** How the endpoint list is asked for. */
+    /** How the endpoint list is requested. */
     public enum EndpointListCall {
         /** The whole list, answered at once. */
         FULL,
-        /** The next change, answered when there is one. */
+        /** The next change, answered when it happens. */
         WATCH
     }
 
@@ -34,16 +37,19 @@
     /** Backends to be asked for a load report. */
     public final List<Integer> probes = new ArrayList<>();
 
-    /** Calls to be made for the endpoint list. */
+    /** Requests to be sent for the endpoint list. */
     public final List<EndpointListCall> endpointListCalls = new ArrayList<>();
 
     /** Lines for the log. */
     public final List<String> logMessages = new ArrayList<>();
 
-    /** When to wake the decisions next; it replaces the time asked for before. */
+    /**
+     * When to wake the balancer next, in seconds; replaces any earlier wake-up time. Infinite if it
+     * need not be woken.
+     */
     public double wakeAt = Double.POSITIVE_INFINITY;
 
-    /** Empties it for the next call. */
+    /** Removes all actions and the wake-up time. */
     public void clear() {
         localReplies.clear();
         attempts.clear();
--- a/src/main/java/lemondrift/model/DeduplicationScope.java
+++ b/src/main/java/lemondrift/model/DeduplicationScope.java
@@ -4,8 +4,8 @@
 public enum DeduplicationScope {
     /** All backends. */
     ALL,
-    /** Those of its location. */
+    /** The backends of its location. */
     LOCATION,
-    /** Those of its location and cell. */
+    /** The backends of its location and cell. */
     CELL
 }
--- a/src/main/java/lemondrift/model/EndpointUpdate.java
+++ b/src/main/java/lemondrift/model/EndpointUpdate.java
@@ -1,19 +1,19 @@
 package lemondrift.model;
 
 /**
- * One backend as an endpoint list gives it.
+ * One backend as given in an endpoint list.
  *
- * @param backend its index
- * @param newBackend whether the index did not stand for it before, so that nothing known of the
- *     index holds
- * @param location its zone
- * @param cell its cell, within the zone
- * @param startedAt when it started, in seconds; 0 where that is long ago or not known
- * @param weight its capacity relative to the others'; positive
- * @param subsetScore what this proxy has drawn for it (0 to 1): a proxy uses the backends of its
- *     lowest scores; 0 where none was drawn
- * @param userShare the share (0 to 1) of the proxies that use it, this one among them; 0 where this
- *     one does not or that is not known
+ * @param backend the index of the backend
+ * @param newBackend whether the index did not stand for this backend before, so that earlier state
+ *     of the index does not apply
+ * @param location the index of its zone
+ * @param cell its cell within the zone
+ * @param startedAt when it started, in seconds; 0 if that is long ago or not known
+ * @param weight its capacity relative to the other backends; positive
+ * @param subsetScore its score (0 to 1) at this proxy: a proxy uses the backends with its lowest
+ *     scores; 0 if it has no score
+ * @param userShare the share (0 to 1) of the proxies that use it, including this one; 0 if this
+ *     proxy does not use it or the share is not known
  */
 public record EndpointUpdate(
         int backend,
@@ -27,20 +27,23 @@
         double userShare) {
     /** Whether a backend may be given requests. */
     public enum State {
-        /** It takes new requests. */
+        /** The backend takes new requests. */
         READY,
-        /** It finishes what it has and takes nothing new. */
+        /** The backend finishes the requests that it has and takes no new ones. */
         DRAINING,
-        /** It is no longer there. */
+        /** The backend no longer exists. */
         GONE
     }
 
-    /** Guards against service times of none: a weight that is no positive number counts as 1. */
+    /**
+     * Replaces a weight that is not a positive finite number with 1. Guards against unusable
+     * service times.
+     */
     public EndpointUpdate {
         weight = weight > 0 && weight < Double.POSITIVE_INFINITY ? weight : 1;
     }
 
-    /** One without a subset score. */
+    /** Creates an update without a subset score. */
     public EndpointUpdate(
             int backend,
             boolean newBackend,
@@ -52,7 +55,7 @@
         this(backend, newBackend, location, cell, state, startedAt, weight, 0, 0);
     }
 
-    /** One without a subset score or weight. */
+    /** Creates an update without a subset score and with weight 1. */
     public EndpointUpdate(
             int backend,
             boolean newBackend,
@@ -63,7 +66,7 @@
         this(backend, newBackend, location, cell, state, startedAt, 1);
     }
 
-    /** The same, with weight 1 where weights do not count. */
+    /** Returns this update, with weight 1 if weights do not count. */
     public EndpointUpdate withWeightIf(boolean weightsCount) {
         return weightsCount
                 ? this
@@ -79,7 +82,9 @@
                         userShare);
     }
 
-    /** The same with a subset score and the share of the proxies that use it. */
+    /**
+     * Returns this update with a subset score and the share of the proxies that use the backend.
+     */
     public EndpointUpdate withSubset(double subsetScore, double userShare) {
         return new EndpointUpdate(
                 backend,
@@ -93,7 +98,7 @@
                 userShare);
     }
 
-    /** The same, at an index where it stood before. */
+    /** Returns this update, marked as one for a backend that its index already stood for. */
     public EndpointUpdate asKnownBackend() {
         return new EndpointUpdate(
                 backend, false, location, cell, state, startedAt, weight, subsetScore, userShare);
--- a/src/main/java/lemondrift/model/FailureReason.java
+++ b/src/main/java/lemondrift/model/FailureReason.java
@@ -1,27 +1,31 @@
 package lemondrift.model;
 
 /**
- * Why a request was rejected or failed instead of being answered by a backend; the log names it.
+ * Why a request was rejected or failed instead of being answered by a backend; the log contains
+ * this name.
  */
 public enum FailureReason {
     /** Its attempt deadline had passed before another attempt could be made. */
     NO_TIME_LEFT,
     /** It was still open when its client stopped waiting. */
     EXPIRED,
-    /** The wait to expect was longer than its priority and its time left allow. */
+    /** The expected wait was longer than the request's priority and remaining time allow. */
     WAIT_TOO_LONG,
-    /** No backend may take it, and none has had it. */
+    /** No backend is eligible for the request, and none has had it. */
     NO_BACKEND,
-    /** No backend may have this retry: those that may take requests have had it, or may not. */
+    /**
+     * No backend is eligible for this retry: those that take requests have had it or must not
+     * execute it again.
+     */
     NO_BACKEND_FOR_RETRY,
-    /** It has had all attempts that are allowed. */
+    /** It has had as many attempts as it is allowed. */
     ATTEMPTS_USED,
-    /** Retries have had their share of the traffic. */
+    /** The retry budget is spent: retries have reached their share of the traffic. */
     RETRY_BUDGET_SPENT,
-    /** The process shuts down. */
+    /** The process is shutting down. */
     SHUTDOWN,
-    /** The decisions had not answered it by its deadline, so the client's side did. */
+    /** The balancer had not answered it by its deadline, so the client side of the proxy did. */
     OVERDUE,
-    /** A decision about it threw an exception, which the log has. */
+    /** A decision about it threw an exception, which is in the log. */
     INTERNAL_ERROR
 }
--- a/src/main/java/lemondrift/model/Request.java
+++ b/src/main/java/lemondrift/model/Request.java
@@ -1,11 +1,11 @@
 package lemondrift.model;
 
 /**
- * One request that a proxy has accepted and must answer. What is not final is the decisions' own
- * state of it.
+ * One request that a proxy has accepted and must answer. The fields that are not final hold the
+ * balancer's state of the request.
  */
 public final class Request {
-    /** In {@link #bestBackend}: no backend may take the request. */
+    /** In {@link #bestBackend}: no backend is eligible for the request. */
     public static final int NO_BACKEND = -1;
 
     public final long id;
@@ -18,13 +18,16 @@
 
     public final double arrivedAt;
 
-    /** When its client stops waiting. */
+    /** When its client stops waiting, in seconds. */
     public final double deadline;
 
-    /** Whether its client says that this is not its first try. */
+    /** Whether its client marked it as a retry. */
     public final boolean markedRetry;
 
-    /** What it arrived under; set by whoever read it, or when it arrives. */
+    /**
+     * The terms under which it arrived. Set by the code that read the request, otherwise by the
+     * balancer on arrival.
+     */
     public RequestTerms terms;
 
     /** Whether it has its final answer or its client has left. */
@@ -33,41 +36,41 @@
     /** Whether the first bytes of a response have gone to the client. */
     public boolean responseStarted;
 
-    /** How many attempts were made. */
+    /** The number of attempts made. */
     public int attemptCount;
 
-    /** How many of them have not ended. */
+    /** The number of attempts that have not ended. */
     public int attemptsInFlight;
 
-    /** The first attempt that may have been executed; null where none may. */
+    /** The first attempt that may have been executed; null if there is none. */
     public Attempt possiblyExecuted;
 
     /** The latest attempt; null before the first. */
     public Attempt latestAttempt;
 
-    /** After this no attempt is made, and attempts in flight time out. */
+    /** The time in seconds after which no attempt is made and attempts in flight time out. */
     public double attemptDeadline;
 
-    /** The backend of the lowest estimate, or {@link #NO_BACKEND}. */
+    /** The backend with the lowest estimate, or {@link #NO_BACKEND}. */
     public int bestBackend;
 
-    /** The backends last probed for its sake. */
+    /** The backends last probed for this request. */
     public int[] probedBackends;
 
-    /** Until when it waits for those probes. */
+    /** Until when it waits for the answers to those probes, in seconds. */
     public double probeWaitUntil;
 
-    /** How many rounds of probes the next attempt has waited for. */
+    /** The number of rounds of probes that the next attempt has waited for. */
     public int probeRounds;
 
-    /** How often backends outside the subset were drawn for the next attempt. */
+    /** The number of times that backends outside the subset were drawn for the next attempt. */
     public int subsetRedraws;
 
-    /** Why it was rejected or failed; null where it was not. */
+    /** Why it was rejected or failed; null if it was not. */
     public FailureReason failureReason;
 
     /**
-     * One that is not marked as a retry.
+     * Creates a request that is not marked as a retry.
      *
      * @param secondsLeft how long its client waits, counted from its arrival
      */
@@ -76,7 +79,7 @@
     }
 
     /**
-     * A request that has just arrived.
+     * Creates a request that has just arrived.
      *
      * @param secondsLeft how long its client waits, counted from its arrival
      */
--- a/src/main/java/lemondrift/model/RequestClass.java
+++ b/src/main/java/lemondrift/model/RequestClass.java
@@ -1,15 +1,15 @@
 package lemondrift.model;
 
 /**
- * What the settings say of the requests of one class.
+ * The settings of one class of requests.
  *
- * @param priorityWeight what a response in time is worth
- * @param latePriorityWeight what one after the latency objective is worth; 0 where nothing
- * @param latencyObjectiveSeconds within which a response is in time
- * @param timeoutSeconds for which a client waits
+ * @param priorityWeight the value of a response within the latency objective
+ * @param latePriorityWeight the value of a response after the latency objective; 0 if it has none
+ * @param latencyObjectiveSeconds the time within which a response is in time
+ * @param timeoutSeconds how long a client waits
  * @param idempotency whether a request may be executed twice
  * @param deduplicationScope which backends recognize the idempotency key of a request
- * @param idempotencyKeyTtlSeconds for which they do
+ * @param idempotencyKeyTtlSeconds how long they recognize the key
  */
 public record RequestClass(
         double priorityWeight,
@@ -20,8 +20,8 @@
         DeduplicationScope deduplicationScope,
         double idempotencyKeyTtlSeconds) {
     /**
-     * Whether a client may send a request again that a backend has executed, as it is idempotent or
-     * all backends recognize its idempotency key.
+     * Returns whether a client may resend a request that a backend has executed, because it is
+     * idempotent or all backends recognize its idempotency key.
      */
     public boolean isClientRetryHarmless() {
         return idempotency == Idempotency.IDEMPOTENT
--- a/src/main/java/lemondrift/model/RequestTerms.java
+++ b/src/main/java/lemondrift/model/RequestTerms.java
@@ -1,14 +1,15 @@
 package lemondrift.model;
 
 /**
- * What holds for a request from its arrival to its end, whatever settings come later.
+ * The settings that apply to a request from its arrival to its end, even if the settings change
+ * meanwhile.
  *
- * @param maxAttempts how many attempts it may have
+ * @param maxAttempts how many attempts the request may have
  */
 public record RequestTerms(RequestClass requestClass, int maxAttempts) {
     /**
-     * The same with another latency objective and timeout, both of so many seconds, for a request
-     * whose body takes long to come.
+     * Returns these terms with the given number of seconds as latency objective and timeout, for a
+     * request whose body takes long to arrive.
      */
     public RequestTerms withTimeout(double seconds) {
         return new RequestTerms(
@@ -23,7 +24,10 @@
                 maxAttempts);
     }
 
-    /** The same with so many attempts at the most, for a request whose body cannot be replayed. */
+    /**
+     * Returns these terms with at most the given number of attempts, for a request whose body
+     * cannot be replayed.
+     */
     public RequestTerms withMaxAttempts(int limit) {
         return new RequestTerms(requestClass, Math.min(maxAttempts, limit));
     }
--- a/src/main/java/lemondrift/model/Settings.java
+++ b/src/main/java/lemondrift/model/Settings.java
@@ -6,17 +6,19 @@
 import java.util.stream.Stream;
 
 /**
- * What a deployment's settings say; costs and shares are fractions.
+ * The settings of a deployment. Costs and shares are fractions.
  *
- * @param proxyCount how many proxies share the backends
- * @param locationCount how many zones there are
- * @param location the zone of this proxy
- * @param pollsEndpointList whether the endpoint list must be asked for; else it is pushed
- * @param requestClasses by index; null where no class stands at it any more
- * @param tenantQuotaPerSecond by tenant: the requests a second that all proxies together owe it
- * @param overQuotaWeight what the priority of a tenant beyond its quota is multiplied by
- * @param clientsMarkRetries whether clients mark a request that is not their first try
- * @param usesEndpointWeights whether the weights of the endpoint list count
+ * @param proxyCount the number of proxies that share the backends
+ * @param locationCount the number of zones
+ * @param location the index of this proxy's zone
+ * @param pollsEndpointList whether the endpoint list must be polled; otherwise it is pushed
+ * @param requestClasses by index; null at an index that no class has any more
+ * @param tenantQuotaPerSecond by tenant: its quota in requests per second, over all proxies
+ *     together
+ * @param overQuotaWeight the factor by which the priority of a tenant that exceeds its quota is
+ *     multiplied
+ * @param clientsMarkRetries whether clients mark their retries
+ * @param usesEndpointWeights whether the weights in the endpoint list are used
  */
 public record Settings(
         int proxyCount,
@@ -33,7 +35,7 @@
         Costs costs,
         boolean usesEndpointWeights) {
 
-    /** Those whose endpoint lists give no weights that count. */
+    /** Creates settings that do not use the weights in the endpoint list. */
     public Settings(
             int proxyCount,
             int locationCount,
@@ -63,42 +65,47 @@
                 false);
     }
 
-    /** The request classes that the settings name now. */
+    /** Returns the request classes that the settings currently name. */
     public Stream<RequestClass> activeClasses() {
         return requestClasses.stream().filter(Objects::nonNull);
     }
 
     /**
-     * The span that the decisions count in: the shortest latency objective, in seconds; 1 where
-     * there is no class.
+     * Returns the window, which is the unit of time of the decisions: the shortest latency
+     * objective, in seconds; 1 if there is no class.
      */
     public double windowSeconds() {
         return activeClasses().mapToDouble(RequestClass::latencyObjectiveSeconds).min().orElse(1);
     }
 
-    /** What a probe costs, as a share of a request; infinite where none is allowed. */
+    /**
+     * Returns the cost of a probe as a share of the value of a request; infinite if probes are not
+     * allowed.
+     */
     public double probeCost() {
         return limits.canProbe ? costs.probe : Double.POSITIVE_INFINITY;
     }
 
-    /** The priority weights of the request classes. */
+    /** Returns the priority weights of the request classes. */
     public DoubleStream priorityWeights() {
         return activeClasses().mapToDouble(RequestClass::priorityWeight);
     }
 
-    /** A class's priority weight as a share (0 to 1) of the highest. */
+    /** Returns the priority weight of a class as a share (0 to 1) of the highest one. */
     public double relativePriority(RequestClass requestClass) {
         return requestClass.priorityWeight() / priorityWeights().max().orElse(1);
     }
 
-    /** What a request of the class at an index arrives under now. */
+    /** Returns the terms under which a request of the class at an index arrives now. */
     public RequestTerms termsFor(int requestClass) {
         return new RequestTerms(requestClasses.get(requestClass), limits.maxAttempts);
     }
 
     /**
-     * These after a reload: what may change while the process runs is taken from the new settings,
-     * with the request classes at the indexes given.
+     * Returns these settings after a reload: the values that may change while the process runs are
+     * taken from the new settings.
+     *
+     * @param classesByIndex the request classes of the new settings, each at its index
      */
     public Settings reloaded(Settings newSettings, List<RequestClass> classesByIndex) {
         return new Settings(
@@ -117,12 +124,15 @@
                 usesEndpointWeights);
     }
 
-    /** The same for a proxy in another zone. */
+    /** Returns these settings for a proxy in another zone. */
     public Settings withLocation(int location) {
         return withProxyCountAndLocation(proxyCount, location);
     }
 
-    /** The same for one of several processes that share one proxy's traffic and budgets. */
+    /**
+     * Returns these settings for one of several processes that share the traffic and the budgets of
+     * one proxy.
+     */
     public Settings dividedAmong(int processes) {
         return withProxyCountAndLocation(proxyCount * processes, location);
     }
@@ -145,14 +155,16 @@
     }
 
     /**
-     * Where load reports come from, and at which place of a report each field stands; below 0 where
-     * it is not given.
+     * Where load reports come from, and the position of each field in a report; below 0 if the
+     * field is not reported.
      *
-     * @param inResponses whether responses carry them
-     * @param utilizationField the share of time that the backend was busy
-     * @param inFlightField the requests that it holds
-     * @param countsAnsweredRequest whether a response's report still counts the request answered
-     * @param requestRateField the requests a second that it answers
+     * @param inResponses whether responses contain load reports
+     * @param utilizationField the position of the share of time that the backend was busy
+     * @param inFlightField the position of the number of requests that the backend holds
+     * @param countsAnsweredRequest whether the report in a response still counts the request
+     *     answered
+     * @param requestRateField the position of the number of requests per second that the backend
+     *     answers
      */
     public record LoadReports(
             boolean inResponses,
@@ -160,7 +172,7 @@
             int inFlightField,
             boolean countsAnsweredRequest,
             int requestRateField) {
-        /** The field of a report at a place; 0 where there is none. */
+        /** Returns the field at a position of a report; 0 if there is none. */
         public static double fieldOrZero(double[] loadReport, int position) {
             return position >= 0 && loadReport != null && position < loadReport.length
                     ? loadReport[position]
@@ -169,24 +181,24 @@
     }
 
     /**
-     * What this proxy may do.
+     * The limits on what this proxy may do.
      *
      * @param canCancel whether attempts in flight may be cancelled
-     * @param canProbe whether backends may be asked for a load report
+     * @param canProbe whether backends may be probed for a load report
      * @param maxAttempts how many attempts a request may have
-     * @param maxRetryAfterSeconds the longest retry-after that a rejection may name
+     * @param maxRetryAfterSeconds the longest Retry-After that a rejection may contain
      */
     public record Limits(
             boolean canCancel, boolean canProbe, int maxAttempts, double maxRetryAfterSeconds) {}
 
     /**
-     * What backends and the endpoint list bear.
+     * The load that backends and the endpoint list service can take.
      *
      * @param slowStartMinShare the share (0 to 1) of its capacity that a backend starts with
-     * @param slowStartSeconds after which it has all of it
-     * @param overloadFactor times its present capacity a warming backend bears
-     * @param overloadWindowSeconds within which that is counted
-     * @param pollWithinSeconds within which the endpoint list must be asked for
+     * @param slowStartSeconds the time after which a backend has its full capacity
+     * @param overloadFactor the multiple of its current capacity that a warming backend can take
+     * @param overloadWindowSeconds the time over which that multiple is measured
+     * @param pollWithinSeconds the time within which the endpoint list must be polled
      */
     public record Rules(
             double slowStartMinShare,
@@ -196,10 +208,10 @@
             double pollWithinSeconds) {}
 
     /**
-     * Costs as a share of what a request of mean priority is worth.
+     * Costs as a share of the value of a request of mean priority.
      *
-     * @param crossZone of sending a request to another zone
-     * @param probe of asking a backend for a load report
+     * @param crossZone the cost of sending a request to another zone
+     * @param probe the cost of probing a backend for a load report
      */
     public record Costs(double crossZone, double probe) {}
 }
--- a/src/main/java/lemondrift/model/ShedThreshold.java
+++ b/src/main/java/lemondrift/model/ShedThreshold.java
@@ -1,13 +1,13 @@
 package lemondrift.model;
 
 /**
- * What would be rejected of a request class now.
+ * The threshold below which requests of a class would be rejected now.
  *
- * @param minSecondsLeft a request with less time until its attempt deadline would be rejected
- * @param retryAfterSeconds what it would be told; 0 where nothing
+ * @param minSecondsLeft requests with less time until their attempt deadline would be rejected
+ * @param retryAfterSeconds the Retry-After that the rejection would contain; 0 if there is none
  */
 public record ShedThreshold(double minSecondsLeft, double retryAfterSeconds) {
-    /** The same with a retry-after of so many seconds at the most. */
+    /** Returns this threshold with a Retry-After of at most the given number of seconds. */
     public ShedThreshold withMaxRetryAfter(double maxSeconds) {
         return new ShedThreshold(minSecondsLeft, Math.min(retryAfterSeconds, maxSeconds));
     }
--- a/src/main/java/lemondrift/model/package-info.java
+++ b/src/main/java/lemondrift/model/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The values that the decisions take and give: requests, attempts and how they ended, what the
- * settings and the endpoint list say, and the decision itself.
+ * The values that the balancer receives and returns: requests, attempts and their outcomes, the
+ * settings, the endpoint list, and the decision itself.
  *
- * <p>No rules, no I/O and no threads. Records may be shared; {@link lemondrift.model.Request},
- * {@link lemondrift.model.Attempt} and {@link lemondrift.model.Decision} are mutable and belong to
- * the decision loop's thread. Times are in seconds of the clock that the caller passes in; what
- * ends in {@code At} and what is called a deadline is an instant of it.
+ * <p>Contains no rules, no I/O and no threads. Records may be shared between threads; {@link
+ * lemondrift.model.Request}, {@link lemondrift.model.Attempt} and {@link lemondrift.model.Decision}
+ * are mutable and belong to the decision loop's thread. Times are in seconds of the clock that the
+ * caller passes in. Names that end in {@code At} and deadlines are points in time of that clock.
  */
 package lemondrift.model;
--- a/src/main/java/lemondrift/settings/InvalidSettingsException.java
+++ b/src/main/java/lemondrift/settings/InvalidSettingsException.java
@@ -1,25 +1,25 @@
 package lemondrift.settings;
 
 /**
- * Settings, a configuration or an experiment that cannot be used; the message says which key and
- * why.
+ * Thrown if settings, a configuration or an experiment cannot be used. The message contains the key
+ * and the reason.
  */
 public final class InvalidSettingsException extends RuntimeException {
     /**
-     * Operators' tools match the lines of {@code check}, so the name that stands in them is kept.
+     * The name that {@code check} prints. It is kept because operators' tools match the lines of
+     * {@code check}.
      */
     private static final String REPORTED_NAME = "lemondrift.settings.BadInput";
 
     private static final long serialVersionUID = 1;
 
-    /** Creates one with the key and the reason in its message. */
+    /** Creates an exception whose message contains the key and the reason. */
     public InvalidSettingsException(String message) {
         super(message);
     }
 
     @Override
-    @SuppressWarnings(
-            "OverrideThrowableToString") // the message alone is what callers add a file to
+    @SuppressWarnings("OverrideThrowableToString") // callers prefix the message with a file name
     public String toString() {
         return REPORTED_NAME + ": " + getMessage();
     }
--- a/src/main/java/lemondrift/settings/RequestClassIndex.java
+++ b/src/main/java/lemondrift/settings/RequestClassIndex.java
@@ -9,27 +9,27 @@
 import lemondrift.model.RequestClass;
 
 /**
- * The index under which each named request class stands. A class keeps its index over reloads as
- * long as it is named with the same idempotency and deduplication scope, so that what is learnt of
- * one class never counts for another. Immutable; any thread.
+ * Assigns an index to each named request class. A class keeps its index across reloads as long as
+ * it is named with the same idempotency and deduplication scope, so that statistics of one class
+ * never count for another. Immutable; may be used by any thread.
  */
 public final class RequestClassIndex {
     /** Stands for no index. */
     private static final int NO_INDEX = -1;
 
-    /** By index; null where no class has the index any more. */
+    /** By index; null if no class has the index any more. */
     private final List<String> names;
 
-    /** By index; null where no class has the index any more. */
+    /** By index; null if no class has the index any more. */
     private final List<RequestClass> classesByIndex;
 
-    /** The index of each class in the order of the file. */
+    /** By position in the file: the index of the class. */
     private final int[] indexByPosition;
 
-    /** The indexes whose class is another one than before. */
+    /** The indexes that stand for another class than before the last reload. */
     private final List<Integer> reassigned;
 
-    /** The first classes; their indexes are their places in the file. */
+    /** Creates the index of the first classes. The index of a class is its position in the file. */
     public RequestClassIndex(List<String> names, List<RequestClass> requestClasses) {
         this(
                 names,
@@ -56,9 +56,13 @@
     }
 
     /**
-     * The index after a reload, of classes in the order of the new file. An index whose class was
-     * dropped in an earlier reload is assigned again if no request is open under it. Guards against
-     * a request that still is on its way to the decisions under a class dropped just now.
+     * Returns the index after a reload. An index whose class was dropped in an earlier reload is
+     * assigned again if no request is open under it. An index whose class is dropped in this reload
+     * is not: guards against a request that is still on its way to the balancer under that class.
+     *
+     * @param namesByPosition the names of the classes in the order of the new file
+     * @param classesByPosition the classes in the order of the new file
+     * @param isOpen whether a request is open under an index
      */
     public RequestClassIndex reloaded(
             List<String> namesByPosition,
@@ -85,7 +89,10 @@
                 namesByPosition, classesByPosition, newIndexes, size, newlyAssigned);
     }
 
-    /** The index that a class keeps; NONE where it is new or not the same any more. */
+    /**
+     * Returns the index that a class keeps; {@link #NO_INDEX} if the class is new or no longer the
+     * same.
+     */
     private int findKeptIndex(String name, RequestClass requestClass) {
         int index = indexOf(name);
         RequestClass previous = index == NO_INDEX ? null : classesByIndex.get(index);
@@ -107,22 +114,22 @@
                 .orElse(NO_INDEX);
     }
 
-    /** The names that are in use now. */
+    /** Returns the names that are in use now. */
     public List<String> names() {
         return names.stream().filter(Objects::nonNull).toList();
     }
 
-    /** The index of a name; -1 where no class has it. */
+    /** Returns the index of a name; -1 if no class has it. */
     public int indexOf(String name) {
         return names.indexOf(name);
     }
 
-    /** The classes by index; null where no class has the index any more. */
+    /** Returns the classes by index; null at an index that no class has any more. */
     public List<RequestClass> classesByIndex() {
         return classesByIndex;
     }
 
-    /** Other classes of the same names in the same order, each under its index. */
+    /** Returns other classes with the same names in the same order, each at its index. */
     public List<RequestClass> classesByIndex(List<RequestClass> classesByPosition) {
         return classesByIndex(classesByPosition, names.size());
     }
@@ -135,7 +142,7 @@
         return Arrays.asList(classes);
     }
 
-    /** The indexes whose class is another one than before the last reload. */
+    /** Returns the indexes that stand for another class than before the last reload. */
     public List<Integer> reassigned() {
         return reassigned;
     }
--- a/src/main/java/lemondrift/settings/SettingsReader.java
+++ b/src/main/java/lemondrift/settings/SettingsReader.java
@@ -11,33 +11,36 @@
 import lemondrift.model.Settings;
 
 /**
- * Reads {@link Settings} from path=value pairs, as the proxy and the simulator have them, and maps
- * the operators' keys to the terms of the code. Durations are stated in milliseconds. Unknown keys
- * are ignored; what cannot be used is an {@link InvalidSettingsException} that names the key.
+ * Reads {@link Settings} from path=value pairs, the form that the proxy and the simulator provide,
+ * and maps the operators' keys to the terms of the code. Durations are given in milliseconds.
+ * Unknown keys are ignored. A value that cannot be used causes an {@link InvalidSettingsException}
+ * that names the key.
  */
 public final class SettingsReader {
-    /** The least value where a number has to be above 0. */
+    /** The least value of a number that must be above 0. */
     private static final double MIN_POSITIVE = 1e-9;
 
-    /** The largest value where a number has to be bounded. */
+    /** The largest value of a number that must be bounded. */
     private static final double MAX_BOUNDED = 1e9;
 
-    /** Within how long a polled endpoint list is polled again, where the settings do not say. */
+    /**
+     * The time within which a polled endpoint list is polled again if the settings do not give one.
+     */
     private static final double DEFAULT_POLL_WITHIN_MILLIS = 10_000;
 
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final Map<String, String> pairs;
 
-    /** A reader of pairs of path and value. */
+    /** Creates a reader of pairs of path and value. */
     public SettingsReader(Map<String, String> pairs) {
         this.pairs = pairs;
     }
 
     /**
-     * Reads settings from a text of one path=value pair a line.
+     * Reads settings from a text with one path=value pair per line.
      *
-     * @throws InvalidSettingsException where something cannot be used
+     * @throws InvalidSettingsException if a value is missing or cannot be used
      */
     public static Settings read(String text) {
         Map<String, String> pairs = new HashMap<>();
@@ -51,9 +54,9 @@
     }
 
     /**
-     * The settings of the decisions.
+     * Returns the settings of the balancer.
      *
-     * @throws InvalidSettingsException where something cannot be used
+     * @throws InvalidSettingsException if a value is missing or cannot be used
      */
     public Settings toSettings() {
         List<RequestClass> requestClasses = requestClasses();
@@ -83,7 +86,8 @@
             requestClasses.add(requestClass("serviceGrades." + position + "."));
         }
         if (requestClasses.isEmpty()) {
-            throw new InvalidSettingsException("setting serviceGrades.count: no service grade");
+            throw new InvalidSettingsException(
+                    "setting serviceGrades.count: there must be at least one service grade");
         }
         return List.copyOf(requestClasses);
     }
@@ -157,13 +161,19 @@
                 number("invariants.askWithin", DEFAULT_POLL_WITHIN_MILLIS) / MILLIS_PER_SECOND);
     }
 
-    /** Guards against live weights, which move with the load that they are to predict. */
+    /**
+     * Returns whether the weights in the endpoint list are used. Guards against live weights, which
+     * change with the load that they are meant to predict.
+     */
     private boolean usesEndpointWeights() {
         String weights = choice("weights", "off", "none", "nominal", "rough", "live");
         return weights.equals("nominal") || weights.equals("rough");
     }
 
-    /** One of some words; the first of them where there is no value. */
+    /**
+     * Returns the value of a key, which must be one of the given words; the first word if there is
+     * no value.
+     */
     private String choice(String key, String... words) {
         String value = text(key, words[0]);
         if (!Arrays.asList(words).contains(value)) {
@@ -173,16 +183,19 @@
         return value;
     }
 
-    /** The values of a list, which are joined by commas; one empty value where there is no list. */
+    /**
+     * Returns the values of a list, which are separated by commas; one empty value if there is no
+     * list.
+     */
     public List<String> list(String key) {
         return Arrays.asList(text(key, "").split(","));
     }
 
     /**
-     * The value of a key, or the default where there is none.
+     * Returns the value of a key, or the default if there is none.
      *
-     * @param defaultValue null where the key has to be there
-     * @throws InvalidSettingsException where there is neither
+     * @param defaultValue null if the key is required
+     * @throws InvalidSettingsException if there is neither a value nor a default
      */
     public String text(String key, String defaultValue) {
         String value = pairs.getOrDefault(key, defaultValue);
@@ -206,18 +219,19 @@
     }
 
     /**
-     * The number that a key has, or the default where there is no value.
+     * Returns the number at a key, or the default if there is no value.
      *
-     * @throws InvalidSettingsException where the value is no finite number from 0 up
+     * @throws InvalidSettingsException if the value is not a finite number of at least 0
      */
     public double number(String key, double defaultValue) {
         return pairs.containsKey(key) ? number(key) : defaultValue;
     }
 
     /**
-     * The number that a key has.
+     * Returns the number at a key.
      *
-     * @throws InvalidSettingsException where there is no value, or no finite number from 0 up
+     * @throws InvalidSettingsException if there is no value, or if it is not a finite number of at
+     *     least 0
      */
     public double number(String key) {
         String value = text(key, null);
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -15,38 +15,38 @@
 import lemondrift.model.Settings;
 
 /**
- * A second balancer with other settings that sees all events, is asked at each decision what it
- * would do, and then follows what was done. It counts by kind where it would have decided
- * otherwise. Nothing of it is carried out; its randomness, probes and budgets are its own, so that
- * the balancer in force never notices it.
+ * Evaluates other settings with a second balancer, whose decisions are not carried out. The second
+ * balancer receives all events, is asked at each decision what it would do, and then follows the
+ * decision that was made. Decisions that differ are counted by kind. Its randomness, probes and
+ * budgets are its own, so that it does not affect the balancer in force.
  */
 public final class ShadowEvaluator {
-    /** What it would have done in place of what was done. */
+    /** What the shadow would have done instead. */
     public enum Kind {
-        /** Sent to another backend. */
+        /** It would have sent the request to another backend. */
         ANOTHER_BACKEND,
-        /** Sent to a backend in another zone. */
+        /** It would have sent the request to a backend in another zone. */
         CROSS,
-        /** Sent to one in this zone. */
+        /** It would have sent the request to a backend in this zone. */
         NOT_CROSS,
-        /** Rejected or failed in place of the first attempt. */
+        /** It would have rejected or failed the request instead of making the first attempt. */
         SHED,
-        /** Made the first attempt. */
+        /** It would have made the first attempt. */
         NOT_SHED,
-        /** Retried. */
+        /** It would have retried the request. */
         SEND_AGAIN,
-        /** Not retried. */
+        /** It would not have retried the request. */
         NOT_SEND_AGAIN
     }
 
-    /** In place of a backend: no attempt was made. */
+    /** Stands for no backend: no attempt was made. */
     private static final int NO_ATTEMPT = -1;
 
-    /** A request as the shadow knows it. */
+    /** The shadow's copy of a request. */
     private static final class ShadowRequest {
         final Request request;
 
-        /** What stands for the attempt that is in flight; null where none is. */
+        /** The shadow's copy of the attempt in flight; null if there is none. */
         Attempt actualAttempt;
 
         ShadowRequest(Request request) {
@@ -65,10 +65,10 @@
     private final int ownLocation;
     private Settings settings;
 
-    /** By the request in force. */
+    /** By actual request: the shadow's copy. */
     private final Map<Request, ShadowRequest> shadowRequests = new HashMap<>();
 
-    /** By the ordinal of the kind. */
+    /** By ordinal of the kind: the number of decisions that differ. */
     private final long[] counts = new long[Kind.values().length];
 
     /** By backend: its zone. */
@@ -78,8 +78,10 @@
     private double wakeAt = Double.POSITIVE_INFINITY;
 
     /**
-     * @param settings those to evaluate
-     * @param seed of all randomness
+     * Creates an evaluator with a balancer of its own.
+     *
+     * @param settings the settings to evaluate
+     * @param seed the seed of all randomness
      */
     public ShadowEvaluator(Settings settings, long seed) {
         balancer = new LoadBalancer(settings, seed);
@@ -88,23 +90,26 @@
     }
 
     /**
-     * Other settings are to be evaluated, after a reload.
+     * Changes the settings to evaluate after a reload.
      *
-     * @param reassigned the indexes at which another request class stands than before
+     * @param reassigned the indexes that now stand for another request class than before
      */
     public void settingsChanged(Settings newSettings, List<Integer> reassigned) {
         settings = settings.reloaded(newSettings, newSettings.requestClasses());
         balancer.settingsChanged(settings, reassigned);
     }
 
-    /** See {@link LoadBalancer#endpointsListed}. */
+    /** Handles an endpoint list, see {@link LoadBalancer#endpointsListed}. */
     public void endpointsListed(
             double now, boolean full, boolean stale, List<EndpointUpdate> updates) {
         updates.forEach(update -> locations.put(update.backend(), update.location()));
         finishDecision(now, balancer.endpointsListed(now, full, stale, updates));
     }
 
-    /** A request has come; one of a class that these settings do not name is left out. */
+    /**
+     * Handles a new request. Ignores a request of a class that the settings to evaluate do not
+     * name.
+     */
     public void requestArrived(double now, Request request) {
         if (settings.requestClasses().get(request.requestClassIndex) == null) {
             return;
@@ -114,7 +119,7 @@
         finishDecision(now, balancer.requestArrived(now, copy.request));
     }
 
-    /** Compares with what the balancer in force has decided, and follows that. */
+    /** Compares a decision of the balancer in force with the shadow's own, and then follows it. */
     public void decisionMade(double now, Decision decision) {
         for (Attempt attempt : decision.attempts) {
             ShadowRequest copy = shadowRequests.get(attempt.request);
@@ -137,7 +142,7 @@
         }
     }
 
-    /** See {@link LoadBalancer#attemptEnded}. */
+    /** Handles the end of an attempt, see {@link LoadBalancer#attemptEnded}. */
     public void attemptEnded(
             double now,
             Attempt attempt,
@@ -160,14 +165,14 @@
         }
     }
 
-    /** See {@link LoadBalancer#probeEnded}. */
+    /** Handles the end of a probe, see {@link LoadBalancer#probeEnded}. */
     public void probeEnded(double now, int backend, AttemptOutcome outcome, double[] loadReport) {
         finishDecision(now, balancer.probeEnded(now, backend, outcome, loadReport));
     }
 
     /**
-     * The request is over. Its copy stays while an attempt is in flight, which counts until it
-     * ends.
+     * Handles the end of a request. Its copy is kept while an attempt is in flight, because the
+     * attempt counts until it ends.
      */
     public void requestAbandoned(double now, Request request) {
         ShadowRequest copy = shadowRequests.get(request);
@@ -184,30 +189,31 @@
         }
     }
 
-    /** Wakes the shadow where its time has come. */
+    /** Wakes the shadow if it is due. */
     public void wake(double now) {
         if (wakeAt <= now) {
             finishDecision(now, balancer.wake(now));
         }
     }
 
-    /** When {@link #wake} is to be called; infinite where it need not. */
+    /** Returns when {@link #wake} must be called, in seconds; infinite if it need not be called. */
     public double wakeAt() {
         return wakeAt;
     }
 
-    /** How many decisions were compared. */
+    /** Returns the number of decisions that were compared. */
     public long decisionCount() {
         return decisionCount;
     }
 
-    /** How many of them would have been of a kind. */
+    /** Returns the number of compared decisions that would have differed in the given way. */
     public long count(Kind kind) {
         return counts[kind.ordinal()];
     }
 
     /**
-     * One line: how many decisions were compared, and those that would have been others, by kind.
+     * Returns one line with the number of compared decisions and the numbers of differing ones by
+     * kind.
      */
     public String summary() {
         StringBuilder text = new StringBuilder("decisions " + decisionCount);
@@ -220,13 +226,16 @@
         return text.toString();
     }
 
-    /** The shadow's own attempt that is not in flight; null where it would make none. */
+    /** Returns the shadow's own attempt that is not in flight; null if it would make none. */
     private static Attempt pendingAttempt(ShadowRequest copy) {
         Attempt latest = copy.request.latestAttempt;
         return latest == null || latest.ended || latest == copy.actualAttempt ? null : latest;
     }
 
-    /** Compares the shadow's backend with the one sent to, either of which may be none. */
+    /**
+     * Compares the backend that the shadow chose with the one that the request was sent to. Either
+     * may be {@link #NO_ATTEMPT}.
+     */
     private void compare(int own, int actual, boolean retry) {
         decisionCount++;
         if (own == NO_ATTEMPT && actual != NO_ATTEMPT) {
@@ -246,7 +255,7 @@
         counts[kind.ordinal()]++;
     }
 
-    /** Puts the attempt that was made in the place of the shadow's own, if there is one. */
+    /** Replaces the shadow's own attempt, if there is one, with the attempt that was made. */
     private void adoptAttempt(double now, ShadowRequest copy, Attempt own, Attempt actual) {
         Request request = copy.request;
         if (own != null && own.backend == actual.backend) {
@@ -270,7 +279,7 @@
         balancer.adjustAttempts(now, actual.backend, 1);
     }
 
-    /** Undoes an attempt of the shadow's own that was not made. */
+    /** Undoes an attempt of the shadow that was not made. */
     private void undoAttempt(double now, Request request, Attempt own) {
         own.ended = true;
         request.latestAttempt = own.previous;
@@ -280,8 +289,8 @@
     }
 
     /**
-     * Ends the probes that the shadow asks for, since none is sent for it. Guards against backends
-     * that it would leave out as not answering.
+     * Ends the probes that the shadow asks for, because none of them is sent, and sets the next
+     * wake-up time. Guards against the shadow leaving out backends because they answer no probe.
      */
     private void finishDecision(double now, Decision decision) {
         Deque<Integer> probes = new ArrayDeque<>(decision.probes);
--- a/src/main/java/lemondrift/shadow/package-info.java
+++ b/src/main/java/lemondrift/shadow/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Evaluates other settings beside those in force: a second balancer sees all events and says what
- * it would have decided, and nothing of it is carried out.
+ * Evaluates other settings alongside those in force: a second balancer receives all events and
+ * reports what it would have decided. None of its decisions is carried out.
  *
- * <p>Owns its balancer and its counts. Does no I/O; all calls come from the decision loop's thread.
+ * <p>The package holds the second balancer and the counts. It does no I/O; all calls come from the
+ * decision loop's thread.
  */
 package lemondrift.shadow;
