--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Datagrams, the simulator's frames and the lines of check, byte for byte as the landed program had
- * them.
+ * Compares datagrams, frames of the simulator and the lines of {@code check} byte for byte with the
+ * stored ones.
  */
 class CompatibilityTest {
 
@@ -130,7 +130,10 @@
         return runCheck(environment);
     }
 
-    /** The exit code and what is printed, without the folder's name. */
+    /**
+     * Returns the exit code and the printed text, in which FOLDER stands for the name of the
+     * folder.
+     */
     private String runCheck(Map<String, String> environment) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int code =
--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -20,9 +20,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** A plain reference model of the four rules beside the balancer, on generated events. */
+/** Checks the balancer on generated events against a simple reference model of the four rules. */
 class FourRulesTest {
-    /** The work of each request in seconds; responses never take less. */
+    /** The work of each request, in seconds; no response takes less. */
     private static final double WORK_SECONDS = 0.1;
 
     private static final RequestClass[] REQUEST_CLASSES = {
@@ -82,10 +82,12 @@
                                 assertEquals(
                                         1,
                                         finalAnswers.getOrDefault(request, 0),
-                                        "one final answer each"));
+                                        "each request gets one final answer"));
     }
 
-    /** Hundreds of proxies that hear of one start at once share its budget. */
+    /**
+     * Hundreds of proxies that learn of the same start at once share the budget of that backend.
+     */
     @Property(tries = 12, seed = "20261201")
     void manyProxiesTogetherDoNotOverloadColdBackend(
             @ForAll @IntRange(min = 2, max = 500) int proxies,
@@ -125,7 +127,7 @@
                             * TestDeployment.RULES.overloadWindowSeconds();
             assertTrue(
                     count * WORK_SECONDS <= windowBudgetSeconds + WORK_SECONDS,
-                    count + " from " + from);
+                    count + " requests in the window from " + from + " s");
         }
     }
 
@@ -168,7 +170,7 @@
         }
     }
 
-    /** An attempt past its timeout ends as timed out, so that its request can be answered. */
+    /** Ends each attempt past its timeout as timed out, so that its request can be answered. */
     private void endTimedOutAttempts() {
         for (Attempt attempt : List.copyOf(inFlight)) {
             if (proxy.now >= attempt.sentAt + attempt.timeoutSeconds) {
@@ -199,12 +201,12 @@
             assertTrue(
                     !finalAnswers.containsKey(attempt.request)
                             && proxy.now < attempt.request.deadline,
-                    "rule 1: attempt after the deadline");
+                    "rule 1: attempt after the deadline or the final answer");
             earlier.forEach(
                     previous ->
                             assertTrue(
                                     outcomes.containsKey(previous),
-                                    "two attempts in flight at once"));
+                                    "two attempts of a request in flight at once"));
             earlier.stream()
                     .filter(previous -> !outcomes.get(previous).neverExecuted)
                     .findFirst()
@@ -216,14 +218,16 @@
                                                             attempt.request.requestClassIndex],
                                                     previous,
                                                     attempt),
-                                            "rule 2: " + outcomes.get(previous)));
+                                            "rule 2: retry after " + outcomes.get(previous)));
             assertEquals(
-                    EndpointUpdate.State.READY, endpoints.get(attempt.backend).state(), "rule 3");
+                    EndpointUpdate.State.READY,
+                    endpoints.get(attempt.backend).state(),
+                    "rule 3: attempt at a backend that is not ready");
             earlier.add(attempt);
             inFlight.add(attempt);
             assertTrue(
                     workSeconds(attempt.backend) <= budgetSeconds(attempt.backend) + WORK_SECONDS,
-                    "rule 4: " + workSeconds(attempt.backend));
+                    "rule 4: work in the window, in seconds: " + workSeconds(attempt.backend));
         }
         for (Decision.LocalReply reply : decision.localReplies) {
             assertTrue(proxy.now <= reply.request().deadline, "rule 1: answered late");
@@ -239,7 +243,7 @@
                                                     && outcomes.get(attempt).neverExecuted);
             assertTrue(
                     !reply.rejected() || harmless || reply.request().requestClassIndex == 0,
-                    "rule 2: rejected, may have been executed");
+                    "rule 2: rejected although it may have been executed");
         }
     }
 
@@ -254,7 +258,10 @@
                                 || executedEndpoint.cell() == retryEndpoint.cell()));
     }
 
-    /** All that was sent to a backend within the window up to now, since it started. */
+    /**
+     * Returns the work sent to a backend since its start within the window that ends now, in
+     * seconds.
+     */
     private double workSeconds(int backend) {
         return WORK_SECONDS
                 * attemptsByRequest.values().stream()
@@ -272,7 +279,8 @@
     }
 
     /**
-     * This proxy's part of what a cold backend bears in one window; without bound where it is warm.
+     * Returns this proxy's part of the work that a cold backend can take in one window, in seconds;
+     * infinite if the backend is warm.
      */
     private double budgetSeconds(int backend) {
         double elapsedShare =
--- a/src/test/java/lemondrift/GoldenFiles.java
+++ b/src/test/java/lemondrift/GoldenFiles.java
@@ -10,34 +10,36 @@
 import java.util.HexFormat;
 
 /**
- * What the program printed, sent or stored when it landed as 5714488; later ones have to do the
- * same.
+ * Files with the bytes that the program printed, sent or stored at revision 5714488. Later versions
+ * must produce the same bytes.
  */
 public final class GoldenFiles {
     private static final String FOLDER = "/compatibility/";
 
     private GoldenFiles() {}
 
-    /** A resource as it was stored. */
+    /** Returns the content of a stored file; empty if there is no such file. */
     public static byte[] read(String name) throws IOException {
         try (InputStream in = GoldenFiles.class.getResourceAsStream(FOLDER + name)) {
             return in == null ? new byte[0] : in.readAllBytes();
         }
     }
 
-    /** Bytes that are stored as lines of hexadecimal digits. */
+    /** Returns the bytes of a file that stores them as lines of hexadecimal digits. */
     public static byte[] readHex(String name) throws IOException {
         return HexFormat.of()
                 .parseHex(new String(read(name), StandardCharsets.US_ASCII).replaceAll("\\s", ""));
     }
 
-    /** Compares text with what is stored; where it differs the actual one is left under target. */
+    /**
+     * Compares text with a stored file. Writes the actual text to the folder target/compatibility.
+     */
     public static void assertText(String name, String actual) throws IOException {
         saveActual(name, actual.getBytes(StandardCharsets.UTF_8));
         assertEquals(new String(read(name), StandardCharsets.UTF_8), actual);
     }
 
-    /** Compares bytes with what is stored in hexadecimal digits, 32 bytes a line. */
+    /** Compares bytes with a file that stores them as hexadecimal digits, 32 bytes a line. */
     public static void assertHex(String name, byte[] actual) throws IOException {
         assertText(
                 name,
--- a/src/test/java/lemondrift/LayersTest.java
+++ b/src/test/java/lemondrift/LayersTest.java
@@ -11,7 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Arrows between packages point down: adapters use cores, cores use the model alone and do no I/O.
+ * Checks that dependencies between packages point in one direction: adapters use core packages, and
+ * core packages use the model, no adapter and no I/O.
  */
 class LayersTest {
     private static final String[] CORE_PACKAGES = {
@@ -28,8 +29,8 @@
     };
 
     /**
-     * What each room of the proxy may use of the other rooms; the rest, lifecycle and the server,
-     * know all.
+     * The other proxy packages that each proxy package may use. The lifecycle package and the
+     * server, which are not listed, may use all.
      */
     private static final Map<String, String> ALLOWED_PROXY_DEPENDENCIES =
             Map.ofEntries(
--- a/src/test/java/lemondrift/LoadBalancerTest.java
+++ b/src/test/java/lemondrift/LoadBalancerTest.java
@@ -20,7 +20,7 @@
 import lemondrift.model.ShedThreshold;
 import org.junit.jupiter.api.Test;
 
-/** Each failure that the balancer guards against, on the balancer alone. */
+/** Tests the balancer alone: one test for each failure that it guards against. */
 class LoadBalancerTest {
     private static final int IDEMPOTENT = 0;
     private static final int WITH_KEY = 1;
@@ -36,7 +36,8 @@
     }
 
     /**
-     * The backends that so many requests go to, one every so many seconds, each answered at once.
+     * Returns the backends that the given number of requests go to, sent at the given interval and
+     * each answered at once.
      */
     private static Set<Integer> backendsUsed(
             TestDeployment proxy, int requests, double secondsApart) {
@@ -83,11 +84,11 @@
         assertEquals(
                 0,
                 proxy.balancer.shedThreshold(proxy.now, NOT_IDEMPOTENT).retryAfterSeconds(),
-                "nothing is rejected where all are idle");
+                "nothing is rejected if all backends are idle");
         assertEquals(
                 first.backend,
                 proxy.receiveRequest(NOT_IDEMPOTENT).backend,
-                "idle, though its report says one");
+                "idle, although its report still counts the answered request");
     }
 
     @Test
@@ -107,7 +108,8 @@
         proxy.balancer.peerLoadReported(0, 3);
         proxy.balancer.peerLoadReported(2, 0);
         proxy.balancer.setGossipActive(true);
-        assertEquals(1, proxy.receiveRequest(NOT_IDEMPOTENT).backend, "idle as peers report");
+        assertEquals(
+                1, proxy.receiveRequest(NOT_IDEMPOTENT).backend, "idle according to the peers");
         int sentToColdBackend = 0;
         for (int i = 0; i < 30; i++) {
             Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
@@ -115,7 +117,7 @@
         }
         assertTrue(
                 sentToColdBackend <= 1,
-                sentToColdBackend + " went to one that looks idle and is cold");
+                sentToColdBackend + " attempts at a cold backend that looks idle");
     }
 
     @Test
@@ -143,17 +145,19 @@
                 TestDeployment.withBackends(9).setUtilization(1, 1, 1, 1, 1, 1, 1, 1, 1);
         proxy.probeReports.put(7, new double[] {0, 0});
         proxy.probeReports.put(8, null);
-        assertNull(proxy.receiveRequest(NOT_IDEMPOTENT), "waits while a probe is not answered");
+        assertNull(
+                proxy.receiveRequest(NOT_IDEMPOTENT),
+                "the request waits while a probe is unanswered");
         proxy.wakeUntil(proxy.now + 0.2);
         assertEquals(
                 7,
                 proxy.attempts.get(0).backend,
-                "probed in turn until the lowest estimate is fresh");
+                "backends are probed in turn until the lowest estimate is fresh");
         int probesOfFirst = proxy.probes.size();
         proxy.receiveRequest(NOT_IDEMPOTENT);
         assertTrue(
                 probesOfFirst <= 12 && proxy.probes.size() <= probesOfFirst + 12,
-                "a few at a time");
+                "only a few backends are probed for each request");
     }
 
     @Test
@@ -172,9 +176,9 @@
     @Test
     void proxyUsesSubsetOfManyBackendsThatChangesOverTime() {
         TestDeployment proxy = TestDeployment.withBackends(60);
-        assertTrue(backendsUsed(proxy, 30, 0.01).size() <= 9, "a subset");
+        assertTrue(backendsUsed(proxy, 30, 0.01).size() <= 9, "only a subset is used");
         int usedCount = backendsUsed(proxy, 300, 1).size();
-        assertTrue(usedCount > 9, usedCount + " by exchanging one at a time");
+        assertTrue(usedCount > 9, usedCount + " backends are used when one at a time is exchanged");
         Set<Integer> subset = backendsUsed(TestDeployment.withBackends(60), 30, 0.01);
         TestDeployment other =
                 new TestDeployment(
@@ -182,7 +186,7 @@
                                 3, false, TestDeployment.REPORTS_IN_RESPONSES, true),
                         8);
         other.applyEndpointList(true, false, TestDeployment.endpoints(60));
-        assertNotEquals(subset, backendsUsed(other, 30, 0.01), "each proxy draws its own");
+        assertNotEquals(subset, backendsUsed(other, 30, 0.01), "each proxy draws its own subset");
     }
 
     @Test
@@ -200,7 +204,7 @@
                 proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 1, 0);
             }
         }
-        assertTrue(accepted > 8, accepted + " taken by the one that is idle");
+        assertTrue(accepted > 8, accepted + " requests were taken by the idle backend");
         TestDeployment draining = TestDeployment.withBackends(60);
         Set<Integer> used = backendsUsed(draining, 30, 0.01);
         draining.applyEndpointList(
@@ -211,7 +215,7 @@
                         .toList());
         assertTrue(
                 backendsUsed(draining, 30, 0.01).stream().noneMatch(used::contains),
-                "replaced at once");
+                "draining backends are replaced at once");
     }
 
     @Test
@@ -223,7 +227,7 @@
                         7);
         proxy.applyEndpointList(true, false, TestDeployment.endpoints(60));
         int usedCount = backendsUsed(proxy, 40, 0.5).size();
-        assertTrue(usedCount > 3, usedCount + " used");
+        assertTrue(usedCount > 3, usedCount + " backends are used");
         assertTrue(proxy.probes.isEmpty());
     }
 
@@ -236,7 +240,7 @@
         assertEquals(
                 0,
                 proxy.receiveRequest(NOT_IDEMPOTENT).backend,
-                "the mean stands for the one that errors");
+                "the mean load is assumed for the backend that fails");
     }
 
     @Test
@@ -253,11 +257,13 @@
                     0);
             failed += attempt.backend == 2 ? 1 : 0;
         }
-        assertTrue(failed >= 3 && failed <= 8, failed + " went to the failing one");
+        assertTrue(failed >= 3 && failed <= 8, failed + " attempts at the failing backend");
         proxy.wakeUntil(proxy.now + 3);
         proxy.setUtilization(0.9, 0.9, 0, 0.9);
         assertEquals(
-                2, proxy.receiveRequest(IDEMPOTENT).backend, "tried once its ejection is over");
+                2,
+                proxy.receiveRequest(IDEMPOTENT).backend,
+                "tried again once its ejection is over");
         assertNotEquals(2, proxy.receiveRequest(IDEMPOTENT).backend, "one trial at a time");
     }
 
@@ -272,7 +278,7 @@
                     0.9,
                     0);
         }
-        assertEquals(0, proxy.receiveRequest(IDEMPOTENT).backend, "the other is ejected");
+        assertEquals(0, proxy.receiveRequest(IDEMPOTENT).backend, "the other backend is ejected");
         proxy.applyEndpointList(
                 false,
                 false,
@@ -295,8 +301,11 @@
             failed[attempt.backend] += fails ? 1 : 0;
             succeeded[attempt.backend] += fails ? 0 : 1;
         }
-        assertTrue(failed[2] <= 8, failed[2] + " went where their class fails");
-        assertTrue(succeeded[2] >= 40, succeeded[2] + " of the others still do");
+        assertTrue(
+                failed[2] <= 8, failed[2] + " requests went to the backend that fails their class");
+        assertTrue(
+                succeeded[2] >= 40,
+                succeeded[2] + " requests of the other class went to that backend");
     }
 
     @Test
@@ -312,7 +321,7 @@
                 used.add(attempt.backend);
             }
         }
-        assertTrue(used.size() >= 2, used + " still used");
+        assertTrue(used.size() >= 2, used + " are still used");
     }
 
     @Test
@@ -324,7 +333,7 @@
                 List.of(TestDeployment.endpoint(2, EndpointUpdate.State.READY, proxy.now)));
         assertTrue(
                 shareSentTo(proxy, 2, 30) <= 0.1,
-                "its near-zero load draws no more than its budget");
+                "its low load report attracts no more than its budget");
     }
 
     @Test
@@ -358,7 +367,7 @@
             assertNull(proxy.endAttempt(proxy.receiveRequest(NOT_IDEMPOTENT), possiblyExecuted));
             assertFalse(
                     proxy.localReplies.get(0).rejected(),
-                    "no promise where it may have been executed");
+                    "no promise if the request may have been executed");
             Attempt attempt = proxy.receiveRequest(WITH_KEY);
             assertEquals(
                     attempt.backend % 2,
@@ -366,8 +375,7 @@
                     "a retry stays in its deduplication scope");
             Attempt late = proxy.receiveRequest(WITH_KEY);
             proxy.now += 0.6;
-            assertNull(
-                    proxy.endAttempt(late, possiblyExecuted), "the idempotency key is forgotten");
+            assertNull(proxy.endAttempt(late, possiblyExecuted), "the idempotency key has expired");
             assertNotNull(proxy.endAttempt(proxy.receiveRequest(IDEMPOTENT), possiblyExecuted));
         }
     }
@@ -388,7 +396,7 @@
         assertTrue(attempts >= 40 && attempts < 60, attempts + " attempts for 40 requests");
     }
 
-    /** Guards against a reason that hides which limit or rule a retry came to. */
+    /** Guards against a failure reason that hides which limit or rule ended the retries. */
     @Test
     void failureReasonTellsWhichLimitEndedTheRetries() {
         TestDeployment none = TestDeployment.withBackends(0);
@@ -404,7 +412,7 @@
         assertEquals(
                 FailureReason.ATTEMPTS_USED,
                 failureReasonIfAllAttemptsEndOverloaded(many),
-                "though its last retry was the last of the budget too");
+                "although its last retry also used up the budget");
         assertEquals(
                 FailureReason.RETRY_BUDGET_SPENT, failureReasonIfAllAttemptsEndOverloaded(many));
     }
@@ -429,7 +437,7 @@
         assertNotNull(
                 proxy.receiveRequest(NOT_IDEMPOTENT), "the lowest priority is rejected first");
         proxy.setUtilization(0.5, 0.5).now += 1;
-        assertNotNull(proxy.receiveRequest(IDEMPOTENT), "rejecting can't lock itself in");
+        assertNotNull(proxy.receiveRequest(IDEMPOTENT), "rejections do not outlast the overload");
     }
 
     @Test
@@ -438,12 +446,14 @@
         assertEquals(
                 0,
                 proxy.balancer.shedThreshold(proxy.now, IDEMPOTENT).minSecondsLeft(),
-                "nothing is rejected where all are idle");
+                "nothing is rejected if all backends are idle");
         proxy.probeReports.put(0, new double[] {1, 9});
         proxy.probeReports.put(1, new double[] {1, 9});
         assertNull(proxy.receiveRequest(IDEMPOTENT));
         ShedThreshold threshold = proxy.balancer.shedThreshold(proxy.now, IDEMPOTENT);
-        assertTrue(threshold.minSecondsLeft() > 1, "not with the whole latency objective left");
+        assertTrue(
+                threshold.minSecondsLeft() > 1,
+                "rejected even with the whole latency objective left");
         assertEquals(
                 proxy.localReplies.get(0).retryAfterSeconds(), threshold.retryAfterSeconds(), 1e-9);
         assertTrue(
@@ -482,7 +492,7 @@
     void onlyIdleBackendsAreUsedWhenAllBackendsBecomeSlow() {
         TestDeployment proxy = TestDeployment.withBackends(1);
         proxy.probeReports.put(0, new double[] {1, 1});
-        assertNotNull(proxy.receiveRequest(IDEMPOTENT), "one ahead is a short wait");
+        assertNotNull(proxy.receiveRequest(IDEMPOTENT), "one request ahead is a short wait");
         proxy.setUtilization(0);
         for (int i = 0; i < 12; i++) {
             Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
@@ -492,7 +502,8 @@
         assertNotNull(proxy.receiveRequest(IDEMPOTENT));
         proxy.probeReports.put(0, new double[] {1, 1});
         proxy.wakeUntil(proxy.now + 1);
-        assertNull(proxy.receiveRequest(IDEMPOTENT), "time-outs tell how long the one ahead takes");
+        assertNull(
+                proxy.receiveRequest(IDEMPOTENT), "timeouts show how long the request ahead takes");
     }
 
     @Test
@@ -560,13 +571,13 @@
         assertEquals(
                 40,
                 proxy.attempts.size(),
-                "first tries are no retries, and marked ones with time are young");
+                "neither first tries nor marked retries with a time of their own are cut short");
         proxy.apply(
                 proxy.balancer.requestArrived(
                         proxy.now, new Request(99, NOT_IDEMPOTENT, 0, proxy.now, 0.7, true)));
         assertTrue(
                 proxy.localReplies.get(0).rejected(),
-                "its first try's latency objective has passed");
+                "the latency objective of its first try has passed");
     }
 
     @Test
@@ -590,6 +601,6 @@
         assertEquals(2, proxy.endpointListCalls.size());
         proxy.applyEndpointList(false, false, List.of());
         proxy.wakeUntil(proxy.now + 60);
-        assertEquals(2, proxy.endpointListCalls.size(), "subscribed");
+        assertEquals(2, proxy.endpointListCalls.size(), "no further call while subscribed");
     }
 }
--- a/src/test/java/lemondrift/LowTrafficProxyTest.java
+++ b/src/test/java/lemondrift/LowTrafficProxyTest.java
@@ -17,7 +17,7 @@
 import lemondrift.model.Settings;
 import org.junit.jupiter.api.Test;
 
-/** Proxies with little traffic each, and backends whose load reports are stale. */
+/** Tests proxies with little traffic each, and backends whose load reports are stale. */
 class LowTrafficProxyTest {
     private static final int IDEMPOTENT = 0;
     private static final int NOT_IDEMPOTENT = 2;
@@ -47,7 +47,7 @@
         return proxy;
     }
 
-    /** A proxy whose backends have repeated their reports for some windows. */
+    /** Returns a proxy whose backends have repeated their reports for some windows. */
     private static TestDeployment proxyWithStaleReports(int backends) {
         TestDeployment proxy =
                 newProxy(false, TestDeployment.endpoints(backends).toArray(new EndpointUpdate[0]));
@@ -55,7 +55,10 @@
         return proxy;
     }
 
-    /** Sends requests one at a time, 0.01 s each, with one report; the attempts to each backend. */
+    /**
+     * Sends requests one at a time, each of 0.01 s and answered with the same load report. Returns
+     * the number of attempts by backend.
+     */
     private static int[] send(
             TestDeployment proxy,
             int requestClass,
@@ -112,7 +115,8 @@
                 send(proxy, NOT_IDEMPOTENT, 400, 1, i -> AttemptOutcome.SUCCESS)[2];
         assertTrue(
                 sentToLargeBackend > 160 && sentToLargeBackend < 240,
-                sentToLargeBackend + " of 400 went to one of half the fleet's size");
+                sentToLargeBackend
+                        + " of 400 requests went to the backend with half of the total weight");
     }
 
     @Test
@@ -137,7 +141,7 @@
         assertEquals(
                 1,
                 proxy.receiveRequest(IDEMPOTENT).backend,
-                "a window later: near and busy, or across and idle");
+                "one window later: idle in the other zone rather than busy in this zone");
     }
 
     @Test
@@ -147,10 +151,10 @@
                         TestDeployment.settings(
                                 100, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        assertTrue(proxy.balancer.needsGossip(), "without probes peers are to gossip");
+        assertTrue(proxy.balancer.needsGossip(), "without probes peers should gossip");
         assertFalse(
                 TestDeployment.withBackends(2).balancer.needsGossip(),
-                "with probes nobody need gossip");
+                "with probes no gossip is needed");
         List<EndpointUpdate> updates =
                 IntStream.range(0, 60)
                         .mapToObj(
@@ -166,7 +170,7 @@
             int[] attemptsByBackend =
                     send(proxy, NOT_IDEMPOTENT, 200, 0.1, i -> AttemptOutcome.SUCCESS);
             int usedCount = (int) Arrays.stream(attemptsByBackend).filter(n -> n > 0).count();
-            assertTrue(usedCount >= 6 && usedCount <= 16, usedCount + " are used");
+            assertTrue(usedCount >= 6 && usedCount <= 16, usedCount + " backends are used");
             updates.stream()
                     .filter(update -> update.subsetScore() * 60 > 15.5)
                     .forEach(
@@ -179,7 +183,7 @@
         }
     }
 
-    /** How many of 600 requests go to the only backend, which has just started. */
+    /** Returns how many of 600 requests are sent to the only backend, which has just started. */
     private static int countSentToColdBackend(double userShare, boolean peersHeard) {
         TestDeployment proxy =
                 new TestDeployment(
@@ -210,11 +214,12 @@
         int usedByAll = countSentToColdBackend(1, true);
         int usedByAFifth = countSentToColdBackend(0.2, true);
         assertTrue(
-                usedByAll > 0 && usedByAFifth > 3 * usedByAll, usedByAll + " and " + usedByAFifth);
+                usedByAll > 0 && usedByAFifth > 3 * usedByAll,
+                "sent if used by all proxies: " + usedByAll + ", by a fifth: " + usedByAFifth);
         assertEquals(
                 countSentToColdBackend(1, false),
                 countSentToColdBackend(0.2, false),
-                "no peer heard: user shares are not known to hold");
+                "without gossip, user shares are not known to be valid");
     }
 
     @Test
@@ -229,9 +234,13 @@
                         i -> i == 0 ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS)[0];
         assertTrue(
                 errors <= 3,
-                errors + " of 200 went to one that fails fast and reports that it is idle");
+                errors
+                        + " of 200 requests went to a backend that fails fast and reports being"
+                        + " idle");
         int requestsAfter = send(proxy, NOT_IDEMPOTENT, 1500, 0.1, i -> AttemptOutcome.SUCCESS)[0];
-        assertTrue(requestsAfter > 50, requestsAfter + " of 1500: sound again, used again");
+        assertTrue(
+                requestsAfter > 50,
+                requestsAfter + " of 1500 requests went to the backend after it recovered");
     }
 
     @Test
@@ -250,14 +259,14 @@
             assertEquals(
                     first.backend,
                     proxy.receiveRequest(NOT_IDEMPOTENT).backend,
-                    "one in flight against two");
+                    "one attempt in flight is less than two");
             sentToRepeated += proxy.receiveRequest(NOT_IDEMPOTENT).backend == first.backend ? 1 : 0;
         }
         assertTrue(
                 sentToRepeated > 5 && sentToRepeated < 35,
                 sentToRepeated
-                        + " of 40, with two in flight at each, went to one that reported idle"
-                        + " again");
+                        + " of 40 requests, with two in flight at each backend, went to the one"
+                        + " that reported being idle again");
     }
 
     @Test
@@ -273,18 +282,20 @@
                     "rejected at once");
             timingOut.addAll(attempt == null ? List.of() : List.of(attempt));
         }
-        assertTrue(timingOut.size() < 60, "sixty in flight and none answered is a jam");
+        assertTrue(
+                timingOut.size() < 60, "sixty requests in flight and none answered is an overload");
         proxy.now += 0.5;
         timingOut.forEach(attempt -> proxy.endAttempt(attempt, AttemptOutcome.TIMED_OUT));
         proxy.wakeUntil(proxy.now + 20);
         assertNotNull(
-                proxy.receiveRequest(IDEMPOTENT), "nothing in flight, and no wait observed lately");
+                proxy.receiveRequest(IDEMPOTENT),
+                "nothing is in flight, and no wait was observed recently");
     }
 
     @Test
     void failedBackendsAreAvoidedWithStaleReportsAndSlowStartAfterRestart() {
         TestDeployment proxy = proxyWithStaleReports(9);
-        // No report is new from here on, and three refuse.
+        // From here on all reports are repeated, and three backends refuse connections.
         int[] attemptsByBackend =
                 send(
                         proxy,
@@ -294,9 +305,11 @@
                         i -> i < 3 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.SUCCESS);
         assertTrue(
                 attemptsByBackend[0] + attemptsByBackend[1] + attemptsByBackend[2] <= 30,
-                "of 300, to the failed "
+                "of 300 requests, attempts at the failed backends: "
                         + attemptsByBackend[0]
+                        + ", "
                         + attemptsByBackend[1]
+                        + ", "
                         + attemptsByBackend[2]);
         double restartedAt = proxy.now;
         proxy.applyEndpointList(
@@ -311,12 +324,12 @@
         attemptsByBackend = send(proxy, NOT_IDEMPOTENT, 20, 0.05, i -> AttemptOutcome.SUCCESS);
         assertTrue(
                 attemptsByBackend[0] + attemptsByBackend[1] + attemptsByBackend[2] <= 3,
-                "cold, though the last report is an idle one's");
+                "cold, although the last report shows an idle backend");
         proxy.wakeUntil(restartedAt + 2 * TestDeployment.RULES.slowStartSeconds());
         attemptsByBackend = send(proxy, NOT_IDEMPOTENT, 300, 0.05, i -> AttemptOutcome.SUCCESS);
         assertTrue(
                 attemptsByBackend[0] > 0 && attemptsByBackend[1] > 0 && attemptsByBackend[2] > 0,
-                "warm, and used again");
+                "warm backends are used again");
     }
 
     @Test
@@ -336,7 +349,7 @@
         TestDeployment proxy = newProxy(false, endpoints);
         assertTrue(
                 send(proxy, IDEMPOTENT, 200, 0.5, i -> AttemptOutcome.SUCCESS)[0] >= 190,
-                "one at a time stays");
+                "single requests stay in their zone");
         List<Attempt> inFlight = new ArrayList<>();
         int crossed = 0;
         for (int n = 0; n < 200; n++) {
@@ -348,7 +361,11 @@
                 proxy.endAttempt(inFlight.remove(0), AttemptOutcome.SUCCESS, 0.5, 0);
             }
         }
-        assertTrue(crossed > 80, crossed + " of 200 left a backend with several in flight");
+        assertTrue(
+                crossed > 80,
+                crossed
+                        + " of 200 requests crossed zones while the own zone had several in"
+                        + " flight");
     }
 
     @Test
@@ -383,10 +400,10 @@
                         * TestDeployment.RULES.overloadWindowSeconds();
         assertTrue(
                 sentToColdBackend > 0 && sentToColdBackend * 0.1 <= budgetSeconds,
-                sentToColdBackend + " requests of 0.1 s for a budget of " + budgetSeconds);
+                sentToColdBackend + " requests of 0.1 s for a budget of " + budgetSeconds + " s");
     }
 
-    /** A proxy among forty that gossip; it uses sixteen of thirty backends. */
+    /** Returns one of forty proxies that gossip; it uses sixteen of thirty backends. */
     private static TestDeployment proxyWithGossip(double startedAt) {
         TestDeployment proxy =
                 new TestDeployment(
@@ -407,7 +424,10 @@
         return proxy;
     }
 
-    /** Guards against rejecting all after an overload, for the waits of that time. */
+    /**
+     * Guards against rejecting all requests after an overload because of the waits observed during
+     * it.
+     */
     @Test
     void waitsObservedEarlierRejectNothingIfNothingIsInFlight() {
         TestDeployment proxy = proxyWithGossip(0);
@@ -424,12 +444,12 @@
         }
     }
 
-    /** Guards against backends that look idle since no peer tells of them. */
+    /** Guards against backends that look idle because gossip does not cover them. */
     @Test
     void backendOutsideGossipIsNotDrawnIfSubsetCanTakeTheRequest() {
         TestDeployment proxy = proxyWithGossip(0);
         IntStream.range(0, 30).forEach(i -> proxy.balancer.peerLoadReported(i, i < 16 ? 30 : 0));
-        assertNull(proxy.receiveRequest(0), "all that gossip covers are busy");
+        assertNull(proxy.receiveRequest(0), "all backends that gossip covers are busy");
         IntStream.range(0, 16).forEach(i -> proxy.balancer.peerLoadReported(i, 0));
         assertTrue(proxy.receiveRequest(0).backend < 16);
     }
@@ -456,7 +476,10 @@
         assertTrue(
                 attemptsByClass[NOT_IDEMPOTENT] > 1.3 * attemptsByClass[0]
                         && attemptsByClass[0] > 0,
-                attemptsByClass[NOT_IDEMPOTENT] + " and " + attemptsByClass[0]);
+                "attempts of the higher priority: "
+                        + attemptsByClass[NOT_IDEMPOTENT]
+                        + ", of the lower: "
+                        + attemptsByClass[0]);
     }
 
     @Test
@@ -480,6 +503,8 @@
             }
         }
         assertTrue(sent[1] > 1.5 * sent[0], "seeded " + sent[1] + ", unseeded " + sent[0]);
-        assertTrue(sent[2] < sent[1] / 2, "seeded wrongly " + sent[2] + ", rightly " + sent[1]);
+        assertTrue(
+                sent[2] < sent[1] / 2,
+                "seeded with a wrong time " + sent[2] + ", with the right time " + sent[1]);
     }
 }
--- a/src/test/java/lemondrift/ShadowEvaluatorTest.java
+++ b/src/test/java/lemondrift/ShadowEvaluatorTest.java
@@ -12,7 +12,10 @@
 import lemondrift.shadow.ShadowEvaluator;
 import org.junit.jupiter.api.Test;
 
-/** The decisions stay as they are, and what would be decided otherwise is counted by kind. */
+/**
+ * Tests that a shadow does not change decisions, and that the decisions it would make differently
+ * are counted by kind.
+ */
 class ShadowEvaluatorTest {
     private static Settings settings(double crossZoneCost, int maxAttempts, boolean canProbe) {
         Settings settings =
@@ -32,7 +35,7 @@
                 new Settings.Costs(crossZoneCost, 0.001));
     }
 
-    /** Plays random events; what was decided, as text. */
+    /** Runs random events and returns the decisions as text. */
     private static String runRandomEvents(
             Settings settings, ShadowEvaluator shadow, boolean allSucceed) {
         TestDeployment proxy = new TestDeployment(settings, 7, shadow);
--- a/src/test/java/lemondrift/SimulatorAdapterTest.java
+++ b/src/test/java/lemondrift/SimulatorAdapterTest.java
@@ -14,7 +14,7 @@
 import lemondrift.simulator.SimulatorAdapter;
 import org.junit.jupiter.api.Test;
 
-/** The adapter, byte for byte. */
+/** Tests the simulator adapter byte for byte. */
 class SimulatorAdapterTest {
     private static final String LIST_RECORD =
             "0b 1d000000 00 01000000 0a124a07 931f 0000 00 0000 01 0000803f" + " 0000000000000000";
@@ -62,10 +62,12 @@
                         TestDeployment.batchFrame(1, ok)));
         byte[] send = TestDeployment.parseHex(SEND_RECORD);
         assertArrayEquals(send, Arrays.copyOfRange(out.toByteArray(), 8, 8 + send.length));
-        assertEquals(240, replies().getDouble(8 + send.length), 1e-6, "the time-out in ms");
-        assertEquals(2, replies().getInt(4), "the send and the safe alarm");
+        assertEquals(240, replies().getDouble(8 + send.length), 1e-6, "the timeout in ms");
+        assertEquals(2, replies().getInt(4), "the attempt and the wake-up alarm");
         assertEquals(
-                0, replies().getInt(4 + replies().getInt(0) + 4), "nothing more once delivered");
+                0,
+                replies().getInt(4 + replies().getInt(0) + 4),
+                "no further records once the response is delivered");
     }
 
     @Test
@@ -104,7 +106,10 @@
                                 CACHED_LIST_RECORD,
                                 ARRIVAL_RECORD)));
         int second = 4 + replies().getInt(0);
-        assertEquals(2, replies().getInt(second + 4), "the same id is a new exchange, sent anew");
+        assertEquals(
+                2,
+                replies().getInt(second + 4),
+                "the same id is a new request, which is sent again");
     }
 
     @Test
--- a/src/test/java/lemondrift/TestDeployment.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -21,7 +21,9 @@
 import lemondrift.model.Settings;
 import lemondrift.shadow.ShadowEvaluator;
 
-/** One proxy's balancer in a small made-up deployment, and simulator frames built by hand. */
+/**
+ * The balancer of one proxy in a small test deployment, and helpers that build simulator frames.
+ */
 final class TestDeployment {
     static final RequestClass IDEMPOTENT =
             new RequestClass(1, 0, 1, 2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0);
@@ -42,7 +44,7 @@
     final LoadBalancer balancer;
     final List<Decision.LocalReply> localReplies = new ArrayList<>();
 
-    /** Why the last request that got a local reply was not served. */
+    /** Returns why the last request that got a local reply was not served. */
     FailureReason lastFailureReason() {
         return localReplies.get(localReplies.size() - 1).request().failureReason;
     }
@@ -53,7 +55,8 @@
     final List<Decision.EndpointListCall> endpointListCalls = new ArrayList<>();
 
     /**
-     * What each backend answers to a probe: utilization and requests in flight; null is no answer.
+     * By backend: the load report that answers a probe (utilization and requests in flight); null
+     * if it does not answer.
      */
     final Map<Integer, double[]> probeReports = new HashMap<>();
 
@@ -66,7 +69,7 @@
         this(settings, seed, null);
     }
 
-    /** One with a shadow, where that is not null. */
+    /** Creates a deployment with a shadow if that is not null. */
     TestDeployment(Settings settings, long seed, ShadowEvaluator shadow) {
         balancer = new LoadBalancer(settings, seed);
         this.shadow = shadow;
@@ -105,7 +108,7 @@
                 new Settings.Costs(0.05, 0.002));
     }
 
-    /** The same where clients mark their retries. */
+    /** Returns the settings with clients that mark their retries. */
     static Settings withMarkedRetries(Settings settings) {
         return new Settings(
                 settings.proxyCount(),
@@ -146,7 +149,7 @@
         for (int i : List.copyOf(decision.probes)) {
             double[] report = probeReports.getOrDefault(i, new double[] {0, 0});
             if (report != null) {
-                // No two reports are quite the same, unless one is repeated.
+                // Makes each report slightly different, because an equal one counts as repeated.
                 double[] distinct = report.clone();
                 distinct[0] += 1e-9 * probes.size();
                 notifyShadow(s -> s.probeEnded(now, i, AttemptOutcome.SUCCESS, distinct));
@@ -167,7 +170,7 @@
         apply(balancer.endpointsListed(now, full, stale, updates));
     }
 
-    /** The first attempt of a new request, or null. */
+    /** Handles a new request and returns its first attempt, or null if none is made. */
     Attempt receiveRequest(int requestClass) {
         int attemptsBefore = attempts.size();
         Request request = new Request(attempts.size(), requestClass, 0, now, 2);
@@ -176,7 +179,7 @@
         return attempts.size() > attemptsBefore ? attempts.get(attemptsBefore) : null;
     }
 
-    /** The attempt that follows, or null. */
+    /** Ends an attempt and returns the attempt that follows, or null if none is made. */
     Attempt endAttempt(Attempt attempt, AttemptOutcome outcome, double... loadReport) {
         int attemptsBefore = attempts.size();
         boolean completed = outcome == AttemptOutcome.SUCCESS || attempt.request.completed;
@@ -194,7 +197,7 @@
     void wakeUntil(double time) {
         for (int wakes = 0; wakeAt <= time; wakes++) {
             if (wakes > 10_000) {
-                throw new AssertionError("wakes without end");
+                throw new AssertionError("more than 10,000 wake-ups until " + time + " s");
             }
             now = Math.max(now, wakeAt);
             apply(balancer.wake(now));
@@ -207,7 +210,10 @@
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
     }
 
-    /** A batch at 61,233.0 ms of records given in hex; each states its own code and length. */
+    /**
+     * Returns a frame with a batch at 61,233.0 ms. Its records are given in hexadecimal digits;
+     * each contains its own code and length.
+     */
     static byte[] batchFrame(int count, String... records) {
         byte[] body = parseHex(String.join("", records));
         return ByteBuffer.allocate(16 + body.length)
--- a/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
+++ b/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
@@ -14,8 +14,8 @@
 
 class BodyBufferBudgetTest {
     /**
-     * Bodies that come in pieces and end in any order: the bounds hold, and in the end nothing is
-     * held.
+     * Bodies arrive in pieces and end in any order: the limits hold, and in the end nothing is
+     * reserved.
      */
     @Property(tries = 300, seed = "48")
     void noBoundIsExceededAndAllBytesAreReleased(
@@ -32,7 +32,7 @@
                     int sum = Arrays.stream(reserved).sum();
                     assertTrue(
                             reserved[body] + more > 100 || sum + more > 250,
-                            "refused without need");
+                            "refused although within both limits");
                 }
             } else {
                 bufferBudget.release(reserved[body]);
--- a/src/test/java/lemondrift/settings/RequestClassIndexTest.java
+++ b/src/test/java/lemondrift/settings/RequestClassIndexTest.java
@@ -45,14 +45,23 @@
         assertEquals(
                 7,
                 next.classesByIndex().get(1).priorityWeight(),
-                "requests come under what is stated now");
-        assertEquals(2, next.indexOf("c"), "an index dropped just now may still be on its way");
+                "requests arrive under the current settings of the class");
+        assertEquals(
+                2,
+                next.indexOf("c"),
+                "a request under the index just dropped may still be on its way");
         assertEquals(-1, next.indexOf("a"));
         assertNull(next.classesByIndex().get(0));
         assertEquals(List.of(2), next.reassigned());
         assertEquals(List.of("b", "c"), next.names());
-        assertEquals(0, reloaded(next, false, "b", "c", "d").indexOf("d"), "assigned again later");
-        assertEquals(3, reloaded(next, true, "b", "c", "d").indexOf("d"), "not while it is open");
+        assertEquals(
+                0,
+                reloaded(next, false, "b", "c", "d").indexOf("d"),
+                "the index is assigned again later");
+        assertEquals(
+                3,
+                reloaded(next, true, "b", "c", "d").indexOf("d"),
+                "not while a request is open under it");
     }
 
     @Test
@@ -75,8 +84,8 @@
     }
 
     /**
-     * Any reloads in a row: each name has one index, its own, and there are no more than are
-     * needed.
+     * After any sequence of reloads each name has one index of its own, and there are no more
+     * indexes than are needed.
      */
     @Property(tries = 200, seed = "48")
     void indexesAreBoundedAndUniquePerName(
@@ -106,6 +115,7 @@
                             .filter(requestClass -> requestClass != null)
                             .count());
         }
-        assertTrue(requestClasses.classesByIndex().size() <= 10, "two files' classes at the most");
+        assertTrue(
+                requestClasses.classesByIndex().size() <= 10, "at most the classes of two files");
     }
 }
--- a/src/test/java/lemondrift/settings/SettingsReaderTest.java
+++ b/src/test/java/lemondrift/settings/SettingsReaderTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The settings that a deployment states, and values that cannot be used. */
+/** Tests reading the settings of a deployment, and rejecting values that cannot be used. */
 class SettingsReaderTest {
     private static final String VALID =
             "siblings=3\n"
