--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -20,9 +20,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** A plain reference model of the four rules beside the balancer, on generated events. */
+/** Checks the balancer on generated events against a simple reference model of the four rules. */
 class FourRulesTest {
-    /** The work of each request in seconds; responses never take less. */
+    /** The work of each request, in seconds; no response takes less. */
     private static final double WORK_SECONDS = 0.1;
 
     private static final RequestClass[] REQUEST_CLASSES = {
@@ -32,7 +32,7 @@
         TestDeployment.WITH_KEY_BY_CELL
     };
 
-    private final Map<Request, List<Attempt>> attemptsOf = new HashMap<>();
+    private final Map<Request, List<Attempt>> attemptsByRequest = new HashMap<>();
     private final Map<Attempt, AttemptOutcome> outcomes = new HashMap<>();
     private final Map<Request, Integer> finalAnswers = new HashMap<>();
     private final Map<Integer, EndpointUpdate> endpoints = new HashMap<>();
@@ -58,7 +58,7 @@
                                 byProbe),
                         7);
         proxy.onDecision = this::checkDecision;
-        List.of(attemptsOf, outcomes, finalAnswers, endpoints).forEach(Map::clear);
+        List.of(attemptsByRequest, outcomes, finalAnswers, endpoints).forEach(Map::clear);
         inFlight.clear();
         TestDeployment.endpoints(backends)
                 .forEach(update -> endpoints.put(update.backend(), update));
@@ -75,17 +75,19 @@
         }
         proxy.wakeUntil(proxy.now + 3);
         endTimedOutAttempts();
-        attemptsOf
+        attemptsByRequest
                 .keySet()
                 .forEach(
                         request ->
                                 assertEquals(
                                         1,
                                         finalAnswers.getOrDefault(request, 0),
-                                        "one final answer each"));
+                                        "each request gets one final answer"));
     }
 
-    /** Hundreds of proxies that hear of one start at once share its budget. */
+    /**
+     * Hundreds of proxies that learn of the same start at once share the budget of that backend.
+     */
     @Property(tries = 12, seed = "20261201")
     void manyProxiesTogetherDoNotOverloadColdBackend(
             @ForAll @IntRange(min = 2, max = 500) int proxies,
@@ -119,13 +121,13 @@
                             + (1 - TestDeployment.RULES.slowStartMinShare())
                                     * from
                                     / TestDeployment.RULES.slowStartSeconds();
-            double bearableSeconds =
+            double windowBudgetSeconds =
                     TestDeployment.RULES.overloadFactor()
                             * warmShare
                             * TestDeployment.RULES.overloadWindowSeconds();
             assertTrue(
-                    count * WORK_SECONDS <= bearableSeconds + WORK_SECONDS,
-                    count + " from " + from);
+                    count * WORK_SECONDS <= windowBudgetSeconds + WORK_SECONDS,
+                    count + " requests in the window from " + from + " s");
         }
     }
 
@@ -134,12 +136,12 @@
         if (kind < 9) {
             latestRequest =
                     new Request(
-                            attemptsOf.size(),
+                            attemptsByRequest.size(),
                             random.nextInt(4),
                             0,
                             proxy.now,
                             random.nextInt(4) == 0 ? 1.2 : 2);
-            attemptsOf.put(latestRequest, new ArrayList<>());
+            attemptsByRequest.put(latestRequest, new ArrayList<>());
             proxy.apply(proxy.balancer.requestArrived(proxy.now, latestRequest));
         } else if (kind < 16 && !inFlight.isEmpty()) {
             Attempt attempt = inFlight.get(random.nextInt(inFlight.size()));
@@ -168,7 +170,7 @@
         }
     }
 
-    /** An attempt past its timeout ends as timed out, so that its request can be answered. */
+    /** Ends each attempt past its timeout as timed out, so that its request can be answered. */
     private void endTimedOutAttempts() {
         for (Attempt attempt : List.copyOf(inFlight)) {
             if (proxy.now >= attempt.sentAt + attempt.timeoutSeconds) {
@@ -195,16 +197,16 @@
 
     private void checkDecision(Decision decision) {
         for (Attempt attempt : decision.attempts) {
-            List<Attempt> earlier = attemptsOf.get(attempt.request);
+            List<Attempt> earlier = attemptsByRequest.get(attempt.request);
             assertTrue(
                     !finalAnswers.containsKey(attempt.request)
                             && proxy.now < attempt.request.deadline,
-                    "rule 1: attempt after the deadline");
+                    "rule 1: attempt after the deadline or the final answer");
             earlier.forEach(
                     previous ->
                             assertTrue(
                                     outcomes.containsKey(previous),
-                                    "two attempts in flight at once"));
+                                    "two attempts of a request in flight at once"));
             earlier.stream()
                     .filter(previous -> !outcomes.get(previous).neverExecuted)
                     .findFirst()
@@ -216,14 +218,16 @@
                                                             attempt.request.requestClassIndex],
                                                     previous,
                                                     attempt),
-                                            "rule 2: " + outcomes.get(previous)));
+                                            "rule 2: retry after " + outcomes.get(previous)));
             assertEquals(
-                    EndpointUpdate.State.READY, endpoints.get(attempt.backend).state(), "rule 3");
+                    EndpointUpdate.State.READY,
+                    endpoints.get(attempt.backend).state(),
+                    "rule 3: attempt at a backend that is not ready");
             earlier.add(attempt);
             inFlight.add(attempt);
             assertTrue(
                     workSeconds(attempt.backend) <= budgetSeconds(attempt.backend) + WORK_SECONDS,
-                    "rule 4: " + workSeconds(attempt.backend));
+                    "rule 4: work in the window, in seconds: " + workSeconds(attempt.backend));
         }
         for (Decision.LocalReply reply : decision.localReplies) {
             assertTrue(proxy.now <= reply.request().deadline, "rule 1: answered late");
@@ -232,32 +236,35 @@
                     finalAnswers.merge(reply.request(), 1, Integer::sum),
                     "rule 1: answered twice");
             boolean harmless =
-                    attemptsOf.get(reply.request()).stream()
+                    attemptsByRequest.get(reply.request()).stream()
                             .allMatch(
                                     attempt ->
                                             outcomes.containsKey(attempt)
                                                     && outcomes.get(attempt).neverExecuted);
             assertTrue(
                     !reply.rejected() || harmless || reply.request().requestClassIndex == 0,
-                    "rule 2: rejected, may have been executed");
+                    "rule 2: rejected although it may have been executed");
         }
     }
 
     private boolean mayRepeat(RequestClass requestClass, Attempt executed, Attempt retry) {
-        EndpointUpdate from = endpoints.get(executed.backend);
-        EndpointUpdate to = endpoints.get(retry.backend);
+        EndpointUpdate executedEndpoint = endpoints.get(executed.backend);
+        EndpointUpdate retryEndpoint = endpoints.get(retry.backend);
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && proxy.now - executed.sentAt <= requestClass.idempotencyKeyTtlSeconds()
-                        && from.location() == to.location()
+                        && executedEndpoint.location() == retryEndpoint.location()
                         && (requestClass.deduplicationScope() == DeduplicationScope.LOCATION
-                                || from.cell() == to.cell()));
+                                || executedEndpoint.cell() == retryEndpoint.cell()));
     }
 
-    /** All that was sent to a backend within the window up to now, since it started. */
+    /**
+     * Returns the work sent to a backend since its start within the window that ends now, in
+     * seconds.
+     */
     private double workSeconds(int backend) {
         return WORK_SECONDS
-                * attemptsOf.values().stream()
+                * attemptsByRequest.values().stream()
                         .flatMap(List::stream)
                         .filter(
                                 attempt ->
@@ -272,7 +279,8 @@
     }
 
     /**
-     * This proxy's part of what a cold backend bears in one window; without bound where it is warm.
+     * Returns this proxy's part of the work that a cold backend can take in one window, in seconds;
+     * infinite if the backend is warm.
      */
     private double budgetSeconds(int backend) {
         double elapsedShare =
--- a/src/test/java/lemondrift/LayersTest.java
+++ b/src/test/java/lemondrift/LayersTest.java
@@ -11,7 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Arrows between packages point down: adapters use cores, cores use the model alone and do no I/O.
+ * Checks that dependencies between packages point in one direction: adapters use core packages, and
+ * core packages use the model, no adapter and no I/O.
  */
 class LayersTest {
     private static final String[] CORE_PACKAGES = {
@@ -28,8 +29,8 @@
     };
 
     /**
-     * What each room of the proxy may use of the other rooms; the rest, lifecycle and the server,
-     * know all.
+     * The other proxy packages that each proxy package may use. The lifecycle package and the
+     * server, which are not listed, may use all.
      */
     private static final Map<String, String> ALLOWED_PROXY_DEPENDENCIES =
             Map.ofEntries(
@@ -110,25 +111,27 @@
     @Test
     void proxyPackagesUseOnlyAllowedDependencies() {
         ALLOWED_PROXY_DEPENDENCIES.forEach(
-                (room, allowed) -> {
-                    String[] others =
+                (packageName, allowedPackages) -> {
+                    String[] forbiddenPackages =
                             Stream.concat(
                                             ALLOWED_PROXY_DEPENDENCIES.keySet().stream(),
                                             Stream.of("lifecycle"))
                                     .filter(
                                             each ->
-                                                    !each.equals(room)
-                                                            && !Stream.of(allowed.split(" "))
+                                                    !each.equals(packageName)
+                                                            && !Stream.of(
+                                                                            allowedPackages.split(
+                                                                                    " "))
                                                                     .toList()
                                                                     .contains(each))
                                     .map(each -> "lemondrift.proxy." + each + "..")
                                     .toArray(String[]::new);
                     noClasses()
                             .that()
-                            .resideInAPackage("lemondrift.proxy." + room + "..")
+                            .resideInAPackage("lemondrift.proxy." + packageName + "..")
                             .should()
                             .dependOnClassesThat()
-                            .resideInAnyPackage(others)
+                            .resideInAnyPackage(forbiddenPackages)
                             .orShould()
                             .dependOnClassesThat()
                             .resideInAPackage("lemondrift.proxy")
--- a/src/test/java/lemondrift/ShadowEvaluatorTest.java
+++ b/src/test/java/lemondrift/ShadowEvaluatorTest.java
@@ -12,7 +12,10 @@
 import lemondrift.shadow.ShadowEvaluator;
 import org.junit.jupiter.api.Test;
 
-/** The decisions stay as they are, and what would be decided otherwise is counted by kind. */
+/**
+ * Tests that a shadow does not change decisions, and that the decisions it would make differently
+ * are counted by kind.
+ */
 class ShadowEvaluatorTest {
     private static Settings settings(double crossZoneCost, int maxAttempts, boolean canProbe) {
         Settings settings =
@@ -32,7 +35,7 @@
                 new Settings.Costs(crossZoneCost, 0.001));
     }
 
-    /** Plays random events; what was decided, as text. */
+    /** Runs random events and returns the decisions as text. */
     private static String runRandomEvents(
             Settings settings, ShadowEvaluator shadow, boolean allSucceed) {
         TestDeployment proxy = new TestDeployment(settings, 7, shadow);
@@ -103,16 +106,16 @@
     @Test
     void differingDecisionsAreCountedByKind() {
         Settings freeCrossing = settings(0, 4, false);
-        Settings dearCrossing = settings(9, 4, false);
+        Settings expensiveCrossing = settings(9, 4, false);
         Settings oneAttempt = settings(0, 1, false);
-        ShadowEvaluator staysInZone = runShadow(freeCrossing, dearCrossing, true);
+        ShadowEvaluator staysInZone = runShadow(freeCrossing, expensiveCrossing, true);
         assertCountAtLeast(100, ShadowEvaluator.Kind.NOT_CROSS, staysInZone);
         assertCountAtLeast(
                 staysInZone.count(ShadowEvaluator.Kind.NOT_CROSS),
                 ShadowEvaluator.Kind.ANOTHER_BACKEND,
                 staysInZone);
         assertCountAtLeast(
-                100, ShadowEvaluator.Kind.CROSS, runShadow(dearCrossing, freeCrossing, true));
+                100, ShadowEvaluator.Kind.CROSS, runShadow(expensiveCrossing, freeCrossing, true));
         assertCountAtLeast(
                 10,
                 ShadowEvaluator.Kind.NOT_SEND_AGAIN,
--- a/src/test/java/lemondrift/SimulatorAdapterTest.java
+++ b/src/test/java/lemondrift/SimulatorAdapterTest.java
@@ -14,7 +14,7 @@
 import lemondrift.simulator.SimulatorAdapter;
 import org.junit.jupiter.api.Test;
 
-/** The adapter, byte for byte. */
+/** Tests the simulator adapter byte for byte. */
 class SimulatorAdapterTest {
     private static final String LIST_RECORD =
             "0b 1d000000 00 01000000 0a124a07 931f 0000 00 0000 01 0000803f" + " 0000000000000000";
@@ -62,16 +62,18 @@
                         TestDeployment.batchFrame(1, ok)));
         byte[] send = TestDeployment.parseHex(SEND_RECORD);
         assertArrayEquals(send, Arrays.copyOfRange(out.toByteArray(), 8, 8 + send.length));
-        assertEquals(240, replies().getDouble(8 + send.length), 1e-6, "the time-out in ms");
-        assertEquals(2, replies().getInt(4), "the send and the safe alarm");
+        assertEquals(240, replies().getDouble(8 + send.length), 1e-6, "the timeout in ms");
+        assertEquals(2, replies().getInt(4), "the attempt and the wake-up alarm");
         assertEquals(
-                0, replies().getInt(4 + replies().getInt(0) + 4), "nothing more once delivered");
+                0,
+                replies().getInt(4 + replies().getInt(0) + 4),
+                "no further records once the response is delivered");
     }
 
     @Test
     void staleAlarmsAndEventsForUnknownIdsAreIgnored() {
-        String bell = "07 0c000000 03000000 4d00000000000000";
-        String vanished = "06 0c000000 05000000 192b6f0ecc230400";
+        String alarm = "07 0c000000 03000000 4d00000000000000";
+        String clientLeft = "06 0c000000 05000000 192b6f0ecc230400";
         String unknown = "63 03000000 010203";
         assertEquals(
                 0,
@@ -80,8 +82,8 @@
                                 5,
                                 TestDeployment.startRecordHex(3),
                                 TestDeployment.startRecordHex(5),
-                                bell,
-                                vanished,
+                                alarm,
+                                clientLeft,
                                 unknown)));
         assertEquals(0, replies().getInt(4));
     }
@@ -104,7 +106,10 @@
                                 CACHED_LIST_RECORD,
                                 ARRIVAL_RECORD)));
         int second = 4 + replies().getInt(0);
-        assertEquals(2, replies().getInt(second + 4), "the same id is a new exchange, sent anew");
+        assertEquals(
+                2,
+                replies().getInt(second + 4),
+                "the same id is a new request, which is sent again");
     }
 
     @Test
@@ -131,9 +136,10 @@
 
     @Test
     void invalidInputGetsOneLineAndAnExitCode() {
-        byte[] whole = TestDeployment.batchFrame(1, "07 0c000000 03000000 4d00000000000000");
-        assertRejected("ends after 20 of", Arrays.copyOf(whole, 24));
-        assertRejected("ends after 2 of 4", Arrays.copyOf(whole, 2));
+        byte[] completeFrame =
+                TestDeployment.batchFrame(1, "07 0c000000 03000000 4d00000000000000");
+        assertRejected("ends after 20 of", Arrays.copyOf(completeFrame, 24));
+        assertRejected("ends after 2 of 4", Arrays.copyOf(completeFrame, 2));
         assertRejected("has length 99", TestDeployment.batchFrame(1, "07 63000000 03000000"));
         assertRejected(
                 "too short",
