--- a/src/main/java/lemondrift/connection/ConnectionDeadlines.java
+++ b/src/main/java/lemondrift/connection/ConnectionDeadlines.java
@@ -69,11 +69,11 @@
 
     /** Why a connection is to be closed now; null if it may stay. */
     CloseReason reasonToClose(int connection, double now) {
-        boolean late = now > connections.deadlines[connection];
+        boolean isOverdue = now > connections.deadlines[connection];
         return switch (connections.state(connection)) {
-            case NEW -> late ? CloseReason.NO_REQUEST : reasonToCloseInDrain(connection, now);
-            case READING_HEAD, READING_BODY -> late ? CloseReason.SLOW_REQUEST : null;
-            case SENDING_RESPONSE -> late ? CloseReason.SLOW_READER : null;
+            case NEW -> isOverdue ? CloseReason.NO_REQUEST : reasonToCloseInDrain(connection, now);
+            case READING_HEAD, READING_BODY -> isOverdue ? CloseReason.SLOW_REQUEST : null;
+            case SENDING_RESPONSE -> isOverdue ? CloseReason.SLOW_READER : null;
             case IDLE -> reasonToCloseIdle(connection, now);
             case FREE, AWAITING_RESPONSE, READ_PAUSED -> null;
         };
--- a/src/main/java/lemondrift/connection/ConnectionDrain.java
+++ b/src/main/java/lemondrift/connection/ConnectionDrain.java
@@ -8,7 +8,7 @@
  * falling on the other proxies at one instant.
  */
 final class ConnectionDrain {
-    private static final ConnectionState[] WITHOUT_REQUEST = {
+    private static final ConnectionState[] STATES_WITHOUT_REQUEST = {
         ConnectionState.IDLE, ConnectionState.NEW
     };
 
@@ -40,7 +40,7 @@
         int count =
                 connections.count(ConnectionState.NEW) + connections.count(ConnectionState.IDLE);
         int rank = 0;
-        for (ConnectionState state : WITHOUT_REQUEST) {
+        for (ConnectionState state : STATES_WITHOUT_REQUEST) {
             for (int connection = connections.first(state);
                     connection != ConnectionTable.NONE;
                     connection = connections.after(connection)) {
--- a/src/main/java/lemondrift/connection/ConnectionEviction.java
+++ b/src/main/java/lemondrift/connection/ConnectionEviction.java
@@ -10,7 +10,7 @@
  * one.
  */
 final class ConnectionEviction {
-    private static final ConnectionState[] READING_REQUEST = {
+    private static final ConnectionState[] STATES_READING_REQUEST = {
         ConnectionState.READING_HEAD, ConnectionState.READING_BODY
     };
 
@@ -44,7 +44,7 @@
             return;
         }
         addConnectionsWithoutFirstByte(now);
-        for (ConnectionState state : READING_REQUEST) {
+        for (ConnectionState state : STATES_READING_REQUEST) {
             addSlowFirstRequests(state, now);
         }
         addIdleConnections();
--- a/src/main/java/lemondrift/connection/FairEviction.java
+++ b/src/main/java/lemondrift/connection/FairEviction.java
@@ -41,18 +41,19 @@
     void evict(int excess, double now, IntPredicate close) {
         // Guards against a broken order: a weight must not change while its source is queued.
         record Usage(ClientSource source, int order, double weight, double connectionsPerWeight) {}
-        var greediest =
+        var usageQueue =
                 new PriorityQueue<Usage>(
                         Comparator.comparing(Usage::connectionsPerWeight)
                                 .reversed()
                                 .thenComparing(Usage::order));
         for (ClientSource source : sources) {
             double weight = source.weight(now, halfLifeSeconds);
-            greediest.add(new Usage(source, greediest.size(), weight, source.connections / weight));
+            usageQueue.add(
+                    new Usage(source, usageQueue.size(), weight, source.connections / weight));
         }
         int remaining = excess;
-        while (remaining > 0 && !greediest.isEmpty()) {
-            Usage usage = greediest.poll();
+        while (remaining > 0 && !usageQueue.isEmpty()) {
+            Usage usage = usageQueue.poll();
             ClientSource source = usage.source;
             int connection = source.firstCandidate;
             source.firstCandidate = nextCandidate[connection];
@@ -60,7 +61,7 @@
                 remaining--;
             }
             if (source.firstCandidate != ConnectionTable.NONE) {
-                greediest.add(
+                usageQueue.add(
                         new Usage(
                                 source,
                                 usage.order,
--- a/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -184,18 +184,19 @@
         for (Map.Entry<Integer, Client> each : clients.entrySet()) {
             Client client = each.getValue();
             assertEquals(client.state, policy.state(each.getKey()));
-            double late = now - limits.sweepIntervalSeconds() - 1e-9;
+            double overdueBefore = now - limits.sweepIntervalSeconds() - 1e-9;
             switch (client.state) {
                 case NEW ->
                         assertTrue(
-                                client.acceptedAt + limits.firstByteTimeoutSeconds() >= late,
+                                client.acceptedAt + limits.firstByteTimeoutSeconds()
+                                        >= overdueBefore,
                                 "no byte for too long");
                 case IDLE ->
                         assertTrue(
-                                client.enteredStateAt + limits.maxIdleSeconds() >= late,
+                                client.enteredStateAt + limits.maxIdleSeconds() >= overdueBefore,
                                 "idle for too long");
                 case READING_HEAD ->
-                        assertTrue(deadline(client) >= late, "no progress for too long");
+                        assertTrue(deadline(client) >= overdueBefore, "no progress for too long");
                 default -> {}
             }
         }
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -21,14 +21,15 @@
 class ConnectionPolicyTest {
     @Property(tries = 400, seed = "48")
     void invariantsHoldForAnyEventSequence(
-            @ForAll @IntRange(min = 1, max = 40) int places,
+            @ForAll @IntRange(min = 1, max = 40) int maxConnections,
             @ForAll ConnectionLimits.Sharing sharing,
             @ForAll @Size(min = 50, max = 400) List<@IntRange(max = 9999) Integer> steps) {
         ConnectionPolicyModel model =
-                new ConnectionPolicyModel(ConnectionPolicyModel.limits(places, sharing));
+                new ConnectionPolicyModel(ConnectionPolicyModel.limits(maxConnections, sharing));
         for (int step : steps) {
-            List<Integer> all = List.copyOf(model.clients.keySet());
-            int connection = all.isEmpty() ? -1 : all.get(step / 10 % all.size());
+            List<Integer> connections = List.copyOf(model.clients.keySet());
+            int connection =
+                    connections.isEmpty() ? -1 : connections.get(step / 10 % connections.size());
             ConnectionState state =
                     connection < 0 ? ConnectionState.FREE : model.clients.get(connection).state;
             switch (step % 10) {
@@ -86,7 +87,7 @@
     void connectionsThatAreNeverReusedGiveWayToReusedOnes() {
         ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(200);
         int[] steady = IntStream.range(0, 20).map(i -> model.accept()).toArray();
-        int onOpenConnections = 0;
+        int requestsOnOpenConnections = 0;
         int requests = 0;
         int maxConnections = 0;
         for (int round = 0; round < 200; round++) {
@@ -99,7 +100,7 @@
                 int client = (2 * round + k) % steady.length;
                 requests += round < 100 ? 0 : 1;
                 if (model.clients.containsKey(steady[client])) {
-                    onOpenConnections += round < 100 ? 0 : 1;
+                    requestsOnOpenConnections += round < 100 ? 0 : 1;
                 } else {
                     steady[client] = model.accept();
                 }
@@ -114,8 +115,8 @@
                         + maxConnections
                         + " of 200 places, where 152 would stand for 2.2 s");
         assertTrue(
-                onOpenConnections > 0.5 * requests,
-                "most that come again are kept: " + onOpenConnections + " of " + requests);
+                requestsOnOpenConnections > 0.5 * requests,
+                "most that come again are kept: " + requestsOnOpenConnections + " of " + requests);
     }
 
     @Test
@@ -170,12 +171,12 @@
             }
             model.advance(0.02);
         }
-        long connectionsOfFew =
+        long connectionsOfNewSources =
                 model.clients.values().stream().filter(client -> client.address >= 100_000).count();
         assertTrue(model.clients.size() <= 1000);
         assertTrue(
-                connectionsOfFew <= 10 * 17,
-                "no more than their credit gives weight to: " + connectionsOfFew);
+                connectionsOfNewSources <= 10 * 17,
+                "no more than their credit gives weight to: " + connectionsOfNewSources);
         for (int address = 1_000_000; address < 1_003_000; address++) {
             model.disconnect(model.accept(address));
         }
@@ -381,16 +382,19 @@
 
     @Test
     void openConnectionsStayWithinTheLimit() {
-        for (int places : new int[] {14, 129, 9806}) {
-            ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(places);
-            for (int k = 0; k < 2 * places; k++) {
+        for (int maxConnections : new int[] {14, 129, 9806}) {
+            ConnectionPolicyModel model =
+                    ConnectionPolicyModel.withSourcePerConnection(maxConnections);
+            for (int k = 0; k < 2 * maxConnections; k++) {
                 if (model.clients.size() >= model.limits.acceptLimit()) {
                     model.advance(0.2);
                 }
                 model.accept();
             }
             model.advance(0.2);
-            assertTrue(model.clients.size() <= places, places + ": " + model.clients.size());
+            assertTrue(
+                    model.clients.size() <= maxConnections,
+                    maxConnections + ": " + model.clients.size());
             assertTrue(
                     model.policy.summary().contains("new=" + model.clients.size()),
                     model.policy.summary());
--- a/src/test/java/lemondrift/connection/KeepAliveSimulation.java
+++ b/src/test/java/lemondrift/connection/KeepAliveSimulation.java
@@ -37,10 +37,10 @@
         double nextRequestAt;
         final RequestIntervals intervals;
 
-        Client(int requestsLeft, double nextRequestAt, RequestIntervals habit) {
+        Client(int requestsLeft, double nextRequestAt, RequestIntervals intervals) {
             this.requestsLeft = requestsLeft;
             this.nextRequestAt = nextRequestAt;
-            this.intervals = habit;
+            this.intervals = intervals;
         }
     }
 
--- a/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void sendsAttemptsInFlightToOtherProxies() throws Exception {
+    void reportsAttemptsInFlightToOtherProxies() throws Exception {
         InetSocketAddress anyAddress = InetSocketAddress.createUnresolved("p", 1);
         decisionLoop.enableGossip(
                 new GossipSettings(null, List.of(anyAddress, anyAddress), 1, 0, 1, 12));
@@ -337,10 +337,10 @@
     }
 
     @Override
-    public void requestsDecided(int requests, double seconds) {}
+    public void requestsDecided(int requestCount, double totalSeconds) {}
 
     @Override
-    public void updateBackendCounts(int listed, int disabled) {}
+    public void updateBackendCounts(int listedCount, int disabledCount) {}
 
     @Override
     public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
