--- a/src/main/java/lemondrift/proxy/loop/ActiveSettings.java
+++ b/src/main/java/lemondrift/proxy/loop/ActiveSettings.java
@@ -8,8 +8,8 @@
 import lemondrift.settings.RequestClassIndex;
 
 /**
- * The settings in force, and what a reload of them changes: the balancer, the shadow, the shed
- * thresholds and the I/O thread. Decisions thread only.
+ * Holds the settings in force. A reload passes the new settings to the balancer, the shadow and the
+ * I/O thread, and clears the shed thresholds. Decisions thread only.
  */
 final class ActiveSettings {
     private final LoadBalancer balancer;
@@ -25,7 +25,8 @@
     private int reloadsNotApplied;
 
     /**
-     * Indexes of the classes that requests had on the I/O thread when it applied the last reload.
+     * Indexes of the request classes of the open requests on the I/O thread when it applied the
+     * last reload.
      */
     private Set<Integer> classesInUse = Set.of();
 
@@ -50,23 +51,27 @@
         return settings;
     }
 
-    /** So many processes share what the settings grant this proxy. */
+    /**
+     * Divides the resources that the settings grant this proxy among this many processes, 1 or
+     * more.
+     */
     void setProcessCount(int processCount) {
         this.processCount = processCount;
         balancer.settingsChanged(settings.dividedAmong(processCount), List.of());
     }
 
     /**
-     * Replaces the settings.
+     * Replaces the settings, and passes the new ones to the balancer, the shadow and the I/O
+     * thread.
      *
      * @param classNames the names of the new request classes, in the order of the settings
-     * @param shadowSettings null where the new configuration has none
+     * @param shadowSettings the settings of the shadow; null if the new configuration has none
      */
     void reload(Settings newSettings, List<String> classNames, Settings shadowSettings) {
         requestClasses =
                 requestClasses.reloaded(classNames, newSettings.requestClasses(), this::isInUse);
         reloadsNotApplied++;
-        // Guards against a threshold of the class that had the index before.
+        // Guards against shedding requests by the threshold of the class that had the index before.
         shedThresholds.clear();
         settings = settings.reloaded(newSettings, requestClasses.classesByIndex());
         balancer.settingsChanged(settings.dividedAmong(processCount), requestClasses.reassigned());
@@ -75,8 +80,9 @@
     }
 
     /**
-     * Guards against an index that passes to another class while a request of the former one is on
-     * its way here.
+     * Returns whether a request of the class with this index may still exist. Guards against
+     * assigning an index to another class while a request of the former class is on its way from
+     * the I/O thread.
      */
     private boolean isInUse(int requestClass) {
         return reloadsNotApplied > 0
@@ -84,7 +90,11 @@
                 || executor.hasOpenRequestOf(requestClass);
     }
 
-    /** The I/O thread has applied a reload and has requests of these classes. */
+    /**
+     * Records that the I/O thread has applied a reload.
+     *
+     * @param classesInUse indexes of the request classes of its open requests
+     */
     void reloadApplied(Set<Integer> classesInUse) {
         reloadsNotApplied--;
         this.classesInUse = classesInUse;
--- a/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
@@ -21,16 +21,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out decisions: turns them into actions of the I/O thread, and owns the open requests and
- * the time at which the balancer wants to be woken. {@link #eventFailed} is what happens when a
- * decision throws. Decisions thread only.
+ * Executes decisions: turns them into actions of the I/O thread. Owns the open requests and the
+ * time at which the balancer is to be woken. {@link #eventFailed} handles an exception thrown while
+ * an event is handled. Decisions thread only.
  */
 final class DecisionExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(DecisionExecutor.class);
 
     /**
-     * Seconds after a failed event at which the balancer is woken at the latest, as the wake time
-     * it wanted may be lost.
+     * Longest time, in seconds, until the balancer is woken after a failed event. Guards against a
+     * lost wake time: the decision that set it may have failed.
      */
     private static final double WAKE_AFTER_FAILURE_SECONDS = 1;
 
@@ -42,10 +42,12 @@
     private final ShadowRunner shadow;
     private final Map<Request, PendingRequest> openRequests = new HashMap<>();
 
-    /** Not sent because of an error, the earliest first. */
+    /** Attempts that were not sent because of an error, in the order of the failures. */
     private final Queue<Attempt> unsentAttempts = new ArrayDeque<>();
 
-    /** The backends of probes that were not sent because of an error. */
+    /**
+     * Backends of the probes that were not sent because of an error, in the order of the failures.
+     */
     private final Queue<Integer> unsentProbes = new ArrayDeque<>();
 
     private double wakeAt = Double.POSITIVE_INFINITY;
@@ -65,7 +67,10 @@
         this.shadow = shadow;
     }
 
-    /** When the balancer wants to be woken, as of its last decision. */
+    /**
+     * Returns when the balancer is to be woken, as of its last decision, in seconds of the proxy's
+     * clock; infinity if not at all.
+     */
     double wakeAt() {
         return wakeAt;
     }
@@ -84,8 +89,8 @@
     }
 
     /**
-     * Cancellations first, then attempts, local replies, probes, calls for the endpoint list and
-     * log lines.
+     * Executes a decision: first cancellations, then attempts, local replies, probes, calls for the
+     * endpoint list and log messages.
      */
     void execute(Decision decision) {
         shadow.decisionMade(decision);
@@ -104,14 +109,18 @@
         decision.probes.forEach(this::probe);
         decision.endpointListCalls.forEach(actions::requestEndpointList);
         decision.logMessages.forEach(LOG::info);
-        // A backend that becomes usable or unusable without a list comes with a log message.
+        // The balancer logs a message when a backend becomes usable or unusable without an endpoint
+        // list.
         if (!decision.logMessages.isEmpty()) {
             reportBackendCount();
         }
         wakeAt = decision.wakeAt;
     }
 
-    /** Guards against a failed send that keeps the rest of the decision from being carried out. */
+    /**
+     * Sends an attempt. Guards against a failed send that keeps the rest of the decision from being
+     * executed.
+     */
     private void send(Attempt attempt) {
         directory.retain(attempt.backend);
         peers.attemptSent(attempt.backend);
@@ -119,39 +128,48 @@
             actions.send(
                     attempt, openRequests.get(attempt.request), directory.address(attempt.backend));
         } catch (RuntimeException e) {
-            // Wide, as whatever it is, the attempt has not been sent.
+            // Catches every runtime exception: whatever the cause, the attempt has not been sent.
             LOG.error("attempt at backend {} not handed to the I/O thread", attempt.backend, e);
             unsentAttempts.add(attempt);
         }
     }
 
-    /** Guards as {@link #send} does, and against a backend that waits for its report for good. */
+    /**
+     * Sends a probe. Guards against a failed probe that keeps the rest of the decision from being
+     * executed, and against a balancer that waits forever for the load report of the backend.
+     */
     private void probe(int backend) {
         directory.retain(backend);
         try {
             actions.probe(backend, directory.address(backend));
         } catch (RuntimeException e) {
-            // Wide, as whatever it is, the probe has not been sent.
+            // Catches every runtime exception: whatever the cause, the probe has not been sent.
             LOG.error("probe of backend {} not handed to the I/O thread", backend, e);
             unsentProbes.add(backend);
         }
     }
 
-    /** Takes out an attempt that was not sent, and of which the balancer has not heard; or null. */
+    /**
+     * Removes and returns an attempt that was not sent and whose end was not yet reported to the
+     * balancer; null if there is none.
+     */
     Attempt pollUnsentAttempt() {
         return unsentAttempts.poll();
     }
 
-    /** Takes out a backend whose probe was not sent, and of which the balancer has not heard. */
+    /**
+     * Removes and returns the backend of a probe that was not sent and whose end was not yet
+     * reported to the balancer; empty if there is none.
+     */
     OptionalInt pollUnsentProbe() {
         return unsentProbes.isEmpty() ? OptionalInt.empty() : OptionalInt.of(unsentProbes.remove());
     }
 
     /**
-     * Delivers the response of the first attempt that succeeds, and discards what follows of any
-     * other.
+     * Delivers the response of the first attempt of a request that succeeds, and discards the
+     * remainder of any other response.
      *
-     * @param response null where none came
+     * @param response null if the attempt ended without a response
      * @return whether this attempt is the first of its request to succeed
      */
     boolean deliverOrDiscard(Attempt attempt, AttemptOutcome outcome, BackendResponse response) {
@@ -166,9 +184,10 @@
     }
 
     /**
-     * What happens when a decision, or carrying it out, throws: the error is logged with its event
-     * and request, the request ends at once unless it is completed, the balancer and the shadow
-     * forget it, and the balancer is woken within a second.
+     * Handles an error that was thrown while an event was handled or its decision was executed.
+     * Logs the error with its event and request. If the event is about a request that is not
+     * completed, ends that request in the balancer and the shadow. Has the balancer woken within a
+     * second.
      */
     void eventFailed(Event event, Throwable cause) {
         Request request = event.request();
@@ -184,12 +203,13 @@
         wakeAt = Math.min(wakeAt, clock.now() + WAKE_AFTER_FAILURE_SECONDS);
     }
 
-    /** Ends a request as the balancer says, or as failed where the balancer throws again. */
+    /** Ends a request as the balancer decides, or as failed if the balancer throws again. */
     private void endAfterError(Request request) {
         try {
             execute(balancer.endRequest(clock.now(), request, FailureReason.INTERNAL_ERROR));
         } catch (RuntimeException | Error e) {
-            // Wide, as a request has to be answered whatever state an error has left.
+            // Catches every exception and error: a request must be answered whatever state the
+            // first error has left behind.
             LOG.error("request {} not ended by the balancer", request.id, e);
             request.failureReason = FailureReason.INTERNAL_ERROR;
             request.completed = true;
@@ -197,7 +217,9 @@
         }
     }
 
-    /** Ends all open requests at the end of the process. */
+    /**
+     * Ends all open requests, as the balancer decides for each. Called at the end of the process.
+     */
     void endOpenRequests() {
         for (Request request : List.copyOf(openRequests.keySet())) {
             execute(balancer.endRequest(clock.now(), request, FailureReason.SHUTDOWN));
@@ -219,14 +241,16 @@
     }
 
     /**
-     * Forgets a request that is completed and has no attempt in flight, and releases its backends.
+     * Removes a request from the open requests and releases the backends of its attempts, if the
+     * request is completed and has no attempt in flight. Otherwise does nothing.
      */
     void releaseIfFinished(Request request) {
         if (request.completed
                 && request.attemptsInFlight == 0
                 && openRequests.remove(request) != null) {
-            // Guards against the index of an earlier attempt's backend that passes on: retries go
-            // by it.
+            // Releases the backends of all attempts only now, because retries refer to the backends
+            // of earlier attempts by index. Guards against an index that is reassigned to another
+            // backend before.
             for (Attempt attempt = request.latestAttempt;
                     attempt != null;
                     attempt = attempt.previous) {
@@ -235,7 +259,7 @@
         }
     }
 
-    /** Has the metrics count how many backends are listed, and how many of them are not usable. */
+    /** Reports to the metrics how many backends are listed and how many of them are not usable. */
     void reportBackendCount() {
         actions.updateBackendCounts(
                 directory.listedCount(), directory.listedCount() - balancer.usableBackendCount());
--- a/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -22,9 +22,9 @@
 import lemondrift.shadow.ShadowEvaluator;
 
 /**
- * The way to the balancer for all other threads: a public method queues an event for the decisions
- * thread and returns, and blocks only while the queue is full, unless it says otherwise. {@link
- * EventLoop} is the queue and the thread.
+ * The entry point to the balancer for all other threads. Unless stated otherwise, a public method
+ * queues an event for the decisions thread and returns without waiting for the event to be handled;
+ * it blocks only while the queue is full. {@link EventLoop} owns the queue and the thread.
  */
 public final class DecisionLoop implements DecisionEvents {
     private final ProxyActions actions;
@@ -39,8 +39,8 @@
     private final EventLoop eventLoop;
 
     /**
-     * A loop that {@link #start} runs; it calls the balancer and the directory from its own thread
-     * alone.
+     * Creates a loop that {@link #start} runs. Only the loop's thread calls the balancer and the
+     * directory.
      */
     public DecisionLoop(
             LoadBalancer balancer,
@@ -81,27 +81,39 @@
                         activeSettings);
     }
 
-    /** Exchanges load with the other proxies; before the start. */
+    /**
+     * Enables the exchange of load reports with the other proxies. Must be called before {@link
+     * #start}.
+     */
     public void enableGossip(GossipSettings gossip) {
         peers.enableGossip(gossip);
     }
 
-    /** Exchanges load with the other proxies, and recovers with their help; before the start. */
+    /**
+     * Enables the exchange of load reports with the other proxies, and recovery with their help.
+     * Must be called before {@link #start}.
+     */
     public void enableGossip(GossipSettings gossip, RecoveryCoordinator recoveryCoordinator) {
         peers.enableGossip(gossip, recoveryCoordinator);
     }
 
-    /** Null where there is none. Any thread. */
+    /** Returns the coordinator of recovery; null if recovery is not enabled. Any thread. */
     public RecoveryCoordinator recoveryCoordinator() {
         return peers.recoveryCoordinator();
     }
 
-    /** Counts what other settings would have decided otherwise; before the start. */
+    /**
+     * Enables the shadow, which counts the decisions that would have been different under other
+     * settings. Must be called before {@link #start}.
+     */
     public void enableShadow(Settings settings, long seed) {
         shadow.enable(settings, seed);
     }
 
-    /** Null where there is none. Once the loop has stopped. */
+    /**
+     * Returns the shadow; null if it is not enabled or was ended by an error. Only after the loop
+     * has stopped.
+     */
     public ShadowEvaluator shadowEvaluator() {
         return shadow.evaluator();
     }
@@ -111,8 +123,8 @@
     }
 
     /**
-     * Ends the thread and returns once it has ended. Guards against actions of it that find the I/O
-     * thread gone.
+     * Stops the thread and waits until it has ended. Guards against actions that are sent to the
+     * I/O thread after that thread has ended.
      */
     public void stop() {
         eventLoop.stop();
@@ -129,7 +141,7 @@
                         () -> eventHandler.requestArrived(pending)));
     }
 
-    /** Returns at once, without an event. Any thread. */
+    /** Returns at once and queues no event. Any thread. */
     @Override
     public Optional<ShedThreshold> shedThreshold(int requestClass, double secondsLeft) {
         return shedThresholds.forRequest(requestClass, secondsLeft);
@@ -168,7 +180,7 @@
                 () -> eventHandler.bodyNotReplayable(request));
     }
 
-    /** See {@link EndpointListApplier}. */
+    /** Applies the list as {@link EndpointListApplier} describes. */
     @Override
     public void endpointListReceived(
             EndpointList list, boolean knownBeforeStart, Runnable onApplied) {
@@ -183,8 +195,8 @@
     }
 
     /**
-     * Wakes the loop for a datagram of recovery alone: load of other proxies matters only when the
-     * loop decides.
+     * Wakes the loop only for a recovery datagram. Load reports of other proxies can wait: they
+     * matter only when the loop decides.
      */
     @Override
     public void datagramReceived(int fromProxy, byte[] datagram) {
@@ -194,8 +206,8 @@
     }
 
     /**
-     * So many processes share what the settings grant this proxy, its part of a warming backend's
-     * budget too.
+     * Divides the resources that the settings grant this proxy among this many processes, 1 or
+     * more. This includes the proxy's share of the request budget of a backend in slow start.
      */
     public void setProcessCount(int processCount) {
         enqueue(
@@ -207,7 +219,7 @@
      * Replaces the settings for requests that arrive from now on.
      *
      * @param classNames the names of the new request classes, in the order of the settings
-     * @param shadowSettings null where the new configuration has none
+     * @param shadowSettings the settings of the shadow; null if the new configuration has none
      */
     public void reload(Settings newSettings, List<String> classNames, Settings shadowSettings) {
         enqueue(
@@ -216,19 +228,25 @@
     }
 
     /**
-     * The I/O thread goes by the settings of one more reload, and has requests of these classes.
+     * Reports that the I/O thread has applied the settings of one reload.
+     *
+     * @param classesInUse indexes of the request classes of its open requests
      */
     public void settingsApplied(Set<Integer> classesInUse) {
         enqueue(EventType.SETTINGS_APPLIED, () -> activeSettings.reloadApplied(classesInUse));
     }
 
-    /** Ends all open requests, as rejected where a retry is harmless. At the end of the process. */
+    /**
+     * Ends all open requests: as rejected if a retry is harmless, else as failed. Called at the end
+     * of the process.
+     */
     public void endOpenRequests() {
         enqueue(EventType.SHUTDOWN, executor::endOpenRequests);
     }
 
     /**
-     * Runs a task on the loop's thread, once all actions so far are on their way to the I/O thread.
+     * Runs a task on the loop's thread after all actions requested so far have been handed to the
+     * I/O thread.
      */
     public void runOnLoop(Runnable task) {
         enqueue(
@@ -239,17 +257,17 @@
                 });
     }
 
-    /** How many attempts and probes hold a backend's index. The loop's thread only. */
+    /** Returns how many references attempts and probes hold to backends. The loop's thread only. */
     public int backendReferenceCount() {
         return directory.referenceCount();
     }
 
-    /** The loop's thread only. */
+    /** Returns how many requests are open. The loop's thread only. */
     public int openRequestCount() {
         return executor.openRequestCount();
     }
 
-    /** How the loop keeps up, as JSON. Any thread. */
+    /** Returns waits of events and durations of iterations as JSON. Any thread. */
     public String metricsJson() {
         return eventLoop.metricsJson();
     }
--- a/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
+++ b/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
@@ -14,10 +14,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Applies new endpoint lists, one after the other in the order in which they came and each in
- * slices, so that requests never wait for the whole of a long one. A slice goes to the shadow, the
- * balancer and gossip; then idle connections to backends that are not ready any more or have
- * another address are closed. Decisions thread only.
+ * Applies new endpoint lists one after the other in the order of their arrival. Each list is
+ * applied in slices, so that requests never wait for a whole long list. A slice is passed to the
+ * shadow, the balancer and gossip. Then idle connections to backends that are no longer ready or
+ * have a new address are closed. Decisions thread only.
  */
 final class EndpointListApplier {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListApplier.class);
@@ -30,7 +30,7 @@
     private final ShadowRunner shadow;
     private final DecisionExecutor executor;
 
-    /** Lists that are not applied whole yet, the oldest first. */
+    /** Lists that are not completely applied yet, the oldest first. */
     private final Queue<EndpointListUpdate> pendingLists = new ArrayDeque<>();
 
     EndpointListApplier(
@@ -50,12 +50,18 @@
         this.executor = executor;
     }
 
-    /** Whether a list waits for its next slice. */
+    /** Returns whether there is a list that is not completely applied yet. */
     boolean hasPending() {
         return !pendingLists.isEmpty();
     }
 
-    /** Takes a new list, and applies its first slice at once unless another list is under way. */
+    /**
+     * Queues a new list. Applies its first slice at once unless an earlier list is still pending.
+     *
+     * @param knownBeforeStart whether the list was known before the process started, from the
+     *     configuration
+     * @param onApplied runs once the balancer has the whole list
+     */
     void endpointListReceived(EndpointList list, boolean knownBeforeStart, Runnable onApplied) {
         pendingLists.add(new EndpointListUpdate(directory, list, knownBeforeStart, onApplied));
         if (pendingLists.size() == 1) {
@@ -63,7 +69,7 @@
         }
     }
 
-    /** Applies the next slice of the oldest list; one has to be pending. */
+    /** Applies the next slice of the oldest list. At least one list must be pending. */
     void applyNextSlice() {
         EndpointListUpdate list = pendingLists.peek();
         List<EndpointUpdate> updates = peers.withSubsets(list.nextSlice());
@@ -71,8 +77,8 @@
         balancer.endpointsChanged(clock.now(), false, updates);
         peers.endpointsApplied(updates);
         for (EndpointUpdate update : updates) {
-            // Guards against an attempt that waits for a connection and reaches whoever has the
-            // address now.
+            // Guards against an attempt that waits for a connection and then reaches another
+            // backend that has the address now.
             if (update.state() != EndpointUpdate.State.READY
                     || directory.consumeAddressChange(update.backend())) {
                 actions.retirePool(update.backend());
@@ -83,7 +89,10 @@
         }
     }
 
-    /** All of a list is with the balancer, which decides on what waited for it. */
+    /**
+     * Completes a list after its last slice. The balancer then decides about the requests that
+     * waited for the list.
+     */
     private void finish(EndpointListUpdate list) {
         executor.reportBackendCount();
         if (!list.unreadable().isEmpty()) {
--- a/src/main/java/lemondrift/proxy/loop/Event.java
+++ b/src/main/java/lemondrift/proxy/loop/Event.java
@@ -3,12 +3,16 @@
 import lemondrift.model.Request;
 
 /**
- * Something that the decision loop has to handle.
+ * An event for the decision loop to handle.
  *
- * @param dueAt since when it has waited, in seconds of the proxy's clock, or {@link #UNKNOWN_TIME}
- * @param request the request that it is about; null where it is about none
+ * @param dueAt when the event arrived or became due, in seconds of the proxy's clock, or {@link
+ *     #UNKNOWN_TIME}
+ * @param request the request that the event is about; null if it is not about a request
  */
 record Event(EventType type, double dueAt, Request request, Runnable action) {
-    /** Stands for a time that was not read: to read the clock costs more than most events do. */
+    /**
+     * The due time of an event for which the clock was not read: reading it costs more than
+     * handling most events.
+     */
     static final double UNKNOWN_TIME = Double.POSITIVE_INFINITY;
 }
--- a/src/main/java/lemondrift/proxy/loop/EventHandler.java
+++ b/src/main/java/lemondrift/proxy/loop/EventHandler.java
@@ -11,8 +11,8 @@
 import lemondrift.proxy.time.MonotonicClock;
 
 /**
- * What each event about a request or a backend does: it goes to gossip, to the shadow and to the
- * balancer, and what the balancer decides is carried out. Decisions thread only.
+ * Handles events about requests and backends: passes each to gossip, the shadow and the balancer,
+ * and has the balancer's decision executed. Decisions thread only.
  */
 final class EventHandler {
     private final LoadBalancer balancer;
@@ -22,7 +22,7 @@
     private final ShadowRunner shadow;
     private final DecisionExecutor executor;
 
-    /** Requests that arrived in this iteration. */
+    /** How many requests arrived in this iteration. */
     private int arrivedCount;
 
     EventHandler(
@@ -40,7 +40,7 @@
         this.executor = executor;
     }
 
-    /** The request is open from now on; the balancer decides where it goes, or rejects it. */
+    /** Opens a request. The balancer sends it to a backend, lets it wait, or rejects it. */
     void requestArrived(PendingRequest pending) {
         arrivedCount++;
         executor.requestOpened(pending);
@@ -48,14 +48,17 @@
         executor.execute(balancer.requestArrived(clock.now(), pending.request()));
     }
 
-    /** How many requests have arrived since the last call. */
+    /** Returns how many requests have arrived since the last call, and resets the count. */
     int getAndResetArrivedCount() {
         int count = arrivedCount;
         arrivedCount = 0;
         return count;
     }
 
-    /** The first success goes to the client; any other outcome may lead to a retry or a failure. */
+    /**
+     * Delivers the response if the attempt is the first of its request to succeed. Any other
+     * outcome may lead to a retry or end the request.
+     */
     void attemptEnded(
             Attempt attempt,
             AttemptOutcome outcome,
@@ -77,8 +80,8 @@
     }
 
     /**
-     * Ends what an error kept from being sent. Guards against attempts that stay in flight for good
-     * and backends that look busy for as long.
+     * Ends the attempts and probes that were not sent because of an error. Guards against attempts
+     * that stay in flight forever and backends that look busy forever.
      */
     void endUnsentAttemptsAndProbes() {
         for (Attempt attempt = executor.pollUnsentAttempt();
@@ -107,7 +110,7 @@
         }
     }
 
-    /** Allows the request no more attempts than it has had. */
+    /** Allows the request no further attempts. */
     void bodyNotReplayable(Request request) {
         request.terms = request.terms.withMaxAttempts(request.attemptCount);
     }
--- a/src/main/java/lemondrift/proxy/loop/EventLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/EventLoop.java
@@ -10,19 +10,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The queue of events and the one thread that handles them and calls the balancer. An iteration
- * handles a batch of events, wakes the balancer if it is due, applies one slice of an endpoint
- * list, exchanges what is due with other proxies, and wakes the I/O thread once for all that came
- * of it. {@link DecisionExecutor#eventFailed} is what happens when an event throws.
+ * The queue of events and the only thread that handles them and calls the balancer. An iteration
+ * processes the datagrams received from other proxies, handles a batch of events, wakes the
+ * balancer if it is due, applies one slice of an endpoint list, sends the messages that are due to
+ * other proxies, and then wakes the I/O thread once for all resulting actions. {@link
+ * DecisionExecutor#eventFailed} handles an error thrown by an event.
  */
 final class EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
-    /** Events that may wait; whoever adds one more blocks. */
+    /** Capacity of the queue; a thread that adds another event blocks until there is room. */
     private static final int QUEUE_CAPACITY = 4096;
 
     /**
-     * Events handled after the first of an iteration before the I/O thread hears what was decided.
+     * How many events an iteration handles after its first one. Bounds how long decisions wait
+     * until they are handed to the I/O thread.
      */
     private static final int MAX_FURTHER_EVENTS_PER_ITERATION = 32;
 
@@ -30,8 +32,8 @@
     private static final double MAX_WAIT_SECONDS = 10;
 
     /**
-     * Longest wait for an event between two slices of an endpoint list, in seconds, in which other
-     * threads may run.
+     * Longest wait for an event between two slices of an endpoint list, in seconds. Lets other
+     * threads run between slices.
      */
     private static final double SLICE_INTERVAL_SECONDS = 0.001;
 
@@ -75,7 +77,7 @@
         thread.start();
     }
 
-    /** Ends the thread and returns once it has ended. */
+    /** Stops the thread and waits until it has ended. */
     void stop() {
         thread.interrupt();
         try {
@@ -85,12 +87,16 @@
         }
     }
 
-    /** How the loop keeps up, as JSON. Any thread. */
+    /** Returns waits of events and durations of iterations as JSON. Any thread. */
     String metricsJson() {
         return loopMetrics.json();
     }
 
-    /** Blocks while the queue is full. Any thread but the loop's. */
+    /**
+     * Adds an event to the queue; blocks while the queue is full. If the calling thread is
+     * interrupted, drops the event and restores the interrupt flag. Any thread except the loop's
+     * own, which could block itself forever.
+     */
     void enqueue(Event event) {
         try {
             queue.put(event);
@@ -118,8 +124,9 @@
     }
 
     /**
-     * Handles what is due and then wakes the I/O thread once. The event is null where none came in
-     * time.
+     * Runs one iteration.
+     *
+     * @param firstEvent null if no event arrived in time
      */
     private void iterate(Event firstEvent) {
         iterationStartedAt = clock.now();
@@ -133,7 +140,8 @@
                             null,
                             eventHandler::wakeTimeReached));
         }
-        // Guards against requests whose reply is due now and that would wait for a long list.
+        // At most one slice per iteration: guards against replies that are due now but wait until a
+        // long list is applied.
         if (endpointLists.hasPending()) {
             handle(
                     new Event(
@@ -153,8 +161,8 @@
     }
 
     /**
-     * Handles one batch of the queue; where it was full, the queue is long and the thresholds are
-     * computed anew.
+     * Handles one batch of queued events. A full batch means that the queue is long, so the shed
+     * thresholds are updated.
      */
     private void handleBatch(Event firstEvent) {
         Event event = firstEvent;
@@ -175,11 +183,12 @@
             event.action().run();
             eventHandler.endUnsentAttemptsAndProbes();
         } catch (RuntimeException | Error e) {
-            // Wide, as no error about one request may end the thread that decides for all.
+            // Catches every exception and error: an error about one request must not end the thread
+            // that decides for all requests.
             executor.eventFailed(event, e);
         }
-        // Guards against a request that is forgotten before its decision is carried out, and never
-        // answered.
+        // Only after the decision is executed: guards against a request that is removed before that
+        // and never answered.
         if (event.request() != null) {
             executor.releaseIfFinished(event.request());
         }
--- a/src/main/java/lemondrift/proxy/loop/EventType.java
+++ b/src/main/java/lemondrift/proxy/loop/EventType.java
@@ -3,7 +3,7 @@
 import lemondrift.metrics.EventLoopMetrics;
 
 /**
- * What an event is about: its name stands in the log where the event fails, its kind in the
+ * The type of an event. Its name appears in the log if the event fails; its kind appears in the
  * metrics.
  */
 enum EventType {
--- a/src/main/java/lemondrift/proxy/loop/PeerExchange.java
+++ b/src/main/java/lemondrift/proxy/loop/PeerExchange.java
@@ -12,8 +12,8 @@
 import lemondrift.proxy.time.MonotonicClock;
 
 /**
- * Gossip with the other proxies, and recovery after a start, as the loop sees them. Does nothing
- * where gossip is off. Decisions thread only, but where it says otherwise.
+ * Connects the loop to gossip with the other proxies and to recovery after a start. Does nothing if
+ * gossip is disabled. Decisions thread only, unless stated otherwise.
  */
 final class PeerExchange {
     private final LoadBalancer balancer;
@@ -21,10 +21,10 @@
     private final MonotonicClock clock;
     private final ProxyActions actions;
 
-    /** Null where gossip is off. */
+    /** Null if gossip is disabled. */
     private GossipSession gossipSession;
 
-    /** Null where gossip is off or recovery is not set. */
+    /** Null if gossip is disabled or recovery is not configured. */
     private RecoveryCoordinator recoveryCoordinator;
 
     PeerExchange(
@@ -38,27 +38,34 @@
         this.actions = actions;
     }
 
-    /** Before the loop starts. The wall clock gives the start number. */
+    /**
+     * Enables gossip without recovery. The start number is the wall-clock time in milliseconds.
+     * Must be called before the loop starts.
+     */
     void enableGossip(GossipSettings settings) {
         gossipSession =
                 new GossipSession(settings, System.currentTimeMillis(), balancer, directory);
     }
 
-    /** Before the loop starts. Recovery gives the start number. */
+    /**
+     * Enables gossip and recovery. The coordinator provides the start number. Must be called before
+     * the loop starts.
+     */
     void enableGossip(GossipSettings settings, RecoveryCoordinator recoveryCoordinator) {
         this.recoveryCoordinator = recoveryCoordinator;
         gossipSession =
                 new GossipSession(settings, recoveryCoordinator.startNumber(), balancer, directory);
     }
 
-    /** Null where there is none. */
+    /** Returns the coordinator of recovery; null if recovery is not enabled. */
     RecoveryCoordinator recoveryCoordinator() {
         return recoveryCoordinator;
     }
 
     /**
-     * Keeps a datagram for the next iteration; returns whether the loop has to be woken for it. Any
-     * thread.
+     * Queues a datagram for the next iteration. Gossip must be enabled. Any thread.
+     *
+     * @return whether the loop must be woken for it: true for a recovery datagram
      */
     boolean datagramReceived(int fromProxy, byte[] datagram) {
         if (recoveryCoordinator != null && RecoveryCoordinator.isRecoveryDatagram(datagram)) {
@@ -87,21 +94,31 @@
         }
     }
 
-    /** The updates with this proxy's subset in them; the same where gossip is off. */
+    /**
+     * Returns the updates with this proxy's subset assigned, and updates of other backends if
+     * theirs has changed; returns the argument unchanged if gossip is disabled or there are no
+     * updates.
+     */
     List<EndpointUpdate> withSubsets(List<EndpointUpdate> updates) {
         return gossipSession == null || updates.isEmpty()
                 ? updates
                 : gossipSession.assignSubsets(updates);
     }
 
-    /** The balancer has these updates. */
+    /**
+     * Called after the balancer has applied these updates; reports to it the load of the peers on
+     * these backends.
+     */
     void endpointsApplied(List<EndpointUpdate> updates) {
         if (gossipSession != null) {
             gossipSession.endpointsApplied(updates);
         }
     }
 
-    /** When the next message or step of recovery is due; infinite where there is none. */
+    /**
+     * Returns when the next message or the next step of recovery is due, in seconds of the proxy's
+     * clock; infinity if there is none.
+     */
     double wakeAt() {
         double gossipAt =
                 gossipSession == null ? Double.POSITIVE_INFINITY : gossipSession.nextSendAt();
@@ -110,7 +127,7 @@
                 : Math.min(gossipAt, recoveryCoordinator.wakeAt());
     }
 
-    /** Advances recovery, and has all messages sent that are due. */
+    /** Advances recovery and sends all messages that are due. */
     void sendDueMessages() {
         if (recoveryCoordinator != null) {
             recoveryCoordinator.advance(
--- a/src/main/java/lemondrift/proxy/loop/ShadowRunner.java
+++ b/src/main/java/lemondrift/proxy/loop/ShadowRunner.java
@@ -15,18 +15,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Passes events and decisions on to the shadow evaluator, if there is one, and logs its counts.
- * Does nothing where no shadow settings are set. Decisions thread only.
+ * Passes events and decisions to the shadow evaluator and logs its counts. Does nothing if there is
+ * no evaluator. Decisions thread only.
  */
 final class ShadowRunner {
     private static final Logger LOG = LoggerFactory.getLogger(ShadowRunner.class);
 
-    /** Seconds between two log lines with the counts. */
+    /** Shortest time between two log lines with the counts. */
     private static final double LOG_INTERVAL_SECONDS = 60;
 
     private final MonotonicClock clock;
 
-    /** Null where no shadow settings are set, and once an error has ended the shadow. */
+    /** Null if no shadow settings are configured, and after an error has ended the shadow. */
     private ShadowEvaluator evaluator;
 
     private double loggedAt;
@@ -35,13 +35,13 @@
         this.clock = clock;
     }
 
-    /** Before the loop starts. */
+    /** Enables the shadow. Must be called before the loop starts. */
     void enable(Settings settings, long seed) {
         evaluator = new ShadowEvaluator(settings, seed);
         loggedAt = clock.now();
     }
 
-    /** Null where there is none. */
+    /** Returns the evaluator; null if the shadow is not enabled or was ended by an error. */
     ShadowEvaluator evaluator() {
         return evaluator;
     }
@@ -96,7 +96,10 @@
     }
 
     /**
-     * The settings were reloaded; the shadow's own are null where the new configuration has none.
+     * Passes reloaded settings to the shadow.
+     *
+     * @param shadowSettings null if the new configuration has none; the shadow then keeps its
+     *     settings
      */
     void settingsChanged(Settings shadowSettings, RequestClassIndex requestClasses) {
         if (evaluator != null && shadowSettings != null) {
@@ -111,12 +114,15 @@
         }
     }
 
-    /** When the shadow wants to be woken; infinite where there is none. */
+    /**
+     * Returns when the shadow is to be woken, in seconds of the proxy's clock; infinity if there is
+     * no evaluator or nothing is due.
+     */
     double wakeAt() {
         return evaluator == null ? Double.POSITIVE_INFINITY : evaluator.wakeAt();
     }
 
-    /** Wakes the shadow where it is due, and logs the counts where that is due. */
+    /** Wakes the shadow if it is due, and logs the counts if the last such line is old enough. */
     void iterationEnded() {
         if (evaluator != null) {
             run(shadow -> shadow.wake(clock.now()));
@@ -134,8 +140,8 @@
     }
 
     /**
-     * Guards against an error of the shadow that touches a request: it ends the shadow alone,
-     * whatever it is.
+     * Runs an action of the shadow. Guards against an error of the shadow that affects a request:
+     * any runtime exception ends the shadow only.
      */
     private void run(Consumer<ShadowEvaluator> event) {
         try {
--- a/src/main/java/lemondrift/proxy/loop/ShedThresholds.java
+++ b/src/main/java/lemondrift/proxy/loop/ShedThresholds.java
@@ -9,14 +9,15 @@
 import lemondrift.proxy.time.MonotonicClock;
 
 /**
- * What the balancer would shed of each request class, as of the last iteration in which the queue
- * was long. The I/O thread reads it to shed requests that have not reached the balancer.
+ * The balancer's shed threshold of each request class, as of the last iteration in which the queue
+ * was long. The I/O thread reads the thresholds to shed requests that have not reached the
+ * balancer.
  */
 final class ShedThresholds {
     private final LoadBalancer balancer;
     private final MonotonicClock clock;
 
-    /** By index of the request class; an element is null where nothing of its class is shed. */
+    /** By index of the request class; an element is null if no request of the class is shed. */
     private volatile List<ShedThreshold> byRequestClass = List.of();
 
     ShedThresholds(LoadBalancer balancer, MonotonicClock clock) {
@@ -25,8 +26,9 @@
     }
 
     /**
-     * The threshold that sheds a request with so many seconds left; empty where it is not shed. Any
-     * thread.
+     * Returns the threshold by which a request is shed; empty if it is not shed. Any thread.
+     *
+     * @param secondsLeft seconds left until the request's attempt deadline
      */
     Optional<ShedThreshold> forRequest(int requestClass, double secondsLeft) {
         List<ShedThreshold> thresholds = byRequestClass;
@@ -37,7 +39,7 @@
                 .filter(threshold -> secondsLeft < threshold.minSecondsLeft());
     }
 
-    /** Asks the balancer anew. Decisions thread. */
+    /** Replaces all thresholds with the balancer's current ones. Decisions thread. */
     void update(Settings settings) {
         byRequestClass =
                 IntStream.range(0, settings.requestClasses().size())
@@ -49,7 +51,7 @@
                         .toList();
     }
 
-    /** Nothing is shed until the next update. Decisions thread. */
+    /** Removes all thresholds: no request is shed until the next update. Decisions thread. */
     void clear() {
         byRequestClass = List.of();
     }
--- a/src/main/java/lemondrift/proxy/loop/package-info.java
+++ b/src/main/java/lemondrift/proxy/loop/package-info.java
@@ -1,12 +1,13 @@
 /**
- * The thread that decides, "decisions". {@link lemondrift.proxy.loop.DecisionLoop} queues what
- * other threads report, {@code EventLoop} handles it in batches; {@code EventHandler} asks the
- * balancer about each event, {@code DecisionExecutor} carries out what it decides, and {@code
- * EndpointListApplier} applies a new endpoint list in slices between events.
+ * The decision loop and its thread, named "decisions". {@link lemondrift.proxy.loop.DecisionLoop}
+ * queues the events that other threads report, and {@code EventLoop} handles them in batches.
+ * {@code EventHandler} passes each event to the balancer, {@code DecisionExecutor} executes the
+ * resulting decision, and {@code EndpointListApplier} applies a new endpoint list in slices between
+ * events.
  *
- * <p>Owns the balancer, the open requests, the endpoint lists under way, the settings in force, the
- * shadow evaluator and the gossip session. All of it runs on the decisions thread but for what
- * queues an event or says "any thread". It does no I/O: what is to be done with sockets goes
+ * <p>This package owns the balancer, the open requests, the pending endpoint lists, the settings in
+ * force, the shadow evaluator and the gossip session. All code runs on the decisions thread, except
+ * methods that queue an event or state "any thread". The package does no I/O: actions on sockets go
  * through {@link lemondrift.proxy.events.ProxyActions} to the I/O thread.
  */
 package lemondrift.proxy.loop;
