--- a/src/main/java/lemondrift/hotrestart/ResourceSplit.java
+++ b/src/main/java/lemondrift/hotrestart/ResourceSplit.java
@@ -1,27 +1,28 @@
 package lemondrift.hotrestart;
 
 /**
- * How many processes of one proxy share what the platform gives it: during an upgrade there are
- * two, and the platform counts them as one. Not thread-safe.
+ * Determines among how many processes of one proxy its resources are divided. During an upgrade
+ * there are two processes, which the platform counts as one. Not thread-safe.
  */
 public final class ResourceSplit {
-    /** What this process is beside others of the same proxy. */
+    /** The role of this process among the processes of the same proxy. */
     public enum State {
-        /** It serves, and no other process waits to follow it. */
+        /** It serves, and no other process waits to take over. */
         ALONE,
-        /** It serves, and another process waits to follow it. */
+        /** It serves, and another process waits to take over. */
         FOLLOWED,
-        /** Another one serves, or it is not known whether one does. */
+        /** Another process serves, or it is not known whether one does. */
         BESIDE
     }
 
     private State state = State.BESIDE;
 
     /**
-     * Follows what was seen of the processes.
+     * Updates the state from an observation of the processes.
      *
-     * @param serving whether this process is the one that serves
-     * @param followerWaits whether another one waits to follow it; matters only if this one serves
+     * @param serving whether this process serves
+     * @param followerWaits whether another process waits to take over; ignored unless this process
+     *     serves
      * @return whether the state has changed
      */
     public boolean update(boolean serving, boolean followerWaits) {
@@ -39,8 +40,9 @@
     }
 
     /**
-     * Among how many processes the resources are divided, 1 or 2. Guards against two processes that
-     * each use all: only one that is known to be alone does.
+     * Returns among how many processes the resources are divided, 1 or 2. Guards against two
+     * processes that each use all resources: only a process that is known to be alone uses all of
+     * them.
      */
     public int processCount() {
         return state == State.ALONE ? 1 : 2;
--- a/src/main/java/lemondrift/hotrestart/package-info.java
+++ b/src/main/java/lemondrift/hotrestart/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Decides what share of the proxy's resources a process may use while another process of the same
- * proxy lives, as during an upgrade. No I/O; called on the thread that looks for other processes.
+ * Determines which share of the proxy's resources a process may use while another process of the
+ * same proxy runs, for example during an upgrade. No I/O; called on the thread that checks for
+ * other processes.
  */
 package lemondrift.hotrestart;
--- a/src/main/java/lemondrift/metrics/EventLoopMetrics.java
+++ b/src/main/java/lemondrift/metrics/EventLoopMetrics.java
@@ -1,11 +1,12 @@
 package lemondrift.metrics;
 
 /**
- * How the decision loop keeps up: how long events waited for it, and how long its iterations took.
- * Times are in seconds. One thread counts; any thread may read, perhaps a little late.
+ * Measures how long events wait for the decision loop and how long its iterations take. Times are
+ * in seconds. Only one thread records; any thread may read, and may see values that are slightly
+ * out of date.
  */
 public final class EventLoopMetrics {
-    /** What an event is about; the names stand in the JSON. */
+    /** The kind of an event. The names appear in the JSON and in the log. */
     public enum Kind {
         ARRIVAL,
         OUTCOME,
@@ -15,7 +16,7 @@
         OTHER
     }
 
-    /** A wait or an iteration that is longer, in seconds, is worth a log line. */
+    /** Waits and iterations that take longer are logged. */
     private static final double LOGGED_ABOVE_SECONDS = 0.05;
 
     /** Shortest time between two log lines. */
@@ -23,19 +24,19 @@
 
     private static final Kind[] KINDS = Kind.values();
 
-    /** By ordinal of the kind. */
+    /** How many events were handled, by ordinal of the kind. */
     private final long[] handledCounts = new long[KINDS.length];
 
     private volatile double longestWaitSeconds;
     private volatile Kind longestWaitKind = Kind.OTHER;
     private volatile double longestIterationSeconds;
 
-    /** The last event that the longest iteration handled. */
+    /** The kind of the last event that the longest iteration handled. */
     private volatile Kind longestIterationKind = Kind.OTHER;
 
     private volatile int longestQueue;
 
-    /** The longest wait of this iteration's events. */
+    /** The longest wait of an event of the current iteration. */
     private double iterationWaitSeconds;
 
     private Kind iterationWaitKind = Kind.OTHER;
@@ -49,7 +50,11 @@
 
     private double loggedAt = Double.NEGATIVE_INFINITY;
 
-    /** An event is handled that has waited so long; below 0 where that is not known. */
+    /**
+     * Records an event that is about to be handled.
+     *
+     * @param waitSeconds how long the event has waited; negative if that is unknown
+     */
     public void eventHandled(Kind kind, double waitSeconds) {
         handledCounts[kind.ordinal()]++;
         lastHandledKind = kind;
@@ -60,8 +65,13 @@
     }
 
     /**
-     * An iteration took so long and left so many events queued; returns a line for the log, or
-     * null.
+     * Records the end of an iteration.
+     *
+     * @param iterationSeconds the duration of the iteration
+     * @param queueLength the number of events that are still queued
+     * @param now the time in seconds, on any clock that does not run backwards
+     * @return a line for the log; null if there was nothing long to log since the last line, or
+     *     that line is too recent
      */
     public String iterationEnded(double iterationSeconds, int queueLength, double now) {
         longestQueue = Math.max(longestQueue, queueLength);
@@ -108,7 +118,7 @@
         return Math.round(seconds * 1000);
     }
 
-    /** As JSON, times in seconds. Any thread. */
+    /** Returns the metrics as JSON, times in seconds. Any thread. */
     public String json() {
         StringBuilder json =
                 new StringBuilder("{\"longest_wait\":")
--- a/src/main/java/lemondrift/metrics/ProxyMetrics.java
+++ b/src/main/java/lemondrift/metrics/ProxyMetrics.java
@@ -10,8 +10,9 @@
 import lemondrift.model.FailureReason;
 
 /**
- * Counts of one process since its start. One thread counts and reads. The requests in flight are
- * those accepted less those completed, so that the two can't drift apart.
+ * Counts of one process since its start. Not thread-safe: one thread counts and reads. The number
+ * of requests in flight is computed as accepted minus completed requests, so that it cannot drift
+ * from these counts.
  */
 public final class ProxyMetrics {
     /** How a request ended for its client. */
@@ -24,13 +25,14 @@
     /**
      * The counts at one moment.
      *
-     * @param replies by name of the request class, and then by ordinal of {@link Reply}
-     * @param requestsInFlight requests in flight
-     * @param attemptsSent attempts whose last byte was handed to the system
-     * @param backendsListed backends listed
-     * @param backendsDisabled backends listed that are not usable
-     * @param reloadsSucceeded configurations reloaded
-     * @param reloadsFailed configurations that could not be used
+     * @param replies the number of replies, by name of the request class and then by ordinal of
+     *     {@link Reply}
+     * @param requestsInFlight requests that were accepted and are not completed
+     * @param attemptsSent attempts whose last byte was handed to the kernel
+     * @param backendsListed backends in the endpoint list
+     * @param backendsDisabled backends in the endpoint list that are not usable
+     * @param reloadsSucceeded configurations that were reloaded successfully
+     * @param reloadsFailed configurations that were not reloaded because they could not be used
      */
     public record Snapshot(
             Map<String, long[]> replies,
@@ -41,7 +43,7 @@
             long reloadsSucceeded,
             long reloadsFailed) {}
 
-    /** By name of the request class, and then by ordinal of {@link Reply}. */
+    /** The number of replies, by name of the request class and then by ordinal of {@link Reply}. */
     private final Map<String, long[]> replyCounts = new LinkedHashMap<>();
 
     private final Map<FailureReason, Long> notServedCounts = new EnumMap<>(FailureReason.class);
@@ -55,7 +57,8 @@
     private long reloadsFailed;
 
     /**
-     * Counts these request classes from now on; one that is not named any more keeps its counts.
+     * Starts to count replies of these request classes. A class that was registered before keeps
+     * its counts, even if it is not named any more.
      */
     public void registerClasses(List<String> names) {
         names.forEach(
@@ -64,35 +67,41 @@
                                 name, unseen -> new long[Reply.values().length]));
     }
 
-    /** A request was read and is owed a reply. */
+    /** Records that a request was read and must be replied to. */
     public void requestAccepted() {
         acceptedRequests++;
     }
 
-    /** A request is over, whatever became of it and whether or not its client is still there. */
+    /**
+     * Records that a request has ended, regardless of the outcome and of whether its client is
+     * still connected.
+     */
     public void requestCompleted() {
         completedRequests++;
     }
 
-    /** A request was rejected or failed for this reason; null counts as an internal error. */
+    /**
+     * Records that a request was rejected or failed for this reason; null counts as an internal
+     * error.
+     */
     public void requestNotServed(FailureReason reason) {
         notServedCounts.merge(
                 Objects.requireNonNullElse(reason, FailureReason.INTERNAL_ERROR), 1L, Long::sum);
     }
 
-    /** How many requests were rejected or failed for this reason. */
+    /** Returns how many requests were rejected or failed for this reason. */
     public long notServedCount(FailureReason reason) {
         return notServedCounts.getOrDefault(reason, 0L);
     }
 
-    /** How many requests were rejected or failed for each reason, as JSON. */
+    /** Returns how many requests were rejected or failed for each reason, as JSON. */
     public String notServedJson() {
         return Arrays.stream(FailureReason.values())
                 .map(reason -> "\"" + reason + "\":" + notServedCount(reason))
                 .collect(Collectors.joining(",", "{", "}"));
     }
 
-    /** A reply was sent whole; not counted where the request class is not registered. */
+    /** Records that a reply was completely sent. Ignored if the request class is not registered. */
     public void replySent(String requestClass, Reply reply) {
         long[] counts = replyCounts.get(requestClass);
         if (counts != null) {
@@ -100,18 +109,22 @@
         }
     }
 
-    /** The last byte of an attempt was handed to the system. */
+    /** Records that the last byte of an attempt was handed to the kernel. */
     public void attemptSent() {
         attemptsSent++;
     }
 
-    /** How many backends are listed, and how many of them are not usable now. */
+    /** Sets how many backends are listed, and how many of them are not usable now. */
     public void setBackendCounts(int listedCount, int disabledCount) {
         backendsListed = listedCount;
         backendsDisabled = disabledCount;
     }
 
-    /** A configuration was reloaded, or could not be used. */
+    /**
+     * Records the reload of a configuration.
+     *
+     * @param succeeded whether the configuration could be used
+     */
     public void configurationReloaded(boolean succeeded) {
         if (succeeded) {
             reloadsSucceeded++;
@@ -120,7 +133,7 @@
         }
     }
 
-    /** A copy, which later counts do not change. */
+    /** Returns a copy of the counts, which later changes do not affect. */
     public Snapshot snapshot() {
         Map<String, long[]> replies = new LinkedHashMap<>();
         replyCounts.forEach((requestClass, counts) -> replies.put(requestClass, counts.clone()));
--- a/src/main/java/lemondrift/proxy/events/BackendResponse.java
+++ b/src/main/java/lemondrift/proxy/events/BackendResponse.java
@@ -3,12 +3,13 @@
 import io.undertow.util.HeaderMap;
 
 /**
- * What came of one call to a backend.
+ * The result of one call to a backend.
  *
- * @param completion how the call ended; all else but this is empty where no response came
- * @param status the HTTP status; 0 where no response came
- * @param body the body, or its beginning where there is a remainder
- * @param remainder what follows of a long body; null where the body is complete
+ * @param completion how the call ended; unless it is {@link Completion#RECEIVED}, the other
+ *     components are empty, 0 or null
+ * @param status the HTTP status; 0 if there was no response
+ * @param body the body, or its beginning if there is a remainder
+ * @param remainder the rest of a long body; null if {@code body} is complete
  */
 public record BackendResponse(
         Completion completion,
@@ -18,45 +19,56 @@
         ResponseRemainder remainder) {
     /** How a call ended. */
     public enum Completion {
-        /** The response came, or the beginning of one that is streamed. */
+        /** The response was received, or the beginning of a response that is streamed. */
         RECEIVED,
-        /** Given up before its request was sent whole, through no fault of the backend. */
+        /**
+         * The call was given up before its request was completely sent, through no fault of the
+         * backend.
+         */
         NOT_SENT,
         /**
-         * The connection could not be established, or broke, or the time was over, before the last
-         * byte of the request was handed to the system.
+         * The connection could not be established, or it broke, or the call timed out, before the
+         * last byte of the request was handed to the kernel.
          */
         FAILED_BEFORE_SENT,
-        /** The connection broke, or brought what cannot be read, after the request was sent. */
+        /**
+         * The connection broke, or the response could not be parsed, after the request was sent.
+         */
         CONNECTION_BROKEN,
-        /** The time was over after the request was sent and before the response was complete. */
+        /** The call timed out after the request was sent and before the response was complete. */
         TIMED_OUT
     }
 
-    /** The one status that counts as success. */
+    /** The only status that counts as success. */
     public static final int OK = 200;
 
-    /** Stands for the status where no response came. */
+    /** The status of a call without a response. */
     private static final int NO_STATUS = 0;
 
-    /** A response that was read whole, or its beginning, and what has the remainder. */
+    /**
+     * Returns a response that was received, or its beginning.
+     *
+     * @param remainder the rest of a long body; null if {@code body} is complete
+     */
     public static BackendResponse received(
             int status, HeaderMap headers, byte[] body, ResponseRemainder remainder) {
         return new BackendResponse(Completion.RECEIVED, status, headers, body, remainder);
     }
 
     /**
-     * A call that was given up before its request was sent whole, through no fault of its backend.
+     * Returns the result of a call that was given up before its request was completely sent,
+     * through no fault of the backend.
      */
     public static BackendResponse notSent() {
         return withoutResponse(Completion.NOT_SENT);
     }
 
     /**
-     * A connection that failed, or a call whose time was over, before the response was complete.
+     * Returns the result of a call whose connection failed, or that timed out, before the response
+     * was complete.
      *
-     * @param requestSent whether the last byte of the request was handed to the system
-     * @param timedOut whether the call ended because its time was over
+     * @param requestSent whether the last byte of the request was handed to the kernel
+     * @param timedOut whether the call ended because it timed out
      */
     public static BackendResponse connectionFailed(boolean requestSent, boolean timedOut) {
         if (!requestSent) {
@@ -69,7 +81,7 @@
         return new BackendResponse(completion, NO_STATUS, new HeaderMap(), new byte[0], null);
     }
 
-    /** Whether it is a response with the one status that counts as success. */
+    /** Returns whether a response with status {@link #OK} was received. */
     public boolean isSuccess() {
         return completion == Completion.RECEIVED && status == OK;
     }
--- a/src/main/java/lemondrift/proxy/events/DecisionEvents.java
+++ b/src/main/java/lemondrift/proxy/events/DecisionEvents.java
@@ -7,25 +7,29 @@
 import lemondrift.model.ShedThreshold;
 
 /**
- * What the I/O thread reports to the thread that decides. Each call but {@link #shedThreshold}
- * queues an event, waits only where the queue is full, and not for the event to be handled.
+ * The events that the I/O thread reports to the decisions thread. Each method except {@link
+ * #shedThreshold} queues an event and returns without waiting for the event to be handled; it
+ * blocks only while the queue is full.
  */
 public interface DecisionEvents {
-    /** A request was read whole, or as much of it as is buffered. */
+    /** A request was completely read, or as much of it as is buffered. */
     void requestArrived(PendingRequest pending);
 
     /**
-     * The threshold by which a request of this class with so many seconds left would be shed now;
-     * empty where it would not be. Any thread.
+     * Returns the threshold by which a request of this class would be shed now; empty if it would
+     * not be shed. Any thread.
+     *
+     * @param secondsLeft seconds left until the request's attempt deadline
      */
     Optional<ShedThreshold> shedThreshold(int requestClass, double secondsLeft);
 
     /**
      * An attempt ended.
      *
-     * @param durationSeconds from its sending to its end
-     * @param loadReport null where none came
-     * @param response the one to deliver if the attempt succeeded; null where none came
+     * @param durationSeconds the time from its sending to its end
+     * @param loadReport null if the response carried none
+     * @param response the response, to be delivered if the attempt succeeded; null if there was
+     *     none
      */
     void attemptEnded(
             Attempt attempt,
@@ -34,28 +38,37 @@
             double[] loadReport,
             BackendResponse response);
 
-    /** A load probe ended; the load report is null where none came. */
+    /**
+     * A load probe ended.
+     *
+     * @param loadReport null if the response carried none
+     */
     void probeEnded(int backend, AttemptOutcome outcome, double[] loadReport);
 
     /**
-     * Nobody waits for a response any more: the client left, or its request was ended as overdue.
+     * No client waits for the response any longer: the client left, or the request was ended as
+     * overdue.
      */
     void requestAbandoned(Request request);
 
-    /** The request's body is no longer buffered whole, so it cannot be sent once more. */
+    /** The body of the request is no longer completely buffered, so it cannot be sent again. */
     void bodyNotReplayable(Request request);
 
     /**
-     * A new endpoint list came.
+     * A new endpoint list was received.
      *
-     * @param knownBeforeStart whether it is the one of the configuration, from before the start
-     * @param onApplied run on the decisions thread once the balancer has all of the list
+     * @param knownBeforeStart whether the list is the one in the configuration, which was known
+     *     before the process started
+     * @param onApplied runs on the decisions thread once the balancer has the whole list
      */
     void endpointListReceived(EndpointList list, boolean knownBeforeStart, Runnable onApplied);
 
     /** A call for the endpoint list failed. */
     void endpointListFailed();
 
-    /** A datagram of another proxy came; it is read at the next iteration. */
+    /**
+     * A datagram was received from another proxy; it is processed in the next iteration of the
+     * decision loop.
+     */
     void datagramReceived(int fromProxy, byte[] datagram);
 }
--- a/src/main/java/lemondrift/proxy/events/EndpointList.java
+++ b/src/main/java/lemondrift/proxy/events/EndpointList.java
@@ -5,28 +5,30 @@
 import lemondrift.model.EndpointUpdate;
 
 /**
- * One list of discovery, as it was read.
+ * An endpoint list as it was read from discovery.
  *
- * @param revision as discovery numbers its lists, or {@link #NO_REVISION}
- * @param complete whether it names all backends, so that one it leaves out has gone; else it names
- *     changes only
- * @param endpoints one for each backend, its last where the list names it twice
- * @param unreadable the members that could not be read, each with the reason
+ * @param revision the number that discovery gave the list, or {@link #NO_REVISION}
+ * @param complete whether it contains all backends, so that a backend it does not contain is gone;
+ *     else it contains only changes
+ * @param endpoints one element for each backend; if the list contains a backend more than once, the
+ *     last one
+ * @param unreadable the elements that could not be read, each with the reason
  */
 public record EndpointList(
         long revision, boolean complete, List<Endpoint> endpoints, List<String> unreadable) {
-    /** The revision of a list that states none. */
+    /** The revision of a list without one. */
     public static final long NO_REVISION = -1;
 
     /**
-     * What a list says of one backend.
+     * One backend in a list.
      *
-     * @param state null where no more than the id could be read
-     * @param address null where it is not stated
-     * @param locality the name of its location; null where it is not stated
-     * @param cell null where it is not stated
-     * @param weight relative capacity, 1 where it is not stated
-     * @param startedAt when the backend started, in Unix time in seconds; 0 for long ago
+     * @param state null if only the id could be read
+     * @param address null if the list does not state it
+     * @param locality the name of its location; null if the list does not state it
+     * @param cell null if the list does not state it
+     * @param weight relative capacity; 1 if the list does not state it
+     * @param startedAt when the backend started, in seconds of Unix time; 0 if it started long ago
+     *     or the time is unknown
      */
     public record Endpoint(
             String id,
@@ -36,12 +38,12 @@
             Integer cell,
             double weight,
             double startedAt) {
-        /** Whether more than the id could be read. */
+        /** Returns whether more than the id could be read. */
         public boolean isReadable() {
             return state != null;
         }
 
-        /** One of which only the id could be read. */
+        /** Returns an endpoint of which only the id could be read. */
         public static Endpoint unreadable(String id) {
             return new Endpoint(id, null, null, null, null, 1, 0);
         }
--- a/src/main/java/lemondrift/proxy/events/PendingRequest.java
+++ b/src/main/java/lemondrift/proxy/events/PendingRequest.java
@@ -3,21 +3,21 @@
 import io.undertow.server.HttpServerExchange;
 import lemondrift.model.Request;
 
-/** A request with its client's side, which the balancer never sees. */
+/** A request with its HTTP exchange and body, which the balancer never sees. */
 public final class PendingRequest {
     private final Request request;
     private final HttpServerExchange exchange;
     private final byte[] body;
     private final StreamedRequestBody streamedBody;
 
-    /** I/O thread only. */
+    /** Whether the last byte of an attempt was handed to the kernel. I/O thread only. */
     private boolean attemptSent;
 
     /**
-     * One of which nothing has been sent to a backend.
+     * Creates a pending request of which nothing has been sent to a backend.
      *
-     * @param body the whole body; empty where it is streamed
-     * @param streamedBody the body where it is too long to be buffered whole, else null
+     * @param body the whole body; empty if it is streamed
+     * @param streamedBody the body if it is too long to be buffered completely, else null
      */
     public PendingRequest(
             Request request,
@@ -38,24 +38,24 @@
         return exchange;
     }
 
-    /** The whole body; empty where it is streamed. */
+    /** Returns the whole body; empty if it is streamed. */
     public byte[] body() {
         return body;
     }
 
-    /** The body where it is too long to be buffered whole, else null. */
+    /** Returns the body if it is too long to be buffered completely, else null. */
     public StreamedRequestBody streamedBody() {
         return streamedBody;
     }
 
-    /** The last byte of an attempt is with the kernel. I/O thread only. */
+    /** Records that the last byte of an attempt was handed to the kernel. I/O thread only. */
     public void markAttemptSent() {
         attemptSent = true;
     }
 
     /**
-     * Whether a backend may have executed the request, as one can only from its last byte on. I/O
-     * thread only.
+     * Returns whether a backend may have executed the request. A backend can execute it only after
+     * receiving its last byte. I/O thread only.
      */
     public boolean mayHaveBeenExecuted() {
         return attemptSent;
--- a/src/main/java/lemondrift/proxy/events/ProxyActions.java
+++ b/src/main/java/lemondrift/proxy/events/ProxyActions.java
@@ -8,18 +8,18 @@
 import lemondrift.settings.RequestClassIndex;
 
 /**
- * What the thread that decides has the I/O thread do. Called on the decisions thread; each call
- * returns at once, and what it asks for is done after the next {@link #flush}, in the order of the
- * calls.
+ * The actions that the decisions thread requests from the I/O thread. Called on the decisions
+ * thread. Each method returns at once; the actions are performed after the next {@link #flush}, in
+ * the order of the calls.
  */
 public interface ProxyActions {
     /** Sends an attempt to its backend. */
     void send(Attempt attempt, PendingRequest pending, InetSocketAddress address);
 
-    /** Gives up an attempt that is in flight. */
+    /** Cancels an attempt that is in flight. */
     void cancel(Attempt attempt);
 
-    /** Asks a backend for its load. */
+    /** Sends a load probe to a backend. */
     void probe(int backend, InetSocketAddress address);
 
     /** Calls discovery for the endpoint list. */
@@ -28,13 +28,14 @@
     /** Passes a response on to the client. */
     void deliver(PendingRequest pending, BackendResponse response);
 
-    /** Drops the remainder of a response that is not passed on. */
+    /** Discards the remainder of a response that is not passed on to the client. */
     void discard(BackendResponse response);
 
     /**
      * Answers a request with 503, which promises that a retry is harmless.
      *
-     * @param retryAfterSeconds 0 where the client gets no Retry-After
+     * @param retryAfterSeconds seconds after which the client may retry; 0 if the response has no
+     *     Retry-After header
      */
     void reject(PendingRequest pending, double retryAfterSeconds);
 
@@ -44,18 +45,26 @@
     /** Closes idle connections to a backend that is no longer ready or has another address. */
     void retirePool(int backend);
 
-    /** So many arrived requests were decided in an iteration that took so many seconds in all. */
+    /**
+     * Reports how many arrived requests an iteration has decided.
+     *
+     * @param totalSeconds the duration of the iteration
+     */
     void requestsDecided(int requestCount, double totalSeconds);
 
-    /** So many backends are listed, and so many of them are not usable now. */
+    /**
+     * Updates the counts of backends in the metrics.
+     *
+     * @param disabledCount how many of the listed backends are not usable now
+     */
     void updateBackendCounts(int listedCount, int disabledCount);
 
-    /** These settings are in force from now on. */
+    /** Puts new settings into force on the I/O thread. */
     void settingsChanged(RequestClassIndex requestClasses, Settings settings);
 
     /** Sends a datagram to another proxy. */
     void sendGossip(LoadGossip.Message message);
 
-    /** Has the I/O thread do all that was asked for since the last call. */
+    /** Has the I/O thread perform all actions requested since the last flush. */
     void flush();
 }
--- a/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
+++ b/src/main/java/lemondrift/proxy/events/ResponseRemainder.java
@@ -2,14 +2,19 @@
 
 import lemondrift.proxy.http.BodySource;
 
-/** What follows of a response whose beginning has been passed on. I/O thread only. */
+/**
+ * The rest of a response whose beginning was passed on as a {@link BackendResponse}. I/O thread
+ * only.
+ */
 public interface ResponseRemainder extends BodySource {
-    /** The Content-Length of the whole body, in bytes; below 0 where the backend states none. */
+    /**
+     * Returns the Content-Length of the whole body, in bytes; negative if the backend states none.
+     */
     int declaredLength();
 
-    /** All of it has been passed on to the client. */
+    /** Called once the complete response has been passed on to the client. */
     void relayCompleted();
 
-    /** Nobody wants the rest of it. */
+    /** Discards the rest of the response and closes its connection. */
     void abandonResponse();
 }
--- a/src/main/java/lemondrift/proxy/events/StreamedRequestBody.java
+++ b/src/main/java/lemondrift/proxy/events/StreamedRequestBody.java
@@ -3,22 +3,26 @@
 import lemondrift.proxy.http.BodySource;
 
 /**
- * A request body that is too long to be buffered whole and is passed on as it comes. I/O thread
- * only.
+ * A request body that is too long to be buffered completely and is passed on while it arrives. I/O
+ * thread only.
  */
 public interface StreamedRequestBody extends BodySource {
-    /** Starts again at the first byte; returns false where that is no longer buffered. */
+    /** Restarts the body at its first byte. Returns false if that byte is no longer buffered. */
     boolean restart();
 
-    /** Whether its length is not known, so that it is sent in chunks. */
+    /** Returns whether the length of the body is unknown, so that it is sent in chunks. */
     boolean isChunked();
 
-    /** Seconds for which a backend may take nothing of it. */
+    /**
+     * Returns how many seconds a backend may take no byte of the body before the attempt is ended.
+     */
     double stallTimeoutSeconds();
 
-    /** Seconds that the backend has for its response, from the last byte of the body on. */
+    /**
+     * Returns how many seconds the backend has for its response, from the last byte of the body on.
+     */
     double responseTimeoutSeconds();
 
-    /** Sets what is to be done when its request is over. */
+    /** Sets the action that runs when the request ends. It replaces an action set before. */
     void onRelease(Runnable action);
 }
