--- a/src/main/java/lemondrift/connection/ClientSource.java
+++ b/src/main/java/lemondrift/connection/ClientSource.java
@@ -1,11 +1,12 @@
 package lemondrift.connection;
 
 /**
- * Where connections come from: how many it has open, and what it earned and cost lately. Credit and
- * cost both decay, by half in each half-life.
+ * A source of connections, such as a client address or a tenant: the number of its open
+ * connections, and its credit and cost. Credit and cost decay exponentially, by half in each
+ * half-life.
  */
 final class ClientSource {
-    /** The most credit, and the most cost, that counts: no source may outweigh all others. */
+    /** Limit of the credit and of the cost, so that no source can outweigh all others. */
     private static final double MAX_CREDIT_OR_COST = 16;
 
     int connections;
@@ -13,7 +14,7 @@
     private double cost;
     private double decayedAt;
 
-    /** Head of the list of its connections that may be evicted, in that order. */
+    /** Head of the list of its connections that may be evicted, in the order of eviction. */
     int firstCandidate = ConnectionTable.NONE;
 
     int lastCandidate = ConnectionTable.NONE;
@@ -25,25 +26,31 @@
         decayedAt = now;
     }
 
-    /** A request of it was answered; the value is a ratio to a usual request's priority weight. */
+    /**
+     * Adds the credit for an answered request of this source.
+     *
+     * @param value the ratio of the request's priority weight to that of a typical request
+     */
     void addCredit(double value, double now, double halfLifeSeconds) {
         decay(now, halfLifeSeconds);
         credit = Math.min(MAX_CREDIT_OR_COST, credit + value);
     }
 
-    /** A request of it was rejected, or a connection ended without one. */
+    /**
+     * Adds the cost of an invalid request, or of a connection that was closed without a response.
+     */
     void addCost(double now, double halfLifeSeconds) {
         decay(now, halfLifeSeconds);
         cost = Math.min(MAX_CREDIT_OR_COST, cost + 1);
     }
 
-    /** Its fair share of connections relative to other sources, 1/17 to 17. */
+    /** Returns the fair share of connections relative to other sources, 1/17 to 17. */
     double weight(double now, double halfLifeSeconds) {
         decay(now, halfLifeSeconds);
         return (1 + credit) / (1 + cost);
     }
 
-    /** By how many rejected requests its cost exceeds its credit, 0 to 16. */
+    /** Returns by how much the cost exceeds the credit, in invalid requests, 0 to 16. */
     double netCost(double now, double halfLifeSeconds) {
         decay(now, halfLifeSeconds);
         return Math.max(0, cost - credit);
--- a/src/main/java/lemondrift/connection/ClientSourceTable.java
+++ b/src/main/java/lemondrift/connection/ClientSourceTable.java
@@ -6,8 +6,9 @@
 
 /**
  * Sources of connections by their key: an address, or a tenant once it is known. Guards against a
- * table of all addresses without bound: no more sources without a connection are remembered than
- * there are connections, and the one that left first is forgotten first.
+ * table that grows with every address: it keeps at most as many sources without a connection as
+ * there are connection indexes, and removes first the source that has been without a connection for
+ * longest.
  */
 final class ClientSourceTable {
     private final boolean sourcePerConnection;
@@ -20,12 +21,14 @@
         this.maxRemembered = maxRemembered;
     }
 
-    /** The key of a tenant, which equals no address's key as those are not negative. */
+    /**
+     * Returns the key of a tenant. It is negative, so it differs from the keys of all addresses.
+     */
     static long tenantKey(int tenant) {
         return -1L - tenant;
     }
 
-    /** The source of a key, with one connection more. */
+    /** Counts one more connection for the source of a key, and returns the source. */
     ClientSource connect(long key) {
         ClientSource source = sourcePerConnection ? new ClientSource() : sourceOf(key);
         source.connections++;
@@ -42,7 +45,10 @@
         return source;
     }
 
-    /** One of a source's connections is closed, or counts for another source from now on. */
+    /**
+     * Counts one connection less for a source: the connection was closed, or counts for another
+     * source from now on.
+     */
     void disconnect(long key, ClientSource source) {
         if (sourcePerConnection) {
             return;
--- a/src/main/java/lemondrift/connection/ConnectionCounts.java
+++ b/src/main/java/lemondrift/connection/ConnectionCounts.java
@@ -2,7 +2,10 @@
 
 import java.util.Locale;
 
-/** How many connections were closed, by reason, or refused as no index was free. */
+/**
+ * Counts connections that were closed, by reason, and connections that were refused because no
+ * index was free.
+ */
 final class ConnectionCounts {
     private final long[] closed = new long[CloseReason.values().length];
     private long refused;
@@ -19,7 +22,10 @@
         return closed[reason.ordinal()];
     }
 
-    /** The open connections by state and these counts, as key=value pairs for a log line. */
+    /**
+     * Returns the number of connections in each state and these counts, as key=value pairs for a
+     * log line.
+     */
     String summary(ConnectionTable connections) {
         StringBuilder text = new StringBuilder();
         for (ConnectionState state : ConnectionState.values()) {
--- a/src/main/java/lemondrift/connection/ConnectionDeadlines.java
+++ b/src/main/java/lemondrift/connection/ConnectionDeadlines.java
@@ -1,18 +1,19 @@
 package lemondrift.connection;
 
 /**
- * How long a connection may take for what it is doing. A request that comes and a response that is
- * taken must make progress: each byte moves the deadline on by its time at the least rate, but no
- * farther ahead than the state's timeout.
+ * Limits how long a connection may stay in its state. A request that is being received and a
+ * response that is being sent must make progress: each byte extends the deadline by the time it
+ * takes at the minimum rate, but never to more than the state's timeout from now.
  *
  * <table>
- * <caption>What ends a connection in each state</caption>
- * <tr><td>NEW</td><td>first byte timeout: NO_REQUEST</td></tr>
- * <tr><td>READING_HEAD, READING_BODY</td><td>read timeout: SLOW_REQUEST; the first head of a
- * connection also first head timeout, from its accept</td></tr>
+ * <caption>What closes a connection in each state</caption>
+ * <tr><td>NEW</td><td>first-byte timeout: NO_REQUEST</td></tr>
+ * <tr><td>READING_HEAD, READING_BODY</td><td>read timeout: SLOW_REQUEST; for the first head of a
+ * connection also the first-head timeout, counted from its accept</td></tr>
  * <tr><td>SENDING_RESPONSE</td><td>write timeout: SLOW_READER</td></tr>
- * <tr><td>IDLE</td><td>longest idle time: IDLE_TIMEOUT; learned limit: REUSE_UNLIKELY</td></tr>
- * <tr><td>NEW, IDLE</td><td>its time in a drain: DRAINING</td></tr>
+ * <tr><td>IDLE</td><td>longest idle time: IDLE_TIMEOUT; learned idle limit:
+ * REUSE_UNLIKELY</td></tr>
+ * <tr><td>NEW, IDLE</td><td>its close time in a drain: DRAINING</td></tr>
  * </table>
  */
 final class ConnectionDeadlines {
@@ -36,7 +37,10 @@
         connections.deadlines[connection] = now + limits.firstByteTimeoutSeconds();
     }
 
-    /** Guards against a client that sends one byte late and so holds its place twice as long. */
+    /**
+     * Sets the deadline of the first head. Guards against a client that sends one late byte and so
+     * holds its connection slot twice as long.
+     */
     void setFirstHeadDeadline(int connection, double now) {
         connections.deadlines[connection] =
                 Math.min(
@@ -67,7 +71,7 @@
                         connections.deadlines[connection] + bytes / limits.minBytesPerSecond());
     }
 
-    /** Why a connection is to be closed now; null if it may stay. */
+    /** Returns why a connection must be closed now; null if it may stay open. */
     CloseReason reasonToClose(int connection, double now) {
         boolean isOverdue = now > connections.deadlines[connection];
         return switch (connections.state(connection)) {
--- a/src/main/java/lemondrift/connection/ConnectionDrain.java
+++ b/src/main/java/lemondrift/connection/ConnectionDrain.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * What a graceful shutdown does to clients' connections: every response closes its connection, and
- * those without a request are closed one by one over a span of time. Guards against all clients
- * falling on the other proxies at one instant.
+ * Closes the clients' connections during a graceful shutdown: every response closes its connection,
+ * and connections without a request are closed one by one over a time span. Guards against all
+ * clients reconnecting to the other proxies at the same instant.
  */
 final class ConnectionDrain {
     private static final ConnectionState[] STATES_WITHOUT_REQUEST = {
@@ -15,7 +15,9 @@
     private final ConnectionLimits limits;
     private final ConnectionTable connections;
 
-    /** When each connection is to be closed if it has no request then; infinity without a drain. */
+    /**
+     * When each connection is closed if it has no request at that time; infinity without a drain.
+     */
     private final double[] closeAt;
 
     private double startedAt = Double.POSITIVE_INFINITY;
@@ -31,8 +33,8 @@
      * Starts a drain.
      *
      * @param runningNow the pause clock's time
-     * @param now the time on the clock that the end is given in
-     * @param until when all connections without a request are to be closed
+     * @param now the current time on the clock of {@code until}
+     * @param until the time by which all connections without a request are closed
      */
     void start(double runningNow, double now, double until) {
         startedAt = runningNow;
@@ -58,7 +60,10 @@
         return now >= startedAt;
     }
 
-    /** A connection was accepted, which during a drain has a moment to bring its request. */
+    /**
+     * Sets the close time of an accepted connection. A connection accepted during a drain has until
+     * the end of the drain to send its request, and at least half the first-byte timeout.
+     */
     void connectionAccepted(int connection, double now) {
         closeAt[connection] =
                 isDraining(now)
@@ -66,12 +71,15 @@
                         : Double.POSITIVE_INFINITY;
     }
 
-    /** Whether a connection without a request is to be closed now. */
+    /** Returns whether a connection without a request must be closed now. */
     boolean isDue(int connection, double now) {
         return now >= closeAt[connection];
     }
 
-    /** Whether the drain has left no connection to which a response is owed. */
+    /**
+     * Returns whether no connection is open, except those that were sent their closing response and
+     * had enough time to read it.
+     */
     boolean isDone(double now) {
         for (int connection = 0; connection < connections.capacity(); connection++) {
             if (!connections.isIn(connection, ConnectionState.FREE)
@@ -83,9 +91,9 @@
     }
 
     /**
-     * Whether a connection has had its closing response and a moment to take it. Guards against a
-     * reset that destroys a response on its way: the process's end with bytes unread would send
-     * one.
+     * Returns whether a connection was sent its closing response and had enough time to read it.
+     * Guards against a reset that destroys the response in transit: if the process ends with unread
+     * bytes on a connection, the kernel sends a reset.
      */
     private boolean hasTakenClosingResponse(int connection, double now) {
         return connections.closeReasons[connection] == CloseReason.DRAINING
--- a/src/main/java/lemondrift/connection/ConnectionEviction.java
+++ b/src/main/java/lemondrift/connection/ConnectionEviction.java
@@ -4,10 +4,10 @@
 import java.util.function.IntPredicate;
 
 /**
- * Which connections are closed while there are more than there should be. Candidates are, within a
- * source, first those without a byte, then first requests that take too long, then the longest
- * idle; {@link FairEviction} chooses between sources. A connection with a complete request is never
- * one.
+ * Closes connections while there are more than the limit. The candidates of a source are, in this
+ * order: connections without a first byte, connections whose first request takes too long, and idle
+ * connections, the longest idle first. {@link FairEviction} chooses between sources. A connection
+ * with a complete request is never a candidate.
  */
 final class ConnectionEviction {
     private static final ConnectionState[] STATES_READING_REQUEST = {
@@ -21,9 +21,9 @@
     private final IntConsumer close;
 
     /**
-     * Evicts from a table.
+     * Creates the eviction for a table.
      *
-     * @param hasNoUnreadBytes whether no unread byte waits on a connection
+     * @param hasNoUnreadBytes returns whether no unread byte waits on a connection
      * @param close closes a connection at once
      */
     ConnectionEviction(
@@ -38,7 +38,7 @@
         fairEviction = new FairEviction(connections.capacity(), limits.halfLifeSeconds());
     }
 
-    /** Closes connections until there are no more than there should be, or no candidate is left. */
+    /** Closes connections until the limit is met or no candidate is left. */
     void evictExcess(double now) {
         if (!connections.isOverLimit()) {
             return;
@@ -64,7 +64,11 @@
         }
     }
 
-    /** Guards against heads without end that keep all others out; none was answered before. */
+    /**
+     * Adds connections whose first request takes too long. Guards against clients whose requests
+     * never end and that keep all other clients out. Connections that have had a response are not
+     * added.
+     */
     private void addSlowFirstRequests(ConnectionState state, double now) {
         for (int connection = connections.first(state);
                 connection != ConnectionTable.NONE;
@@ -94,7 +98,11 @@
         fairEviction.addCandidate(connection, connections.sources[connection]);
     }
 
-    /** Guards against losing a request that came and waits unread after a pause of the process. */
+    /**
+     * Closes a connection that has no unread bytes, or whose first request is incomplete; returns
+     * whether it did. Guards against losing a request that waits unread after a pause of the
+     * process.
+     */
     private boolean evictIfNoUnreadBytes(int connection) {
         boolean isFirstRequest =
                 connections.responseCounts[connection] == 0
--- a/src/main/java/lemondrift/connection/ConnectionLimits.java
+++ b/src/main/java/lemondrift/connection/ConnectionLimits.java
@@ -1,21 +1,23 @@
 package lemondrift.connection;
 
 /**
- * How many clients' connections there may be and how patient the proxy is with them. All times are
- * in seconds and are ratios to the longest idle time.
+ * Limits of the number of clients' connections, and timeouts for them. All timeouts are in seconds
+ * and proportional to the longest idle time.
  *
- * @param maxConnections how many connections are to stay open, 1 or more
- * @param acceptLimit how many there may be until some are evicted; places or more
- * @param maxIdleSeconds the longest idle time of an answered connection, in seconds over 0
- * @param minIdleSeconds the idle time before which none is closed between requests unless there are
- *     too many, in seconds from 0 to quiet
- * @param sharing what the places are shared among
- * @param announcesKeepAlive whether responses announce for how long the connection stays open,
- *     which is then held to
- * @param minBytesPerSecond bytes a second by which a request that comes, or a response that is
- *     taken, must make progress; over 0
- * @param typicalPriorityWeight the priority weight of a usual request, over 0; what a request earns
- *     for its source is a ratio to it
+ * @param maxConnections the number of connections above which some are evicted, 1 or more
+ * @param acceptLimit the number of connections up to which new ones are accepted, before the excess
+ *     is evicted; {@code maxConnections} or more
+ * @param maxIdleSeconds the longest time that a connection may be idle between requests, in
+ *     seconds, greater than 0
+ * @param minIdleSeconds the idle time before which no connection is closed between requests unless
+ *     there are too many connections, in seconds, 0 to {@code maxIdleSeconds}
+ * @param sharing what counts as one source, among which the connections are shared
+ * @param announcesKeepAlive whether responses announce for how long the connection stays open; an
+ *     announced time is kept
+ * @param minBytesPerSecond the minimum rate, in bytes per second, at which a request must be
+ *     received and a response must be read by the client; greater than 0
+ * @param typicalPriorityWeight the priority weight of a typical request, greater than 0; the credit
+ *     of a request is its ratio to this weight
  */
 public record ConnectionLimits(
         int maxConnections,
@@ -28,21 +30,23 @@
         double typicalPriorityWeight) {
     /** What counts as one source of connections. */
     public enum Sharing {
-        /** Each connection by itself: behind a front proxy all clients have one address. */
+        /** Each connection: behind a front proxy all clients have the same address. */
         CONNECTION,
-        /** All connections of one address. */
+        /** All connections from one address. */
         ADDRESS,
-        /** All of one tenant, and of one address as long as the tenant is not known. */
+        /**
+         * All connections of one tenant, or from one address as long as the tenant is not known.
+         */
         TENANT
     }
 
-    /** The share of the places that may stand unused before a place has its full price. */
+    /** The share of the connection slots that may be unused before a slot has its full price. */
     static final double UNUSED_SHARE_AT_FULL_PRICE = 0.25;
 
     /**
-     * Checks that the limits fit together.
+     * Checks the range of each limit.
      *
-     * @throws IllegalArgumentException if one is out of its range
+     * @throws IllegalArgumentException if a limit is out of its range or {@code sharing} is null
      */
     public ConnectionLimits {
         if (maxConnections < 1
@@ -52,69 +56,88 @@
                 || !(minBytesPerSecond > 0)
                 || !(typicalPriorityWeight > 0)
                 || sharing == null) {
-            throw new IllegalArgumentException("the connection limits contradict each other");
+            throw new IllegalArgumentException(
+                    "connection limits out of range: maxConnections "
+                            + maxConnections
+                            + " (1 or more), acceptLimit "
+                            + acceptLimit
+                            + " (maxConnections or more), maxIdleSeconds "
+                            + maxIdleSeconds
+                            + " (over 0), minIdleSeconds "
+                            + minIdleSeconds
+                            + " (0 to maxIdleSeconds), minBytesPerSecond "
+                            + minBytesPerSecond
+                            + " (over 0), typicalPriorityWeight "
+                            + typicalPriorityWeight
+                            + " (over 0), sharing "
+                            + sharing
+                            + " (not null)");
         }
     }
 
     /**
-     * How long a new connection may take for its first byte. Under the 3 s, at the default idle
-     * time, within which a client that sends nothing is to be closed; the read timeout follows the
-     * first byte.
+     * Returns how long a new connection may take for its first byte. With the default idle time
+     * this is below 3 s, within which a client that sends nothing must be disconnected. The read
+     * timeout applies after the first byte.
      */
     double firstByteTimeoutSeconds() {
         return 0.8 * maxIdleSeconds;
     }
 
     /**
-     * How long after its accept a connection's first head may end, where its bytes come no faster
-     * than the least rate. With a sweep's interval under the 3 s within which a client without a
-     * request is to be closed, at the default idle time.
+     * Returns how long after the accept the first head may end if its bytes arrive no faster than
+     * the minimum rate. With the default idle time, this plus a sweep interval is below 3 s, within
+     * which a client without a request must be disconnected.
      */
     double firstHeadTimeoutSeconds() {
         return 1.25 * maxIdleSeconds;
     }
 
     /**
-     * How long a head may take and a body may pause, and how far progress moves the deadline ahead
-     * at the most. Guards against cutting off slow clients midway.
+     * Returns how long a head may take and a body may pause. Progress extends the deadline to at
+     * most this time from now. Guards against cutting off slow clients in the middle of a request.
      */
     double readTimeoutSeconds() {
         return 1.1 * maxIdleSeconds;
     }
 
-    /** The same for a client that takes its response: kernels take a lot, then nothing for long. */
+    /**
+     * Returns the corresponding timeout for a client that reads its response. It is longer because
+     * kernels accept many bytes at once and then none for a long time.
+     */
     double writeTimeoutSeconds() {
         return 4 * maxIdleSeconds;
     }
 
-    /** How long a backend may give nothing of a response that it has begun. */
+    /** Returns how long a backend may send no byte of a response that it has begun. */
     public double backendStallTimeoutSeconds() {
         return writeTimeoutSeconds();
     }
 
-    /** How long a connection is not read after a rejected request, the first time. */
+    /** Returns how long a connection is not read after its first invalid request. */
     double firstReadPauseSeconds() {
         return maxIdleSeconds / 11;
     }
 
-    /** How long a connection is not read after a rejected request, at the most. */
+    /** Returns the longest time that a connection is not read after an invalid request. */
     double maxReadPauseSeconds() {
         return 0.45 * maxIdleSeconds;
     }
 
     /**
-     * The age from which a connection without a byte may be evicted; twice that, a first request.
+     * Returns the age from which a connection without a first byte may be evicted. A connection
+     * with an incomplete first request may be evicted from twice that age.
      */
     double evictionGraceSeconds() {
         return maxIdleSeconds / 22;
     }
 
-    /** How often {@link ConnectionPolicy#sweep} is to be called at the least. */
+    /** Returns the longest interval at which {@link ConnectionPolicy#sweep} must be called. */
     public double sweepIntervalSeconds() {
         return maxIdleSeconds / 11;
     }
 
-    /** The half-life of what a source earned and cost, and of what was seen of idle times. */
+    /** Returns the half-life of the credit and cost of a source, and of the observed idle times. */
     double halfLifeSeconds() {
         return 4 * maxIdleSeconds;
     }
--- a/src/main/java/lemondrift/connection/ConnectionList.java
+++ b/src/main/java/lemondrift/connection/ConnectionList.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** The connections of one state as a linked list, the one that entered it first at the front. */
+/** A linked list of the connections in one state, in the order in which they entered it. */
 final class ConnectionList {
     private final int[] next;
     private final int[] previous;
@@ -10,7 +10,10 @@
     private int last = ConnectionTable.NONE;
     private int size;
 
-    /** The lists of one table share their links, as each connection is in exactly one list. */
+    /**
+     * Creates an empty list. The lists of one table share their link arrays because each connection
+     * is in exactly one list.
+     */
     ConnectionList(int[] next, int[] previous) {
         this.next = next;
         this.previous = previous;
--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -1,15 +1,15 @@
 package lemondrift.connection;
 
 /**
- * Decides about clients' connections: which are accepted, how long each may take for what it is
- * doing, which stay open after a response, and which are evicted when there are too many. The
- * caller reports what happens on each connection, with the time in seconds, and carries out what is
- * decided; there are no sockets here. A connection is an index until it is closed.
+ * Decides which client connections are accepted, how long each may stay in its state, which stay
+ * open after a response, and which are evicted when there are too many. The caller reports the
+ * events of each connection, with the time in seconds, and executes the decisions; this class has
+ * no sockets. A connection is identified by an index until it is closed.
  */
 public final class ConnectionPolicy {
-    /** What the policy has done to the sockets. */
+    /** The actions that the policy requests on the sockets. */
     public interface Actions {
-        /** Whether no unread byte waits on a connection; looks at the socket. */
+        /** Returns whether no unread byte waits on a connection; checks the socket. */
         boolean hasNoUnreadBytes(int connection);
 
         /**
@@ -19,17 +19,17 @@
         void close(int connection, CloseReason reason);
     }
 
-    /** What {@link #accepted} returns where there is no place. */
+    /** Returned by {@link #accepted} if no index is free. */
     public static final int NO_CONNECTION = ConnectionTable.NONE;
 
     /**
-     * How many requests in a row may be rejected before the connection closes with the response.
+     * The number of consecutive invalid requests at which a connection closes with the response.
      */
     private static final int MAX_CONSECUTIVE_INVALID_REQUESTS = 6;
 
     /**
-     * The credit of a request that was rejected or failed beside that of a usual one that was
-     * served: its client is not at fault.
+     * The credit of a request that was rejected or failed, relative to a typical request that was
+     * served. It is not 0 because the client is not at fault.
      */
     private static final double UNSERVED_CREDIT = 0.25;
 
@@ -45,9 +45,10 @@
     private final ConnectionCounts counts = new ConnectionCounts();
 
     /**
-     * A policy without connections.
+     * Creates a policy without connections.
      *
-     * @param seed decides which connections are kept open to learn from
+     * @param seed the seed of the random choice of connections that are kept open to learn from
+     *     them
      */
     public ConnectionPolicy(ConnectionLimits limits, Actions actions, long seed) {
         this.limits = limits;
@@ -67,18 +68,18 @@
     }
 
     /**
-     * Since when a request that is read now may have waited unread: now, unless the process has
-     * just stood still.
+     * Returns the earliest time from which a request that is read now may have waited unread: now,
+     * unless the process was just paused.
      */
     public double unreadSince(double now) {
         return pauseClock.unreadSince(now);
     }
 
     /**
-     * A connection was accepted.
+     * Called when a connection was accepted.
      *
-     * @param address tells its client's address from others, 0 or more
-     * @return its index, or {@link #NO_CONNECTION} if it must be closed at once
+     * @param address a number that identifies the client's address, 0 or more
+     * @return the index of the connection, or {@link #NO_CONNECTION} if it must be closed at once
      */
     public int accepted(long address, double now) {
         double time = pauseClock.runningTime(now);
@@ -96,22 +97,29 @@
         return connection;
     }
 
-    /** Connections' indexes are from 0 to under this. */
+    /** Returns the number of indexes: each index is from 0 to this number minus 1. */
     public int capacity() {
         return connections.capacity();
     }
 
-    /** How many connections are to stay open from now on, within the configured limit. */
+    /**
+     * Sets the number of connections above which some are evicted, bounded to 1 and the configured
+     * limit.
+     */
     public void setMaxConnections(int maxConnections) {
         connections.setMaxConnections(maxConnections);
     }
 
-    /** Whether there are more connections than there should be, so that some must be evicted. */
+    /** Returns whether there are more connections than the limit, so that some must be evicted. */
     public boolean isOverLimit() {
         return connections.isOverLimit();
     }
 
-    /** So many bytes came on a connection, 1 or more. */
+    /**
+     * Called when bytes were received on a connection.
+     *
+     * @param bytes the number of bytes, 1 or more
+     */
     public void bytesReceived(int connection, int bytes, double now) {
         double time = pauseClock.runningTime(now);
         ConnectionState state = connections.state(connection);
@@ -130,8 +138,8 @@
     }
 
     /**
-     * The head of a request was read; it may have come in one piece with the end of the request
-     * before.
+     * Called when the head of a request was read. The head may have arrived together with the end
+     * of the previous request. Ignored if the connection is closed.
      */
     public void headRead(int connection, double now) {
         double time = pauseClock.runningTime(now);
@@ -146,7 +154,11 @@
         connections.enter(connection, ConnectionState.READING_BODY, time);
     }
 
-    /** A request was read whole, of a tenant given as a number that is not negative. */
+    /**
+     * Called when a request was completely read.
+     *
+     * @param tenant the index of the request's tenant, 0 or more
+     */
     public void requestRead(int connection, int tenant, double now) {
         double time = pauseClock.runningTime(now);
         connections.consecutiveInvalidRequests[connection] = 0;
@@ -161,10 +173,11 @@
     }
 
     /**
-     * A response is ready for a connection. Closing with the response loses nothing, where a close
-     * between requests can cross one.
+     * Called when a response is ready to be sent on a connection. Decides whether the connection
+     * closes with it: this loses no request, whereas a close between requests can cross a request
+     * in transit.
      *
-     * @return whether the connection stays open after it
+     * @return whether the connection stays open after the response
      */
     public boolean responseReady(int connection, double now) {
         double time = pauseClock.runningTime(now);
@@ -178,7 +191,7 @@
         return keepsOpen;
     }
 
-    /** Why a connection closes with its response; CLIENT_CLOSED where it stays open. */
+    /** Returns why a connection closes with its response; CLIENT_CLOSED if it stays open. */
     private CloseReason reasonToCloseWithResponse(int connection, double time) {
         if (drain.isDraining(time)) {
             return CloseReason.DRAINING;
@@ -192,14 +205,17 @@
                 : CloseReason.NOT_KEPT_ALIVE;
     }
 
-    /** The Keep-Alive timeout for the response in whole seconds; 0 where none is announced. */
+    /**
+     * Returns the Keep-Alive timeout that the response announces, in whole seconds; 0 if it
+     * announces none.
+     */
     public int announcedKeepAliveSeconds(int connection) {
         return connections.keepAliveAnnounced[connection] ? (int) limits.maxIdleSeconds() : 0;
     }
 
     /**
-     * More of a response is there to be sent. Guards against blaming a client for what its backend
-     * takes long to give.
+     * Called when more bytes of a response are available to be sent. Guards against closing a
+     * client's connection because of a slow backend.
      */
     public void responseBytesAvailable(int connection, double now) {
         if (connections.isIn(connection, ConnectionState.SENDING_RESPONSE)) {
@@ -207,7 +223,7 @@
         }
     }
 
-    /** So many bytes of a response were taken by the client. */
+    /** Called when bytes of a response were written to the client's connection. */
     public void bytesSent(int connection, int bytes, double now) {
         double time = pauseClock.runningTime(now);
         if (connections.isIn(connection, ConnectionState.SENDING_RESPONSE)) {
@@ -216,10 +232,10 @@
     }
 
     /**
-     * A response was sent whole.
+     * Called when a response was completely sent.
      *
-     * @param priorityWeight that of the request, 0 where it was rejected or failed, below 0 where
-     *     no request was open
+     * @param priorityWeight the priority weight of the request; 0 if the request was rejected or
+     *     failed, negative if no request was open
      */
     public void responseSent(int connection, double priorityWeight, double now) {
         double time = pauseClock.runningTime(now);
@@ -230,8 +246,8 @@
                             : UNSERVED_CREDIT;
             connections.sources[connection].addCredit(credit, time, limits.halfLifeSeconds());
         }
-        // What came before the response was out is the next request's beginning, unless its head is
-        // read right away.
+        // Bytes that arrived before the response was sent begin the next request, unless its head
+        // has already been read.
         deadlines.setReadDeadline(connection, time);
         connections.enter(
                 connection,
@@ -241,7 +257,10 @@
                 time);
     }
 
-    /** A request is to be rejected; {@link #responseReady} follows, as with any response. */
+    /**
+     * Called when a request is invalid and is going to be refused. {@link #responseReady} follows,
+     * as for any response. Ignored if the connection is closed.
+     */
     public void invalidRequestReceived(int connection, double now) {
         if (connections.isIn(connection, ConnectionState.FREE)) {
             return;
@@ -252,10 +271,11 @@
     }
 
     /**
-     * The response that rejected a request is out. Guards against clients that send the same again
-     * at once and would take all of the processor.
+     * Starts a pause in which a connection is not read, after the response to an invalid request
+     * was sent. Guards against clients that send the same request again at once and use up the CPU.
      *
-     * @return for how many seconds the connection is not to be read, doubled by each rejection
+     * @return the duration of the pause in seconds, which doubles with each invalid request of the
+     *     connection or of its source, up to a maximum
      */
     public double startReadPause(int connection, double now) {
         double time = pauseClock.runningTime(now);
@@ -269,7 +289,10 @@
         return Math.min(limits.maxReadPauseSeconds(), pauseSeconds);
     }
 
-    /** A connection is closed, by whichever side; its index is free for another one. */
+    /**
+     * Called when a connection was closed by either side. Its index is free for another connection
+     * from now on. Ignored if the connection is already closed.
+     */
     public void closed(int connection, double now) {
         double time = pauseClock.runningTime(now);
         ConnectionState state = connections.state(connection);
@@ -298,14 +321,17 @@
         actions.close(connection, reason);
     }
 
-    /** Closes what is over the limit; to be called once for all that were accepted at a time. */
+    /**
+     * Evicts connections above the limit. Must be called once after each batch of accepted
+     * connections.
+     */
     public void evictExcess(double now) {
         eviction.evictExcess(pauseClock.runningTime(now));
     }
 
     /**
-     * Closes what has taken too long; to be called every {@link
-     * ConnectionLimits#sweepIntervalSeconds} at the least.
+     * Closes overdue connections and evicts connections above the limit. Must be called at least
+     * once every {@link ConnectionLimits#sweepIntervalSeconds}.
      */
     public void sweep(double now) {
         double time = pauseClock.runningTime(now);
@@ -327,28 +353,33 @@
 
     /**
      * Starts a drain: every response closes its connection from now on, and connections without a
-     * request are closed one by one until a time.
+     * request are closed one by one.
+     *
+     * @param until the time by which all of them are closed
      */
     public void startDrain(double now, double until) {
         drain.start(pauseClock.runningTime(now), now, until);
     }
 
-    /** Ends the drain: those that are still there stay. */
+    /** Ends the drain: connections that are still open stay open. */
     public void stopDrain() {
         drain.stop();
     }
 
-    /** Whether the drain has left no connection to which a response is owed. */
+    /**
+     * Returns whether no connection is open, except those that were sent the closing response of
+     * the drain and had enough time to read it.
+     */
     public boolean isDrained(double now) {
         return drain.isDone(pauseClock.runningTime(now));
     }
 
-    /** How many connections are in a state. */
+    /** Returns how many connections are in a state; for FREE, the number of free indexes. */
     public int count(ConnectionState state) {
         return connections.count(state);
     }
 
-    /** How many were closed for a reason. */
+    /** Returns how many connections were closed for a reason. */
     public long closedCount(CloseReason reason) {
         return counts.closed(reason);
     }
@@ -361,7 +392,10 @@
         return sources.size();
     }
 
-    /** Connections by state and closed ones by reason, as key=value pairs for a log line. */
+    /**
+     * Returns the number of connections in each state, of closed ones by reason, and of refused
+     * ones, as key=value pairs for a log line.
+     */
     public String summary() {
         return counts.summary(connections);
     }
--- a/src/main/java/lemondrift/connection/ConnectionTable.java
+++ b/src/main/java/lemondrift/connection/ConnectionTable.java
@@ -5,32 +5,41 @@
 import java.util.Map;
 
 /**
- * The facts about each client's connection, in parallel arrays under its index, and for each state
- * the connections in it. Decides nothing. Times are in seconds of {@link ProcessPauseClock}.
+ * The data of each client's connection, in parallel arrays by its index, and a list of the
+ * connections in each state. Makes no decisions. Times are in seconds of {@link ProcessPauseClock}.
  */
 final class ConnectionTable {
-    /** Stands for no connection where an index is expected. */
+    /** An index that stands for no connection. */
     static final int NONE = -1;
 
-    /** Indexes beyond the limit for closes that the kernel has seen and this table has not. */
+    /**
+     * Indexes beyond the limit, for connections that the kernel has already closed but this table
+     * has not.
+     */
     private static final int SPARE_INDEXES = 16;
 
-    /** One more spare index for each so many connections of the limit. */
+    /** For each this many connections of the limit there is one more spare index. */
     private static final int CONNECTIONS_PER_SPARE_INDEX = 16;
 
-    /** Whose connection it is, null while the index is free. */
+    /** The source of each connection; null while the index is free. */
     final ClientSource[] sources;
 
-    /** The key under which the source is found. */
+    /** The key of the source of each connection. */
     final long[] sourceKeys;
 
-    /** Why it is to be closed, or was; CLIENT_CLOSED as long as the policy has no reason to. */
+    /**
+     * Why each connection is going to be closed or was closed; CLIENT_CLOSED as long as the policy
+     * has no reason to close it.
+     */
     final CloseReason[] closeReasons;
 
     /** Whether the last response announced for how long the connection stays open. */
     final boolean[] keepAliveAnnounced;
 
-    /** Whether bytes of the next request came before the response to the present one was out. */
+    /**
+     * Whether bytes of the next request arrived before the response to the current request was
+     * sent.
+     */
     final boolean[] pipelined;
 
     final int[] responseCounts;
@@ -38,7 +47,7 @@
     final double[] acceptedAt;
     final double[] enteredStateAt;
 
-    /** Until when it may stay in its state without progress. */
+    /** Until when each connection may stay in its state without progress. */
     final double[] deadlines;
 
     private final ConnectionState[] states;
@@ -99,7 +108,10 @@
         return now - enteredStateAt[connection];
     }
 
-    /** A new connection takes an index; the caller enters it into its state. */
+    /**
+     * Initializes the data of a new connection under a free index. The caller then enters it into
+     * its state.
+     */
     void reset(int connection, double now) {
         closeReasons[connection] = CloseReason.CLIENT_CLOSED;
         keepAliveAnnounced[connection] = false;
@@ -109,12 +121,12 @@
         acceptedAt[connection] = now;
     }
 
-    /** The connection that has been longest in a state, or NONE. */
+    /** Returns the connection that has been in a state for longest, or NONE. */
     int first(ConnectionState state) {
         return connectionsByState.get(state).first();
     }
 
-    /** The next one in the same state, or NONE. */
+    /** Returns the connection that entered the same state next, or NONE. */
     int after(int connection) {
         return connectionsByState.get(states[connection]).after(connection);
     }
@@ -127,7 +139,9 @@
         return states.length - count(ConnectionState.FREE);
     }
 
-    /** How many connections are to stay open, 1 to the configured limit. */
+    /**
+     * Returns the number of connections above which some are evicted, 1 to the configured limit.
+     */
     int maxConnections() {
         return maxConnections;
     }
--- a/src/main/java/lemondrift/connection/FairEviction.java
+++ b/src/main/java/lemondrift/connection/FairEviction.java
@@ -7,9 +7,10 @@
 import java.util.function.IntPredicate;
 
 /**
- * Which connections are closed where there are too many: weighted max-min fairness over sources.
- * The source with the most connections for its weight loses one, again and again, so that no source
- * gains a connection by which one with fewer would lose.
+ * Chooses the connections to close when there are too many, by weighted max-min fairness over the
+ * sources. Repeatedly closes a connection of the source with the most connections relative to its
+ * weight, so that no source keeps a connection at the expense of a source with fewer connections
+ * for its weight.
  */
 final class FairEviction {
     private final int[] nextCandidate;
@@ -21,7 +22,10 @@
         this.halfLifeSeconds = halfLifeSeconds;
     }
 
-    /** A connection that may be closed, after those of its source that were added before. */
+    /**
+     * Adds a connection that may be closed, after the candidates of its source that were added
+     * before.
+     */
     void addCandidate(int connection, ClientSource source) {
         nextCandidate[connection] = ConnectionTable.NONE;
         if (source.firstCandidate == ConnectionTable.NONE) {
@@ -34,12 +38,15 @@
     }
 
     /**
-     * Closes connections until there were so many, or no candidate is left.
+     * Closes connections until the given number is reached or no candidate is left. Removes all
+     * candidates.
      *
-     * @param close closes a connection and says whether it did
+     * @param excess how many connections to close
+     * @param close closes a connection, and returns whether it did
      */
     void evict(int excess, double now, IntPredicate close) {
-        // Guards against a broken order: a weight must not change while its source is queued.
+        // Guards against a corrupted queue order: the weight of a source must not change while it
+        // is queued.
         record Usage(ClientSource source, int order, double weight, double connectionsPerWeight) {}
         var usageQueue =
                 new PriorityQueue<Usage>(
--- a/src/main/java/lemondrift/connection/IdleReuseEstimator.java
+++ b/src/main/java/lemondrift/connection/IdleReuseEstimator.java
@@ -1,35 +1,46 @@
 package lemondrift.connection;
 
 /**
- * Learns after how long idle connections are reused, and from that for how long one is worth its
- * place. Idle times go into a histogram that decays, as reused or as closed without reuse; the
- * share reused of those that lasted so long is a hazard (Kaplan and Meier, 1958). How long to keep
- * a place is then optimal stopping, solved backwards over the bins.
+ * Estimates after how long idle connections are reused, and derives for how long an idle connection
+ * is worth its slot. Idle times are counted in a decaying histogram, as reused or as closed without
+ * reuse. The hazard of a bin is the share of connections reused in it among those that were idle
+ * until the bin (Kaplan and Meier, 1958). How long to keep a connection is an optimal stopping
+ * problem, solved backwards over the bins.
  */
 final class IdleReuseEstimator {
-    /** Each bin is twice as long as the one before, but for the first two, which are equal. */
+    /**
+     * The number of bins. Each bin is twice as long as the previous one, except for the first two,
+     * which are equal.
+     */
     private static final int BINS = 12;
 
-    /** The number of connections that the prior knowledge counts as. */
+    /** The weight of the prior, in connections. */
     private static final double PRIOR_CONNECTIONS = 2;
 
-    /** How often one is reused within the longest idle time, by the prior knowledge. */
+    /** How often a connection is reused within the longest idle time according to the prior. */
     private static final double PRIOR_REUSES = 2;
 
-    /** The sample weight from which all are scaled down, long before a double overflows. */
+    /**
+     * The sample weight above which all weights are scaled down, long before a double overflows.
+     */
     private static final double MAX_SAMPLE_WEIGHT = 1e6;
 
     private final double maxIdleSeconds;
     private final double minIdleSeconds;
     private final double halfLifeSeconds;
 
-    /** By bin, the weight of connections that were reused in it. */
+    /** By bin, the weight of the connections that were reused in it. */
     private final double[] reused = new double[BINS];
 
-    /** By bin, the weight of connections that lasted through it or were reused in it. */
+    /**
+     * By bin, the weight of the connections that were idle for the whole bin or were reused in it.
+     */
     private final double[] atRisk = new double[BINS];
 
-    /** What a sample counted now weighs; it grows instead of the decay of all others. */
+    /**
+     * The weight of a sample that is counted now. It grows over time, which is equivalent to a
+     * decay of all earlier samples.
+     */
     private double sampleWeight = 1;
 
     private double weightUpdatedAt;
@@ -44,7 +55,7 @@
         return bin == 0 ? 0 : maxIdleSeconds * Math.scalb(1.0, bin - BINS);
     }
 
-    /** A connection was reused after so many idle seconds. */
+    /** Records that a connection was reused after this idle time. */
     void recordReuse(double idleSeconds, double now) {
         int bin = countSurvivedBins(idleSeconds, now);
         if (bin < BINS) {
@@ -54,14 +65,18 @@
     }
 
     /**
-     * A connection was closed after so many idle seconds. Guards against short limits that prove
-     * themselves: it does not count as never reused in the bins that it did not outlast.
+     * Records that a connection was closed after this idle time. The connection counts only in the
+     * bins that it survived, and not as unused in later ones. Guards against short limits that
+     * confirm themselves.
      */
     void recordClose(double idleSeconds, double now) {
         countSurvivedBins(idleSeconds, now);
     }
 
-    /** Counts the bins that were outlasted and returns the bin after them, up to BINS. */
+    /**
+     * Counts the connection in each bin that it survived. Returns the next bin; BINS if it survived
+     * all.
+     */
     private int countSurvivedBins(double idleSeconds, double now) {
         updateSampleWeight(now);
         int bin = 0;
@@ -83,7 +98,10 @@
         }
     }
 
-    /** How likely a connection that is idle at a bin's start is reused within the bin, 0 to 1. */
+    /**
+     * Returns the probability that a connection that is idle at the start of a bin is reused within
+     * the bin, 0 to 1.
+     */
     private double hazard(int bin) {
         double lengthSeconds = binStartSeconds(bin + 1) - binStartSeconds(bin);
         double priorWeight = PRIOR_CONNECTIONS * sampleWeight;
@@ -92,10 +110,10 @@
     }
 
     /**
-     * For how many idle seconds a place is worth its price.
+     * Returns for how many idle seconds a connection is worth the price of its slot.
      *
-     * @param pricePerSecond what a place costs, in connections that need not be opened again
-     * @return 0 where the place is best given up with the response, else up to the longest idle
+     * @param pricePerSecond the cost of a slot per second, in units of one avoided reconnect
+     * @return 0 if the connection is best closed with the response, else up to the longest idle
      *     time
      */
     double idleLimitSeconds(double pricePerSecond, double now) {
@@ -109,7 +127,7 @@
                     hazard
                             - pricePerSecond * lengthSeconds * (1 - hazard / 2)
                             + (1 - hazard) * value;
-            // Between the response and the least idle time it can't be closed.
+            // A connection cannot be closed between the response and the minimum idle time.
             boolean mayClose = bin == 0 || binStartSeconds(bin) >= minIdleSeconds;
             if (value <= 0 && mayClose) {
                 value = 0;
--- a/src/main/java/lemondrift/connection/KeepAlivePolicy.java
+++ b/src/main/java/lemondrift/connection/KeepAlivePolicy.java
@@ -4,21 +4,25 @@
 import java.util.SplittableRandom;
 
 /**
- * Whether a connection stays open after its response, and how long it may be idle. A place costs
- * nothing while most are free and more the more of them stand unused; it is kept as long as the
- * reuse that {@link IdleReuseEstimator} expects is worth that price.
+ * Decides whether a connection stays open after its response, and how long it may be idle. A
+ * connection slot costs almost nothing while few open connections are unused; its price rises
+ * steeply with their number. A connection is kept as long as the reuse that {@link
+ * IdleReuseEstimator} expects is worth the price of its slot.
  */
 final class KeepAlivePolicy {
-    /** Connections with one response, with two or three, and with more are learned apart. */
+    /** Connections with one response, with two or three, and with more have separate estimators. */
     private static final int REUSE_GROUPS = 3;
 
-    /** The share kept whatever is expected. Guards against never seeing a reuse to learn from. */
+    /**
+     * The share of connections that are kept open regardless of the expected reuse. Guards against
+     * never observing a reuse to learn from.
+     */
     private static final double EXPLORATION_SHARE = 1.0 / 16;
 
-    /** The price of a place rises with this power of the unused places. */
+    /** The price of a slot rises with this power of the number of unused connections. */
     private static final int PRICE_EXPONENT = 4;
 
-    /** The ratio of unused places from which none is kept just to learn from. */
+    /** The ratio of unused connections from which none is kept open only to learn from it. */
     private static final double MAX_UNUSED_RATIO_TO_EXPLORE = 2;
 
     private final ConnectionLimits limits;
@@ -52,7 +56,7 @@
         return reuseGroup(connections.responseCounts[connection]);
     }
 
-    /** Whether a connection is to stay open after the response that is ready now. */
+    /** Returns whether a connection stays open after the response that is ready now. */
     boolean keepsOpen(int connection, double now) {
         boolean worthKeeping =
                 estimators[reuseGroupOf(connection)].idleLimitSeconds(pricePerSecond(), now) > 0;
@@ -62,24 +66,24 @@
         return worthKeeping || explores;
     }
 
-    /** Whether the response may announce for how long the connection stays open. */
+    /** Returns whether the response may announce for how long the connection stays open. */
     boolean mayAnnounce() {
         return limits.announcesKeepAlive() && pricePerSecond() < 1 / limits.maxIdleSeconds();
     }
 
-    /** An idle connection was used again. */
+    /** Records that an idle connection was used again. */
     void reused(int connection, double now) {
         estimators[reuseGroupOf(connection)].recordReuse(
                 connections.secondsInState(connection, now), now);
     }
 
-    /** An idle connection was closed without having been used again. */
+    /** Records that an idle connection was closed without having been used again. */
     void closedIdle(int connection, double now) {
         estimators[reuseGroupOf(connection)].recordClose(
                 connections.secondsInState(connection, now), now);
     }
 
-    /** Learns anew how long idle connections may stay, from the present price. */
+    /** Recomputes how long idle connections may stay open at the current price. */
     void updateIdleLimits(double now) {
         for (int group = 0; group < REUSE_GROUPS; group++) {
             idleLimitSeconds[group] =
@@ -93,7 +97,10 @@
         return idleLimitSeconds[reuseGroupOf(connection)];
     }
 
-    /** Places that stand unused, as a ratio to how many may before they have their full price. */
+    /**
+     * Returns the number of open connections that neither wait for a response nor send one, as a
+     * ratio to the number at which a slot has its full price.
+     */
     private double unusedRatio() {
         int busy =
                 connections.count(ConnectionState.AWAITING_RESPONSE)
@@ -102,7 +109,7 @@
                 / (ConnectionLimits.UNUSED_SHARE_AT_FULL_PRICE * connections.maxConnections());
     }
 
-    /** What a place costs for a second, in connections that need not be opened again. */
+    /** Returns the price of a slot per second, in units of one avoided reconnect. */
     private double pricePerSecond() {
         return Math.pow(unusedRatio(), PRICE_EXPONENT) / limits.maxIdleSeconds();
     }
--- a/src/main/java/lemondrift/connection/ProcessPauseClock.java
+++ b/src/main/java/lemondrift/connection/ProcessPauseClock.java
@@ -1,15 +1,18 @@
 package lemondrift.connection;
 
 /**
- * Time in seconds for which the process ran. Guards against closing connections as overdue whose
- * requests waited unread while the process stood still: if events stop for more than two sweeps,
- * the time beyond one sweep counts for no connection.
+ * A clock of the time, in seconds, for which the process was running. Guards against closing
+ * connections as overdue whose requests waited unread while the process was paused: if there is no
+ * event for more than two sweep intervals, the time beyond one sweep interval is not counted.
  */
 final class ProcessPauseClock {
-    /** Silence, in sweep intervals, from which the process is taken to have stood still. */
+    /** Time without an event, in sweep intervals, above which the process counts as paused. */
     private static final double PAUSE_THRESHOLD_SWEEPS = 2;
 
-    /** The part of a sweep interval in which what waited through a pause is read. */
+    /**
+     * Time after a pause, in sweep intervals, in which requests that waited during the pause are
+     * read.
+     */
     private static final double CATCH_UP_SWEEPS = 0.25;
 
     private final double sweepIntervalSeconds;
@@ -22,7 +25,7 @@
         this.sweepIntervalSeconds = sweepIntervalSeconds;
     }
 
-    /** The clock's time at an event; it never runs backwards. */
+    /** Returns the running time at an event. It never decreases. */
     double runningTime(double now) {
         if (now - lastEventAt > PAUSE_THRESHOLD_SWEEPS * sweepIntervalSeconds
                 && lastEventAt > Double.NEGATIVE_INFINITY) {
@@ -34,7 +37,10 @@
         return lastEventAt - pausedSeconds;
     }
 
-    /** Since when what is read now may have waited: now, or the start of a pause just over. */
+    /**
+     * Returns the earliest time from which a request that is read now may have waited: now, or the
+     * start of a pause that has just ended.
+     */
     double unreadSince(double now) {
         runningTime(now);
         return now < caughtUpAt ? pauseStartedAt : now;
--- a/src/main/java/lemondrift/connection/RequestQueue.java
+++ b/src/main/java/lemondrift/connection/RequestQueue.java
@@ -4,29 +4,30 @@
 import java.util.PriorityQueue;
 
 /**
- * Bounds the queue before the balancer to what can be decided in time, and holds back the rest, of
- * which the one with the earliest deadline goes next. Guards against a queue that makes all
- * requests late where some could be in time. No more than one request for each connection is held
- * back.
+ * Bounds the queue in front of the balancer to the number of requests that can be decided in time,
+ * and holds back the others. The held-back request with the earliest deadline is queued next.
+ * Guards against a queue that makes all requests late when some could be in time. Holds back at
+ * most one request for each connection.
  *
- * @param <T> a request as the caller knows it
+ * @param <T> the caller's type of a request
  */
 public final class RequestQueue<T> {
     /** The share of the shortest latency objective that a request may wait for its decision. */
     private static final double MAX_WAIT_SHARE = 0.125;
 
     /**
-     * Wait, in longest waits, from which the balancer is asked whether it would shed the request.
+     * Expected wait, in multiples of the longest wait, above which the balancer is asked whether it
+     * would shed the request.
      */
     private static final double BACKLOG_WAIT_FACTOR = 2;
 
-    /** The least capacity of the queue, in requests. */
+    /** The smallest capacity of the queue, in requests. */
     private static final int MIN_CAPACITY = 16;
 
     /** The largest capacity of the queue, in requests, once decisions have been measured. */
     private static final double MAX_CAPACITY = 1e6;
 
-    /** The weight of the newest measurement in the mean time of a decision. */
+    /** The weight of the newest measurement in the moving average of the time of a decision. */
     private static final double NEWEST_WEIGHT = 1.0 / 16;
 
     private record HeldRequest<T>(T request, double deadline, long order) {}
@@ -40,17 +41,26 @@
     private long lastOrder;
     private int queued;
 
-    /** A queue for the shortest latency objective of all request classes, in seconds over 0. */
+    /**
+     * Creates a queue.
+     *
+     * @param latencyObjectiveSeconds the shortest latency objective of all request classes, greater
+     *     than 0
+     */
     public RequestQueue(double latencyObjectiveSeconds) {
         setLatencyObjective(latencyObjectiveSeconds);
     }
 
-    /** Another latency objective is the shortest from now on. */
+    /** Sets the shortest latency objective of all request classes, in seconds, greater than 0. */
     public void setLatencyObjective(double latencyObjectiveSeconds) {
         maxWaitSeconds = MAX_WAIT_SHARE * latencyObjectiveSeconds;
     }
 
-    /** The balancer took so many requests out of the queue, in so many seconds for all. */
+    /**
+     * Records that the balancer has taken requests out of the queue and decided them.
+     *
+     * @param totalSeconds the time taken for all of them
+     */
     public void requestsDecided(int requestCount, double totalSeconds) {
         queued -= requestCount;
         if (requestCount > 0) {
@@ -58,7 +68,10 @@
         }
     }
 
-    /** How many requests may be in the queue. */
+    /**
+     * Returns how many requests may be in the queue; {@code Integer.MAX_VALUE} until a decision has
+     * been measured.
+     */
     public int capacity() {
         if (decisionSeconds <= 0) {
             return Integer.MAX_VALUE;
@@ -71,7 +84,10 @@
         return queued >= capacity();
     }
 
-    /** Reserves a place in the queue; returns false where there is none. */
+    /**
+     * Reserves room for a request in the queue. Returns false if the queue is full or requests are
+     * held back.
+     */
     public boolean tryReserve() {
         if (!heldBack.isEmpty() || isFull()) {
             return false;
@@ -80,22 +96,31 @@
         return true;
     }
 
-    /** How long a request that comes now would wait for its decision, in seconds. */
+    /**
+     * Returns how many seconds a request that arrives now would wait for its decision; 0 until a
+     * decision has been measured.
+     */
     public double expectedWaitSeconds() {
         return (queued + heldBack.size()) * decisionSeconds;
     }
 
-    /** Whether so many wait that one more should be held back only if it would not be shed. */
+    /**
+     * Returns whether the expected wait is so long that another request should be held back only if
+     * the balancer would not shed it.
+     */
     public boolean isBacklogged() {
         return expectedWaitSeconds() > BACKLOG_WAIT_FACTOR * maxWaitSeconds;
     }
 
-    /** Holds a request back until there is room for it. */
+    /** Holds a request back until there is room for it in the queue. */
     public void holdBack(T request, double deadline) {
         heldBack.add(new HeldRequest<>(request, deadline, ++lastOrder));
     }
 
-    /** Takes out the request to queue next, which counts as queued; null if there is none. */
+    /**
+     * Removes and returns the held-back request to queue next, and counts it as queued; null if
+     * none is held back or the queue is full.
+     */
     public T pollNext() {
         if (heldBack.isEmpty() || isFull()) {
             return null;
@@ -104,7 +129,7 @@
         return heldBack.poll().request;
     }
 
-    /** How many requests are held back. */
+    /** Returns how many requests are held back. */
     public int heldBackCount() {
         return heldBack.size();
     }
