--- a/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyModel.java
@@ -13,13 +13,13 @@
 import java.util.Set;
 
 /**
- * Clients of a {@link ConnectionPolicy}, without sockets, and a plain model of each: its whole
- * history, from which each check computes anew what the policy must and must not do.
+ * Simulates the clients of a {@link ConnectionPolicy} without sockets. Records the history of each
+ * client; each check derives from it what the policy must and must not have done.
  */
 final class ConnectionPolicyModel implements ConnectionPolicy.Actions {
     /**
-     * A client's connection: when it was accepted, when each byte of the present request came, and
-     * its state.
+     * A client's connection: when it was accepted, when each byte of its current request was sent,
+     * and its state.
      */
     static final class Client {
         final double acceptedAt;
@@ -50,7 +50,7 @@
         policy.sweep(now);
     }
 
-    /** One where each connection is a source by itself. */
+    /** Returns a model in which each connection is its own source. */
     static ConnectionPolicyModel withSourcePerConnection(int maxConnections) {
         return new ConnectionPolicyModel(
                 limits(maxConnections, ConnectionLimits.Sharing.CONNECTION));
@@ -82,12 +82,13 @@
     @Override
     public void close(int connection, CloseReason reason) {
         Client client = clients.get(connection);
-        assertNotEquals(ConnectionState.AWAITING_RESPONSE, client.state, "a request is open on it");
+        assertNotEquals(
+                ConnectionState.AWAITING_RESPONSE, client.state, "closed with an open request");
         assertFalse(
                 client.hasUnreadBytes
                         && (client.state == ConnectionState.NEW
                                 || client.state == ConnectionState.IDLE),
-                "its unread bytes were not looked at");
+                "closed without checking for unread bytes");
         disconnect(connection);
         client.closeReason = reason;
     }
@@ -126,7 +127,7 @@
         enter(connection, ConnectionState.AWAITING_RESPONSE);
     }
 
-    /** Sends a response; false where the connection closes with it. */
+    /** Sends a response. Returns false if the connection closes with it. */
     boolean respond(int connection, double priorityWeight) {
         boolean keepsOpen = policy.responseReady(connection, now);
         policy.responseSent(connection, priorityWeight, now);
@@ -148,7 +149,7 @@
         closed.add(clients.remove(connection));
     }
 
-    /** Lets time pass, with a sweep at each interval. */
+    /** Advances the time, with a sweep at each sweep interval and at the end. */
     void advance(double seconds) {
         double end = now + seconds;
         while (now + limits.sweepIntervalSeconds() < end) {
@@ -160,8 +161,8 @@
     }
 
     /**
-     * The deadline of a request, computed from all of its bytes as docs/connections.md states the
-     * rule.
+     * Returns the deadline of a request, computed from all of its bytes by the rule in
+     * docs/connections.md.
      */
     double deadline(Client client) {
         double deadline = client.enteredStateAt + limits.readTimeoutSeconds();
@@ -190,20 +191,21 @@
                         assertTrue(
                                 client.acceptedAt + limits.firstByteTimeoutSeconds()
                                         >= overdueBefore,
-                                "no byte for too long");
+                                "open too long without a first byte");
                 case IDLE ->
                         assertTrue(
                                 client.enteredStateAt + limits.maxIdleSeconds() >= overdueBefore,
-                                "idle for too long");
+                                "open after the longest idle time");
                 case READING_HEAD ->
-                        assertTrue(deadline(client) >= overdueBefore, "no progress for too long");
+                        assertTrue(
+                                deadline(client) >= overdueBefore, "open after the read deadline");
                 default -> {}
             }
         }
         assertEquals(clients.size(), policy.capacity() - policy.count(ConnectionState.FREE));
     }
 
-    /** How many were closed for one of these reasons. */
+    /** Returns how many connections the policy has closed for one of these reasons. */
     long closedCount(CloseReason... reasons) {
         return closed.stream()
                 .filter(
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Connection decisions without sockets: hard cases, and generated histories beside a plain model.
+ * Tests connection decisions without sockets: difficult cases, and random event sequences that are
+ * checked against a simple model.
  */
 class ConnectionPolicyTest {
     @Property(tries = 400, seed = "48")
@@ -69,7 +70,7 @@
                 model.assertInvariants();
             }
         }
-        // All that send nothing are evicted, down to the limit.
+        // Connections without a request are evicted until the limit is met.
         model.clients.values().forEach(client -> client.hasUnreadBytes = false);
         model.advance(
                 2 * model.limits.evictionGraceSeconds() + model.limits.sweepIntervalSeconds());
@@ -91,8 +92,8 @@
         int requests = 0;
         int maxConnections = 0;
         for (int round = 0; round < 200; round++) {
-            // Six come every 0.1 s, ask once and stay; two of the steady ask every 0.1 s, again and
-            // again.
+            // Every 0.1 s, six new clients connect, send one request and stay connected, and two of
+            // the steady clients send another request.
             for (int k = 0; k < 6; k++) {
                 model.exchange(model.accept());
             }
@@ -111,12 +112,15 @@
         }
         assertTrue(
                 maxConnections <= 80,
-                "at the most "
+                "at most "
                         + maxConnections
-                        + " of 200 places, where 152 would stand for 2.2 s");
+                        + " of 200 connections open; 152 would be if each stayed for 2.2 s");
         assertTrue(
                 requestsOnOpenConnections > 0.5 * requests,
-                "most that come again are kept: " + requestsOnOpenConnections + " of " + requests);
+                "requests on connections that were kept open: "
+                        + requestsOnOpenConnections
+                        + " of "
+                        + requests);
     }
 
     @Test
@@ -176,13 +180,13 @@
         assertTrue(model.clients.size() <= 1000);
         assertTrue(
                 connectionsOfNewSources <= 10 * 17,
-                "no more than their credit gives weight to: " + connectionsOfNewSources);
+                "no more than the weight of their credit allows: " + connectionsOfNewSources);
         for (int address = 1_000_000; address < 1_003_000; address++) {
             model.disconnect(model.accept(address));
         }
         assertTrue(
                 model.policy.sourceCount() <= 2 * model.limits.acceptLimit(),
-                "memory for sources is bounded");
+                "the number of remembered sources is bounded");
     }
 
     @Test
@@ -199,8 +203,9 @@
         model.policy.sweep(model.now);
         assertTrue(model.clients.keySet().containsAll(List.of(withoutByte, withPartialHead, idle)));
         model.advance(4);
-        assertTrue(model.clients.isEmpty(), "without another byte all are closed");
-        assertEquals(2, model.closedCount(CloseReason.SLOW_REQUEST), "both had begun a request");
+        assertTrue(model.clients.isEmpty(), "all are closed without another byte");
+        assertEquals(
+                2, model.closedCount(CloseReason.SLOW_REQUEST), "both had sent part of a request");
     }
 
     @Test
@@ -218,7 +223,10 @@
         assertEquals(ConnectionState.READING_HEAD, model.policy.state(withoutByte));
     }
 
-    /** Guards against a client that sends one byte late and holds its place without a request. */
+    /**
+     * Guards against a client that sends one late byte and so holds its connection slot without a
+     * request.
+     */
     @Test
     void connectionWithLateFirstByteIsClosedWithinThreeSeconds() {
         for (double firstByteAt : new double[] {0, 0.5, 1, 1.7}) {
@@ -244,14 +252,14 @@
         }
         assertTrue(
                 model.now - startedAt < model.limits.readTimeoutSeconds() + 0.5,
-                "ended after " + (model.now - startedAt));
+                "closed after " + (model.now - startedAt));
         assertEquals(1, model.closedCount(CloseReason.SLOW_REQUEST));
         int fast = model.accept();
         for (int k = 0; k < 100; k++) {
             model.sendBytes(fast, 200);
             model.advance(0.09);
         }
-        assertTrue(model.clients.containsKey(fast), "2.2 KiB a second is progress");
+        assertTrue(model.clients.containsKey(fast), "2.2 KiB per second is above the minimum rate");
     }
 
     @Test
@@ -270,7 +278,7 @@
         for (int i = 0; i < 18; i++) {
             model.accept();
         }
-        assertFalse(model.policy.isOverLimit(), "20 as ever");
+        assertFalse(model.policy.isOverLimit(), "the configured limit of 20 applies");
         model.accept();
         assertTrue(model.policy.isOverLimit());
     }
@@ -288,7 +296,8 @@
         assertTrue(model.clients.containsKey(slow));
         model.sendRequest(slow, 0);
         model.advance(0.9);
-        assertFalse(model.clients.containsKey(stalled), "half a request has a close within 3 s");
+        assertFalse(
+                model.clients.containsKey(stalled), "an incomplete request is closed within 3 s");
         int body = model.accept();
         model.policy.bytesReceived(body, 300, model.now);
         model.policy.headRead(body, model.now);
@@ -297,7 +306,7 @@
             model.advance(2);
             model.policy.bytesReceived(body, 128_000, model.now);
         }
-        assertTrue(model.clients.containsKey(body), "64 kB a second, in four pieces");
+        assertTrue(model.clients.containsKey(body), "a body at 64 kB per second, in four pieces");
     }
 
     @Test
@@ -376,8 +385,10 @@
         assertEquals(
                 List.of(awaitingResponse),
                 List.copyOf(model.clients.keySet()),
-                "a connection with a request stays");
-        assertFalse(model.policy.responseReady(awaitingResponse, model.now), "its answer closes");
+                "the connection with a request stays open");
+        assertFalse(
+                model.policy.responseReady(awaitingResponse, model.now),
+                "the response closes the connection");
     }
 
     @Test
@@ -414,7 +425,9 @@
             model.sendRequest(model.accept(), 0);
         }
         model.advance(1.9);
-        assertTrue(model.clients.containsKey(connection), "not evicted, though no other can be");
+        assertTrue(
+                model.clients.containsKey(connection),
+                "not evicted, although there is no other candidate");
     }
 
     @Test
@@ -424,8 +437,8 @@
         model.policy.closed(connection, model.now);
         model.policy.headRead(connection, model.now);
         model.policy.invalidRequestReceived(connection, model.now);
-        // The model knows no client there, so that to close it would fail, and end all further
-        // sweeps.
+        // The model has no client for this connection, so closing it would throw and end all
+        // further sweeps.
         assertDoesNotThrow(() -> model.policy.sweep(model.now + 100));
     }
 }
--- a/src/test/java/lemondrift/connection/FairEvictionTest.java
+++ b/src/test/java/lemondrift/connection/FairEvictionTest.java
@@ -11,9 +11,12 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Eviction beside a plain model. */
+/** Tests eviction against a simple model. */
 class FairEvictionTest {
-    /** Each time the source with the most connections for its weight loses one, by a search. */
+    /**
+     * Checks by a linear search that each eviction takes a connection from the source with the most
+     * connections relative to its weight.
+     */
     @Property(tries = 300, seed = "48")
     void evictionIsMaxMinFair(
             @ForAll @Size(min = 1, max = 30) List<@IntRange(max = 5) Integer> holders,
--- a/src/test/java/lemondrift/connection/KeepAliveSimulation.java
+++ b/src/test/java/lemondrift/connection/KeepAliveSimulation.java
@@ -5,10 +5,11 @@
 import java.util.SplittableRandom;
 
 /**
- * The learned keep-alive against fixed ones over mixes of clients, in virtual time; run by hand, no
- * part of CI. Clients hold 0.62 of the places at the most, as behind a front with descriptors of
- * its own; who finds no room is kept out. Prints for each policy the share kept out, the share that
- * opened a connection, and mean places.
+ * Compares the learned keep-alive with fixed idle timeouts over mixes of clients, in virtual time.
+ * Run by hand, not in CI. Clients hold at most 0.62 of the connections, as behind a front proxy
+ * with its own limit of descriptors; a request without a free connection is refused. Prints for
+ * each policy the share of requests refused, the share that opened a connection, and the mean
+ * number of open connections.
  */
 final class KeepAliveSimulation {
     private static final int MAX_CONNECTIONS = 206;
@@ -16,13 +17,17 @@
     private static final int MAX_CLIENT_CONNECTIONS = 128;
     private static final double DURATION_SECONDS = 60;
 
-    /** The time before a client's next request; after its last one it stays connected, silent. */
+    /**
+     * The distribution of the time before a client's next request. After its last request a client
+     * stays connected and idle.
+     */
     private interface RequestIntervals {
         double nextSeconds(SplittableRandom random);
     }
 
     /**
-     * Clients that go on for the whole time, and others that come, send a few requests and stay.
+     * Steady clients that send requests for the whole time, and transient clients that connect,
+     * send a few requests and stay connected.
      */
     private record ClientMix(
             String name,
@@ -58,7 +63,11 @@
     private long opened;
     private long refused;
 
-    /** Not a number for the learned limit, else the fixed one. */
+    /**
+     * Creates a simulation.
+     *
+     * @param fixedIdleSeconds the fixed idle timeout; NaN for the learned limit
+     */
     private KeepAliveSimulation(ClientMix mix, double fixedIdleSeconds) {
         this.mix = mix;
         this.fixedIdleSeconds = fixedIdleSeconds;
@@ -69,15 +78,21 @@
         RequestIntervals halfSecond = random -> -0.5 * Math.log(1 - random.nextDouble());
         List<ClientMix> mixes =
                 List.of(
-                        new ClientMix("usual alone, 0.5 s between", 40, halfSecond, 0, 1),
                         new ClientMix(
-                                "usual, and 60 a second that ask once and stay",
+                                "steady clients only, 0.5 s between requests",
+                                40,
+                                halfSecond,
+                                0,
+                                1),
+                        new ClientMix(
+                                "steady, and 60 per second that send one request and stay",
                                 40,
                                 halfSecond,
                                 60,
                                 1),
                         new ClientMix(
-                                "usual, and 15 a second that ask five times within 0.2 s and stay",
+                                "steady, and 15 per second that send five requests within 0.2 s and"
+                                        + " stay",
                                 40,
                                 halfSecond,
                                 15,
@@ -94,7 +109,10 @@
         return Double.isNaN(fixedIdleSeconds);
     }
 
-    /** Fixed ones without a price, so that each stays for the whole time that it may be idle. */
+    /**
+     * Fixed timeouts get limits so high that a slot has no price: each connection stays for its
+     * whole idle timeout.
+     */
     private ConnectionLimits limits() {
         double idleSeconds = Math.max(0.2, fixedIdleSeconds);
         return new ConnectionLimits(
@@ -132,7 +150,7 @@
             }
         }
         System.out.printf(
-                "  %-8s kept out %.3f  opened %.3f  places %.0f%n",
+                "  %-8s refused %.3f  opened %.3f  connections %.0f%n",
                 isLearned() ? "learned" : fixedIdleSeconds + " s",
                 (double) refused / requests,
                 (double) opened / requests,
--- a/src/test/java/lemondrift/connection/RequestQueueTest.java
+++ b/src/test/java/lemondrift/connection/RequestQueueTest.java
@@ -13,12 +13,12 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The bound of the queue before the balancer. */
+/** Tests the bound of the queue in front of the balancer. */
 class RequestQueueTest {
     @Test
     void admitsUpToCapacityAndThenByEarliestDeadline() {
         RequestQueue<Integer> requestQueue = new RequestQueue<>(0.4);
-        assertTrue(requestQueue.tryReserve(), "nothing is known yet");
+        assertTrue(requestQueue.tryReserve(), "not bounded before a decision was measured");
         requestQueue.requestsDecided(1, 0);
         for (int k = 0; k < 200; k++) {
             assertTrue(requestQueue.tryReserve());
@@ -28,7 +28,7 @@
                 50,
                 requestQueue.capacity(),
                 1,
-                "an eighth of the latency objective, at a millisecond each");
+                "an eighth of the latency objective at 1 ms per decision");
         int queued = 0;
         while (requestQueue.tryReserve()) {
             queued++;
@@ -50,6 +50,7 @@
                 deadlines.stream().sorted(Comparator.naturalOrder()).limit(10).toList(),
                 polledInOrder);
         assertEquals(50, requestQueue.heldBackCount());
-        assertFalse(requestQueue.tryReserve(), "none goes before those that wait");
+        assertFalse(
+                requestQueue.tryReserve(), "a new request is not queued before held-back requests");
     }
 }
--- a/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
+++ b/src/test/java/lemondrift/hotrestart/ResourceSplitTest.java
@@ -10,7 +10,7 @@
     @Test
     void splitsResourcesInTwoUnlessKnownToBeAlone() {
         ResourceSplit split = new ResourceSplit();
-        assertEquals(2, split.processCount(), "nobody has looked yet");
+        assertEquals(2, split.processCount(), "before the first observation");
         assertTrue(split.update(true, false));
         assertEquals(1, split.processCount());
         assertFalse(split.update(true, false));
--- a/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
@@ -9,11 +9,11 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The counts of requests and replies. */
+/** Tests the counts of requests and replies. */
 class ProxyMetricsTest {
     /**
-     * Event 0 accepts a request, 1 answers and completes one, 2 completes one whose client has
-     * left.
+     * Event 0 accepts a request, 1 replies to a request and completes it, 2 completes a request
+     * whose client has left.
      */
     @Property(seed = "48")
     void requestsInFlightEqualAcceptedMinusCompleted(
--- a/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -33,23 +33,26 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The decision loop without sockets; the test sets its clock and records what it asks for. */
+/**
+ * Tests the decision loop without sockets. The test sets the clock and records the requested
+ * actions.
+ */
 class DecisionLoopTest implements ProxyActions {
     private static final int BACKENDS = 3200;
 
-    /** Seconds after which what a test waits for counts as missing. */
+    /** How long a test waits for an action before it fails, in seconds. */
     private static final long WAIT_SECONDS = 5;
 
-    /** The timeout of requests, as their client states it. */
+    /** The timeout that clients state in their requests. */
     private static final double REQUEST_TIMEOUT_SECONDS = 2;
 
-    /** The index of the class whose requests may not be executed twice. */
+    /** The index of the class whose requests must not be executed twice. */
     private static final int NOT_IDEMPOTENT_CLASS = 0;
 
     /** The index of the class whose requests may be executed twice. */
     private static final int IDEMPOTENT_CLASS = 1;
 
-    /** An index that no class has, so that a decision about its request throws. */
+    /** An index without a class, so that a decision about such a request throws. */
     private static final int UNKNOWN_CLASS = 99;
 
     private static final Settings SETTINGS =
@@ -77,7 +80,7 @@
     private volatile double now = 1000;
     private volatile boolean sendFails;
 
-    /** Seconds that pass while a pool is retired. */
+    /** By how many seconds the clock advances when the next pool is retired. */
     private volatile double retireSeconds;
 
     private final DecisionLoop decisionLoop =
@@ -106,7 +109,7 @@
                         null));
     }
 
-    /** The attempt that is sent for a request; null where none is. */
+    /** Returns the attempt that is sent for a request; null if none is sent in time. */
     private Attempt receiveRequestAndAwaitAttempt(long id) throws InterruptedException {
         receiveRequest(id);
         return nextAttempt();
@@ -135,8 +138,8 @@
     }
 
     /**
-     * Guards against an attempt whose send throws and that stays in flight for good, and against
-     * 502 for a request of which nothing was sent.
+     * Guards against an attempt that stays in flight forever after its send has thrown, and against
+     * replying 502 to a request of which nothing was sent.
      */
     @Test
     void rejectsRequestAndEndsAttemptWhenSendThrows() throws Exception {
@@ -148,7 +151,7 @@
         sendFails = false;
         Attempt unsent = nextAttempt();
         assertEquals(0, openRequestsAndReferences());
-        assertTrue(unsent.ended, "the balancer has heard of its end");
+        assertTrue(unsent.ended, "the balancer was not informed of the attempt's end");
         assertEquals(0, unsent.request.attemptsInFlight);
         decisionLoop.attemptEnded(
                 receiveRequestAndAwaitAttempt(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
@@ -156,7 +159,7 @@
         assertEquals(0, openRequestsAndReferences());
     }
 
-    /** Guards against a request that is never answered because a decision about it throws. */
+    /** Guards against a request that is never answered because a decision about it has thrown. */
     @Test
     void failsRequestWhenBalancerThrowsAndKeepsRunning() throws Exception {
         decisionLoop.start();
@@ -169,7 +172,7 @@
         assertEquals(0, openRequestsAndReferences());
     }
 
-    /** How many requests are open, and how many attempts and probes hold a backend. */
+    /** Returns the number of open requests plus the number of references to backends. */
     private int openRequestsAndReferences() throws Exception {
         CompletableFuture<Integer> count = new CompletableFuture<>();
         decisionLoop.runOnLoop(
@@ -217,10 +220,13 @@
         decisionLoop.attemptEnded(
                 receiveRequestAndAwaitAttempt(3), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         assertEquals(
-                "delivered 3", nextAction(), "nothing more for the request whose client has left");
+                "delivered 3", nextAction(), "no action for the request whose client has left");
     }
 
-    /** Guards against 502 at the end of the process for what a client may send again. */
+    /**
+     * Guards against replying 502 at the end of the process to requests that a client may send
+     * again.
+     */
     @Test
     void rejectsIdempotentAndFailsOtherOpenRequestsAtShutdown() throws Exception {
         decisionLoop.start();
@@ -244,7 +250,7 @@
         assertEquals("rejected 1", nextAction());
     }
 
-    /** Thousands of backends, all in one phase. */
+    /** Returns an incomplete list of thousands of backends, all in the same phase. */
     private static EndpointList longList(String phase) {
         return EndpointLists.of(
                 false,
@@ -254,7 +260,7 @@
                         .toArray(String[]::new));
     }
 
-    /** Guards against a long list that holds up requests and replies. */
+    /** Guards against a long list that delays requests and replies. */
     @Test
     void decidesRequestsAndKeepsDeadlinesWhileALongListIsApplied() throws Exception {
         receiveList("active");
@@ -262,7 +268,8 @@
         receiveRequest(1);
         decisionLoop.start();
         Attempt first = nextAttempt();
-        assertEquals(List.of(), List.copyOf(actions), "sent before the list was applied");
+        assertEquals(
+                List.of(), List.copyOf(actions), "the attempt is sent before the list is applied");
         assertEquals("applied", nextAction());
         retireSeconds = 3;
         decisionLoop.endpointListReceived(longList("left"), false, () -> actions.add("applied"));
@@ -276,7 +283,7 @@
         decisionLoop.attemptEnded(first, AttemptOutcome.CANCELLED, 3, null, null);
     }
 
-    /** Guards against an older list that is applied after a newer one. */
+    /** Guards against applying an older list after a newer one. */
     @Test
     void appliesListsInOrderOfArrival() throws Exception {
         decisionLoop.endpointListReceived(
@@ -290,7 +297,7 @@
         assertEquals(
                 0,
                 receiveRequestAndAwaitAttempt(1).backend,
-                "the only one left, under the first index that is free");
+                "the only remaining backend has the first free index");
     }
 
     @Override
