--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -313,10 +313,11 @@
      * Guards against the next request on the connection that gets what lies beyond this response,
      * or follows what was not sent of this request.
      */
-    private void endComplete(boolean spent) {
+    private void endComplete(boolean connectionUnusable) {
         finish();
         pool.release(
-                pooledConnection, !spent && requestWriter.isSent() && !reader.closesConnection());
+                pooledConnection,
+                !connectionUnusable && requestWriter.isSent() && !reader.closesConnection());
         onEnd.accept(reader.bufferedResponse());
     }
 
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -170,13 +170,13 @@
 
     private PooledConnection takeIdleSince(double instant) {
         while (!idle.isEmpty() && idle.peekLast().idleSince <= instant) {
-            PooledConnection link = idle.pollLast();
-            budget.idle.remove(link);
-            IdleState state = link.idleState();
+            PooledConnection pooledConnection = idle.pollLast();
+            budget.idle.remove(pooledConnection);
+            IdleState state = pooledConnection.idleState();
             if (state == IdleState.QUIET) {
-                return link;
+                return pooledConnection;
             }
-            closeIdle(link, state);
+            closeIdle(pooledConnection, state);
         }
         return null;
     }
@@ -204,14 +204,14 @@
 
     /** Adds a connection that was established for a reserved place; it is in use. */
     public PooledConnection addConnection(StreamConnection connection) {
-        PooledConnection link = new PooledConnection(connection);
+        PooledConnection pooledConnection = new PooledConnection(connection);
         connection.setCloseListener(
                 closed -> {
                     releaseSlot();
-                    idle.remove(link);
-                    budget.idle.remove(link);
+                    idle.remove(pooledConnection);
+                    budget.idle.remove(pooledConnection);
                 });
-        return link;
+        return pooledConnection;
     }
 
     /** Takes back a connection after its request: closes it unless it can be used again. */
--- a/src/main/java/lemondrift/proxy/backend/LoadReportParser.java
+++ b/src/main/java/lemondrift/proxy/backend/LoadReportParser.java
@@ -32,13 +32,13 @@
     static double[] parse(String text, List<String> fields) {
         Map<String, String> valuesByName = new HashMap<>();
         String report = text.strip();
-        String list =
+        String pairs =
                 report.substring(report.startsWith(FORMAT_PREFIX) ? FORMAT_PREFIX.length() : 0);
-        for (String pair : list.split(",")) {
-            int equals = pair.indexOf('=');
+        for (String pair : pairs.split(",")) {
+            int equalsIndex = pair.indexOf('=');
             valuesByName.put(
-                    pair.substring(0, Math.max(0, equals)).strip(),
-                    pair.substring(equals + 1).strip());
+                    pair.substring(0, Math.max(0, equalsIndex)).strip(),
+                    pair.substring(equalsIndex + 1).strip());
         }
         try {
             double[] values =
--- a/src/main/java/lemondrift/proxy/backend/RequestHead.java
+++ b/src/main/java/lemondrift/proxy/backend/RequestHead.java
@@ -25,25 +25,25 @@
     }
 
     private static byte[] encode(PendingRequest pending, double secondsLeft) {
-        HttpServerExchange client = pending.exchange();
-        String query = client.getQueryString();
+        HttpServerExchange exchange = pending.exchange();
+        String query = exchange.getQueryString();
         StringBuilder head =
                 new StringBuilder(256)
-                        .append(client.getRequestMethod())
+                        .append(exchange.getRequestMethod())
                         .append(' ')
-                        .append(client.getRequestURI())
+                        .append(exchange.getRequestURI())
                         .append(query.isEmpty() ? "" : "?")
                         .append(query)
                         .append(" HTTP/1.1\r\n");
-        appendEndToEndFields(head, client);
+        appendEndToEndFields(head, exchange);
         long millisLeft = Math.max(1, Math.round(secondsLeft * 1000));
         head.append(ProxyHeaders.TIMEOUT).append(": ").append(millisLeft).append("\r\n");
         appendFraming(head, pending);
         return head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static void appendEndToEndFields(StringBuilder head, HttpServerExchange client) {
-        for (HeaderValues values : client.getRequestHeaders()) {
+    private static void appendEndToEndFields(StringBuilder head, HttpServerExchange exchange) {
+        for (HeaderValues values : exchange.getRequestHeaders()) {
             if (!ProxyHeaders.isEndToEnd(values.getHeaderName())) {
                 continue;
             }
@@ -57,13 +57,15 @@
     }
 
     private static void appendFraming(StringBuilder head, PendingRequest pending) {
-        HttpServerExchange client = pending.exchange();
+        HttpServerExchange exchange = pending.exchange();
         StreamedRequestBody streamedBody = pending.streamedBody();
         if (streamedBody != null && streamedBody.isChunked()) {
             head.append("Transfer-Encoding: chunked\r\n");
         } else if (streamedBody != null) {
-            head.append("Content-Length: ").append(client.getRequestContentLength()).append("\r\n");
-        } else if (pending.body().length > 0 || !client.getRequestMethod().equals(Methods.GET)) {
+            head.append("Content-Length: ")
+                    .append(exchange.getRequestContentLength())
+                    .append("\r\n");
+        } else if (pending.body().length > 0 || !exchange.getRequestMethod().equals(Methods.GET)) {
             head.append("Content-Length: ").append(pending.body().length).append("\r\n");
         }
     }
--- a/src/main/java/lemondrift/proxy/backend/RequestWriter.java
+++ b/src/main/java/lemondrift/proxy/backend/RequestWriter.java
@@ -120,11 +120,16 @@
                     }
                 });
         // Guards against a backend that takes nothing; the client's side has timeouts of its own.
-        BodyRelay.StallTimeouts patience =
+        BodyRelay.StallTimeouts stallTimeouts =
                 new BodyRelay.StallTimeouts(0, streamedBody.stallTimeoutSeconds());
         bodyRelay =
                 new BodyRelay(
-                        streamedBody, sink, ioThread, patience, () -> {}, this::bodyRelayEnded);
+                        streamedBody,
+                        sink,
+                        ioThread,
+                        stallTimeouts,
+                        () -> {},
+                        this::bodyRelayEnded);
         bodyRelay.run();
     }
 
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -210,21 +210,21 @@
     /** The next line without its end; null until it has come. */
     private String readLine(ByteBuffer source) throws IOException {
         while (source.hasRemaining()) {
-            char c = (char) (source.get() & 0xFF);
+            char character = (char) (source.get() & 0xFF);
             // Guards against lines without an end, in the head or between chunks.
             boolean inHead = nextPart == Part.STATUS_LINE || nextPart == Part.FIELDS;
             int lineBytes = inHead ? ++headBytes : ++chunkLineBytes;
             if (lineBytes > HttpFieldRules.MAX_HEAD_BYTES) {
                 throw new IOException("a head of over " + HttpFieldRules.MAX_HEAD_BYTES + " bytes");
             }
-            if (c == '\n') {
+            if (character == '\n') {
                 int end = line.length() - 1;
                 require(end >= 0 && line.charAt(end) == '\r', line);
                 String completeLine = line.substring(0, end);
                 line.setLength(0);
                 return completeLine;
             }
-            line.append(c);
+            line.append(character);
         }
         return null;
     }
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -234,9 +234,9 @@
     /**
      * Responses close their connections from now on; those without a request are closed by then.
      */
-    void drain(double until) {
+    void drain(double closeIdleBy) {
         LOG.info("client connections drain: {}", policy.summary());
-        policy.startDrain(clock.now(), until);
+        policy.startDrain(clock.now(), closeIdleBy);
         sweepTimer.remove();
         sweepEvery(sweepIntervalSeconds / DRAIN_SWEEPS_PER_INTERVAL);
     }
@@ -255,10 +255,10 @@
         }
         stopped = true;
         sweepTimer.remove();
-        long closedForPlaces =
+        long closedForCapacity =
                 policy.closedCount(CloseReason.EVICTED)
                         + policy.closedCount(CloseReason.NOT_KEPT_ALIVE);
-        if (closedForPlaces > 0) {
+        if (closedForCapacity > 0) {
             LOG.info("client connections stop: {}", policy.summary());
         }
     }
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -86,7 +86,7 @@
                 new RequestAdmission(
                         config.settings().windowSeconds(), decisionEvents, responses, clock);
         settingsChanged(requestClasses, config.settings());
-        RequestReader requests =
+        RequestReader requestReader =
                 new RequestReader(
                         connections,
                         validator,
@@ -97,7 +97,7 @@
                         stallTimeoutSeconds,
                         decisionEvents);
         httpListener = httpListener(bufferPool);
-        httpListener.setRootHandler(Handlers.httpContinueRead(requests::handle));
+        httpListener.setRootHandler(Handlers.httpContinueRead(requestReader::handle));
     }
 
     /**
@@ -122,10 +122,10 @@
     }
 
     /** Only a share of its resources, 0 to 1, is this process's from now on. */
-    public void setResourceShare(double share, int processes) {
+    public void setResourceShare(double share, int processCount) {
         connections.setShare(share);
         bufferBudget.setMaxTotalBytes(
-                (long) (BUFFERED_MEMORY_SHARE * config.memoryBytes() / processes));
+                (long) (BUFFERED_MEMORY_SHARE * config.memoryBytes() / processCount));
         if (inheritedServer != null) {
             inheritedServer.setMaxConnections(
                     (int) (share * config.connectionLimits().acceptLimit()));
@@ -259,8 +259,8 @@
     }
 
     /** The balancer decided so many requests, in so many seconds for all, and has room for more. */
-    public void requestsDecided(int requests, double seconds) {
-        admission.requestsDecided(requests, seconds);
+    public void requestsDecided(int requestCount, double totalSeconds) {
+        admission.requestsDecided(requestCount, totalSeconds);
     }
 
     /** Whether a request's client is there and has no response yet; looks at the socket. */
--- a/src/main/java/lemondrift/proxy/client/RequestAdmission.java
+++ b/src/main/java/lemondrift/proxy/client/RequestAdmission.java
@@ -72,8 +72,8 @@
     }
 
     /** The balancer decided so many requests in so many seconds, and has room for more. */
-    void requestsDecided(int requests, double seconds) {
-        requestQueue.requestsDecided(requests, seconds);
+    void requestsDecided(int requestCount, double totalSeconds) {
+        requestQueue.requestsDecided(requestCount, totalSeconds);
         for (PendingRequest next = requestQueue.pollNext();
                 next != null;
                 next = requestQueue.pollNext()) {
--- a/src/main/java/lemondrift/proxy/client/RequestReader.java
+++ b/src/main/java/lemondrift/proxy/client/RequestReader.java
@@ -181,26 +181,26 @@
 
     /** Decided now and sent as it comes, with all the time that its client needs for it. */
     private void offerStreamed(HttpServerExchange exchange, RequestBody body) {
-        Request bounded = openRequest(exchange);
-        if (bounded == null) {
+        Request parsedRequest = openRequest(exchange);
+        if (parsedRequest == null) {
             responses.refuseAndClose(
                     exchange, StatusCodes.BAD_REQUEST, RefusalReason.BAD_FIELD_OR_OPEN_ID);
             return;
         }
         body.setResponseTimeoutSeconds(
                 Math.min(
-                        bounded.deadline - bounded.arrivedAt,
-                        bounded.terms.requestClass().latencyObjectiveSeconds()));
+                        parsedRequest.deadline - parsedRequest.arrivedAt,
+                        parsedRequest.terms.requestClass().latencyObjectiveSeconds()));
         double timeoutSeconds = RequestValidator.MAX_TIMEOUT_MILLIS / 1e3;
         Request request =
                 new Request(
-                        bounded.id,
-                        bounded.requestClassIndex,
-                        bounded.tenant,
-                        bounded.arrivedAt,
+                        parsedRequest.id,
+                        parsedRequest.requestClassIndex,
+                        parsedRequest.tenant,
+                        parsedRequest.arrivedAt,
                         timeoutSeconds,
-                        bounded.markedRetry);
-        request.terms = bounded.terms.withTimeout(timeoutSeconds);
+                        parsedRequest.markedRetry);
+        request.terms = parsedRequest.terms.withTimeout(timeoutSeconds);
         ClientConnection.of(exchange).request = request;
         admission.offer(new PendingRequest(request, exchange, new byte[0], body));
     }
--- a/src/main/java/lemondrift/proxy/client/ResponseWriter.java
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -230,9 +230,9 @@
                         ioThread,
                         new BodyRelay.StallTimeouts(backendStallTimeoutSeconds, 0),
                         connection::responseBytesAvailable,
-                        whole -> {
+                        complete -> {
                             connection.stopRelay = null;
-                            relayEnded(exchange, response, whole);
+                            relayEnded(exchange, response, complete);
                         });
         connection.stopRelay =
                 () -> {
@@ -242,8 +242,9 @@
         relay.run();
     }
 
-    private void relayEnded(HttpServerExchange exchange, BackendResponse response, boolean whole) {
-        if (whole) {
+    private void relayEnded(
+            HttpServerExchange exchange, BackendResponse response, boolean complete) {
+        if (complete) {
             response.remainder().relayCompleted();
             exchange.endExchange();
         } else {
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
@@ -231,15 +231,15 @@
         }
         for (double rate : new double[] {300, 1500}) {
             for (int round = 0; round < ROUNDS; round++) {
-                for (int b = 0; b < builds.size(); b++) {
-                    double[] costs = measureLoad(builds.get(b), rate);
+                for (int buildIndex = 0; buildIndex < builds.size(); buildIndex++) {
+                    double[] costs = measureLoad(builds.get(buildIndex), rate);
                     System.out.printf(
                             "%s at %.0f/s: processor %.0f us, delay %.0f us, 99%% %.0f us%n",
-                            jars[b], rate, costs[0], costs[1], costs[2]);
+                            jars[buildIndex], rate, costs[0], costs[1], costs[2]);
                 }
             }
         }
-        List<String> names =
+        List<String> floodNames =
                 List.of(
                         "connects and sends nothing",
                         "malformed",
@@ -256,12 +256,12 @@
                         (port, i) -> sendBurst(port, i % BURST == 0 ? BURST : 0));
         for (int kind = 0; kind < events.size(); kind++) {
             for (int round = 0; round < 2; round++) {
-                for (int b = 0; b < builds.size(); b++) {
+                for (int buildIndex = 0; buildIndex < builds.size(); buildIndex++) {
                     System.out.printf(
                             "%s, a thousand of '%s': processor %.0f ms%n",
-                            jars[b],
-                            names.get(kind),
-                            measureFlood(builds.get(b), events.get(kind)));
+                            jars[buildIndex],
+                            floodNames.get(kind),
+                            measureFlood(builds.get(buildIndex), events.get(kind)));
                 }
             }
         }
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
@@ -125,11 +125,11 @@
         start(backend(OK));
         Socket client = connectClient();
         String second = get(2);
-        int cut = 30;
+        int splitIndex = 30;
         writeText(client, get(1));
-        writeText(client, second.substring(0, cut));
+        writeText(client, second.substring(0, splitIndex));
         assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
-        writeText(client, second.substring(cut));
+        writeText(client, second.substring(splitIndex));
         assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
     }
 
@@ -161,17 +161,17 @@
     void sendsKeepAliveTimeoutWhenConfigured() throws Exception {
         configChange =
                 config -> {
-                    ConnectionLimits usual = config.connectionLimits();
+                    ConnectionLimits defaults = config.connectionLimits();
                     return config.withConnectionLimits(
                             new ConnectionLimits(
-                                    usual.maxConnections(),
-                                    usual.acceptLimit(),
+                                    defaults.maxConnections(),
+                                    defaults.acceptLimit(),
                                     5,
                                     4,
-                                    usual.sharing(),
+                                    defaults.sharing(),
                                     true,
-                                    usual.minBytesPerSecond(),
-                                    usual.typicalPriorityWeight()));
+                                    defaults.minBytesPerSecond(),
+                                    defaults.typicalPriorityWeight()));
                 };
         start(backend(OK));
         Socket client = connectClient();
@@ -336,15 +336,15 @@
     @Test
     void readsConnectionSettingsFileOrRejectsItInOneLine(@TempDir Path folder) throws Exception {
         Path settingsFile = folder.resolve("door.json");
-        ConnectionLimits usual = ProxyConfig.read(config(UNUSED_PORT)).connectionLimits();
+        ConnectionLimits defaults = ProxyConfig.read(config(UNUSED_PORT)).connectionLimits();
         Files.writeString(
                 settingsFile, "{\"quiet\": 60, \"sharing\": \"tenant\", \"announces\": true}");
-        ConnectionLimits read = ConnectionSettingsFile.read(settingsFile, usual);
-        assertEquals(60, read.maxIdleSeconds());
-        assertEquals(ConnectionLimits.Sharing.TENANT, read.sharing());
+        ConnectionLimits limits = ConnectionSettingsFile.read(settingsFile, defaults);
+        assertEquals(60, limits.maxIdleSeconds());
+        assertEquals(ConnectionLimits.Sharing.TENANT, limits.sharing());
         assertEquals(
-                usual.minIdleSeconds() / usual.maxIdleSeconds(),
-                read.minIdleSeconds() / read.maxIdleSeconds(),
+                defaults.minIdleSeconds() / defaults.maxIdleSeconds(),
+                limits.minIdleSeconds() / limits.maxIdleSeconds(),
                 1e-9);
         Path config = Files.writeString(folder.resolve("config.json"), config(UNUSED_PORT));
         for (String invalid :
@@ -362,7 +362,7 @@
             Files.writeString(settingsFile, invalid);
             assertThrows(
                     InvalidSettingsException.class,
-                    () -> ConnectionSettingsFile.read(settingsFile, usual),
+                    () -> ConnectionSettingsFile.read(settingsFile, defaults),
                     invalid);
             ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
             assertEquals(
--- a/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
@@ -80,8 +80,9 @@
     private static String chunkedResponse(byte[] body, int chunkBytes) {
         StringBuilder response =
                 new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        for (int at = 0; at < body.length; at += chunkBytes) {
-            byte[] chunk = Arrays.copyOfRange(body, at, Math.min(body.length, at + chunkBytes));
+        for (int offset = 0; offset < body.length; offset += chunkBytes) {
+            byte[] chunk =
+                    Arrays.copyOfRange(body, offset, Math.min(body.length, offset + chunkBytes));
             response.append(Integer.toHexString(chunk.length))
                     .append(";x=y\r\n")
                     .append(latin1Text(chunk))
@@ -206,14 +207,14 @@
 
     @Test
     void relaysSlowResponseOfUnknownLengthAsItArrives() throws Exception {
-        CountDownLatch mayGoOn = new CountDownLatch(1);
+        CountDownLatch mayContinue = new CountDownLatch(1);
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             startDaemon(
                     () -> {
                         try (Socket connection = server.accept()) {
                             readMessage(connection);
                             writeText(connection, FIRST_CHUNK);
-                            mayGoOn.await(STATE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                            mayContinue.await(STATE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
                             writeText(connection, LAST_CHUNKS);
                             connection.getInputStream().read();
                         }
@@ -223,7 +224,7 @@
                 InputStream in = client.getInputStream();
                 StringBuilder received = new StringBuilder();
                 readUntil("bo", in, received);
-                mayGoOn.countDown();
+                mayContinue.countDown();
                 readUntil("\r\n0\r\n\r\n", in, received);
                 assertTrue(received.toString().contains("dy"), received.toString());
             }
@@ -304,8 +305,8 @@
             startWithPorts(backend.port());
             byte[] body = randomBytes(1_000_000);
             try (Socket client = sendPostHead("slow", "Content-Length: " + body.length)) {
-                for (int at = 0; at < body.length; at += pieceBytes) {
-                    client.getOutputStream().write(body, at, pieceBytes);
+                for (int offset = 0; offset < body.length; offset += pieceBytes) {
+                    client.getOutputStream().write(body, offset, pieceBytes);
                     Thread.sleep(600);
                 }
                 assertTrue(readMessage(client).startsWith("HTTP/1.1 200 "));
@@ -425,11 +426,11 @@
         ResponseReader reader = new ResponseReader(MAX_BUFFERED_BYTES, true);
         ByteArrayOutputStream streamed = new ByteArrayOutputStream();
         boolean isStreamed = false;
-        for (int at = 0; at < response.length; ) {
+        for (int offset = 0; offset < response.length; ) {
             int pieceBytes = atOnce ? response.length : 1 + random.nextInt(maxPieceBytes);
-            int end = Math.min(response.length, at + pieceBytes);
-            ByteBuffer piece = ByteBuffer.wrap(response, at, end - at).slice();
-            at = end;
+            int end = Math.min(response.length, offset + pieceBytes);
+            ByteBuffer piece = ByteBuffer.wrap(response, offset, end - offset).slice();
+            offset = end;
             if (!isStreamed) {
                 reader.read(piece);
                 isStreamed = reader.isTooLongToBuffer();
