--- a/src/main/java/lemondrift/proxy/client/ClientConnection.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnection.java
@@ -152,7 +152,7 @@
     }
 
     /** Whether no unread byte waits; reads one byte ahead to see. */
-    boolean isSilent() {
+    boolean hasNoUnreadBytes() {
         try {
             if (peeked.position() == 0) {
                 int count = source.read(peeked);
@@ -229,7 +229,7 @@
     }
 
     /** For how many seconds it is not read, its request having been rejected. */
-    double readPauseSeconds() {
+    double startReadPause() {
         return closed ? 0 : policy.startReadPause(index, clock.now());
     }
 
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -221,7 +221,7 @@
 
     @Override
     public boolean hasNoUnreadBytes(int connection) {
-        return byIndex[connection].isSilent();
+        return byIndex[connection].hasNoUnreadBytes();
     }
 
     @Override
--- a/src/main/java/lemondrift/proxy/client/ResponseWriter.java
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -97,7 +97,7 @@
     }
 
     private void afterReadPause(HttpServerExchange exchange, Runnable task) {
-        double seconds = ClientConnection.of(exchange).readPauseSeconds();
+        double seconds = ClientConnection.of(exchange).startReadPause();
         ioThread.executeAfter(task, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     }
 
