--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -14,17 +14,18 @@
 import org.xnio.StreamConnection;
 
 /**
- * One request on one connection and its response, buffered whole, or where it is long its beginning
- * and then a {@link StreamedResponse}. It ends once: with a response, with a failure, or by {@link
- * #abandon}. It never retries. I/O thread only.
+ * One request on one connection and its response. The response is buffered completely or, if it is
+ * too long or too slow, consists of its beginning and a {@link StreamedResponse}. A call ends
+ * exactly once: with a response, with a failure, or by {@link #abandon}. It never retries. I/O
+ * thread only.
  */
 public final class BackendCall {
     private enum State {
-        /** Waits to be started, or for a connection; a place in the pool is reserved. */
+        /** Waits to be started or for a connection; a slot in the pool is reserved. */
         CONNECTING,
-        /** Holds a connection: sends the request and reads the response, at the same time. */
+        /** Has a connection: sends the request and reads the response at the same time. */
         CONNECTED,
-        /** Ended; whatever comes now changes nothing. */
+        /** Ended: later events change nothing. */
         DONE
     }
 
@@ -35,7 +36,7 @@
     private final ResponseReader reader;
     private final CallTimeouts timeouts;
 
-    /** Whether anybody waits for the response. */
+    /** Returns whether the response is still needed. */
     private final BooleanSupplier isResponseAwaited;
 
     private final Runnable onSent;
@@ -45,10 +46,10 @@
     /** Null while connecting. */
     private ConnectionPool.PooledConnection pooledConnection;
 
-    /** Null until the connect has begun. */
+    /** Null until connecting has started. */
     private IoFuture<StreamConnection> connectFuture;
 
-    /** The buffer that a streamed response has taken over; null where there is none. */
+    /** The buffer that a streamed response has taken over; null if there is none. */
     private PooledByteBuffer streamedBuffer;
 
     private BackendCall(
@@ -69,13 +70,14 @@
     }
 
     /**
-     * A call, to be started, whose response is buffered whole.
+     * Creates a call whose response is buffered completely. It sends nothing until {@link #start},
+     * but its timeouts count from now.
      *
-     * @param maxBodyBytes a longer response is a failure
+     * @param maxBodyBytes the maximum length of the response's body; a longer one is a failure
      * @param connectTimeoutSeconds how long connecting may take
-     * @param timeoutSeconds how long the whole call may take
-     * @param onEnd hears of the response or the failure once, not after {@link #abandon}
-     * @return null if no connection is free and none may be opened
+     * @param timeoutSeconds how long the entire call may take
+     * @param onEnd receives the response or the failure once, but not after {@link #abandon}
+     * @return the call; null if no connection is idle and none may be opened
      */
     public static BackendCall make(
             ConnectionPool pool,
@@ -105,14 +107,16 @@
     }
 
     /**
-     * A call, to be started, whose response may be streamed: when it is too long to be buffered, or
-     * its length is unknown and it has lasted for some time. Nothing more of the request is sent
-     * once it is not wanted or its time is over.
+     * Creates a call whose response may be streamed: if it is too long to be buffered, or if its
+     * length is unknown and it has taken some time. Stops sending the request when the response is
+     * no longer needed or the time to send is over. Sends nothing until {@link #start}, but the
+     * timeouts count from now.
      *
-     * @param isResponseAwaited whether anybody waits for the response; asked before each write
-     * @param onSent hears once the last byte of the request is with the kernel
-     * @param onEnd hears of the response or the failure once, not after {@link #abandon}
-     * @return null if no connection is free and none may be opened
+     * @param isResponseAwaited returns whether the response is still needed; called before each
+     *     write
+     * @param onSent runs when the kernel has the last byte of the request
+     * @param onEnd receives the response or the failure once, but not after {@link #abandon}
+     * @return the call; null if no connection is idle and none may be opened
      */
     static BackendCall makeStreaming(
             ConnectionPool pool,
@@ -134,13 +138,16 @@
         return call.reserve() ? call : null;
     }
 
-    /** The bytes of a GET request without a body. */
+    /** Builds the bytes of a GET request without a body. */
     public static byte[] buildGetRequest(String path, String host) {
         return ("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Takes an idle connection or a place for a new one, and starts the timers. */
+    /**
+     * Takes an idle connection or reserves a slot for a new one, and starts the timers. Returns
+     * false if neither is available.
+     */
     private boolean reserve() {
         pooledConnection = pool.takeUnquarantined();
         if (pooledConnection == null && !pool.tryReserveSlot()) {
@@ -157,7 +164,7 @@
         return true;
     }
 
-    /** Sends the request, on the connection at hand or once one is established. */
+    /** Sends the request, after a connection has been established if none was idle. */
     public void start() {
         if (pooledConnection != null) {
             send();
@@ -177,8 +184,8 @@
                     },
                     null);
         } catch (RuntimeException e) {
-            // Wide, as connectors may throw anything. Guards against a call that ends twice: a
-            // caller that saw the exception would end it too, and then the timers would.
+            // Catches every exception, as connectors may throw any. Guards against a call that ends
+            // twice: a caller that sees the exception would end it, and then the timers would, too.
             LOG.error("connecting to {} failed", pool.address, e);
             endNotSent();
         }
@@ -196,30 +203,30 @@
     }
 
     private void send() {
-        // Guards against a backend that began to drain while the connection was established.
+        // Guards against a backend that started to drain while the connection was established.
         if (pool.isRetired()) {
             endNotSent();
             return;
         }
-        // Guards against a stale time: less is left than before the connection was established.
+        // Guards against a stale time in the head: connecting may have used a part of it.
         requestWriter.makeHead(timeouts.secondsLeft());
         pooledConnection.connection.getSourceChannel().setReadListener(source -> read());
         pooledConnection.connection.getSourceChannel().resumeReads();
         requestWriter.start(pooledConnection.connection.getSinkChannel());
     }
 
-    /** Whether the call has ended. */
+    /** Returns whether the call has ended. */
     boolean isDone() {
         return state == State.DONE;
     }
 
-    /** Whether the request is worth sending: somebody waits for the response and it has time. */
+    /** Returns whether the request should be sent: its response is needed and time is left. */
     boolean isStillWanted() {
         return isResponseAwaited.getAsBoolean()
                 && (requestWriter.streamsBody() || !timeouts.isTooLateToSend());
     }
 
-    /** The last byte of the request is with the kernel. */
+    /** Called by the {@link RequestWriter} when the kernel has the last byte of the request. */
     void requestSent() {
         if (requestWriter.streamsBody()) {
             timeouts.bodyStreamed();
@@ -227,7 +234,10 @@
         onSent.run();
     }
 
-    /** The instant at which it was made, or at which the last byte of a streamed body had gone. */
+    /**
+     * Returns the time at which the call was created or, if a body was streamed, the time at which
+     * its last byte was written, in seconds of the clock.
+     */
     double startedAt() {
         return timeouts.startedAt();
     }
@@ -250,7 +260,8 @@
             }
             scheduleStreaming();
         } catch (IOException | RuntimeException e) {
-            // Wide: guards against an attempt without an end where a library fails on a response.
+            // Catches every exception: guards against an attempt that never ends if a library fails
+            // on a response.
             endConnectionBroken();
         } finally {
             if (streamedBuffer != pooled) {
@@ -280,9 +291,7 @@
         }
     }
 
-    /**
-     * Guards against a client that hears nothing until too late of a response that comes slowly.
-     */
+    /** Guards against a client that receives nothing of a slow response until it is too late. */
     private void scheduleStreaming() {
         if (!isDone() && reader.isLengthUnknown() && requestWriter.isSent()) {
             timeouts.scheduleStreaming(this::streamIncomplete);
@@ -298,7 +307,7 @@
         }
     }
 
-    /** Hands over the beginning of the response, and the connection with what follows. */
+    /** Ends the call with the beginning of the response and the connection for the remainder. */
     private void endStreamed(PooledByteBuffer unread) {
         streamedBuffer = unread;
         finish();
@@ -310,8 +319,8 @@
     }
 
     /**
-     * Guards against the next request on the connection that gets what lies beyond this response,
-     * or follows what was not sent of this request.
+     * Ends the call with a complete response. Guards against reuse of a connection on which the
+     * next request would receive bytes beyond this response, or would follow an incomplete request.
      */
     private void endComplete(boolean connectionUnusable) {
         finish();
@@ -321,7 +330,7 @@
         onEnd.accept(reader.bufferedResponse());
     }
 
-    /** The connection could not be established, broke, or brought what cannot be read. */
+    /** Ends the call, as the connection could not be established, broke, or sent invalid bytes. */
     void endConnectionBroken() {
         endFailed(false);
     }
@@ -333,7 +342,7 @@
         }
     }
 
-    /** The request is not going to be sent, through no fault of the backend. */
+    /** Ends the call, as its request will not be sent, through no fault of the backend. */
     void endNotSent() {
         if (!isDone()) {
             abandon();
@@ -341,7 +350,7 @@
         }
     }
 
-    /** Gives the request up by closing its connection, so that no copy of it stays out. */
+    /** Ends the call and closes its connection, so that its request does not stay in flight. */
     public void abandon() {
         if (isDone()) {
             return;
--- a/src/main/java/lemondrift/proxy/backend/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -23,37 +23,37 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Sends attempts and probes to backends over one bounded pool of connections for each, and reports
- * how each ended to the decisions. I/O thread only.
+ * Sends attempts and probes to backends over a bounded connection pool for each backend, and
+ * reports their outcomes to {@link DecisionEvents}. I/O thread only.
  */
 public final class BackendClient {
     private static final Logger LOG = LoggerFactory.getLogger(BackendClient.class);
 
-    /** Bytes of a response body that is buffered; a longer one is streamed, or an error. */
+    /** The maximum length of a buffered response body; a longer one is streamed, or an error. */
     private static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-    /** The share of the proxy's connections that go to backends. */
+    /** The share of the proxy's connections that may be open to backends. */
     private static final double BACKEND_CONNECTIONS_SHARE = 0.33;
 
-    /** The share of the backends' connections that one backend may have. */
+    /** The share of the connections to backends that may be open to one backend. */
     private static final double PER_BACKEND_SHARE = 0.25;
 
-    /** Idle connections are closed at this share of the time after which a backend closes them. */
+    /** The idle time after which connections are closed, as a share of a backend's idle timeout. */
     private static final double MAX_IDLE_SHARE = 0.5;
 
-    /** How many times in the longest idle time idle connections are looked through. */
+    /** How many times idle connections are checked in the maximum idle time. */
     private static final int SWEEPS_PER_MAX_IDLE_TIME = 8;
 
-    /** How long a connection in quarantine rests, as a share of the connect timeout. */
+    /** How long the quarantine of a connection lasts, as a share of the connect timeout. */
     private static final double QUARANTINE_SHARE = 1.0 / 16;
 
-    /** The share of its time after which a response of unknown length is streamed. */
+    /** The share of the response timeout after which a response of unknown length is streamed. */
     private static final double STREAM_AFTER_SHARE = 0.8;
 
-    /** What a probe calls where backends report their load. */
+    /** The path that a probe requests if backends report their load. */
     private static final String LOAD_REPORT_PATH = "/load";
 
-    /** What a probe calls elsewhere. */
+    /** The path that a probe requests if backends don't report their load. */
     private static final String HEALTH_PATH = "/healthz";
 
     private final ProxyConfig config;
@@ -70,9 +70,10 @@
     private final Map<Attempt, BackendCall> callsByAttempt = new HashMap<>();
 
     /**
-     * A client without connections; it closes idle ones regularly until {@link #stop}.
+     * Creates a client without connections; it closes idle connections regularly until {@link
+     * #stop}.
      *
-     * @param isClientWaiting whether the client of a request is there and has no response yet
+     * @param isClientWaiting returns whether the client of a request still waits for the response
      */
     public BackendClient(
             ProxyConfig config,
@@ -106,13 +107,13 @@
         poolsByBackend.values().forEach(pool -> pool.closeIdleSince(clock.now() - maxIdleSeconds));
     }
 
-    /** Sends an attempt; the decisions hear of its end once, or of its {@link #cancel}. */
+    /** Sends an attempt; its end, or its {@link #cancel}, is reported exactly once. */
     public void send(Attempt attempt, PendingRequest pending, InetSocketAddress address) {
         try {
             startAttempt(attempt, pending, address);
         } catch (RuntimeException e) {
-            // Wide: guards against an attempt that never ends and keeps its request until the
-            // deadline.
+            // Catches every exception: guards against an attempt that never ends and keeps its
+            // request open until the deadline.
             LOG.error("attempt at backend {} could not be started", attempt.backend, e);
             reportNotSent(attempt);
         }
@@ -120,7 +121,7 @@
 
     private void startAttempt(Attempt attempt, PendingRequest pending, InetSocketAddress address) {
         StreamedRequestBody streamedBody = pending.streamedBody();
-        // The time that passed in the queues is the request's own.
+        // The time that passed in queues counts as part of the attempt's timeout.
         double responseSeconds =
                 streamedBody == null
                         ? attempt.sentAt + attempt.timeoutSeconds - clock.now()
@@ -158,7 +159,7 @@
 
     private void attemptEnded(Attempt attempt, boolean isBodyStreamed, BackendResponse response) {
         BackendCall call = callsByAttempt.remove(attempt);
-        // The time that a streamed body took is its client's, not the backend's.
+        // The time that a streamed body took depends on its client, not on the backend.
         double startedAt = isBodyStreamed ? call.startedAt() : attempt.sentAt;
         decisionEvents.attemptEnded(
                 attempt,
@@ -172,7 +173,7 @@
         decisionEvents.attemptEnded(attempt, AttemptOutcome.NOT_SENT, 0, null, null);
     }
 
-    /** Cancels an attempt that is out, and closes its connection; nothing if it has ended. */
+    /** Cancels an attempt and closes its connection; does nothing if the attempt has ended. */
     public void cancel(Attempt attempt) {
         BackendCall call = callsByAttempt.remove(attempt);
         if (call != null) {
@@ -182,10 +183,10 @@
         }
     }
 
-    /** Asks a backend for its load report, or where it has none whether it is healthy. */
+    /** Requests a backend's load report, or its health if backends report no load. */
     public void probe(int backend, InetSocketAddress address) {
         String path = config.loadReportFields().isEmpty() ? HEALTH_PATH : LOAD_REPORT_PATH;
-        // A probe may take as long as a connect.
+        // The connect timeout also applies to the entire probe.
         BackendCall call =
                 BackendCall.make(
                         poolFor(backend, address),
@@ -209,12 +210,12 @@
                 LoadReportParser.parse(body, config.loadReportFields()));
     }
 
-    /** How many attempts are in flight. */
+    /** Returns how many attempts are in flight. */
     public int callsInFlight() {
         return callsByAttempt.size();
     }
 
-    /** Sends nothing more to where the backend was; what is in flight there goes on. */
+    /** Stops using the backend's connections; calls that are in flight on them continue. */
     public void retirePool(int backend) {
         ConnectionPool pool = poolsByBackend.remove(backend);
         if (pool != null) {
@@ -222,13 +223,13 @@
         }
     }
 
-    /** Only this share of the connections, 0 to 1, is this process's from now on. */
+    /** Limits this process to a share, 0 to 1, of the proxy's connections to backends. */
     public void setResourceShare(double share) {
         budget.setMaxConnections(
                 (int) (share * BACKEND_CONNECTIONS_SHARE * config.maxConnections()));
     }
 
-    /** Stops looking for idle connections. */
+    /** Stops checking for idle connections. */
     public void stop() {
         idleSweep.remove();
     }
--- a/src/main/java/lemondrift/proxy/backend/CallTimeouts.java
+++ b/src/main/java/lemondrift/proxy/backend/CallTimeouts.java
@@ -17,24 +17,24 @@
     private Runnable onTimeout;
     private double startedAt;
 
-    /** Null where it has not been started. */
+    /** Null until it is started. */
     private XnioExecutor.Key connectTimer;
 
-    /** Null where it has not been started. */
+    /** Null until it is started. */
     private XnioExecutor.Key responseTimer;
 
-    /** Null where it has not been started. */
+    /** Null until it is started. */
     private XnioExecutor.Key streamTimer;
 
     /**
-     * Limits whose timers do not run yet.
+     * Creates time limits whose timers do not run yet.
      *
      * @param connectSeconds how long connecting may take
-     * @param responseSeconds how long the whole call may take; where its body is streamed, how long
-     *     the response may take after the body's last byte
+     * @param responseSeconds how long the entire call may take; if the request's body is streamed,
+     *     how long the response may take after the body's last byte
      * @param sendSeconds how long after the start a buffered request may still be written
-     * @param streamAfterSeconds after how much of the time for the response one of unknown length
-     *     is streamed; 0 or less for never
+     * @param streamAfterSeconds how long after {@link #startedAt} a response of unknown length is
+     *     streamed; 0 or less for never
      */
     CallTimeouts(
             XnioIoThread ioThread,
@@ -51,7 +51,14 @@
         this.streamAfterSeconds = streamAfterSeconds;
     }
 
-    /** The call starts: the time for its connect and, unless its body is streamed, its response. */
+    /**
+     * Starts the timers.
+     *
+     * @param streamsBody whether the request's body is streamed, so that the time for the response
+     *     starts only with {@link #bodyStreamed}
+     * @param connecting whether a connection has to be established first
+     * @param timeoutAction runs when the time to connect or the time for the response is over
+     */
     void start(boolean streamsBody, boolean connecting, Runnable timeoutAction) {
         onTimeout = timeoutAction;
         startedAt = clock.now();
@@ -63,33 +70,39 @@
         }
     }
 
-    /** The connection is established. */
+    /** Stops the timer for connecting, as the connection is established. */
     void connected() {
         connectTimer.remove();
     }
 
-    /** The last byte of a streamed body is with the kernel: the response's time counts from now. */
+    /** Starts the time for the response, as the kernel has the last byte of a streamed body. */
     void bodyStreamed() {
         startedAt = clock.now();
         responseTimer = startTimer(responseSeconds, onTimeout);
     }
 
-    /** The instant of the start, or at which the last byte of a streamed body had gone. */
+    /**
+     * Returns the time of the start or, if a body was streamed, the time at which its last byte was
+     * written, in seconds of the clock.
+     */
     double startedAt() {
         return startedAt;
     }
 
-    /** How much time is left for the response. */
+    /** Returns how many seconds are left for the response; negative if they are over. */
     double secondsLeft() {
         return startedAt + responseSeconds - clock.now();
     }
 
-    /** Whether the time has passed in which a buffered request may be written. */
+    /** Returns whether the time in which a buffered request may be written is over. */
     boolean isTooLateToSend() {
         return clock.now() >= startedAt + sendSeconds;
     }
 
-    /** Runs the action, once, when a response of unknown length is to be streamed. */
+    /**
+     * Schedules an action for the time after which a response of unknown length is streamed. Does
+     * nothing if an action has been scheduled before, or if such responses are never streamed.
+     */
     void scheduleStreaming(Runnable action) {
         if (streamAfterSeconds > 0 && streamTimer == null) {
             streamTimer = startTimer(startedAt + streamAfterSeconds - clock.now(), action);
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -14,17 +14,17 @@
 import org.xnio.XnioIoThread;
 
 /**
- * A bounded pool of connections to one address; one request at a time on each. The connection that
- * has been idle longest is used first, and any byte that comes on an idle one closes it. I/O thread
- * only.
+ * A bounded pool of connections to one address, with one request at a time on each connection. The
+ * connection that has been idle longest is used first. A byte that arrives on an idle connection
+ * closes it. I/O thread only.
  */
 public final class ConnectionPool {
     /** A connection of the pool, in use for one request or idle. */
     public static final class PooledConnection {
-        /** Its socket. */
+        /** The socket. */
         public final StreamConnection connection;
 
-        /** Since when it is idle; without meaning while it is in use. */
+        /** The time at which the connection became idle; not valid while it is in use. */
         private double idleSince;
 
         private PooledConnection(StreamConnection connection) {
@@ -35,7 +35,7 @@
             IoUtils.safeClose(connection);
         }
 
-        /** Reads a byte, which no idle connection should have, to see how it stands. */
+        /** Determines the state by reading a byte, which an idle connection should not have. */
         private IdleState idleState() {
             if (!connection.isOpen()) {
                 return IdleState.CLOSED;
@@ -51,38 +51,38 @@
         }
     }
 
-    /** What an idle connection shows when it is looked at. */
+    /** The state of an idle connection's socket. */
     private enum IdleState {
-        /** Open and nothing has come: it can be used. */
+        /** Open, and no byte has arrived: the connection can be used. */
         QUIET,
-        /** Bytes have come that belong to no response. */
+        /** Bytes have arrived that belong to no response. */
         UNEXPECTED_BYTES,
-        /** The backend has closed it, or it is broken. */
+        /** The backend has closed the connection, or it is broken. */
         CLOSED
     }
 
     /**
-     * What several pools share: how many connections may be open over all of them, their idle
-     * connections, and whether answered connections rest before they are used again.
+     * The state that several pools share: how many connections all of them together may open, their
+     * idle connections, and whether connections are quarantined after a response.
      */
     public static final class ConnectionBudget {
         private int maxConnections;
 
-        /** Until this instant connections rest after a response; see {@link Quarantine}. */
+        /** The time until which connections are quarantined after a response. */
         private double quarantineUntil = Double.NEGATIVE_INFINITY;
 
-        /** Idle longest first. */
+        /** The idle connections of all pools, longest idle first. */
         private final Set<PooledConnection> idle = new LinkedHashSet<>();
 
-        /** Places that are taken, by connections or by attempts to connect. */
+        /** The slots in use, by connections or by attempts to connect. */
         private int reservedSlots;
 
-        /** A budget of so many connections. */
+        /** Creates a budget for a number of connections. */
         public ConnectionBudget(int maxConnections) {
             this.maxConnections = maxConnections;
         }
 
-        /** Sets another bound; idle connections beyond it are closed. */
+        /** Changes the limit; idle connections are closed while it is exceeded. */
         void setMaxConnections(int maxConnections) {
             this.maxConnections = maxConnections;
             while (reservedSlots > maxConnections && !idle.isEmpty()) {
@@ -90,7 +90,11 @@
             }
         }
 
-        /** Guards against idle connections to other backends that keep the chosen one from use. */
+        /**
+         * Closes the longest idle connection if the budget is used up; returns whether another
+         * connection may be opened. Guards against idle connections to other backends that prevent
+         * one to the chosen backend.
+         */
         private boolean makeRoom() {
             if (reservedSlots >= maxConnections && !idle.isEmpty()) {
                 closeLongestIdle();
@@ -104,18 +108,19 @@
     }
 
     /**
-     * The quarantine of answered connections: for some seconds a connection is not used again,
-     * while a backend has sent more than its response not long ago.
+     * The quarantine of connections after a response: while it is active, a connection is not
+     * reused until it has been idle for some time. It becomes active when a backend sends bytes
+     * beyond its response.
      *
-     * @param minIdleSeconds how long a connection rests after a response
-     * @param activeSeconds how long after unexpected bytes connections still rest
+     * @param minIdleSeconds how long a connection must have been idle to be reused
+     * @param activeSeconds how long the quarantine stays active after unexpected bytes
      */
     public record Quarantine(double minIdleSeconds, double activeSeconds) {
-        /** Connections are used again at once. */
+        /** No quarantine: connections are reused immediately. */
         public static final Quarantine NONE = new Quarantine(0, 0);
     }
 
-    /** Where all its connections lead. */
+    /** The remote address of all connections. */
     public final InetSocketAddress address;
 
     final XnioIoThread ioThread;
@@ -126,15 +131,20 @@
     private final int maxConnections;
     private final Quarantine quarantine;
 
-    /** Idle longest last. */
+    /** The idle connections of this pool, longest idle last. */
     private final Deque<PooledConnection> idle = new ArrayDeque<>();
 
-    /** Places that are taken here, by connections or by attempts to connect. */
+    /** The slots of this pool in use, by connections or by attempts to connect. */
     private int reservedSlots;
 
     private boolean retired;
 
-    /** A pool of at most so many connections, all of which also count against the budget. */
+    /**
+     * Creates an empty pool.
+     *
+     * @param budget the shared budget, against which all connections of this pool count, too
+     * @param maxConnections the maximum number of connections of this pool
+     */
     public ConnectionPool(
             InetSocketAddress address,
             XnioIoThread ioThread,
@@ -155,15 +165,17 @@
     }
 
     /**
-     * Takes the connection that has been idle longest, if it has rested; null if there is none.
-     * Guards against bytes or a close that follow a response late and would meet the next request.
+     * Takes the connection that has been idle longest and is not in quarantine. Guards against late
+     * bytes or a late close after a response, which would affect the next request.
+     *
+     * @return the connection; null if there is none
      */
     PooledConnection takeUnquarantined() {
         double now = clock.now();
         return takeIdleSince(now < budget.quarantineUntil ? now - quarantine.minIdleSeconds : now);
     }
 
-    /** Takes the connection that has been idle longest, rested or not; null if there is none. */
+    /** Takes the connection that has been idle longest, even in quarantine; null if none. */
     PooledConnection takeAnyIdle() {
         return takeIdleSince(Double.POSITIVE_INFINITY);
     }
@@ -181,12 +193,12 @@
         return null;
     }
 
-    /** A backend has sent more than its response: connections rest from now on. */
+    /** Activates the quarantine, as a backend has sent bytes beyond its response. */
     void startQuarantine() {
         budget.quarantineUntil = clock.now() + quarantine.activeSeconds;
     }
 
-    /** Whether another connection may be opened; its place is taken from now on. */
+    /** Reserves a slot for another connection; returns false if none may be opened. */
     public boolean tryReserveSlot() {
         if (reservedSlots >= maxConnections || !budget.makeRoom()) {
             return false;
@@ -196,13 +208,13 @@
         return true;
     }
 
-    /** Frees a reserved place: its connection is closed, or was not established. */
+    /** Frees a reserved slot, as its connection is closed or could not be established. */
     void releaseSlot() {
         reservedSlots--;
         budget.reservedSlots--;
     }
 
-    /** Adds a connection that was established for a reserved place; it is in use. */
+    /** Adds a connection that was established for a reserved slot; it counts as in use. */
     public PooledConnection addConnection(StreamConnection connection) {
         PooledConnection pooledConnection = new PooledConnection(connection);
         connection.setCloseListener(
@@ -214,7 +226,7 @@
         return pooledConnection;
     }
 
-    /** Takes back a connection after its request: closes it unless it can be used again. */
+    /** Returns a connection to the pool after its request, or closes it if it is not reusable. */
     void release(PooledConnection pooledConnection, boolean reusable) {
         if (reusable) {
             releaseReusable(pooledConnection);
@@ -223,7 +235,7 @@
         }
     }
 
-    /** Takes back a connection that can be used again; it is idle from now on. */
+    /** Returns a reusable connection to the pool; closes it if the pool is retired. */
     public void releaseReusable(PooledConnection pooledConnection) {
         if (retired || !pooledConnection.connection.isOpen()) {
             pooledConnection.close();
@@ -232,7 +244,7 @@
         pooledConnection.idleSince = clock.now();
         idle.addFirst(pooledConnection);
         budget.idle.add(pooledConnection);
-        // Whatever comes now, its end or more bytes, makes it useless.
+        // Any event now, a close or more bytes, makes the connection unusable.
         pooledConnection
                 .connection
                 .getSourceChannel()
@@ -248,7 +260,7 @@
         pooledConnection.close();
     }
 
-    /** Sends nothing more here: idle connections close now, busy ones when their request ends. */
+    /** Retires the pool: idle connections close now, busy ones when their request ends. */
     public void retire() {
         retired = true;
         closeIdleSince(Double.POSITIVE_INFINITY);
@@ -258,7 +270,7 @@
         return retired;
     }
 
-    /** Closes the connections that have been idle since this instant or longer. */
+    /** Closes the connections that have been idle since an instant or longer. */
     void closeIdleSince(double instant) {
         while (!idle.isEmpty() && idle.peekLast().idleSince <= instant) {
             idle.pollLast().close();
--- a/src/main/java/lemondrift/proxy/backend/LoadReportParser.java
+++ b/src/main/java/lemondrift/proxy/backend/LoadReportParser.java
@@ -7,27 +7,30 @@
 import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.http.ProxyHeaders;
 
-/** Reads a backend's load report, which comes in a response's header or as a probe's body. */
+/** Parses a backend's load report, which is a response's header field or a probe's body. */
 final class LoadReportParser {
-    /** Stands before the pairs of a report. */
+    /** The prefix before the name-value pairs of a report. */
     private static final String FORMAT_PREFIX = "TEXT ";
 
-    /** A value of a report is below this; what is not is no report. */
+    /** Values of a report must be below this limit; otherwise the report is ignored. */
     private static final double VALUE_LIMIT = 1e9;
 
     private LoadReportParser() {}
 
-    /** The report in a response's header; null where there is none or it cannot be read. */
+    /** Returns the report in a response's header; null if it is missing, repeated or malformed. */
     static double[] parseHeader(BackendResponse response, List<String> fields) {
-        // Guards against two reports, of which it is not known which one is meant.
+        // Guards against two reports, as it is not known which of them is valid.
         return response.headers().count(ProxyHeaders.LOAD_REPORT) != 1
                 ? null
                 : parse(response.headers().getFirst(ProxyHeaders.LOAD_REPORT), fields);
     }
 
     /**
-     * Reads {@code TEXT name=value, name=value} into the values of these fields, in their order;
-     * null if one is missing or is no number from 0 up.
+     * Parses {@code TEXT name=value, name=value}, where the prefix is optional.
+     *
+     * @param fields the names of the fields to read; other fields are ignored
+     * @return the values in the order of the fields; null if one of them is missing, is not a
+     *     number, or is outside the range from 0 to {@link #VALUE_LIMIT} (exclusive)
      */
     static double[] parse(String text, List<String> fields) {
         Map<String, String> valuesByName = new HashMap<>();
@@ -45,13 +48,13 @@
                     fields.stream()
                             .mapToDouble(field -> Double.parseDouble(valuesByName.get(field)))
                             .toArray();
-            // Guards against NaN and negative values, which make a backend the least loaded for
-            // good.
+            // Guards against NaN and negative values, which would make a backend the least loaded
+            // one permanently.
             return Arrays.stream(values).allMatch(value -> value >= 0 && value < VALUE_LIMIT)
                     ? values
                     : null;
         } catch (NumberFormatException | NullPointerException e) {
-            // A field is missing or no number.
+            // A field is missing or is not a number.
             return null;
         }
     }
--- a/src/main/java/lemondrift/proxy/backend/RequestHead.java
+++ b/src/main/java/lemondrift/proxy/backend/RequestHead.java
@@ -8,14 +8,19 @@
 import lemondrift.proxy.events.StreamedRequestBody;
 import lemondrift.proxy.http.ProxyHeaders;
 
-/** Makes the head of a request when it can be written, as it states the time that is left then. */
+/** Encodes the head of a request only when it is written, as the head states the time left. */
 interface RequestHead {
-    /** The head's bytes, with so many seconds left for the response. */
+    /**
+     * Encodes the head.
+     *
+     * @param secondsLeft the time left for the response
+     */
     byte[] encode(double secondsLeft);
 
     /**
-     * The head of a client's request as it came, but for the fields that belong to one connection
-     * and the time there is for the response. For a streamed body that time counts from its end.
+     * Returns the head of a client's request, unchanged except for the fields that belong to one
+     * connection and the time for the response. If the body is streamed, that time counts from the
+     * end of the body.
      */
     static RequestHead of(PendingRequest pending) {
         StreamedRequestBody streamedBody = pending.streamedBody();
--- a/src/main/java/lemondrift/proxy/backend/RequestWriter.java
+++ b/src/main/java/lemondrift/proxy/backend/RequestWriter.java
@@ -9,40 +9,40 @@
 
 /**
  * Writes the request of one call to its connection: the head and the buffered body, then the
- * streamed body if there is one. Tells the call once all of it is with the kernel, or why it is not
- * going to be. I/O thread only.
+ * streamed body if there is one. Reports to the call when the complete request has been written to
+ * the kernel, or why it will not be. I/O thread only.
  */
 final class RequestWriter {
     /**
      * A request to be sent.
      *
-     * @param head makes its head once it can be written
-     * @param body the body that is buffered; empty where there is none or it is streamed
-     * @param streamedBody the body that is passed on as it comes; null where it is buffered
+     * @param head encodes the head once it can be written
+     * @param body the buffered body; empty if there is none or it is streamed
+     * @param streamedBody the body that is forwarded as it arrives; null if it is buffered
      */
     record Request(RequestHead head, byte[] body, StreamedRequestBody streamedBody) {
-        /** A request whose head is known beforehand, without a body. */
+        /** Creates a request with a fixed head and no body. */
         Request(byte[] head) {
             this(secondsLeft -> head, new byte[0], null);
         }
     }
 
-    /** Stands for a head that is not made yet; it is never written. */
+    /** Takes the place of a head that is not encoded yet; it is never written. */
     private static final ByteBuffer HEAD_PLACEHOLDER = ByteBuffer.allocate(1).asReadOnlyBuffer();
 
     private final BackendCall call;
     private final XnioIoThread ioThread;
     private final RequestHead head;
 
-    /** The head, once it can be written, and the buffered body. */
+    /** The head, once it has been encoded, and the buffered body. */
     private final ByteBuffer[] headAndBody;
 
-    /** Null where the whole body is buffered. */
+    /** Null if the complete body is buffered. */
     private final StreamedRequestBody streamedBody;
 
     private ConduitStreamSinkChannel sink;
 
-    /** Null until the streamed body is being passed on. */
+    /** Null until the streamed body is being forwarded. */
     private BodyRelay bodyRelay;
 
     private boolean isBodyStreamed;
@@ -55,27 +55,27 @@
         streamedBody = request.streamedBody();
     }
 
-    /** Whether a body is passed on as it comes. */
+    /** Returns whether the body is forwarded as it arrives. */
     boolean streamsBody() {
         return streamedBody != null;
     }
 
-    /** Whether the last byte of the request is with the kernel, so that it may be executed. */
+    /** Returns whether the kernel has the last byte of the request, so that it may be executed. */
     boolean isSent() {
         return isHeadAndBodySent() && (streamedBody == null || isBodyStreamed);
     }
 
-    /** Whether all but the streamed body, if there is one, is with the kernel. */
+    /** Returns whether the kernel has the request, except for a streamed body. */
     private boolean isHeadAndBodySent() {
         return headAndBody[1].remaining() + headAndBody[0].remaining() == 0;
     }
 
-    /** Makes the head, which states the seconds that are left for the response. */
+    /** Encodes the head, which states the time left for the response. */
     void makeHead(double secondsLeft) {
         headAndBody[0] = ByteBuffer.wrap(head.encode(secondsLeft));
     }
 
-    /** Starts to write; goes on by itself whenever the connection takes more. */
+    /** Starts to write; continues whenever the connection accepts more bytes. */
     void start(ConduitStreamSinkChannel connectionSink) {
         sink = connectionSink;
         sink.setWriteListener(channel -> write());
@@ -83,8 +83,9 @@
     }
 
     private void write() {
-        // Guards against executing a request whose client left or whose time passed while it waited
-        // for a connection or for a backend that takes nothing: an incomplete one is not executed.
+        // Guards against executing a request whose client closed or whose time passed while it
+        // waited for a connection or for a backend that reads nothing: backends don't execute an
+        // incomplete request.
         if (!call.isDone() && !isHeadAndBodySent() && !call.isStillWanted()) {
             call.endNotSent();
             return;
@@ -111,15 +112,15 @@
     }
 
     private void streamBody() {
-        // Guards against an attempt that stays out after its client left in the middle of the body,
-        // where attempts cannot be cancelled.
+        // Guards against an attempt that stays in flight after its client closed in the middle of
+        // the body, if attempts can't be cancelled.
         streamedBody.onRelease(
                 () -> {
                     if (!isSent()) {
                         call.endNotSent();
                     }
                 });
-        // Guards against a backend that takes nothing; the client's side has timeouts of its own.
+        // Guards against a backend that reads nothing; the client side has its own timeouts.
         BodyRelay.StallTimeouts stallTimeouts =
                 new BodyRelay.StallTimeouts(0, streamedBody.stallTimeoutSeconds());
         bodyRelay =
@@ -142,7 +143,7 @@
         call.requestSent();
     }
 
-    /** Passes on no more of a streamed body. */
+    /** Stops forwarding a streamed body. */
     void stop() {
         if (bodyRelay != null) {
             bodyRelay.stop();
--- a/src/main/java/lemondrift/proxy/backend/ResponseOutcome.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseOutcome.java
@@ -5,14 +5,14 @@
 import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.http.ProxyHeaders;
 
-/** Maps what came back on a call to the outcome that the decisions know. */
+/** Maps the result of a call to the outcome of its attempt. */
 final class ResponseOutcome {
     private ResponseOutcome() {}
 
     /**
-     * The outcome of a call. Once the last byte of the request is with the kernel the backend may
-     * have executed it, whatever is seen after; only the backend's own word, on a 503 or a 504,
-     * says otherwise.
+     * Returns the outcome of a call. Once the kernel has the last byte of the request, the backend
+     * may have executed it, regardless of what happens afterwards; only a 503 or 504 on which the
+     * backend states that it did not execute the request proves otherwise.
      */
     static AttemptOutcome toAttemptOutcome(BackendResponse response) {
         return switch (response.completion()) {
--- a/src/main/java/lemondrift/proxy/backend/ResponseReader.java
+++ b/src/main/java/lemondrift/proxy/backend/ResponseReader.java
@@ -14,12 +14,13 @@
 import lemondrift.proxy.http.HttpFieldRules;
 
 /**
- * Reads one HTTP/1.x response as it comes; what cannot be read in one way only is an IOException.
- * UndertowClient is not strict enough: it takes any 1xx but 100 for the response, the first of two
- * lengths for the length, and keeps what lies beyond a response for the next one.
+ * Parses one HTTP/1.x response as it arrives; a response that is malformed or can be interpreted in
+ * more than one way causes an IOException. UndertowClient is not strict enough: it takes any 1xx
+ * except 100 for the final response, uses the first of two Content-Length fields, and keeps the
+ * bytes after a response for the next one.
  */
 public final class ResponseReader {
-    /** What comes next of the response. */
+    /** The parts of a response, to track which one is expected next. */
     private enum Part {
         STATUS_LINE,
         FIELDS,
@@ -29,21 +30,21 @@
         CHUNK_END,
         TRAILER,
         BODY_UNTIL_CLOSE,
-        /** Nothing: the response is complete. */
+        /** No part: the response is complete. */
         NOTHING
     }
 
-    /** A chunk's size in hexadecimal digits, and perhaps extensions. */
+    /** A chunk's size in hexadecimal digits, with optional extensions. */
     private static final Pattern CHUNK_SIZE_LINE =
             Pattern.compile("([0-9A-Fa-f]{1,7})[ \\t]*(;.*)?");
 
-    /** Bytes of the longest body that is streamed; a longer one is an error. */
+    /** The length of the longest body that is streamed; a longer one is an error. */
     private static final int MAX_STREAMED_BYTES = 64 << 20;
 
-    /** Digits of the longest Content-Length that is read; a longer one is an error. */
+    /** The maximum number of digits of a Content-Length; a longer one is an error. */
     private static final int MAX_LENGTH_DIGITS = 9;
 
-    /** Where the digits of the status begin and end in a status line. */
+    /** The indexes at which the digits of the status start and end in a status line. */
     private static final int STATUS_START = 9;
 
     private static final int STATUS_END = 12;
@@ -57,27 +58,27 @@
     private boolean isHttp10;
     private int status;
 
-    /** Bytes of all heads, those of 1xx responses too. */
+    /** The bytes of all heads so far, including those of 1xx responses. */
     private int headBytes;
 
-    /** Bytes of lines between chunks since the last chunk's size. */
+    /** The bytes of lines outside of chunks since the last chunk's size line. */
     private int chunkLineBytes;
 
-    /** Bytes left of the chunk, or of a body whose length is known. */
+    /** The bytes left of the current chunk, or of a body whose length is known. */
     private int bytesLeft;
 
-    /** The Content-Length of the body; -1 where the head states none. */
+    /** The Content-Length of the body; -1 if the head states none. */
     private int contentLength = -1;
 
     private long bodyBytes;
     private boolean streamingForced;
 
     /**
-     * A reader of one response.
+     * Creates a reader of one response.
      *
-     * @param maxBufferedBytes of a body that is buffered; heads and lines between chunks have a
-     *     bound of their own, {@link HttpFieldRules#MAX_HEAD_BYTES}
-     * @param mayStream whether a longer body of a 200 may be streamed; else it is an error
+     * @param maxBufferedBytes the maximum length of a buffered body; heads and lines between chunks
+     *     have their own limit, {@link HttpFieldRules#MAX_HEAD_BYTES}
+     * @param mayStream whether a longer body of a 200 may be streamed; otherwise it is an error
      */
     public ResponseReader(int maxBufferedBytes, boolean mayStream) {
         this.maxBufferedBytes = maxBufferedBytes;
@@ -85,11 +86,12 @@
     }
 
     /**
-     * Buffers what has come; returns whether the response is complete. What is left in the source
-     * then does not belong to it. Stops, with the rest left in the source, where the body is too
-     * long to be buffered.
+     * Parses the bytes that have arrived and buffers the body. Bytes that are left in the source
+     * after the response is complete do not belong to it. Stops if the body is too long to be
+     * buffered, and leaves the remaining bytes in the source.
      *
-     * @throws IOException where the response cannot be read, or not in one way only
+     * @return whether the response is complete
+     * @throws IOException if the response is malformed, ambiguous or too long
      */
     public boolean read(ByteBuffer source) throws IOException {
         while (!isTooLongToBuffer()) {
@@ -108,7 +110,7 @@
         bufferedBody.writeBytes(bytes);
         require(
                 bufferedBody.size() <= maxBufferedBytes || isStreamable(),
-                "over " + maxBufferedBytes + " bytes");
+                "the body exceeds " + maxBufferedBytes + " bytes");
     }
 
     private boolean isStreamable() {
@@ -116,10 +118,11 @@
     }
 
     /**
-     * Takes the next piece of the body out of what has come; null where more must come first, or
-     * the response is complete.
+     * Takes the next piece of the body out of the bytes that have arrived.
      *
-     * @throws IOException where the response cannot be read, or not in one way only
+     * @return the piece, which shares the source's memory; null if more bytes must arrive first or
+     *     the response is complete
+     * @throws IOException if the response is malformed, ambiguous or too long
      */
     public ByteBuffer nextPiece(ByteBuffer source) throws IOException {
         while (nextPart != Part.NOTHING && source.hasRemaining()) {
@@ -144,20 +147,22 @@
 
     private ByteBuffer takePiece(ByteBuffer source, int count) throws IOException {
         bodyBytes += count;
-        require(bodyBytes <= MAX_STREAMED_BYTES, "over " + MAX_STREAMED_BYTES + " bytes");
+        require(
+                bodyBytes <= MAX_STREAMED_BYTES,
+                "the body exceeds " + MAX_STREAMED_BYTES + " bytes");
         ByteBuffer piece = source.slice(source.position(), count);
         source.position(source.position() + count);
         return piece;
     }
 
-    /** Whether the body is too long to be buffered, or must be streamed for another reason. */
+    /** Returns whether the body must be streamed: too long to be buffered, or forced to stream. */
     public boolean isTooLongToBuffer() {
         return streamingForced
                 || contentLength > maxBufferedBytes
                 || bufferedBody.size() > maxBufferedBytes;
     }
 
-    /** Whether the head of a 200 is complete, its body is not, and its length is not known. */
+    /** Returns whether the head of a 200 is complete, but not its body, whose length is unknown. */
     boolean isLengthUnknown() {
         return status == BackendResponse.OK
                 && contentLength < 0
@@ -166,56 +171,63 @@
                 && nextPart != Part.NOTHING;
     }
 
-    /** From now on the body is streamed, however long it is. */
+    /** Makes the body be streamed from now on, regardless of its length. */
     void forceStreaming() {
         streamingForced = true;
     }
 
-    /** Whether the whole response has been read. */
+    /** Returns whether the complete response has been read. */
     public boolean isComplete() {
         return nextPart == Part.NOTHING;
     }
 
-    /** The Content-Length of the body; -1 where the head states none. */
+    /** Returns the Content-Length of the body; -1 if the head states none. */
     int contentLength() {
         return contentLength;
     }
 
-    /** Whether the end of the connection, if it came now, would be the end of the response. */
+    /** Returns whether the body ends when the backend closes the connection. */
     boolean endsAtConnectionClose() {
         return nextPart == Part.BODY_UNTIL_CLOSE;
     }
 
-    /** The connection has ended, and the response with it. */
+    /** Completes the response, as its end is the close of the connection. */
     void connectionClosed() {
         nextPart = Part.NOTHING;
     }
 
-    /** Whether the connection cannot be used again after the response. */
+    /** Returns whether the connection can't be reused after the response. */
     boolean closesConnection() {
         String connection = headers.getFirst(Headers.CONNECTION);
         return connection == null ? isHttp10 : !connection.equalsIgnoreCase("keep-alive");
     }
 
-    /** The response, buffered whole. */
+    /** Returns the response with its complete, buffered body. */
     public BackendResponse bufferedResponse() {
         return streamedResponse(null);
     }
 
-    /** The response with the beginning of its body, and who has the remainder. */
+    /**
+     * Returns the response with the buffered beginning of its body.
+     *
+     * @param remainder the source of the rest of the body; null if the body is complete
+     */
     public BackendResponse streamedResponse(ResponseRemainder remainder) {
         return BackendResponse.received(status, headers, bufferedBody.toByteArray(), remainder);
     }
 
-    /** The next line without its end; null until it has come. */
+    /** Returns the next line without its CRLF; null until it has arrived completely. */
     private String readLine(ByteBuffer source) throws IOException {
         while (source.hasRemaining()) {
             char character = (char) (source.get() & 0xFF);
-            // Guards against lines without an end, in the head or between chunks.
+            // Guards against endless lines in the head or between chunks.
             boolean inHead = nextPart == Part.STATUS_LINE || nextPart == Part.FIELDS;
             int lineBytes = inHead ? ++headBytes : ++chunkLineBytes;
             if (lineBytes > HttpFieldRules.MAX_HEAD_BYTES) {
-                throw new IOException("a head of over " + HttpFieldRules.MAX_HEAD_BYTES + " bytes");
+                throw new IOException(
+                        "invalid response: the head or the lines between chunks exceed "
+                                + HttpFieldRules.MAX_HEAD_BYTES
+                                + " bytes");
             }
             if (character == '\n') {
                 int end = line.length() - 1;
@@ -281,14 +293,14 @@
     }
 
     /**
-     * Decides from a complete head where the body ends. Guards against framing that can be read in
-     * two ways, which would pass off a part as the whole, or the next response as part of this one.
+     * Determines from a complete head where the body ends. Guards against ambiguous framing, which
+     * would make part of a response look complete, or add the next response to this one.
      */
     private void chooseFraming() throws IOException {
         HeaderValues codings = headers.get(Headers.TRANSFER_ENCODING);
         HeaderValues lengths = headers.get(Headers.CONTENT_LENGTH);
         if (status < 200) {
-            require(status != 101, "an upgrade");
+            require(status != 101, "status 101, but no upgrade was requested");
             headers = new HeaderMap();
             nextPart = Part.STATUS_LINE;
         } else if (codings != null) {
@@ -304,7 +316,7 @@
         } else if (status == 204 || status == 304) {
             nextPart = Part.NOTHING;
         } else {
-            require(closesConnection(), "a response without a length");
+            require(closesConnection(), "a body without a length on a kept-alive connection");
             nextPart = Part.BODY_UNTIL_CLOSE;
         }
     }
@@ -312,7 +324,7 @@
     private void startBodyOfKnownLength(HeaderValues lengths) throws IOException {
         contentLength = HttpFieldRules.parseNumber(lengths.getFirst(), MAX_LENGTH_DIGITS);
         bytesLeft = contentLength;
-        // Guards against a body that is known to be too long and would be read to the bound.
+        // Guards against reading a body up to the limit although it is known to be too long.
         int maxBytes = isStreamable() ? MAX_STREAMED_BYTES : maxBufferedBytes;
         require(lengths.size() == 1 && bytesLeft >= 0 && bytesLeft <= maxBytes, lengths);
         nextPart = bytesLeft == 0 ? Part.NOTHING : Part.BODY_OF_KNOWN_LENGTH;
@@ -320,7 +332,7 @@
 
     private static void require(boolean condition, Object detail) throws IOException {
         if (!condition) {
-            throw new IOException("a response that cannot be read: " + detail);
+            throw new IOException("invalid response: " + detail);
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
+++ b/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
@@ -7,9 +7,9 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * What follows of a response whose beginning has been passed on: read from the backend's connection
- * piece by piece as it is asked for. No timer of the call runs any more; only the two sides end it.
- * I/O thread only.
+ * The remainder of a response whose beginning has been delivered: read from the backend's
+ * connection piece by piece on demand. The timers of the call no longer run; only the client or the
+ * backend ends the response. I/O thread only.
  */
 final class StreamedResponse implements ResponseRemainder {
     private final ConnectionPool pool;
@@ -17,7 +17,7 @@
     private final RequestWriter requestWriter;
     private final ResponseReader reader;
 
-    /** What has been read from the connection and not been passed on; null once released. */
+    /** Bytes that were read from the connection but not forwarded; null once released. */
     private PooledByteBuffer unread;
 
     StreamedResponse(
@@ -58,7 +58,7 @@
 
     private void handleConnectionClosed() throws IOException {
         if (!reader.endsAtConnectionClose()) {
-            throw new IOException("the response breaks off");
+            throw new IOException("connection closed before the response was complete");
         }
         reader.connectionClosed();
     }
--- a/src/main/java/lemondrift/proxy/client/ClientCloseWatch.java
+++ b/src/main/java/lemondrift/proxy/client/ClientCloseWatch.java
@@ -9,13 +9,14 @@
 import org.xnio.IoUtils;
 
 /**
- * Notices that a client has closed while its response is awaited, when Undertow reads nothing. What
- * the client sends ahead of the response is read, one buffer of it, and kept for Undertow.
+ * Detects that a client closes its connection while it waits for a response, when Undertow reads
+ * nothing. Bytes that the client sends ahead of the response are read, at most one buffer of them,
+ * and kept for Undertow.
  */
 final class ClientCloseWatch {
     private ClientCloseWatch() {}
 
-    /** Watches a connection whose request has been read until its response is out. */
+    /** Starts to watch the connection of a request that has been read completely. */
     static void start(HttpServerExchange exchange) {
         AbstractServerConnection connection = connectionOf(exchange);
         connection
@@ -25,7 +26,10 @@
         connection.getChannel().getSourceChannel().resumeReads();
     }
 
-    /** The response is out: what was sent ahead is Undertow's to read from now on. */
+    /**
+     * Stops watching once the response has been sent. Undertow reads from now on, beginning with
+     * the bytes that were sent ahead.
+     */
     static void stop(HttpServerExchange exchange) {
         if (exchange.getConnection() instanceof AbstractServerConnection connection
                 && connection.getExtraBytes() != null) {
@@ -33,14 +37,15 @@
         }
     }
 
-    /** Looks at the socket now, and closes the connection if its client has closed. */
+    /** Reads from the socket now, and closes the connection if its client has closed it. */
     static void checkNow(HttpServerExchange exchange) {
         readAhead(connectionOf(exchange));
     }
 
     /**
-     * Whether a client waits for its response. Guards against one that has closed while the I/O
-     * thread was held up: a connection's close is known only once it is read.
+     * Returns whether a client still waits for its response. Reads from the socket if the request
+     * has been read completely: guards against a client that closed while the I/O thread was
+     * delayed, as a close is noticed only when the socket is read.
      */
     static boolean isClientWaiting(PendingRequest pending) {
         if (isUnanswered(pending) && pending.exchange().isRequestComplete()) {
@@ -49,7 +54,7 @@
         return isUnanswered(pending);
     }
 
-    /** Whether the request is open on its connection, and no response to it has begun. */
+    /** Returns whether the request is open on its connection, and no response has been started. */
     static boolean isUnanswered(PendingRequest pending) {
         HttpServerExchange exchange = pending.exchange();
         return ClientConnection.of(exchange).request == pending.request()
@@ -65,7 +70,7 @@
         boolean isNew = pooled == null;
         pooled = isNew ? connection.getByteBufferPool().allocate() : pooled;
         ByteBuffer buffer = pooled.getBuffer();
-        // What was read ahead already, by Undertow too, stands between position and limit.
+        // Bytes that were read ahead before, by Undertow too, are between position and limit.
         int start = isNew ? 0 : buffer.position();
         int end = isNew ? 0 : buffer.limit();
         int count = 0;
@@ -73,7 +78,7 @@
             buffer.limit(buffer.capacity()).position(end);
             count = buffer.hasRemaining() ? connection.getOriginalSourceConduit().read(buffer) : 0;
             if (!buffer.hasRemaining()) {
-                // Guards against one client that fills the memory.
+                // Guards against a client that fills the memory with bytes sent ahead.
                 connection.getChannel().getSourceChannel().suspendReads();
             }
         } catch (IOException e) {
--- a/src/main/java/lemondrift/proxy/client/ClientConnection.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnection.java
@@ -17,18 +17,18 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * One client's connection with the request that is open on it. Reports to the policy what happens
- * on it; bytes are seen below Undertow, which reports whole requests only. I/O thread only.
+ * A client connection and the request that is open on it. Reports its events to the policy; bytes
+ * are observed below Undertow, which reports only requests as a whole. I/O thread only.
  */
 final class ClientConnection {
-    /** The connection that a request came on. */
+    /** The connection on which an exchange's request arrived. */
     private static final AttachmentKey<ClientConnection> CONNECTION =
             AttachmentKey.create(ClientConnection.class);
 
-    /** The priority weight where no request is open. */
+    /** The priority weight if no request has been read completely. */
     private static final double NO_REQUEST = -1;
 
-    /** What all connections share. */
+    /** Objects that all connections share. */
     record Context(
             ConnectionPolicy policy,
             MonotonicClock clock,
@@ -38,16 +38,16 @@
     final StreamConnection socket;
     final int index;
 
-    /** The request that is open on it, null where none is. */
+    /** The open request; null if there is none. */
     Request request;
 
-    /** Its body as it is read, null where none is. */
+    /** The body of the current request; null if there is none. */
     RequestBody body;
 
-    /** Stops the relay of a long response, null where none runs. */
+    /** Stops the relay of a long response; null if none is running. */
     Runnable stopRelay;
 
-    /** Ends the open request when it is overdue; null unless all of it has come. */
+    /** Ends the open request when it is overdue; null unless its complete body is buffered. */
     Runnable endOverdue;
 
     private final ConnectionPolicy policy;
@@ -56,13 +56,13 @@
     private final Set<String> openRequestIds;
     private final StreamSourceConduit source;
 
-    /** What was read to see whether there is anything, until it is read by Undertow. */
+    /** A byte that was read to check for unread bytes, until Undertow reads it. */
     private final ByteBuffer peeked = ByteBuffer.allocate(1);
 
     private String requestId;
     private boolean requestRead;
 
-    /** The open request's priority weight once it is served, 0 until then. */
+    /** The open request's priority weight once it is served; 0 until then. */
     private double priorityWeight = NO_REQUEST;
 
     private boolean closed;
@@ -89,7 +89,7 @@
         exchange.putAttachment(CONNECTION, this);
     }
 
-    /** Has all reads and writes of the socket pass through here. */
+    /** Reports all reads and writes of the socket to the policy from now on. */
     void observe() {
         socket.getSourceChannel().setConduit(observedSource());
         socket.getSinkChannel().setConduit(observedSink());
@@ -151,7 +151,10 @@
         return bytes;
     }
 
-    /** Whether no unread byte waits; reads one byte ahead to see. */
+    /**
+     * Returns whether no unread byte waits or the connection is broken. Reads one byte ahead to
+     * find out.
+     */
     boolean hasNoUnreadBytes() {
         try {
             if (peeked.position() == 0) {
@@ -163,23 +166,24 @@
             }
             return peeked.position() == 0;
         } catch (IOException e) {
-            // A broken connection has nothing to lose by a close.
+            // Closing a broken connection loses nothing.
             return true;
         }
     }
 
+    /** Reports that the head of a request has been read. */
     void headRead() {
         priorityWeight = NO_REQUEST;
-        // Guards against a head read before the close that would bring the index back to life.
+        // Guards against a head read before the close, which would reactivate a freed index.
         if (!closed) {
             policy.headRead(index, clock.now());
         }
     }
 
     /**
-     * Opens a request, which need not have come whole.
+     * Opens a request, which need not have arrived completely.
      *
-     * @return false where another request of this id is open: backends could not tell them apart
+     * @return false if another request with this id is open: backends could not tell them apart
      */
     boolean openRequest(String id, Request opened) {
         if (!openRequestIds.add(id)) {
@@ -190,7 +194,7 @@
         return true;
     }
 
-    /** All of the open request has come. */
+    /** Reports that the open request has arrived completely. */
     void requestRead() {
         if (!closed && !requestRead) {
             requestRead = true;
@@ -200,40 +204,44 @@
         }
     }
 
-    /** The open request is served, and counts for its client with this weight. */
+    /** Records that the open request is served, and counts for its client with this weight. */
     void requestServed(double weight) {
         priorityWeight = weight;
     }
 
-    /** A response is ready: whether the connection stays open after it. */
+    /** Reports that a response is ready; returns whether the connection stays open after it. */
     boolean responseReady() {
         return !closed && policy.responseReady(index, clock.now());
     }
 
-    /** The Keep-Alive timeout for the response in whole seconds; 0 where none is announced. */
+    /** Returns the Keep-Alive timeout to announce, in whole seconds; 0 to announce none. */
     int announcedKeepAliveSeconds() {
         return policy.announcedKeepAliveSeconds(index);
     }
 
-    /** More of the response is there to be sent. */
+    /** Reports that more bytes of the response can be sent. */
     void responseBytesAvailable() {
         if (!closed) {
             policy.responseBytesAvailable(index, clock.now());
         }
     }
 
+    /** Reports that the request is refused as invalid. */
     void requestInvalid() {
         if (!closed) {
             policy.invalidRequestReceived(index, clock.now());
         }
     }
 
-    /** For how many seconds it is not read, its request having been rejected. */
+    /**
+     * Starts a pause in which nothing is read, as the request has been refused. Returns its length
+     * in seconds; 0 if the connection is closed.
+     */
     double startReadPause() {
         return closed ? 0 : policy.startReadPause(index, clock.now());
     }
 
-    /** The response is out, and no request is open from now on. */
+    /** Reports that the response has been sent, and closes the open request. */
     void responseSent() {
         if (!closed) {
             policy.responseSent(index, priorityWeight, clock.now());
@@ -241,7 +249,7 @@
         closeRequest();
     }
 
-    /** Ends the open request and returns it; null where none is open. */
+    /** Closes the open request and returns it; null if none is open. */
     Request closeRequest() {
         Request ended = request;
         openRequestIds.remove(requestId);
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -26,19 +26,20 @@
 import org.xnio.XnioIoThread;
 
 /**
- * All clients' connections as sockets, and the ids of the requests open on them: reports accepts
- * and closes to the policy, and closes what the policy says. I/O thread only.
+ * The sockets of all client connections, and the ids of the requests that are open on them. Reports
+ * accepted and closed connections to the policy, and closes the connections that the policy
+ * chooses. I/O thread only.
  */
 final class ClientConnections implements ConnectionPolicy.Actions {
     private static final Logger LOG = LoggerFactory.getLogger(ClientConnections.class);
 
-    /** While it drains, sweeps in each interval that the policy asks for. */
+    /** How many sweeps run in each sweep interval of the policy during a drain. */
     private static final int DRAIN_SWEEPS_PER_INTERVAL = 4;
 
-    /** Seconds after its deadline from which a request that is still open is ended here. */
+    /** How long after its deadline a request that is still open is ended here. */
     private static final double OVERDUE_GRACE_SECONDS = 0.1;
 
-    /** The least time between two log lines about too many connections. */
+    /** The minimum time between two log lines about too many connections. */
     private static final double LOG_INTERVAL_SECONDS = 1;
 
     private final MonotonicClock clock;
@@ -51,7 +52,7 @@
     private final Map<StreamConnection, ClientConnection> bySocket = new HashMap<>();
     private final Set<String> openRequestIds = new HashSet<>();
 
-    /** Hears of a request whose client has closed its connection. */
+    /** Receives the open request of a connection that has been closed. */
     private final Consumer<Request> onClientClosed;
 
     private XnioExecutor.Key sweepTimer;
@@ -74,7 +75,7 @@
         sweepIntervalSeconds = limits.sweepIntervalSeconds();
         maxConnections = limits.maxConnections();
         byIndex = new ClientConnection[policy.capacity()];
-        // Guards against classes that are first needed, and can't be loaded, without descriptors.
+        // Loads classes now: guards against loading them when no descriptors are left, which fails.
         policy.sweep(clock.now());
         sweepEvery(sweepIntervalSeconds);
     }
@@ -85,7 +86,7 @@
                         this::sweep, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     }
 
-    /** Only a share of the connections, 0 to 1, is this process's from now on. */
+    /** Limits this process to a share, 0 to 1, of the configured connections. */
     void setShare(double share) {
         policy.setMaxConnections((int) (share * maxConnections));
     }
@@ -94,7 +95,7 @@
         return openRequestIds.size();
     }
 
-    /** The indexes of the request classes of open requests. */
+    /** Returns the indexes of the request classes of open requests. */
     Set<Integer> classesInUse() {
         return bySocket.values().stream()
                 .filter(each -> each.request != null)
@@ -103,29 +104,33 @@
     }
 
     /**
-     * When a request that is read now came at the latest: before now if the process stood still.
+     * Returns the arrival time of a request that is read now: the current time, or the start of a
+     * pause of the process that has just ended, since the request may have waited during it.
      */
     double requestArrivedAt() {
         return policy.unreadSince(clock.now());
     }
 
-    /** Whether what is read now may have waited while the process stood still. */
+    /** Returns whether a request that is read now may have waited during a process pause. */
     boolean wasProcessPaused() {
         double now = clock.now();
         return policy.unreadSince(now) < now;
     }
 
-    /** Whether the drain has left no connection to which a response is owed. */
+    /** Returns whether the drain is complete: no connection needs a response any more. */
     boolean isDrained() {
         return policy.isDrained(clock.now());
     }
 
-    /** The connection of a socket, null if it has been closed. */
+    /** Returns the connection of a socket; null if it has been closed. */
     ClientConnection find(StreamConnection socket) {
         return bySocket.get(socket);
     }
 
-    /** Takes an accepted connection and hands it to a reader, or closes it if there is no place. */
+    /**
+     * Registers an accepted connection and passes it to a reader, or closes it if there are too
+     * many.
+     */
     void accepted(StreamConnection socket, ChannelListener<StreamConnection> reader) {
         int index =
                 policy.accepted(
@@ -139,7 +144,7 @@
         bySocket.put(socket, connection);
         connection.observe();
         reader.handleEvent(socket);
-        // Undertow has a close listener of its own, which is to hear of it first.
+        // Undertow has a close listener of its own, which must run first.
         ChannelListener<? super StreamConnection> undertowListener = socket.getCloseListener();
         socket.setCloseListener(
                 closed -> {
@@ -154,7 +159,10 @@
         }
     }
 
-    /** Tells one address from another; of IPv6 the /64 network, as one client has all of it. */
+    /**
+     * Returns a number that distinguishes addresses, 0 or more; 0 if the address is unknown. Of an
+     * IPv6 address only the /64 network counts, as one client has all of it.
+     */
     private static long addressKey(InetSocketAddress peer) {
         InetAddress address = peer == null ? null : peer.getAddress();
         if (address == null) {
@@ -180,7 +188,7 @@
         }
     }
 
-    /** Guards against requests that are never answered, whatever keeps the balancer. */
+    /** Guards against requests that are never answered, whatever delays the balancer. */
     private void endOverdue(double now) {
         if (openRequestIds.isEmpty()) {
             return;
@@ -232,7 +240,11 @@
     }
 
     /**
-     * Responses close their connections from now on; those without a request are closed by then.
+     * Starts a drain: each response closes its connection, and connections without a request are
+     * closed one by one.
+     *
+     * @param closeIdleBy the time by which connections without a request are closed, in seconds of
+     *     the clock
      */
     void drain(double closeIdleBy) {
         LOG.info("client connections drain: {}", policy.summary());
@@ -249,6 +261,7 @@
         sweepEvery(sweepIntervalSeconds);
     }
 
+    /** Stops the sweeps; open connections stay as they are. */
     void stop() {
         if (stopped) {
             return;
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -28,15 +28,15 @@
 import org.xnio.nio.InheritedServer;
 
 /**
- * Accepts clients' connections, and is the face of the clients' side: requests go to {@link
+ * Accepts client connections, and is the facade of the client side: requests go to {@link
  * DecisionEvents}, responses come back through {@link #deliver}, {@link #reject} and {@link #fail}.
- * I/O thread only, but for what says otherwise.
+ * I/O thread only, unless a method says otherwise.
  */
 public final class ClientListener {
-    /** The most bytes of one request's body that are buffered. */
+    /** The maximum number of bytes of one request's body that are buffered. */
     private static final int MAX_BUFFERED_BODY_BYTES = 256 * 1024;
 
-    /** The share of the proxy's memory that all buffered bodies may have. */
+    /** The share of the proxy's memory that all buffered bodies together may use. */
     private static final double BUFFERED_MEMORY_SHARE = 1.0 / 12;
 
     private final ProxyConfig config;
@@ -49,13 +49,13 @@
     private final ResponseWriter responses;
     private final BodyBufferBudget bufferBudget;
 
-    /** The socket of this process; null where it was given one, or does not listen. */
+    /** This process's own socket; null if it inherited one, or does not listen. */
     private AcceptingChannel<StreamConnection> server;
 
-    /** The socket that the process was given; null where it has its own, or does not listen. */
+    /** The inherited socket; null if the process has its own, or does not listen. */
     private InheritedServer inheritedServer;
 
-    /** A clients' side that does not listen yet. */
+    /** Creates a client side that does not listen yet. */
     public ClientListener(
             ProxyConfig config,
             RequestClassIndex requestClasses,
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Without Undertow's buffer for pipelined responses, as a response in it would wait for the end
-     * of the next request.
+     * Creates a listener without Undertow's buffer for pipelined responses, as a response in it
+     * would wait for the end of the next request.
      */
     private static HttpOpenListener httpListener(ByteBufferPool bufferPool) {
         return new HttpOpenListener(
@@ -114,14 +114,19 @@
                         .getMap());
     }
 
-    /** Other request classes hold for what is read from now on. */
+    /** Applies changed request classes and settings to requests that are read from now on. */
     public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
         validator.settingsChanged(requestClasses, settings);
         admission.setLatencyObjective(settings.windowSeconds());
         metrics.registerClasses(requestClasses.names());
     }
 
-    /** Only a share of its resources, 0 to 1, is this process's from now on. */
+    /**
+     * Limits this process to its share of the resources that processes of this proxy divide.
+     *
+     * @param share the share of the connections, 0 to 1
+     * @param processCount how many processes divide the memory for buffered bodies equally
+     */
     public void setResourceShare(double share, int processCount) {
         connections.setShare(share);
         bufferBudget.setMaxTotalBytes(
@@ -132,14 +137,14 @@
         }
     }
 
-    /** How many request classes are known. Any thread. */
+    /** Returns how many request classes the settings have. May be called from any thread. */
     public int requestClassCount() {
         return validator.requestClassCount();
     }
 
     /**
-     * Accepts on a socket that the process was given, and that others may accept on as well. Any
-     * thread.
+     * Starts to accept on an inherited socket, on which other processes may accept as well. May be
+     * called from any thread.
      *
      * @throws IOException if the socket can't be used
      */
@@ -154,12 +159,12 @@
     }
 
     /**
-     * Accepts on a socket of its own. Any thread.
+     * Opens a socket of its own and starts to accept on it. May be called from any thread.
      *
      * @throws IOException if the address can't be bound
      */
     public void listen() throws IOException {
-        // Guards against places that stay empty: XNIO accepts again only at the low mark or under.
+        // Guards against unused capacity: XNIO accepts again only at or below the low-water mark.
         int acceptLimit = config.connectionLimits().acceptLimit();
         server =
                 worker.createStreamConnectionServer(
@@ -175,17 +180,20 @@
         server.resumeAccepts();
     }
 
+    /** Reads requests from an accepted connection, or closes it if there are too many. */
     public void accepted(StreamConnection connection) {
         connections.accepted(connection, httpListener);
     }
 
+    /** Returns the address of this process's own socket, which must have been opened. */
     public InetSocketAddress address() {
         return server.getLocalAddress(InetSocketAddress.class);
     }
 
     /**
-     * Stops accepting on the socket that the process was given; the processes that share it go on.
-     * A socket of its own stays open, as a closed one would refuse clients. Any thread.
+     * Stops accepting on an inherited socket; other processes that share it continue to accept. A
+     * socket of its own stays open, because clients would be refused if it were closed. May be
+     * called from any thread.
      */
     public void closeInheritedSocket() {
         if (inheritedServer != null) {
@@ -196,10 +204,12 @@
     /**
      * Starts a drain, as at SIGTERM: each response closes its connection, health checks fail, and
      * connections without a request are closed one by one. New connections are still accepted and
-     * their requests answered. Any thread.
+     * their requests answered. May be called from any thread.
      *
-     * @param closeIdleBy when connections without a request are to be closed
-     * @param lastResponsesAt the deadline of whatever is read from now on, at the latest
+     * @param closeIdleBy the time by which connections without a request are closed, in seconds of
+     *     the proxy's clock
+     * @param lastResponsesAt the latest possible deadline of requests that are read from now on, in
+     *     seconds of the proxy's clock
      */
     public void drain(double closeIdleBy, double lastResponsesAt) {
         responses.setDraining(true);
@@ -207,20 +217,21 @@
         worker.getIoThread().execute(() -> connections.drain(closeIdleBy));
     }
 
-    /** Ends a drain. Any thread. */
+    /** Ends a drain. May be called from any thread. */
     public void resume() {
         responses.setDraining(false);
         worker.getIoThread().execute(connections::resume);
     }
 
-    /** Any thread. */
+    /** Returns whether a drain has been started and not ended. May be called from any thread. */
     public boolean isDraining() {
         return responses.isDraining();
     }
 
     /**
-     * Accepts who waits for it, and says whether no client is left to whom a response is owed.
-     * Guards against losing what comes later: whoever stops upon it does so in the same step.
+     * Accepts the connections that wait to be accepted, and returns whether no connection is left
+     * that needs a response. Guards against losing requests that arrive after the check: a caller
+     * that closes because of the result must do so in the same task of the I/O thread.
      */
     public boolean isDrained() {
         try {
@@ -228,61 +239,66 @@
                 accepted(next);
             }
         } catch (IOException e) {
-            // Out of descriptors, for one: the connections that are there are closed first.
+            // For example out of descriptors: the connections already accepted are closed first.
         }
         return connections.isDrained();
     }
 
+    /** Accepts one connection; returns null if none waits or the process has no own socket. */
     private StreamConnection acceptNext() throws IOException {
         return server == null ? null : server.accept();
     }
 
-    /** Stops accepting; open connections stay as they are. Any thread. */
+    /** Stops accepting; open connections stay as they are. May be called from any thread. */
     public void close() {
         worker.getIoThread().execute(connections::stop);
         IoUtils.safeClose(server);
     }
 
-    /** The indexes of the request classes of open requests. */
+    /** Returns the indexes of the request classes of open requests. */
     public Set<Integer> classesInUse() {
         return connections.classesInUse();
     }
 
-    /** How many connections have a request open. */
+    /** Returns how many connections have an open request. */
     public int openRequestCount() {
         return connections.openRequestCount();
     }
 
-    /** What is to be done before a request is decided; set before listening. */
+    /** Sets a task that runs before each request is offered; must be set before listening. */
     public void runBeforeEachRequest(Runnable task) {
         admission.runBeforeEachRequest(task);
     }
 
-    /** The balancer decided so many requests, in so many seconds for all, and has room for more. */
+    /**
+     * Records that the balancer has decided requests, and hands it the next ones.
+     *
+     * @param totalSeconds how long all these decisions took together
+     */
     public void requestsDecided(int requestCount, double totalSeconds) {
         admission.requestsDecided(requestCount, totalSeconds);
     }
 
-    /** Whether a request's client is there and has no response yet; looks at the socket. */
+    /** Returns whether a request's client still waits for the response; reads from the socket. */
     public boolean isClientWaiting(PendingRequest pending) {
         return ClientCloseWatch.isClientWaiting(pending);
     }
 
-    /** Passes a backend's response on. */
+    /** Forwards a backend's response to the client. */
     public void deliver(PendingRequest pending, BackendResponse response) {
         responses.deliver(pending, response);
     }
 
     /**
-     * Ends a request that no backend serves with 503, which promises that a retry is harmless.
+     * Answers a request that no backend serves with 503, which promises that a retry is harmless.
      *
-     * @param retryAfterSeconds 0 to send no Retry-After
+     * @param retryAfterSeconds the value of Retry-After; 0 to send none
      */
     public void reject(PendingRequest pending, double retryAfterSeconds) {
         responses.reject(pending, retryAfterSeconds);
     }
 
-    /** Ends a request that no backend serves with 502, which promises nothing about a retry. */
+    /** Answers a request that no backend serves with 502, which promises nothing about a retry. */
     public void fail(PendingRequest pending) {
         responses.fail(pending);
     }
--- a/src/main/java/lemondrift/proxy/client/LongResponseBody.java
+++ b/src/main/java/lemondrift/proxy/client/LongResponseBody.java
@@ -5,7 +5,10 @@
 import lemondrift.proxy.events.BackendResponse;
 import lemondrift.proxy.http.BodySource;
 
-/** A long response from its beginning, which was read whole, to its end. I/O thread only. */
+/**
+ * The complete body of a long response: its buffered beginning, followed by the remainder. I/O
+ * thread only.
+ */
 final class LongResponseBody implements BodySource {
     private final BackendResponse response;
     private boolean beginningReturned;
--- a/src/main/java/lemondrift/proxy/client/RefusalReason.java
+++ b/src/main/java/lemondrift/proxy/client/RefusalReason.java
@@ -1,13 +1,13 @@
 package lemondrift.proxy.client;
 
-/** Why a client's request is refused with a 4xx; the log names it. */
+/** Why a client's request is refused with a 4xx status; the log contains the constant's name. */
 enum RefusalReason {
-    /** Its framing can be read in two ways. */
+    /** The request's framing can be interpreted in two ways. */
     AMBIGUOUS_FRAMING,
-    /** Its body can't be read. */
+    /** The body can't be read. */
     UNREADABLE_BODY,
-    /** Its body is longer than is accepted. */
+    /** The body is longer than the proxy accepts. */
     BODY_TOO_LONG,
-    /** A field is missing, malformed or there twice, or another request of its id is open. */
+    /** A field is missing, malformed or repeated, or another open request has the same id. */
     BAD_FIELD_OR_OPEN_ID
 }
--- a/src/main/java/lemondrift/proxy/client/RequestAdmission.java
+++ b/src/main/java/lemondrift/proxy/client/RequestAdmission.java
@@ -10,12 +10,12 @@
 import lemondrift.proxy.time.MonotonicClock;
 
 /**
- * Hands requests to the balancer as fast as it decides them. What can't be decided in time is held
- * back here, or shed (503, WAIT_TOO_LONG) by the balancer's threshold; what the balancer leaves
- * open past its deadline is ended here (OVERDUE). I/O thread only.
+ * Hands requests to the balancer as fast as it decides them. Requests that it can't decide in time
+ * are held back here, or shed (503, WAIT_TOO_LONG) according to the balancer's threshold. Requests
+ * that the balancer leaves open past their deadline are ended here (OVERDUE). I/O thread only.
  */
 final class RequestAdmission {
-    /** A rejection whose response has no Retry-After. */
+    /** The Retry-After in seconds of a rejection that sends none. */
     private static final double NO_RETRY_AFTER = 0;
 
     private final RequestQueue<PendingRequest> requestQueue;
@@ -35,12 +35,12 @@
         this.clock = clock;
     }
 
-    /** What is to be done before a request is decided; set before listening. */
+    /** Sets a task that runs before each request is offered; must be set before listening. */
     void runBeforeEachRequest(Runnable task) {
         beforeEachRequest = task;
     }
 
-    /** The shortest latency objective of all request classes from now on. */
+    /** Sets the shortest latency objective of all request classes, in seconds. */
     void setLatencyObjective(double seconds) {
         requestQueue.setLatencyObjective(seconds);
     }
@@ -71,7 +71,12 @@
         }
     }
 
-    /** The balancer decided so many requests in so many seconds, and has room for more. */
+    /**
+     * Records that the balancer has decided requests, and hands it as many held-back requests as
+     * the queue has room for.
+     *
+     * @param totalSeconds how long all these decisions took together
+     */
     void requestsDecided(int requestCount, double totalSeconds) {
         requestQueue.requestsDecided(requestCount, totalSeconds);
         for (PendingRequest next = requestQueue.pollNext();
@@ -82,8 +87,9 @@
     }
 
     /**
-     * Ends a request that is past its deadline, whatever keeps the balancer: as rejected where a
-     * retry of the client is harmless, else as failed. No attempt is sent after that.
+     * Ends a request that is past its deadline, whatever delays the balancer: rejects it if a retry
+     * by the client is harmless, otherwise fails it. No attempt is sent afterwards. Does nothing if
+     * the client no longer waits.
      */
     void endOverdue(PendingRequest pending) {
         if (!ClientCloseWatch.isClientWaiting(pending)) {
@@ -99,7 +105,10 @@
         decisionEvents.requestAbandoned(request);
     }
 
-    /** By what was sent, which this thread knows whatever the decisions are busy with. */
+    /**
+     * Returns whether the client may safely send the request again. Judges by the attempts that
+     * were sent, which this thread knows even while the decision thread is busy.
+     */
     private static boolean isClientRetryHarmless(PendingRequest pending) {
         return !pending.mayHaveBeenExecuted()
                 || pending.request().terms.requestClass().isClientRetryHarmless();
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -14,28 +14,28 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * A request's body as it comes: buffered as long as the budget allows, else streamed piece by
- * piece, in chunks where its length is not known. I/O thread only.
+ * A request's body as it arrives: buffered as long as the budget allows, otherwise streamed piece
+ * by piece, with chunked framing if its length is not known. I/O thread only.
  */
 final class RequestBody implements StreamedRequestBody {
-    /** Hears what becomes of a body. */
+    /** Receives the events of reading a body. */
     interface Listener {
-        /** All of it has come and is buffered. */
+        /** The complete body has arrived and is buffered. */
         void buffered(byte[] body);
 
-        /** It can't be buffered to its end and is to be streamed. */
+        /** The body is too long to be buffered completely and must be streamed. */
         void streamed(RequestBody body);
 
-        /** The last byte of a streamed body has come. */
+        /** The last byte of a streamed body has arrived. */
         void streamComplete();
 
-        /** A byte was passed on that is not buffered. */
+        /** A byte that is not buffered is passed on, so that the body can't be sent again. */
         void notReplayable();
 
-        /** It is longer than a body may be. */
+        /** The body is longer than the proxy accepts. */
         void tooLong();
 
-        /** It can't be read, or its framing is broken. */
+        /** The body can't be read, or its framing is invalid. */
         void unreadable();
     }
 
@@ -47,15 +47,15 @@
     private final long maxBytes;
     private final Listener listener;
 
-    /** How long a backend may take nothing of it. */
+    /** How long a backend may go without reading any byte of the body. */
     private final double stallTimeoutSeconds;
 
     private final boolean chunked;
 
-    /** What was read and is to be passed on next, with the framing of chunks. */
+    /** Bytes that were read and are passed on next, with the framing of chunks. */
     private final Deque<ByteBuffer> nextPieces = new ArrayDeque<>();
 
-    /** How long the response may take from the last byte on; set when the body is streamed. */
+    /** How long the response may take from the body's last byte; set when the body is streamed. */
     private double responseTimeoutSeconds;
 
     private byte[] buffered = {};
@@ -63,8 +63,8 @@
     private long receivedBytes;
 
     /**
-     * What has come and is not buffered. Guards against a pooled buffer that is given away while it
-     * is still written.
+     * Bytes that have arrived and are not buffered. Not from the pool: guards against a pooled
+     * buffer that is reused while it is still being written.
      */
     private ByteBuffer unbuffered;
 
@@ -72,7 +72,7 @@
     private boolean sourceEnded;
     private boolean allReturned;
 
-    /** Nothing more is read: it failed, or its request is over. */
+    /** Whether reading has stopped, because it failed or the request has ended. */
     private boolean stopped;
 
     private Runnable onRelease = () -> {};
@@ -93,7 +93,7 @@
         this.listener = listener;
     }
 
-    /** Reads until all is buffered, or as much as may be. */
+    /** Reads until the complete body or as much as the budget allows is buffered. */
     void readIntoBuffer() {
         try (PooledByteBuffer pooled = bufferPool.allocate()) {
             ByteBuffer piece = pooled.getBuffer();
@@ -119,7 +119,7 @@
             channel.getReadSetter().set(source -> readIntoBuffer());
             channel.resumeReads();
         } catch (IOException | RuntimeException e) {
-            // Wide: whatever the decoder of the body throws, its client must have a response.
+            // Catches every exception: the client must get a response whatever the decoder throws.
             unreadable();
         }
     }
@@ -193,7 +193,7 @@
         return nextPieces.poll();
     }
 
-    /** Guards against blaming the backend for an error of the client: none is thrown here. */
+    /** Reads the next piece. Throws nothing: guards against blaming a backend for the client. */
     private void readNext() {
         try {
             if (!startedUnbuffered) {
@@ -218,7 +218,7 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            // Wide: whatever the decoder of the body throws is not the backend's fault.
+            // Catches every exception: whatever the decoder throws is not the backend's fault.
             unreadable();
         }
     }
@@ -266,7 +266,7 @@
         onRelease = action;
     }
 
-    /** Its request is over: nothing is buffered any more. */
+    /** Frees the buffered bytes and stops reading, as the request has ended. */
     void release() {
         bufferBudget.release(bufferedBytes);
         bufferedBytes = 0;
--- a/src/main/java/lemondrift/proxy/client/RequestReader.java
+++ b/src/main/java/lemondrift/proxy/client/RequestReader.java
@@ -11,20 +11,21 @@
 import org.xnio.IoUtils;
 
 /**
- * Reads requests and offers them for admission: whole where the body can be buffered, else as soon
- * as it can't be. Rejects here:
+ * Reads requests and offers them for admission: with the complete body if it can be buffered,
+ * otherwise as soon as it no longer can. Refuses:
  *
  * <ul>
- *   <li>400, connection closed: ambiguous framing, a body that can't be read, a streamed request
- *       with a bad field;
- *   <li>400, connection read again later: a bad field, or the id of a request that is open;
- *   <li>413, connection closed: a body longer than {@link #MAX_BODY_BYTES}.
+ *   <li>with 400, and closes the connection: ambiguous framing, an unreadable body, and a streamed
+ *       request with an invalid field or the id of another open request;
+ *   <li>with 400, and pauses reading from the connection: a buffered request with an invalid field
+ *       or the id of another open request;
+ *   <li>with 413, and closes the connection: a body longer than {@link #MAX_BODY_BYTES}.
  * </ul>
  *
  * <p>I/O thread only.
  */
 final class RequestReader {
-    /** The longest body that is accepted. */
+    /** The length of the longest body that is accepted. */
     private static final long MAX_BODY_BYTES = 40 << 20;
 
     private static final String HEALTH_CHECK_PATH = "/healthz";
@@ -57,11 +58,11 @@
         this.decisionEvents = decisionEvents;
     }
 
-    /** Undertow has read a request's head. */
+    /** Handles a request whose head Undertow has read. */
     void handle(HttpServerExchange exchange) {
         ClientConnection connection = connections.find(ClientConnection.socketOf(exchange));
         if (connection == null) {
-            // Guards against a head that Undertow had read before its connection was closed.
+            // Guards against serving a head that Undertow read before its connection was closed.
             IoUtils.safeClose(ClientConnection.socketOf(exchange));
             return;
         }
@@ -92,7 +93,11 @@
                 && !exchange.getRequestHeaders().contains(RequestValidator.REQUEST_ID);
     }
 
-    /** Guards against what was closed midway: it completes too, before its close is reported. */
+    /**
+     * Counts the response of a completed exchange and closes its request. Guards against counting
+     * an exchange whose connection was closed midway: Undertow completes it too, before it reports
+     * the close.
+     */
     private void exchangeCompleted(HttpServerExchange exchange, ClientConnection connection) {
         ClientCloseWatch.stop(exchange);
         if (ClientConnection.socketOf(exchange).isOpen()) {
@@ -171,7 +176,7 @@
         connection.requestRead();
         ClientCloseWatch.start(exchange);
         if (connections.wasProcessPaused()) {
-            // Guards against a request whose client has closed while the process stood still.
+            // Guards against a request whose client closed while the process was paused.
             ClientCloseWatch.checkNow(exchange);
         }
         PendingRequest pending = new PendingRequest(request, exchange, body, null);
@@ -179,7 +184,11 @@
         admission.offer(pending);
     }
 
-    /** Decided now and sent as it comes, with all the time that its client needs for it. */
+    /**
+     * Offers a request whose body is streamed. It is decided now, and its deadline is the latest
+     * possible, so that its client may take as long as it needs to send the body. The time for the
+     * response is limited separately, from the last byte of the body on.
+     */
     private void offerStreamed(HttpServerExchange exchange, RequestBody body) {
         Request parsedRequest = openRequest(exchange);
         if (parsedRequest == null) {
@@ -205,7 +214,7 @@
         admission.offer(new PendingRequest(request, exchange, new byte[0], body));
     }
 
-    /** Null where a field is bad or another request of its id is open. */
+    /** Opens a request; returns null if a field is invalid or another open request has its id. */
     private Request openRequest(HttpServerExchange exchange) {
         Request request = validator.parse(exchange.getRequestHeaders());
         boolean opened =
--- a/src/main/java/lemondrift/proxy/client/RequestValidator.java
+++ b/src/main/java/lemondrift/proxy/client/RequestValidator.java
@@ -16,9 +16,9 @@
 import lemondrift.settings.RequestClassIndex;
 
 /**
- * What makes a request of a message's head, and what is answered 400 instead: ambiguous framing,
- * and a field of the protocol that is missing, malformed or there twice. I/O thread only, but for
- * what says otherwise.
+ * Creates requests from the heads of messages, and detects messages that are answered with 400:
+ * ambiguous framing, and a field of the protocol that is missing, malformed or repeated. I/O thread
+ * only, unless a method says otherwise.
  */
 final class RequestValidator {
     static final HttpString REQUEST_ID = new HttpString("X-Trace-Id");
@@ -26,23 +26,23 @@
     private static final HttpString RETRY = new HttpString("X-Second-Try");
     private static final HttpString TENANT = new HttpString("X-Customer");
 
-    /** The longest timeout that a client is granted. */
+    /** The longest timeout of a request; a longer one is shortened to it. */
     static final int MAX_TIMEOUT_MILLIS = 600_000;
 
-    /** The most digits of a timeout in milliseconds. */
+    /** The maximum number of digits of a timeout in milliseconds. */
     private static final int MAX_TIMEOUT_DIGITS = 9;
 
-    /** The only tenant where none are configured. */
+    /** The index of the only tenant if none are configured. */
     private static final int SINGLE_TENANT = 0;
 
     private final List<String> tenantNames;
     private final ClientConnections connections;
     private RequestClassIndex requestClasses;
 
-    /** What holds for a request of each class. */
+    /** The terms of a request, by the index of its request class. */
     private volatile RequestTerms[] termsByClass;
 
-    /** When the last responses are to be out. */
+    /** The latest deadline of a request; infinite if a drain has not limited it. */
     private volatile double lastResponsesAt = Double.POSITIVE_INFINITY;
 
     private long lastRequestNumber;
@@ -52,39 +52,46 @@
         this.connections = connections;
     }
 
-    /** Sets the request classes for what is read from now on. */
+    /** Sets the request classes and their terms for requests that are read from now on. */
     void settingsChanged(RequestClassIndex changedClasses, Settings settings) {
         requestClasses = changedClasses;
         termsByClass = new RequestTerms[settings.requestClasses().size()];
         Arrays.setAll(termsByClass, settings::termsFor);
     }
 
-    /** Any thread. */
+    /** Returns how many request classes the settings have. May be called from any thread. */
     int requestClassCount() {
         return termsByClass.length;
     }
 
-    /** Shortens the time of what is read from now on to a last instant. Any thread. */
+    /**
+     * Limits the deadline of requests that are read from now on. May be called from any thread.
+     *
+     * @param instant the latest deadline, in seconds of the proxy's clock
+     */
     void setLastResponsesAt(double instant) {
         lastResponsesAt = instant;
     }
 
-    /** The value of a field that is there once, else an empty text. */
+    /** Returns the value of a field that occurs exactly once, otherwise an empty string. */
     static String singleValue(HeaderMap headers, HttpString field) {
         return headers.count(field) == 1 ? headers.getFirst(field) : "";
     }
 
+    /** Returns the request's id; empty if the field is missing or repeated. */
     static String requestIdOf(HttpServerExchange exchange) {
         return singleValue(exchange.getRequestHeaders(), REQUEST_ID);
     }
 
+    /** Returns the name of the request's class; empty if the field is missing or repeated. */
     static String requestClassOf(HttpServerExchange exchange) {
         return singleValue(exchange.getRequestHeaders(), REQUEST_CLASS);
     }
 
     /**
-     * Whether a message can be read in one way only. Guards against request smuggling: what
-     * Undertow reads leniently a backend may read in another way, and find a second request.
+     * Returns whether a message can be interpreted in one way only. Guards against request
+     * smuggling: a backend may interpret a message that Undertow reads leniently in another way,
+     * and find a second request in it.
      */
     static boolean isUnambiguous(HttpServerExchange exchange) {
         return hasKnownLength(exchange)
@@ -93,7 +100,7 @@
                 && hasWellFormedFields(exchange.getRequestHeaders());
     }
 
-    /** Guards against a body in an unknown coding, which has no end. */
+    /** Guards against a body in an unknown transfer coding, whose end can't be determined. */
     private static boolean hasKnownLength(HttpServerExchange exchange) {
         HeaderMap headers = exchange.getRequestHeaders();
         String coding = headers.getFirst(Headers.TRANSFER_ENCODING);
@@ -118,7 +125,10 @@
         return true;
     }
 
-    /** Makes a request of a head's fields; null where one is missing, malformed or there twice. */
+    /**
+     * Creates a request from the fields of a head; returns null if one of them is missing,
+     * malformed or repeated.
+     */
     Request parse(HeaderMap headers) {
         int requestClass = requestClasses.indexOf(singleValue(headers, REQUEST_CLASS));
         int tenant =
--- a/src/main/java/lemondrift/proxy/client/ResponseWriter.java
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -21,9 +21,9 @@
 import org.xnio.IoUtils;
 import org.xnio.XnioIoThread;
 
-/** Writes responses to clients, the backends' and the proxy's own, and counts them. */
+/** Writes responses of backends and of the proxy itself to clients, and counts them. */
 final class ResponseWriter {
-    /** Stands for a rejection without a Retry-After. */
+    /** The Retry-After in seconds of a rejection that sends none. */
     private static final double NO_RETRY_AFTER = 0;
 
     private static final HttpString KEEP_ALIVE = new HttpString("Keep-Alive");
@@ -47,7 +47,10 @@
         this.backendStallTimeoutSeconds = backendStallTimeoutSeconds;
     }
 
-    /** While it drains, each response closes its connection and health checks fail. Any thread. */
+    /**
+     * Starts or ends a drain, in which each response closes its connection and health checks fail.
+     * May be called from any thread.
+     */
     void setDraining(boolean isDraining) {
         draining = isDraining;
     }
@@ -56,14 +59,15 @@
         return draining;
     }
 
+    /** Answers a health check: 200, or 503 during a drain. */
     void writeHealth(HttpServerExchange exchange) {
         writeEmpty(exchange, draining ? StatusCodes.SERVICE_UNAVAILABLE : BackendResponse.OK);
     }
 
     /**
-     * Refuses a request that is not read to its end, with a 4xx, and closes its connection. Guards
-     * against a response without a body, which Undertow would hold back until all of the request
-     * has come.
+     * Refuses a request that need not be complete with a 4xx status, and closes its connection. The
+     * response has a body: guards against a delay, as Undertow holds an empty response back until
+     * the whole request has arrived.
      */
     void refuseAndClose(HttpServerExchange exchange, int status, RefusalReason reason) {
         exchange.setPersistent(false);
@@ -80,7 +84,7 @@
                 });
     }
 
-    /** Refuses with 400 what was read but can't be used, and reads no more for a while. */
+    /** Refuses a complete but invalid request with 400, and pauses reading from its connection. */
     void refuseAndPause(HttpServerExchange exchange, RefusalReason reason) {
         logRefused(exchange, StatusCodes.BAD_REQUEST, reason);
         writeReason(
@@ -101,7 +105,7 @@
         ioThread.executeAfter(task, (long) (seconds * 1e9), TimeUnit.NANOSECONDS);
     }
 
-    /** Writes a status with its reason as the body, and counts it once it is sent. */
+    /** Writes a status with its reason phrase as the body, and counts it once it is sent. */
     private void writeReason(
             HttpServerExchange exchange, int status, Consumer<HttpServerExchange> whenSent) {
         if (isClientError(status)) {
@@ -126,7 +130,7 @@
                 });
     }
 
-    /** Counts a completed response; one that rejected its request was counted when it was sent. */
+    /** Counts a completed response, except for a 4xx, which was counted when it was sent. */
     void countCompleted(HttpServerExchange exchange) {
         if (!isClientError(exchange.getStatusCode())) {
             count(exchange);
@@ -154,9 +158,10 @@
     }
 
     /**
-     * Ends a request that no backend serves with 503, which promises that a retry is harmless.
+     * Answers a request that no backend serves with 503, which promises that a retry is harmless.
+     * Does nothing if a response has been started or the client has closed.
      *
-     * @param retryAfterSeconds 0 to send no Retry-After
+     * @param retryAfterSeconds the value of Retry-After, rounded up to milliseconds; 0 to send none
      */
     void reject(PendingRequest pending, double retryAfterSeconds) {
         if (!ClientCloseWatch.isUnanswered(pending)) {
@@ -172,7 +177,10 @@
         writeNotServed(pending.exchange(), StatusCodes.SERVICE_UNAVAILABLE);
     }
 
-    /** Ends a request that no backend serves with 502, which promises nothing about a retry. */
+    /**
+     * Answers a request that no backend serves with 502, which promises nothing about a retry. Does
+     * nothing if a response has been started or the client has closed.
+     */
     void fail(PendingRequest pending) {
         if (!ClientCloseWatch.isUnanswered(pending)) {
             return;
@@ -194,13 +202,13 @@
         if (exchange.isRequestComplete()) {
             writeEmpty(exchange, status);
         } else {
-            // Undertow would hold a response without a body back until all of the request has come.
+            // Undertow would hold an empty response back until the whole request has arrived.
             exchange.setPersistent(false);
             writeReason(exchange, status, this::closeAfterPause);
         }
     }
 
-    /** Passes a backend's response on. */
+    /** Forwards a backend's response to the client. */
     void deliver(PendingRequest pending, BackendResponse response) {
         HttpServerExchange exchange = pending.exchange();
         ClientConnection.of(exchange)
@@ -213,7 +221,7 @@
         }
     }
 
-    /** Passes a long response on as it comes. */
+    /** Forwards a long response as it arrives. */
     private void relay(HttpServerExchange exchange, BackendResponse response) {
         ClientConnection connection = ClientConnection.of(exchange);
         if (!startResponse(exchange, BackendResponse.OK)) {
@@ -248,7 +256,7 @@
             response.remainder().relayCompleted();
             exchange.endExchange();
         } else {
-            // A close the client can see: the length is short, or the last chunk is missing.
+            // The client detects this close: bytes of the length or the last chunk are missing.
             response.remainder().abandonResponse();
             count(exchange, ProxyMetrics.Reply.ERROR);
             IoUtils.safeClose(ClientConnection.socketOf(exchange));
@@ -271,7 +279,10 @@
         }
     }
 
-    /** Sets a response's head; false where there is a response already, or nobody to have it. */
+    /**
+     * Prepares the head of a response. Returns false if a response has been started already or the
+     * connection is closed.
+     */
     private boolean startResponse(HttpServerExchange exchange, int status) {
         ClientConnection connection = ClientConnection.of(exchange);
         if (exchange.isResponseStarted()
--- a/src/main/java/lemondrift/proxy/client/package-info.java
+++ b/src/main/java/lemondrift/proxy/client/package-info.java
@@ -1,25 +1,25 @@
 /**
- * The clients' side of the proxy: accepts connections, validates and reads requests, offers them to
+ * The client side of the proxy: accepts connections, reads and validates requests, offers them to
  * the balancer, and writes responses. Everything here runs on the I/O thread unless a method says
  * otherwise.
  *
  * <ul>
- *   <li>{@code ClientListener} is the facade for the other packages, and has the sockets that
- *       accept.
- *   <li>{@code ClientConnections} has the connections, each a {@code ClientConnection}; what is
- *       decided about them is decided by {@code lemondrift.connection}.
- *   <li>{@code RequestReader} reads requests, each body a {@code RequestBody}, and rejects those
- *       that {@code RequestValidator} does not accept (400) or that are too long (413). A head that
- *       can't be parsed is refused by Undertow before.
- *   <li>{@code RequestAdmission} queues requests for the balancer, sheds what can't be decided in
- *       time (503), and ends what the balancer leaves overdue (503, or 502 where it may have been
- *       executed and the class can't bear a second time).
+ *   <li>{@code ClientListener} is the facade for the other packages, and owns the listening
+ *       sockets.
+ *   <li>{@code ClientConnections} owns the connections, each a {@code ClientConnection}; {@code
+ *       lemondrift.connection} decides which of them are accepted, kept open and closed.
+ *   <li>{@code RequestReader} reads requests, each body as a {@code RequestBody}, and refuses
+ *       requests that {@code RequestValidator} does not accept (400) or that are too long (413).
+ *       Undertow itself refuses a head that can't be parsed.
+ *   <li>{@code RequestAdmission} queues requests for the balancer, sheds requests that can't be
+ *       decided in time (503), and ends requests that the balancer leaves overdue (503, or 502 if
+ *       the request may have been executed and its class does not allow a second execution).
  *   <li>{@code ResponseWriter} writes responses and counts them.
- *   <li>{@code ClientCloseWatch} notices that a client has closed while its response is awaited.
+ *   <li>{@code ClientCloseWatch} detects that a client closes while it waits for a response.
  * </ul>
  *
- * <p>At SIGTERM {@code ClientListener.drain} has each response close its connection and closes
- * those without a request one by one, while connections are still accepted and their requests
+ * <p>At SIGTERM {@code ClientListener.drain} makes each response close its connection, and closes
+ * connections without a request one by one. New connections are still accepted and their requests
  * answered, until {@code ClientListener.isDrained}.
  */
 package lemondrift.proxy.client;
--- a/src/main/java/lemondrift/proxy/http/BodyRelay.java
+++ b/src/main/java/lemondrift/proxy/http/BodyRelay.java
@@ -9,19 +9,19 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Passes a body on from one side of the proxy to the other as it comes. Reads nothing while the
- * other side takes nothing, so that no more than one buffer is held. I/O thread only.
+ * Forwards a body from one side of the proxy to the other as it arrives. Reads nothing while the
+ * receiver accepts nothing, so that at most one buffer is held. I/O thread only.
  */
 public final class BodyRelay {
     /**
-     * How long either side may stand still; 0 where another timeout covers that side.
+     * How long either side may make no progress; 0 if another timeout covers that side.
      *
-     * @param sourceSeconds how long no byte may come
-     * @param sinkSeconds how long no byte may be taken
+     * @param sourceSeconds how long the source may send no byte
+     * @param sinkSeconds how long the sink may accept no byte
      */
     public record StallTimeouts(double sourceSeconds, double sinkSeconds) {}
 
-    /** Guards against one quick pair of connections that keeps all others from the I/O thread. */
+    /** Guards against one fast pair of connections that keeps the I/O thread from all others. */
     private static final int MAX_PIECES_PER_RUN = 16;
 
     private final BodySource source;
@@ -31,17 +31,18 @@
     private final Runnable onRead;
     private final Consumer<Boolean> onEnd;
 
-    /** What was read and is not written whole; null where there is none. */
+    /** The piece that was read last, possibly written in part; null if there is none. */
     private ByteBuffer piece;
 
     private XnioExecutor.Key stallTimer;
     private boolean ended;
 
     /**
-     * A relay, to be started by {@link #run}.
+     * Creates a relay, which {@link #run} starts.
      *
      * @param onRead runs after each attempt to read a piece
-     * @param onEnd hears once whether the whole body was passed on, not after {@link #stop}
+     * @param onEnd receives once whether the complete body was forwarded, but not after {@link
+     *     #stop}
      */
     public BodyRelay(
             BodySource source,
@@ -59,7 +60,7 @@
         sink.getWriteSetter().set(channel -> run());
     }
 
-    /** Passes on what can be passed on now, then waits for the side that has to go on. */
+    /** Forwards as much as possible now, then waits for the side that can't continue. */
     public void run() {
         if (ended) {
             return;
@@ -85,15 +86,15 @@
                 ioThread.execute(this::run);
             }
         } catch (IOException | RuntimeException e) {
-            // Wide, as either side's library may throw anything: whatever it is, the body broke
-            // off.
+            // Catches every exception, as the library of either side may throw any: the body is
+            // incomplete in each case.
             if (!ended) {
                 end(false);
             }
         }
     }
 
-    /** Writes what the sink takes of the piece; whether nothing is left of it. */
+    /** Writes as much of the piece as the sink accepts; returns whether nothing is left of it. */
     private boolean writePiece() throws IOException {
         if (piece != null && piece.hasRemaining()) {
             sink.write(piece);
@@ -108,7 +109,7 @@
     }
 
     private void awaitSource() throws IOException {
-        // What the sink still buffers goes first.
+        // Bytes that the sink still buffers must be written first.
         if (sink.flush()) {
             startTimer(timeouts.sourceSeconds);
             source.awaitMore(this::run);
@@ -130,7 +131,7 @@
         onEnd.accept(complete);
     }
 
-    /** Passes on nothing more; nobody hears of it. */
+    /** Stops forwarding, without a call of {@code onEnd}. */
     public void stop() {
         ended = true;
         stopTimer();
--- a/src/main/java/lemondrift/proxy/http/BodySource.java
+++ b/src/main/java/lemondrift/proxy/http/BodySource.java
@@ -3,18 +3,18 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A message body that is read piece by piece, without waiting. I/O thread only. */
+/** A message body that is read piece by piece without blocking. I/O thread only. */
 public interface BodySource {
     /**
-     * The next piece; null where none has come yet, or all have been given.
+     * Returns the next piece; null if none has arrived yet or all have been returned.
      *
-     * @throws IOException where the side that gives the body broke off or sent what cannot be read
+     * @throws IOException if the sender closed before the end of the body or sent invalid bytes
      */
     ByteBuffer nextPiece() throws IOException;
 
-    /** Whether {@link #nextPiece} has given the whole body. */
+    /** Returns whether {@link #nextPiece} has returned the complete body. */
     boolean isComplete();
 
-    /** Runs the action once there may be more to read. */
+    /** Runs an action once when there may be more to read. */
     void awaitMore(Runnable action);
 }
--- a/src/main/java/lemondrift/proxy/http/HttpFieldRules.java
+++ b/src/main/java/lemondrift/proxy/http/HttpFieldRules.java
@@ -3,11 +3,11 @@
 import java.util.BitSet;
 
 /**
- * What may stand in a message's head, a client's or a backend's. Guards against heads that another
- * reader understands in another way.
+ * The syntax rules for heads of requests and responses. Guards against heads that another recipient
+ * would interpret differently.
  */
 public final class HttpFieldRules {
-    /** Bytes that a head may have. */
+    /** The maximum length of a head. */
     public static final int MAX_HEAD_BYTES = 16 * 1024;
 
     /** The characters of a token, RFC 9110 section 5.6.2. */
@@ -21,7 +21,7 @@
 
     private HttpFieldRules() {}
 
-    /** Whether a text is a token, as names of fields are; an empty one is none. */
+    /** Returns whether a text is a token, as field names are; false if it is empty. */
     public static boolean isToken(CharSequence text) {
         for (int index = 0; index < text.length(); index++) {
             if (!TOKEN_CHARACTERS.get(text.charAt(index))) {
@@ -31,7 +31,7 @@
         return text.length() > 0;
     }
 
-    /** Whether a text holds no control character but the tab, as values of fields. */
+    /** Returns whether a text can be a field value: no character below the space except the tab. */
     public static boolean isFieldValue(CharSequence text) {
         for (int index = 0; index < text.length(); index++) {
             if (text.charAt(index) < ' ' && text.charAt(index) != '\t') {
@@ -42,7 +42,8 @@
     }
 
     /**
-     * The number that a text of decimal digits is; -1 where it is empty, longer or something else.
+     * Parses a text of decimal digits; returns -1 if it is empty, has more than the maximum number
+     * of digits, or contains any other character.
      */
     public static int parseNumber(String text, int maxDigits) {
         int number = 0;
--- a/src/main/java/lemondrift/proxy/http/ProxyHeaders.java
+++ b/src/main/java/lemondrift/proxy/http/ProxyHeaders.java
@@ -7,17 +7,17 @@
 import java.util.Set;
 
 /**
- * The header fields of the protocol that the proxy itself reads or writes, with their names on the
- * wire, and which fields it passes on.
+ * The header fields that the proxy itself reads or writes, with their names on the wire, and the
+ * rule which fields it forwards.
  */
 public final class ProxyHeaders {
-    /** For how many milliseconds the sender waits for the response. */
+    /** How long the sender waits for the response, in milliseconds. */
     public static final HttpString TIMEOUT = new HttpString("X-Expires-In-Ms");
 
     /** A backend's load report. */
     public static final HttpString LOAD_REPORT = new HttpString("Endpoint-Load-Metrics");
 
-    /** Set to 1 by a backend that has not begun to execute the request. */
+    /** Set to 1 by a backend that has not started to execute the request. */
     public static final HttpString NEVER_EXECUTED = new HttpString("X-Never-Ran");
 
     /** Fields that belong to one connection, or that the proxy writes itself. */
@@ -36,12 +36,12 @@
 
     private ProxyHeaders() {}
 
-    /** Whether a field is passed on between client and backend. */
+    /** Returns whether a field is forwarded between client and backend. */
     public static boolean isEndToEnd(HttpString name) {
         return !NOT_FORWARDED.contains(name);
     }
 
-    /** Copies the fields that are passed on. */
+    /** Copies the fields that are forwarded. */
     public static void copyEndToEnd(HeaderMap from, HeaderMap to) {
         for (HeaderValues values : from) {
             if (isEndToEnd(values.getHeaderName())) {
--- a/src/main/java/lemondrift/proxy/http/package-info.java
+++ b/src/main/java/lemondrift/proxy/http/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What client side and backend side of the proxy share of HTTP: the header fields that the protocol
- * defines, which characters may stand in a head, and the relay of a body from one side to the
- * other. Knows no connection pools, no clients and no decisions. {@link
- * lemondrift.proxy.http.BodyRelay} runs on the I/O thread; the rest is stateless.
+ * HTTP code that the client side and the backend side of the proxy share: the header fields of the
+ * protocol, the characters that a head may contain, and the relay of a body from one side to the
+ * other. Does not depend on connection pools, clients or decisions. {@link
+ * lemondrift.proxy.http.BodyRelay} runs on the I/O thread; the other classes are stateless.
  */
 package lemondrift.proxy.http;
--- a/src/main/java/lemondrift/proxy/time/MonotonicClock.java
+++ b/src/main/java/lemondrift/proxy/time/MonotonicClock.java
@@ -1,16 +1,18 @@
 package lemondrift.proxy.time;
 
-/** Tells the time in seconds; never runs back. Tests replace it. */
+/** A clock that never runs backwards. Tests use their own implementations. */
 public interface MonotonicClock {
-    /** The time in seconds; of the system's clock, since the Unix epoch. */
+    /** Returns the time in seconds; for {@link #system}, seconds since the Unix epoch. */
     double now();
 
     /**
-     * A clock that starts at the Unix time, in which the endpoint list states the starts of
-     * backends, and then follows the monotonic clock. Any thread may read it.
+     * Creates a clock that starts at the current Unix time and then follows the system's monotonic
+     * clock. The endpoint list states the start times of backends in Unix time, too. May be read
+     * from any thread.
      */
     static MonotonicClock system() {
-        // Guards against a backend's start that differs from list to list and so seems a new one.
+        // A fixed origin: guards against a backend's start time that differs from list to list, so
+        // that the backend seems to have restarted.
         double originSeconds = System.currentTimeMillis() / 1e3 - System.nanoTime() / 1e9;
         return () -> originSeconds + System.nanoTime() / 1e9;
     }
--- a/src/test/java/lemondrift/proxy/backend/LoadReportParserTest.java
+++ b/src/test/java/lemondrift/proxy/backend/LoadReportParserTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which load reports are read, and which count as none. */
+/** Tests which load reports are parsed and which are ignored. */
 class LoadReportParserTest {
     @Test
     void ignoresLoadReportWithMissingOrInvalidValues() {
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
@@ -25,22 +25,22 @@
 import lemondrift.proxy.TestConfig;
 
 /**
- * What a request and each kind of flood cost a proxy, for builds given as jars, in turns; run by
- * hand, no part of CI. All on loopback; everything is bounded in number. Delay counts from when a
- * request should have been sent.
+ * Measures the processor time that requests and several kinds of floods cost a proxy, in turns for
+ * builds that are given as jars. Run manually; not part of CI. Everything runs on loopback and is
+ * limited in number. Delays count from the time at which a request should have been sent.
  */
 final class ClientConnectionLoad {
     private static final int CONNECTIONS = 24;
     private static final int ROUNDS = 4;
     private static final double ROUND_SECONDS = 4;
 
-    /** How many events of a kind a flood has. */
+    /** How many events one flood consists of. */
     private static final int FLOOD_EVENTS = 2000;
 
-    /** How many requests are sent at once. */
+    /** How many requests a burst sends at once. */
     private static final int BURST = 250;
 
-    /** One proxy of a build, with a backend and a discovery of this process. */
+    /** A proxy process of one build, with a backend and a discovery server in this process. */
     private static final class Build {
         final Process process;
         final int port;
@@ -105,8 +105,8 @@
     private ClientConnectionLoad() {}
 
     /**
-     * The port of a server on loopback that answers 200 with what the script says, or holds on
-     * null.
+     * Starts a server on loopback that answers 200 with the script's body, or does not answer if it
+     * is null. Returns its port.
      */
     private static int startServer(ResponseScript script) throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
@@ -139,7 +139,10 @@
         return server.getLocalPort();
     }
 
-    /** One message whose body, if any, is short enough to come with its head; null at the end. */
+    /**
+     * Reads a message whose body, if any, is short enough to arrive together with its head. Returns
+     * null at the end of the connection.
+     */
     private static String readShortMessage(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         byte[] buffer = new byte[4096];
@@ -161,8 +164,8 @@
     }
 
     /**
-     * Processor time in microseconds a request, and delay in microseconds at the median and 99th
-     * percentile.
+     * Returns the processor time per request, and the median and 99th percentile of the delay, all
+     * in microseconds.
      */
     private static double[] measureLoad(Build build, double rate) throws Exception {
         double before = build.processorSeconds();
@@ -183,7 +186,7 @@
         };
     }
 
-    /** Processor time in milliseconds for a thousand events of a kind. */
+    /** Returns the processor time for a thousand events of a kind, in milliseconds. */
     private static double measureFlood(Build build, FloodEvent event) throws Exception {
         double before = build.processorSeconds();
         for (int i = 0; i < FLOOD_EVENTS; i++) {
@@ -202,7 +205,7 @@
         }
     }
 
-    /** So many requests at once, each on a connection of its own; all are answered. */
+    /** Sends requests at once, each on its own connection, and reads all responses. */
     private static void sendBurst(int port, int requestCount) throws IOException {
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < requestCount; i++) {
@@ -213,7 +216,7 @@
         }
         for (Socket socket : sockets) {
             if (readShortMessage(socket) == null) {
-                System.out.println("not answered");
+                System.out.println("connection closed without a response");
             }
             socket.close();
         }
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
@@ -43,23 +43,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Client connections that pipeline, read slowly, send nothing, are rejected or outnumber the
- * descriptors; and the file of their settings.
+ * Tests client connections that pipeline requests, read slowly, send nothing, send invalid requests
+ * or exceed the number of descriptors, and the file with the connection settings.
  */
 class ClientConnectionsTest extends LoopbackFixture {
-    /** Milliseconds after which a response counts as missing. */
+    /** How long a client waits for a response before the test fails. */
     private static final int READ_TIMEOUT_MILLIS = 20_000;
 
     /** How many requests a client pipelines at once. */
     private static final int PIPELINED_REQUESTS = 2000;
 
-    /** How many connections a client opens to a process that has fewer descriptors. */
+    /** How many connections are opened to a process that has fewer descriptors. */
     private static final int SILENT_CONNECTIONS = 120;
 
-    /** How often a process is tried until it counts as not started. */
+    /** How many times a starting process is tried before the test fails. */
     private static final int STARTUP_TRIES = 400;
 
-    /** Time between two tries to connect to a process. */
+    /** The time between two tries to connect to a process. */
     private static final int CONNECT_INTERVAL_MILLIS = 50;
 
     private final List<Socket> clients = new ArrayList<>();
@@ -75,7 +75,7 @@
         return client;
     }
 
-    /** A client that takes so few bytes ahead of its reading. */
+    /** Connects a client whose socket buffers only a few bytes that it has not read. */
     private Socket connectSlowClient(int receiveBufferBytes) throws IOException {
         Socket client = new Socket();
         clients.add(client);
@@ -89,7 +89,10 @@
         return getRequest("client-" + number, TIMEOUT_MILLIS);
     }
 
-    /** Guards against a second request that is forwarded though the first response closes. */
+    /**
+     * Guards against forwarding a pipelined request although the response to the first one closes
+     * the connection.
+     */
     @Test
     void doesNotForwardPipelinedRequestWhenResponseClosesConnection() throws Exception {
         CountDownLatch mayRespond = new CountDownLatch(1);
@@ -107,7 +110,10 @@
         for (Socket client : pipelining) {
             String response = readMessage(client);
             assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("body"), response);
-            assertEquals(-1, client.getInputStream().read(), "closed, with no byte for the second");
+            assertEquals(
+                    -1,
+                    client.getInputStream().read(),
+                    "closed without a byte for the second request");
         }
         drain.join();
         assertEquals("STOPPED", phase());
@@ -144,7 +150,7 @@
                             try {
                                 writeText(client, pipelined);
                             } catch (IOException e) {
-                                // It was closed, which fails the count below.
+                                // The connection was closed, so the loop below fails.
                             }
                         });
         writer.start();
@@ -191,7 +197,7 @@
             assertEquals(
                     'H',
                     slow.getInputStream().read(),
-                    "the response has come, and is read no further");
+                    "the response has arrived, and the rest of it is not read");
         }
         for (int i = 0; i < 20; i++) {
             assertEquals(200, sendNotIdempotent("x").statusCode());
@@ -210,9 +216,9 @@
                 assertTrue(response == null || response.startsWith("HTTP/1.1 400"), response);
             }
         } catch (IOException e) {
-            // The close crossed the next request.
+            // The connection was closed while the next request was being sent.
         }
-        assertTrue(rejections >= 6 && rejections <= 7, "after " + rejections);
+        assertTrue(rejections >= 6 && rejections <= 7, "closed after rejections: " + rejections);
         assertEquals(200, sendNotIdempotent("x").statusCode());
     }
 
@@ -235,7 +241,8 @@
     }
 
     /**
-     * Guards against a proxy, configured for more descriptors than it has, that stops accepting.
+     * Guards against a proxy that stops accepting when it runs out of descriptors, because it is
+     * configured for more of them than it has.
      */
     @Test
     void servesWaitingClientAfterDescriptorsRunOut(@TempDir Path folder) throws Exception {
@@ -250,7 +257,7 @@
         try {
             Socket client = connectWhenListening(port);
             clients.add(client);
-            // It may listen before it has received the list, and rejects until then.
+            // The process may listen before it has received the list, and rejects until then.
             String response = "";
             for (int tries = 0;
                     !response.startsWith("HTTP/1.1 200") && tries < STARTUP_TRIES;
@@ -262,7 +269,7 @@
             for (int i = 0; i < SILENT_CONNECTIONS; i++) {
                 clients.add(new Socket("127.0.0.1", port));
             }
-            // Those beyond its descriptors wait in the kernel until the silent ones are closed.
+            // Connections beyond its descriptors wait in the kernel until silent ones are closed.
             Socket last = clients.get(SILENT_CONNECTIONS);
             last.setSoTimeout(READ_TIMEOUT_MILLIS);
             writeText(last, get(1));
@@ -298,8 +305,8 @@
     }
 
     /**
-     * The program as one file, as it is run: a class in a folder can't be loaded without a
-     * descriptor.
+     * Packs the program into one jar file, as in production: loading a class from a folder would
+     * need a descriptor.
      */
     private static Path jar(Path folder) throws Exception {
         Path classes =
@@ -329,7 +336,7 @@
                 Thread.sleep(CONNECT_INTERVAL_MILLIS);
             }
         }
-        assertNotNull(client, "it listens");
+        assertNotNull(client, "the process listens on port " + port);
         return client;
     }
 
--- a/src/test/java/lemondrift/proxy/http/FloodingBackend.java
+++ b/src/test/java/lemondrift/proxy/http/FloodingBackend.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A backend that writes one response as fast as it can, and counts what the kernel took of it. */
+/** A backend that writes one response as fast as possible and counts the bytes it has written. */
 final class FloodingBackend implements AutoCloseable {
-    /** How much is written at once, in bytes. */
+    /** How many bytes are written at once. */
     static final int PIECE_BYTES = 65_536;
 
     final AtomicInteger writtenBytes = new AtomicInteger();
--- a/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
@@ -44,23 +44,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Bodies that are longer than what is buffered, in both directions, and clients and backends that
- * are slow with them or close midway.
+ * Tests bodies that are too long to be buffered, in both directions, with clients and backends that
+ * are slow or close in the middle of a body.
  */
 class LongBodiesTest extends LoopbackFixture {
-    /** Milliseconds after which a response counts as missing. */
+    /** How long a client waits for a response before the test fails. */
     private static final int READ_TIMEOUT_MILLIS = 20_000;
 
-    /** Seconds after which a state counts as not reached. */
+    /** How long a test waits for a state before it fails. */
     private static final long STATE_TIMEOUT_SECONDS = 20;
 
     /** The length of bodies that are streamed in either direction, in bytes. */
     private static final int LONG_BODY_BYTES = 3_000_000;
 
-    /** The length of a response that no buffer between backend and client takes, in bytes. */
+    /** The length of a response that exceeds all buffers between backend and client, in bytes. */
     private static final int FLOOD_BYTES = 512 * FloodingBackend.PIECE_BYTES;
 
-    /** The longest response that the reader of the property buffers, in bytes. */
+    /** The longest body that the reader in the property test buffers, in bytes. */
     private static final int MAX_BUFFERED_BYTES = 1000;
 
     private static byte[] randomBytes(int count) {
@@ -91,14 +91,14 @@
         return response.append("0\r\nTrailer: x\r\n\r\n").toString();
     }
 
-    /** A connection on which a request without a body has been sent. */
+    /** Sends a request without a body and returns its connection. */
     private Socket sendGet(String traceId) throws IOException {
         Socket client = connect(READ_TIMEOUT_MILLIS);
         writeText(client, getRequest(traceId, TIMEOUT_MILLIS));
         return client;
     }
 
-    /** A connection on which the head of a request has been sent. */
+    /** Sends the head of a request with a body and returns its connection. */
     private Socket sendPostHead(String traceId, String framing) throws IOException {
         Socket client = connect(READ_TIMEOUT_MILLIS);
         writeText(client, postHead(traceId, TIMEOUT_MILLIS, framing));
@@ -114,7 +114,10 @@
         return response.body();
     }
 
-    /** Waits for so many replies of a kind to requests of a class, and for none of another kind. */
+    /**
+     * Waits for a number of replies of one kind to requests of a class, and checks that there are
+     * none of another kind.
+     */
     private void awaitReplies(String requestClass, ProxyMetrics.Reply reply, int count)
             throws Exception {
         long[] counts = {};
@@ -126,7 +129,7 @@
             }
         }
         assertEquals(count, counts[reply.ordinal()]);
-        assertEquals(count, Arrays.stream(counts).sum(), "counted once");
+        assertEquals(count, Arrays.stream(counts).sum(), "replies of all kinds");
     }
 
     @Test
@@ -167,7 +170,7 @@
             assertTrue(
                     latin1Text(received).startsWith("HTTP/1.1 200 OK\r\n")
                             && received.length < declaredBytes,
-                    "received " + received.length);
+                    "received " + received.length + " bytes");
         }
         assertEquals(1, first.requests.size() + second.requests.size());
         awaitReplies(IDEMPOTENT_CLASS, ProxyMetrics.Reply.ERROR, 1);
@@ -188,7 +191,7 @@
                     writtenBefore = backend.writtenBytes.get();
                     Thread.sleep(300);
                 }
-                assertTrue(writtenBefore < FLOOD_BYTES, "all of it would be buffered");
+                assertTrue(writtenBefore < FLOOD_BYTES, "the entire response was buffered");
                 assertEquals(FLOOD_BYTES, in.readNBytes(FLOOD_BYTES).length);
             }
         }
@@ -297,7 +300,9 @@
         }
     }
 
-    /** Guards against an upload whose time counts as the response's: that starts with its end. */
+    /**
+     * Guards against a response timeout that includes the upload; it starts at the end of the body.
+     */
     @Test
     void doesNotTimeOutSlowRequestBody() throws Exception {
         int pieceBytes = 250_000;
@@ -327,12 +332,12 @@
                         client.getOutputStream().write(new byte[100_000]);
                     }
                 } catch (IOException e) {
-                    // The response is out, and what is still sent is read by nobody.
+                    // The response has been sent, and the proxy does not read the rest of the body.
                 }
                 assertEquals(
                         0,
                         Math.min(first.bodyBytes.get(), second.bodyBytes.get()),
-                        "only one has received any of it");
+                        "only one backend received a part of the body");
             }
             awaitReplies(NOT_IDEMPOTENT_CLASS, ProxyMetrics.Reply.OVERLOAD, 1);
             assertEquals(0, first.completeRequests.get() + second.completeRequests.get());
--- a/src/test/java/lemondrift/proxy/http/RecordingBackend.java
+++ b/src/test/java/lemondrift/proxy/http/RecordingBackend.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A backend that records a request's head and its body, decoded, as they come. */
+/** A backend that records the heads and decoded bodies of requests as they arrive. */
 final class RecordingBackend implements AutoCloseable {
     private static final String LENGTH_FIELD = "Content-Length: ";
     private static final int PIECE_BYTES = 4096;
@@ -21,7 +21,7 @@
     final ByteArrayOutputStream body = new ByteArrayOutputStream();
     final AtomicInteger bodyBytes = new AtomicInteger();
 
-    /** How many requests have come whole. */
+    /** How many requests have arrived completely. */
     final AtomicInteger completeRequests = new AtomicInteger();
 
     final CountDownLatch connectionEnded = new CountDownLatch(1);
@@ -30,12 +30,12 @@
     private final ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     private final int maxBodyBytes;
 
-    /** One that takes bodies of any length. */
+    /** Starts a backend that accepts bodies of any length. */
     RecordingBackend() throws IOException {
         this(Integer.MAX_VALUE);
     }
 
-    /** One that closes the connection after so many bytes of bodies. */
+    /** Starts a backend that closes the connection when its bodies exceed a number of bytes. */
     RecordingBackend(int maxBodyBytes) throws IOException {
         this.maxBodyBytes = maxBodyBytes;
         startDaemon(
@@ -85,7 +85,7 @@
         for (int received = 0; received < length; ) {
             byte[] piece = in.readNBytes(Math.min(PIECE_BYTES, length - received));
             if (piece.length == 0 || bodyBytes.addAndGet(piece.length) > maxBodyBytes) {
-                throw new IOException("closed midway");
+                throw new IOException("connection closed in the middle of a body");
             }
             body.writeBytes(piece);
             received += piece.length;
@@ -99,7 +99,7 @@
     private static void readEmptyLine(InputStream in) throws IOException {
         String line = readLine(in);
         if (!line.isEmpty()) {
-            throw new IOException("not the end of a chunk: " + line);
+            throw new IOException("expected an empty line at the end of a chunk, found: " + line);
         }
     }
 
@@ -114,7 +114,7 @@
     private static char readCharacter(InputStream in) throws IOException {
         int character = in.read();
         if (character < 0) {
-            throw new IOException("ended");
+            throw new IOException("connection closed before the end of the request");
         }
         return (char) character;
     }
