--- a/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
@@ -43,23 +43,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Client connections that pipeline, read slowly, send nothing, are rejected or outnumber the
- * descriptors; and the file of their settings.
+ * Tests client connections that pipeline requests, read slowly, send nothing, send invalid requests
+ * or exceed the number of descriptors, and the file with the connection settings.
  */
 class ClientConnectionsTest extends LoopbackFixture {
-    /** Milliseconds after which a response counts as missing. */
+    /** How long a client waits for a response before the test fails. */
     private static final int READ_TIMEOUT_MILLIS = 20_000;
 
     /** How many requests a client pipelines at once. */
     private static final int PIPELINED_REQUESTS = 2000;
 
-    /** How many connections a client opens to a process that has fewer descriptors. */
+    /** How many connections are opened to a process that has fewer descriptors. */
     private static final int SILENT_CONNECTIONS = 120;
 
-    /** How often a process is tried until it counts as not started. */
+    /** How many times a starting process is tried before the test fails. */
     private static final int STARTUP_TRIES = 400;
 
-    /** Time between two tries to connect to a process. */
+    /** The time between two tries to connect to a process. */
     private static final int CONNECT_INTERVAL_MILLIS = 50;
 
     private final List<Socket> clients = new ArrayList<>();
@@ -75,7 +75,7 @@
         return client;
     }
 
-    /** A client that takes so few bytes ahead of its reading. */
+    /** Connects a client whose socket buffers only a few bytes that it has not read. */
     private Socket connectSlowClient(int receiveBufferBytes) throws IOException {
         Socket client = new Socket();
         clients.add(client);
@@ -89,7 +89,10 @@
         return getRequest("client-" + number, TIMEOUT_MILLIS);
     }
 
-    /** Guards against a second request that is forwarded though the first response closes. */
+    /**
+     * Guards against forwarding a pipelined request although the response to the first one closes
+     * the connection.
+     */
     @Test
     void doesNotForwardPipelinedRequestWhenResponseClosesConnection() throws Exception {
         CountDownLatch mayRespond = new CountDownLatch(1);
@@ -107,7 +110,10 @@
         for (Socket client : pipelining) {
             String response = readMessage(client);
             assertTrue(response.startsWith("HTTP/1.1 200") && response.endsWith("body"), response);
-            assertEquals(-1, client.getInputStream().read(), "closed, with no byte for the second");
+            assertEquals(
+                    -1,
+                    client.getInputStream().read(),
+                    "closed without a byte for the second request");
         }
         drain.join();
         assertEquals("STOPPED", phase());
@@ -125,11 +131,11 @@
         start(backend(OK));
         Socket client = connectClient();
         String second = get(2);
-        int cut = 30;
+        int splitIndex = 30;
         writeText(client, get(1));
-        writeText(client, second.substring(0, cut));
+        writeText(client, second.substring(0, splitIndex));
         assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
-        writeText(client, second.substring(cut));
+        writeText(client, second.substring(splitIndex));
         assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
     }
 
@@ -144,7 +150,7 @@
                             try {
                                 writeText(client, pipelined);
                             } catch (IOException e) {
-                                // It was closed, which fails the count below.
+                                // The connection was closed, so the loop below fails.
                             }
                         });
         writer.start();
@@ -161,17 +167,17 @@
     void sendsKeepAliveTimeoutWhenConfigured() throws Exception {
         configChange =
                 config -> {
-                    ConnectionLimits usual = config.connectionLimits();
+                    ConnectionLimits defaults = config.connectionLimits();
                     return config.withConnectionLimits(
                             new ConnectionLimits(
-                                    usual.maxConnections(),
-                                    usual.acceptLimit(),
+                                    defaults.maxConnections(),
+                                    defaults.acceptLimit(),
                                     5,
                                     4,
-                                    usual.sharing(),
+                                    defaults.sharing(),
                                     true,
-                                    usual.minBytesPerSecond(),
-                                    usual.typicalPriorityWeight()));
+                                    defaults.minBytesPerSecond(),
+                                    defaults.typicalPriorityWeight()));
                 };
         start(backend(OK));
         Socket client = connectClient();
@@ -191,7 +197,7 @@
             assertEquals(
                     'H',
                     slow.getInputStream().read(),
-                    "the response has come, and is read no further");
+                    "the response has arrived, and the rest of it is not read");
         }
         for (int i = 0; i < 20; i++) {
             assertEquals(200, sendNotIdempotent("x").statusCode());
@@ -210,9 +216,9 @@
                 assertTrue(response == null || response.startsWith("HTTP/1.1 400"), response);
             }
         } catch (IOException e) {
-            // The close crossed the next request.
+            // The connection was closed while the next request was being sent.
         }
-        assertTrue(rejections >= 6 && rejections <= 7, "after " + rejections);
+        assertTrue(rejections >= 6 && rejections <= 7, "closed after rejections: " + rejections);
         assertEquals(200, sendNotIdempotent("x").statusCode());
     }
 
@@ -235,7 +241,8 @@
     }
 
     /**
-     * Guards against a proxy, configured for more descriptors than it has, that stops accepting.
+     * Guards against a proxy that stops accepting when it runs out of descriptors, because it is
+     * configured for more of them than it has.
      */
     @Test
     void servesWaitingClientAfterDescriptorsRunOut(@TempDir Path folder) throws Exception {
@@ -250,7 +257,7 @@
         try {
             Socket client = connectWhenListening(port);
             clients.add(client);
-            // It may listen before it has received the list, and rejects until then.
+            // The process may listen before it has received the list, and rejects until then.
             String response = "";
             for (int tries = 0;
                     !response.startsWith("HTTP/1.1 200") && tries < STARTUP_TRIES;
@@ -262,7 +269,7 @@
             for (int i = 0; i < SILENT_CONNECTIONS; i++) {
                 clients.add(new Socket("127.0.0.1", port));
             }
-            // Those beyond its descriptors wait in the kernel until the silent ones are closed.
+            // Connections beyond its descriptors wait in the kernel until silent ones are closed.
             Socket last = clients.get(SILENT_CONNECTIONS);
             last.setSoTimeout(READ_TIMEOUT_MILLIS);
             writeText(last, get(1));
@@ -298,8 +305,8 @@
     }
 
     /**
-     * The program as one file, as it is run: a class in a folder can't be loaded without a
-     * descriptor.
+     * Packs the program into one jar file, as in production: loading a class from a folder would
+     * need a descriptor.
      */
     private static Path jar(Path folder) throws Exception {
         Path classes =
@@ -329,22 +336,22 @@
                 Thread.sleep(CONNECT_INTERVAL_MILLIS);
             }
         }
-        assertNotNull(client, "it listens");
+        assertNotNull(client, "the process listens on port " + port);
         return client;
     }
 
     @Test
     void readsConnectionSettingsFileOrRejectsItInOneLine(@TempDir Path folder) throws Exception {
         Path settingsFile = folder.resolve("door.json");
-        ConnectionLimits usual = ProxyConfig.read(config(UNUSED_PORT)).connectionLimits();
+        ConnectionLimits defaults = ProxyConfig.read(config(UNUSED_PORT)).connectionLimits();
         Files.writeString(
                 settingsFile, "{\"quiet\": 60, \"sharing\": \"tenant\", \"announces\": true}");
-        ConnectionLimits read = ConnectionSettingsFile.read(settingsFile, usual);
-        assertEquals(60, read.maxIdleSeconds());
-        assertEquals(ConnectionLimits.Sharing.TENANT, read.sharing());
+        ConnectionLimits limits = ConnectionSettingsFile.read(settingsFile, defaults);
+        assertEquals(60, limits.maxIdleSeconds());
+        assertEquals(ConnectionLimits.Sharing.TENANT, limits.sharing());
         assertEquals(
-                usual.minIdleSeconds() / usual.maxIdleSeconds(),
-                read.minIdleSeconds() / read.maxIdleSeconds(),
+                defaults.minIdleSeconds() / defaults.maxIdleSeconds(),
+                limits.minIdleSeconds() / limits.maxIdleSeconds(),
                 1e-9);
         Path config = Files.writeString(folder.resolve("config.json"), config(UNUSED_PORT));
         for (String invalid :
@@ -362,7 +369,7 @@
             Files.writeString(settingsFile, invalid);
             assertThrows(
                     InvalidSettingsException.class,
-                    () -> ConnectionSettingsFile.read(settingsFile, usual),
+                    () -> ConnectionSettingsFile.read(settingsFile, defaults),
                     invalid);
             ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
             assertEquals(
