--- a/src/main/java/lemondrift/gossip/IdSet.java
+++ b/src/main/java/lemondrift/gossip/IdSet.java
@@ -41,14 +41,14 @@
 
     /** Whether the id was there; the last one takes its place. */
     boolean remove(int id) {
-        Integer place = positions.remove(id);
-        if (place == null) {
+        Integer position = positions.remove(id);
+        if (position == null) {
             return false;
         }
         int last = ids[--size];
         if (last != id) {
-            ids[place] = last;
-            positions.put(last, place);
+            ids[position] = last;
+            positions.put(last, position);
         }
         return true;
     }
--- a/src/main/java/lemondrift/gossip/LoadGossip.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -157,13 +157,14 @@
         }
         PeerState peer = peers[from];
         int sequenceNumber = GossipDatagram.readSequenceNumber(datagram);
-        boolean remembered = peer.wasHeardFromWithin(SEQUENCE_MEMORY_EXPIRIES * expirySeconds, now);
-        if (remembered && peer.isOutdated(sequenceNumber)) {
+        boolean sequenceKnown =
+                peer.wasHeardFromWithin(SEQUENCE_MEMORY_EXPIRIES * expirySeconds, now);
+        if (sequenceKnown && peer.isOutdated(sequenceNumber)) {
             return;
         }
         silenceDetector.messageReceived(now);
         int[] tags = GossipDatagram.readTags(datagram);
-        int[] before = peer.update(sequenceNumber, tags, remembered, now);
+        int[] before = peer.update(sequenceNumber, tags, sequenceKnown, now);
         replacePeerAttempts(before, tags);
     }
 
--- a/src/main/java/lemondrift/gossip/PeerState.java
+++ b/src/main/java/lemondrift/gossip/PeerState.java
@@ -50,12 +50,12 @@
     /**
      * Takes over a message that is not outdated.
      *
-     * @param remembered whether the peer was heard lately enough to know its start
+     * @param sequenceKnown whether the peer was heard lately enough to know its start
      * @return the tags reported before
      */
-    int[] update(int sequenceNumber, int[] tags, boolean remembered, double now) {
+    int[] update(int sequenceNumber, int[] tags, boolean sequenceKnown, double now) {
         int start = GossipDatagram.startBitsOf(sequenceNumber);
-        if (remembered && start != startBits) {
+        if (sequenceKnown && start != startBits) {
             previousStartBits = startBits;
         }
         startBits = start;
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -121,7 +121,7 @@
     private void applyUpdate(EndpointUpdate update, int id) {
         withdraw(update.backend());
         if (update.state() == EndpointUpdate.State.READY) {
-            readyById.computeIfAbsent(id, none -> new HashSet<>()).add(update.backend());
+            readyById.computeIfAbsent(id, key -> new HashSet<>()).add(update.backend());
             add(id);
         }
         if (update.state() != EndpointUpdate.State.GONE) {
--- a/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -94,9 +94,9 @@
     /** Whether the address of a backend has changed since the last call. */
     public boolean consumeAddressChange(int backend) {
         Entry entry = byIndex.get(backend);
-        boolean moved = entry.addressChanged;
+        boolean changed = entry.addressChanged;
         entry.addressChanged = false;
-        return moved;
+        return changed;
     }
 
     /** How many references there are to all backends. */
@@ -154,20 +154,20 @@
     private boolean isKnown(Entry entry, EndpointList.Endpoint endpoint) {
         return entry.lastUpdate.state() == endpoint.state()
                 && (endpoint.address() == null || endpoint.address().equals(entry.address))
-                && location(entry, endpoint) == entry.location
-                && cell(entry, endpoint) == entry.cell
+                && resolveLocation(entry, endpoint) == entry.location
+                && resolveCell(entry, endpoint) == entry.cell
                 && entry.lastUpdate.startedAt() == endpoint.startedAt()
                 && entry.lastUpdate.weight() == endpoint.weight();
     }
 
     /** The index of an endpoint's location; the first one's if its own is not known. */
-    private int location(Entry entry, EndpointList.Endpoint endpoint) {
+    private int resolveLocation(Entry entry, EndpointList.Endpoint endpoint) {
         return endpoint.locality() == null
                 ? entry.location
                 : Math.max(0, locations.indexOf(endpoint.locality()));
     }
 
-    private static int cell(Entry entry, EndpointList.Endpoint endpoint) {
+    private static int resolveCell(Entry entry, EndpointList.Endpoint endpoint) {
         return endpoint.cell() == null ? entry.cell : endpoint.cell();
     }
 
@@ -196,8 +196,8 @@
         InetSocketAddress address = endpoint.address() != null ? endpoint.address() : entry.address;
         entry.addressChanged |= known != null && address != null && !address.equals(entry.address);
         setPresence(entry, endpoint.state() == EndpointUpdate.State.GONE, address);
-        entry.location = location(entry, endpoint);
-        entry.cell = cell(entry, endpoint);
+        entry.location = resolveLocation(entry, endpoint);
+        entry.cell = resolveCell(entry, endpoint);
         entry.lastUpdate =
                 new EndpointUpdate(
                         entry.index,
@@ -237,7 +237,7 @@
         if (!entry.gone && entry.address != null) {
             byAddress.computeIfPresent(
                     entry.address,
-                    (unchanged, entries) -> {
+                    (key, entries) -> {
                         entries.remove(entry);
                         return entries.isEmpty() ? null : entries;
                     });
@@ -246,7 +246,7 @@
         entry.gone = gone;
         entry.address = address;
         if (!gone && address != null) {
-            byAddress.computeIfAbsent(address, unseen -> new HashSet<>(2)).add(entry);
+            byAddress.computeIfAbsent(address, key -> new HashSet<>(2)).add(entry);
         }
         updateFreeIndexes(entry);
     }
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
@@ -27,7 +27,7 @@
     void add(JsonElement member) {
         EndpointList.Endpoint endpoint;
         try {
-            endpoint = endpoint(member.getAsJsonObject());
+            endpoint = parseEndpoint(member.getAsJsonObject());
         } catch (RuntimeException e) {
             // Wide, as each kind of wrong JSON has an exception of its own.
             unreadable.add(member + ": " + e);
@@ -60,7 +60,7 @@
                 list.get("complete").getAsBoolean());
     }
 
-    private static EndpointList.Endpoint endpoint(JsonObject member) {
+    private static EndpointList.Endpoint parseEndpoint(JsonObject member) {
         EndpointUpdate.State state =
                 switch (member.get("phase").getAsString()) {
                     case "active" -> EndpointUpdate.State.READY;
@@ -78,19 +78,19 @@
                 state,
                 address,
                 member.has("locality") ? member.get("locality").getAsString() : null,
-                member.has("cell") ? (Integer) number(member, "cell").intValue() : null,
-                weight(member),
-                number(member, "up_since_ms").doubleValue() / 1000);
+                member.has("cell") ? (Integer) numberOrZero(member, "cell").intValue() : null,
+                parseWeight(member),
+                numberOrZero(member, "up_since_ms").doubleValue() / 1000);
     }
 
     /** Guards against an unreadable weight that costs the backend. */
-    private static double weight(JsonObject member) {
+    private static double parseWeight(JsonObject member) {
         return member.get("size") instanceof JsonPrimitive size && size.isNumber()
                 ? size.getAsDouble()
                 : DEFAULT_WEIGHT;
     }
 
-    private static Number number(JsonObject member, String key) {
+    private static Number numberOrZero(JsonObject member, String key) {
         return member.has(key) ? member.get(key).getAsNumber() : 0;
     }
 }
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -226,13 +226,15 @@
             return;
         }
         state = State.PARSING;
-        ConnectionPool from = pool;
+        ConnectionPool sourcePool = pool;
         parserTask.start(
-                response.body(), list -> parsed(list, from), cause -> parsingFailed(cause, from));
+                response.body(),
+                list -> parsed(list, sourcePool),
+                cause -> parsingFailed(cause, sourcePool));
     }
 
-    private void parsed(EndpointList list, ConnectionPool from) {
-        if (!endParsing(from)) {
+    private void parsed(EndpointList list, ConnectionPool sourcePool) {
+        if (!endParsing(sourcePool)) {
             return;
         }
         lastRevision =
@@ -250,8 +252,8 @@
         startCall();
     }
 
-    private void parsingFailed(Throwable cause, ConnectionPool from) {
-        if (endParsing(from)) {
+    private void parsingFailed(Throwable cause, ConnectionPool sourcePool) {
+        if (endParsing(sourcePool)) {
             callFailed(cause.toString());
         }
     }
@@ -259,8 +261,8 @@
     /**
      * Whether the outcome counts: not after the end, nor from an address that was left meanwhile.
      */
-    private boolean endParsing(ConnectionPool from) {
-        if (state == State.STOPPED || from != pool) {
+    private boolean endParsing(ConnectionPool sourcePool) {
+        if (state == State.STOPPED || sourcePool != pool) {
             return false;
         }
         state = State.IDLE;
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
@@ -123,10 +123,10 @@
      * then, so what is there under either name is whole.
      */
     static void write(Path file, Snapshot snapshot) throws IOException {
-        Path unfinished = file.resolveSibling(file.getFileName() + ".new");
+        Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
         try (FileChannel out =
                 FileChannel.open(
-                        unfinished,
+                        temporaryFile,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -139,7 +139,7 @@
         if (Files.exists(file)) {
             Files.move(file, previousFile(file), StandardCopyOption.ATOMIC_MOVE);
         }
-        Files.move(unfinished, file, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent())) {
             folder.force(true);
         }
--- a/src/main/java/lemondrift/recovery/RecoveryState.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -216,17 +216,19 @@
         if (isSettled()) {
             return this;
         }
-        RecoveryPhase judged = determinePhase(now);
-        return judged == phase ? this : with(observations, judged, pollRounds, nextPollAt);
+        RecoveryPhase currentPhase = determinePhase(now);
+        return currentPhase == phase
+                ? this
+                : with(observations, currentPhase, pollRounds, nextPollAt);
     }
 
     private RecoveryPhase determinePhase(double now) {
         long answered = currentStatuses(now).count();
         long settled = currentStatuses(now).filter(PeerStatus::settled).count();
-        boolean early =
+        boolean undecided =
                 now - startedAt < pollSettings.decisionTimeoutSeconds()
                         && answered < proxyCount - 1;
-        if (early && settled == 0) {
+        if (undecided && settled == 0) {
             return RecoveryPhase.UNKNOWN;
         }
         if (answered == 0) {
--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -120,10 +120,12 @@
             SubsetAssignment subsets = new SubsetAssignment(proxies, 16);
             subsets.setActive(tags);
             for (int tag : tags) {
-                LoadGossip one = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> {});
-                one.attemptSent(tag);
+                LoadGossip sender = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> {});
+                sender.attemptSent(tag);
                 int[] to =
-                        one.takeDueMessages(1).stream().mapToInt(LoadGossip.Message::to).toArray();
+                        sender.takeDueMessages(1).stream()
+                                .mapToInt(LoadGossip.Message::to)
+                                .toArray();
                 int[] users =
                         IntStream.range(0, proxies)
                                 .filter(
@@ -150,8 +152,8 @@
         Random random = new Random(seed);
         int proxies = 4;
         int backends = 5;
-        LoadGossip[] all = new LoadGossip[proxies];
-        Arrays.setAll(all, proxy -> newGossip(proxies, proxy, backends));
+        LoadGossip[] gossips = new LoadGossip[proxies];
+        Arrays.setAll(gossips, proxy -> newGossip(proxies, proxy, backends));
         int[][] inFlight = new int[proxies][backends];
         List<Undelivered> undelivered = new ArrayList<>();
         double now = 1;
@@ -160,22 +162,23 @@
             int backend = random.nextInt(backends);
             if (inFlight[proxy][backend] > 0 && random.nextBoolean()) {
                 inFlight[proxy][backend]--;
-                all[proxy].attemptEnded(backend);
+                gossips[proxy].attemptEnded(backend);
             } else {
                 inFlight[proxy][backend]++;
-                all[proxy].attemptSent(backend);
+                gossips[proxy].attemptSent(backend);
             }
-            all[proxy]
+            gossips[proxy]
                     .takeDueMessages(now)
                     .forEach(message -> undelivered.add(new Undelivered(proxy, message)));
             if (!undelivered.isEmpty() && random.nextInt(3) > 0) {
                 // Any of them, perhaps again, perhaps never: lost, late, twice.
-                Undelivered any = undelivered.get(random.nextInt(undelivered.size()));
-                all[any.message.to()].receive(any.from, any.message.datagram(), now);
+                Undelivered delivered = undelivered.get(random.nextInt(undelivered.size()));
+                gossips[delivered.message.to()].receive(
+                        delivered.from, delivered.message.datagram(), now);
             }
         }
         for (double end = now + EXPIRY_SECONDS + 0.01; now < end; now += 0.005) {
-            deliverDueMessages(all, now);
+            deliverDueMessages(gossips, now);
         }
         for (int receiver = 0; receiver < proxies; receiver++) {
             for (int backend = 0; backend < backends; backend++) {
@@ -185,20 +188,20 @@
                 }
                 assertEquals(
                         expected,
-                        all[receiver].peerLoad(backend),
+                        gossips[receiver].peerLoad(backend),
                         "seed " + seed + ", proxy " + receiver + ", backend " + backend);
             }
         }
     }
 
     /** All that is due is sent and arrives, and what is too old expires. */
-    private static void deliverDueMessages(LoadGossip[] all, double now) {
-        for (int i = 0; i < all.length; i++) {
-            for (LoadGossip.Message each : all[i].takeDueMessages(now)) {
-                all[each.to()].receive(i, each.datagram(), now);
+    private static void deliverDueMessages(LoadGossip[] gossips, double now) {
+        for (int i = 0; i < gossips.length; i++) {
+            for (LoadGossip.Message each : gossips[i].takeDueMessages(now)) {
+                gossips[each.to()].receive(i, each.datagram(), now);
             }
         }
-        for (LoadGossip each : all) {
+        for (LoadGossip each : gossips) {
             each.expireStaleLoad(now);
         }
     }
--- a/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -90,20 +90,20 @@
     void matchesFullSortAfterManyChanges(@ForAll long seed) {
         Random random = new Random(seed);
         int proxies = 1 + random.nextInt(8);
-        int own = random.nextInt(proxies);
+        int self = random.nextInt(proxies);
         int backends = 60;
         SubsetAssignment subsets = new SubsetAssignment(proxies, SUBSET_SIZE);
         TreeSet<Integer> ready = new TreeSet<>();
         Map<Integer, EndpointUpdate> lastUpdates = new HashMap<>();
         for (int step = 0; step < 25; step++) {
-            boolean whole = random.nextInt(8) == 0;
+            boolean complete = random.nextInt(8) == 0;
             Map<Integer, EndpointUpdate> changes = new HashMap<>();
-            for (int i = random.nextInt(whole ? 40 : 10); i > 0; i--) {
+            for (int i = random.nextInt(complete ? 40 : 10); i > 0; i--) {
                 int backend = random.nextInt(backends);
                 changes.put(
                         backend, update(backend, EndpointUpdate.State.values()[random.nextInt(3)]));
             }
-            if (whole) {
+            if (complete) {
                 ready.clear();
             }
             changes.values()
@@ -116,16 +116,16 @@
                             });
             Map<Integer, EndpointUpdate> before = Map.copyOf(lastUpdates);
             List<EndpointUpdate> assigned =
-                    subsets.applyUpdates(own, whole, List.copyOf(changes.values()), i -> i);
+                    subsets.applyUpdates(self, complete, List.copyOf(changes.values()), i -> i);
             assigned.forEach(update -> lastUpdates.put(update.backend(), update));
             for (int id : ready) {
                 assertEquals(
-                        expectedUserShare(own, proxies, id, ready),
+                        expectedUserShare(self, proxies, id, ready),
                         lastUpdates.get(id).userShare(),
                         "seed " + seed);
                 assertEquals(
-                        expectedSubset(own, ready).contains(id),
-                        subsets.uses(own, id),
+                        expectedSubset(self, ready).contains(id),
+                        subsets.uses(self, id),
                         "seed " + seed);
             }
             for (EndpointUpdate update : assigned) {
@@ -134,12 +134,12 @@
                                 || before.get(update.backend()).userShare() != update.userShare(),
                         seed + " gives " + update);
             }
-            int some = random.nextInt(backends);
+            int probedBackend = random.nextInt(backends);
             assertArrayEquals(
                     IntStream.range(0, proxies)
-                            .filter(p -> expectedSubset(p, ready).contains(some))
+                            .filter(p -> expectedSubset(p, ready).contains(probedBackend))
                             .toArray(),
-                    subsets.users(some),
+                    subsets.users(probedBackend),
                     "seed " + seed);
         }
     }
@@ -169,14 +169,15 @@
                         IntStream.range(0, 40)
                                 .mapToObj(i -> update(i, EndpointUpdate.State.GONE))
                                 .toList());
-        List<EndpointUpdate> then = subsets.applyUpdates(3, false, gone, i -> i);
-        List<Integer> stay =
-                then.stream().map(EndpointUpdate::backend).filter(i -> i >= 40).toList();
-        assertEquals(stay.size(), stay.stream().distinct().count());
+        List<EndpointUpdate> second = subsets.applyUpdates(3, false, gone, i -> i);
+        List<Integer> remaining =
+                second.stream().map(EndpointUpdate::backend).filter(i -> i >= 40).toList();
+        assertEquals(remaining.size(), remaining.stream().distinct().count());
         TreeSet<Integer> ready = new TreeSet<>(IntStream.range(40, 60).boxed().toList());
-        assertTrue(stay.containsAll(expectedSubset(3, ready)), "each that is used by more now");
         assertTrue(
-                then.stream()
+                remaining.containsAll(expectedSubset(3, ready)), "each that is used by more now");
+        assertTrue(
+                second.stream()
                                 .filter(update -> update.backend() >= 40)
                                 .mapToDouble(EndpointUpdate::userShare)
                                 .sum()
@@ -195,21 +196,21 @@
                 "a whole list is all");
         SubsetAssignment large = new SubsetAssignment(100, SUBSET_SIZE);
         large.applyUpdates(3, true, readyUpdates(0, 3200), i -> i);
-        List<EndpointUpdate> one = List.of(update(7, EndpointUpdate.State.GONE));
+        List<EndpointUpdate> singleChange = List.of(update(7, EndpointUpdate.State.GONE));
         assertTrue(
-                large.applyUpdates(3, false, one, i -> i).size() <= 1 + SUBSET_SIZE,
+                large.applyUpdates(3, false, singleChange, i -> i).size() <= 1 + SUBSET_SIZE,
                 "one line of thousands");
     }
 
     @Test
     void usesLastUpdateWhenAListNamesABackendTwice() {
         SubsetAssignment subsets = new SubsetAssignment(10, SUBSET_SIZE);
-        EndpointUpdate comes = update(4, EndpointUpdate.State.READY);
-        EndpointUpdate goes = update(4, EndpointUpdate.State.GONE);
-        subsets.applyUpdates(0, false, List.of(comes, goes), i -> i);
+        EndpointUpdate ready = update(4, EndpointUpdate.State.READY);
+        EndpointUpdate gone = update(4, EndpointUpdate.State.GONE);
+        subsets.applyUpdates(0, false, List.of(ready, gone), i -> i);
         assertFalse(subsets.uses(0, 4));
         List<EndpointUpdate> assigned =
-                subsets.applyUpdates(0, false, List.of(goes, comes), i -> i);
+                subsets.applyUpdates(0, false, List.of(gone, ready), i -> i);
         assertTrue(subsets.uses(0, 4));
         assertEquals(EndpointUpdate.State.READY, assigned.get(assigned.size() - 1).state());
     }
@@ -221,9 +222,10 @@
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
         subsets.applyUpdates(0, true, readyUpdates(0, 3), i -> ids[i]);
         ids[1] = 777;
-        EndpointUpdate newcomer = new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0);
+        EndpointUpdate newBackend =
+                new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0);
         subsets.applyUpdates(
-                0, false, List.of(update(1, EndpointUpdate.State.GONE), newcomer), i -> ids[i]);
+                0, false, List.of(update(1, EndpointUpdate.State.GONE), newBackend), i -> ids[i]);
         int users =
                 Arrays.stream(new int[] {500, 502, 777}).map(id -> subsets.users(id).length).sum();
         assertEquals(10, users, "each proxy uses one of those that are there");
@@ -233,20 +235,21 @@
     @Test
     void repeatedUpdateIsNotMarkedAsNewBackend() {
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
-        EndpointUpdate newcomer = new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
+        EndpointUpdate newBackend =
+                new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
         assertTrue(
-                updateOf(subsets.applyUpdates(0, false, List.of(newcomer), i -> i), 4)
+                updateOf(subsets.applyUpdates(0, false, List.of(newBackend), i -> i), 4)
                         .newBackend());
         int lower =
                 IntStream.range(5, 1000)
                         .filter(i -> SubsetAssignment.score(0, i) < SubsetAssignment.score(0, 4))
                         .findFirst()
                         .orElseThrow();
-        EndpointUpdate again =
+        EndpointUpdate repeated =
                 updateOf(subsets.applyUpdates(0, false, readyUpdates(lower, lower + 1), i -> i), 4);
-        assertFalse(again.newBackend(), "its index stands for it already");
-        assertEquals(12, again.startedAt());
-        assertEquals(0, again.userShare(), "another has the least score now");
-        assertEquals(SubsetAssignment.score(0, 4), again.subsetScore());
+        assertFalse(repeated.newBackend(), "its index stands for it already");
+        assertEquals(12, repeated.startedAt());
+        assertEquals(0, repeated.userShare(), "another has the least score now");
+        assertEquals(SubsetAssignment.score(0, 4), repeated.subsetScore());
     }
 }
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -68,15 +68,18 @@
     private String firstViolation;
     private int exploredStates;
 
-    private void check(boolean holds, String invariant, SystemState at) {
+    private void check(boolean holds, String invariant, SystemState state) {
         firstViolation =
-                firstViolation == null && !holds ? invariant + " at " + at : firstViolation;
+                firstViolation == null && !holds ? invariant + " at " + state : firstViolation;
     }
 
     private SystemState applyStep(
-            SystemState at, int p, RecoveryState.Step step, Map<Message, Integer> underWay) {
-        List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, step.next());
+            SystemState state,
+            int proxyIndex,
+            RecoveryState.Step step,
+            Map<Message, Integer> inFlight) {
+        List<RecoveryState> all = new ArrayList<>(state.proxies);
+        all.set(proxyIndex, step.next());
         for (RecoveryState.StatusMessage each : step.messages()) {
             PeerStatus status = each.status();
             check(
@@ -84,210 +87,218 @@
                             && (status.samples() == 0
                                     || status.serviceTimeSeconds() == status.startNumber()),
                     "a proxy reports only what it has measured itself",
-                    at);
-            underWay.merge(new Message(p, each.to(), status), 1, Integer::sum);
+                    state);
+            inFlight.merge(new Message(proxyIndex, each.to(), status), 1, Integer::sum);
         }
         return new SystemState(
                 all,
-                underWay,
-                at.now,
-                at.restartsLeft,
-                at.repeatsLeft,
-                at.samplesLeft,
-                at.nextStartNumber);
+                inFlight,
+                state.now,
+                state.restartsLeft,
+                state.repeatsLeft,
+                state.samplesLeft,
+                state.nextStartNumber);
     }
 
-    private SystemState deliver(SystemState at, Message message, boolean again) {
-        Map<Message, Integer> underWay = new HashMap<>(at.inFlight);
-        if (!again) {
-            underWay.computeIfPresent(message, (m, n) -> n > 1 ? n - 1 : null);
+    private SystemState deliver(SystemState state, Message message, boolean keepCopy) {
+        Map<Message, Integer> inFlight = new HashMap<>(state.inFlight);
+        if (!keepCopy) {
+            inFlight.computeIfPresent(message, (m, n) -> n > 1 ? n - 1 : null);
         }
-        RecoveryState proxy = at.proxies.get(message.to);
+        RecoveryState proxy = state.proxies.get(message.to);
         PeerObservation before = proxy.observations().get(message.from);
         RecoveryState.Step step =
-                transitions.statusReceived(proxy, message.from, message.status, at.now);
-        boolean former =
+                transitions.statusReceived(proxy, message.from, message.status, state.now);
+        boolean outdated =
                 (before != null
-                                && at.now - before.receivedAt() <= POLL_SETTINGS.expirySeconds()
+                                && state.now - before.receivedAt() <= POLL_SETTINGS.expirySeconds()
                                 && message.status.startNumber() < before.status().startNumber())
                         || (message.status.recipientStart() != 0
                                 && message.status.recipientStart() != proxy.startNumber());
         check(
-                !former || (step.next().equals(proxy) && step.messages().isEmpty()),
+                !outdated || (step.next().equals(proxy) && step.messages().isEmpty()),
                 "an earlier start changes nothing",
-                at);
-        SystemState then = applyStep(at, message.to, step, underWay);
+                state);
+        SystemState next = applyStep(state, message.to, step, inFlight);
         return new SystemState(
-                then.proxies,
-                then.inFlight,
-                at.now,
-                at.restartsLeft,
-                at.repeatsLeft - (again ? 1 : 0),
-                at.samplesLeft,
-                at.nextStartNumber);
+                next.proxies,
+                next.inFlight,
+                state.now,
+                state.restartsLeft,
+                state.repeatsLeft - (keepCopy ? 1 : 0),
+                state.samplesLeft,
+                state.nextStartNumber);
     }
 
     /** Time goes on for all, and who is due polls. */
-    private SystemState tick(SystemState at) {
-        SystemState then =
+    private SystemState tick(SystemState state) {
+        SystemState next =
                 new SystemState(
-                        at.proxies,
-                        at.inFlight,
-                        at.now + 1,
-                        at.restartsLeft,
-                        at.repeatsLeft,
-                        at.samplesLeft,
-                        at.nextStartNumber);
-        for (int p = 0; p < PROXIES; p++) {
-            then =
+                        state.proxies,
+                        state.inFlight,
+                        state.now + 1,
+                        state.restartsLeft,
+                        state.repeatsLeft,
+                        state.samplesLeft,
+                        state.nextStartNumber);
+        for (int proxyIndex = 0; proxyIndex < PROXIES; proxyIndex++) {
+            next =
                     applyStep(
-                            then,
-                            p,
-                            transitions.wake(then.proxies.get(p), then.now),
-                            new HashMap<>(then.inFlight));
+                            next,
+                            proxyIndex,
+                            transitions.wake(next.proxies.get(proxyIndex), next.now),
+                            new HashMap<>(next.inFlight));
         }
-        return then;
+        return next;
     }
 
-    private SystemState measure(SystemState at, int p) {
-        RecoveryState proxy = at.proxies.get(p);
-        List<RecoveryState> all = new ArrayList<>(at.proxies);
+    private SystemState measure(SystemState state, int proxyIndex) {
+        RecoveryState proxy = state.proxies.get(proxyIndex);
+        List<RecoveryState> all = new ArrayList<>(state.proxies);
         all.set(
-                p,
+                proxyIndex,
                 proxy.withMeasuredServiceTime((double) proxy.startNumber(), proxy.samples() + 1));
         return new SystemState(
                 all,
-                at.inFlight,
-                at.now,
-                at.restartsLeft,
-                at.repeatsLeft,
-                at.samplesLeft - 1,
-                at.nextStartNumber);
+                state.inFlight,
+                state.now,
+                state.restartsLeft,
+                state.repeatsLeft,
+                state.samplesLeft - 1,
+                state.nextStartNumber);
     }
 
-    private SystemState restart(SystemState at, int p) {
-        List<RecoveryState> all = new ArrayList<>(at.proxies);
-        all.set(p, RecoveryState.starting(POLL_SETTINGS, p, PROXIES, at.nextStartNumber, at.now));
+    private SystemState restart(SystemState state, int proxyIndex) {
+        List<RecoveryState> all = new ArrayList<>(state.proxies);
+        all.set(
+                proxyIndex,
+                RecoveryState.starting(
+                        POLL_SETTINGS, proxyIndex, PROXIES, state.nextStartNumber, state.now));
         return new SystemState(
                 all,
-                at.inFlight,
-                at.now,
-                at.restartsLeft - 1,
-                at.repeatsLeft,
-                at.samplesLeft,
-                at.nextStartNumber + 1);
+                state.inFlight,
+                state.now,
+                state.restartsLeft - 1,
+                state.repeatsLeft,
+                state.samplesLeft,
+                state.nextStartNumber + 1);
     }
 
-    private List<SystemState> successors(SystemState at) {
+    private List<SystemState> successors(SystemState state) {
         List<SystemState> all = new ArrayList<>();
-        for (Message each : at.inFlight.keySet()) {
-            all.add(deliver(at, each, false));
-            if (at.repeatsLeft > 0) {
-                all.add(deliver(at, each, true));
+        for (Message each : state.inFlight.keySet()) {
+            all.add(deliver(state, each, false));
+            if (state.repeatsLeft > 0) {
+                all.add(deliver(state, each, true));
             }
         }
-        for (int p = 0; p < PROXIES; p++) {
-            if (at.samplesLeft > 0 && !at.proxies.get(p).isSettled()) {
-                all.add(measure(at, p));
+        for (int proxyIndex = 0; proxyIndex < PROXIES; proxyIndex++) {
+            if (state.samplesLeft > 0 && !state.proxies.get(proxyIndex).isSettled()) {
+                all.add(measure(state, proxyIndex));
             }
-            if (at.restartsLeft > 0) {
-                all.add(restart(at, p));
+            if (state.restartsLeft > 0) {
+                all.add(restart(state, proxyIndex));
             }
         }
-        if (at.now < MAX_TICKS) {
-            all.add(tick(at));
+        if (state.now < MAX_TICKS) {
+            all.add(tick(state));
         }
         return all;
     }
 
-    private void checkInvariants(SystemState at) {
-        for (RecoveryState proxy : at.proxies) {
-            List<PeerStatus> fresh =
+    private void checkInvariants(SystemState state) {
+        for (RecoveryState proxy : state.proxies) {
+            List<PeerStatus> current =
                     proxy.observations().values().stream()
                             .filter(
                                     each ->
-                                            at.now - each.receivedAt()
+                                            state.now - each.receivedAt()
                                                     <= POLL_SETTINGS.expirySeconds())
                             .map(PeerObservation::status)
                             .toList();
-            RecoveryState.PeerEstimate lesson = transitions.peerEstimate(proxy, at.now);
+            RecoveryState.PeerEstimate estimate = transitions.peerEstimate(proxy, state.now);
             check(
-                    lesson == null
-                            || fresh.stream()
+                    estimate == null
+                            || current.stream()
                                     .anyMatch(
                                             each ->
                                                     each.serviceTimeSeconds()
-                                                                    == lesson.serviceTimeSeconds()
+                                                                    == estimate.serviceTimeSeconds()
                                                             && each.samples() > 0),
                     "no figure is used past its age or made up",
-                    at);
+                    state);
             // The phase was judged when something last happened to the proxy, one tick ago at the
             // most.
-            if (!proxy.isSettled() && proxy.nextPollAt() > at.now) {
-                boolean any =
+            if (!proxy.isSettled() && proxy.nextPollAt() > state.now) {
+                boolean anyCurrent =
                         proxy.observations().values().stream()
                                 .anyMatch(
                                         each ->
-                                                at.now - each.receivedAt()
+                                                state.now - each.receivedAt()
                                                         <= POLL_SETTINGS.expirySeconds() + 1);
-                boolean warm =
+                boolean anySettled =
                         proxy.observations().values().stream()
                                 .anyMatch(each -> each.status().settled());
                 check(
-                        proxy.phase() != RecoveryPhase.ALL_NEW || any,
+                        proxy.phase() != RecoveryPhase.ALL_NEW || anyCurrent,
                         "not heard is not all new",
-                        at);
+                        state);
                 check(
-                        proxy.phase() != RecoveryPhase.ALONE || warm,
+                        proxy.phase() != RecoveryPhase.ALONE || anySettled,
                         "alone only beside one that knows",
-                        at);
+                        state);
             }
         }
     }
 
     /** Guards against a history without further faults that does not end with all recovered. */
     private void runWithoutFaults(SystemState from) {
-        SystemState at = from;
+        SystemState state = from;
         for (int i = 0; i < FAULT_FREE_TICKS; i++) {
-            for (int n = 0; n < 200 && !at.inFlight.isEmpty(); n++) {
-                at = deliver(at, at.inFlight.keySet().iterator().next(), false);
+            for (int n = 0; n < 200 && !state.inFlight.isEmpty(); n++) {
+                state = deliver(state, state.inFlight.keySet().iterator().next(), false);
             }
-            for (int p = 0; p < PROXIES - 1 && i > FAULT_FREE_TICKS / 2; p++) {
-                at = at.proxies.get(p).isSettled() ? at : measure(at, p);
+            for (int proxyIndex = 0;
+                    proxyIndex < PROXIES - 1 && i > FAULT_FREE_TICKS / 2;
+                    proxyIndex++) {
+                state =
+                        state.proxies.get(proxyIndex).isSettled()
+                                ? state
+                                : measure(state, proxyIndex);
             }
-            at = tick(at);
+            state = tick(state);
         }
-        RecoveryState last = at.proxies.get(PROXIES - 1);
+        RecoveryState last = state.proxies.get(PROXIES - 1);
         check(
-                at.proxies.stream().limit(PROXIES - 1).allMatch(RecoveryState::isSettled),
+                state.proxies.stream().limit(PROXIES - 1).allMatch(RecoveryState::isSettled),
                 "who has samples settles",
-                at);
+                state);
         check(
                 last.isSettled()
                         || (last.phase() == RecoveryPhase.ALONE
-                                && last.peerEstimate(at.now).isPresent()),
+                                && last.peerEstimate(state.now).isPresent()),
                 "one without samples is alone among them at last, and learns from them",
-                at);
+                state);
     }
 
     /** The first invariant that is broken; null where all hold to the bound. */
     private String explore() {
         List<RecoveryState> all = new ArrayList<>();
-        for (int p = 0; p < PROXIES; p++) {
-            all.add(RecoveryState.starting(POLL_SETTINGS, p, PROXIES, 1 + p, 0));
+        for (int proxyIndex = 0; proxyIndex < PROXIES; proxyIndex++) {
+            all.add(RecoveryState.starting(POLL_SETTINGS, proxyIndex, PROXIES, 1 + proxyIndex, 0));
         }
         SystemState first = new SystemState(all, Map.of(), 0, 1, 1, 3, 1 + PROXIES);
         Set<SystemState> known = new HashSet<>(Set.of(first));
-        Deque<SystemState> open = new ArrayDeque<>(known);
-        while (!open.isEmpty() && known.size() < MAX_STATES && firstViolation == null) {
-            SystemState at = open.remove();
-            checkInvariants(at);
+        Deque<SystemState> queue = new ArrayDeque<>(known);
+        while (!queue.isEmpty() && known.size() < MAX_STATES && firstViolation == null) {
+            SystemState state = queue.remove();
+            checkInvariants(state);
             if (++exploredStates % STATES_PER_FAULT_FREE_RUN == 0) {
-                runWithoutFaults(at);
+                runWithoutFaults(state);
             }
-            for (SystemState each : successors(at)) {
+            for (SystemState each : successors(state)) {
                 if (known.add(each)) {
-                    open.add(each);
+                    queue.add(each);
                 }
             }
         }
@@ -303,8 +314,8 @@
     private static void assertViolationFound(String invariant, Transitions mutant) {
         RecoveryExplorationTest exploration = new RecoveryExplorationTest();
         exploration.transitions = mutant;
-        String broken = exploration.explore();
-        assertTrue(broken != null && broken.startsWith(invariant), "caught by: " + broken);
+        String violation = exploration.explore();
+        assertTrue(violation != null && violation.startsWith(invariant), "caught by: " + violation);
     }
 
     @Test
--- a/src/test/java/lemondrift/recovery/RecoveryStateTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -81,29 +81,30 @@
     void derivesPhaseFromPeersThatAnswer() {
         assertEquals(RecoveryPhase.UNKNOWN, starting(4).wake(1).next().phase());
         assertEquals(RecoveryPhase.CUT_OFF, starting(4).wake(5).next().phase(), "nobody answers");
-        PeerStatus warm = status(50, 99, 0.2f, 40, true);
-        PeerStatus newOne = status(101, 1, 0, 0, false);
-        assertEquals(RecoveryPhase.ALONE, received(starting(9), 1, warm).phase(), "at once");
+        PeerStatus settledPeer = status(50, 99, 0.2f, 40, true);
+        PeerStatus newPeer = status(101, 1, 0, 0, false);
+        assertEquals(RecoveryPhase.ALONE, received(starting(9), 1, settledPeer).phase(), "at once");
         assertEquals(
                 RecoveryPhase.UNKNOWN,
-                received(starting(4), 1, newOne).phase(),
+                received(starting(4), 1, newPeer).phase(),
                 "others may be warm");
         assertEquals(
                 RecoveryPhase.ALL_NEW,
-                received(starting(4), 1, newOne, newOne, newOne).phase(),
+                received(starting(4), 1, newPeer, newPeer, newPeer).phase(),
                 "at once");
         assertEquals(
-                RecoveryPhase.AMONG_SOME, received(starting(4), 1, newOne, warm, newOne).phase());
-        RecoveryState late = received(starting(9), 1, newOne).wake(5).next();
-        assertEquals(RecoveryPhase.ALL_NEW, late.phase());
-        PeerStatus settled = status(101, 6, 0.2f, 3, true);
+                RecoveryPhase.AMONG_SOME,
+                received(starting(4), 1, newPeer, settledPeer, newPeer).phase());
+        RecoveryState afterTimeout = received(starting(9), 1, newPeer).wake(5).next();
+        assertEquals(RecoveryPhase.ALL_NEW, afterTimeout.phase());
+        PeerStatus nowSettled = status(101, 6, 0.2f, 3, true);
         assertEquals(
                 RecoveryPhase.ALONE,
-                received(late, 6, settled, warm).phase(),
+                received(afterTimeout, 6, nowSettled, settledPeer).phase(),
                 "corrected by later answers");
         assertEquals(
                 RecoveryPhase.CUT_OFF,
-                received(starting(9), 1, warm).wake(22).next().phase(),
+                received(starting(9), 1, settledPeer).wake(22).next().phase(),
                 "expired");
     }
 
@@ -156,9 +157,11 @@
     @Test
     void acceptsLowerStartNumberOnceTheHigherOneHasExpired() {
         RecoveryState state = received(starting(4), 1, status(200, 3, 0.2f, 4, true));
-        PeerStatus back = status(150, 1, 0, 0, false);
-        assertSame(state, state.statusReceived(1, back, 15).next());
-        assertEquals(back, state.statusReceived(1, back, 22).next().observations().get(1).status());
+        PeerStatus lowerStart = status(150, 1, 0, 0, false);
+        assertSame(state, state.statusReceived(1, lowerStart, 15).next());
+        assertEquals(
+                lowerStart,
+                state.statusReceived(1, lowerStart, 22).next().observations().get(1).status());
     }
 
     @Test
@@ -175,14 +178,15 @@
             }
             assertEquals(Optional.empty(), first.peerEstimate(now), "two without samples");
         }
-        RecoveryState informed = received(first, 15, status(101, 15, 0.4f, 2, false));
+        RecoveryState withEstimate = received(first, 15, status(101, 15, 0.4f, 2, false));
         assertEquals(
-                Optional.of(new RecoveryState.PeerEstimate(0.4f, 2)), informed.peerEstimate(15));
+                Optional.of(new RecoveryState.PeerEstimate(0.4f, 2)),
+                withEstimate.peerEstimate(15));
         assertTrue(
-                informed.wake(informed.wakeAt()).messages().stream()
+                withEstimate.wake(withEstimate.wakeAt()).messages().stream()
                         .allMatch(each -> each.status().samples() == 0),
                 "what a peer measured is not passed on");
-        assertEquals(Optional.empty(), informed.peerEstimate(36), "expired");
+        assertEquals(Optional.empty(), withEstimate.peerEstimate(36), "expired");
     }
 
     @Test
