--- a/src/main/java/lemondrift/gossip/AbandonedAttempts.java
+++ b/src/main/java/lemondrift/gossip/AbandonedAttempts.java
@@ -5,14 +5,19 @@
 import java.util.function.IntConsumer;
 
 /**
- * Attempts that the proxy waits for no more but that the backend may still work on; each counts as
- * in flight until it expires. Guards against backends looking idle where most attempts time out.
+ * Attempts that the proxy no longer waits for but that the backend may still execute. Each counts
+ * as in flight until it expires. Guards against backends looking idle when most attempts time out.
  */
 final class AbandonedAttempts {
-    /** An attempt by its backend's tag, and until when it counts. */
+    /**
+     * An abandoned attempt.
+     *
+     * @param tag the tag of its backend
+     * @param expiresAt when it stops counting as in flight, in seconds
+     */
     private record Abandoned(int tag, double expiresAt) {}
 
-    /** In order of expiry. */
+    /** Ordered by expiry time. */
     private final Queue<Abandoned> queue = new ArrayDeque<>();
 
     private final TagCounts counts = new TagCounts();
@@ -26,12 +31,12 @@
         return counts.get(tag);
     }
 
-    /** When the next one expires, in seconds; infinite where there is none. */
+    /** Returns when the next attempt expires, in seconds; infinite if there are no attempts. */
     double nextExpiryAt() {
         return queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().expiresAt;
     }
 
-    /** Removes what has expired, and passes on the tag of each. */
+    /** Removes expired attempts and passes the tag of each to the callback. */
     void expire(double now, IntConsumer onExpired) {
         while (!queue.isEmpty() && queue.peek().expiresAt <= now) {
             int tag = queue.remove().tag;
--- a/src/main/java/lemondrift/gossip/IdSet.java
+++ b/src/main/java/lemondrift/gossip/IdSet.java
@@ -4,9 +4,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A set of ids that is iterated without an object for each. */
+/** A set of ids that can be iterated without allocating an object for each id. */
 final class IdSet {
-    /** Where an id stands in the array. */
+    /** The position of each id in the array. */
     private final Map<Integer, Integer> positions = new HashMap<>();
 
     private int[] ids = new int[16];
@@ -20,7 +20,7 @@
         return size;
     }
 
-    /** The id at a place, from 0; places change when ids are removed. */
+    /** Returns the id at a position, counted from 0; removing an id may change positions. */
     int get(int position) {
         return ids[position];
     }
@@ -29,7 +29,7 @@
         return Arrays.copyOf(ids, size);
     }
 
-    /** Whether the id was not there before. */
+    /** Adds an id; returns whether it was absent before. */
     boolean add(int id) {
         if (positions.putIfAbsent(id, size) != null) {
             return false;
@@ -39,7 +39,7 @@
         return true;
     }
 
-    /** Whether the id was there; the last one takes its place. */
+    /** Removes an id; returns whether it was present. The last id moves to its position. */
     boolean remove(int id) {
         Integer position = positions.remove(id);
         if (position == null) {
--- a/src/main/java/lemondrift/gossip/LoadGossip.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -9,30 +9,34 @@
 import java.util.zip.CRC32;
 
 /**
- * What the proxies of a fleet have in flight, told each other in datagrams: to each peer go the
- * backends of the attempts in flight, as far as the peer uses them ({@link SubsetAssignment}),
- * whenever that has changed, at a limited rate. So what a proxy sends does not grow with the number
- * of proxies. A message says what is, not what happened: one that is lost or comes twice does no
- * harm. Backends go by a tag of their id. Times are in seconds of one clock.
+ * Exchanges the attempts in flight among the proxies of a fleet, in datagrams. When the attempts of
+ * a proxy change, it sends each peer the backends of its attempts in flight, limited to the
+ * backends that the peer uses ({@link SubsetAssignment}) and to a maximum rate. The amount of data
+ * that a proxy sends therefore does not grow with the number of proxies. A message contains the
+ * current state, not a change, so a lost or duplicate message does no harm. Messages identify a
+ * backend by a tag derived from its id. Times are in seconds of one clock.
  */
 public final class LoadGossip {
-    /** A datagram's size limit, in bytes. */
+    /** Maximum size of a datagram, in bytes. */
     public static final int MAX_DATAGRAM_BYTES = GossipDatagram.MAX_BYTES;
 
-    /** For so many expiries a silent peer's start and sequence number are remembered. */
+    /**
+     * The start and the sequence number of a silent peer are kept for this multiple of the expiry
+     * time.
+     */
     private static final double SEQUENCE_MEMORY_EXPIRIES = 2;
 
-    /** An abandoned attempt counts as in flight for this share of the expiry. */
+    /** An abandoned attempt counts as in flight for this share of the expiry time. */
     private static final double ABANDONED_EXPIRY_SHARE = 0.125;
 
-    /** What has not changed is sent again after this share of the expiry. */
+    /** An unchanged report is sent again after this share of the expiry time. */
     private static final double REPEAT_EXPIRY_SHARE = 0.4;
 
     /**
-     * What goes to one peer.
+     * A datagram to be sent to a peer.
      *
-     * @param to the peer's number
-     * @param datagram its bytes
+     * @param to the number of the peer
+     * @param datagram the bytes of the datagram
      */
     public record Message(int to, byte[] datagram) {}
 
@@ -45,24 +49,24 @@
     private final IntConsumer onPeerLoadChanged;
     private final PeerSilenceDetector silenceDetector;
 
-    /** What the peers have in flight. */
+    /** Attempts in flight that the peers have reported. */
     private final TagCounts peerAttempts = new TagCounts();
 
-    /** What this proxy reports as in flight. */
+    /** Attempts that this proxy reports as in flight, including abandoned ones. */
     private final TagCounts ownAttempts = new TagCounts();
 
     private final AbandonedAttempts abandoned = new AbandonedAttempts();
 
     /**
-     * The gossip of one proxy.
+     * Creates the gossip of one proxy.
      *
-     * @param proxyCount the number of proxies
-     * @param self this proxy's number among them
-     * @param startNumber its start number
-     * @param minIntervalSeconds the least time between two messages to one peer
-     * @param expirySeconds after this long without a message what a peer reported counts no more
-     * @param subsets who uses which backend
-     * @param onPeerLoadChanged hears each tag whose {@link #peerLoad} may have changed
+     * @param proxyCount the number of proxies in the fleet
+     * @param self the number of this proxy, counted from 0
+     * @param startNumber the start number of this proxy
+     * @param minIntervalSeconds the minimum time between two messages to the same peer
+     * @param expirySeconds the time without a message after which the report of a peer is dropped
+     * @param subsets which proxies use which backends
+     * @param onPeerLoadChanged called with each tag whose {@link #peerLoad} may have changed
      */
     public LoadGossip(
             int proxyCount,
@@ -83,28 +87,31 @@
         silenceDetector = new PeerSilenceDetector(minIntervalSeconds, expirySeconds);
     }
 
-    /** The tag of a backend's id, the same at all proxies; two backends may share one. */
+    /**
+     * Returns the tag of a backend id, from 0 to 2^24 - 1. All proxies compute the same tag for an
+     * id; two backends may have the same tag.
+     */
     public static int tag(String id) {
         CRC32 crc = new CRC32();
         crc.update(id.getBytes(StandardCharsets.UTF_8));
         return (int) (crc.getValue() & (1 << GossipDatagram.TAG_BITS) - 1);
     }
 
-    /** An attempt was sent to the backend of a tag. */
+    /** Records that an attempt was sent to the backend with a tag. */
     public void attemptSent(int tag) {
         ownAttempts.increment(tag);
         markReportsChanged(tag);
     }
 
-    /** An attempt at the backend of a tag has ended. */
+    /** Records that an attempt at the backend with a tag has ended. */
     public void attemptEnded(int tag) {
         ownAttempts.decrement(tag);
         markReportsChanged(tag);
     }
 
     /**
-     * The proxy waits no more for an attempt at the backend of a tag, which may still work on it;
-     * so it counts as in flight for a while.
+     * Records that the proxy no longer waits for an attempt at the backend with a tag. The backend
+     * may still execute the attempt, so it counts as in flight until it expires.
      */
     public void attemptAbandoned(int tag, double now) {
         abandoned.add(tag, now + ABANDONED_EXPIRY_SHARE * expirySeconds);
@@ -129,14 +136,17 @@
     }
 
     /**
-     * How many attempts at a backend the peers have in flight, and how many of its own this proxy
-     * has abandoned there.
+     * Returns the number of attempts that the peers have in flight at the backend with a tag, plus
+     * the number of abandoned attempts of this proxy there.
      */
     public int peerLoad(int tag) {
         return peerAttempts.get(tag) + abandoned.count(tag);
     }
 
-    /** How many peers were heard within the expiry; none where all have fallen silent. */
+    /**
+     * Returns the number of peers from which a message arrived within the expiry time; 0 if all
+     * peers have fallen silent.
+     */
     public int livePeerCount(double now) {
         return silenceDetector.isSilent(now)
                 ? 0
@@ -147,8 +157,9 @@
     }
 
     /**
-     * Takes over what a peer reports. Guards against datagrams that come late, out of order, twice,
-     * cut or from before a restart: what can't be read or is outdated changes nothing.
+     * Processes a datagram from a peer. Guards against datagrams that are late, out of order,
+     * duplicate, truncated or from before a restart: an unreadable or outdated datagram changes
+     * nothing.
      */
     public void receive(int from, byte[] datagram, double now) {
         boolean fromPeer = from >= 0 && from < peers.length && from != self;
@@ -169,15 +180,19 @@
     }
 
     /**
-     * A peer has restarted. Guards against its former attempts making backends look busy until they
-     * expire, and against its former messages being taken for the new start's.
+     * Records that a peer has restarted. Guards against attempts from before the restart making
+     * backends look busy until they expire, and against messages from before the restart being
+     * taken for messages of the new start.
      */
     public void peerRestarted(int proxy, long startNumber) {
         int[] before = peers[proxy].handleRestart(GossipDatagram.startBits(startNumber));
         replacePeerAttempts(before, new int[0]);
     }
 
-    /** Drops what silent peers, as killed ones, have reported, and what has been abandoned long. */
+    /**
+     * Drops the reports of peers that have stopped sending, for example because they were killed,
+     * and the abandoned attempts that have expired.
+     */
     public void expireStaleLoad(double now) {
         expireAbandoned(now);
         for (PeerState peer : peers) {
@@ -194,7 +209,10 @@
         Arrays.stream(after).forEach(onPeerLoadChanged);
     }
 
-    /** When messages are due next, in seconds; infinite where nothing is to be sent. */
+    /**
+     * Returns when {@link #takeDueMessages} is due next, in seconds: for the next message or the
+     * next expiry of an abandoned attempt. Infinite if neither is pending.
+     */
     public double nextSendAt() {
         double expiryAt = abandoned.nextExpiryAt();
         return Math.min(
@@ -206,7 +224,10 @@
         return peer.nextSendAt(minIntervalSeconds, REPEAT_EXPIRY_SHARE * expirySeconds);
     }
 
-    /** The messages that are due now, which count as sent; attempts that don't fit are left out. */
+    /**
+     * Returns the messages that are due now and marks them as sent. Attempts that do not fit into a
+     * datagram are left out.
+     */
     public List<Message> takeDueMessages(double now) {
         expireAbandoned(now);
         List<Message> due = new ArrayList<>();
--- a/src/main/java/lemondrift/gossip/PeerSilenceDetector.java
+++ b/src/main/java/lemondrift/gossip/PeerSilenceDetector.java
@@ -1,18 +1,22 @@
 package lemondrift.gossip;
 
 /**
- * Whether this proxy has stopped hearing its peers: nothing has come for many times the mean
- * interval between two messages. Guards against going on by what the peers had in flight when they
- * fell silent, or taking all backends for idle once that has expired. Times are in seconds.
+ * Detects that this proxy no longer receives messages from any peer: none has arrived for many
+ * times the mean interval between two messages. Guards against using the outdated load that the
+ * peers reported before they fell silent, and against taking all backends for idle once that load
+ * has expired. Times are in seconds.
  */
 final class PeerSilenceDetector {
-    /** Number of intervals over which the exponential mean is taken. */
+    /** Number of intervals over which the exponential moving average is taken. */
     private static final double MEAN_INTERVALS = 32;
 
-    /** So many mean intervals without a message are silence. */
+    /** Number of mean intervals without a message that count as silence. */
     private static final double SILENCE_MEAN_INTERVALS = 12;
 
-    /** Silence is at least so many times the least interval between two messages of one peer. */
+    /**
+     * Minimum time without a message that counts as silence, as a multiple of the minimum interval
+     * between two messages of one peer.
+     */
     private static final double SILENCE_MIN_INTERVALS = 4;
 
     private final double minIntervalSeconds;
@@ -26,7 +30,7 @@
         meanIntervalSeconds = expirySeconds;
     }
 
-    /** A message of any peer has come. */
+    /** Records that a message from any peer has arrived. */
     void messageReceived(double now) {
         if (lastReceivedAt > Double.NEGATIVE_INFINITY) {
             double interval = Math.min(expirySeconds, now - lastReceivedAt);
--- a/src/main/java/lemondrift/gossip/PeerState.java
+++ b/src/main/java/lemondrift/gossip/PeerState.java
@@ -1,12 +1,13 @@
 package lemondrift.gossip;
 
 /**
- * One peer: what it reported last, and what was sent to it last. Times are in seconds.
+ * The state of one peer: the attempts that it reported last, and the state of the messages sent to
+ * it. Times are in seconds.
  *
- * <p>The peer's start is known by the start bits of its sequence numbers only.
+ * <p>A start of the peer is identified only by the start bits of its sequence numbers.
  */
 final class PeerState {
-    /** In place of start bits where none are known. */
+    /** Used as start bits if they are unknown. */
     private static final int NO_START = -1;
 
     private static final int[] NO_TAGS = {};
@@ -14,10 +15,10 @@
     private int sequenceNumber;
     private int startBits = NO_START;
 
-    /** Of the start before, whose messages that still come are dropped. */
+    /** The start bits of the previous start; messages with these bits are dropped. */
     private int previousStartBits = NO_START;
 
-    /** Of the peer's attempts in flight, as it reported them last. */
+    /** The tags of the attempts in flight that the peer reported last. */
     private int[] tags = NO_TAGS;
 
     private double receivedAt = Double.NEGATIVE_INFINITY;
@@ -25,10 +26,10 @@
     private int messagesSent;
     private double sentAt = Double.NEGATIVE_INFINITY;
 
-    /** Whether what concerns the peer has changed since the last message to it. */
+    /** Whether the report for the peer has changed since the last message to it. */
     private boolean reportChanged;
 
-    /** Whether the last message to it reported any attempt. */
+    /** Whether the last message to the peer reported any attempts. */
     private boolean lastReportHadAttempts;
 
     boolean wasHeardFromWithin(double seconds, double now) {
@@ -39,7 +40,10 @@
         return tags.length > 0;
     }
 
-    /** Whether a message is of the start before, or no newer than the last of this start. */
+    /**
+     * Returns whether a message is from the previous start of the peer, or not newer than the last
+     * message of its current start.
+     */
     boolean isOutdated(int sequenceNumber) {
         int start = GossipDatagram.startBitsOf(sequenceNumber);
         return start == previousStartBits
@@ -48,10 +52,11 @@
     }
 
     /**
-     * Takes over a message that is not outdated.
+     * Applies a message that is not outdated.
      *
-     * @param sequenceKnown whether the peer was heard lately enough to know its start
-     * @return the tags reported before
+     * @param sequenceKnown whether the last message from the peer is recent enough for its start
+     *     bits still to be valid
+     * @return the tags that the peer had reported before
      */
     int[] update(int sequenceNumber, int[] tags, boolean sequenceKnown, double now) {
         int start = GossipDatagram.startBitsOf(sequenceNumber);
@@ -65,12 +70,12 @@
     }
 
     /**
-     * The peer has restarted, so what it reported before is over.
+     * Drops the report from before a restart of the peer.
      *
-     * @return the tags reported before
+     * @return the tags that the peer had reported before
      */
     int[] handleRestart(int newStartBits) {
-        // Guards against dropping the new start's messages where both starts share their bits.
+        // Guards against dropping messages of the new start if both starts have the same bits.
         boolean distinct = startBits != newStartBits;
         previousStartBits = distinct ? startBits : NO_START;
         startBits = distinct ? newStartBits : NO_START;
@@ -78,7 +83,7 @@
         return clearTags();
     }
 
-    /** Drops the tags, and returns them. */
+    /** Removes the reported tags and returns them. */
     int[] clearTags() {
         return replaceTags(NO_TAGS);
     }
@@ -89,16 +94,17 @@
         return before;
     }
 
-    /** What is to be reported to the peer has changed. */
+    /** Records that the report for the peer has changed. */
     void markReportChanged() {
         reportChanged = true;
     }
 
     /**
-     * When the next message to the peer is due.
+     * Returns when the next message to the peer is due, in seconds; infinite if the report has not
+     * changed and the last message reported no attempts.
      *
-     * @param minIntervalSeconds after the last one where something has changed
-     * @param repeatIntervalSeconds after the last one where nothing has, if it reported any attempt
+     * @param minIntervalSeconds the time after the last message if the report has changed
+     * @param repeatIntervalSeconds the time after the last message if the report has not changed
      */
     double nextSendAt(double minIntervalSeconds, double repeatIntervalSeconds) {
         if (reportChanged) {
@@ -107,12 +113,16 @@
         return lastReportHadAttempts ? sentAt + repeatIntervalSeconds : Double.POSITIVE_INFINITY;
     }
 
-    /** Counts the next message to the peer, from 1 on. */
+    /** Returns the counter of the next message to the peer; the first one is 1. */
     int nextCounter() {
         return ++messagesSent;
     }
 
-    /** A message to the peer has been made, which reports some attempts or none. */
+    /**
+     * Records that a message to the peer was created.
+     *
+     * @param hadAttempts whether the message reported any attempts
+     */
     void messageSent(boolean hadAttempts, double now) {
         reportChanged = false;
         lastReportHadAttempts = hadAttempts;
--- a/src/main/java/lemondrift/gossip/RankedKeys.java
+++ b/src/main/java/lemondrift/gossip/RankedKeys.java
@@ -3,27 +3,27 @@
 import java.util.Arrays;
 
 /**
- * The least keys of one proxy, in order, up to a limit. A key is a backend's score with its id
- * below, so that sorting keys sorts by score.
+ * The lowest keys of one proxy, in ascending order, up to a limit. A key has the score of a backend
+ * in its high bits and the id in its low bits, so sorting keys sorts backends by score.
  */
 final class RankedKeys {
-    /** Bits of a key for the backend's id. */
+    /** Number of low bits of a key that hold the id of the backend. */
     private static final int ID_BITS = 24;
 
-    /** Bits of a key for the score; with the id a key stays positive. */
+    /** Number of bits of a key that hold the score; with the id, the sign bit stays 0. */
     private static final int SCORE_BITS = 39;
 
     private final long[] keys;
     private int size;
 
-    /** Whether keys beyond the limit were left out. */
+    /** Whether keys beyond the limit were dropped. */
     private boolean truncated;
 
     RankedKeys(int limit) {
         keys = new long[limit];
     }
 
-    /** The key of a backend's id, by the hash of which the high bits are its score. */
+    /** Returns the key of a backend id; the high bits of the hash become the score. */
     static long key(long hash, int id) {
         return hash >>> (Long.SIZE - SCORE_BITS) << ID_BITS | id;
     }
@@ -36,12 +36,12 @@
         return truncated;
     }
 
-    /** The key at a rank, from 0. */
+    /** Returns the key at a rank, counted from 0. */
     long key(int rank) {
         return keys[rank];
     }
 
-    /** The backend's id at a rank, from 0. */
+    /** Returns the id of the backend at a rank, counted from 0. */
     int id(int rank) {
         return (int) (keys[rank] & (1 << ID_BITS) - 1);
     }
@@ -52,7 +52,8 @@
     }
 
     void add(long key) {
-        // Once keys were left out, one behind all that are kept may be behind those as well.
+        // Once keys were dropped, a key that is higher than all kept keys may be higher than some
+        // dropped keys too, so its rank is unknown.
         boolean behindAll = size == 0 || key > keys[size - 1];
         if (behindAll && (truncated || size == keys.length)) {
             truncated = true;
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -11,19 +11,20 @@
 import lemondrift.model.EndpointUpdate;
 
 /**
- * Which proxies of a fleet use which backends. Each uses the backends with its least scores
- * (rendezvous hashing); all compute the same scores, so each knows the others' subsets and none
- * need send its own.
+ * Assigns a subset of the backends to each proxy of a fleet. A proxy uses the backends with the
+ * lowest scores for that proxy (rendezvous hashing). All proxies compute the same scores, so each
+ * proxy knows the subsets of the others and none has to send its own.
  *
- * <p>A change of one backend costs one score for each proxy, whatever the number of backends: for
- * each proxy twice as many backends as its subset has are kept in order, and all are scored again
- * only when so many of those have gone that the subset itself would be short.
+ * <p>The cost of a change of one backend is one score per proxy, regardless of the number of
+ * backends. For each proxy, twice as many backends as the subset size are kept in ranked order. All
+ * backends are scored again only when so many ranked backends have been removed that the subset
+ * would become too small.
  */
 public final class SubsetAssignment {
-    /** So many ranked backends are kept for each place of a subset. */
+    /** Number of ranked backends that are kept for each member of a subset. */
     private static final int RANKED_KEYS_PER_SUBSET_MEMBER = 2;
 
-    /** Low bits of a hash that a score drops, as a double has room for 53 of 64. */
+    /** Number of low bits of a hash that a score drops: a double holds only 53 of the 64 bits. */
     private static final int DROPPED_HASH_BITS = 11;
 
     private static final int[] NO_PROXIES = {};
@@ -31,25 +32,26 @@
     private final int proxyCount;
     private final int subsetSize;
 
-    /** The least keys of each proxy, by its number. */
+    /** The lowest keys of each proxy, by the number of the proxy. */
     private final RankedKeys[] ranked;
 
-    /** The ids of all backends that may be used. */
+    /** The ids of all backends that proxies may use. */
     private final IdSet active = new IdSet();
 
-    /** The users of a backend by its id, until an id comes or goes. */
+    /** The proxies that use a backend, by its id; cleared when an id is added or removed. */
     private final Map<Integer, int[]> cachedUsers = new HashMap<>();
 
-    /** What is listed, by the backend's index. */
+    /** The listed backends, by index. */
     private final Map<Integer, ListedBackend> listed = new HashMap<>();
 
-    /** The indexes of the backends that are ready, by id; two backends may have one id. */
+    /** The indexes of the ready backends, by id; two backends may have the same id. */
     private final Map<Integer, Set<Integer>> readyById = new HashMap<>();
 
     /**
-     * A backend as it was listed last.
+     * The last update of a listed backend.
      *
-     * @param id its id then; its index may stand for another backend later
+     * @param id the id at the time of the update; its index may be reassigned to another backend
+     *     later
      */
     private record ListedBackend(EndpointUpdate update, int id) {
         private boolean isReady() {
@@ -57,7 +59,12 @@
         }
     }
 
-    /** The subsets of a number of proxies, each of so many backends. */
+    /**
+     * Creates an assignment without backends.
+     *
+     * @param proxyCount the number of proxies in the fleet
+     * @param subsetSize the maximum number of backend ids that a proxy uses
+     */
     public SubsetAssignment(int proxyCount, int subsetSize) {
         this.proxyCount = proxyCount;
         this.subsetSize = subsetSize;
@@ -65,12 +72,15 @@
         Arrays.setAll(ranked, proxy -> new RankedKeys(subsetSize * RANKED_KEYS_PER_SUBSET_MEMBER));
     }
 
-    /** The score of a backend's id at a proxy, from 0 to 1; the same wherever it is computed. */
+    /**
+     * Returns the score of a backend id for a proxy, from 0 (inclusive) to 1 (exclusive). Every
+     * proxy computes the same score.
+     */
     public static double score(int proxy, int id) {
         return (hash(proxy, id) >>> DROPPED_HASH_BITS) * 0x1p-53;
     }
 
-    /** One step of SplitMix64 from the seed that the two numbers make. */
+    /** Computes one step of SplitMix64, seeded with the two numbers. */
     private static long hash(int proxy, int id) {
         long z = ((long) proxy << Integer.SIZE | id) + 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
@@ -82,7 +92,7 @@
         return RankedKeys.key(hash(proxy, id), id);
     }
 
-    /** Sets the ids of all backends that may be used. */
+    /** Replaces the ids of the backends that proxies may use. */
     public void setActive(int[] ids) {
         Set<Integer> next = new HashSet<>();
         Arrays.stream(ids).forEach(next::add);
@@ -95,11 +105,13 @@
     }
 
     /**
-     * Takes over updates of the endpoint list. Returns them with the scores and user shares of one
-     * proxy, and after them each backend listed before whose user share has changed by them.
+     * Applies updates of the endpoint list.
      *
-     * @param complete whether nothing but these backends is listed
-     * @param idOf the id of the backend of an index
+     * @param proxy the proxy for which scores and user shares are computed
+     * @param complete whether the updates contain all listed backends, so that others are removed
+     * @param idOf returns the id of the backend with an index
+     * @return the updates with the scores and user shares of the proxy, followed by an update for
+     *     each other listed backend whose user share has changed
      */
     public List<EndpointUpdate> applyUpdates(
             int proxy, boolean complete, List<EndpointUpdate> updates, IntUnaryOperator idOf) {
@@ -159,7 +171,7 @@
         }
     }
 
-    /** The indexes of the backends that a proxy uses. */
+    /** Returns the indexes of the backends that a proxy uses. */
     private Set<Integer> subsetOf(int proxy) {
         Set<Integer> backends = new HashSet<>();
         for (int rank = 0; rank < currentSubsetSize(proxy); rank++) {
@@ -168,12 +180,15 @@
         return backends;
     }
 
-    /** The share of all proxies that use a backend, from 0 to 1; 0 where this one does not. */
+    /**
+     * Returns the share of all proxies that use a backend, from 0 to 1; 0 if the given proxy does
+     * not use it.
+     */
     private double userShare(int proxy, int id) {
         return uses(proxy, id) ? (double) users(id).length / proxyCount : 0;
     }
 
-    /** Whether a proxy uses the backend of an id; nobody uses one that is not listed. */
+    /** Returns whether a proxy uses the backend with an id; false if that backend is not active. */
     public boolean uses(int proxy, int id) {
         int size = currentSubsetSize(proxy);
         return size > 0 && active.contains(id) && key(proxy, id) <= ranked[proxy].key(size - 1);
@@ -183,7 +198,10 @@
         return Math.min(subsetSize, ranked[proxy].size());
     }
 
-    /** The numbers of the proxies that use the backend of an id; not to be changed. */
+    /**
+     * Returns the numbers of the proxies that use the backend with an id; empty if that backend is
+     * not active. Callers must not modify the array.
+     */
     public int[] users(int id) {
         int[] cached = cachedUsers.get(id);
         if (cached != null || !active.contains(id)) {
--- a/src/main/java/lemondrift/gossip/TagCounts.java
+++ b/src/main/java/lemondrift/gossip/TagCounts.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /**
- * How many attempts there are at each backend, by the backend's tag; tags without any are left out.
+ * Counts the attempts at each backend, by the tag of the backend. Tags without attempts are absent.
  */
 final class TagCounts {
     private final Map<Integer, Integer> counts = new HashMap<>();
--- a/src/main/java/lemondrift/gossip/package-info.java
+++ b/src/main/java/lemondrift/gossip/package-info.java
@@ -1,9 +1,11 @@
 /**
- * Gossip between the proxies of a fleet: each tells the others which backends its attempts in
- * flight are at, as far as they use them ({@link lemondrift.gossip.LoadGossip}); who uses which
- * backend, all proxies compute alike ({@link lemondrift.gossip.SubsetAssignment}).
+ * Gossip between the proxies of a fleet. Each proxy reports to its peers the backends of its
+ * attempts in flight, limited to the backends that the peer uses ({@link
+ * lemondrift.gossip.LoadGossip}). All proxies compute the same assignment of backends to proxies
+ * ({@link lemondrift.gossip.SubsetAssignment}).
  *
- * <p>Decisions and datagrams as bytes, no I/O and no clock; the proxy calls it on the decision
- * loop's thread. docs/gossip.md has the settings and the format of a datagram.
+ * <p>This package computes decisions and encodes datagrams; it has no I/O and reads no clock. The
+ * proxy calls it on the thread of the decision loop. docs/gossip.md describes the settings and the
+ * format of a datagram.
  */
 package lemondrift.gossip;
--- a/src/main/java/lemondrift/recovery/PeerObservation.java
+++ b/src/main/java/lemondrift/recovery/PeerObservation.java
@@ -1,14 +1,15 @@
 package lemondrift.recovery;
 
 /**
- * The latest status of a peer.
+ * The latest status received from a peer.
  *
- * @param status what it said of itself
- * @param receivedAt when that came, in seconds of the proxy's clock
+ * @param status the status that the peer reported
+ * @param receivedAt when the status was received, in seconds of the proxy's clock
  */
 public record PeerObservation(PeerStatus status, double receivedAt) {
     /**
-     * Whether another status is of an earlier start of the peer, or an earlier one of this start.
+     * Returns whether this observation is newer than a status: the status is from an earlier start
+     * of the peer, or was sent earlier within the same start.
      */
     boolean isNewerThan(PeerStatus other) {
         return other.startNumber() < status.startNumber()
--- a/src/main/java/lemondrift/recovery/PeerPollSettings.java
+++ b/src/main/java/lemondrift/recovery/PeerPollSettings.java
@@ -1,15 +1,16 @@
 package lemondrift.recovery;
 
 /**
- * How a proxy that has started polls its peers.
+ * Settings for how a starting proxy polls its peers.
  *
  * @param intervalSeconds seconds from the first poll to the second; each further interval is longer
- *     by as much
- * @param decisionTimeoutSeconds seconds after the start when it goes by whoever has answered
- * @param expirySeconds seconds after which a peer's status no longer counts; at least the decision
- *     timeout
- * @param fanout how many peers it polls at a time
- * @param settledSamples from so many samples of its own it polls no more
+ *     by this amount
+ * @param decisionTimeoutSeconds seconds after the start when the phase is determined from the peers
+ *     that have answered so far
+ * @param expirySeconds seconds after which the status of a peer no longer counts; at least the
+ *     decision timeout
+ * @param fanout number of peers polled per round
+ * @param settledSamples number of its own samples from which the proxy no longer polls
  */
 public record PeerPollSettings(
         double intervalSeconds,
@@ -17,19 +18,19 @@
         double expirySeconds,
         int fanout,
         int settledSamples) {
-    /** First interval, as a share of the shortest latency objective. */
+    /** Default first interval, as a share of the shortest latency objective. */
     private static final double DEFAULT_INTERVAL_SHARE = 0.1;
 
-    /** Expiry of a status, in shortest latency objectives. */
+    /** Default expiry of a status, as a multiple of the shortest latency objective. */
     private static final double DEFAULT_EXPIRY_FACTOR = 8;
 
-    /** Peers polled at a time. */
+    /** Default number of peers polled per round. */
     private static final int DEFAULT_FANOUT = 6;
 
-    /** Own samples after which nobody is polled. */
+    /** Default number of own samples from which the proxy no longer polls. */
     private static final int DEFAULT_SETTLED_SAMPLES = 8;
 
-    /** The default for a shortest latency objective of so many seconds. */
+    /** Returns the defaults for a shortest latency objective, given in seconds. */
     public static PeerPollSettings forLatencyObjective(double objectiveSeconds) {
         return new PeerPollSettings(
                 DEFAULT_INTERVAL_SHARE * objectiveSeconds,
@@ -42,8 +43,8 @@
     /**
      * Checks the ranges.
      *
-     * @throws IllegalArgumentException where one is not positive, or expiry is under the decision
-     *     timeout
+     * @throws IllegalArgumentException if a value is not positive, or if the expiry is shorter than
+     *     the decision timeout
      */
     public PeerPollSettings {
         if (!(intervalSeconds > 0)
@@ -51,7 +52,18 @@
                 || !(expirySeconds >= decisionTimeoutSeconds)
                 || fanout < 1
                 || settledSamples < 1) {
-            throw new IllegalArgumentException("intervals of polling out of range");
+            throw new IllegalArgumentException(
+                    "poll settings must be positive, and the expiry at least the decision timeout:"
+                            + " interval "
+                            + intervalSeconds
+                            + " s, decision timeout "
+                            + decisionTimeoutSeconds
+                            + " s, expiry "
+                            + expirySeconds
+                            + " s, fanout "
+                            + fanout
+                            + ", settled samples "
+                            + settledSamples);
         }
     }
 }
--- a/src/main/java/lemondrift/recovery/PeerStatus.java
+++ b/src/main/java/lemondrift/recovery/PeerStatus.java
@@ -4,16 +4,17 @@
 import java.util.Optional;
 
 /**
- * What a proxy says of itself to a peer, in a datagram of 28 bytes. It reports only what it has
- * measured itself, never what peers have told it, so that ten that repeat one source don't count.
+ * The status that a proxy reports about itself to a peer, in a datagram of 28 bytes. A proxy
+ * reports only its own measurements, never values received from peers: otherwise ten proxies that
+ * repeat one source would count as ten sources.
  *
- * @param startNumber the sender's start number, which rises with each start
- * @param recipientStart the start number of the proxy that it is for, 0 where that is not known
- * @param wantsReply whether the recipient is to reply with its own status
- * @param uptimeSeconds seconds since the sender's start
- * @param serviceTimeSeconds mean service time that the sender has measured, 0 without samples
- * @param samples from how many responses that is the mean; at most 255 are told
- * @param settled whether the sender has samples enough of its own
+ * @param startNumber the start number of the sender, which rises with each start
+ * @param recipientStart the start number of the recipient; 0 if it is not known
+ * @param wantsReply whether the recipient should reply with its own status
+ * @param uptimeSeconds seconds since the start of the sender
+ * @param serviceTimeSeconds mean service time measured by the sender; 0 without samples
+ * @param samples number of responses in that mean; larger numbers are reported as 255
+ * @param settled whether the sender has enough samples of its own
  */
 public record PeerStatus(
         long startNumber,
@@ -23,10 +24,10 @@
         float serviceTimeSeconds,
         int samples,
         boolean settled) {
-    /** First byte of the datagram; gossip has another one. */
+    /** First byte of the datagram; gossip datagrams begin with another one. */
     public static final byte KIND = 3;
 
-    /** Second byte of the datagram. */
+    /** Second byte of the datagram: the version of the format. */
     public static final byte VERSION = 1;
 
     /** Length of the datagram, in bytes. */
@@ -38,15 +39,15 @@
     /** Bit of the flags for settled. */
     private static final int SETTLED_FLAG = 2;
 
-    /** What one byte holds. */
+    /** Maximum number of samples, which are sent as one byte. */
     private static final int MAX_SAMPLES = 255;
 
-    /** Limits the samples to what the datagram can hold. */
+    /** Limits the samples to the maximum that fits into the datagram. */
     public PeerStatus {
         samples = Math.min(MAX_SAMPLES, samples);
     }
 
-    /** The datagram. */
+    /** Encodes the status as a datagram. */
     public byte[] encode() {
         int flags = (wantsReply ? WANTS_REPLY_FLAG : 0) + (settled ? SETTLED_FLAG : 0);
         return ByteBuffer.allocate(LENGTH)
@@ -62,8 +63,8 @@
     }
 
     /**
-     * The status in a datagram; empty where that is cut, of another kind or version, or has values
-     * out of range.
+     * Decodes a datagram. Returns empty if the datagram has another length, kind or version, or
+     * contains values that are out of range.
      */
     public static Optional<PeerStatus> decode(byte[] datagram) {
         if (datagram.length != LENGTH || datagram[0] != KIND || datagram[1] != VERSION) {
--- a/src/main/java/lemondrift/recovery/RecoveryPhase.java
+++ b/src/main/java/lemondrift/recovery/RecoveryPhase.java
@@ -1,15 +1,23 @@
 package lemondrift.recovery;
 
-/** What a proxy that has started is among its peers, as far as they have answered. */
+/**
+ * How many of the proxies that answer a starting proxy have just started too. A peer is settled if
+ * it has measured enough samples of its own.
+ */
 public enum RecoveryPhase {
-    /** It is too early to say: no settled peer has answered, and others may still do. */
+    /** Not decided yet: no settled peer has answered, and more peers may still answer. */
     UNKNOWN,
-    /** It alone is new: most that answer were there before, and can be learned from. */
+    /**
+     * Only this proxy is new: at least three in four of the peers that answer are settled, so it
+     * can learn from them.
+     */
     ALONE,
-    /** Of those that answer, more than one in four have not measured enough yet. */
+    /** More than one in four of the peers that answer are not settled yet, but at least one is. */
     AMONG_SOME,
-    /** All that answer have just started, as after a power loss: none has measured enough. */
+    /** All peers that answer have just started, as after a power loss: none is settled. */
     ALL_NEW,
-    /** None answers; that does not show that the others are gone, nor that they are new. */
+    /**
+     * No peer answers. This does not show that the peers are gone, nor that they have just started.
+     */
     CUT_OFF
 }
--- a/src/main/java/lemondrift/recovery/RecoveryState.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -9,21 +9,21 @@
 import java.util.stream.Stream;
 
 /**
- * A proxy's recovery after its start: it polls its peers for their phase and for the service time
- * of a request, until it has measured that itself. A value; each event gives another one. Times are
- * in seconds of one clock.
+ * The recovery of a proxy after its start: the proxy polls its peers for their status and the
+ * service time of a request until it has measured the service time itself. The state is immutable;
+ * each event returns a new state. Times are in seconds of one clock.
  *
- * @param pollSettings how it polls
- * @param self its number among the proxies
- * @param proxyCount how many proxies there are
- * @param startNumber its own, which rises with each start
- * @param startedAt when it started
- * @param serviceTimeSeconds mean service time from its own samples, 0 without any
- * @param samples how many these are
- * @param observations the latest status of each peer that has sent one, by its number
- * @param phase what it is among them; fixed once it is settled
- * @param pollRounds how often it has polled
- * @param nextPollAt when it polls next
+ * @param pollSettings how the proxy polls its peers
+ * @param self the number of this proxy, counted from 0
+ * @param proxyCount the number of proxies in the fleet
+ * @param startNumber the start number of this proxy, which rises with each start
+ * @param startedAt when this proxy started
+ * @param serviceTimeSeconds mean service time of its own samples; 0 without samples
+ * @param samples number of its own samples
+ * @param observations the latest status of each peer that has sent one, by the number of the peer
+ * @param phase the current phase; fixed once the proxy is settled
+ * @param pollRounds number of completed poll rounds
+ * @param nextPollAt when the next poll round is due; infinite once the proxy is settled
  */
 public record RecoveryState(
         PeerPollSettings pollSettings,
@@ -37,40 +37,43 @@
         RecoveryPhase phase,
         int pollRounds,
         double nextPollAt) {
-    /** It counts as the only new one while at most one peer in so many is new. */
+    /**
+     * The proxy counts as the only new one if at most one in this number of answering peers is not
+     * settled.
+     */
     private static final int MIN_ANSWERS_PER_UNSETTLED_PEER = 4;
 
-    /** As how many samples those of one peer count at the most. */
+    /** Maximum number of samples that one peer contributes to the estimate. */
     private static final int MAX_SAMPLES_PER_PEER = 8;
 
-    /** In place of the recipient's start number where that is not known. */
+    /** Used as the recipient's start number if it is not known. */
     private static final long ANY_START = 0;
 
     /**
-     * What goes to a peer.
+     * A status to be sent to a peer.
      *
-     * @param to the peer's number
+     * @param to the number of the peer
      */
     public record StatusMessage(int to, PeerStatus status) {}
 
     /**
-     * What comes of an event.
+     * The result of an event.
      *
-     * @param next the state after it
-     * @param messages what is to be sent
-     * @param peerRestarted whether it shows that the peer has restarted
+     * @param next the state after the event
+     * @param messages the messages to be sent
+     * @param peerRestarted whether the event shows that a peer has restarted
      */
     public record Step(RecoveryState next, List<StatusMessage> messages, boolean peerRestarted) {}
 
     /**
-     * What peers have measured.
+     * The service time that peers have measured.
      *
      * @param serviceTimeSeconds mean service time, in seconds
-     * @param samples as how many samples it counts
+     * @param samples number of samples by which the estimate is weighted
      */
     public record PeerEstimate(double serviceTimeSeconds, int samples) {}
 
-    /** The state at the start of a proxy, which polls at once. */
+    /** Returns the state of a proxy that starts now; its first poll round is due immediately. */
     public static RecoveryState starting(
             PeerPollSettings pollSettings, int self, int proxyCount, long startNumber, double now) {
         return new RecoveryState(
@@ -106,12 +109,15 @@
                 nextPollAt);
     }
 
-    /** Whether it has samples enough of its own, and polls no more. */
+    /** Returns whether the proxy has enough samples of its own and no longer polls. */
     public boolean isSettled() {
         return samples >= pollSettings.settledSamples();
     }
 
-    /** The state with the mean service time that its own samples show; the same once settled. */
+    /**
+     * Returns the state with the mean service time of the proxy's own samples; returns this state
+     * unchanged if it is already settled.
+     */
     public RecoveryState withMeasuredServiceTime(double serviceTimeSeconds, int samples) {
         if (isSettled()) {
             return this;
@@ -131,9 +137,10 @@
     }
 
     /**
-     * A peer's status has come. Guards against datagrams that come late, twice, out of order or
-     * from before one of both has restarted: such a one changes nothing. A lower start number, as
-     * of a peer whose wall clock went back, counts once the higher one has expired.
+     * Handles a status from a peer. Guards against datagrams that are late, duplicate, out of
+     * order, or from before a restart of the sender or the recipient: they change nothing. A lower
+     * start number, for example of a peer whose wall clock went back, is accepted once the status
+     * with the higher one has expired.
      */
     public Step statusReceived(int from, PeerStatus status, double now) {
         PeerObservation before = observations.get(from);
@@ -160,7 +167,10 @@
         return new Step(next, replies, restarted);
     }
 
-    /** Polls the next few peers where that is due; each interval is longer than the one before. */
+    /**
+     * Polls the next peers in turn if a poll round is due. Each interval between two rounds is
+     * longer than the previous one, up to the expiry of a status.
+     */
     public Step wake(double now) {
         if (now < nextPollAt || proxyCount < 2) {
             return new Step(withCurrentPhase(now), List.of(), false);
@@ -185,7 +195,7 @@
         return new Step(next, polls, false);
     }
 
-    /** When to wake it; infinite once it polls no more. */
+    /** Returns when to call {@link #wake} next; infinite once the proxy is settled. */
     public double wakeAt() {
         return isSettled() ? Double.POSITIVE_INFINITY : nextPollAt;
     }
@@ -211,7 +221,7 @@
                 .map(PeerObservation::status);
     }
 
-    /** With the phase that the answers show, which is corrected until it is settled. */
+    /** Returns the state with the phase updated from the current statuses, until it is settled. */
     private RecoveryState withCurrentPhase(double now) {
         if (isSettled()) {
             return this;
@@ -243,9 +253,10 @@
     }
 
     /**
-     * The service time that peers have measured, of the settled ones where there are any; empty
-     * where none has measured anything. It is the upper median, of two the larger: a single peer
-     * can't move it far, and too short a time would overload a backend in slow start.
+     * Returns the service time that peers have measured: of the settled peers if there are any,
+     * else of all peers. Returns empty if no peer has samples. The estimate is the upper median
+     * (the larger of two values): a single peer cannot move it far, and an estimate that is too
+     * short would overload a backend in slow start.
      */
     public Optional<PeerEstimate> peerEstimate(double now) {
         boolean anySettled = currentStatuses(now).anyMatch(PeerStatus::settled);
--- a/src/main/java/lemondrift/recovery/Snapshot.java
+++ b/src/main/java/lemondrift/recovery/Snapshot.java
@@ -1,14 +1,15 @@
 package lemondrift.recovery;
 
 /**
- * What a proxy stores for its next start, where a disk lasts.
+ * The data that a proxy stores for its next start, if it has persistent storage.
  *
- * @param proxyName the proxy's name; a snapshot of another proxy is not used
- * @param bootId tells one run of the machine from the next, empty where that is not known
- * @param startNumber the start number, which the next start has to pass
- * @param writtenAt when it was written, in seconds since 1970 by a wall clock that may be wrong
- * @param serviceTimeSeconds mean service time in seconds, 0 without samples
- * @param samples from how many samples that is the mean
+ * @param proxyName the name of the proxy; a snapshot of another proxy is not used
+ * @param bootId identifies one boot of the machine; empty if it is not known
+ * @param startNumber the start number of the proxy; the next start must use a higher one
+ * @param writtenAt when the snapshot was written, in seconds since 1970 of a wall clock that may be
+ *     wrong
+ * @param serviceTimeSeconds mean service time, in seconds; 0 without samples
+ * @param samples number of samples in that mean
  */
 public record Snapshot(
         String proxyName,
@@ -17,16 +18,16 @@
         double writtenAt,
         double serviceTimeSeconds,
         int samples) {
-    /** Seconds for which the service time counts with all its samples. */
+    /** Maximum age, in seconds, at which the service time counts with all its samples. */
     private static final double MAX_AGE_SECONDS = 24 * 3600;
 
-    /** As how many samples an old service time, or one of another run of the machine, counts. */
+    /** Maximum number of samples for a service time that is old or from an earlier boot. */
     private static final int MAX_UNRELIABLE_SAMPLES = 1;
 
     /**
      * Checks the ranges.
      *
-     * @throws IllegalArgumentException where a value is missing or out of range
+     * @throws IllegalArgumentException if a value is missing or out of range
      */
     public Snapshot {
         if (proxyName == null
@@ -36,31 +37,43 @@
                 || serviceTimeSeconds == Double.POSITIVE_INFINITY
                 || samples < 0
                 || (serviceTimeSeconds == 0) != (samples == 0)) {
-            throw new IllegalArgumentException("a value of the snapshot is out of range");
+            throw new IllegalArgumentException(
+                    "snapshot has a missing or out-of-range value: proxy name "
+                            + proxyName
+                            + ", boot id "
+                            + bootId
+                            + ", start number "
+                            + startNumber
+                            + ", service time "
+                            + serviceTimeSeconds
+                            + " s, samples "
+                            + samples);
         }
     }
 
     /**
-     * What is used of a snapshot at a start.
+     * The values that a starting proxy takes from a snapshot.
      *
-     * @param previousStartNumber the new start number has to be above this
-     * @param serviceTimeSeconds service time to go by until peers or own samples say more, 0 for
-     *     none
-     * @param samples as how many samples that counts
-     * @param reason in words for the log
+     * @param previousStartNumber the start number of an earlier start; the new one must be higher
+     * @param serviceTimeSeconds service time to use until peers or own samples provide a better
+     *     one; 0 if there is none
+     * @param samples number of samples by which the service time is weighted
+     * @param reason explanation for the log
      */
     public record RestoredValues(
             long previousStartNumber, double serviceTimeSeconds, int samples, String reason) {
-        /** Where there is no snapshot that can be read. */
+        /** The values if there is no readable snapshot. */
         public static final RestoredValues NONE = new RestoredValues(0, 0, 0, "no snapshot");
     }
 
     /**
-     * What a starting proxy uses of it.
+     * Returns the values that a starting proxy may use. The service time of a snapshot that is old
+     * or from an earlier boot counts with fewer samples; nothing of another proxy's snapshot is
+     * used.
      *
      * @param startingProxyName the name of the proxy that starts
-     * @param currentBootId tells the current run of the machine, empty where that is not known
-     * @param wallSeconds the wall clock, in seconds since 1970
+     * @param currentBootId identifies the current boot of the machine; empty if it is not known
+     * @param wallSeconds the current time of the wall clock, in seconds since 1970
      */
     public RestoredValues restore(
             String startingProxyName, String currentBootId, double wallSeconds) {
@@ -69,7 +82,7 @@
         }
         double ageSeconds = wallSeconds - writtenAt;
         boolean rebooted = bootId.isEmpty() || !bootId.equals(currentBootId);
-        // Guards against a clock that has gone back: it tells no age, so any age is assumed.
+        // Guards against a clock that has gone back: the age is unknown, so it counts as old.
         boolean old = !(ageSeconds >= 0 && ageSeconds <= MAX_AGE_SECONDS);
         return new RestoredValues(
                 startNumber,
--- a/src/main/java/lemondrift/recovery/package-info.java
+++ b/src/main/java/lemondrift/recovery/package-info.java
@@ -1,8 +1,10 @@
 /**
- * What a proxy that has just started learns from its peers and from the snapshot of its former
- * self: whether the others have just started too, and how long a backend takes for a request. It
- * polls them until its own samples are enough ({@link lemondrift.recovery.RecoveryState}).
+ * Recovery of a proxy after its start. The proxy learns from its peers and from the snapshot of its
+ * previous run whether the peers have just started too, and how long a backend takes for a request.
+ * It polls the peers until it has enough samples of its own ({@link
+ * lemondrift.recovery.RecoveryState}).
  *
- * <p>Values without I/O, clock or threads; the proxy calls them on the decision loop's thread.
+ * <p>All types are immutable values without I/O, clock or threads. The proxy uses them on the
+ * thread of the decision loop.
  */
 package lemondrift.recovery;
