--- a/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -14,14 +14,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The backends' ids, the dense indexes by which the balancer knows them, and their addresses. An
- * index passes to another backend once its own has gone and nothing holds a reference to it. The
- * cost of one endpoint does not grow with the number of backends. Decisions thread only.
+ * Maps the ids of backends to their addresses and to the dense indexes by which the balancer refers
+ * to them. An index is reassigned to another backend once its backend is gone and no references to
+ * it remain. The cost of processing one endpoint does not grow with the number of backends. Used
+ * only on the thread of the decision loop.
  */
 public final class BackendDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(BackendDirectory.class);
 
-    /** The backend that an index stands for. */
+    /** The backend to which an index is assigned. */
     private static final class Entry {
         private final int index;
         private final String id;
@@ -29,21 +30,21 @@
         private int location;
         private int cell;
 
-        /** What the balancer was told last; set as soon as the entry is added. */
+        /** The last update passed to the balancer; set right after the entry is added. */
         private EndpointUpdate lastUpdate;
 
-        /** Whether it has left the list. */
+        /** Whether the backend has been removed from the list. */
         private boolean gone;
 
-        /** Whether its address has changed since {@link #consumeAddressChange}. */
+        /** Whether the address has changed since the last {@link #consumeAddressChange}. */
         private boolean addressChanged;
 
         private boolean logged;
 
-        /** Attempts and probes that name it by its index. */
+        /** Number of attempts and probes that refer to the backend by its index. */
         private int referenceCount;
 
-        /** The number of the last list that named it. */
+        /** The number of the last list that contained the backend. */
         private int lastListNumber;
 
         private Entry(int index, String id) {
@@ -52,23 +53,28 @@
         }
     }
 
-    /** Names of the locations, by their index. */
+    /** The names of the locations, by index. */
     private final List<String> locations;
 
     private final Map<String, Entry> byId = new HashMap<>();
     private final List<Entry> byIndex = new ArrayList<>();
 
-    /** Those that have not gone. */
+    /** The entries of backends that are not gone. */
     private final Map<InetSocketAddress, Set<Entry>> byAddress = new HashMap<>();
 
-    /** Indexes of backends that have gone and are not referenced any more. */
+    /** Indexes of backends that are gone and no longer referenced. */
     private final TreeSet<Integer> freeIndexes = new TreeSet<>();
 
     private int listedCount;
     private int referenceCount;
     private int lastListNumber;
 
-    /** An empty directory; the first location stands for any that is not named. */
+    /**
+     * Creates an empty directory.
+     *
+     * @param locations the names of the known locations; an endpoint with any other location is
+     *     assigned to the first one
+     */
     public BackendDirectory(List<String> locations) {
         this.locations = locations;
     }
@@ -81,17 +87,17 @@
         return byIndex.get(backend).id;
     }
 
-    /** How many backends are listed, draining ones too. */
+    /** Returns the number of listed backends, including draining ones. */
     public int listedCount() {
         return listedCount;
     }
 
-    /** How many indexes have been given out, free ones too. */
+    /** Returns the number of indexes assigned so far, including free ones. */
     int indexCount() {
         return byIndex.size();
     }
 
-    /** Whether the address of a backend has changed since the last call. */
+    /** Returns whether the address of a backend has changed since the last call. */
     public boolean consumeAddressChange(int backend) {
         Entry entry = byIndex.get(backend);
         boolean changed = entry.addressChanged;
@@ -99,16 +105,19 @@
         return changed;
     }
 
-    /** How many references there are to all backends. */
+    /** Returns the total number of references to all backends. */
     public int referenceCount() {
         return referenceCount;
     }
 
-    /** Adds a reference to a backend: its index stands for it until each reference is released. */
+    /**
+     * Adds a reference to a backend. Its index is not reassigned until all references are released.
+     */
     public void retain(int backend) {
         Entry entry = byIndex.get(backend);
         if (!entry.logged) {
-            // At its first use, as a line for each of thousands that are listed would fill the log.
+            // Logged at the first use: a line for each of thousands of listed backends would fill
+            // the log.
             entry.logged = true;
             LOG.info("backend {} is {} at {}", backend, entry.id, entry.address);
         }
@@ -117,7 +126,7 @@
         updateFreeIndexes(entry);
     }
 
-    /** Takes back one {@link #retain}. */
+    /** Releases a reference that {@link #retain} added. */
     public void release(int backend) {
         Entry entry = byIndex.get(backend);
         entry.referenceCount--;
@@ -133,18 +142,19 @@
         }
     }
 
-    /** Begins to apply a list, and returns the number by which its endpoints are marked. */
+    /** Starts to apply a list and returns the number with which its endpoints are marked. */
     int beginList() {
         return ++lastListNumber;
     }
 
     /**
-     * Marks a backend as named by a list; returns whether the endpoint tells anything new of it.
+     * Marks a backend as contained in a list; returns whether the endpoint requires an update for
+     * the balancer.
      */
     boolean markListed(int listNumber, EndpointList.Endpoint endpoint) {
         Entry entry = byId.get(endpoint.id());
         if (entry == null) {
-            // One that was never listed and has gone already is of no interest.
+            // A backend that was never listed and is already gone needs no update.
             return endpoint.isReadable() && endpoint.state() != EndpointUpdate.State.GONE;
         }
         entry.lastListNumber = listNumber;
@@ -160,7 +170,10 @@
                 && entry.lastUpdate.weight() == endpoint.weight();
     }
 
-    /** The index of an endpoint's location; the first one's if its own is not known. */
+    /**
+     * Returns the index of the location of an endpoint: the current one if the endpoint states
+     * none, and 0 if the stated one is not known.
+     */
     private int resolveLocation(Entry entry, EndpointList.Endpoint endpoint) {
         return endpoint.locality() == null
                 ? entry.location
@@ -172,20 +185,24 @@
     }
 
     /**
-     * Whether an index stands for a listed backend that the complete list of a number has not
-     * named.
+     * Returns whether an index is assigned to a listed backend that is missing from the complete
+     * list with a number.
      */
     boolean isMissingFrom(int listNumber, int backend) {
         Entry entry = byIndex.get(backend);
         return !entry.gone && entry.lastListNumber != listNumber;
     }
 
-    /** Takes a backend off the list, and returns what the balancer has to hear of it. */
+    /** Removes a backend from the list and returns the update for the balancer. */
     EndpointUpdate remove(int backend) {
         return remove(byIndex.get(backend));
     }
 
-    /** Applies an endpoint, and adds what the balancer has to hear of it. */
+    /**
+     * Applies an endpoint of a list.
+     *
+     * @param updates receives the updates for the balancer
+     */
     void apply(EndpointList.Endpoint endpoint, List<EndpointUpdate> updates) {
         Entry known = byId.get(endpoint.id());
         if (known == null && endpoint.state() == EndpointUpdate.State.READY) {
@@ -210,7 +227,10 @@
         updates.add(entry.lastUpdate);
     }
 
-    /** Guards against requests for a former backend that reach a new one at its address. */
+    /**
+     * Removes all backends at an address. Guards against requests for a former backend reaching a
+     * new backend at the same address.
+     */
     private void removeAllAt(InetSocketAddress address, List<EndpointUpdate> updates) {
         for (Entry former : List.copyOf(byAddress.getOrDefault(address, Set.of()))) {
             updates.add(remove(former));
@@ -231,7 +251,8 @@
     }
 
     /**
-     * Sets whether a backend has gone, and its address, and keeps all that goes by either in step.
+     * Sets whether a backend is gone, and its address, and updates the listed count, the addresses
+     * and the free indexes accordingly.
      */
     private void setPresence(Entry entry, boolean gone, InetSocketAddress address) {
         if (!entry.gone && entry.address != null) {
@@ -252,8 +273,8 @@
     }
 
     /**
-     * Adds a backend under the lowest free index. Guards against growth where backends are replaced
-     * all day.
+     * Adds a backend under the lowest free index. Guards against unbounded growth if backends are
+     * replaced all day.
      */
     private Entry add(String id) {
         Integer freeIndex = freeIndexes.pollFirst();
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListBuilder.java
@@ -12,24 +12,24 @@
 import lemondrift.proxy.config.ProxyConfig;
 import lemondrift.proxy.events.EndpointList;
 
-/** Maps the members of one list from discovery's JSON form to endpoints, one at a time. */
+/** Builds an endpoint list from members in the JSON form of discovery, one member at a time. */
 public final class EndpointListBuilder {
-    /** Weight of an endpoint that states none. */
+    /** Weight of an endpoint without a stated weight. */
     private static final double DEFAULT_WEIGHT = 1;
 
     private final Map<String, EndpointList.Endpoint> endpoints = new LinkedHashMap<>();
     private final List<String> unreadable = new ArrayList<>();
 
     /**
-     * Guards against an unreadable member that costs the others, or its own backend if its id can
-     * be read.
+     * Adds a member. Guards against an unreadable member causing the loss of other members, or of
+     * its own backend if its id is readable: the endpoint is then marked as unreadable.
      */
     void add(JsonElement member) {
         EndpointList.Endpoint endpoint;
         try {
             endpoint = parseEndpoint(member.getAsJsonObject());
         } catch (RuntimeException e) {
-            // Wide, as each kind of wrong JSON has an exception of its own.
+            // Catches every exception: each kind of malformed JSON throws a different one.
             unreadable.add(member + ": " + e);
             if (!(member instanceof JsonObject object
                     && object.get("id") instanceof JsonPrimitive id)) {
@@ -37,7 +37,7 @@
             }
             endpoint = EndpointList.Endpoint.unreadable(id.getAsString());
         }
-        // A backend that is named again moves to the end: its last member counts.
+        // A backend that is listed twice moves to the end: its last member counts.
         endpoints.remove(endpoint.id());
         endpoints.put(endpoint.id(), endpoint);
     }
@@ -48,9 +48,10 @@
     }
 
     /**
-     * A list from discovery's JSON form; its revision may be missing.
+     * Builds a list from the JSON form of discovery. The revision may be missing; then it is {@link
+     * EndpointList#NO_REVISION}.
      *
-     * @throws RuntimeException if the object has no "members" or no "complete"
+     * @throws RuntimeException if "members" or "complete" is missing or cannot be converted
      */
     public static EndpointList fromJson(JsonObject list) {
         EndpointListBuilder builder = new EndpointListBuilder();
@@ -67,7 +68,7 @@
                     case "leaving" -> EndpointUpdate.State.DRAINING;
                     default -> EndpointUpdate.State.GONE;
                 };
-        // A backend that has gone needs no address.
+        // A backend that is gone needs no address.
         InetSocketAddress address =
                 state == EndpointUpdate.State.GONE && !member.has("host_port")
                         ? null
@@ -83,7 +84,9 @@
                 numberOrZero(member, "up_since_ms").doubleValue() / 1000);
     }
 
-    /** Guards against an unreadable weight that costs the backend. */
+    /**
+     * Reads the weight. Guards against an unreadable weight making the whole backend unreadable.
+     */
     private static double parseWeight(JsonObject member) {
         return member.get("size") instanceof JsonPrimitive size && size.isNumber()
                 ? size.getAsDouble()
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListParser.java
@@ -10,8 +10,8 @@
 import lemondrift.proxy.events.EndpointList;
 
 /**
- * Parses a list in discovery's JSON form in steps, so that thousands of members hold up no other
- * thread.
+ * Parses a list in the JSON form of discovery in steps, so that a list with thousands of members
+ * does not delay other threads.
  */
 public final class EndpointListParser {
     private enum Position {
@@ -25,13 +25,15 @@
     private final EndpointListBuilder builder = new EndpointListBuilder();
     private Position position = Position.BEFORE_LIST;
 
-    /** Null until it was read, as the next. */
+    /** Null until it is read. */
     private Long revision;
 
+    /** Null until it is read. */
     private Boolean complete;
+
     private boolean membersSeen;
 
-    /** A parser of the body of one response, in UTF-8. */
+    /** Creates a parser for the body of one response, encoded in UTF-8. */
     public EndpointListParser(byte[] body) {
         reader =
                 new JsonReader(
@@ -40,9 +42,11 @@
     }
 
     /**
-     * Parses up to so many members more; returns whether the list has come to its end.
+     * Parses the next members.
      *
-     * @throws IOException or a runtime exception if the body is no list in discovery's form
+     * @param maxMembers the maximum number of members to parse
+     * @return whether the whole list has been parsed
+     * @throws IOException or a runtime exception if the body is not a list in the form of discovery
      */
     public boolean advance(int maxMembers) throws IOException {
         if (position == Position.BEFORE_LIST) {
@@ -73,7 +77,9 @@
     private void parseField() throws IOException {
         if (!reader.hasNext()) {
             reader.endObject();
-            require(reader.peek() == JsonToken.END_DOCUMENT, "more than a list");
+            require(
+                    reader.peek() == JsonToken.END_DOCUMENT,
+                    "endpoint list: unexpected content after the end of the list");
             position = Position.AFTER_LIST;
             return;
         }
@@ -90,10 +96,10 @@
     }
 
     /**
-     * The list, once {@link #advance} has come to its end.
+     * Returns the list, after {@link #advance} has returned true.
      *
-     * @throws IOException if a field is missing. Guards against a revision that is taken from half
-     *     a list
+     * @throws IOException if a field is missing or the list has not been parsed to its end. Guards
+     *     against using the revision of an incomplete list
      */
     public EndpointList list() throws IOException {
         require(
@@ -101,7 +107,7 @@
                         && membersSeen
                         && revision != null
                         && complete != null,
-                "a list without its fields");
+                "endpoint list: \"members\", \"revision\" or \"complete\" is missing");
         return builder.build(revision, complete);
     }
 
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListParserTask.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListParserTask.java
@@ -11,16 +11,16 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Parses lists on XNIO's task thread, in steps, so that a long one holds up no thread on the same
- * core.
+ * Parses endpoint lists on XNIO's task thread, in steps, so that a long list does not delay other
+ * threads on the same core.
  */
 final class EndpointListParserTask {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListParserTask.class);
 
-    /** Members parsed in one step. */
+    /** Number of members parsed in one step. */
     private static final int MEMBERS_PER_STEP = 64;
 
-    /** Pause between two steps, in which other threads may run. */
+    /** Pause between two steps, during which other threads can run. */
     private static final long STEP_PAUSE_NANOS = 500_000;
 
     private final XnioIoThread io;
@@ -29,7 +29,9 @@
         this.io = io;
     }
 
-    /** Starts to parse a body; one of the two hears the outcome on the I/O thread. */
+    /**
+     * Starts to parse a body; calls one of the two callbacks with the result, on the I/O thread.
+     */
     void start(byte[] body, Consumer<EndpointList> onParsed, Consumer<Throwable> onFailure) {
         EndpointListParser parser = new EndpointListParser(body);
         execute(io.getWorker(), () -> parse(parser, onParsed, onFailure));
@@ -46,21 +48,21 @@
             EndpointList list = parser.list();
             execute(io, () -> onParsed.accept(list));
         } catch (IOException | RuntimeException | StackOverflowError e) {
-            // Wide, as each kind of wrong JSON has an exception of its own; endless nesting
-            // overflows the stack.
+            // Catches every exception: each kind of malformed JSON throws a different one, and deep
+            // nesting overflows the stack.
             execute(io, () -> onFailure.accept(e));
         }
     }
 
     /**
-     * Guards against an error at the end of the process, when no more tasks are taken and no list
-     * is needed.
+     * Executes a task. Guards against an error at shutdown, when the executor rejects tasks and the
+     * list is no longer needed.
      */
     private static void execute(Executor executor, Runnable task) {
         try {
             executor.execute(task);
         } catch (RejectedExecutionException e) {
-            LOG.debug("an endpoint list came after the end");
+            LOG.debug("endpoint list dropped: the executor has shut down");
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -6,19 +6,19 @@
 import lemondrift.proxy.events.EndpointList;
 
 /**
- * One endpoint list on its way to the balancer, in slices of bounded cost. It first looks at all
- * endpoints and leaves out what is known already; then come the backends that drain or have gone,
- * as requests must not reach them, and last those that are new or have changed. Decisions thread
- * only.
+ * Turns an endpoint list into updates for the balancer, in slices of bounded cost. First, it
+ * compares all endpoints with the known state and skips unchanged ones. Then it withdraws backends
+ * that drain or are gone, because requests must not reach them. Last, it adds new and changed
+ * backends. Used only on the thread of the decision loop.
  */
 public final class EndpointListUpdate {
-    /** What one slice may cost, where a look at an endpoint costs 1. */
+    /** Maximum cost of a slice; comparing one endpoint costs 1. */
     private static final int MAX_SLICE_COST = 512;
 
-    /** What an update for the balancer costs, by the same measure. */
+    /** Cost of one update for the balancer, in the same unit. */
     private static final int UPDATE_COST = 8;
 
-    /** In their order. */
+    /** The steps, in the order in which they run. */
     private enum Step {
         COMPARE_ENDPOINTS,
         FIND_MISSING,
@@ -36,28 +36,28 @@
     private final boolean knownBeforeStart;
     private final Runnable notifyApplied;
 
-    /** Indexes of the backends that a complete list does not name. */
+    /** Indexes of the listed backends that are missing from a complete list. */
     private final List<Integer> missing = new ArrayList<>();
 
-    /** Endpoints that drain or have gone. */
+    /** Endpoints that drain or are gone. */
     private final List<EndpointList.Endpoint> withdrawn = new ArrayList<>();
 
     private final List<EndpointList.Endpoint> newOrChanged = new ArrayList<>();
     private Step step = Step.COMPARE_ENDPOINTS;
 
-    /** The next element of the present step. */
+    /** The next element of the current step. */
     private int position;
 
-    /** By which the directory marks the endpoints; set with the first slice. */
+    /** The number with which the directory marks the endpoints; set with the first slice. */
     private int listNumber;
 
     private int sliceCount;
     private int updateCount;
 
     /**
-     * An update whose first slice is not taken yet.
+     * Creates an update; {@link #nextSlice} returns its first slice.
      *
-     * @param knownBeforeStart whether the list is one of before the start
+     * @param knownBeforeStart whether the list was known before the proxy started
      * @param notifyApplied run by {@link #notifyApplied}
      */
     public EndpointListUpdate(
@@ -71,32 +71,35 @@
         this.notifyApplied = notifyApplied;
     }
 
-    /** Whether the list is one of before the start. */
+    /** Returns whether the list was known before the proxy started. */
     public boolean isKnownBeforeStart() {
         return knownBeforeStart;
     }
 
-    /** Whether the list tells nothing, as a watch call does that ends without news. */
+    /**
+     * Returns whether the list contains no changes, as in the response to a watch call that ended
+     * without a change.
+     */
     public boolean isEmpty() {
         return list.endpoints().isEmpty() && !list.complete();
     }
 
-    /** Whether all slices were taken. */
+    /** Returns whether all slices have been taken. */
     public boolean isDone() {
         return step == Step.DONE;
     }
 
-    /** Tells whoever asked that the balancer has all of the list. */
+    /** Runs the callback that reports that the balancer has applied the whole list. */
     public void notifyApplied() {
         notifyApplied.run();
     }
 
-    /** The endpoints that could not be read, each with the reason. */
+    /** Returns the unreadable members of the list, each with the reason. */
     public List<String> unreadable() {
         return list.unreadable();
     }
 
-    /** The next updates for the balancer, perhaps none. */
+    /** Returns the next updates for the balancer; may be empty. */
     public List<EndpointUpdate> nextSlice() {
         if (sliceCount == 0) {
             listNumber = directory.beginList();
@@ -111,7 +114,7 @@
         return updates;
     }
 
-    /** Handles one element, or passes on to the next step; returns the cost. */
+    /** Processes one element, or proceeds to the next step; returns the cost. */
     private int advance(List<EndpointUpdate> updates) {
         if (position >= elementCount()) {
             step = step.next();
@@ -149,7 +152,7 @@
         }
     }
 
-    /** Missing backends first. */
+    /** Withdraws one backend; the missing backends come first. */
     private void withdraw(int element, List<EndpointUpdate> updates) {
         if (element < missing.size()) {
             updates.add(directory.remove(missing.get(element)));
@@ -158,7 +161,7 @@
         }
     }
 
-    /** For the log. */
+    /** Returns the counts of the list and its updates, for the log. */
     public String summary() {
         return "revision="
                 + list.revision()
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -19,54 +19,62 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Keeps the endpoint list up to date: calls discovery for the full list, and then for what changes
- * after the last revision. At most one call is out. I/O thread only, but where it says otherwise.
+ * Keeps the endpoint list up to date. It requests the full list from discovery, and then the
+ * changes after the last revision. At most one call is in progress. Used only on the I/O thread,
+ * except where noted.
  */
 public final class EndpointListWatch {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListWatch.class);
 
-    /** Longest body of a list, in bytes. */
+    /** Maximum size of the body of a list, in bytes. */
     private static final int MAX_LIST_BYTES = 4 << 20;
 
-    /** Connections to discovery. */
+    /** Maximum number of connections to discovery. */
     private static final int MAX_CONNECTIONS = 4;
 
     /**
-     * Seconds for which discovery may hold a watch call without news. Two silent calls in a row,
-     * each with slack and pause, end within the 6 s after which a change counts as known.
+     * Seconds for which discovery may hold a watch call if there is no change. Two calls in a row
+     * without a response, each with slack and pause, end within the 6 s after which a change counts
+     * as known.
      */
     private static final double HOLD_SECONDS = 1.8;
 
     /**
-     * The same where the balancer polls, as each call has a cost; here one silent call ends within
-     * the 6 s.
+     * Seconds for which discovery may hold a call if the balancer polls. It is longer because each
+     * call has a cost; one call without a response ends within the 6 s after which a change counts
+     * as known.
      */
     private static final double POLLING_HOLD_SECONDS = 3;
 
-    /** Seconds after the hold after which silence is a failure. */
+    /** Seconds after the hold time after which a call without a response counts as failed. */
     private static final double HOLD_SLACK_SECONDS = 0.7;
 
-    /** Seconds between a failed call and the next, where the balancer does not poll. */
+    /** Seconds between a failed call and the next one, if the balancer does not poll. */
     private static final double RETRY_PAUSE_SECONDS = 0.1;
 
-    /** Seconds for a new connection, and for the full list of an agent on this machine. */
+    /**
+     * Timeout in seconds for a new connection, and for the full list of an agent on this machine.
+     */
     private static final double RESPONSE_TIMEOUT_SECONDS = 0.5;
 
     /**
-     * Seconds for the full list where the balancer polls. Guards against a discovery that is slow
-     * or crowded and whose list is given up each time.
+     * Timeout in seconds for the full list if the balancer polls. Guards against abandoning the
+     * call each time if discovery is slow or overloaded.
      */
     private static final double POLLED_LIST_TIMEOUT_SECONDS = 2.5;
 
-    /** Seconds for which the start waits for the first list: a connection and a response. */
+    /**
+     * Seconds for which the start of the proxy waits for the first list: enough for a connection
+     * and a response.
+     */
     private static final double FIRST_LIST_TIMEOUT_SECONDS = 2 * RESPONSE_TIMEOUT_SECONDS;
 
     private enum State {
-        /** The next call may start. */
+        /** No call is in progress, so the next one may start. */
         IDLE,
-        /** A call is out. */
+        /** A call is in progress. */
         CALLING,
-        /** The task thread parses a response. */
+        /** The task thread is parsing a response. */
         PARSING,
         STOPPED
     }
@@ -78,27 +86,27 @@
     private final DecisionEvents decisionEvents;
     private final EndpointListParserTask parserTask;
 
-    /** Whether the balancer says when to call, as each call has a cost. */
+    /** Whether the balancer decides when to call, because each call has a cost. */
     private final boolean polling;
 
-    /** Counted down when the first call has ended, with a list or without. */
+    /** Counted down when the first list is applied or the first call has failed. */
     private final CountDownLatch firstCallEnded = new CountDownLatch(1);
 
     private State state = State.IDLE;
 
-    /** The revision of the last list; empty where the next call is for the full list. */
+    /** The revision of the last list; empty if the next call is for the full list. */
     private OptionalLong lastRevision = OptionalLong.empty();
 
     /** Whether the last call failed. */
     private boolean lastCallFailed;
 
-    /** Connections to the present address of discovery. */
+    /** Connections to the current address of discovery. */
     private ConnectionPool pool;
 
-    /** Null but while calling. */
+    /** The call in progress; null if there is none. */
     private BackendCall call;
 
-    /** A watch of the configured discovery address, not started yet. */
+    /** Creates a watch of the configured discovery address; {@link #start} starts it. */
     public EndpointListWatch(
             ProxyConfig config,
             MonotonicClock clock,
@@ -128,7 +136,7 @@
                 ConnectionPool.Quarantine.NONE);
     }
 
-    /** Starts to watch, unless the balancer polls: then it asks for the first call. */
+    /** Starts watching, unless the balancer polls: then the balancer requests the first call. */
     public void start() {
         if (!polling) {
             startCall();
@@ -136,9 +144,9 @@
     }
 
     /**
-     * Waits until the balancer has the present list, or the first call has failed, for a second at
-     * most. Guards against requests to backends that the list known from before names and that have
-     * drained since. Any thread but the I/O thread.
+     * Waits until the balancer has applied the current list or the first call has failed, for at
+     * most one second. Guards against requests to backends that are in the list known before the
+     * start but have drained since. May be called on any thread except the I/O thread.
      */
     public void awaitFirstList() {
         try {
@@ -148,7 +156,7 @@
         }
     }
 
-    /** Leaves discovery for another address; what is out at the old one is dropped. */
+    /** Switches to another address of discovery; abandons a call in progress to the old address. */
     public void switchTo(InetSocketAddress discovery) {
         if (state == State.STOPPED) {
             return;
@@ -160,12 +168,12 @@
         state = State.IDLE;
         pool.retire();
         pool = createPool(discovery);
-        // Guards against revisions that the new address counts otherwise.
+        // Guards against using a revision of the old address: the new one may count differently.
         lastRevision = OptionalLong.empty();
         startCall();
     }
 
-    /** The balancer asks for the list. */
+    /** Handles a request of the balancer for the list. */
     public void listRequested(Decision.EndpointListCall kind) {
         if (kind == Decision.EndpointListCall.FULL) {
             lastRevision = OptionalLong.empty();
@@ -173,7 +181,7 @@
         startCall();
     }
 
-    /** Stops for good. */
+    /** Stops watching permanently. */
     public void stop() {
         state = State.STOPPED;
         if (call != null) {
@@ -204,7 +212,7 @@
                         full ? fullListTimeoutSeconds() : holdSeconds + HOLD_SLACK_SECONDS,
                         this::callEnded);
         if (call == null) {
-            callFailed("no connection free");
+            callFailed("no free connection to discovery");
         } else {
             state = State.CALLING;
             call.start();
@@ -247,8 +255,8 @@
         }
         lastCallFailed = false;
         decisionEvents.endpointListReceived(list, false, firstCallEnded::countDown);
-        // Guards against a gap: what changes more than 200 ms before the next watch begins counts
-        // as known.
+        // Calls again immediately. Guards against a gap: a change more than 200 ms before the next
+        // watch call begins counts as known.
         startCall();
     }
 
@@ -259,7 +267,8 @@
     }
 
     /**
-     * Whether the outcome counts: not after the end, nor from an address that was left meanwhile.
+     * Ends the parsing of a response. Returns whether its result is still valid: it is not if this
+     * watch has stopped or has switched to another address in the meantime.
      */
     private boolean endParsing(ConnectionPool sourcePool) {
         if (state == State.STOPPED || sourcePool != pool) {
@@ -269,9 +278,9 @@
         return true;
     }
 
-    /** Calls again after a pause, or leaves that to the balancer where it polls. */
+    /** Calls again after a pause; if the balancer polls, leaves the next call to it. */
     private void callFailed(String reason) {
-        // Guards against a line for every call while discovery is down.
+        // Guards against a log line for each failed call while discovery is down.
         if (!lastCallFailed) {
             LOG.info("list call failed, asking again: {}", reason);
         }
--- a/src/main/java/lemondrift/proxy/discovery/package-info.java
+++ b/src/main/java/lemondrift/proxy/discovery/package-info.java
@@ -1,13 +1,13 @@
 /**
  * Discovery of backends. {@link lemondrift.proxy.discovery.EndpointListWatch} calls discovery (I/O
- * thread), {@code EndpointListParserTask} parses the response in steps (XNIO's task thread), {@link
- * lemondrift.proxy.discovery.EndpointListUpdate} turns a list into updates for the balancer in
+ * thread). {@code EndpointListParserTask} parses the response in steps (XNIO's task thread). {@link
+ * lemondrift.proxy.discovery.EndpointListUpdate} turns a list into updates for the balancer, in
  * slices, and {@link lemondrift.proxy.discovery.BackendDirectory} owns the ids, indexes and
- * addresses of backends (both decisions thread).
+ * addresses of backends (both on the thread of the decision loop).
  *
- * <p>The names of discovery's JSON form are read in {@link
- * lemondrift.proxy.discovery.EndpointListBuilder} and {@link
- * lemondrift.proxy.discovery.EndpointListParser} alone. What a new list does to the balancer,
- * gossip and connections stands in {@code proxy.loop.EndpointListApplier}.
+ * <p>Only {@link lemondrift.proxy.discovery.EndpointListBuilder} and {@link
+ * lemondrift.proxy.discovery.EndpointListParser} use the field names of discovery's JSON form.
+ * {@code proxy.loop.EndpointListApplier} applies a new list to the balancer, gossip and
+ * connections.
  */
 package lemondrift.proxy.discovery;
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -15,8 +15,9 @@
 import lemondrift.proxy.discovery.BackendDirectory;
 
 /**
- * What this proxy reports to its peers and hears of them, by the backends' indexes. Decision loop's
- * thread only, but for {@link #receivedDatagrams}.
+ * Connects gossip to the balancer: translates between the backend indexes of the balancer and the
+ * tags of gossip. Used only on the thread of the decision loop, except for {@link
+ * #enqueueDatagram}.
  */
 public final class GossipSession {
     private record ReceivedDatagram(int from, byte[] datagram) {}
@@ -27,16 +28,16 @@
     private final SubsetAssignment subsets;
     private final LoadGossip gossip;
 
-    /** Datagrams that are not processed yet. */
+    /** Datagrams that have not been processed yet. */
     private final Queue<ReceivedDatagram> receivedDatagrams = new ConcurrentLinkedQueue<>();
 
-    /** The index of the ready backend of a tag. */
+    /** The index of the ready backend with a tag. */
     private final Map<Integer, Integer> backendByTag = new HashMap<>();
 
-    /** The tag of a backend, by its index. */
+    /** The tags of the backends, by index. */
     private int[] tags = {};
 
-    /** A session that begins now, under the proxy's start number. */
+    /** Creates a session for the current start of the proxy, identified by its start number. */
     public GossipSession(
             GossipSettings settings,
             long startNumber,
@@ -65,14 +66,17 @@
     }
 
     /**
-     * Queues a datagram until the loop decides next; it is not woken, as what peers have in flight
-     * matters only then. Any thread.
+     * Queues a datagram until {@link #processReceived}. The decision loop is not woken, because the
+     * load of peers matters only when it makes its next decision. Any thread.
      */
     public void enqueueDatagram(int from, byte[] datagram) {
         receivedDatagrams.add(new ReceivedDatagram(from, datagram));
     }
 
-    /** Passes on to the decisions what has come, and what has expired. */
+    /**
+     * Processes queued datagrams, expires stale load, and passes the resulting load of peers to the
+     * balancer.
+     */
     public void processReceived(double now) {
         for (ReceivedDatagram next = receivedDatagrams.poll();
                 next != null;
@@ -84,8 +88,11 @@
     }
 
     /**
-     * Tags the backends of changed endpoints, and adds this proxy's scores and the share of proxies
-     * that use each backend, also for other backends where that has changed.
+     * Computes the tags of changed endpoints, and adds the scores of this proxy and the share of
+     * proxies that use each backend.
+     *
+     * @return the given updates, followed by an update for each other backend whose share has
+     *     changed
      */
     public List<EndpointUpdate> assignSubsets(List<EndpointUpdate> updates) {
         for (EndpointUpdate update : updates) {
@@ -102,7 +109,10 @@
         return subsets.applyUpdates(self, false, updates, backend -> tags[backend]);
     }
 
-    /** The decisions have applied these endpoints, and learn what peers have in flight there. */
+    /**
+     * Passes the load of peers at changed endpoints to the balancer, after it has applied the
+     * updates.
+     */
     public void endpointsApplied(List<EndpointUpdate> updates) {
         for (EndpointUpdate update : updates) {
             int backend = update.backend();
@@ -114,7 +124,10 @@
         gossip.attemptSent(tags[backend]);
     }
 
-    /** An attempt has ended; where the backend may still work on it, it counts for a while. */
+    /**
+     * Records the end of an attempt. If the backend may still execute it, it counts as in flight
+     * until it expires.
+     */
     public void attemptEnded(int backend, AttemptOutcome outcome, double now) {
         if (outcome.mayStillRun) {
             gossip.attemptAbandoned(tags[backend], now);
@@ -123,17 +136,20 @@
         }
     }
 
-    /** A peer has restarted under a start number: its former attempts are over. */
+    /** Records that a peer has restarted with a start number, and drops its previous attempts. */
     public void peerRestarted(int proxy, long startNumber) {
         gossip.peerRestarted(proxy, startNumber);
     }
 
-    /** When messages are due next, in seconds of the clock; infinite where none are. */
+    /**
+     * Returns when {@link #takeDueMessages} is due next, in seconds of the clock; infinite if
+     * nothing is pending.
+     */
     public double nextSendAt() {
         return gossip.nextSendAt();
     }
 
-    /** The messages that are due now, which count as sent. */
+    /** Returns the messages that are due now and marks them as sent. */
     public List<LoadGossip.Message> takeDueMessages(double now) {
         return gossip.takeDueMessages(now);
     }
--- a/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipTransport.java
@@ -19,8 +19,9 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /**
- * Datagrams from and to the peers. I/O thread only, once it is started. A socket that fails leaves
- * one line in the log, and the proxy serves on without gossip.
+ * Sends datagrams to the peers and receives datagrams from them. Used only on the I/O thread once
+ * it is started. If the socket fails, one line is logged and the proxy continues to serve without
+ * gossip.
  */
 public final class GossipTransport {
     private static final Logger LOG = LoggerFactory.getLogger(GossipTransport.class);
@@ -28,23 +29,23 @@
     private final GossipSettings settings;
     private final DecisionEvents decisionEvents;
 
-    /** The number of each proxy, by its address. */
+    /** The numbers of the proxies, by address. */
     private final Map<SocketAddress, Integer> proxyNumbers = new HashMap<>();
 
-    /** One byte more than a datagram may have, which shows one that is too long. */
+    /** One byte longer than the maximum datagram, to detect datagrams that are too long. */
     private final ByteBuffer receiveBuffer = ByteBuffer.allocate(LoadGossip.MAX_DATAGRAM_BYTES + 1);
 
     private final SocketAddressBuffer sender = new SocketAddressBuffer();
 
-    /** Null until it is started, and where the socket can't be opened. */
+    /** Null before the start, and if the socket cannot be opened. */
     private MulticastMessageChannel channel;
 
-    /** Null until it is started, and where the socket can't be opened. */
+    /** Null before the start, and if the socket cannot be opened. */
     private XnioExecutor.Key receiveTimer;
 
     private boolean failureLogged;
 
-    /** A transport that passes what it receives to the decision loop. */
+    /** Creates a transport that passes received datagrams to the decision loop. */
     public GossipTransport(GossipSettings settings, DecisionEvents decisionEvents) {
         this.settings = settings;
         this.decisionEvents = decisionEvents;
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Opens the socket and reads it from time to time. */
+    /** Opens the socket and starts reading it periodically. */
     public void start(XnioWorker worker) {
         try {
             channel = worker.createUdpServer(settings.listen(), OptionMap.EMPTY);
@@ -61,7 +62,7 @@
             logFirstFailure(e);
             return;
         }
-        // By a timer, as to be woken for each datagram costs more processor than all requests do.
+        // Uses a timer, because a wakeup for each datagram takes more CPU time than all requests.
         receiveTimer =
                 worker.getIoThread()
                         .executeAtInterval(
@@ -71,8 +72,8 @@
     }
 
     /**
-     * Reads all that has come; also called before each request. Datagrams from an unknown address,
-     * or longer than any may be, are dropped.
+     * Reads all datagrams that have arrived; also called before each request. Datagrams that come
+     * from an unknown address or are too long are dropped.
      */
     public void receive() {
         if (channel == null) {
@@ -90,12 +91,13 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            // Wide, as it runs before each request, which must not fail with it.
+            // Catches every exception: this runs before each request, and an error here must not
+            // fail the request.
             logFirstFailure(e);
         }
     }
 
-    /** Sends a message to a peer; one that can't be sent is lost, as a datagram may be. */
+    /** Sends a message to a peer. A message that cannot be sent is lost, like a lost datagram. */
     public void send(LoadGossip.Message message) {
         if (channel == null) {
             return;
@@ -104,7 +106,7 @@
             channel.sendTo(
                     settings.proxies().get(message.to()), ByteBuffer.wrap(message.datagram()));
         } catch (IOException | RuntimeException e) {
-            // Wide, as NIO reports an address that is not resolved unchecked.
+            // Catches every exception: NIO reports an unresolved address as an unchecked exception.
             logFirstFailure(e);
         }
     }
--- a/src/main/java/lemondrift/proxy/gossip/package-info.java
+++ b/src/main/java/lemondrift/proxy/gossip/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Load gossip on the wire and beside the decisions: {@link lemondrift.proxy.gossip.GossipTransport}
- * owns the UDP socket (I/O thread), {@link lemondrift.proxy.gossip.GossipSession} what is reported
- * and heard (decision loop's thread).
+ * Connects load gossip to the network and to the balancer. {@link
+ * lemondrift.proxy.gossip.GossipTransport} owns the UDP socket (I/O thread). {@link
+ * lemondrift.proxy.gossip.GossipSession} owns the load that is sent and received (thread of the
+ * decision loop).
  */
 package lemondrift.proxy.gossip;
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -17,13 +17,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out a proxy's recovery after its start. Decision loop's thread only, but where it says
- * otherwise.
+ * Runs the recovery of a proxy after its start. Used only on the thread of the decision loop,
+ * except where noted.
  */
 public final class RecoveryCoordinator implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RecoveryCoordinator.class);
 
-    /** Hears that a peer has restarted. */
+    /** Called when a peer has restarted. */
     public interface PeerRestartListener {
         void peerRestarted(int proxy, long startNumber);
     }
@@ -32,33 +32,36 @@
 
     private final Queue<ReceivedStatus> receivedStatuses = new ConcurrentLinkedQueue<>();
 
-    /** Null where no disk lasts. */
+    /** Null if there is no persistent storage. */
     private final SnapshotStore snapshotStore;
 
-    /** What is used of the former self's snapshot. */
+    /** The values restored from the snapshot of the previous run. */
     private final Snapshot.RestoredValues restored;
 
     private final double snapshotIntervalSeconds;
     private double nextSnapshotAt;
 
-    /** The mean service time as it was measured last; kept where snapshots are stored. */
+    /** The last measured mean service time; updated only if snapshots are stored. */
     private volatile ServiceTime lastMeasured = new ServiceTime(0, 0);
 
-    /** A value, so that any thread may read it. */
+    /** Immutable, so any thread may read it. */
     private volatile RecoveryState state;
 
-    /** What peers have measured; null where none has, and once it is settled as it was last. */
+    /**
+     * The last estimate from peers; null if there is none. Not updated once the state is settled.
+     */
     private volatile RecoveryState.PeerEstimate peerEstimate;
 
-    /** When the phase changed last. */
+    /** When the phase last changed. */
     private volatile double phaseChangedAt;
 
-    /** Whether the decisions have been given a first service time, if there was one. */
+    /** Whether the balancer has been seeded with a first service time, if there was one. */
     private boolean seedAttempted;
 
     /**
-     * The recovery of a proxy, which begins now. Before it returns, the start number is on disk
-     * where one lasts. Guards against a number that peers have seen being used a second time.
+     * Starts the recovery of a proxy. If there is persistent storage, the start number is stored
+     * before the constructor returns. Guards against reusing a start number that peers have already
+     * seen.
      */
     public RecoveryCoordinator(
             RecoverySettings settings, String proxyName, int self, int proxyCount, double now) {
@@ -71,7 +74,7 @@
                 snapshotStore == null
                         ? Snapshot.RestoredValues.NONE
                         : snapshotStore.restoreNewest();
-        // Guards against a wall clock that went back, which would repeat a number.
+        // Guards against repeating a start number after the wall clock went back.
         long startNumber = Math.max(restored.previousStartNumber() + 1, System.currentTimeMillis());
         state = RecoveryState.starting(settings.polling(), self, proxyCount, startNumber, now);
         phaseChangedAt = now;
@@ -92,12 +95,15 @@
         return restored.serviceTimeSeconds() > 0 ? restored.samples() : 0;
     }
 
-    /** Whether a datagram is a peer's status, not gossip. Any thread. */
+    /** Returns whether a datagram is a status of a peer, not gossip. Any thread. */
     public static boolean isRecoveryDatagram(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == PeerStatus.KIND;
     }
 
-    /** Queues a peer's status until the next advance; drops one that can't be read. Any thread. */
+    /**
+     * Queues the status of a peer until the next {@link #advance}; drops an unreadable one. Any
+     * thread.
+     */
     public void enqueueDatagram(int from, byte[] datagram) {
         PeerStatus.decode(datagram)
                 .ifPresent(status -> receivedStatuses.add(new ReceivedStatus(from, status)));
@@ -108,19 +114,19 @@
     }
 
     /**
-     * When to advance at the latest, in seconds of the clock; infinite once it is settled and no
-     * snapshots are stored.
+     * Returns when to call {@link #advance} at the latest, in seconds of the clock; infinite if
+     * recovery is settled and no snapshots are stored.
      */
     public double wakeAt() {
         return snapshotStore == null ? state.wakeAt() : Math.min(state.wakeAt(), nextSnapshotAt);
     }
 
     /**
-     * Follows what peers have sent, passes what they have measured to the decisions, polls where
-     * that is due, and stores a snapshot from time to time.
+     * Processes the statuses received from peers, seeds the balancer with the service time that
+     * they have measured, polls peers if a poll is due, and stores snapshots periodically.
      *
-     * @param listener hears of each peer that has restarted
-     * @param sender sends what goes to peers
+     * @param listener called for each peer that has restarted
+     * @param sender sends messages to peers
      */
     public void advance(
             double now,
@@ -184,7 +190,7 @@
         }
     }
 
-    /** Seeds the decisions' service time from peers, or at first from the snapshot. */
+    /** Seeds the balancer's service time from peers, or at first from the snapshot. */
     private void seedDecisions(LoadBalancer balancer, double now) {
         Optional<RecoveryState.PeerEstimate> current = state.peerEstimate(now);
         if (current.isPresent()) {
@@ -197,7 +203,7 @@
     }
 
     private void storeSnapshot(double now) {
-        // Jitter guards against all proxies of a machine writing at once to its one disk.
+        // Jitter guards against all proxies of a machine writing to its one disk at the same time.
         nextSnapshotAt = now + snapshotIntervalSeconds * (0.5 + Math.random());
         writeMeasuredSnapshot();
     }
@@ -213,7 +219,7 @@
         return String.format(Locale.ROOT, "%.2fs", seconds);
     }
 
-    /** Phase, samples and snapshot as JSON, for operators. Any thread. */
+    /** Returns the phase, samples and snapshot as JSON, for operators. Any thread. */
     public String statusJson(double now) {
         RecoveryState current = state;
         RecoveryState.PeerEstimate estimate = peerEstimate;
@@ -235,7 +241,7 @@
         return json.toString();
     }
 
-    /** Stores a last snapshot. Any thread, once the decision loop has ended. */
+    /** Stores the last snapshot. Any thread, after the decision loop has ended. */
     @Override
     public void close() {
         if (snapshotStore != null) {
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotFile.java
@@ -15,11 +15,12 @@
 import lemondrift.recovery.Snapshot;
 
 /**
- * A snapshot in a file, and the one before it in another: a header with magic bytes, version, body
- * length and CRC-32C of the body, then the body as CBOR.
+ * Reads and writes snapshots. A file holds one snapshot, and a second file holds the previous one.
+ * The format is a header with magic bytes, version, body length and CRC-32C of the body, followed
+ * by the body as CBOR.
  */
 public final class SnapshotFile {
-    /** The one version of the format that is read and written. */
+    /** The only version of the format that is read and written. */
     static final int VERSION = 1;
 
     private static final byte[] MAGIC = "LDSN".getBytes(StandardCharsets.US_ASCII);
@@ -27,14 +28,14 @@
     /** Length of the header, in bytes. */
     private static final int HEADER_BYTES = MAGIC.length + Short.BYTES + 2 * Integer.BYTES;
 
-    /** A longer file is no snapshot, and is not read. */
+    /** Maximum size of a snapshot file, in bytes; longer files are not read. */
     private static final int MAX_FILE_BYTES = 64 * 1024;
 
     private static final CBORMapper CBOR = new CBORMapper();
 
     private SnapshotFile() {}
 
-    /** A snapshot under the names, and in the order, in which it is stored. */
+    /** The fields of a snapshot with the names and in the order in which they are stored. */
     private record StoredSnapshot(
             @JsonProperty("name") String proxyName,
             @JsonProperty("boot") String bootId,
@@ -78,17 +79,19 @@
     /**
      * Reads a snapshot.
      *
-     * @throws IOException with the reason, where the file can't be read, is torn, changed or
-     *     foreign, is of another version or has values out of range
+     * @throws IOException if the file cannot be read, is truncated, corrupt or not a snapshot, has
+     *     another version or contains values that are out of range; the message says which
      */
     public static Snapshot read(Path file) throws IOException {
         if (Files.size(file) > MAX_FILE_BYTES) {
-            throw new IOException(file + ": longer than a snapshot may be");
+            throw new IOException(
+                    file + ": not a snapshot: longer than " + MAX_FILE_BYTES + " bytes");
         }
         byte[] content = Files.readAllBytes(file);
         if (content.length < HEADER_BYTES
                 || !Arrays.equals(content, 0, MAGIC.length, MAGIC, 0, MAGIC.length)) {
-            throw new IOException(file + ": not a snapshot");
+            throw new IOException(
+                    file + ": not a snapshot: header is too short or has other magic bytes");
         }
         ByteBuffer in = ByteBuffer.wrap(content);
         in.position(MAGIC.length);
@@ -97,13 +100,18 @@
         int checksum = in.getInt();
         if (version != VERSION) {
             throw new IOException(
-                    file + ": of version " + version + ", and this program reads " + VERSION);
+                    file + ": snapshot has version " + version + ", expected version " + VERSION);
         }
         byte[] body = new byte[in.remaining()];
         in.get(body);
         if (bodyLength != body.length || checksum != checksum(body)) {
             throw new IOException(
-                    file + ": torn or changed: " + body.length + " bytes of " + bodyLength);
+                    file
+                            + ": snapshot is truncated or corrupt: body has "
+                            + body.length
+                            + " bytes of "
+                            + bodyLength
+                            + ", or its checksum is wrong");
         }
         try {
             return CBOR.readValue(body, StoredSnapshot.class).toSnapshot();
@@ -112,15 +120,15 @@
         }
     }
 
-    /** Where the snapshot before the one in a file is kept. */
+    /** Returns the file with the snapshot before the one in the given file. */
     static Path previousFile(Path file) {
         return file.resolveSibling(file.getFileName() + ".1");
     }
 
     /**
-     * Writes a snapshot, and keeps the one before. Guards against a power failure between any two
-     * steps: the new file is synced before it gets its name, and the one before keeps its own until
-     * then, so what is there under either name is whole.
+     * Writes a snapshot and keeps the previous one. Guards against a power failure between any two
+     * steps: the new file is synced before it is renamed to its final name, and the previous file
+     * keeps its name until then. A file under either name is therefore always complete.
      */
     static void write(Path file, Snapshot snapshot) throws IOException {
         Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
@@ -13,22 +13,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores a proxy's snapshots in a folder, on a thread of its own. A disk that fails leaves a line
- * in the log and costs no request.
+ * Stores the snapshots of a proxy in a folder, on a separate thread. A disk failure is logged and
+ * does not affect requests.
  */
 final class SnapshotStore implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(SnapshotStore.class);
 
-    /** Linux tells one run of the machine from the next here. */
+    /** The file in which Linux provides an id of the current boot. */
     private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
 
-    /** Seconds that the last write may take at the end. */
+    /** Seconds for which {@link #close} waits for pending writes. */
     private static final long CLOSE_TIMEOUT_SECONDS = 1;
 
     private final Path file;
     private final String proxyName;
 
-    /** Empty where the machine does not tell. */
+    /** Identifies the current boot of the machine; empty if it is not known. */
     private final String bootId;
 
     private final ExecutorService writer =
@@ -60,7 +60,10 @@
         return System.currentTimeMillis() / 1e3;
     }
 
-    /** What is used of the newest snapshot that can be read; any other is set aside. */
+    /**
+     * Returns the values restored from the newest readable snapshot, or {@link
+     * Snapshot.RestoredValues#NONE}. Unreadable snapshots are set aside under another name.
+     */
     Snapshot.RestoredValues restoreNewest() {
         for (Path candidate : List.of(file, SnapshotFile.previousFile(file))) {
             if (!Files.exists(candidate)) {
@@ -69,7 +72,7 @@
             try {
                 return SnapshotFile.read(candidate).restore(proxyName, bootId, wallSeconds());
             } catch (IOException | RuntimeException e) {
-                // Wide, as whatever a file holds must not keep the proxy from starting.
+                // Catches every exception: no content of a file may keep the proxy from starting.
                 LOG.warn("recovery snapshot set aside: {}", e.toString().replace('\n', ' '));
                 setAside(candidate);
             }
@@ -89,9 +92,9 @@
     }
 
     /**
-     * Writes a snapshot before it returns.
+     * Writes a snapshot on the calling thread.
      *
-     * @return whether it was written
+     * @return whether the snapshot was written
      */
     boolean writeNow(long startNumber, double serviceTimeSeconds, int samples) {
         try {
@@ -107,13 +110,13 @@
             lastWriteFailed = false;
             return true;
         } catch (IOException | RuntimeException e) {
-            // Wide, as the proxy serves on without a snapshot.
+            // Catches every exception: the proxy continues to serve without a snapshot.
             logFirstFailure(e);
             return false;
         }
     }
 
-    /** Guards against a full disk filling the log as well. */
+    /** Logs the first of several failures in a row. Guards against a full disk filling the log. */
     private void logFirstFailure(Exception cause) {
         if (!lastWriteFailed) {
             LOG.warn("recovery snapshot not kept, {}", cause.toString());
@@ -121,12 +124,15 @@
         lastWriteFailed = true;
     }
 
-    /** Has a snapshot written soon, as the decision loop's thread must not wait for a disk. */
+    /**
+     * Writes a snapshot on the writer thread, because the thread of the decision loop must not wait
+     * for a disk.
+     */
     void writeAsync(long startNumber, double serviceTimeSeconds, int samples) {
         writer.execute(() -> writeNow(startNumber, serviceTimeSeconds, samples));
     }
 
-    /** Waits a bounded time until what is to be written is. */
+    /** Waits for pending writes for a limited time. */
     @Override
     public void close() {
         writer.shutdown();
--- a/src/main/java/lemondrift/proxy/recovery/package-info.java
+++ b/src/main/java/lemondrift/proxy/recovery/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Carries out recovery after a start: {@link lemondrift.proxy.recovery.RecoveryCoordinator} polls
- * peers over the gossip datagrams and passes what they have measured to the decisions; {@code
- * SnapshotStore} and {@link lemondrift.proxy.recovery.SnapshotFile} keep the start number and the
- * service time on disk, where a folder is configured.
+ * Runs recovery after a start. {@link lemondrift.proxy.recovery.RecoveryCoordinator} polls peers
+ * over the socket of gossip and seeds the balancer with the service time that they have measured.
+ * {@code SnapshotStore} and {@link lemondrift.proxy.recovery.SnapshotFile} store the start number
+ * and the service time on disk, if a folder is configured.
  *
- * <p>The coordinator belongs to the decision loop's thread; files are written on a thread of their
- * own ("keeper"), but for the first, which is written before the start goes on.
+ * <p>The coordinator is used on the thread of the decision loop. Files are written on a separate
+ * thread ("keeper"), except for the first one, which is written before the start continues.
  */
 package lemondrift.proxy.recovery;
