--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -13,14 +13,16 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Gossip beside a plain model, under loss, repeats, disorder and unreadable datagrams. */
+/**
+ * Tests gossip against a simple model, with lost, duplicate, reordered and unreadable datagrams.
+ */
 class LoadGossipTest {
-    /** Seconds after which what a peer reported counts no more. */
+    /** Seconds after which the report of a silent peer is dropped. */
     private static final double EXPIRY_SECONDS = 0.1;
 
     private record Undelivered(int from, LoadGossip.Message message) {}
 
-    /** The gossip of one of a few proxies that all use all backends. */
+    /** Creates the gossip of one proxy in a small fleet in which all proxies use all backends. */
     private static LoadGossip newGossip(int proxies, int self, int backends) {
         return new LoadGossip(
                 proxies,
@@ -38,10 +40,10 @@
         return subsets;
     }
 
-    /** The only message that is due now. */
+    /** Takes the due messages, checks that there is exactly one, and returns its datagram. */
     private static byte[] onlyDueMessage(LoadGossip sender, double now) {
         List<LoadGossip.Message> due = sender.takeDueMessages(now);
-        assertEquals(1, due.size(), "due");
+        assertEquals(1, due.size(), "number of due messages");
         return due.get(0).datagram();
     }
 
@@ -79,9 +81,7 @@
         receiver.expireStaleLoad(2.09);
         assertEquals(0, receiver.peerLoad(7));
         assertEquals(
-                0,
-                receiver.livePeerCount(2.09),
-                "a silent peer counts no more than what it reported");
+                0, receiver.livePeerCount(2.09), "a silent peer is dropped along with its report");
         LoadGossip restarted = newGossip(2, 0, 10);
         restarted.attemptSent(8);
         receiver.receive(0, onlyDueMessage(restarted, 3), 3);
@@ -100,10 +100,12 @@
         assertEquals(List.of(), sender.takeDueMessages(1.005));
         onlyDueMessage(sender, 1.011);
         assertEquals(
-                List.of(), sender.takeDueMessages(1.02), "what has not changed is repeated seldom");
+                List.of(),
+                sender.takeDueMessages(1.02),
+                "an unchanged report is not sent again yet");
     }
 
-    /** How many backends have a lesser score at a proxy than the one of a tag. */
+    /** Returns how many backends have a lower score for a proxy than the backend with a tag. */
     private static long countBackendsWithLowerScore(int proxy, int tag, int[] tags) {
         double score = SubsetAssignment.score(proxy, tag);
         return Arrays.stream(tags)
@@ -139,13 +141,13 @@
             }
             assertTrue(
                     messages > 7 * backends && messages <= 8 * backends,
-                    messages + " messages for " + backends);
+                    messages + " messages for " + backends + " backends");
         }
     }
 
     /**
-     * Whatever was lost, late or doubled before: once all messages arrive, each knows what the
-     * others have in flight as soon as the last message before can have expired.
+     * Checks convergence after lost, late and duplicate messages: once all messages arrive, each
+     * proxy knows the attempts in flight of the others after one expiry time.
      */
     @Property(tries = 2000, seed = "48")
     void convergesOnAttemptsInFlightOnceMessagesArrive(@ForAll long seed) {
@@ -171,7 +173,7 @@
                     .takeDueMessages(now)
                     .forEach(message -> undelivered.add(new Undelivered(proxy, message)));
             if (!undelivered.isEmpty() && random.nextInt(3) > 0) {
-                // Any of them, perhaps again, perhaps never: lost, late, twice.
+                // Delivers a random one: any message may be lost, late or delivered repeatedly.
                 Undelivered delivered = undelivered.get(random.nextInt(undelivered.size()));
                 gossips[delivered.message.to()].receive(
                         delivered.from, delivered.message.datagram(), now);
@@ -194,7 +196,7 @@
         }
     }
 
-    /** All that is due is sent and arrives, and what is too old expires. */
+    /** Delivers all due messages, then expires stale load. */
     private static void deliverDueMessages(LoadGossip[] gossips, double now) {
         for (int i = 0; i < gossips.length; i++) {
             for (LoadGossip.Message each : gossips[i].takeDueMessages(now)) {
@@ -206,7 +208,9 @@
         }
     }
 
-    /** Guards against a lost last message of a peer that then has nothing more to report. */
+    /**
+     * Guards against the loss of the last message of a peer that then has nothing more to report.
+     */
     @Test
     void dropsPeerLoadAtExpiryWhenLastMessageIsLost() {
         LoadGossip sender = newGossip(2, 0, 10);
@@ -214,15 +218,15 @@
         sender.attemptSent(7);
         receiver.receive(0, onlyDueMessage(sender, 1), 1);
         sender.attemptEnded(7);
-        assertTrue(onlyDueMessage(sender, 1.02).length > 0, "sent, and lost");
+        assertTrue(onlyDueMessage(sender, 1.02).length > 0, "this message is lost");
         assertEquals(List.of(), sender.takeDueMessages(1.1), "it has nothing more to report");
         receiver.expireStaleLoad(1 + EXPIRY_SECONDS - 0.001);
-        assertEquals(1, receiver.peerLoad(7), "believed until then");
+        assertEquals(1, receiver.peerLoad(7), "still counted before the expiry");
         receiver.expireStaleLoad(1 + EXPIRY_SECONDS + 0.001);
         assertEquals(0, receiver.peerLoad(7));
     }
 
-    /** Guards against a backend looking idle that still works on abandoned attempts. */
+    /** Guards against a backend looking idle while it still executes abandoned attempts. */
     @Test
     void countsAbandonedAttemptsLocallyAndAtPeersUntilTheyExpire() {
         LoadGossip sender = newGossip(2, 0, 10);
@@ -233,15 +237,18 @@
         assertEquals(
                 1,
                 sender.peerLoad(7),
-                "it is no longer in flight for the decisions, so it counts beside");
+                "the balancer no longer counts the attempt as in flight, so gossip does");
         assertEquals(1, receiver.peerLoad(7));
-        assertTrue(sender.nextSendAt() <= 1.02, "its end is still to be sent");
+        assertTrue(sender.nextSendAt() <= 1.02, "the end of the attempt is still to be sent");
         receiver.receive(0, onlyDueMessage(sender, 1.02), 1.02);
         assertEquals(0, sender.peerLoad(7));
         assertEquals(0, receiver.peerLoad(7));
     }
 
-    /** Guards against a restarted peer that is not heard, or whose former attempts still count. */
+    /**
+     * Guards against ignoring messages of a restarted peer, and against counting its attempts from
+     * before the restart.
+     */
     @Test
     void clearsAttemptsOfRestartedPeerAndAcceptsItsNextMessage() {
         LoadGossip sender = newGossip(2, 0, 10);
@@ -259,14 +266,14 @@
                 new LoadGossip(2, 0, 2, 0.01, 0.1, subsetsOfAllBackends(2, 10), tag -> {});
         restarted.attemptSent(3);
         receiver.receive(0, late, 1.2);
-        assertEquals(0, receiver.peerLoad(7), "a message of its former start comes late");
+        assertEquals(0, receiver.peerLoad(7), "a late message from before the restart");
         receiver.receive(0, onlyDueMessage(restarted, 1.2), 1.2);
         receiver.receive(0, late, 1.21);
         assertEquals(1, receiver.peerLoad(3));
         assertEquals(0, receiver.peerLoad(7));
     }
 
-    /** Guards against going on by what the peers had in flight when they fell silent. */
+    /** Guards against using the outdated load of peers that have fallen silent. */
     @Test
     void detectsSilenceAfterManyMeanIntervalsBeforeExpiry() {
         LoadGossip sender = newGossip(2, 0, 10);
@@ -278,13 +285,18 @@
             for (LoadGossip.Message each : sender.takeDueMessages(now)) {
                 receiver.receive(0, each.datagram(), now);
             }
-            assertEquals(1, receiver.livePeerCount(now), "a few intervals are no silence");
+            assertEquals(
+                    1,
+                    receiver.livePeerCount(now),
+                    "a few intervals without a message are not silence");
         }
         assertEquals(1, receiver.livePeerCount(now + 0.03));
         assertEquals(
-                0, receiver.livePeerCount(now + 0.15 * 0.6), "expires after 0.1 s, silent before");
+                0,
+                receiver.livePeerCount(now + 0.15 * 0.6),
+                "silence is detected before the expiry of 0.1 s");
         sender.attemptSent(3);
         receiver.receive(0, onlyDueMessage(sender, now + 0.095), now + 0.095);
-        assertEquals(1, receiver.livePeerCount(now + 0.095), "the first message ends it");
+        assertEquals(1, receiver.livePeerCount(now + 0.095), "the first message ends the silence");
     }
 }
--- a/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -22,7 +22,7 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 import org.junit.jupiter.api.Test;
 
-/** The subsets, and the share of the proxies that use a backend. */
+/** Tests the subsets and the shares of the proxies that use a backend. */
 class SubsetAssignmentTest {
     private static final int SUBSET_SIZE = 12;
 
@@ -43,7 +43,7 @@
                 .orElseThrow();
     }
 
-    /** Guards against all proxies together sending a backend in slow start more than it bears. */
+    /** Guards against all proxies together overloading a backend in slow start. */
     @Property(tries = 50, seed = "48")
     void userSharesOfABackendSumToOne(
             @ForAll @IntRange(min = 2, max = 60) int proxies,
@@ -53,18 +53,19 @@
             for (EndpointUpdate update :
                     new SubsetAssignment(proxies, SUBSET_SIZE)
                             .applyUpdates(proxy, true, readyUpdates(0, backends), i -> i)) {
-                // One that does not use it has the part that it had before parts were known.
+                // A proxy that does not use the backend is left out: it falls back to the share
+                // that it used before user shares were known.
                 shares[update.backend()] +=
                         update.userShare() > 0 ? 1 / (proxies * update.userShare()) : 0;
                 assertTrue(update.userShare() >= 0 && update.userShare() <= 1, update.toString());
             }
         }
         for (double share : shares) {
-            assertTrue(share == 0 || Math.abs(share - 1) < 1e-9, "together " + share);
+            assertTrue(share == 0 || Math.abs(share - 1) < 1e-9, "sum of the shares: " + share);
         }
     }
 
-    /** Whom a proxy uses of those that are ready, by sorting all of them. */
+    /** Returns the subset of a proxy, computed by sorting all ready backends. */
     private static List<Integer> expectedSubset(int proxy, Set<Integer> ready) {
         return ready.stream()
                 .sorted(Comparator.comparing(id -> SubsetAssignment.score(proxy, id)))
@@ -83,8 +84,8 @@
     }
 
     /**
-     * Whatever changes, the last update of each backend is what sorting all of them gives, and no
-     * more.
+     * Checks after random changes that the last update of each backend equals the result of sorting
+     * all backends, and that unchanged backends get no update.
      */
     @Property(tries = 40, seed = "48")
     void matchesFullSortAfterManyChanges(@ForAll long seed) {
@@ -132,7 +133,7 @@
                 assertTrue(
                         changes.containsKey(update.backend())
                                 || before.get(update.backend()).userShare() != update.userShare(),
-                        seed + " gives " + update);
+                        "seed " + seed + ": unexpected update " + update);
             }
             int probedBackend = random.nextInt(backends);
             assertArrayEquals(
@@ -144,7 +145,7 @@
         }
     }
 
-    /** Guards against proxies of two versions side by side computing different scores. */
+    /** Guards against proxies of different versions in one fleet computing different scores. */
     @Test
     void scoresEqualSplitMix64() {
         new Random(1)
@@ -159,7 +160,7 @@
                         });
     }
 
-    /** Guards against one change among thousands of backends costing more than one. */
+    /** Guards against the cost of a change growing with the number of backends. */
     @Test
     void returnsUpdatesOfChangedBackendsOnly() {
         SubsetAssignment subsets = new SubsetAssignment(50, SUBSET_SIZE);
@@ -175,7 +176,8 @@
         assertEquals(remaining.size(), remaining.stream().distinct().count());
         TreeSet<Integer> ready = new TreeSet<>(IntStream.range(40, 60).boxed().toList());
         assertTrue(
-                remaining.containsAll(expectedSubset(3, ready)), "each that is used by more now");
+                remaining.containsAll(expectedSubset(3, ready)),
+                "updates cover the whole subset, whose user shares have grown");
         assertTrue(
                 second.stream()
                                 .filter(update -> update.backend() >= 40)
@@ -185,21 +187,21 @@
                                 .filter(update -> update.backend() >= 40)
                                 .mapToDouble(EndpointUpdate::userShare)
                                 .sum(),
-                "twenty are used by more");
+                "the remaining 20 backends are used by more proxies");
         assertEquals(
                 List.of(),
                 subsets.applyUpdates(3, false, List.of(), i -> i),
-                "nothing has changed");
+                "no update without a change");
         assertEquals(
                 1,
                 subsets.applyUpdates(3, true, readyUpdates(47, 48), i -> i).size(),
-                "a whole list is all");
+                "a complete list replaces all backends");
         SubsetAssignment large = new SubsetAssignment(100, SUBSET_SIZE);
         large.applyUpdates(3, true, readyUpdates(0, 3200), i -> i);
         List<EndpointUpdate> singleChange = List.of(update(7, EndpointUpdate.State.GONE));
         assertTrue(
                 large.applyUpdates(3, false, singleChange, i -> i).size() <= 1 + SUBSET_SIZE,
-                "one line of thousands");
+                "one change among thousands of backends");
     }
 
     @Test
@@ -215,7 +217,7 @@
         assertEquals(EndpointUpdate.State.READY, assigned.get(assigned.size() - 1).state());
     }
 
-    /** Guards against the former backend of a reassigned index staying in the subsets. */
+    /** Guards against the former backend of a reassigned index remaining in the subsets. */
     @Test
     void removesFormerBackendOfReassignedIndex() {
         int[] ids = {500, 501, 502};
@@ -228,7 +230,7 @@
                 0, false, List.of(update(1, EndpointUpdate.State.GONE), newBackend), i -> ids[i]);
         int users =
                 Arrays.stream(new int[] {500, 502, 777}).map(id -> subsets.users(id).length).sum();
-        assertEquals(10, users, "each proxy uses one of those that are there");
+        assertEquals(10, users, "each proxy uses one of the listed backends");
         assertEquals(0, subsets.users(501).length);
     }
 
@@ -247,9 +249,9 @@
                         .orElseThrow();
         EndpointUpdate repeated =
                 updateOf(subsets.applyUpdates(0, false, readyUpdates(lower, lower + 1), i -> i), 4);
-        assertFalse(repeated.newBackend(), "its index stands for it already");
+        assertFalse(repeated.newBackend(), "the index is already assigned to the backend");
         assertEquals(12, repeated.startedAt());
-        assertEquals(0, repeated.userShare(), "another has the least score now");
+        assertEquals(0, repeated.userShare(), "another backend has the lowest score now");
         assertEquals(SubsetAssignment.score(0, 4), repeated.subsetScore());
     }
 }
--- a/src/test/java/lemondrift/proxy/discovery/BackendDirectoryTest.java
+++ b/src/test/java/lemondrift/proxy/discovery/BackendDirectoryTest.java
@@ -9,7 +9,7 @@
 import lemondrift.model.EndpointUpdate;
 import org.junit.jupiter.api.Test;
 
-/** Which updates come of endpoint lists, and in which order. */
+/** Tests which updates result from endpoint lists, and in which order. */
 class BackendDirectoryTest {
     private static final int BACKENDS = 3200;
 
@@ -41,7 +41,8 @@
                         EndpointUpdate.State.DRAINING,
                         EndpointUpdate.State.READY),
                 updates.stream().limit(3).map(EndpointUpdate::state).toList());
-        assertEquals(List.of(), apply(true, endpoints), "the same list again gives no update");
+        assertEquals(
+                List.of(), apply(true, endpoints), "applying an unchanged list gives no updates");
     }
 
     @Test
@@ -57,7 +58,10 @@
         assertEquals(
                 new EndpointUpdate(0, true, 0, 3, EndpointUpdate.State.READY, 0),
                 apply(false, "four active 4").get(0));
-        assertEquals(3, apply(false, "one active 1").get(0).backend(), "another index");
+        assertEquals(
+                3,
+                apply(false, "one active 1").get(0).backend(),
+                "its former index is in use, so it gets a new one");
     }
 
     @Test
--- a/src/test/java/lemondrift/proxy/discovery/EndpointListParserTest.java
+++ b/src/test/java/lemondrift/proxy/discovery/EndpointListParserTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Endpoint lists of discovery, parsed in steps of any size. */
+/** Tests the parsing of endpoint lists in steps of any size. */
 class EndpointListParserTest {
     private static EndpointList parse(String text, int membersPerStep) throws IOException {
         EndpointListParser parser = new EndpointListParser(text.getBytes(StandardCharsets.UTF_8));
         int steps = 0;
         while (!parser.advance(membersPerStep)) {
-            assertTrue(++steps < 10_000, "the parser comes to an end");
+            assertTrue(++steps < 10_000, "the parser must reach the end of the list");
         }
         return parser.list();
     }
@@ -88,7 +88,10 @@
         assertEquals(1, list.unreadable().size());
     }
 
-    /** Guards against a revision that is taken from half a list and never asked for again. */
+    /**
+     * Guards against using the revision of an incomplete list, which would never be requested
+     * again.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/src/test/java/lemondrift/proxy/discovery/EndpointLists.java
+++ b/src/test/java/lemondrift/proxy/discovery/EndpointLists.java
@@ -5,12 +5,14 @@
 import java.util.stream.Collectors;
 import lemondrift.proxy.events.EndpointList;
 
-/** Endpoint lists for tests. */
+/** Creates endpoint lists for tests. */
 public final class EndpointLists {
     private EndpointLists() {}
 
     /**
-     * A list with an endpoint for each text of id, phase and port, all on loopback and in cell 3.
+     * Creates a list of endpoints, all on the loopback address and in cell 3.
+     *
+     * @param idPhasePort the id, phase and port of each endpoint, separated by spaces
      */
     public static EndpointList of(boolean complete, String... idPhasePort) {
         String member =
--- a/src/test/java/lemondrift/proxy/recovery/RecoveryCoordinatorTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/RecoveryCoordinatorTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a proxy stores of itself while it serves and at its end, in virtual time. */
+/** Tests the snapshots that a proxy stores while it serves and when it stops, in virtual time. */
 class RecoveryCoordinatorTest {
     private static final int SETTLED_SAMPLES = 8;
     private static final double SNAPSHOT_INTERVAL_SECONDS = 5;
     private static final double REQUEST_TIMEOUT_SECONDS = 2;
 
-    /** How many responses of each duration come. */
+    /** Number of responses of each duration. */
     private static final int RESPONSES = 200;
 
     private final LoadBalancer balancer = new LoadBalancer(Experiment.settings(1, 1, 0.08, 1.5), 7);
@@ -63,7 +63,9 @@
         }
     }
 
-    /** Guards against a last snapshot with the service time of long ago, when it settled. */
+    /**
+     * Guards against a last snapshot with the outdated service time from when the proxy settled.
+     */
     @Test
     void storesNewestServiceTimeInLastSnapshot(@TempDir Path folder) throws Exception {
         listOneBackend();
@@ -72,13 +74,15 @@
         double whenSettled = balancer.measuredServiceTime().seconds();
         serve(coordinator, RESPONSES, 0.2);
         double newest = balancer.measuredServiceTime().seconds();
-        assertTrue(newest > 1.5 * whenSettled, whenSettled + " s and then " + newest);
+        assertTrue(
+                newest > 1.5 * whenSettled,
+                "settled at " + whenSettled + " s, newest " + newest + " s");
         coordinator.close();
         assertEquals(
                 newest, SnapshotFile.read(folder.resolve("n1.snap")).serviceTimeSeconds(), 1e-6);
     }
 
-    /** Guards against a due snapshot that waits until a request happens to come. */
+    /** Guards against a due snapshot being delayed until the next request arrives. */
     @Test
     void asksToBeWokenForTheNextSnapshot(@TempDir Path folder) {
         listOneBackend();
@@ -86,7 +90,7 @@
             serve(coordinator, RESPONSES, 0.02);
             assertTrue(
                     coordinator.wakeAt() <= now + 1.5 * SNAPSHOT_INTERVAL_SECONDS,
-                    "at " + coordinator.wakeAt() + ", now " + now);
+                    "wakes at " + coordinator.wakeAt() + " s, now " + now + " s");
         }
     }
 }
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotCompatibilityTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A snapshot that the landed program wrote is read, and written byte for byte the same. */
+/**
+ * Checks that a snapshot of the released version can be read and is written with the same bytes.
+ */
 class SnapshotCompatibilityTest {
     @TempDir Path folder;
 
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Snapshots under power failures, failing disks and copies by hand. */
+/** Tests snapshots with power failures, failing disks and manually copied files. */
 class SnapshotFileTest {
     private static final Snapshot OLDER = new Snapshot("n1", "boot", 7, 1000, 0.2, 40);
     private static final Snapshot NEWER = new Snapshot("n1", "boot", 8, 1005, 0.25, 60);
@@ -48,7 +48,7 @@
         assertEquals(OLDER, SnapshotFile.read(SnapshotFile.previousFile(file())));
     }
 
-    /** A damaged snapshot is never used, and the one before it is. */
+    /** Checks that a damaged snapshot is not used and that the previous one is used instead. */
     private void assertDamagedIsSetAside(UnaryOperator<byte[]> damage) throws IOException {
         writeBoth();
         Files.write(file(), damage.apply(Files.readAllBytes(file())));
@@ -56,7 +56,7 @@
         try (SnapshotStore store = new SnapshotStore(folder, "n1")) {
             assertEquals(7, store.restoreNewest().previousStartNumber());
         }
-        assertFalse(Files.exists(file()), "set aside");
+        assertFalse(Files.exists(file()), "the damaged file is set aside");
     }
 
     @Test
@@ -90,10 +90,13 @@
     void keepsWholeSnapshotWhenPowerFailsDuringAWrite() throws IOException {
         writeBoth();
         Files.write(folder.resolve("n1.snap.new"), new byte[] {1, 2, 3});
-        assertEquals(NEWER, SnapshotFile.read(file()), "before the new one is synced");
+        assertEquals(NEWER, SnapshotFile.read(file()), "power fails before the new file is synced");
         Files.move(file(), SnapshotFile.previousFile(file()), StandardCopyOption.REPLACE_EXISTING);
         try (SnapshotStore store = new SnapshotStore(folder, "n1")) {
-            assertEquals(8, store.restoreNewest().previousStartNumber(), "between its two renames");
+            assertEquals(
+                    8,
+                    store.restoreNewest().previousStartNumber(),
+                    "power fails between the two renames");
             assertTrue(store.writeNow(9, 0, 0));
         }
         assertEquals(9, SnapshotFile.read(file()).startNumber());
@@ -108,7 +111,7 @@
             assertEquals(
                     ahead + 1,
                     SnapshotFile.read(file()).startNumber(),
-                    "stored before any datagram");
+                    "stored before the first datagram is sent");
         }
         try (RecoveryCoordinator coordinator = coordinator(folder, "n1")) {
             assertEquals(ahead + 2, startNumber(coordinator));
--- a/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryExplorationTest.java
@@ -15,30 +15,30 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three proxies, every order of their messages, with losses, repeats and restarts at every step,
- * breadth first to a bound. What never arrives is lost. The service time that a proxy measures is
- * its start number, so that it is seen whose it is.
+ * Explores the states of three proxies, breadth first up to a limit: every order of their messages,
+ * with losses, duplicates and restarts at every step. A message that is never delivered is lost.
+ * The service time that a proxy measures equals its start number, which identifies its origin.
  */
 class RecoveryExplorationTest {
     private static final int PROXIES = 3;
 
-    /** Time ends after so many ticks. */
+    /** Number of ticks after which the exploration no longer advances time. */
     private static final int MAX_TICKS = 5;
 
-    /** So many states are known at the most. */
+    /** Maximum number of states that are discovered. */
     private static final int MAX_STATES = 600_000;
 
-    /** Ticks without faults in which a history is played to its end. */
+    /** Number of ticks without faults after which all proxies must have recovered. */
     private static final int FAULT_FREE_TICKS = 12;
 
-    /** One state of so many is played to its end. */
+    /** One state in this number is followed by a run without faults. */
     private static final int STATES_PER_FAULT_FREE_RUN = 97;
 
     private static final PeerPollSettings POLL_SETTINGS = new PeerPollSettings(1, 1, 2, 1, 2);
 
     private record Message(int from, int to, PeerStatus status) {}
 
-    /** All there is at one time, and how much may still go wrong. */
+    /** The state of the whole system at one time, and the number of faults that may still occur. */
     private record SystemState(
             List<RecoveryState> proxies,
             Map<Message, Integer> inFlight,
@@ -48,7 +48,7 @@
             int samplesLeft,
             int nextStartNumber) {}
 
-    /** The core, or one that is broken on purpose. */
+    /** The transitions under test; mutants override them with faulty ones. */
     private static class Transitions {
         RecoveryState.PeerEstimate peerEstimate(RecoveryState proxy, double now) {
             return proxy.peerEstimate(now).orElse(null);
@@ -86,7 +86,7 @@
                     status.samples() == step.next().samples()
                             && (status.samples() == 0
                                     || status.serviceTimeSeconds() == status.startNumber()),
-                    "a proxy reports only what it has measured itself",
+                    "a proxy reports only its own measurements",
                     state);
             inFlight.merge(new Message(proxyIndex, each.to(), status), 1, Integer::sum);
         }
@@ -117,7 +117,7 @@
                                 && message.status.recipientStart() != proxy.startNumber());
         check(
                 !outdated || (step.next().equals(proxy) && step.messages().isEmpty()),
-                "an earlier start changes nothing",
+                "a status from or for an earlier start changes nothing",
                 state);
         SystemState next = applyStep(state, message.to, step, inFlight);
         return new SystemState(
@@ -130,7 +130,7 @@
                 state.nextStartNumber);
     }
 
-    /** Time goes on for all, and who is due polls. */
+    /** Advances time by one tick; the proxies whose poll is due send it. */
     private SystemState tick(SystemState state) {
         SystemState next =
                 new SystemState(
@@ -225,10 +225,9 @@
                                                     each.serviceTimeSeconds()
                                                                     == estimate.serviceTimeSeconds()
                                                             && each.samples() > 0),
-                    "no figure is used past its age or made up",
+                    "an estimate equals a measurement that has not expired",
                     state);
-            // The phase was judged when something last happened to the proxy, one tick ago at the
-            // most.
+            // The phase was determined at the last event of the proxy, at most one tick ago.
             if (!proxy.isSettled() && proxy.nextPollAt() > state.now) {
                 boolean anyCurrent =
                         proxy.observations().values().stream()
@@ -241,17 +240,17 @@
                                 .anyMatch(each -> each.status().settled());
                 check(
                         proxy.phase() != RecoveryPhase.ALL_NEW || anyCurrent,
-                        "not heard is not all new",
+                        "without a current answer the phase is not ALL_NEW",
                         state);
                 check(
                         proxy.phase() != RecoveryPhase.ALONE || anySettled,
-                        "alone only beside one that knows",
+                        "the phase is ALONE only if a peer is settled",
                         state);
             }
         }
     }
 
-    /** Guards against a history without further faults that does not end with all recovered. */
+    /** Guards against a run without further faults that does not end with all proxies recovered. */
     private void runWithoutFaults(SystemState from) {
         SystemState state = from;
         for (int i = 0; i < FAULT_FREE_TICKS; i++) {
@@ -271,17 +270,17 @@
         RecoveryState last = state.proxies.get(PROXIES - 1);
         check(
                 state.proxies.stream().limit(PROXIES - 1).allMatch(RecoveryState::isSettled),
-                "who has samples settles",
+                "a proxy with enough samples settles",
                 state);
         check(
                 last.isSettled()
                         || (last.phase() == RecoveryPhase.ALONE
                                 && last.peerEstimate(state.now).isPresent()),
-                "one without samples is alone among them at last, and learns from them",
+                "a proxy without samples finally has the phase ALONE and an estimate from peers",
                 state);
     }
 
-    /** The first invariant that is broken; null where all hold to the bound. */
+    /** Returns the first violated invariant; null if all hold up to the limit. */
     private String explore() {
         List<RecoveryState> all = new ArrayList<>();
         for (int proxyIndex = 0; proxyIndex < PROXIES; proxyIndex++) {
@@ -308,20 +307,22 @@
     @Test
     void invariantsHoldInEveryOrderOfEvents() {
         assertNull(explore());
-        assertTrue(exploredStates > 5_000, exploredStates + " states seen");
+        assertTrue(exploredStates > 5_000, exploredStates + " states explored");
     }
 
     private static void assertViolationFound(String invariant, Transitions mutant) {
         RecoveryExplorationTest exploration = new RecoveryExplorationTest();
         exploration.transitions = mutant;
         String violation = exploration.explore();
-        assertTrue(violation != null && violation.startsWith(invariant), "caught by: " + violation);
+        assertTrue(
+                violation != null && violation.startsWith(invariant),
+                "expected a violation of: " + invariant + ", got: " + violation);
     }
 
     @Test
     void detectsMutantThatAcceptsEarlierStarts() {
         assertViolationFound(
-                "an earlier start",
+                "a status from or for an earlier start",
                 new Transitions() {
                     @Override
                     RecoveryState.Step statusReceived(
@@ -388,7 +389,7 @@
     @Test
     void detectsMutantThatNeverExpiresStatuses() {
         assertViolationFound(
-                "no figure",
+                "an estimate equals",
                 new Transitions() {
                     @Override
                     RecoveryState.PeerEstimate peerEstimate(RecoveryState proxy, double now) {
@@ -400,7 +401,7 @@
     @Test
     void detectsMutantThatReportsAllNewWhenNoPeerAnswers() {
         assertViolationFound(
-                "not heard",
+                "without a current answer",
                 new Transitions() {
                     @Override
                     RecoveryState.Step wake(RecoveryState proxy, double now) {
@@ -430,7 +431,7 @@
     @Test
     void detectsMutantThatNeverReplies() {
         assertViolationFound(
-                "one without samples",
+                "a proxy without samples",
                 new Transitions() {
                     @Override
                     RecoveryState.Step statusReceived(
--- a/src/test/java/lemondrift/recovery/RecoveryStateTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -80,18 +80,19 @@
     @Test
     void derivesPhaseFromPeersThatAnswer() {
         assertEquals(RecoveryPhase.UNKNOWN, starting(4).wake(1).next().phase());
-        assertEquals(RecoveryPhase.CUT_OFF, starting(4).wake(5).next().phase(), "nobody answers");
+        assertEquals(RecoveryPhase.CUT_OFF, starting(4).wake(5).next().phase(), "no peer answers");
         PeerStatus settledPeer = status(50, 99, 0.2f, 40, true);
         PeerStatus newPeer = status(101, 1, 0, 0, false);
-        assertEquals(RecoveryPhase.ALONE, received(starting(9), 1, settledPeer).phase(), "at once");
+        assertEquals(
+                RecoveryPhase.ALONE, received(starting(9), 1, settledPeer).phase(), "immediately");
         assertEquals(
                 RecoveryPhase.UNKNOWN,
                 received(starting(4), 1, newPeer).phase(),
-                "others may be warm");
+                "other peers may be settled");
         assertEquals(
                 RecoveryPhase.ALL_NEW,
                 received(starting(4), 1, newPeer, newPeer, newPeer).phase(),
-                "at once");
+                "immediately, because all peers have answered");
         assertEquals(
                 RecoveryPhase.AMONG_SOME,
                 received(starting(4), 1, newPeer, settledPeer, newPeer).phase());
@@ -101,11 +102,11 @@
         assertEquals(
                 RecoveryPhase.ALONE,
                 received(afterTimeout, 6, nowSettled, settledPeer).phase(),
-                "corrected by later answers");
+                "corrected after later answers");
         assertEquals(
                 RecoveryPhase.CUT_OFF,
                 received(starting(9), 1, settledPeer).wake(22).next().phase(),
-                "expired");
+                "the only status has expired");
     }
 
     @Test
@@ -132,7 +133,7 @@
         assertSame(
                 state,
                 state.statusReceived(1, status(199, 9, 0.9f, 9, true), 2).next(),
-                "of an earlier start of its sender");
+                "from an earlier start of the sender");
         assertSame(
                 state,
                 state.statusReceived(1, status(200, 2, 0.9f, 9, true), 2).next(),
@@ -140,20 +141,26 @@
         assertSame(
                 state,
                 state.statusReceived(2, new PeerStatus(300, 99, true, 1, 0.9f, 9, true), 2).next(),
-                "for an earlier start of its own");
+                "for an earlier start of the recipient");
         assertSame(
-                state, state.statusReceived(0, status(300, 1, 0.9f, 9, true), 2).next(), "itself");
+                state,
+                state.statusReceived(0, status(300, 1, 0.9f, 9, true), 2).next(),
+                "from itself");
         assertSame(
-                state, state.statusReceived(4, status(300, 1, 0.9f, 9, true), 2).next(), "nobody");
+                state,
+                state.statusReceived(4, status(300, 1, 0.9f, 9, true), 2).next(),
+                "unknown sender");
         assertSame(
-                state, state.statusReceived(-1, status(300, 1, 0.9f, 9, true), 2).next(), "nobody");
+                state,
+                state.statusReceived(-1, status(300, 1, 0.9f, 9, true), 2).next(),
+                "unknown sender");
         assertTrue(
                 state.statusReceived(1, status(201, 0, 0, 0, false), 2).peerRestarted(),
-                "a restart");
+                "a higher start number shows a restart");
         assertFalse(state.statusReceived(1, status(200, 4, 0.2f, 5, false), 2).peerRestarted());
     }
 
-    /** Guards against ignoring a proxy whose wall clock went back with a power loss. */
+    /** Guards against ignoring a proxy whose wall clock went back after a power loss. */
     @Test
     void acceptsLowerStartNumberOnceTheHigherOneHasExpired() {
         RecoveryState state = received(starting(4), 1, status(200, 3, 0.2f, 4, true));
@@ -176,7 +183,7 @@
                 second = reply.next();
                 first = first.statusReceived(1, reply.messages().get(0).status(), now).next();
             }
-            assertEquals(Optional.empty(), first.peerEstimate(now), "two without samples");
+            assertEquals(Optional.empty(), first.peerEstimate(now), "neither proxy has samples");
         }
         RecoveryState withEstimate = received(first, 15, status(101, 15, 0.4f, 2, false));
         assertEquals(
@@ -185,8 +192,8 @@
         assertTrue(
                 withEstimate.wake(withEstimate.wakeAt()).messages().stream()
                         .allMatch(each -> each.status().samples() == 0),
-                "what a peer measured is not passed on");
-        assertEquals(Optional.empty(), withEstimate.peerEstimate(36), "expired");
+                "measurements of peers are not forwarded");
+        assertEquals(Optional.empty(), withEstimate.peerEstimate(36), "the status has expired");
     }
 
     @Test
@@ -225,7 +232,7 @@
             state = step.next();
         }
         for (int proxy = 0; proxy < proxyCount; proxy++) {
-            assertEquals(proxy != self % proxyCount, polled[proxy], "number " + proxy);
+            assertEquals(proxy != self % proxyCount, polled[proxy], "proxy " + proxy);
         }
     }
 
@@ -236,21 +243,21 @@
         assertEquals(
                 1,
                 snapshot.restore("n1", "boot-2", 1010).samples(),
-                "the machine has lost power too");
+                "the machine has been rebooted");
         assertEquals(
                 1, snapshot.restore("n1", "boot-1", 1000 + 25 * 3600).samples(), "over a day old");
         assertEquals(
                 1,
                 snapshot.restore("n1", "boot-1", 1000 - 3600).samples(),
-                "the clock went back an hour");
+                "the clock went back by one hour");
         assertEquals(
                 77,
                 snapshot.restore("n1", "boot-1", -5).previousStartNumber(),
-                "no clock takes the start number back");
+                "the start number does not depend on the clock");
         assertEquals(
                 0,
                 snapshot.restore("n2", "boot-1", 1010).previousStartNumber(),
-                "copied from another proxy");
+                "snapshot of another proxy");
         assertEquals(0, snapshot.restore("n2", "boot-1", 1010).serviceTimeSeconds());
         assertThrows(IllegalArgumentException.class, () -> new Snapshot("n", "b", 1, 1, -1, 1));
         assertThrows(IllegalArgumentException.class, () -> new Snapshot("n", "b", 1, 1, 0, 1));
