--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -141,7 +141,7 @@
         processReceived(now, listener, sender);
         apply(state.wake(now), now, sender);
         if (!state.isSettled()) {
-            seedDecisions(balancer, now);
+            seedBalancer(balancer, now);
         } else if (!wasSettled) {
             LOG.info(
                     "recovery settled phase={} after={} service_time_seconds={} samples={}"
@@ -191,7 +191,7 @@
     }
 
     /** Seeds the balancer's service time from peers, or at first from the snapshot. */
-    private void seedDecisions(LoadBalancer balancer, double now) {
+    private void seedBalancer(LoadBalancer balancer, double now) {
         Optional<RecoveryState.PeerEstimate> current = state.peerEstimate(now);
         if (current.isPresent()) {
             balancer.seedServiceTime(current.get().serviceTimeSeconds(), current.get().samples());
