--- a/src/main/java/lemondrift/proxy/ConfigReload.java
+++ b/src/main/java/lemondrift/proxy/ConfigReload.java
@@ -68,9 +68,9 @@
                 "configuration read again, discovery at {}, classes {}",
                 next.discovery(),
                 next.requestClassNames());
-        List<String> keysAppliedAtStart = next.keysRequiringRestart(current);
-        if (!keysAppliedAtStart.isEmpty()) {
-            LOG.warn("holds from the next start only: {}", keysAppliedAtStart);
+        List<String> keysRequiringRestart = next.keysRequiringRestart(current);
+        if (!keysRequiringRestart.isEmpty()) {
+            LOG.warn("holds from the next start only: {}", keysRequiringRestart);
         }
         previousRequestDeadline =
                 Math.max(previousRequestDeadline, clock.now() + current.longestTimeoutSeconds());
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -129,9 +129,10 @@
                         decisionLoop,
                         metrics,
                         clientListener::isClientWaiting);
-        boolean gossips = config.gossip() != null && connector == null && balancer.needsGossip();
-        gossipTransport = gossips ? new GossipTransport(config.gossip(), decisionLoop) : null;
-        if (gossips) {
+        boolean gossipEnabled =
+                config.gossip() != null && connector == null && balancer.needsGossip();
+        gossipTransport = gossipEnabled ? new GossipTransport(config.gossip(), decisionLoop) : null;
+        if (gossipEnabled) {
             enableGossip(config);
         }
         actions.setTargets(
--- a/src/main/java/lemondrift/proxy/admin/AdminServer.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminServer.java
@@ -103,8 +103,8 @@
     }
 
     /** From now on there is a proxy to operate. Any thread. */
-    public void setOperations(AdminOperations proxy) {
-        worker.getIoThread().execute(() -> operations = proxy);
+    public void setOperations(AdminOperations newOperations) {
+        worker.getIoThread().execute(() -> operations = newOperations);
     }
 
     private void accepted(StreamConnection connection) {
@@ -134,16 +134,16 @@
         }
     }
 
-    private void handle(HttpServerExchange call) {
-        call.setPersistent(false);
-        HttpString method = allowedMethod(call.getRequestPath());
+    private void handle(HttpServerExchange exchange) {
+        exchange.setPersistent(false);
+        HttpString method = allowedMethod(exchange.getRequestPath());
         if (method == null) {
-            sendStatus(call, StatusCodes.NOT_FOUND);
-        } else if (!call.getRequestMethod().equals(method)) {
-            call.getResponseHeaders().put(Headers.ALLOW, method.toString());
-            sendStatus(call, StatusCodes.METHOD_NOT_ALLOWED);
+            sendStatus(exchange, StatusCodes.NOT_FOUND);
+        } else if (!exchange.getRequestMethod().equals(method)) {
+            exchange.getResponseHeaders().put(Headers.ALLOW, method.toString());
+            sendStatus(exchange, StatusCodes.METHOD_NOT_ALLOWED);
         } else {
-            answer(call);
+            answer(exchange);
         }
     }
 
@@ -156,42 +156,43 @@
         };
     }
 
-    private void answer(HttpServerExchange call) {
-        switch (call.getRequestPath()) {
+    private void answer(HttpServerExchange exchange) {
+        switch (exchange.getRequestPath()) {
             case STATS ->
                     sendJson(
-                            call,
+                            exchange,
                             toJson(
                                     operations == null
                                             ? new ProxyMetrics().snapshot()
                                             : operations.metrics()));
-            case RECOVERY -> sendJson(call, operations == null ? null : operations.recoveryJson());
-            case LOOP -> sendJson(call, operations == null ? null : operations.loopJson());
+            case RECOVERY ->
+                    sendJson(exchange, operations == null ? null : operations.recoveryJson());
+            case LOOP -> sendJson(exchange, operations == null ? null : operations.loopJson());
             case NOT_SERVED ->
-                    sendJson(call, operations == null ? null : operations.notServedJson());
-            case HEALTH -> sendSuccess(call, operations != null && operations.isReady());
-            case QUIESCE -> sendSuccess(call, operations != null && operations.quiesce());
-            default -> sendSuccess(call, operations != null && operations.resume());
+                    sendJson(exchange, operations == null ? null : operations.notServedJson());
+            case HEALTH -> sendSuccess(exchange, operations != null && operations.isReady());
+            case QUIESCE -> sendSuccess(exchange, operations != null && operations.quiesce());
+            default -> sendSuccess(exchange, operations != null && operations.resume());
         }
     }
 
     /** Sends JSON; 404 where there is none. */
-    private static void sendJson(HttpServerExchange call, String json) {
+    private static void sendJson(HttpServerExchange exchange, String json) {
         if (json == null) {
-            sendStatus(call, StatusCodes.NOT_FOUND);
+            sendStatus(exchange, StatusCodes.NOT_FOUND);
             return;
         }
-        call.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        call.getResponseSender().send(json);
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+        exchange.getResponseSender().send(json);
     }
 
-    private static void sendSuccess(HttpServerExchange call, boolean success) {
-        sendStatus(call, success ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
+    private static void sendSuccess(HttpServerExchange exchange, boolean success) {
+        sendStatus(exchange, success ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
     }
 
-    private static void sendStatus(HttpServerExchange call, int status) {
-        call.setStatusCode(status);
-        call.getResponseSender().send(StatusCodes.getReason(status) + "\n");
+    private static void sendStatus(HttpServerExchange exchange, int status) {
+        exchange.setStatusCode(status);
+        exchange.getResponseSender().send(StatusCodes.getReason(status) + "\n");
     }
 
     /** The metrics under the names that operators' tools read. */
--- a/src/main/java/lemondrift/proxy/config/JsonPairs.java
+++ b/src/main/java/lemondrift/proxy/config/JsonPairs.java
@@ -23,8 +23,8 @@
                 && !array.isEmpty()
                 && array.get(0).isJsonObject()) {
             pairs.put(prefix + "count", String.valueOf(array.size()));
-            for (int place = 0; place < array.size(); place++) {
-                flatten(prefix + place, array.get(place), pairs);
+            for (int index = 0; index < array.size(); index++) {
+                flatten(prefix + index, array.get(index), pairs);
             }
         } else if (value instanceof JsonArray array) {
             pairs.put(
--- a/src/main/java/lemondrift/proxy/config/KeyComparison.java
+++ b/src/main/java/lemondrift/proxy/config/KeyComparison.java
@@ -38,13 +38,13 @@
      */
     void requireAllKeys() {
         for (String key : running.keySet()) {
-            boolean allEntriesHadIt =
+            boolean inEveryRunningEntry =
                     IntStream.range(0, entryCount(running, key))
-                            .allMatch(place -> running.containsKey(keyAt(key, place)));
-            for (int place = 0; allEntriesHadIt && place < entryCount(next, key); place++) {
-                if (!next.containsKey(keyAt(key, place))) {
+                            .allMatch(index -> running.containsKey(keyAt(key, index)));
+            for (int index = 0; inEveryRunningEntry && index < entryCount(next, key); index++) {
+                if (!next.containsKey(keyAt(key, index))) {
                     throw new InvalidSettingsException(
-                            keyAt(key, place) + ": missing, and the running configuration has it");
+                            keyAt(key, index) + ": missing, and the running configuration has it");
                 }
             }
         }
--- a/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
@@ -201,14 +201,14 @@
 
     private static List<String> requestClassNames(Map<String, String> settingsPairs) {
         List<String> names = names(settingsPairs, "serviceGrades");
-        for (int place = 0; place < names.size(); place++) {
-            String name = names.get(place);
-            String prefix = "setting serviceGrades." + place + ".name: ";
+        for (int index = 0; index < names.size(); index++) {
+            String name = names.get(index);
+            String prefix = "setting serviceGrades." + index + ".name: ";
             if (name == null || name.isEmpty()) {
                 throw new InvalidSettingsException(prefix + "missing");
             }
             // Guards against two classes of one name, of which a request could mean either.
-            if (names.indexOf(name) < place) {
+            if (names.indexOf(name) < index) {
                 throw new InvalidSettingsException(prefix + name + " is there twice");
             }
         }
@@ -218,7 +218,7 @@
     private static List<String> names(Map<String, String> settingsPairs, String list) {
         int count = Integer.parseInt(settingsPairs.getOrDefault(list + ".count", "0"));
         return IntStream.range(0, count)
-                .mapToObj(place -> settingsPairs.get(list + "." + place + ".name"))
+                .mapToObj(index -> settingsPairs.get(list + "." + index + ".name"))
                 .toList();
     }
 
--- a/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -19,22 +19,22 @@
     private static final int MAX_COUNT = 255;
 
     private double pollIntervalWindows;
-    private double pollTimeoutWindows;
+    private double decisionTimeoutWindows;
     private double expiryWindows;
     private int peersPerPoll;
-    private int sufficientResponses;
+    private int settledSamples;
     private double snapshotIntervalSeconds = DEFAULT_SNAPSHOT_INTERVAL_SECONDS;
 
     /** Null where no disk outlasts the process. */
     private Path snapshotFolder;
 
     private RecoverySettingsFile() {
-        PeerPollSettings usual = PeerPollSettings.forLatencyObjective(1);
-        pollIntervalWindows = usual.intervalSeconds();
-        pollTimeoutWindows = usual.decisionTimeoutSeconds();
-        expiryWindows = usual.expirySeconds();
-        peersPerPoll = usual.fanout();
-        sufficientResponses = usual.settledSamples();
+        PeerPollSettings defaults = PeerPollSettings.forLatencyObjective(1);
+        pollIntervalWindows = defaults.intervalSeconds();
+        decisionTimeoutWindows = defaults.decisionTimeoutSeconds();
+        expiryWindows = defaults.expirySeconds();
+        peersPerPoll = defaults.fanout();
+        settledSamples = defaults.settledSamples();
     }
 
     /**
@@ -45,13 +45,13 @@
     static RecoverySettings read(Path file, double windowSeconds) throws IOException {
         RecoverySettingsFile settings = new RecoverySettingsFile();
         SettingsFile.readKeys(file, settings::readKey);
-        if (settings.expiryWindows < settings.pollTimeoutWindows) {
+        if (settings.expiryWindows < settings.decisionTimeoutWindows) {
             throw new InvalidSettingsException(
                     file
                             + ": forget: "
                             + settings.expiryWindows
                             + " is under bound, "
-                            + settings.pollTimeoutWindows);
+                            + settings.decisionTimeoutWindows);
         }
         return settings.inSeconds(windowSeconds);
     }
@@ -59,11 +59,10 @@
     private void readKey(String key, JsonElement value) {
         switch (key) {
             case "ask" -> pollIntervalWindows = SettingsFile.parseNumber(value, 0.01, 10);
-            case "bound" -> pollTimeoutWindows = SettingsFile.parseNumber(value, 0.1, 100);
+            case "bound" -> decisionTimeoutWindows = SettingsFile.parseNumber(value, 0.1, 100);
             case "forget" -> expiryWindows = SettingsFile.parseNumber(value, 0.1, 1000);
             case "fanout" -> peersPerPoll = (int) SettingsFile.parseNumber(value, 1, MAX_COUNT);
-            case "enough" ->
-                    sufficientResponses = (int) SettingsFile.parseNumber(value, 1, MAX_COUNT);
+            case "enough" -> settledSamples = (int) SettingsFile.parseNumber(value, 1, MAX_COUNT);
             case "period" -> snapshotIntervalSeconds = SettingsFile.parseNumber(value, 0.1, 3600);
             case "folder" -> snapshotFolder = Path.of(value.getAsString());
             default ->
@@ -77,10 +76,10 @@
         return new RecoverySettings(
                 new PeerPollSettings(
                         pollIntervalWindows * windowSeconds,
-                        pollTimeoutWindows * windowSeconds,
+                        decisionTimeoutWindows * windowSeconds,
                         expiryWindows * windowSeconds,
                         peersPerPoll,
-                        sufficientResponses),
+                        settledSamples),
                 snapshotFolder,
                 snapshotIntervalSeconds);
     }
--- a/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
@@ -92,12 +92,12 @@
         warmup.remainingRequests.await((long) (MAX_SECONDS * 1e3), TimeUnit.MILLISECONDS);
         // Guards against a log line for each attempt that begins while the threads end.
         warmup.stopping = true;
-        boolean quiet =
+        boolean allAnswered =
                 warmup.busyClients.await(
                         (long) (FINAL_RESPONSES_SECONDS * 1e3), TimeUnit.MILLISECONDS);
         proxyServer.close();
         LOG.info("warmed up, {} requests", REQUESTS - warmup.remainingRequests.getCount());
-        return quiet;
+        return allAnswered;
     }
 
     private JsonObject endpointList() {
--- a/src/test/java/lemondrift/proxy/ProxyProcess.java
+++ b/src/test/java/lemondrift/proxy/ProxyProcess.java
@@ -64,9 +64,9 @@
                         .readTree(Files.readString(Path.of("deploy/balancer.toml")))
                         .path("run")
                         .asText();
-        String before = deployed.substring(0, deployed.indexOf("PROXY_PEERS="));
+        String prefix = deployed.substring(0, deployed.indexOf("PROXY_PEERS="));
         List<String> command =
-                new ArrayList<>(List.of("/bin/sh", "-c", before + "exec \"$@\"", "sh"));
+                new ArrayList<>(List.of("/bin/sh", "-c", prefix + "exec \"$@\"", "sh"));
         command.addAll(javaCommand);
         return command;
     }
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -136,12 +136,12 @@
 
     /** Waits for a state that is to be reached at last. */
     private void awaitInFlight(Predicate<ProxyServer.InFlightCounts> state) throws Exception {
-        ProxyServer.InFlightCounts now = countInFlight();
+        ProxyServer.InFlightCounts current = countInFlight();
         for (long deadline = System.nanoTime() + STATE_TIMEOUT_NANOS;
-                !state.test(now);
+                !state.test(current);
                 Thread.sleep(STATE_POLL_MILLIS)) {
-            assertTrue(System.nanoTime() < deadline, "not reached, but " + now);
-            now = countInFlight();
+            assertTrue(System.nanoTime() < deadline, "not reached, but " + current);
+            current = countInFlight();
         }
     }
 
@@ -151,7 +151,7 @@
 
     /** Waits until both threads have handled what they were given before. */
     private void awaitQueuedTasks() throws Exception {
-        awaitInFlight(now -> true);
+        awaitInFlight(counts -> true);
     }
 
     private long requestsOnIoThread() throws Exception {
@@ -218,7 +218,7 @@
             writeText(client, getRequestWithLongTimeout("a"));
             connection = heldConnector.nextConnection();
         }
-        awaitInFlight(now -> now.connections() == 0);
+        awaitInFlight(counts -> counts.connections() == 0);
         release(connection);
         assertReceivedNothing(backend);
         awaitNothingInFlight();
@@ -316,7 +316,7 @@
         try (Socket client = connectClient()) {
             writeText(
                     client, partialPost("a", TIMEOUT_MILLIS, STREAMED_BODY_BYTES, SENT_BODY_BYTES));
-            awaitInFlight(now -> now.calls() == 1);
+            awaitInFlight(counts -> counts.calls() == 1);
         }
         awaitNothingInFlight();
         assertTrue(backend.awaitConnectionEnd(), "the connection is closed");
@@ -697,7 +697,7 @@
         start(backend(SILENCE));
         try (Socket client = connectClient()) {
             writeText(client, partialPost("a", 1000, STREAMED_BODY_BYTES, SENT_BODY_BYTES));
-            awaitInFlight(now -> now.calls() == 1);
+            awaitInFlight(counts -> counts.calls() == 1);
             Thread drain = startDrain();
             assertResponseStartsWith("HTTP/1.1 50", client);
             drain.join();
--- a/src/test/java/lemondrift/proxy/UpgradeTest.java
+++ b/src/test/java/lemondrift/proxy/UpgradeTest.java
@@ -133,7 +133,7 @@
 
     @Test
     void servesClientsWhileSilentOnesFillTheConnectionLimit() throws Exception {
-        ProxyServer only = startFirst(backend(OK));
+        ProxyServer server = startFirst(backend(OK));
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             silent.add(connectToSharedSocket());
@@ -141,7 +141,7 @@
         assertServed(3);
         closeAll(silent);
         assertServed(3);
-        only.drain();
+        server.drain();
     }
 
     @Test
--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -91,12 +91,12 @@
             AdminServer adminServer =
                     new AdminServer(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
-            StringBuilder all = new StringBuilder();
-            appendAllResponses(adminServer, all.append("before there is a proxy\n"));
+            StringBuilder responses = new StringBuilder();
+            appendAllResponses(adminServer, responses.append("before there is a proxy\n"));
             adminServer.setOperations(new FixedMetricsProxy());
             awaitIoThread(worker);
-            appendAllResponses(adminServer, all.append("with one\n"));
-            GoldenFiles.assertText("admin.txt", all.toString().replace("\r\n", "\n"));
+            appendAllResponses(adminServer, responses.append("with one\n"));
+            GoldenFiles.assertText("admin.txt", responses.toString().replace("\r\n", "\n"));
         } finally {
             worker.shutdown();
         }
@@ -109,13 +109,13 @@
         assertTrue(ranTasks.await(IO_THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
-    private static void appendAllResponses(AdminServer adminServer, StringBuilder all)
+    private static void appendAllResponses(AdminServer adminServer, StringBuilder responses)
             throws IOException {
         for (String path :
                 List.of("health", "stats", "recovery", "loop", "quiesce", "resume", "nothing")) {
             for (String method : List.of("GET", "PUT")) {
                 String request = method + " /admin/" + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
-                all.append("> ")
+                responses.append("> ")
                         .append(method)
                         .append(' ')
                         .append(path)
--- a/src/test/java/lemondrift/proxy/lifecycle/TakeoverLockTest.java
+++ b/src/test/java/lemondrift/proxy/lifecycle/TakeoverLockTest.java
@@ -55,50 +55,51 @@
 
     @Test
     void countsTwoProcessesWhileFollowerLives(@TempDir Path folder) throws Exception {
-        TakeoverLock own = new TakeoverLock(folder, "n/0");
-        assertTrue(own.refresh());
-        assertEquals(1, own.processCount());
+        TakeoverLock ownLock = new TakeoverLock(folder, "n/0");
+        assertTrue(ownLock.refresh());
+        assertEquals(1, ownLock.processCount());
         Process follower = startOtherProcess(folder);
         assertEquals(2, reportedCount(follower), "the follower sees that another process serves");
-        assertTrue(own.refresh());
-        assertEquals(2, own.processCount());
+        assertTrue(ownLock.refresh());
+        assertEquals(2, ownLock.processCount());
         follower.destroyForcibly().waitFor();
-        assertTrue(own.refresh(), "a killed process leaves no lock behind");
-        assertEquals(1, own.processCount());
-        own.close();
+        assertTrue(ownLock.refresh(), "a killed process leaves no lock behind");
+        assertEquals(1, ownLock.processCount());
+        ownLock.close();
     }
 
     @Test
     void countsOneProcessAfterServingProcessIsKilled(@TempDir Path folder) throws Exception {
         Process serving = startOtherProcess(folder);
         assertEquals(1, reportedCount(serving));
-        TakeoverLock own = new TakeoverLock(folder, "n/0");
-        own.refresh();
-        assertEquals(2, own.processCount());
-        own.refresh();
-        assertEquals(2, own.processCount());
+        TakeoverLock ownLock = new TakeoverLock(folder, "n/0");
+        ownLock.refresh();
+        assertEquals(2, ownLock.processCount());
+        ownLock.refresh();
+        assertEquals(2, ownLock.processCount());
         serving.destroyForcibly().waitFor();
-        assertTrue(own.refresh());
-        assertEquals(1, own.processCount());
-        own.close();
+        assertTrue(ownLock.refresh());
+        assertEquals(1, ownLock.processCount());
+        ownLock.close();
     }
 
     @Test
     void doesNotCountProcessOfAnotherProxy(@TempDir Path folder) throws Exception {
         Process other = startOtherProcess(folder);
         reportedCount(other);
-        TakeoverLock own = new TakeoverLock(folder, "n/1");
-        own.refresh();
-        assertEquals(1, own.processCount());
-        own.close();
+        TakeoverLock ownLock = new TakeoverLock(folder, "n/1");
+        ownLock.refresh();
+        assertEquals(1, ownLock.processCount());
+        ownLock.close();
         other.destroyForcibly().waitFor();
     }
 
     @Test
     void assumesTwoProcessesWhenFilesCannotBeLocked(@TempDir Path folder) throws Exception {
-        TakeoverLock own = new TakeoverLock(Files.createFile(folder.resolve("no-folder")), "n/0");
-        own.refresh();
-        assertEquals(2, own.processCount());
+        TakeoverLock ownLock =
+                new TakeoverLock(Files.createFile(folder.resolve("no-folder")), "n/0");
+        ownLock.refresh();
+        assertEquals(2, ownLock.processCount());
     }
 
     @Test
