--- a/Makefile
+++ b/Makefile
@@ -1,16 +1,16 @@
 .PHONY: build test lint format run
 
-build:                     # target/lemondrift.jar, target/lib and the class archive, as the deploy file says
+build:                     # builds target/lemondrift.jar, target/lib and the class archive with the command in the deploy file
 	@sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml | sh
 
-test:                      # all tests and the linters, as CI does
+test:                      # runs all tests and the linters, as CI does
 	mvn -B -ntp verify
 
-lint:                      # formatter, compiler warnings and Error Prone as errors, Checkstyle; no tests
+lint:                      # checks the format, compiler warnings, Error Prone and Checkstyle; runs no tests
 	mvn -B -ntp -q spotless:check test-compile checkstyle:check
 
 format:                    # applies the formatter
 	mvn -B -ntp -q spotless:apply
 
-run: build                 # one real proxy; PROXY_CONFIG names its configuration
+run: build                 # starts one proxy; PROXY_CONFIG names its configuration file
 	java -jar target/lemondrift.jar serve
--- a/src/main/c/hangup.c
+++ b/src/main/c/hangup.c
@@ -1,7 +1,8 @@
 /*
  * Loaded by lemondrift.proxy.lifecycle.HangUpSignal into a process that was started with SIGHUP
- * ignored. A JVM takes no handler for a SIGHUP that it finds ignored; this gives the signal one that
- * does nothing, in whose place the JVM can put its own. Needs no JNI: loading it is all.
+ * ignored. A JVM accepts no handler for SIGHUP while the signal is ignored. This library installs a
+ * handler that does nothing, which the JVM can then replace with its own. No JNI is needed: loading
+ * the library runs its constructor.
  */
 #include <signal.h>
 #include <stddef.h>
--- a/src/main/java/lemondrift/proxy/ConfigReload.java
+++ b/src/main/java/lemondrift/proxy/ConfigReload.java
@@ -11,11 +11,12 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The configuration that holds now, and what the proxy does at SIGHUP: the decisions follow the new
- * settings, and the endpoint list is watched at the new discovery address. Clients, requests,
- * connections to backends and what the decisions know live on; other keys hold from the next start.
+ * Holds the current configuration and replaces it at SIGHUP. After a reload, decisions follow the
+ * new settings and the endpoint list is watched at the new discovery address. Client connections,
+ * requests, connections to backends and the state of the decisions are kept. The remaining keys
+ * take effect at the next start.
  *
- * <p>Written on the thread that handles the signal, one reload at a time; read on any thread.
+ * <p>Written on the thread that handles the signal, one reload at a time. Read on any thread.
  */
 final class ConfigReload {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigReload.class);
@@ -27,7 +28,10 @@
     private final ProxyMetrics metrics;
     private volatile ProxyConfig current;
 
-    /** Until when a request that came under an earlier configuration may be open. */
+    /**
+     * Time until which a request that arrived under an earlier configuration may be open, in
+     * seconds of the clock.
+     */
     private volatile double previousRequestDeadline;
 
     ConfigReload(
@@ -50,7 +54,11 @@
     }
 
     /**
-     * When the last request that comes until now times out, under whichever configuration it came.
+     * Returns the time at which the last request that arrives until now times out, under the
+     * current or an earlier configuration.
+     *
+     * @param now the current time, in seconds of the clock
+     * @return the deadline, in seconds of the clock
      */
     double requestDeadline(double now) {
         return Math.max(now + current.longestTimeoutSeconds(), previousRequestDeadline);
@@ -59,8 +67,8 @@
     /**
      * Applies a new configuration.
      *
-     * @throws lemondrift.settings.InvalidSettingsException where it lacks a key that the current
-     *     one states; nothing is changed then
+     * @throws lemondrift.settings.InvalidSettingsException if it lacks a key that the current
+     *     configuration sets; nothing is changed then
      */
     void apply(ProxyConfig next) {
         next.requireAllKeysOf(current);
--- a/src/main/java/lemondrift/proxy/GracefulShutdown.java
+++ b/src/main/java/lemondrift/proxy/GracefulShutdown.java
@@ -9,35 +9,36 @@
 import org.xnio.XnioIoThread;
 
 /**
- * What the proxy does at SIGTERM, from the signal (0 s) on:
+ * Shuts the proxy down at SIGTERM. Times count from the signal (0 s):
  *
  * <ol>
- *   <li>From 0 s: new clients are still accepted; each response closes its connection, and quiet
+ *   <li>From 0 s: new clients are still accepted. Each response closes its connection, and idle
  *       connections are closed one by one.
- *   <li>From {@link #ACCEPT_SECONDS}: the listener closes as soon as no connection waits for a
- *       response, and the shutdown is done.
- *   <li>At the request deadline + {@link #RESPONSE_GRACE_SECONDS}: requests that are open still are
- *       rejected or failed. The request deadline is when the last request that may come now times
- *       out.
- *   <li>At the request deadline + {@link #READ_GRACE_SECONDS}: done, whatever is open.
+ *   <li>From {@link #ACCEPT_SECONDS}: as soon as no connection waits for a response, the listener
+ *       closes and the shutdown is complete.
+ *   <li>At the request deadline + {@link #RESPONSE_GRACE_SECONDS}: requests that are still open are
+ *       rejected or failed. The request deadline is the time at which a request that arrives at the
+ *       signal times out at the latest.
+ *   <li>At the request deadline + {@link #READ_GRACE_SECONDS}: the shutdown is complete, even if
+ *       requests are open.
  * </ol>
  *
- * <p>Runs on the thread that handles the signal, which it blocks; the checks run on the I/O thread.
+ * <p>Blocks the thread that handles the signal. The checks run on the I/O thread.
  */
 final class GracefulShutdown {
-    /** Seconds in which new clients may still come, and in which quiet connections are closed. */
+    /** Seconds during which new clients are accepted and idle connections are closed. */
     private static final double ACCEPT_SECONDS = 0.55;
 
-    /** Seconds from the request deadline until the last responses are written. */
+    /** Seconds from the request deadline by which the last responses are written. */
     private static final double RESPONSE_GRACE_SECONDS = 0.5;
 
     /**
-     * Seconds from the request deadline until clients have read them; a platform that kills 0.7 s
-     * after the deadline comes later.
+     * Seconds from the request deadline by which clients have read the last responses. Shorter than
+     * the 0.7 s after the deadline at which a platform may kill the process.
      */
     private static final double READ_GRACE_SECONDS = 0.6;
 
-    /** Seconds between two checks whether all requests are answered. */
+    /** Seconds between checks whether all requests are answered. */
     private static final double CHECK_INTERVAL_SECONDS = 0.01;
 
     private final MonotonicClock clock;
@@ -49,10 +50,11 @@
     private final double readDeadline;
 
     /**
-     * A shutdown that begins now.
+     * Creates a shutdown.
      *
-     * @param startedAt now, in seconds of the clock
-     * @param requestDeadline when the last request that may come now times out
+     * @param startedAt the start of the shutdown, in seconds of the clock
+     * @param requestDeadline the time at which the last request that arrives until the start times
+     *     out, in seconds of the clock
      */
     GracefulShutdown(
             MonotonicClock clock,
@@ -70,13 +72,19 @@
         readDeadline = requestDeadline + READ_GRACE_SECONDS;
     }
 
-    /** Sends clients away; an inherited listening socket is left to the process that follows. */
+    /**
+     * Starts to drain client connections. Leaves an inherited listening socket to the new process.
+     */
     void begin() {
         clientListener.closeInheritedSocket();
         clientListener.drain(acceptUntil, responseDeadline);
     }
 
-    /** Returns once all requests are answered, or at the latest at the last of the deadlines. */
+    /**
+     * Returns once all requests are answered, or at the last deadline.
+     *
+     * @throws InterruptedException if the thread is interrupted while it waits
+     */
     void awaitResponses() throws InterruptedException {
         CountDownLatch drained = new CountDownLatch(1);
         XnioExecutor.Key checks =
@@ -92,8 +100,8 @@
     }
 
     /**
-     * On the I/O thread. Guards against a request that is read between a check and a close
-     * elsewhere, and lost.
+     * Checks and closes in one step on the I/O thread. Guards against losing a request that is read
+     * between a check and a close on another thread.
      */
     private void closeIfDrained(CountDownLatch drained) {
         if (clock.now() >= acceptUntil && clientListener.isDrained()) {
--- a/src/main/java/lemondrift/proxy/IoThreadActions.java
+++ b/src/main/java/lemondrift/proxy/IoThreadActions.java
@@ -22,8 +22,9 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Carries the decision loop's actions to the I/O thread, all of one flush at once: each wake of
- * that thread costs a context switch. Called on the decision loop's thread only.
+ * Passes the decision loop's actions to the I/O thread. All actions of one flush are passed
+ * together because each wakeup of that thread costs a context switch. Called on the decision loop's
+ * thread only.
  */
 final class IoThreadActions implements ProxyActions {
     private static final Logger LOG = LoggerFactory.getLogger(IoThreadActions.class);
@@ -36,7 +37,7 @@
     private EndpointListWatch endpointListWatch;
     private GossipTransport gossipTransport;
 
-    /** Actions since the last flush, in order. */
+    /** Actions since the last flush, in the order in which they were requested. */
     private List<Runnable> pendingActions = new ArrayList<>();
 
     IoThreadActions(XnioIoThread ioThread, ProxyMetrics metrics) {
@@ -45,10 +46,10 @@
     }
 
     /**
-     * Sets what the actions are carried out on, which itself needs the decision loop; before that
-     * starts.
+     * Sets the objects that perform the actions. They are not constructor arguments because they
+     * need the decision loop, which needs these actions. Call before the loop starts.
      *
-     * @param gossipTransport null where no gossip is sent
+     * @param gossipTransport sends gossip; null if the proxy exchanges none
      */
     void setTargets(
             DecisionLoop decisionLoop,
@@ -141,7 +142,7 @@
         }
     }
 
-    /** Guards against one failing action keeping those after it from being carried out. */
+    /** Performs an action and logs its failure, which must not prevent the actions after it. */
     private static void perform(Runnable action) {
         try {
             action.run();
--- a/src/main/java/lemondrift/proxy/OperatorControl.java
+++ b/src/main/java/lemondrift/proxy/OperatorControl.java
@@ -8,13 +8,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What operators may read and ask for at the admin address. I/O thread only. */
+/** Implements the operations of the admin address for a running proxy. I/O thread only. */
 final class OperatorControl implements AdminOperations {
     private static final Logger LOG = LoggerFactory.getLogger(OperatorControl.class);
 
     /**
-     * Seconds in which a quiesced proxy closes its clients' connections. Guards against a request
-     * of a late client at a time when operators take the proxy to be empty.
+     * Seconds within which a quiesced proxy closes its client connections. Guards against a late
+     * request from a client when operators already expect the proxy to be idle.
      */
     private static final double QUIESCE_SECONDS = 1.6;
 
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -33,9 +33,9 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** One proxy, from its start to its exit: composes the packages and owns the phase. */
+/** One proxy from start to exit. Composes the packages below this one and owns the phase. */
 public final class ProxyServer {
-    /** What the proxy is doing; it only goes forward. */
+    /** The phase of the proxy. It only moves forward. */
     enum Phase {
         STARTING,
         SERVING,
@@ -48,10 +48,10 @@
     /** Size of a pooled buffer, in bytes. */
     private static final int BUFFER_BYTES = 8 * 1024;
 
-    /** How many buffers the pool keeps. */
+    /** Maximum number of buffers in the pool. */
     private static final int MAX_POOLED_BUFFERS = 512;
 
-    /** How many buffers each thread keeps for itself. */
+    /** Number of buffers that each thread caches. */
     private static final int BUFFERS_PER_THREAD = 8;
 
     private static final OptionMap NO_DELAY = OptionMap.create(Options.TCP_NODELAY, true);
@@ -66,27 +66,34 @@
     private final ConfigReload configReload;
     private final ResourceSharing resourceSharing;
 
-    /** Null where no gossip is exchanged. */
+    /** Null if the proxy exchanges no gossip. */
     private final GossipTransport gossipTransport;
 
-    /** The endpoint list of the configuration; null once the decisions have it. */
+    /** The endpoint list of the configuration; null once the decision loop has received it. */
     private JsonObject initialEndpoints;
 
     private volatile Phase phase = Phase.STARTING;
 
+    /**
+     * Creates a proxy on a worker of its own that opens sockets to its backends.
+     *
+     * @throws IOException if the worker cannot be created
+     */
     public ProxyServer(ProxyConfig config) throws IOException {
         this(config, createWorker(), null);
     }
 
-    /** One on a worker that may exist already. */
+    /** Creates a proxy on an existing worker. */
     public ProxyServer(ProxyConfig config, XnioWorker worker) {
         this(config, worker, null);
     }
 
     /**
-     * One whose connections to backends are opened by a connector, as for a warm-up or a test.
+     * Creates a proxy that opens its connections to backends with a connector, for example for a
+     * warm-up or a test.
      *
-     * @param connector null for sockets; with another one neither gossip nor shadow is at work
+     * @param connector opens connections to backends; null for sockets. With a connector, gossip
+     *     and shadow evaluation are off
      */
     public ProxyServer(ProxyConfig fullConfig, XnioWorker worker, BackendConnector connector) {
         ProxyConfig config = fullConfig.withoutInitialEndpoints();
@@ -159,7 +166,10 @@
                         clock.now()));
     }
 
-    /** A worker with one I/O thread and one task thread, as a proxy has a part of a core. */
+    /**
+     * Creates a worker with one I/O thread and one task thread, because a proxy has only part of a
+     * core.
+     */
     public static XnioWorker createWorker() throws IOException {
         return Xnio.getInstance()
                 .createWorker(
@@ -172,16 +182,21 @@
                                 .getMap());
     }
 
+    /**
+     * Starts to serve on a new listening socket, see {@link #serve(ServerSocketChannel)}.
+     *
+     * @throws IOException if the proxy cannot listen
+     */
     public void serve() throws IOException {
         serve(null);
     }
 
     /**
-     * Starts to serve, and returns when clients are accepted. Waits a bounded time for the first
-     * endpoint list.
+     * Starts to serve and returns when the proxy accepts clients. Waits a bounded time for the
+     * first endpoint list.
      *
-     * @param inheritedSocket a listening socket that the process was given, or null to open one
-     * @throws IOException where it can't listen
+     * @param inheritedSocket a listening socket that the process inherited; null to open one
+     * @throws IOException if the proxy cannot listen
      */
     public void serve(ServerSocketChannel inheritedSocket) throws IOException {
         if (gossipTransport != null) {
@@ -204,33 +219,33 @@
     }
 
     /**
-     * What SIGHUP does once the new configuration is read, see {@link ConfigReload}.
+     * Applies a new configuration, as at SIGHUP; see {@link ConfigReload}.
      *
-     * @throws lemondrift.settings.InvalidSettingsException where it lacks what the running one has;
-     *     nothing is changed then
+     * @throws lemondrift.settings.InvalidSettingsException if it lacks a key that the current
+     *     configuration sets; nothing is changed then
      */
     public void reload(ProxyConfig next) {
         configReload.apply(next);
     }
 
-    /** The configuration that holds now. */
+    /** Returns the current configuration, without its initial endpoints. */
     public ProxyConfig config() {
         return configReload.current();
     }
 
-    /** Counts a new configuration that could not be used; the running one stays. */
+    /** Counts a new configuration that could not be used. The current one stays in force. */
     public void recordReloadFailure() {
         configReload.recordFailure();
     }
 
-    /** What operators may ask of it, on the I/O thread. */
+    /** Returns the operations of the admin address. They must be called on the I/O thread. */
     public AdminOperations adminOperations() {
         return new OperatorControl(this, clock, clientListener, decisionLoop, metrics);
     }
 
     /**
-     * Decides and forwards without a listener or discovery, on the endpoint list and the
-     * connections it is given.
+     * Starts the decision loop without a listener or discovery. The proxy uses the given endpoint
+     * list and serves the connections passed to {@link #accept}.
      */
     public void startWithoutListener(JsonObject endpointList) {
         decisionLoop.start();
@@ -238,23 +253,29 @@
                 EndpointListBuilder.fromJson(endpointList), false, () -> {});
     }
 
+    /** Serves a client on an open connection. I/O thread only. */
     public void accept(StreamConnection connection) {
         clientListener.accepted(connection);
     }
 
-    /** Divides what the platform gives this proxy among so many processes. */
+    /** Divides the resources of this proxy among a number of processes. */
     void setProcessCount(int processCount) {
         resourceSharing.setProcessCount(processCount);
     }
 
-    /** Keeps to its share while another process of this proxy lives. Before serving. */
+    /**
+     * Limits this process to its share of resources while another process of this proxy runs. Call
+     * before serving.
+     */
     public void watchOtherProcesses(TakeoverLock takeoverLock) {
         resourceSharing.watch(takeoverLock);
     }
 
     /**
-     * What SIGTERM does, see {@link GracefulShutdown}: accepts clients for a while, answers all
-     * that was accepted, stops the threads and returns.
+     * Shuts down gracefully, as at SIGTERM; see {@link GracefulShutdown}. Accepts clients for a
+     * short time, answers all accepted requests, stops the threads and returns.
+     *
+     * @throws InterruptedException if the thread is interrupted while it waits
      */
     public void drain() throws InterruptedException {
         double now = clock.now();
@@ -275,12 +296,15 @@
         LOG.info("stopped");
     }
 
-    /** Guards against a signal during the start, after which the phase must not go back. */
+    /**
+     * Enters a phase unless a later one was reached. Guards against the phase moving back when
+     * SIGTERM arrives during the start.
+     */
     private synchronized void advanceTo(Phase next) {
         phase = next.compareTo(phase) > 0 ? next : phase;
     }
 
-    /** Stops all threads, whatever is open. */
+    /** Stops all threads, even if requests are open. */
     public void close() {
         clientListener.close();
         worker.getIoThread()
@@ -299,20 +323,27 @@
         worker.shutdown();
     }
 
-    /** Runs a task where the state of clients and backends' connections may be read. */
+    /** Runs a task on the I/O thread, which may read the state of connections. */
     void runOnIoThread(Runnable task) {
         worker.getIoThread().execute(task);
     }
 
-    /** Runs a task where the state of the decisions may be read. */
+    /** Runs a task on the decision loop's thread, which may read the state of the decisions. */
     void runOnLoop(Runnable task) {
         decisionLoop.runOnLoop(task);
     }
 
-    /** How many of each are in flight. */
+    /**
+     * Counts of what is in flight.
+     *
+     * @param connections client connections with an open request
+     * @param requests open requests of the decision loop
+     * @param calls calls to backends
+     * @param backendReferences attempts and probes that hold a backend's index
+     */
     record InFlightCounts(int connections, int requests, int calls, int backendReferences) {}
 
-    /** What is in flight on the I/O thread and, a moment later, in the decision loop. */
+    /** Counts what is in flight on the I/O thread and, a moment later, in the decision loop. */
     CompletableFuture<InFlightCounts> countInFlight() {
         CompletableFuture<InFlightCounts> result = new CompletableFuture<>();
         runOnIoThread(
@@ -331,12 +362,15 @@
         return result;
     }
 
-    /** How many request classes have an index. */
+    /** Returns how many request classes have an index. */
     int indexedClassCount() {
         return clientListener.requestClassCount();
     }
 
-    /** The shadow's figures, once the loop has stopped; null where there is no shadow. */
+    /**
+     * Returns the shadow evaluation, or null if there is none. Call after the decision loop has
+     * stopped.
+     */
     ShadowEvaluator shadow() {
         return decisionLoop.shadowEvaluator();
     }
--- a/src/main/java/lemondrift/proxy/ResourceSharing.java
+++ b/src/main/java/lemondrift/proxy/ResourceSharing.java
@@ -8,11 +8,11 @@
 import org.xnio.XnioWorker;
 
 /**
- * Keeps this process to its share of connections and load while another process of the same proxy
- * lives, as during an upgrade. Looks for the other one on XNIO's task thread, which may block.
+ * Limits this process to its share of connections and load while another process of the same proxy
+ * runs, as during an upgrade. Polls for the other process on XNIO's task thread, which may block.
  */
 final class ResourceSharing {
-    /** Seconds between two looks for another process; a start takes several times as long. */
+    /** Seconds between polls for another process. A start takes several times as long. */
     private static final double POLL_INTERVAL_SECONDS = 0.25;
 
     private final XnioWorker worker;
@@ -34,7 +34,7 @@
         this.decisionLoop = decisionLoop;
     }
 
-    /** Looks at once, then again and again as long as the worker lives. */
+    /** Polls at once and then periodically until the worker shuts down. */
     void watch(TakeoverLock takeoverLock) {
         takeoverLock.refresh();
         setProcessCount(takeoverLock.processCount());
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Divides what the platform gives this proxy among so many processes. */
+    /** Divides the resources of this proxy among a number of processes. */
     void setProcessCount(int processCount) {
         double share = configReload.current().connectionShare(processCount);
         worker.getIoThread()
--- a/src/main/java/lemondrift/proxy/admin/AdminOperations.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminOperations.java
@@ -2,26 +2,29 @@
 
 import lemondrift.metrics.ProxyMetrics;
 
-/** What operators may ask of the process; each returns at once. I/O thread only. */
+/** The operations of the admin address. Each returns without blocking. I/O thread only. */
 public interface AdminOperations {
-    /** Whether this process can serve. */
+    /** Returns true if this process is ready to serve. */
     boolean isReady();
 
-    /** The metrics as they stand. */
+    /** Returns the current metrics. */
     ProxyMetrics.Snapshot metrics();
 
-    /** How far the recovery after the start is, as JSON; null where the proxy polls no peers. */
+    /**
+     * Returns the progress of the recovery after the start as JSON, or null if the proxy does not
+     * poll its peers.
+     */
     String recoveryJson();
 
-    /** How the decision loop keeps up, as JSON. */
+    /** Returns the metrics of the decision loop as JSON. */
     String loopJson();
 
-    /** Why requests were rejected or failed, and how many, as JSON. */
+    /** Returns the number of rejected or failed requests by reason, as JSON. */
     String notServedJson();
 
-    /** Takes the proxy out of service; false where it cannot be. */
+    /** Takes the proxy out of service. Returns false if it is not serving. */
     boolean quiesce();
 
-    /** Takes the proxy back into service; false where it cannot be. */
+    /** Takes the proxy back into service. Returns false if it is not serving. */
     boolean resume();
 }
--- a/src/main/java/lemondrift/proxy/admin/AdminServer.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminServer.java
@@ -31,22 +31,23 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The operators' address: fixed calls, one to a connection; never waits for another thread. Its
- * connections and buffers are its own, which guards against clients that keep operators out.
+ * HTTP server of the admin address. Serves a fixed set of calls, one per connection, and never
+ * waits for another thread. Has its own connections and buffers, which guards against clients
+ * locking operators out.
  */
 public final class AdminServer {
     private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
 
-    /** How many connections may be open. */
+    /** Maximum number of open connections. */
     private static final int MAX_CONNECTIONS = 16;
 
-    /** How many connections may wait to be accepted. */
+    /** Maximum number of connections that wait to be accepted. */
     private static final int BACKLOG = 4 * MAX_CONNECTIONS;
 
-    /** How long a call may take from its connect on. */
+    /** Maximum duration of a call from the moment its connection is accepted, in seconds. */
     private static final long CALL_TIMEOUT_SECONDS = 2;
 
-    /** Bytes of the largest head, and of a buffer. */
+    /** Maximum size of a request head, and size of a buffer, in bytes. */
     private static final int MAX_HEAD_BYTES = 4 * 1024;
 
     private static final String HEALTH = "/admin/health";
@@ -61,16 +62,16 @@
     private final HttpOpenListener http;
     private final AcceptingChannel<StreamConnection> server;
 
-    /** The oldest first. */
+    /** Open connections, oldest first. */
     private final Set<StreamConnection> connections = new LinkedHashSet<>();
 
-    /** Null until there is a proxy to operate. */
+    /** Null until {@link #setOperations} is called. */
     private AdminOperations operations;
 
     /**
-     * Listens at an address from now on.
+     * Creates a server and starts to listen.
      *
-     * @throws IOException where the address cannot be bound
+     * @throws IOException if the address cannot be bound
      */
     public AdminServer(InetSocketAddress address, XnioWorker worker) throws IOException {
         this.worker = worker;
@@ -97,18 +98,21 @@
         LOG.info("admin server listens on {}", address());
     }
 
-    /** The address that is listened at. */
+    /** Returns the address on which the server listens. */
     public InetSocketAddress address() {
         return server.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** From now on there is a proxy to operate. Any thread. */
+    /**
+     * Sets the operations of the proxy. Until then, calls are answered as for a proxy that is not
+     * ready. Any thread.
+     */
     public void setOperations(AdminOperations newOperations) {
         worker.getIoThread().execute(() -> operations = newOperations);
     }
 
     private void accepted(StreamConnection connection) {
-        // Guards against callers that finish nothing and keep all others out.
+        // Guards against callers that never complete a call and block all others.
         if (connections.size() >= MAX_CONNECTIONS) {
             Iterator<StreamConnection> oldestFirst = connections.iterator();
             IoUtils.safeClose(oldestFirst.next());
@@ -147,7 +151,7 @@
         }
     }
 
-    /** The method that a call takes; null where there is no such call. */
+    /** Returns the HTTP method of the call at a path, or null if there is no such call. */
     private static HttpString allowedMethod(String path) {
         return switch (path) {
             case HEALTH, STATS, RECOVERY, LOOP, NOT_SERVED -> Methods.GET;
@@ -176,7 +180,7 @@
         }
     }
 
-    /** Sends JSON; 404 where there is none. */
+    /** Sends JSON, or status 404 if it is null. */
     private static void sendJson(HttpServerExchange exchange, String json) {
         if (json == null) {
             sendStatus(exchange, StatusCodes.NOT_FOUND);
@@ -195,7 +199,7 @@
         exchange.getResponseSender().send(StatusCodes.getReason(status) + "\n");
     }
 
-    /** The metrics under the names that operators' tools read. */
+    /** Returns the metrics as JSON, under the names that operators' tools read. */
     static String toJson(ProxyMetrics.Snapshot metrics) {
         JsonObject repliesByClass = new JsonObject();
         metrics.replies()
--- a/src/main/java/lemondrift/proxy/config/ConfigFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConfigFile.java
@@ -14,18 +14,18 @@
 import java.util.concurrent.locks.LockSupport;
 import lemondrift.settings.InvalidSettingsException;
 
-/** The configuration's file as JSON, with or without its initial endpoints. */
+/** Reads the configuration file as JSON, with or without its initial endpoints. */
 public final class ConfigFile {
     /** The environment variable that names the file. */
     private static final String VARIABLE = "PROXY_CONFIG";
 
-    /** The key of the endpoint list known from before, which is most of the file. */
+    /** Key of the endpoint list known before the start, which makes up most of the file. */
     static final String INITIAL_ENDPOINTS = "known";
 
-    /** How many endpoints are skipped before other threads of the core have their turn. */
+    /** Number of endpoints to skip before pausing, so that other threads get the core. */
     private static final int ENDPOINTS_PER_STEP = 64;
 
-    /** Nanoseconds between two such steps. */
+    /** Length of each pause, in nanoseconds. */
     private static final long STEP_PAUSE_NANOS = 500_000;
 
     private ConfigFile() {}
@@ -38,15 +38,20 @@
     }
 
     /**
-     * All of the file that PROXY_CONFIG names.
+     * Reads the whole file that PROXY_CONFIG names.
      *
-     * @throws InvalidSettingsException where it is no JSON object
+     * @throws IOException if the file cannot be read
+     * @throws InvalidSettingsException if PROXY_CONFIG is not set or the file is not a JSON object
      */
     public static JsonObject read(Map<String, String> environment) throws IOException {
         return parseObject(Files.readString(path(environment)));
     }
 
-    /** The JSON object that a text is. */
+    /**
+     * Parses a JSON object.
+     *
+     * @throws InvalidSettingsException if the text is not a JSON object
+     */
     static JsonObject parseObject(String text) {
         try {
             return JsonParser.parseString(text).getAsJsonObject();
@@ -61,10 +66,12 @@
     }
 
     /**
-     * The file without the initial endpoints, which hold at a start only. Guards against requests
-     * that wait for the core while thousands of endpoints are read beside them.
+     * Reads the file without the initial endpoints, which are used only at the start. Guards
+     * against requests waiting for the core while thousands of endpoints are read.
      *
-     * @throws InvalidSettingsException where it is no JSON object
+     * @throws IOException if the file cannot be read or parsed
+     * @throws InvalidSettingsException if PROXY_CONFIG is not set or the file is not one JSON
+     *     object
      */
     public static JsonObject readWithoutInitialEndpoints(Map<String, String> environment)
             throws IOException {
@@ -82,7 +89,7 @@
             }
             reader.endObject();
             if (reader.peek() != JsonToken.END_DOCUMENT) {
-                throw new IllegalStateException("more than one object");
+                throw new IllegalStateException("text after the end of the object");
             }
             return config;
         } catch (JsonParseException | IllegalStateException e) {
--- a/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ConnectionSettingsFile.java
@@ -13,26 +13,26 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * Reads the limits of clients' connections, from the file that PROXY_DOOR names;
- * docs/connections.md has the keys.
+ * Reads the limits of client connections from the file that PROXY_DOOR names. docs/connections.md
+ * describes the keys.
  */
 public final class ConnectionSettingsFile {
-    /** The share of the proxy's connections that clients may have. */
+    /** Share of the proxy's connections that clients may use. */
     private static final double CLIENTS_SHARE = 0.6;
 
-    /** The share of the proxy's connections at which no more clients are accepted. */
+    /** Share of the proxy's connections at which it stops accepting clients. */
     private static final double ACCEPT_SHARE = 0.66;
 
-    /** Seconds that an answered connection may be idle, where the file does not say. */
+    /** Default maximum idle time of an answered connection, in seconds. */
     private static final double DEFAULT_IDLE_SECONDS = 2.2;
 
-    /** Seconds before which no connection is closed between requests, where nothing is said. */
+    /** Default idle time before which no connection is closed between requests, in seconds. */
     private static final double DEFAULT_MIN_IDLE_SECONDS = 2;
 
-    /** Seconds that the largest head may take at the least rate. */
+    /** Seconds that the longest request head takes at the minimum rate. */
     private static final double LARGEST_HEAD_SECONDS = 8;
 
-    /** The least progress that a client must make, where the file does not say. */
+    /** Default minimum rate at which a client must make progress, in bytes per second. */
     private static final double DEFAULT_MIN_BYTES_PER_SECOND =
             HttpFieldRules.MAX_HEAD_BYTES / LARGEST_HEAD_SECONDS;
 
@@ -49,7 +49,12 @@
         announcesTimeout = defaults.announcesKeepAlive();
     }
 
-    /** The limits where no file says otherwise, for a proxy of so many connections. */
+    /**
+     * Returns the default limits.
+     *
+     * @param connections the number of connections that the proxy may hold
+     * @param settings the settings whose request classes define the typical priority weight
+     */
     static ConnectionLimits defaults(int connections, Settings settings) {
         double meanPriorityWeight =
                 settings.requestClasses().stream()
@@ -69,9 +74,11 @@
     }
 
     /**
-     * The usual limits with what a file changes.
+     * Reads a file and applies its values to the default limits.
      *
-     * @throws InvalidSettingsException where something cannot be used; one line with file and key
+     * @throws IOException if the file cannot be read
+     * @throws InvalidSettingsException if a key or value is invalid; the message is one line with
+     *     the file and the key
      */
     public static ConnectionLimits read(Path file, ConnectionLimits defaults) throws IOException {
         ConnectionSettingsFile settings = new ConnectionSettingsFile(defaults);
@@ -101,12 +108,15 @@
                     file
                             + ": earliest: "
                             + minIdleSeconds.getAsDouble()
-                            + " is over quiet, "
+                            + ": must not be greater than quiet, "
                             + idleSeconds);
         }
     }
 
-    /** Where only the idle time is stated, the least idle time keeps its ratio to it. */
+    /**
+     * Returns the limits. If the file sets only the idle time, the minimum idle time keeps its
+     * ratio to it.
+     */
     private ConnectionLimits toLimits(ConnectionLimits defaults) {
         return new ConnectionLimits(
                 defaults.maxConnections(),
@@ -127,6 +137,6 @@
                 .orElseThrow(
                         () ->
                                 new InvalidSettingsException(
-                                        "none of connection, address, tenant: " + value));
+                                        "must be connection, address or tenant: " + value));
     }
 }
--- a/src/main/java/lemondrift/proxy/config/GossipSettings.java
+++ b/src/main/java/lemondrift/proxy/config/GossipSettings.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * How a proxy exchanges load gossip with its peers.
+ * Settings of the load gossip between a proxy and its peers.
  *
- * @param listen where this proxy receives datagrams
+ * @param listen the address at which this proxy receives datagrams
  * @param proxies the address of each proxy of the fleet, by its number
- * @param self this proxy's number
- * @param minIntervalSeconds the least time between two messages to one peer
- * @param expirySeconds after this long without a message what a peer reported no longer counts
- * @param subsetSize how many backends each proxy uses
+ * @param self the number of this proxy
+ * @param minIntervalSeconds the minimum seconds between two messages to the same peer
+ * @param expirySeconds the seconds without a message after which a peer's load reports expire
+ * @param subsetSize the number of backends that each proxy uses
  */
 public record GossipSettings(
         InetSocketAddress listen,
--- a/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/GossipSettingsFile.java
@@ -12,18 +12,18 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * Reads how a proxy exchanges load gossip, from the file that PROXY_PEERS names and the peers'
- * addresses in the configuration; docs/gossip.md has the keys. Durations are stated as multiples of
- * the window, the shortest latency objective.
+ * Reads the settings of load gossip from the file that PROXY_PEERS names and from the peer
+ * addresses in the configuration. docs/gossip.md describes the keys. Durations in the file are
+ * multiples of the window, the shortest latency objective.
  */
 final class GossipSettingsFile {
-    /** The least time between two messages to one peer, where the file does not say. */
+    /** Default minimum time between two messages to the same peer, in windows. */
     private static final double DEFAULT_MIN_INTERVAL_WINDOWS = 0.02;
 
-    /** After how long what a silent peer reported no longer counts, where the file does not say. */
+    /** Default time after which the load reports of a silent peer expire, in windows. */
     private static final double DEFAULT_EXPIRY_WINDOWS = 2;
 
-    /** How many backends each proxy uses, where the file does not say. */
+    /** Default number of backends that each proxy uses. */
     private static final int DEFAULT_SUBSET_SIZE = 12;
 
     private double minIntervalWindows = DEFAULT_MIN_INTERVAL_WINDOWS;
@@ -33,10 +33,13 @@
     private GossipSettingsFile() {}
 
     /**
-     * Reads the file; null where the configuration forbids messages between proxies or does not say
-     * where this proxy and its peers are.
+     * Reads the file.
      *
-     * @throws InvalidSettingsException where something cannot be used; one line with file and key
+     * @return the settings; null if the configuration forbids messages between proxies, lacks one
+     *     of peer_listen, peers and slotNo, or if slotNo is not the number of a peer
+     * @throws IOException if the file cannot be read
+     * @throws InvalidSettingsException if a key, value or address is invalid; the message is one
+     *     line with the key, and with the file unless the key is one of the configuration
      */
     static GossipSettings read(Path file, Settings settings, JsonObject config) throws IOException {
         GossipSettingsFile gossip = new GossipSettingsFile();
--- a/src/main/java/lemondrift/proxy/config/JsonPairs.java
+++ b/src/main/java/lemondrift/proxy/config/JsonPairs.java
@@ -5,14 +5,14 @@
 import com.google.gson.JsonObject;
 import java.util.Map;
 
-/** Turns nested JSON into the path=value pairs that settings are read from. */
+/** Flattens nested JSON into the path=value pairs from which settings are read. */
 final class JsonPairs {
     private JsonPairs() {}
 
     /**
-     * Adds the pairs of a value that stands under a path. A list of objects has its length under
-     * {@code .count} and each object under its place; any other list is its values, joined by
-     * commas; null adds nothing.
+     * Adds the pairs of a value at a path. For a list of objects, adds its length under {@code
+     * .count} and each object under its index. For any other list, adds its values joined by
+     * commas. JSON null adds nothing.
      */
     static void flatten(String path, JsonElement value, Map<String, String> pairs) {
         String prefix = path.isEmpty() ? "" : path + ".";
--- a/src/main/java/lemondrift/proxy/config/KeyComparison.java
+++ b/src/main/java/lemondrift/proxy/config/KeyComparison.java
@@ -8,16 +8,16 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * Compares the keys that a new configuration states with those of the running one, both as
- * path=value pairs.
+ * Compares the keys of a new configuration with the keys of the running one, both as path=value
+ * pairs.
  */
 final class KeyComparison {
-    /** The keys whose values hold from a start on, as a regular expression. */
+    /** Regular expression for the keys whose values take effect only at a start. */
     private static final String RESTART_KEYS =
             "name|listen|admin_addr|limits\\..*|peer.*"
                 + "|settings\\.(localities|zone|membershipMode|weights|realms|report|limits\\.conn).*";
 
-    /** The place in a list of objects that is part of a key. */
+    /** Regular expression for the index in a list of objects within a key. */
     private static final String LIST_INDEX = "\\.\\d+\\.";
 
     private final Map<String, String> next;
@@ -29,12 +29,12 @@
     }
 
     /**
-     * Guards against a file that was cut or left half written, can still be read, and lacks keys
-     * whose defaults would then hold.
+     * Requires that the new configuration has all keys of the running one. A list may have fewer
+     * entries than before, but each entry must have the keys that all entries had. Guards against a
+     * truncated or partly written file that is still readable but lacks keys, whose defaults would
+     * then apply.
      *
-     * @throws InvalidSettingsException where the running configuration states a key that the new
-     *     one does not; of the entries of a list, each must have what all had, but there may be
-     *     fewer
+     * @throws InvalidSettingsException if the new configuration lacks a key
      */
     void requireAllKeys() {
         for (String key : running.keySet()) {
@@ -44,13 +44,16 @@
             for (int index = 0; inEveryRunningEntry && index < entryCount(next, key); index++) {
                 if (!next.containsKey(keyAt(key, index))) {
                     throw new InvalidSettingsException(
-                            keyAt(key, index) + ": missing, and the running configuration has it");
+                            keyAt(key, index) + ": missing, but set in the running configuration");
                 }
             }
         }
     }
 
-    /** The keys whose values differ and hold from the next start on, in alphabetical order. */
+    /**
+     * Returns the keys with a changed value that takes effect only at the next start, in
+     * alphabetical order.
+     */
     List<String> keysRequiringRestart() {
         return Stream.concat(next.keySet().stream(), running.keySet().stream())
                 .distinct()
@@ -60,7 +63,7 @@
                 .toList();
     }
 
-    /** How many entries the list has that a key lies in; 1 where it lies in none. */
+    /** Returns the number of entries of the list that contains a key, or 1 if no list does. */
     private static int entryCount(Map<String, String> pairs, String key) {
         String[] parts = key.split(LIST_INDEX, 2);
         return parts.length == 1
--- a/src/main/java/lemondrift/proxy/config/ProxyConfig.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfig.java
@@ -12,28 +12,29 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * The configuration of one process; immutable.
+ * The configuration of one process. Immutable.
  *
- * @param name of the proxy, in logs and for its takeover
- * @param listen where clients connect
- * @param admin the operators' address; null where there is none
- * @param discovery where the endpoint list is served
- * @param seed of all random draws
- * @param sockets descriptors that the process may open
- * @param memoryBytes memory that the process may use
- * @param settings what the decisions go by
- * @param requestClassNames in the order of the settings' request classes
- * @param tenantNames in the order of the settings' quotas
+ * @param name the name of the proxy, used in logs and for the takeover
+ * @param listen the address at which clients connect
+ * @param admin the admin address; null if there is none
+ * @param discovery the address that serves the endpoint list
+ * @param seed the seed of all random numbers
+ * @param sockets the number of descriptors that the process may open
+ * @param memoryBytes the memory that the process may use, in bytes
+ * @param settings the settings of the decisions
+ * @param requestClassNames the names of the request classes, in the order of the settings' classes
+ * @param tenantNames the names of the tenants, in the order of the settings' quotas
  * @param locations the names of the locations, by index
  * @param loadReportFields the names of the fields of a load report, in the order of its values
- * @param backendIdleSeconds after which a backend closes an idle connection
- * @param connectTimeoutSeconds how long connecting to a backend may take
- * @param initialEndpoints the endpoint list known from before, as discovery would send it
- * @param valuesByKey all keys that the configuration states but the initial endpoints, and values
- * @param connectionLimits what clients' connections may use
- * @param gossip load gossip with other proxies; null where there is none
- * @param recovery how the proxy recovers after its start; null where it does not
- * @param shadow settings that are evaluated but not acted on; null where there are none
+ * @param backendIdleSeconds the idle time after which a backend closes a connection, in seconds
+ * @param connectTimeoutSeconds the maximum time to connect to a backend, in seconds
+ * @param initialEndpoints the endpoint list known before the start, as discovery would send it
+ * @param valuesByKey all keys that the configuration sets, except the initial endpoints, with their
+ *     values
+ * @param connectionLimits the limits of client connections
+ * @param gossip the settings of load gossip with other proxies; null if there is none
+ * @param recovery the settings of the recovery after a start; null if there is none
+ * @param shadow the settings that are evaluated in shadow but not applied; null if there are none
  */
 public record ProxyConfig(
         String name,
@@ -56,22 +57,25 @@
         GossipSettings gossip,
         RecoverySettings recovery,
         Settings shadow) {
-    /** Descriptors for what is not a connection: libraries, logs, selectors, the listener. */
+    /** Descriptors reserved for libraries, logs, selectors and the listener. */
     private static final int RESERVED_SOCKETS = 40;
 
     /**
-     * Reads all files that an environment names: PROXY_CONFIG, and the others where they are set.
+     * Reads all files that environment variables name: PROXY_CONFIG and, if set, the others.
      *
-     * @throws InvalidSettingsException where something cannot be used; one line with the key
+     * @throws IOException if a file cannot be read
+     * @throws InvalidSettingsException if a file is invalid; the message is one line with the key
      */
     public static ProxyConfig read(Map<String, String> environment) throws IOException {
         return ProxyConfigReader.read(environment);
     }
 
     /**
-     * Reads the files again at SIGHUP; what holds from a start on stays as it runs.
+     * Reads the files again at SIGHUP. Keeps the running limits of client connections, gossip and
+     * recovery, which change only at a start.
      *
-     * @throws InvalidSettingsException where something cannot be used; one line with the key
+     * @throws IOException if a file cannot be read
+     * @throws InvalidSettingsException if a file is invalid; the message is one line with the key
      */
     public static ProxyConfig readAgain(Map<String, String> environment, ProxyConfig running)
             throws IOException {
@@ -79,32 +83,33 @@
     }
 
     /**
-     * Reads the configuration alone, from its text.
+     * Reads a configuration from its text, without any settings files.
      *
-     * @throws InvalidSettingsException where something cannot be used; one line with the key
+     * @throws InvalidSettingsException if the text is invalid; the message is one line with the key
      */
     public static ProxyConfig read(String json) {
         return ProxyConfigReader.read(json);
     }
 
     /**
-     * The address that a text of host and port is.
+     * Parses an address.
      *
-     * @param key names it in the error
-     * @throws InvalidSettingsException where it is none
+     * @param key the key of the address, for the error message
+     * @param text the address as host:port
+     * @throws InvalidSettingsException if the text is not an address
      */
     public static InetSocketAddress parseAddress(String key, String text) {
         return ProxyConfigReader.parseAddress(key, text);
     }
 
-    /** How many connections the proxy may hold, of clients and to backends. */
+    /** Returns how many connections the proxy may hold, from clients and to backends together. */
     public int maxConnections() {
         return maxConnections(sockets);
     }
 
     /**
-     * The share of the connections, 0 to 1, that each of so many processes may hold; as each has
-     * descriptors of its own, it is less than an equal part.
+     * Returns the share of the connections, 0 to 1, that each of a number of processes may hold. It
+     * is less than an equal part because each process needs its own reserved descriptors.
      */
     public double connectionShare(int processCount) {
         return processCount == 1
@@ -116,47 +121,49 @@
         return Math.max(RESERVED_SOCKETS, sockets - RESERVED_SOCKETS);
     }
 
-    /** The longest time that a request of any class may have, in seconds; 1 without classes. */
+    /** Returns the longest timeout of any active request class, in seconds; 1 if there is none. */
     public double longestTimeoutSeconds() {
         return settings.activeClasses().mapToDouble(RequestClass::timeoutSeconds).max().orElse(1);
     }
 
     /**
-     * Refuses a configuration that lacks keys which the running one states, as a file that was cut
-     * off may.
+     * Rejects a configuration that lacks a key of the running one, as a truncated file may.
      *
-     * @throws InvalidSettingsException where one is missing
+     * @throws InvalidSettingsException if a key is missing
      */
     public void requireAllKeysOf(ProxyConfig running) {
         new KeyComparison(valuesByKey, running.valuesByKey).requireAllKeys();
     }
 
-    /** The keys that differ from the running configuration's and hold from the next start on. */
+    /**
+     * Returns the keys that differ from the running configuration and take effect only at the next
+     * start.
+     */
     public List<String> keysRequiringRestart(ProxyConfig running) {
         return new KeyComparison(valuesByKey, running.valuesByKey).keysRequiringRestart();
     }
 
-    /** A copy that does not keep the initial endpoints, which are thousands on a large fleet. */
+    /** Returns a copy without the initial endpoints, which number thousands in a large fleet. */
     public ProxyConfig withoutInitialEndpoints() {
         return copy(admin, emptyEndpointList(), connectionLimits, gossip, recovery, shadow);
     }
 
-    /** A copy with other limits of clients' connections. */
+    /** Returns a copy with other limits of client connections. */
     public ProxyConfig withConnectionLimits(ConnectionLimits otherLimits) {
         return copy(admin, initialEndpoints, otherLimits, gossip, recovery, shadow);
     }
 
-    /** A copy with settings that are evaluated in shadow. */
+    /** Returns a copy with settings to be evaluated in shadow. */
     public ProxyConfig withShadow(Settings otherShadow) {
         return copy(admin, initialEndpoints, connectionLimits, gossip, recovery, otherShadow);
     }
 
-    /** A copy with an operators' address. */
+    /** Returns a copy with an admin address. */
     ProxyConfig withAdminAddress(InetSocketAddress address) {
         return copy(address, initialEndpoints, connectionLimits, gossip, recovery, shadow);
     }
 
-    /** A copy with what the settings files say. */
+    /** Returns a copy with the values of the settings files. */
     ProxyConfig withFiles(
             ConnectionLimits otherLimits,
             GossipSettings otherGossip,
@@ -194,7 +201,7 @@
                 otherShadow);
     }
 
-    /** A complete endpoint list that names none. */
+    /** Returns a complete endpoint list without endpoints. */
     static JsonObject emptyEndpointList() {
         JsonObject list = new JsonObject();
         list.addProperty("complete", true);
--- a/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfigReader.java
@@ -18,43 +18,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads a {@link ProxyConfig} from the files that an environment names. What cannot be used is an
- * {@link InvalidSettingsException} whose message is one line with the key, and with the file unless
- * it is the configuration itself.
+ * Reads a {@link ProxyConfig} from the files that environment variables name. Invalid input causes
+ * an {@link InvalidSettingsException} whose message is one line with the key, and with the file
+ * unless it is the configuration file.
  */
 final class ProxyConfigReader {
     private static final Logger LOG = LoggerFactory.getLogger(ProxyConfigReader.class);
 
-    /** The settings file for clients' connections. */
+    /** Environment variable with the settings file for client connections. */
     private static final String CONNECTION_FILE = "PROXY_DOOR";
 
-    /** The settings file for load gossip. */
+    /** Environment variable with the settings file for load gossip. */
     private static final String GOSSIP_FILE = "PROXY_PEERS";
 
-    /** The settings file for recovery; named by an empty text where there is none. */
+    /** Environment variable with the settings file for recovery; unset or empty for none. */
     private static final String RECOVERY_FILE = "PROXY_RECOVERY";
 
-    /** The settings file for settings evaluated in shadow. */
+    /** Environment variable with the file of the settings to evaluate in shadow. */
     private static final String SHADOW_FILE = "PROXY_SHADOW";
 
-    /** The operators' address; takes the place of the configuration's. */
+    /** Environment variable with the admin address. Overrides that of the configuration. */
     private static final String ADMIN_ADDRESS = "PROXY_ADMIN_ADDR";
 
-    /** Descriptors that the process may open, where the configuration does not say. */
+    /** Default number of descriptors that the process may open. */
     private static final int DEFAULT_SOCKETS = 1024;
 
-    /** Memory of the process in MiB, where the configuration does not say. */
+    /** Default memory of the process, in MiB. */
     private static final int DEFAULT_MEMORY_MIB = 192;
 
-    /** After how long a backend closes an idle connection, where the settings do not say. */
+    /** Default idle time after which a backend closes a connection, in milliseconds. */
     private static final double DEFAULT_BACKEND_IDLE_MILLIS = 10_000;
 
-    /** How long connecting may take, where the settings do not say. */
+    /** Default maximum time to connect to a backend, in milliseconds. */
     private static final double DEFAULT_CONNECT_TIMEOUT_MILLIS = 250;
 
     private ProxyConfigReader() {}
 
-    /** Reads all files that an environment names. */
+    /** Reads all files that environment variables name. */
     static ProxyConfig read(Map<String, String> environment) throws IOException {
         JsonObject json = ConfigFile.read(environment);
         ProxyConfig config = read(json);
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Reads the files again at SIGHUP. What holds from a start on stays as it runs. Guards against
-     * a file that has gone since the start and keeps the proxy from following its settings: what
-     * the next start would refuse is only logged.
+     * Reads the files again at SIGHUP. Keeps the running limits of client connections, gossip and
+     * recovery, which change only at a start. Their files are only checked, and an error is logged:
+     * a file that was removed since the start must not prevent the reload of the settings.
      */
     static ProxyConfig readAgain(Map<String, String> environment, ProxyConfig running)
             throws IOException {
@@ -88,7 +88,7 @@
             readGossip(environment, config, json);
             readRecovery(environment, config);
         } catch (IOException | RuntimeException e) {
-            // Wide, as whatever the readers throw would also keep the next start from serving.
+            // Catches every exception: any error of the readers would also fail the next start.
             LOG.warn("would keep the next start from serving: {}", e.toString().replace('\n', ' '));
         }
         return config;
@@ -133,7 +133,7 @@
                 : withAdmin.withShadow(ShadowSettingsFile.read(Path.of(shadowFile), json));
     }
 
-    /** Reads the configuration alone, from its text. */
+    /** Reads a configuration from its text, without any settings files. */
     static ProxyConfig read(String json) {
         return read(ConfigFile.parseObject(json));
     }
@@ -181,7 +181,10 @@
                 null);
     }
 
-    /** Guards against thousands of endpoints that take longer than all else of a start. */
+    /**
+     * Flattens the configuration without the initial endpoints. Flattening thousands of endpoints
+     * would take longer than the rest of the start.
+     */
     private static Map<String, String> pairsWithoutEndpoints(JsonObject json) {
         Map<String, String> pairs = new HashMap<>();
         for (Map.Entry<String, JsonElement> entry : json.entrySet()) {
@@ -192,7 +195,10 @@
         return pairs;
     }
 
-    /** Guards against a proxy that polls its list and, knowing none, would never start to. */
+    /**
+     * Returns the initial endpoints, or a complete empty list if there are none. Guards against a
+     * proxy that polls for its list but would never start to poll without a first list.
+     */
     private static JsonObject initialEndpoints(JsonObject json) {
         return json.has(ConfigFile.INITIAL_ENDPOINTS)
                 ? json.getAsJsonObject(ConfigFile.INITIAL_ENDPOINTS)
@@ -207,7 +213,7 @@
             if (name == null || name.isEmpty()) {
                 throw new InvalidSettingsException(prefix + "missing");
             }
-            // Guards against two classes of one name, of which a request could mean either.
+            // Guards against two classes with the same name: a request could mean either.
             if (names.indexOf(name) < index) {
                 throw new InvalidSettingsException(prefix + name + " is there twice");
             }
@@ -222,7 +228,7 @@
                 .toList();
     }
 
-    /** The address that a text of host and port is; what names it in the error. */
+    /** Parses a host:port address. The key names it in the error message. */
     static InetSocketAddress parseAddress(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
--- a/src/main/java/lemondrift/proxy/config/RecoverySettings.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettings.java
@@ -4,11 +4,11 @@
 import lemondrift.recovery.PeerPollSettings;
 
 /**
- * How a proxy that has started learns from its peers, and where it keeps snapshots.
+ * Settings of the recovery after a start, from peers and snapshots.
  *
- * @param polling how it polls its peers
- * @param snapshotFolder where snapshots are written; null where no disk outlasts the process
- * @param snapshotIntervalSeconds the mean time between two snapshots
+ * @param polling the settings of polling peers
+ * @param snapshotFolder the folder of the snapshots; null if no disk outlives the process
+ * @param snapshotIntervalSeconds the mean time between two snapshots, in seconds
  */
 public record RecoverySettings(
         PeerPollSettings polling, Path snapshotFolder, double snapshotIntervalSeconds) {}
--- a/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -7,15 +7,15 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * Reads how a proxy recovers after its start, from the file that PROXY_RECOVERY names;
- * docs/recovery.md has the keys. Durations but the snapshot interval are stated as multiples of the
- * window, the shortest latency objective.
+ * Reads the settings of the recovery after a start from the file that PROXY_RECOVERY names.
+ * docs/recovery.md describes the keys. Durations in the file are multiples of the window, the
+ * shortest latency objective, except for the snapshot interval, which is in seconds.
  */
 final class RecoverySettingsFile {
-    /** Seconds between two snapshots, where the file does not say. */
+    /** Default time between two snapshots, in seconds. */
     private static final double DEFAULT_SNAPSHOT_INTERVAL_SECONDS = 5;
 
-    /** The most peers that may be polled at once, or responses that may be asked for. */
+    /** Maximum number of peers to poll at once, and of samples that end polling. */
     private static final int MAX_COUNT = 255;
 
     private double pollIntervalWindows;
@@ -25,7 +25,7 @@
     private int settledSamples;
     private double snapshotIntervalSeconds = DEFAULT_SNAPSHOT_INTERVAL_SECONDS;
 
-    /** Null where no disk outlasts the process. */
+    /** Null if no disk outlives the process. */
     private Path snapshotFolder;
 
     private RecoverySettingsFile() {
@@ -40,7 +40,10 @@
     /**
      * Reads the file.
      *
-     * @throws InvalidSettingsException where something cannot be used; one line with file and key
+     * @param windowSeconds the window in seconds, by which durations are multiplied
+     * @throws IOException if the file cannot be read
+     * @throws InvalidSettingsException if a key or value is invalid; the message is one line with
+     *     the file and the key
      */
     static RecoverySettings read(Path file, double windowSeconds) throws IOException {
         RecoverySettingsFile settings = new RecoverySettingsFile();
@@ -50,7 +53,7 @@
                     file
                             + ": forget: "
                             + settings.expiryWindows
-                            + " is under bound, "
+                            + ": must not be less than bound, "
                             + settings.decisionTimeoutWindows);
         }
         return settings.inSeconds(windowSeconds);
--- a/src/main/java/lemondrift/proxy/config/SettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/SettingsFile.java
@@ -10,13 +10,16 @@
 import java.util.Map;
 import lemondrift.settings.InvalidSettingsException;
 
-/** What the readers of all settings files share: the file as JSON, its keys, checked values. */
+/** Reads a settings file as JSON and checks its values. Used by the readers of all such files. */
 final class SettingsFile {
-    /** Takes one key's value. */
+    /** Reads the value of one key. */
     interface KeyReader {
         /**
-         * Reads a value; whatever it throws for one that cannot be used is reported with file and
-         * key.
+         * Reads a value.
+         *
+         * @throws InvalidSettingsException if the key or value is invalid; it is reported with the
+         *     file and the key, as are an IllegalStateException or UnsupportedOperationException,
+         *     which Gson throws for a value of another type
          */
         void read(String key, JsonElement value);
     }
@@ -24,9 +27,11 @@
     private SettingsFile() {}
 
     /**
-     * Has each key of the file read.
+     * Passes each key of the file and its value to a reader.
      *
-     * @throws InvalidSettingsException where something cannot be used; one line with file and key
+     * @throws IOException if the file cannot be read
+     * @throws InvalidSettingsException if the file is not a JSON object or the reader rejects a key
+     *     or value; the message is one line with the file and the key
      */
     static void readKeys(Path file, KeyReader reader) throws IOException {
         for (Map.Entry<String, JsonElement> entry : readObject(file).entrySet()) {
@@ -42,9 +47,10 @@
     }
 
     /**
-     * The JSON object that a file holds.
+     * Reads the JSON object in a file.
      *
-     * @throws InvalidSettingsException where it holds something else
+     * @throws IOException if the file cannot be read
+     * @throws InvalidSettingsException if the file contains anything other than a JSON object
      */
     static JsonObject readObject(Path file) throws IOException {
         try {
@@ -56,9 +62,11 @@
     }
 
     /**
-     * A number of at least min and at most max.
+     * Returns a value as a number from min to max.
      *
-     * @throws InvalidSettingsException where the value is something else
+     * @throws InvalidSettingsException if the value is text that is not a number, or out of range
+     * @throws UnsupportedOperationException if the value is a JSON object or null
+     * @throws IllegalStateException if the value is a JSON array that does not have one element
      */
     static double parseNumber(JsonElement value, double min, double max) {
         double number;
@@ -67,21 +75,21 @@
         } catch (NumberFormatException e) {
             throw new InvalidSettingsException("not a number: " + value);
         }
-        // Written so that NaN is out of range too.
+        // Negated so that NaN is out of range as well.
         if (!(number >= min && number <= max)) {
-            throw new InvalidSettingsException(number + " is not from " + min + " to " + max);
+            throw new InvalidSettingsException(number + ": must be from " + min + " to " + max);
         }
         return number;
     }
 
     /**
-     * True or false.
+     * Returns a value as a boolean.
      *
-     * @throws InvalidSettingsException where the value is something else
+     * @throws InvalidSettingsException if the value is not a JSON boolean
      */
     static boolean parseBoolean(JsonElement value) {
         if (!value.isJsonPrimitive() || !value.getAsJsonPrimitive().isBoolean()) {
-            throw new InvalidSettingsException("neither true nor false: " + value);
+            throw new InvalidSettingsException("must be true or false: " + value);
         }
         return value.getAsBoolean();
     }
--- a/src/main/java/lemondrift/proxy/config/ShadowSettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/ShadowSettingsFile.java
@@ -10,11 +10,14 @@
 import lemondrift.settings.SettingsReader;
 
 /**
- * Reads the settings that are evaluated in shadow, from the file that PROXY_SHADOW names: the
- * proxy's own settings with what the file changes; docs/migration.md has them.
+ * Reads the settings to evaluate in shadow from the file that PROXY_SHADOW names. They are the
+ * proxy's own settings with the changes in the file. docs/migration.md describes them.
  */
 final class ShadowSettingsFile {
-    /** Keys by which requests, endpoint lists and responses are read, which the file must keep. */
+    /**
+     * Keys that the file must not change, because requests, endpoint lists and responses are read
+     * with them.
+     */
     private static final String UNCHANGEABLE_KEYS =
             "(localities|zone|report\\.names|(serviceGrades|realms)\\.(count|\\d+\\.name))";
 
@@ -24,7 +27,9 @@
      * Reads the file.
      *
      * @param config the proxy's own configuration
-     * @throws InvalidSettingsException where something cannot be used; one line with file and key
+     * @throws IOException if the file cannot be read
+     * @throws InvalidSettingsException if a key or value is invalid; the message is one line with
+     *     the file and the key
      */
     static Settings read(Path file, JsonObject config) throws IOException {
         Map<String, String> pairs = new HashMap<>();
@@ -35,7 +40,10 @@
         for (String key : pairs.keySet()) {
             if (key.matches(UNCHANGEABLE_KEYS) && !pairs.get(key).equals(ownPairs.get(key))) {
                 throw new InvalidSettingsException(
-                        file + ": setting " + key + ": may not differ from the program's own");
+                        file
+                                + ": setting "
+                                + key
+                                + ": must not differ from the proxy's own setting");
             }
         }
         try {
--- a/src/main/java/lemondrift/proxy/lifecycle/CoalescingTask.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/CoalescingTask.java
@@ -1,9 +1,9 @@
 package lemondrift.proxy.lifecycle;
 
 /**
- * A task that is run at request, one run at a time: all requests that come during a run, or while
- * it is held back, cost one more run together. Any thread may request it; whoever finds no run
- * going on runs it on its own thread.
+ * A task that runs on request, one run at a time. All requests that arrive during a run, or while
+ * the task is held back, together cause one more run. Any thread may request a run. A thread that
+ * requests one while the task is not running runs it itself.
  */
 final class CoalescingTask {
     private final Runnable task;
@@ -11,12 +11,15 @@
     private boolean requested;
     private boolean running;
 
-    /** One that is held back until {@link #release}. */
+    /** Creates a task that is held back until {@link #release} is called. */
     CoalescingTask(Runnable task) {
         this.task = task;
     }
 
-    /** Runs the task, unless another thread does or it is held back; then it is run later. */
+    /**
+     * Runs the task. If another thread is running it or it is held back, the task runs later
+     * instead.
+     */
     void request() {
         synchronized (this) {
             requested = true;
@@ -24,7 +27,7 @@
         runWhileRequested();
     }
 
-    /** Holds the task back no longer, and runs it if it was requested meanwhile. */
+    /** Stops holding the task back, and runs it if it was requested in the meantime. */
     void release() {
         synchronized (this) {
             heldBack = false;
@@ -42,7 +45,7 @@
         }
     }
 
-    /** Whether the caller is to run the task now. */
+    /** Takes the pending request and returns true if the caller must run the task now. */
     private synchronized boolean takeRequest() {
         if (heldBack || running || !requested) {
             return false;
--- a/src/main/java/lemondrift/proxy/lifecycle/HangUpSignal.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/HangUpSignal.java
@@ -6,19 +6,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles SIGHUP, which ends a JVM that has no handler for it. A process that is to survive one
- * before its JVM can have a handler is started with the signal ignored, as {@code run} of the
- * deploy file does; the JVM then takes no handler until what {@code hangup.c} is made to is loaded.
+ * Installs a handler for SIGHUP, which ends a JVM without one. To survive a SIGHUP that arrives
+ * before the handler is installed, a process is started with the signal ignored, as the {@code run}
+ * entry of the deploy file does. Such a JVM accepts a handler only after the library built from
+ * {@code hangup.c} is loaded.
  */
 final class HangUpSignal {
-    /** The library that is made of {@code hangup.c}. */
+    /** Name of the library built from {@code hangup.c}. */
     private static final String LIBRARY = "lemondrift-hangup";
 
     private HangUpSignal() {}
 
     /**
-     * Runs the handler at each SIGHUP from now on, each time on a thread of its own. By reflection,
-     * as the compiler does not let sun.misc be named.
+     * Runs the handler at each SIGHUP from now on, each time on a new thread. Uses reflection
+     * because the compiler rejects references to {@code sun.misc}. If the handler cannot be
+     * installed, logs a warning and returns.
      */
     static void setHandler(Runnable handler) {
         try {
@@ -27,7 +29,7 @@
                 install(handler);
             }
         } catch (ReflectiveOperationException | RuntimeException e) {
-            // Wide, as a JVM without these classes or permissions can still serve.
+            // Catches every exception: a JVM without these classes or permissions can still serve.
             log().warn(
                             "SIGHUP handler not installed, SIGHUP will end the process: {}",
                             e.toString());
@@ -39,7 +41,7 @@
         }
     }
 
-    /** Returns whether the signal is ignored, so that the JVM has not taken the handler. */
+    /** Returns true if the signal is ignored, in which case the JVM did not accept the handler. */
     private static boolean install(Runnable handler) throws ReflectiveOperationException {
         Class<?> signalType = Class.forName("sun.misc.Signal");
         Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
@@ -60,7 +62,10 @@
         return previous == ignored.get(null);
     }
 
-    /** Not a constant: to make it takes time in which a signal would still end the process. */
+    /**
+     * Returns the logger. Not a constant: creating it takes time during which a signal would still
+     * end the process.
+     */
     private static Logger log() {
         return LoggerFactory.getLogger(HangUpSignal.class);
     }
--- a/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
@@ -14,12 +14,12 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioWorker;
 
-/** Starts the proxy from its environment; handles SIGTERM and SIGHUP. */
+/** Starts the proxy from its environment variables and handles SIGTERM and SIGHUP. */
 public final class ProxyLauncher {
-    /** Names the descriptor of a listening socket that the platform holds. */
+    /** Environment variable with the descriptor of an inherited listening socket. */
     private static final String INHERITED_SOCKET_VARIABLE = "PROXY_INHERITED_FD";
 
-    /** Seconds that the log's last lines may take at the end. */
+    /** Maximum seconds to write the last log lines when the process ends. */
     private static final double LOG_DRAIN_SECONDS = 0.05;
 
     private final Map<String, String> environment;
@@ -27,17 +27,20 @@
     /** Held back until the proxy serves. */
     private final CoalescingTask reload = new CoalescingTask(this::reload);
 
-    /** Null until the start has come that far. */
+    /** Null until the start has created it. */
     private volatile ProxyServer proxyServer;
 
-    /** Null until the start has come that far. */
+    /** Null until the start has created it. */
     private volatile AsyncLog asyncLog;
 
     private ProxyLauncher(Map<String, String> environment) {
         this.environment = environment;
     }
 
-    /** Returns an exit code where the proxy can't start, else 0, and the proxy runs on. */
+    /**
+     * Starts the proxy. Returns 0 when it serves, and the proxy keeps running. If it cannot start,
+     * prints the reason on one line and returns 1 as the exit code.
+     */
     public static int run(Map<String, String> environment, PrintStream err) {
         ProxyLauncher launcher = new ProxyLauncher(environment);
         launcher.handleSignals();
@@ -51,8 +54,8 @@
     }
 
     /**
-     * Returns 0 where a proxy can be made of the configuration, else 1 and a line that says why;
-     * opens no socket.
+     * Checks the configuration without opening a socket. Returns 0 if a proxy can be created from
+     * it. Otherwise prints the reason on one line and returns 1.
      */
     public static int check(Map<String, String> environment, PrintStream err) {
         configureLibraries();
@@ -70,12 +73,12 @@
 
     private static void configureLibraries() {
         System.setProperty("org.jboss.logging.provider", "slf4j");
-        // XNIO offers its figures as management beans where it can; to set that up is a third of
-        // the start.
+        // Keeps XNIO from registering management beans, which would take a third of the startup
+        // time.
         System.setProperty("javax.management.builder.initial", "none");
     }
 
-    /** Wide by intent: whatever keeps the proxy from starting is one line and an exit code. */
+    /** Reports any exception that prevents the start as one line and returns the exit code. */
     private static int reportFailure(Exception cause, PrintStream err) {
         err.println("lemondrift serve: " + cause.toString().replace('\n', ' '));
         return 1;
@@ -83,13 +86,13 @@
 
     private void start() throws IOException {
         ProxyConfig config = ProxyConfig.read(environment);
-        // Asynchronous, as a stopped reader of the log would stop each thread that logs.
+        // Asynchronous: a stopped reader of the log would otherwise block each thread that logs.
         asyncLog = AsyncLog.redirectStandardError();
         ServerSocketChannel inheritedSocket = inheritedSocket(environment);
         XnioWorker worker = ProxyServer.createWorker();
         TakeoverLock takeoverLock =
                 inheritedSocket == null ? null : openTakeoverLock(environment, config);
-        // Before the warm-up, so that who asks meanwhile hears that the proxy is not ready.
+        // Before the warm-up, so that health checks during it report that the proxy is not ready.
         AdminServer adminServer =
                 config.admin() == null ? null : new AdminServer(config.admin(), worker);
         warmUp(config);
@@ -107,8 +110,9 @@
     }
 
     /**
-     * Guards against a signal during the start, which would end the process as a crash: before all
-     * else, the logger included, which takes its time.
+     * Installs the signal handlers. Guards against a signal during the start ending the process
+     * like a crash. Runs before everything else, even before the logger is created, which takes
+     * time.
      */
     private void handleSignals() {
         HangUpSignal.setHandler(reload::request);
@@ -116,8 +120,8 @@
     }
 
     /**
-     * SIGTERM: answers what was accepted, writes the log's last lines and exits with 0. Runs as the
-     * JVM's shutdown hook.
+     * Handles SIGTERM: answers the accepted requests, writes the last log lines and exits with 0.
+     * Runs as a shutdown hook of the JVM.
      */
     private void onTerminate() {
         try {
@@ -125,26 +129,28 @@
                 proxyServer.drain();
             }
         } catch (InterruptedException | RuntimeException e) {
-            // Wide, as the process ends with 0 whatever failed on the way.
+            // Catches every exception: the process must exit with 0 even if draining failed.
             Thread.currentThread().interrupt();
         }
         if (asyncLog != null) {
             asyncLog.drain(LOG_DRAIN_SECONDS);
         }
-        // A JVM that a signal ends would exit with 143, which a platform takes for a crash.
+        // A JVM ended by SIGTERM would exit with 143, which a platform would treat as a crash.
         Runtime.getRuntime().halt(0);
     }
 
     /**
-     * SIGHUP: reads the configuration again and applies it; one that can't be used changes nothing
-     * and leaves a line in the log. Several at once, or during the start, cost one reading.
+     * Handles SIGHUP: reads the configuration again and applies it. An unusable configuration is
+     * logged and changes nothing. Several signals at once, or during the start, cause a single
+     * read.
      */
     private void reload() {
         try {
             proxyServer.reload(ProxyConfig.readAgain(environment, proxyServer.config()));
         } catch (IOException | RuntimeException | LinkageError e) {
-            // Wide, as the proxy serves on whatever the file holds; LinkageError where the archive
-            // was replaced under the running program and lacks a class.
+            // Catches every exception: the proxy must keep serving with any content of the file.
+            // LinkageError occurs if the archive of the running program was replaced and lacks a
+            // class.
             proxyServer.recordReloadFailure();
             log().warn(
                             "new configuration not used, the old one stays: {}",
@@ -152,7 +158,10 @@
         }
     }
 
-    /** Tells other processes of this proxy at once that this one starts, so that they make room. */
+    /**
+     * Opens the takeover lock. Other processes of this proxy see at once that this one starts, and
+     * reduce their share of the resources.
+     */
     private static TakeoverLock openTakeoverLock(
             Map<String, String> environment, ProxyConfig config) {
         String folder = environment.get("TMPDIR");
@@ -163,10 +172,10 @@
     }
 
     /**
-     * The listening socket that the platform holds for this proxy; null where it holds none.
+     * Returns the listening socket that the process inherited, or null if it inherited none.
      *
-     * @throws InvalidSettingsException where the descriptor is another one than the JDK can take
-     *     over, or no listening socket
+     * @throws InvalidSettingsException if the descriptor is not 0, the only one that the JDK can
+     *     take over, or is not a listening socket
      */
     private static ServerSocketChannel inheritedSocket(Map<String, String> environment)
             throws IOException {
@@ -174,7 +183,7 @@
         if (descriptor == null) {
             return null;
         }
-        // The JDK takes over this descriptor only.
+        // The JDK can take over descriptor 0 only.
         if (!descriptor.equals("0")
                 || !(System.inheritedChannel() instanceof ServerSocketChannel socket)) {
             throw new InvalidSettingsException(
@@ -186,7 +195,7 @@
         return socket;
     }
 
-    /** Guards against a failed warm-up keeping the proxy from serving, which it can without. */
+    /** Runs the warm-up and logs a failure, which must not prevent the proxy from serving. */
     private static void warmUp(ProxyConfig config) {
         try {
             Warmup.run(config);
@@ -197,7 +206,10 @@
         }
     }
 
-    /** Not a constant: to make it takes time in which a signal would still end the process. */
+    /**
+     * Returns the logger. Not a constant: creating it takes time during which a signal would still
+     * end the process.
+     */
     private static Logger log() {
         return LoggerFactory.getLogger(ProxyLauncher.class);
     }
--- a/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/TakeoverLock.java
@@ -12,9 +12,10 @@
 import org.xnio.IoUtils;
 
 /**
- * Shows processes of one proxy each other through two locked files: who holds the first one serves,
- * who holds the second one waits to follow. The system releases a lock however its process ends, so
- * that none can be stale. Not thread-safe, and a look blocks on the file system.
+ * Lets processes of one proxy detect each other with two locked files. The process that holds the
+ * lock on the first file serves, the one that holds the lock on the second waits to take over. The
+ * operating system releases a lock however its process ends, so no lock can become stale. Not
+ * thread-safe. {@link #refresh} blocks on the file system.
  */
 public final class TakeoverLock {
     private static final Logger LOG = LoggerFactory.getLogger(TakeoverLock.class);
@@ -23,23 +24,26 @@
     private final Path waitingFile;
     private final ResourceSplit resourceSplit = new ResourceSplit();
 
-    /** Null until it is opened. */
+    /** Null until the file is opened. */
     private FileChannel servingChannel;
 
-    /** Null until it is opened. */
+    /** Null until the file is opened. */
     private FileChannel waitingChannel;
 
-    /** Null while this process doesn't hold it. */
+    /** Null while this process does not hold the lock. */
     private FileLock servingLock;
 
-    /** Null while this process doesn't hold it. */
+    /** Null while this process does not hold the lock. */
     private FileLock waitingLock;
 
     private boolean failureLogged;
 
     /**
-     * A lock in a folder that all processes of the proxy use, under the proxy's name; characters
-     * that a file name may not have are replaced.
+     * Creates a lock that is not held yet.
+     *
+     * @param folder the folder of the lock files, shared by all processes of the proxy
+     * @param proxyName the name of the proxy, which becomes part of the file names; characters
+     *     other than letters, digits, '.', '_' and '-' are replaced
      */
     public TakeoverLock(Path folder, String proxyName) {
         String fileName = proxyName.replaceAll("[^A-Za-z0-9._-]", "_");
@@ -47,16 +51,19 @@
         waitingFile = folder.resolve("lemondrift-" + fileName + ".waiting");
     }
 
-    /** Among how many processes the proxy's resources are divided, as of the last look. */
+    /**
+     * Returns the number of processes among which the proxy's resources are divided, 1 or 2, as of
+     * the last refresh.
+     */
     public int processCount() {
         return resourceSplit.processCount();
     }
 
     /**
-     * Looks which processes live, and takes the locks that are free for this one. Where the files
-     * can't be locked, another process is assumed to live.
+     * Detects which processes run, and acquires the locks that are free. If the files cannot be
+     * locked, assumes that another process runs.
      *
-     * @return whether what this process is beside others has changed
+     * @return true if the state of the resource split has changed
      */
     public boolean refresh() {
         try {
@@ -95,8 +102,8 @@
     }
 
     private boolean hasFollower() throws IOException {
-        // Guards against the system releasing all locks of a process on a file when one of its
-        // channels is closed: this process holds none on this file.
+        // The system releases all locks of a process on a file when one of its channels is closed.
+        // This process holds no lock on this file here, so none can be lost.
         waitingChannel = waitingChannel == null ? open(waitingFile) : waitingChannel;
         FileLock free = tryLock(waitingChannel);
         if (free != null) {
@@ -109,7 +116,7 @@
         return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    /** Null where another process, or another lock of this one, holds it. */
+    /** Returns null if another process, or this process through another channel, holds the lock. */
     private static FileLock tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock();
--- a/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
@@ -24,41 +24,42 @@
 import org.xnio.XnioWorker;
 
 /**
- * Plays made-up requests through a proxy of its own before the real one serves, over pipes, so that
- * no socket is opened. Code that has not run yet takes ten times the processor; without a warm-up
- * the first requests would be late, and their clients' retries more than a part of a core can take.
+ * Sends synthetic requests through a separate proxy before the real one serves. Uses pipes, so that
+ * no socket is opened. Code that has not run yet takes ten times the processor time. Without a
+ * warm-up the first requests would be late, and the retries of their clients would exceed the part
+ * of a core that the proxy has.
  *
- * <p>The caller's thread waits; clients and backends live on the warm-up's own I/O thread.
+ * <p>The caller's thread waits. Clients and backends run on the I/O thread of the warm-up.
  */
 public final class Warmup {
     private static final Logger LOG = LoggerFactory.getLogger(Warmup.class);
 
-    /** How many clients send, one request at a time each. */
+    /** Number of clients. Each sends one request at a time. */
     private static final int CLIENTS = 6;
 
-    /** How many backends respond. */
+    /** Number of backends. */
     private static final int BACKENDS = 4;
 
-    /** How many requests are played where there is time for all. */
+    /** Number of requests to send if time permits. */
     private static final int REQUESTS = 120;
 
-    /** Seconds that the requests may take. */
+    /** Maximum seconds for the requests. */
     private static final double MAX_SECONDS = 1.5;
 
-    /** Seconds that the responses to the last requests may take after that. */
+    /** Maximum seconds after that for the responses to the last requests. */
     private static final double FINAL_RESPONSES_SECONDS = 0.5;
 
-    /** Longest message of either side, in bytes. */
+    /** Maximum length of a request or response, in bytes. */
     private static final int MAX_MESSAGE_BYTES = 4096;
 
     private final ProxyConfig config;
     private final XnioWorker worker;
     private final CountDownLatch remainingRequests = new CountDownLatch(REQUESTS);
 
-    /** Counts the clients whose last response has come. */
+    /** Counts the clients that still wait for their last response. */
     private final CountDownLatch busyClients = new CountDownLatch(CLIENTS);
 
-    /** Whether clients are to send nothing more. */
+    /** Set when clients must not send any more requests. */
     private volatile boolean stopping;
 
     /** I/O thread only. */
@@ -73,9 +74,11 @@
     }
 
     /**
-     * Warms the code up and returns when that is over, after two seconds at the latest.
+     * Warms the code up. Returns after two seconds at the latest.
      *
-     * @return whether every request that was sent had its response
+     * @return true if every request that was sent got a response
+     * @throws IOException if the worker of the warm-up cannot be created
+     * @throws InterruptedException if the thread is interrupted while it waits
      */
     public static boolean run(ProxyConfig config) throws IOException, InterruptedException {
         XnioWorker worker = ProxyServer.createWorker();
@@ -90,7 +93,7 @@
                             }
                         });
         warmup.remainingRequests.await((long) (MAX_SECONDS * 1e3), TimeUnit.MILLISECONDS);
-        // Guards against a log line for each attempt that begins while the threads end.
+        // Guards against a log line for each attempt that starts while the threads are stopping.
         warmup.stopping = true;
         boolean allAnswered =
                 warmup.busyClients.await(
@@ -131,7 +134,10 @@
         return result.getIoFuture();
     }
 
-    /** Each with another load, as a report that repeats is taken for an old one. */
+    /**
+     * Builds the next response. Each reports a different load, because a repeated load report is
+     * taken for an old one.
+     */
     private String nextResponse() {
         double load = 0.1 + ++responsesSent % 1000 / 1e4;
         String report =
@@ -185,10 +191,10 @@
     }
 
     /**
-     * Replies to what is read, a message at a time: neither side sends a second one before the
-     * reply.
+     * Replies to each message that is read. A read contains exactly one message because neither
+     * side sends a second one before the reply.
      *
-     * @param reply the reply to a message, or null for none
+     * @param reply returns the reply to a message, or null for none
      */
     private static void replyToEachMessage(
             StreamConnection connection, Function<String, String> reply) {
@@ -215,7 +221,7 @@
         return new String(buffer.array(), 0, length, StandardCharsets.ISO_8859_1);
     }
 
-    /** Writes a message; nothing where it is null. */
+    /** Writes a message, or nothing if it is null. */
     private static void write(StreamConnection connection, String message) throws IOException {
         if (message == null) {
             return;
--- a/src/main/java/lemondrift/proxy/logging/AsyncLog.java
+++ b/src/main/java/lemondrift/proxy/logging/AsyncLog.java
@@ -11,26 +11,26 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes the log's lines on a thread of its own. Guards against a reader of the log that is slow,
- * or takes nothing, and holds up the threads that serve requests: lines for which the queue has no
- * place are left out and counted. Any thread may write.
+ * Writes log lines on a separate thread. Guards against a slow or stopped reader of the log
+ * blocking the threads that serve requests: lines that do not fit into the queue are dropped and
+ * counted. Any thread may write.
  */
 public final class AsyncLog extends OutputStream {
-    /** Lines that may wait to be written. */
+    /** Maximum number of lines that wait to be written. */
     private static final int MAX_QUEUED_LINES = 1024;
 
     private final OutputStream sink;
     private final BlockingQueue<byte[]> queuedLines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
 
-    /** What has come of the line that is not complete. */
+    /** The part of an incomplete line that has been written so far. */
     private final ByteArrayOutputStream incompleteLine = new ByteArrayOutputStream(256);
 
     private final AtomicLong droppedLines = new AtomicLong();
 
-    /** Whether a line that has left the queue is still being written. */
+    /** True while a line taken from the queue is being written. */
     private volatile boolean writing;
 
-    /** A log that writes to a sink; starts its thread. */
+    /** Creates a log that writes to a sink, and starts its thread. */
     public AsyncLog(OutputStream sink) {
         this.sink = sink;
         Thread writer = new Thread(this::writeQueuedLines, "log");
@@ -38,7 +38,7 @@
         writer.start();
     }
 
-    /** Has all that is written to standard error go through a new log from now on. */
+    /** Redirects {@link System#err} to a new log that writes to standard error. */
     public static AsyncLog redirectStandardError() {
         AsyncLog log = new AsyncLog(System.err);
         System.setErr(new PrintStream(log, true));
@@ -84,12 +84,12 @@
                 writing = false;
             }
         } catch (IOException | InterruptedException e) {
-            // The log itself is broken, so there is nowhere to report it.
+            // The log itself has failed, so the error cannot be reported.
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits until all queued lines have been written, for so many seconds at the most. */
+    /** Waits until all queued lines are written, at most for the given number of seconds. */
     public void drain(double timeoutSeconds) {
         long deadlineNanos = System.nanoTime() + (long) (timeoutSeconds * 1e9);
         while ((writing || !queuedLines.isEmpty()) && System.nanoTime() < deadlineNanos) {
--- a/src/main/java/lemondrift/proxy/logging/FailureLog.java
+++ b/src/main/java/lemondrift/proxy/logging/FailureLog.java
@@ -7,13 +7,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs and counts why requests are rejected, failed or refused: a line for each of the first few of
- * a second, and how many more there were. I/O thread only.
+ * Logs why requests are rejected, failed or refused, and counts the rejected and failed ones.
+ * Writes one line for each of the first few requests of a second, and one line with the number of
+ * the remaining requests. I/O thread only.
  */
 public final class FailureLog {
     private static final Logger LOG = LoggerFactory.getLogger(FailureLog.class);
 
-    /** How many requests of one second have a line each. */
+    /** Maximum number of requests per second that are logged on a line of their own. */
     private static final int MAX_LINES_PER_SECOND = 5;
 
     private static final double MILLIS_PER_SECOND = 1000;
@@ -22,18 +23,23 @@
     private double secondStartedAt = Double.NEGATIVE_INFINITY;
     private int requestsInSecond;
 
-    /** A log without lines yet; the metrics tell how many requests were overdue. */
+    /**
+     * Creates a log.
+     *
+     * @param metrics counts the requests that are not served; also read for the number of overdue
+     *     requests
+     */
     public FailureLog(ProxyMetrics metrics) {
         this.metrics = metrics;
     }
 
     /**
-     * A request ends without a backend's response.
+     * Counts and logs a request that ends without a response from a backend.
      *
-     * @param trace the id by which its client knows it
-     * @param rejected whether a retry of the client is harmless: no backend may have executed it,
-     *     or it is idempotent; else it failed
-     * @param now the instant, in seconds
+     * @param trace the trace id that the client set
+     * @param rejected true if a retry by the client is harmless, because no backend can have
+     *     executed the request or it is idempotent; false if the request failed
+     * @param now the current time, in seconds
      */
     public void logNotServed(
             Request request, String trace, String requestClass, boolean rejected, double now) {
@@ -56,10 +62,10 @@
     }
 
     /**
-     * A client's request is refused with a 4xx, as it can't be read or used.
+     * Logs a client request that is refused with a 4xx status because it cannot be read or used.
      *
-     * @param trace the id by which its client knows it; empty where it states none
-     * @param now the instant, in seconds
+     * @param trace the trace id that the client set; empty if it set none
+     * @param now the current time, in seconds
      */
     public void logRefused(int status, String reason, String trace, double now) {
         if (countAndCheckLimit(now)) {
@@ -67,7 +73,7 @@
         }
     }
 
-    /** Counts a line of this second; whether it is to be written. */
+    /** Counts a request of this second. Returns true if a line may be written for it. */
     private boolean countAndCheckLimit(double now) {
         if (now >= secondStartedAt + 1) {
             endSecond();
--- a/src/main/java/lemondrift/proxy/logging/package-info.java
+++ b/src/main/java/lemondrift/proxy/logging/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The process's log: lines are written by a thread of their own, so that a slow reader of standard
- * error holds up no request, and requests that are not served are logged at a bounded rate.
+ * The log of the process. Lines are written by a separate thread, so that a slow reader of standard
+ * error does not delay requests. Requests that are not served are logged at a limited rate.
  */
 package lemondrift.proxy.logging;
--- a/src/main/java/lemondrift/proxy/package-info.java
+++ b/src/main/java/lemondrift/proxy/package-info.java
@@ -1,12 +1,12 @@
 /**
- * The proxy as a program: {@link lemondrift.proxy.ProxyServer} composes the packages below this
- * package and owns the program's phase (STARTING, SERVING, DRAINING, STOPPED).
+ * The proxy server. {@link lemondrift.proxy.ProxyServer} composes the packages below this package
+ * and owns the phase (STARTING, SERVING, DRAINING, STOPPED).
  *
- * <p>The other classes here each do one of its jobs: {@code GracefulShutdown} (SIGTERM), {@code
+ * <p>Each of the other classes has one task: {@code GracefulShutdown} (SIGTERM), {@code
  * ConfigReload} (SIGHUP), {@code OperatorControl} (the admin address), {@code ResourceSharing} (two
- * processes during an upgrade), {@code IoThreadActions} (from the decision loop to the sockets).
+ * processes during an upgrade), {@code IoThreadActions} (actions of the decision loop on sockets).
  *
- * <p>Threads: the start runs on main, SIGTERM and SIGHUP on a thread of the JVM each; what touches
- * sockets is handed to the I/O thread, what touches decisions to the decision loop's thread.
+ * <p>Threads: the start runs on the main thread, SIGTERM and SIGHUP each on a thread of the JVM.
+ * Work on sockets is passed to the I/O thread, work on decisions to the decision loop's thread.
  */
 package lemondrift.proxy;
--- a/src/main/java/org/xnio/nio/InheritedServer.java
+++ b/src/main/java/org/xnio/nio/InheritedServer.java
@@ -14,14 +14,17 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Accepts on a listening socket that the process was given. It stands in XNIO's package because
- * XNIO only accepts on sockets that it has opened. I/O thread only.
+ * Accepts connections on a listening socket that the process inherited. This class is in XNIO's
+ * package because XNIO itself accepts only on sockets that it has opened. I/O thread only.
  */
 public final class InheritedServer {
-    /** How many are accepted at a time, so that one process of two does not take a whole burst. */
+    /**
+     * Maximum number of connections to accept at a time, so that one of two processes does not take
+     * a whole burst.
+     */
     private static final int MAX_ACCEPTS_PER_EVENT = 4;
 
-    /** Seconds without accepting where the system has no descriptor left. */
+    /** Seconds to wait before accepting again if the system has no descriptor left. */
     private static final double RETRY_DELAY_SECONDS = 0.25;
 
     private final ServerSocketChannel socket;
@@ -49,7 +52,7 @@
 
         @Override
         void terminated() {
-            // The socket is the platform's.
+            // The socket belongs to the platform.
         }
 
         @Override
@@ -59,7 +62,14 @@
         }
     }
 
-    /** Accepts, from the call of listen on, as long as there are fewer open than most. */
+    /**
+     * Creates a server that accepts connections after {@link #listen} is called.
+     *
+     * @param socket the inherited listening socket, which is made non-blocking
+     * @param maxConnections the number of open connections at which the server stops accepting
+     * @param acceptListener receives each accepted connection
+     * @throws IOException if the socket cannot be made non-blocking or registered
+     */
     public InheritedServer(
             ServerSocketChannel socket,
             XnioIoThread ioThread,
@@ -76,17 +86,25 @@
         key.attach(handle);
     }
 
+    /**
+     * Returns the address of the listening socket.
+     *
+     * @throws IOException if the socket is closed
+     */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) socket.getLocalAddress();
     }
 
-    /** Another bound on how many may be open. */
+    /** Sets the number of open connections at which the server stops accepting. */
     public void setMaxConnections(int newMaxConnections) {
         maxConnections = newMaxConnections;
         listen();
     }
 
-    /** Accepts connections while fewer are open than may be. */
+    /**
+     * Starts to accept connections, or pauses while the maximum number is open. Does nothing after
+     * {@link #stop}.
+     */
     public void listen() {
         if (stopped) {
             return;
@@ -99,8 +117,9 @@
     }
 
     /**
-     * Accepts no more, and lets go of the socket. Guards against XNIO closing the inherited socket
-     * at its end, with which the JDK would lead standard output and error to nowhere.
+     * Stops accepting and releases the socket without closing it. Guards against XNIO closing the
+     * inherited socket when it terminates, upon which the JDK would redirect standard output and
+     * error to the null device.
      */
     public void stop() {
         stopped = true;
@@ -112,7 +131,7 @@
             for (int i = 0;
                     i < MAX_ACCEPTS_PER_EVENT && !stopped && openConnections < maxConnections;
                     i++) {
-                // Another process that has the socket as well may have been quicker.
+                // Null if another process that shares the socket accepted the connection first.
                 SocketChannel next = socket.accept();
                 if (next == null) {
                     return;
@@ -136,7 +155,7 @@
             openConnections++;
             ChannelListeners.invokeChannelListener(connection, acceptListener);
         } catch (IOException e) {
-            // One that has gone already is no reason to stop.
+            // The client has closed the connection already. The server keeps accepting.
             IoUtils.safeClose(client);
         }
     }
