--- a/src/test/java/lemondrift/proxy/ConfigReloadTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigReloadTest.java
@@ -21,9 +21,9 @@
 import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 
-/** Reload of the configuration, as at SIGHUP: request classes, open requests, unusable files. */
+/** Tests configuration reload, as at SIGHUP: request classes, open requests and invalid files. */
 class ConfigReloadTest extends LoopbackFixture {
-    /** Seconds for which a backend waits until it may respond. */
+    /** Maximum seconds for which a backend waits for its release. */
     private static final int RELEASE_TIMEOUT_SECONDS = 20;
 
     private JsonObject runningConfig() {
@@ -41,7 +41,7 @@
         serviceGrade.addProperty("effect", effect);
     }
 
-    /** Reloads, and waits until a request of a class of the new configuration is answered. */
+    /** Reloads and waits until the proxy answers a request of a class of the new configuration. */
     private void reload(JsonObject config, String newClass) throws Exception {
         proxy.reload(ProxyConfig.read(config.toString()));
         for (int i = 0; statusOf(newClass, "reloaded-" + i) != 200; i++) {
@@ -59,13 +59,13 @@
         JsonObject next = runningConfig();
         replaceClass(next, 0, "book", "fragile");
         reload(next, "book");
-        assertEquals(400, statusOf("look", "t1"), "the class was removed");
+        assertEquals(400, statusOf("look", "t1"), "requests of a removed class must be refused");
         assertEquals(200, statusOf("order", "t2"));
         reload(runningConfig(), "look");
         assertEquals(400, statusOf("book", "t3"));
     }
 
-    /** Guards against an open request that is retried by the rules of a later configuration. */
+    /** Guards against retrying an open request by the settings of a later configuration. */
     @Test
     void openRequestKeepsRulesThatHeldWhenItArrived() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -86,7 +86,7 @@
         replaceClass(next, 0, "look", "fragile");
         next.getAsJsonObject("settings").getAsJsonObject("limits").addProperty("mostForwards", 1);
         proxy.reload(ProxyConfig.read(next.toString()));
-        // Events queued before this request are handled once it is answered.
+        // Once this request is answered, all events queued before it are handled.
         while (statusOf("order", "after") != 200) {
             Thread.onSpinWait();
         }
@@ -94,7 +94,7 @@
         assertEquals(
                 200,
                 openRequest.get(20, TimeUnit.SECONDS).statusCode(),
-                "retried: idempotent, two attempts");
+                "must be retried by the settings at its arrival: idempotent, two attempts");
     }
 
     @Test
@@ -113,10 +113,10 @@
             send(notIdempotent.setHeader("X-Trace-Id", "f-" + i));
             attempts = first.requests.size() + second.requests.size() - attemptsBefore;
         }
-        assertEquals(1, attempts, "an attempt that may have been executed is not retried");
+        assertEquals(1, attempts, "an attempt that may have been executed must not be retried");
     }
 
-    /** Guards against a configuration that takes effect in part: each key is left out by itself. */
+    /** Guards against a partly applied configuration. Leaves out one key at a time. */
     @Test
     void rejectsConfigurationThatLacksAnyKey() throws Exception {
         start(backend(OK));
@@ -170,7 +170,7 @@
         return config.toString();
     }
 
-    /** A change that makes a configuration unusable, and what the message has to contain. */
+    /** A change that makes a configuration invalid, and a text that the message must contain. */
     private record UnusableChange(String usableText, String unusableText, String expectedMessage) {}
 
     @Test
@@ -234,6 +234,8 @@
             replaceClass(next, 0, "class-" + i, i % 2 == 0 ? "fragile" : "retryable");
             reload(next, "class-" + i);
         }
-        assertTrue(proxy.indexedClassCount() <= 4, "indexes of " + proxy.indexedClassCount());
+        assertTrue(
+                proxy.indexedClassCount() <= 4,
+                "request classes with an index: " + proxy.indexedClassCount());
     }
 }
--- a/src/test/java/lemondrift/proxy/DaemonThreads.java
+++ b/src/test/java/lemondrift/proxy/DaemonThreads.java
@@ -1,16 +1,16 @@
 package lemondrift.proxy;
 
-/** Threads of stand-ins, which end with the test's process at the latest. */
+/** Starts the threads of test servers. They end with the test process at the latest. */
 public final class DaemonThreads {
     private DaemonThreads() {}
 
-    /** What a thread does; an exception ends it. */
+    /** The task of a thread. An exception ends it. */
     public interface Task {
-        /** Runs until its socket is closed by either side. */
+        /** Runs until either side closes the socket. */
         void run() throws Exception;
     }
 
-    /** Runs a task on a daemon thread of its own. */
+    /** Runs a task on a new daemon thread. */
     public static void startDaemon(Task task) {
         Thread thread =
                 new Thread(
@@ -18,7 +18,7 @@
                             try {
                                 task.run();
                             } catch (Exception e) {
-                                // The stand-in is closed, or the other side is.
+                                // Either side has closed the socket.
                             }
                         });
         thread.setDaemon(true);
--- a/src/test/java/lemondrift/proxy/DiscoveryMessages.java
+++ b/src/test/java/lemondrift/proxy/DiscoveryMessages.java
@@ -1,13 +1,13 @@
 package lemondrift.proxy;
 
-/** Endpoint lists as discovery writes them. */
+/** Builds endpoint lists in the format of discovery. */
 public final class DiscoveryMessages {
     private DiscoveryMessages() {}
 
     /**
-     * A list of one revision.
+     * Returns a list of a revision.
      *
-     * @param complete whether it is the full list, or changes since the revision before
+     * @param complete true for the full list, false for the changes since the previous revision
      */
     public static String endpointList(int revision, boolean complete, String... members) {
         return "{\"revision\":"
@@ -20,7 +20,7 @@
     }
 
     /**
-     * A backend on loopback.
+     * Returns the entry of a backend on loopback.
      *
      * @param phase "active", "leaving" or "left"
      */
@@ -35,7 +35,7 @@
                 + "\",\"size\":1.0,\"up_since_ms\":0}";
     }
 
-    /** Active backends on loopback, one for each port. */
+    /** Returns the entries of active backends on loopback, one for each port. */
     public static String[] activeMembers(int... ports) {
         String[] members = new String[ports.length];
         for (int backend = 0; backend < ports.length; backend++) {
--- a/src/test/java/lemondrift/proxy/HeldConnector.java
+++ b/src/test/java/lemondrift/proxy/HeldConnector.java
@@ -11,15 +11,15 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioWorker;
 
-/** Opens connections to backends, and holds each back until the test releases it. */
+/** Opens connections to backends and holds each back until the test releases it. */
 class HeldConnector implements BackendConnector {
-    /** Seconds after which a connection that a test waits for counts as missing. */
+    /** Maximum seconds to wait for a connection. */
     private static final long WAIT_SECONDS = 5;
 
     private final XnioWorker worker;
     private final LinkedBlockingQueue<HeldConnection> held = new LinkedBlockingQueue<>();
 
-    /** A connection that is held; its release is to be run on the I/O thread. */
+    /** A connection that is held back. Its release must run on the I/O thread. */
     record HeldConnection(InetSocketAddress address, Runnable release) {}
 
     HeldConnector(XnioWorker worker) {
@@ -49,7 +49,7 @@
         return result.getIoFuture();
     }
 
-    /** The next one that is held; null where none comes in time. */
+    /** Waits for the next held connection. Returns null if there is none in time. */
     HeldConnection nextConnection() throws InterruptedException {
         return held.poll(WAIT_SECONDS, TimeUnit.SECONDS);
     }
--- a/src/test/java/lemondrift/proxy/HttpMessages.java
+++ b/src/test/java/lemondrift/proxy/HttpMessages.java
@@ -6,22 +6,25 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Requests and responses as text, and how a test reads and writes them on a socket. */
+/** Requests and responses as text, and methods to read and write them on a socket. */
 public final class HttpMessages {
-    /** A whole response, whose body is "body". */
+    /** A complete response with the body "body". */
     public static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
 
-    /** A response that ends before its declared length. */
+    /** A response that is shorter than its declared length. */
     public static final String CUT_SHORT = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nbo";
 
-    /** The first chunk of a chunked response; a backend that sends it alone cuts it short. */
+    /**
+     * The first chunk of a chunked response. If a backend sends only this, the response is cut
+     * short.
+     */
     public static final String FIRST_CHUNK =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n";
 
-    /** What may follow the first chunk to make it a whole response, whose body is "body". */
+    /** Completes {@link #FIRST_CHUNK} to a response with the body "body". */
     public static final String LAST_CHUNKS = "2\r\ndy\r\n0\r\n\r\n";
 
-    /** A response that says that the request was never executed. */
+    /** A response with the information that the request was never executed. */
     public static final String NEVER_EXECUTED =
             "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
@@ -30,25 +33,25 @@
 
     private HttpMessages() {}
 
-    /** A whole response with a body of ASCII. */
+    /** Returns a complete response with an ASCII body. */
     public static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A request of the idempotent class, without a body. */
+    /** Returns a request of the idempotent class, without a body. */
     public static String getRequest(String traceId, int timeoutMillis) {
         return getRequest(traceId, TestConfig.IDEMPOTENT_CLASS, timeoutMillis);
     }
 
-    /** A request without a body. */
+    /** Returns a request without a body. */
     public static String getRequest(String traceId, String requestClass, int timeoutMillis) {
         return "GET / HTTP/1.1\r\n" + fields(traceId, requestClass, timeoutMillis) + "\r\n";
     }
 
     /**
-     * The head of a request that is not idempotent.
+     * Returns the head of a request that is not idempotent.
      *
-     * @param framing the header field that tells the length of the body or its encoding
+     * @param framing the header field with the length or the encoding of the body
      */
     public static String postHead(String traceId, int timeoutMillis, String framing) {
         return "POST / HTTP/1.1\r\n"
@@ -67,13 +70,15 @@
                 + "\r\n";
     }
 
-    /** Sends text of which each character is one byte. */
+    /** Sends text. Each character is encoded as one byte. */
     public static void writeText(Socket to, String text) throws IOException {
         to.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /**
-     * One message with a declared length or none, head and body; null where the connection ends.
+     * Reads the head and body of a message. Without a declared length, the body is empty.
+     *
+     * @return the message, or null if the connection ends before the end of the head
      */
     public static String readMessage(Socket from) throws IOException {
         InputStream in = from.getInputStream();
--- a/src/test/java/lemondrift/proxy/LargeFleetTest.java
+++ b/src/test/java/lemondrift/proxy/LargeFleetTest.java
@@ -29,43 +29,43 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A real process with a small part of a core, a hundred peers and thousands of backends answers
- * every request in time, while it reloads and while most backends are replaced.
+ * Tests that a proxy process with a small part of a core, a hundred peers and thousands of backends
+ * answers every request in time, during reloads and while most backends are replaced.
  */
 class LargeFleetTest extends LoopbackFixture {
     private static final int BACKENDS = 3200;
     private static final int PROXIES = 100;
     private static final int REPLACED_PER_VERSION = 160;
 
-    /** The machine's last core; the first is used by the system. */
+    /** The last core of the machine. The operating system uses the first one. */
     private static final String LAST_CORE =
             String.valueOf(Runtime.getRuntime().availableProcessors() - 1);
 
-    /** Processes that keep the proxy's core busy beside it. */
+    /** Number of processes that compete with the proxy for its core. */
     private static final int BUSY_PROCESSES = 4;
 
-    /** The latency objective of both classes. */
+    /** Latency objective of both classes, in milliseconds. */
     private static final int LATENCY_OBJECTIVE_MILLIS = 150;
 
-    /** The timeout of both classes, which a client states too. */
+    /** Timeout of both classes and of the clients, in milliseconds. */
     private static final int TIMEOUT_MILLIS = 190;
 
-    /** A request without a reply by then counts as lost. */
+    /** Milliseconds after which a request without a response counts as lost. */
     private static final int LOST_AFTER_MILLIS = TIMEOUT_MILLIS + 500;
 
-    /** Time between two requests. */
+    /** Milliseconds between two requests. */
     private static final int REQUEST_INTERVAL_MILLIS = 20;
 
-    /** Time between two versions of the list. */
+    /** Milliseconds between two versions of the list. */
     private static final int VERSION_INTERVAL_MILLIS = 350;
 
-    /** How long requests are sent before the first and after the last change. */
+    /** Milliseconds for which requests are sent before the first and after the last change. */
     private static final int UNDISTURBED_MILLIS = 1000;
 
     private static final int VERSIONS = 10;
     private static final int RELOADS = 6;
 
-    /** The proxy and the busy processes; all end with the test. */
+    /** The proxy and the competing processes. All end with the test. */
     private final List<Process> processes = new ArrayList<>();
 
     private final Queue<String> lost = new ConcurrentLinkedQueue<>();
@@ -107,7 +107,7 @@
                         TIMEOUT_MILLIS));
     }
 
-    /** A process on one core of the machine that it shares with others. */
+    /** Starts the proxy on a core that it shares with the competing processes. */
     private Process startProxyOnSharedCore(Path config) throws IOException {
         for (int i = 0; i < BUSY_PROCESSES; i++) {
             processes.add(
@@ -139,7 +139,7 @@
         return child;
     }
 
-    /** One request on a connection of its own, on a thread of its own. */
+    /** Sends one request on a new connection, on a new thread. */
     private void sendRequest(int number) {
         Thread client =
                 new Thread(
@@ -186,8 +186,8 @@
     }
 
     /**
-     * Discovery is silent until it is back; then it gives the full list and one change after
-     * another.
+     * Returns the response of discovery: none until discovery is available, then the full list and
+     * one change after another.
      */
     private String discoveryResponse(String request, String fullList) {
         try {
@@ -206,7 +206,7 @@
                 .toArray(String[]::new);
     }
 
-    /** Starts the proxy, returns once it serves, and reads its log from then on. */
+    /** Starts the proxy and returns once it serves. A thread reads its log from then on. */
     private Process startServing(Path config) throws IOException {
         Process child = startProxyOnSharedCore(config);
         BufferedReader log = child.inputReader();
@@ -219,10 +219,10 @@
         for (Thread client : clients) {
             client.join();
         }
-        assertEquals(List.of(), List.copyOf(lost), "of " + clients.size());
+        assertEquals(List.of(), List.copyOf(lost), "requests lost out of " + clients.size());
     }
 
-    /** Guards against a reload of a file with a long endpoint list that delays responses. */
+    /** Guards against delayed responses while a file with a long endpoint list is reloaded. */
     @Test
     void answersEveryRequestInTimeDuringRepeatedReloads(@TempDir Path folder) throws Exception {
         try (ManyBackends backends = new ManyBackends(BACKENDS)) {
@@ -266,7 +266,7 @@
         }
     }
 
-    /** Members that are withdrawn in a version of the list, and those in their place. */
+    /** Returns the members that a version of the list withdraws, and their replacements. */
     private static String[] replacedMembers(ManyBackends backends, int version) {
         int from = BACKENDS / 4 + version * REPLACED_PER_VERSION;
         int newFrom = BACKENDS + from;
--- a/src/test/java/lemondrift/proxy/LoopbackFixture.java
+++ b/src/test/java/lemondrift/proxy/LoopbackFixture.java
@@ -31,26 +31,26 @@
 import org.junit.jupiter.api.AfterEach;
 
 /**
- * The real proxy on loopback, between stand-ins for backends and discovery and the clients of a
- * test. What a test sets before the start holds for the proxy that it starts.
+ * Runs the proxy on loopback between a test's clients and scripted servers that act as backends and
+ * discovery. Fields that a test sets before the start apply to the proxy that it starts.
  */
 public abstract class LoopbackFixture {
-    /** The trace id of the fixture's requests where a test sets no other. */
+    /** Default trace id of the fixture's requests. */
     protected static final String TRACE_ID = "abc";
 
-    /** Seconds until a request without a response fails its test. */
+    /** Seconds after which a request without a response fails its test. */
     private static final int RESPONSE_TIMEOUT_SECONDS = 20;
 
-    /** Seconds for which a backend waits until it may respond. */
+    /** Maximum seconds for which a backend waits for its release. */
     private static final int RELEASE_TIMEOUT_SECONDS = 5;
 
-    /** The stand-ins that listen; all are closed after the test. */
+    /** The scripted servers. All are closed after the test. */
     private final List<ScriptedServer> servers = new ArrayList<>();
 
-    /** What discovery responds next to the watch for changes. */
+    /** The next responses of discovery to the watch for changes. */
     protected final LinkedBlockingQueue<String> discoveryUpdates = new LinkedBlockingQueue<>();
 
-    /** The client of the requests that a test doesn't write on a socket itself. */
+    /** Sends the requests that a test does not write on a socket. */
     protected final HttpClient httpClient = HttpClient.newHttpClient();
 
     /** How the proxy gets its endpoint list, see {@link TestConfig#json(int, String, boolean)}. */
@@ -59,49 +59,49 @@
     /** Whether the proxy may ask backends for load reports. */
     protected boolean probes;
 
-    /** What a test changes of the configuration. */
+    /** Changes the configuration before the start. */
     protected UnaryOperator<ProxyConfig> configChange = config -> config;
 
-    /** The stand-in for discovery that the proxy was started with. */
+    /** The discovery server that the proxy was started with. */
     protected ScriptedServer discovery;
 
-    /** Null until a test has started it. */
+    /** The proxy; null until a test starts it. */
     protected ProxyServer proxy;
 
-    /** Holds back connections to backends; null where they open as they do. */
+    /** Holds back connections to backends; null to open them without delay. */
     HeldConnector heldConnector;
 
-    // The configuration and the stand-ins.
+    // The configuration and the scripted servers.
 
-    /** The configuration of a proxy whose discovery listens on a port. */
+    /** Returns the configuration of a proxy whose discovery listens on a port. */
     protected String config(int discoveryPort) {
         return TestConfig.json(discoveryPort, membershipMode, probes);
     }
 
-    /** A server that responds by a script. */
+    /** Starts a server that responds with a script. */
     protected ScriptedServer scriptedServer(Function<String, String> script) throws IOException {
         ScriptedServer server = new ScriptedServer(script);
         servers.add(server);
         return server;
     }
 
-    /** A backend that responds by a script. */
+    /** Starts a backend that responds with a script. */
     protected ScriptedServer backend(Function<String, String> script) throws IOException {
         return scriptedServer(script);
     }
 
-    /** A backend that always responds the same. */
+    /** Starts a backend that always sends the same response. */
     protected ScriptedServer backend(String response) throws IOException {
         return scriptedServer(request -> response);
     }
 
-    /** A backend that responds once it is released. */
+    /** Starts a backend that responds once it is released. */
     protected ScriptedServer backend(CountDownLatch release) throws IOException {
         return scriptedServer(
                 request -> awaitRelease(release, RELEASE_TIMEOUT_SECONDS) ? OK : CLOSE);
     }
 
-    /** Whether a latch is released within a time. */
+    /** Waits for a latch. Returns false on a timeout or an interrupt. */
     protected static boolean awaitRelease(CountDownLatch release, int timeoutSeconds) {
         try {
             return release.await(timeoutSeconds, TimeUnit.SECONDS);
@@ -110,24 +110,24 @@
         }
     }
 
-    /** Discovery that gives its full list, and is silent on the watch for changes. */
+    /** Starts a discovery server that sends its full list and never responds to a watch. */
     protected ScriptedServer discoveryWithoutChanges(String fullList) throws IOException {
         return scriptedServer(request -> request.contains("?") ? SILENCE : okResponse(fullList));
     }
 
-    /** The ports of servers, in their order. */
+    /** Returns the ports of servers, in the same order. */
     protected static int[] ports(ScriptedServer... servers) {
         return Arrays.stream(servers).mapToInt(ScriptedServer::port).toArray();
     }
 
     // The proxy.
 
-    /** Starts the proxy with its backends, and returns once it knows them. */
+    /** Starts the proxy with backends and returns once it knows them. */
     protected void start(ScriptedServer... backends) throws Exception {
         startWithPorts(ports(backends));
     }
 
-    /** Starts the proxy with backends on ports of loopback, and returns once it knows them. */
+    /** Starts the proxy with backends on loopback ports and returns once it knows them. */
     protected void startWithPorts(int... backendPorts) throws Exception {
         String fullList = endpointList(1, true, activeMembers(backendPorts));
         discovery =
@@ -147,14 +147,14 @@
                         ? new ProxyServer(config)
                         : new ProxyServer(config, heldConnector.worker(), heldConnector);
         proxy.serve();
-        // The watch has begun, so the proxy has received the list.
+        // Once the watch has started, the proxy has received the list.
         awaitDiscoveryRequest("from=1");
     }
 
     /**
-     * Waits until discovery has been sent a request with a text, such as "from=2". The proxy asks
-     * from a revision only when it has handed that list to the decisions, which apply a list as
-     * short as those of the tests at once.
+     * Waits until discovery has received a request that contains a text, such as "from=2". The
+     * proxy requests changes from a revision only after it has passed that list to the decision
+     * loop, which applies lists as short as those of the tests at once.
      */
     protected void awaitDiscoveryRequest(String text) throws InterruptedException {
         for (String request = ""; !request.contains(text); ) {
@@ -162,24 +162,24 @@
         }
     }
 
-    /** The port on which the proxy accepts clients. */
+    /** Returns the port on which the proxy accepts clients. */
     protected int proxyPort() {
         return proxy.address().getPort();
     }
 
-    /** The name of what the proxy is doing, such as "STOPPED". */
+    /** Returns the name of the proxy's phase, such as "STOPPED". */
     protected String phase() {
         return proxy.phase().name();
     }
 
     /**
-     * The figures of the shadow evaluation, once the proxy has stopped; null where there is none.
+     * Returns the shadow evaluation, or null if there is none. Call after the proxy has stopped.
      */
     protected ShadowEvaluator shadow() {
         return proxy.shadow();
     }
 
-    /** How many replies to requests of a class were sent, by the ordinal of their kind. */
+    /** Returns how many replies to requests of a class were sent, by the ordinal of their kind. */
     protected CompletableFuture<long[]> replyCounts(String requestClass) {
         CompletableFuture<long[]> counts = new CompletableFuture<>();
         proxy.runOnIoThread(
@@ -189,7 +189,7 @@
         return counts;
     }
 
-    /** A thread in which the proxy drains; returns once the drain has begun. */
+    /** Starts a thread that drains the proxy. Returns the thread once the drain has started. */
     protected Thread startDrain() {
         Thread drain = drainThread(proxy);
         drain.start();
@@ -199,7 +199,7 @@
         return drain;
     }
 
-    /** A thread, not started yet, in which a proxy drains. */
+    /** Creates, but does not start, a thread that drains a proxy. */
     static Thread drainThread(ProxyServer proxy) {
         return new Thread(
                 () -> {
@@ -211,7 +211,7 @@
                 });
     }
 
-    /** Stops the proxy where it still serves, and the stand-ins. */
+    /** Stops the proxy if it still serves, and the scripted servers. */
     @AfterEach
     protected void stop() throws Exception {
         discoveryUpdates.add(CLOSE);
@@ -225,19 +225,19 @@
 
     // Clients.
 
-    /** A connection to the proxy whose reads wait without a bound. */
+    /** Opens a connection to the proxy whose reads have no timeout. */
     protected Socket connect() throws IOException {
         return new Socket("127.0.0.1", proxyPort());
     }
 
-    /** A connection to the proxy whose reads fail after a time. */
+    /** Opens a connection to the proxy whose reads have a timeout. */
     protected Socket connect(int readTimeoutMillis) throws IOException {
         Socket client = connect();
         client.setSoTimeout(readTimeoutMillis);
         return client;
     }
 
-    /** So many connections to the proxy on which nothing has been sent. */
+    /** Opens connections to the proxy and sends nothing on them. */
     protected List<Socket> openSilentConnections(int count) throws IOException {
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -253,7 +253,7 @@
         }
     }
 
-    /** A request of a class, to be completed and sent by the test. */
+    /** Returns a request of a class, which the test completes and sends. */
     protected HttpRequest.Builder request(String requestClass) {
         return HttpRequest.newBuilder(
                         URI.create("http://127.0.0.1:" + proxyPort() + "/api/x%20y?q=1"))
@@ -262,9 +262,9 @@
                 .header("X-Expires-In-Ms", String.valueOf(TestConfig.TIMEOUT_MILLIS));
     }
 
-    /** Sends a request and waits for its response; fails where none comes in time. */
+    /** Sends a request and waits for its response. Fails if there is none in time. */
     protected HttpResponse<String> send(HttpRequest.Builder request) throws Exception {
-        // One that is never answered fails its test instead of holding all of them up.
+        // A request that is never answered fails its test instead of blocking all tests.
         return httpClient.send(
                 request.timeout(Duration.ofSeconds(RESPONSE_TIMEOUT_SECONDS)).build(),
                 HttpResponse.BodyHandlers.ofString());
@@ -275,12 +275,12 @@
         return httpClient.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Sends a request without a body that may be executed twice. */
+    /** Sends an idempotent request without a body. */
     protected HttpResponse<String> sendIdempotent() throws Exception {
         return send(request(TestConfig.IDEMPOTENT_CLASS));
     }
 
-    /** Sends a request with a body that may not be executed twice. */
+    /** Sends a non-idempotent request with a body. */
     protected HttpResponse<String> sendNotIdempotent(String body) throws Exception {
         return send(
                 request(TestConfig.NOT_IDEMPOTENT_CLASS)
@@ -288,8 +288,9 @@
     }
 
     /**
-     * Sends a request on a connection of its own that stays open, and is added to those given; its
-     * response, or null where the connection is closed without one.
+     * Sends a request on a new connection, which stays open and is added to a list.
+     *
+     * @return the response, or null if the connection is closed without one
      */
     protected String sendOnNewConnection(int number, List<Socket> connections) throws IOException {
         Socket client = connect();
--- a/src/test/java/lemondrift/proxy/ManyBackends.java
+++ b/src/test/java/lemondrift/proxy/ManyBackends.java
@@ -14,8 +14,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Thousands of backends on loopback ports of their own, served by one thread; each responds at
- * once.
+ * Thousands of backends, each on its own loopback port. One thread serves all of them and responds
+ * immediately.
  */
 final class ManyBackends implements AutoCloseable {
     private static final byte[] RESPONSE =
@@ -42,7 +42,7 @@
         return ports[backend];
     }
 
-    /** Members of a list for consecutive backends, in one phase. */
+    /** Returns the list members for consecutive backends, all in the same phase. */
     String[] members(int from, int to, String phase) {
         return IntStream.range(from, to)
                 .mapToObj(backend -> member(backend, ports[backend], phase))
@@ -88,7 +88,7 @@
         try {
             key.channel().close();
         } catch (IOException e) {
-            // It is closed as far as it can be.
+            // The channel cannot be closed any further.
         }
     }
 
--- a/src/test/java/lemondrift/proxy/ProcessPauseTest.java
+++ b/src/test/java/lemondrift/proxy/ProcessPauseTest.java
@@ -21,21 +21,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process that is stopped by SIGSTOP while requests arrive, and goes on later. */
+/** Tests a proxy process that is stopped by SIGSTOP while requests arrive and then continued. */
 class ProcessPauseTest extends LoopbackFixture {
-    /** Milliseconds that are noticed as a pause, and longer than the short request's timeout. */
+    /** Milliseconds of the pause. Long enough to be detected, and longer than the short timeout. */
     private static final long PAUSE_MILLIS = 900;
 
-    /** The timeout of the request that ends during the pause, in milliseconds. */
+    /** Timeout of the request that times out during the pause, in milliseconds. */
     private static final int SHORT_TIMEOUT_MILLIS = 300;
 
-    /** Milliseconds after which a response counts as missing. */
+    /** Milliseconds after which a read without a response fails the test. */
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    /** How many clients leave during the pause. */
+    /** Number of clients that leave during the pause. */
     private static final int LEAVING_CLIENTS = 5;
 
-    /** Guards against a thread that reads a request before the signal has stopped it too. */
+    /** Waits until all threads are stopped: one still running could read a request. */
     private static void awaitStopped(Process child) throws Exception {
         for (boolean stopped = false; !stopped; ) {
             try (Stream<Path> threads =
@@ -51,7 +51,7 @@
                     .replaceFirst("(?s).*\\) ", "")
                     .startsWith("T");
         } catch (IOException e) {
-            // It has ended.
+            // The thread has ended.
             return true;
         }
     }
@@ -74,7 +74,8 @@
                 Files.writeString(
                         folder.resolve("config.json"),
                         TestConfig.withListenPort(config(fixedDiscovery.port()), port)
-                                // Else one with less time than the others is taken for a retry.
+                                // Without this setting, a request with a shorter timeout than the
+                                // others would be taken for a retry.
                                 .replace(
                                         "\"siblings\":1,",
                                         "\"siblings\":1,\"clients\":{\"marksRetry\":true},"));
@@ -99,7 +100,7 @@
             String lateResponse = readMessage(late);
             assertTrue(
                     lateResponse.startsWith("HTTP/1.1 503"),
-                    "its timeout has passed, but: " + lateResponse);
+                    "expected 503 because the timeout has passed: " + lateResponse);
             assertTrue(readMessage(stays).startsWith("HTTP/1.1 200"));
             late.close();
             stays.close();
--- a/src/test/java/lemondrift/proxy/ProxyProcess.java
+++ b/src/test/java/lemondrift/proxy/ProxyProcess.java
@@ -16,30 +16,30 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Real processes of the proxy: how they start, signals to them, and lines of their log. */
+/** Starts proxy processes, sends signals to them and reads their logs. */
 public final class ProxyProcess {
-    /** How long a line of the log is waited for. */
+    /** Maximum time to wait for a log line. */
     private static final long LINE_TIMEOUT_NANOS = TimeUnit.MINUTES.toNanos(1);
 
-    /** Time between two looks whether the log has more. */
+    /** Time between checks for more log output. */
     private static final long LOG_POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    /** The ports for a proxy to listen on; all are below those that the system gives out. */
+    /** Lowest port for a proxy to listen on. The range is below the system's ephemeral ports. */
     private static final int MIN_LISTEN_PORT = 20_000;
 
     private static final int MAX_LISTEN_PORT = 30_000;
 
-    /** Lets a process that was started with SIGHUP ignored take it over. */
+    /** Option with which a process that was started with SIGHUP ignored can handle the signal. */
     public static final String NATIVE_LIBRARY_OPTION = "-Djava.library.path=target/native";
 
     private ProxyProcess() {}
 
-    /** A process of the proxy, its log on its output. */
+    /** Starts a proxy process that logs to its standard output. */
     public static Process start(Path configFile) throws IOException {
         return start(configFile, serveCommand());
     }
 
-    /** The same, started by the shell as the deploy file says. */
+    /** Starts a proxy process with the shell, as the deploy file does. */
     public static Process startAsDeployed(Path configFile) throws IOException {
         return start(configFile, deployedCommand(serveCommand()));
     }
@@ -55,8 +55,8 @@
     }
 
     /**
-     * A java command as {@code run} of the deploy file starts one: by the shell, which does what
-     * that says before.
+     * Wraps a java command as the {@code run} entry of the deploy file does: a shell first runs the
+     * commands that precede java in that entry.
      */
     public static List<String> deployedCommand(List<String> javaCommand) throws IOException {
         String deployed =
@@ -77,12 +77,12 @@
         return command.redirectErrorStream(true).start();
     }
 
-    /** The path of the java command that runs the tests. */
+    /** Returns the path of the java command that runs the tests. */
     public static String javaCommand() {
         return Path.of(System.getProperty("java.home"), "bin", "java").toString();
     }
 
-    /** Sends a signal, such as "HUP"; 0 where it was sent. */
+    /** Sends a signal, such as "HUP". Returns 0 if it was sent. */
     public static int signal(Process process, String name)
             throws IOException, InterruptedException {
         return new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
@@ -91,28 +91,28 @@
     }
 
     /**
-     * Reads the log up to a line with a text. Fails where no such line comes within a minute, as
-     * where its process has ended or ignores a signal.
+     * Reads the log up to a line that contains a text. Fails if there is no such line within a
+     * minute, for example because the process has ended or ignores a signal.
      */
     public static void awaitLine(BufferedReader log, String text) throws IOException {
         long deadline = System.nanoTime() + LINE_TIMEOUT_NANOS;
         String line = "";
         while (!line.contains(text)) {
             while (!log.ready()) {
-                // An ended process is never ready either; its last line says why it ended.
+                // The log of an ended process is never ready. Its last line shows why it ended.
                 assertTrue(
                         System.nanoTime() < deadline,
-                        "no line with " + text + " within a minute, the last one: " + line);
+                        "no line with " + text + " within a minute, last line: " + line);
                 LockSupport.parkNanos(LOG_POLL_NANOS);
             }
             line = log.readLine();
-            assertNotNull(line, "no line with " + text);
+            assertNotNull(line, "log ended without a line with " + text);
         }
     }
 
     /**
-     * A port that is free at this moment. Guards against a connection of another process that is
-     * given the port before the proxy listens there: the system gives out higher ones only.
+     * Returns a port that is free now. Guards against the system assigning the port to a connection
+     * of another process before the proxy listens on it: the system assigns only higher ports.
      */
     public static int freePort() throws IOException {
         while (true) {
@@ -120,7 +120,7 @@
             try (ServerSocket free = new ServerSocket(port)) {
                 return free.getLocalPort();
             } catch (BindException e) {
-                // Taken: another one is tried.
+                // The port is in use. Tries another one.
             }
         }
     }
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -48,25 +48,25 @@
 import org.xnio.XnioWorker;
 
 /**
- * The way of a request through the real proxy on loopback: forwarding, retries, local replies,
- * validation, client connections, reload and graceful shutdown.
+ * Tests the proxy on loopback: forwarding, retries, local replies, validation, client connections,
+ * reload and graceful shutdown.
  */
 class ProxyServerTest extends LoopbackFixture {
-    /** The longest response that is buffered whole, in bytes. */
+    /** Maximum length of a response that is buffered completely, in bytes. */
     private static final int BUFFERED_RESPONSE_BYTES = 64 * 1024;
 
-    /** Milliseconds after which a connection that stays open counts as a failure. */
+    /** Milliseconds within which the proxy must close a connection. */
     private static final int READ_TIMEOUT_MILLIS = 20_000;
 
-    /** The timeout that is stated by requests written on a socket, in milliseconds. */
+    /** Client timeout of the requests that are written on a socket, in milliseconds. */
     private static final int SHORT_TIMEOUT_MILLIS = 900;
 
-    /** The body of a request as a stand-in receives it, which is its last line. */
+    /** Returns the body of a request that a scripted server received, which is its last line. */
     private static String lastLine(String request) {
         return request.replaceAll("(?s).*\r\n", "");
     }
 
-    /** The response to what is sent on a connection of its own. */
+    /** Sends text on a new connection and returns the response. */
     private String responseTo(String sent) throws IOException {
         try (Socket client = connect()) {
             writeText(client, sent);
@@ -88,7 +88,7 @@
         assertTrue(received.contains("X-Trace-Id: " + TRACE_ID + "\r\n"));
         assertTrue(
                 received.matches("(?s).*X-Expires-In-Ms: 1?\\d?\\d?\\d\r\n.*"),
-                "the latency objective at most");
+                "the remaining time must not exceed the latency objective");
         assertTrue(
                 received.endsWith(
                         new String(
@@ -139,11 +139,11 @@
         assertEquals(
                 502,
                 sendNotIdempotent("unmarked").statusCode(),
-                "a 504 that is not marked as never executed may have been");
+                "a request whose 504 is not marked as never executed may have been executed");
         assertEquals(5, backend.requests.size());
     }
 
-    /** Guards against a retry that executes a request twice as its connection was reused. */
+    /** Guards against a retry that executes a request twice after a reused connection closes. */
     @Test
     void doesNotRetryNonIdempotentRequestWhenReusedConnectionCloses() throws Exception {
         int[] count = {0};
@@ -172,11 +172,15 @@
     void timesOutSilentBackendAndRepliesLocally() throws Exception {
         ScriptedServer silent = backend(SILENCE);
         start(silent);
-        assertEquals(503, sendIdempotent().statusCode(), "a retry is harmless");
         assertEquals(
-                502, sendNotIdempotent("x").statusCode(), "a retry may be executed a second time");
+                503, sendIdempotent().statusCode(), "a retry of an idempotent request is harmless");
+        assertEquals(
+                502,
+                sendNotIdempotent("x").statusCode(),
+                "a retry may execute the request a second time");
         assertTrue(
-                silent.awaitConnectionEnd(), "an attempt that timed out has its connection closed");
+                silent.awaitConnectionEnd(),
+                "the connection of the attempt that timed out was not closed");
     }
 
     @Test
@@ -203,7 +207,10 @@
         for (int i = 0; i < 3; i++) {
             assertEquals(200, sendNotIdempotent("x").statusCode());
         }
-        assertEquals(-1, idle.get(0).getInputStream().read(), "the longest idle is closed");
+        assertEquals(
+                -1,
+                idle.get(0).getInputStream().read(),
+                "the connection that is idle longest must be closed");
         closeAll(idle);
     }
 
@@ -217,8 +224,10 @@
             assertTrue(response.startsWith("HTTP/1.1 200"), response);
             closed += response.toLowerCase(Locale.ROOT).contains("connection: close") ? 1 : 0;
         }
-        // Of 24 places a quarter may stand unused; beyond that few are kept to learn from.
-        assertTrue(closed >= 10, "closed " + closed);
+        // A quarter of the 24 places may stay idle. Beyond that, only a few connections are kept,
+        // to
+        // sample idle times.
+        assertTrue(closed >= 10, "only " + closed + " connections were closed");
         closeAll(connections);
     }
 
@@ -230,7 +239,10 @@
         try (Socket client = connect()) {
             writeText(client, request.substring(0, cut));
             List<Socket> idle = openSilentConnections(40);
-            assertEquals(-1, idle.get(0).getInputStream().read(), "an idle one makes room");
+            assertEquals(
+                    -1,
+                    idle.get(0).getInputStream().read(),
+                    "the connection that is idle longest must be closed");
             writeText(client, request.substring(cut));
             assertTrue(readMessage(client).startsWith("HTTP/1.1 200"));
         }
@@ -259,7 +271,7 @@
         assertNotNull(silent.nextRequest());
         assertEquals(400, sendIdempotent().statusCode());
         assertEquals(503, openRequest.get().statusCode());
-        assertEquals(503, sendIdempotent().statusCode(), "the id is free again");
+        assertEquals(503, sendIdempotent().statusCode(), "the trace id must be free again");
     }
 
     @Test
@@ -282,7 +294,8 @@
                 next.requests.clear();
                 awaitDiscoveryRequest("from=");
             }
-            assertTrue(first.awaitConnectionEnd(), "the former watch is closed");
+            assertTrue(
+                    first.awaitConnectionEnd(), "the watch at the previous address was not closed");
             child.destroy();
             assertEquals(0, child.waitFor());
         } finally {
@@ -360,7 +373,7 @@
         assertEquals(body, sendNotIdempotent("x").body());
     }
 
-    /** Guards against a response that is delivered to the next request on the same connection. */
+    /** Guards against delivering surplus bytes to the next request on the same connection. */
     @Test
     void discardsBytesAfterTheEndOfAResponse() throws Exception {
         start(backend(OK + okResponse("evil")));
@@ -478,7 +491,9 @@
             assertEquals(200, sendNotIdempotent("x").statusCode());
         }
         assertEquals(6, ready.requests.size());
-        assertTrue(draining.awaitConnectionEnd(), "idle connections to it are closed");
+        assertTrue(
+                draining.awaitConnectionEnd(),
+                "the idle connections to the draining backend were not closed");
     }
 
     @Test
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -56,44 +56,44 @@
 import org.xnio.StreamConnection;
 
 /**
- * Two events that cross, in the order that does harm; docs/incidents/narrow-moments.md has the
- * list.
+ * Tests pairs of concurrent events in the order that causes failures.
+ * docs/incidents/narrow-moments.md lists them.
  */
 class RaceConditionsTest extends LoopbackFixture {
-    /** Milliseconds after which a response counts as missing. */
+    /** Milliseconds after which a read without a response fails the test. */
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    /** The timeout of a client that waits longer than any class lets it, in milliseconds. */
+    /** A client timeout longer than the timeout of any request class, in milliseconds. */
     private static final int CLIENT_TIMEOUT_MILLIS = 60_000;
 
-    /** Nanoseconds after which a state counts as not reached. */
+    /** Nanoseconds within which an expected state must be reached. */
     private static final long STATE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    /** Time between two looks at the state. */
+    /** Milliseconds between checks of the state. */
     private static final long STATE_POLL_MILLIS = 2;
 
-    /** Seconds after which a thread that is asked for its state counts as stuck. */
+    /** Seconds within which a thread must report its state. */
     private static final long THREAD_TIMEOUT_SECONDS = 5;
 
-    /** Seconds after which a thread that a test blocks goes on by itself. */
+    /** Seconds after which a thread that a test blocks continues even if it is not released. */
     private static final long BLOCK_TIMEOUT_SECONDS = 20;
 
-    /** Seconds after which a response to a request sent by the HTTP client counts as missing. */
+    /** Seconds within which the HTTP client must receive a response. */
     private static final long RESPONSE_TIMEOUT_SECONDS = 10;
 
-    /** The declared length of a body that is streamed to the backend, in bytes. */
+    /** Declared length of a body that is streamed to the backend, in bytes. */
     private static final int STREAMED_BODY_BYTES = 1_000_000;
 
-    /** How much of a streamed body is sent, in bytes. */
+    /** Number of bytes of a streamed body that are sent. */
     private static final int SENT_BODY_BYTES = 400_000;
 
-    /** How long a drain runs while the I/O thread reads nothing. */
+    /** Milliseconds of a drain during which the I/O thread reads nothing. */
     private static final int UNREAD_MILLIS = 1500;
 
-    /** How long a request stays incomplete in a drain. */
+    /** Milliseconds for which a request stays incomplete during a drain. */
     private static final int INCOMPLETE_MILLIS = 1000;
 
-    /** How long a request stays incomplete that is accepted late in a drain. */
+    /** Milliseconds for which a request that is accepted late in a drain stays incomplete. */
     private static final int LATE_IN_DRAIN_MILLIS = 900;
 
     private boolean mayCancel = true;
@@ -118,7 +118,7 @@
         return getRequest(traceId, CLIENT_TIMEOUT_MILLIS);
     }
 
-    /** A request of which some of the body is missing. */
+    /** Returns a request whose body is incomplete. */
     private static String partialPost(
             String traceId, int clientTimeoutMillis, int declaredBytes, int sentBytes) {
         return postHead(traceId, clientTimeoutMillis, "Content-Length: " + declaredBytes)
@@ -134,13 +134,13 @@
         return proxy.countInFlight().get(THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Waits for a state that is to be reached at last. */
+    /** Waits until the counts reach an expected state. */
     private void awaitInFlight(Predicate<ProxyServer.InFlightCounts> state) throws Exception {
         ProxyServer.InFlightCounts current = countInFlight();
         for (long deadline = System.nanoTime() + STATE_TIMEOUT_NANOS;
                 !state.test(current);
                 Thread.sleep(STATE_POLL_MILLIS)) {
-            assertTrue(System.nanoTime() < deadline, "not reached, but " + current);
+            assertTrue(System.nanoTime() < deadline, "expected state not reached: " + current);
             current = countInFlight();
         }
     }
@@ -149,7 +149,7 @@
         awaitInFlight(new ProxyServer.InFlightCounts(0, 0, 0, 0)::equals);
     }
 
-    /** Waits until both threads have handled what they were given before. */
+    /** Waits until both threads have handled the tasks that are queued now. */
     private void awaitQueuedTasks() throws Exception {
         awaitInFlight(counts -> true);
     }
@@ -161,7 +161,9 @@
         return requests.get(THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Waits until the I/O thread sees so many open requests, whatever the decision loop does. */
+    /**
+     * Waits until the I/O thread has a number of open requests. Works with a blocked decision loop.
+     */
     private void awaitRequestsOnIoThread(int count) throws Exception {
         long deadline = System.nanoTime() + STATE_TIMEOUT_NANOS;
         while (requestsOnIoThread() != count) {
@@ -193,19 +195,22 @@
         proxy.runOnIoThread(connection.release());
     }
 
-    /** The one connection that was opened is closed, and nothing was sent on it. */
+    /** Asserts that the only connection to a backend is closed and that nothing was sent on it. */
     private static void assertReceivedNothing(ScriptedServer backend) throws Exception {
-        assertTrue(backend.awaitConnectionEnd(), "the connection is closed");
+        assertTrue(backend.awaitConnectionEnd(), "the connection was not closed");
         assertTrue(backend.requests.isEmpty(), backend.requests.toString());
     }
 
-    /** Leaves a connection to a backend that is reused by the next request. */
+    /** Opens a connection to a backend that the next request reuses. */
     private void openReusableConnection(ScriptedServer backend) throws Exception {
-        assertEquals(200, sendIdempotent().statusCode(), "a connection to be reused");
+        assertEquals(
+                200,
+                sendIdempotent().statusCode(),
+                "status of the request that opens the connection");
         backend.requests.clear();
     }
 
-    // A client that left while its request waited.
+    // Clients that leave while their request waits.
 
     @Test
     void doesNotSendWhenClientLeavesDuringConnectAndCancellationIsOff() throws Exception {
@@ -277,7 +282,7 @@
         awaitNothingInFlight();
         assertTrue(
                 backend.requests.isEmpty(),
-                "no pipelined request was forwarded: " + backend.requests);
+                "a pipelined request was forwarded: " + backend.requests);
     }
 
     private void setClassTimes(int millis) {
@@ -319,13 +324,13 @@
             awaitInFlight(counts -> counts.calls() == 1);
         }
         awaitNothingInFlight();
-        assertTrue(backend.awaitConnectionEnd(), "the connection is closed");
+        assertTrue(backend.awaitConnectionEnd(), "the connection was not closed");
         assertTrue(
                 backend.requests.take().length() < STREAMED_BODY_BYTES,
-                "cut short, so that it is not executed");
+                "the backend received the whole request and may execute it");
     }
 
-    /** Guards against a trace id or any other state that is kept after its client has left. */
+    /** Guards against a trace id or other state that is kept after its client has left. */
     @Test
     void releasesAllStateWhenClientsLeaveAtRandomSteps() throws Exception {
         start(backend(OK), backend(CLOSE), backend(NEVER_EXECUTED));
@@ -352,14 +357,14 @@
         }
         assertEquals(List.of(), List.copyOf(failures));
         awaitNothingInFlight();
-        // What a client sent before it left may be read after such a look; what is left behind
-        // stays.
+        // A request that a client sent before it left may be read after the check above, so this
+        // waits once more. State that is wrongly kept never goes away.
         awaitRequestsOnIoThread(0);
         for (int i = 0; i < 3; i++) {
             int status =
                     send(request(IDEMPOTENT_CLASS).setHeader("X-Trace-Id", "same-" + i))
                             .statusCode();
-            assertNotEquals(400, status, "the id is free");
+            assertNotEquals(400, status, "the trace id is still in use");
         }
     }
 
@@ -386,7 +391,7 @@
         }
     }
 
-    // Time that has passed, and lists, while an attempt waits.
+    // Deadlines that pass and endpoint lists that arrive while an attempt waits.
 
     @Test
     void doesNotSendWhenConnectionOpensAfterAttemptDeadline() throws Exception {
@@ -398,8 +403,8 @@
         HeldConnector.HeldConnection connection = heldConnector.nextConnection();
         proxy.runOnIoThread(
                 () -> {
-                    // The I/O thread stands still until the time is over; no timer runs before the
-                    // connection is open.
+                    // Blocks the I/O thread until the deadline has passed, so that no timer runs
+                    // before the connection is open.
                     try {
                         Thread.sleep(400);
                     } catch (InterruptedException e) {
@@ -411,11 +416,11 @@
         assertEquals(
                 503,
                 response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode(),
-                "it was never executed");
+                "the request was never executed, so it must be rejected");
         awaitNothingInFlight();
     }
 
-    /** Guards against an attempt sent before the I/O thread has read that its client closed. */
+    /** Guards against sending an attempt before the I/O thread has read its client's close. */
     @Test
     void doesNotSendWhenClientLeavesWhileIoThreadIsBlocked() throws Exception {
         mayCancel = false;
@@ -431,7 +436,7 @@
                     () -> {
                         awaitLatch(clientLeft);
                         mayDecide.countDown();
-                        // Nothing is read until the attempt has been decided and is to be made.
+                        // Nothing is read until the decision to send the attempt is made.
                         CountDownLatch decided = new CountDownLatch(1);
                         proxy.runOnLoop(decided::countDown);
                         awaitLatch(decided);
@@ -439,10 +444,10 @@
         }
         clientLeft.countDown();
         awaitNothingInFlight();
-        assertTrue(backend.requests.isEmpty(), "the client had left");
+        assertTrue(backend.requests.isEmpty(), "sent although the client had left");
     }
 
-    /** Guards against a backend that works on after the deadline by the time of a handshake. */
+    /** Guards against a backend that works past the deadline by the duration of the handshake. */
     @Test
     void sendsRemainingTimeWhenConnectionOpensLate() throws Exception {
         int handshakeMillis = 600;
@@ -461,7 +466,9 @@
                 remainingMillis);
     }
 
-    /** Guards against 502, "may have been executed", for what was never sent (OVERDUE). */
+    /**
+     * Guards against 502, "may have been executed", for a request that was never sent (OVERDUE).
+     */
     @ParameterizedTest
     @ValueSource(strings = {IDEMPOTENT_CLASS, NOT_IDEMPOTENT_CLASS})
     void rejectsUnsentRequestAtDeadlineWhenDecisionLoopIsBlocked(String requestClass)
@@ -480,7 +487,7 @@
         }
     }
 
-    /** The lines with a text that are logged while a task runs. */
+    /** Runs a task and returns the lines with a text that are logged in the meantime. */
     private static List<String> captureLogLines(String text, Callable<Void> task) throws Exception {
         PrintStream standardError = System.err;
         ByteArrayOutputStream log = new ByteArrayOutputStream();
@@ -496,7 +503,7 @@
                 .toList();
     }
 
-    /** Guards against a log line that tells of the next request on the connection. */
+    /** Guards against a log line with the values of the next request on the connection. */
     @Test
     void logsWhyARequestIsNotServedOnceAndWithItsOwnFigures() throws Exception {
         timeoutMillis = 500;
@@ -527,7 +534,7 @@
                 notServed.toString());
     }
 
-    /** Guards against a 4xx that leaves no line in the log. */
+    /** Guards against a 4xx response that is not logged. */
     @Test
     void logsWhyARequestIsRefused() throws Exception {
         start(backend(OK));
@@ -556,7 +563,10 @@
                 refused.toString());
     }
 
-    /** Guards against 503, "a retry is harmless", for what a backend may have executed. */
+    /**
+     * Guards against 503, "a retry is harmless", for a non-idempotent request that a backend may
+     * have executed.
+     */
     @ParameterizedTest
     @CsvSource({IDEMPOTENT_CLASS + ",503", NOT_IDEMPOTENT_CLASS + ",502"})
     void endsSentRequestAtDeadlineByItsIdempotencyWhenDecisionLoopIsBlocked(
@@ -586,7 +596,10 @@
         assertSentElsewhereAfterListDuringConnect(port -> newPort, "active");
     }
 
-    /** A list changes a backend while an attempt waits for its connection to it. */
+    /**
+     * Applies a list that changes a backend while an attempt waits for its connection, and asserts
+     * that the attempt goes to the other backend.
+     */
     private void assertSentElsewhereAfterListDuringConnect(
             IntUnaryOperator newPort, String newPhase) throws Exception {
         holdConnections();
@@ -610,11 +623,11 @@
         release(connection);
         release(heldConnector.nextConnection());
         assertEquals(200, response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode());
-        assertTrue(changed.requests.isEmpty(), "the list came before the first byte was sent");
+        assertTrue(changed.requests.isEmpty(), "sent to the backend after the list had changed it");
         awaitNothingInFlight();
     }
 
-    // The end of an attempt.
+    // Completion of attempts.
 
     @Test
     void endsAttemptOnceWhenConnectorThrows() throws Exception {
@@ -628,7 +641,7 @@
                 };
         start(backend(OK));
         assertEquals(503, sendIdempotent().statusCode());
-        assertEquals(0, countInFlight().calls(), "none ends again with its timers");
+        assertEquals(0, countInFlight().calls(), "attempts still in flight");
         awaitNothingInFlight();
     }
 
@@ -666,7 +679,7 @@
                 assertThrows(
                         SocketTimeoutException.class,
                         () -> client.getInputStream().read(),
-                        "the connection stays open");
+                        "the connection was closed or received a response");
                 client.setSoTimeout(READ_TIMEOUT_MILLIS);
                 writeText(client, whole.substring(cut));
                 assertResponseStartsWith("HTTP/1.1 200", client);
@@ -722,7 +735,7 @@
 
     // Idle connections.
 
-    /** Guards against a late second response that is delivered to the next request. */
+    /** Guards against delivering a late second response to the next request. */
     @Test
     void discardsSecondResponseThatArrivesAfterTheNextRequest() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
@@ -735,8 +748,8 @@
                                     () -> {
                                         readMessage(connection);
                                         writeText(connection, OK + excess);
-                                        // The second response waits for the second request, in
-                                        // case one comes here.
+                                        // Sends another response only after a second request, if
+                                        // one arrives on this connection.
                                         readMessage(connection);
                                         writeText(connection, okResponse("evil") + OK);
                                     });
@@ -774,15 +787,15 @@
             mayDecide.countDown();
             assertTrue(
                     readMessage(client).startsWith("HTTP/1.1 200"),
-                    "under the rules that held when it arrived");
+                    "the request must follow the settings at its arrival");
         }
         awaitQueuedTasks();
-        assertEquals(3, proxy.indexedClassCount(), "the new class has an index of its own");
+        assertEquals(3, proxy.indexedClassCount(), "the new class must have an index of its own");
     }
 
     // Endpoint lists.
 
-    /** Guards against a request that is sent to a backend which drained before the start. */
+    /** Guards against a request to a backend that started to drain before the proxy started. */
     @Test
     void acceptsNoClientBeforeTheFirstListFromDiscovery() throws Exception {
         ScriptedServer draining = backend(OK);
@@ -816,11 +829,12 @@
         mayRespond.countDown();
         startup.join();
         assertEquals(200, sendIdempotent().statusCode());
-        assertTrue(draining.requests.isEmpty(), "it has drained since before the start");
+        assertTrue(draining.requests.isEmpty(), "sent to a backend that drained before the start");
     }
 
     /**
-     * Guards against changes that are missed: they count as received 6 s after a watch is silent.
+     * Guards against missed changes: a change counts as known to the proxy after 6 s, so two silent
+     * watches must be reopened within that time.
      */
     @Test
     void reopensTwoSilentWatchesInARowInTime() throws Exception {
@@ -830,7 +844,7 @@
         awaitDiscoveryRequest("from=1");
         discoveryUpdates.add(SILENCE);
         awaitDiscoveryRequest("from=1");
-        assertTrue(System.nanoTime() - startedAt < 6e9, "the third watch is open");
+        assertTrue(System.nanoTime() - startedAt < 6e9, "the third watch was opened too late");
     }
 
     @Test
@@ -849,6 +863,7 @@
         discoveryUpdates.add(SILENCE);
         awaitDiscoveryRequest("from=2");
         assertEquals(200, sendNotIdempotent("x").statusCode());
-        assertEquals(1, first.requests.size(), "it is as it was before that list");
+        assertEquals(
+                1, first.requests.size(), "the backend with the unreadable entry must stay usable");
     }
 }
--- a/src/test/java/lemondrift/proxy/ScriptedServer.java
+++ b/src/test/java/lemondrift/proxy/ScriptedServer.java
@@ -14,22 +14,22 @@
 import java.util.function.Function;
 
 /**
- * An HTTP server on loopback that stands in for a backend or for discovery: a script gives the
- * response to each request, or what is done in place of one.
+ * An HTTP server on loopback that acts as a backend or as discovery. A script returns the response
+ * to each request, or {@link #CLOSE} or {@link #SILENCE}.
  */
 public final class ScriptedServer implements AutoCloseable {
-    /** In place of a response: the connection is closed. */
+    /** Instead of a response, closes the connection. */
     public static final String CLOSE = "close";
 
-    /** In place of a response: nothing is sent, and the connection stays open. */
+    /** Instead of a response, sends nothing and keeps the connection open. */
     public static final String SILENCE = "silence";
 
     private static final int BACKLOG = 50;
 
-    /** Seconds after which what a test waits for counts as missing. */
+    /** Maximum seconds to wait for a request or the end of a connection. */
     private static final long WAIT_SECONDS = 5;
 
-    /** Whole requests but those for load reports, in the order in which they came. */
+    /** Complete requests except those for load reports, in the order of arrival. */
     public final LinkedBlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
     private final ServerSocket serverSocket =
@@ -37,7 +37,7 @@
     private final CountDownLatch connectionEnded = new CountDownLatch(1);
     private final Function<String, String> script;
 
-    /** One that serves until it is closed. */
+    /** Starts a server that accepts connections until it is closed. */
     public ScriptedServer(Function<String, String> script) throws IOException {
         this.script = script;
         startDaemon(
@@ -49,17 +49,20 @@
                 });
     }
 
-    /** The port on which it listens. */
+    /** Returns the port on which the server listens. */
     public int port() {
         return serverSocket.getLocalPort();
     }
 
-    /** The next request; null where none comes in time. */
+    /** Waits for the next request. Returns null if there is none in time. */
     public String nextRequest() throws InterruptedException {
         return requests.poll(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Whether any of its connections has ended, closed by either side, or ends in time. */
+    /**
+     * Waits until either side has closed one of the connections, now or earlier. Returns false if
+     * this does not happen in time.
+     */
     public boolean awaitConnectionEnd() throws InterruptedException {
         return connectionEnded.await(WAIT_SECONDS, TimeUnit.SECONDS);
     }
@@ -93,7 +96,7 @@
                 || response.contains("close\r\n");
     }
 
-    /** Accepts no more connections; those that are open stay. */
+    /** Stops accepting connections. Open connections stay open. */
     @Override
     public void close() throws IOException {
         serverSocket.close();
--- a/src/test/java/lemondrift/proxy/ShutdownTest.java
+++ b/src/test/java/lemondrift/proxy/ShutdownTest.java
@@ -26,26 +26,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process at SIGTERM: under load, at each step of its start, and without discovery. */
+/**
+ * Tests a proxy process at SIGTERM: under load, at each step of its start and without discovery.
+ */
 class ShutdownTest extends LoopbackFixture {
     private static final int CLIENTS = 8;
 
-    /** Responses that the clients have received when the signal comes. */
+    /** Number of responses that the clients receive before the signal. */
     private static final int RESPONSES_BEFORE_SIGNAL = 50;
 
-    /** How long after SIGTERM clients still open connections. */
+    /** Time after SIGTERM during which clients still open connections. */
     private static final long CONNECT_NANOS = TimeUnit.MILLISECONDS.toNanos(350);
 
-    /** Seconds within which a process has to ask discovery, or to end. */
+    /** Seconds within which a process must call discovery or end. */
     private static final int STEP_TIMEOUT_SECONDS = 10;
 
-    /** Milliseconds after which a response counts as missing. */
+    /** Milliseconds after which a read without a response fails the test. */
     private static final int READ_TIMEOUT_MILLIS = 20_000;
 
-    /** The latency objective of both classes, in milliseconds. */
+    /** Latency objective of both classes, in milliseconds. */
     private static final int LATENCY_OBJECTIVE_MILLIS = 400;
 
-    /** The timeout of both classes and of the clients, in milliseconds. */
+    /** Timeout of both classes and of the clients, in milliseconds. */
     private static final int TIMEOUT_MILLIS = 1000;
 
     private final ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
@@ -69,8 +71,8 @@
     }
 
     /**
-     * Sends again and again, on each connection for as long as it is there, until no more may be
-     * opened.
+     * Sends requests one after another. Uses each connection until it is closed, and opens new ones
+     * until the time for that is over.
      */
     private void runClient(int number) throws Exception {
         while (System.nanoTime() - signalledAt < CONNECT_NANOS) {
@@ -83,8 +85,8 @@
                     if (response == null && i == 0) {
                         lost.add(traceId + " on a new connection");
                     } else if (response == null) {
-                        // Closed between requests, and nothing was read of this one: it goes
-                        // elsewhere.
+                        // The connection was closed between requests and nothing of this one was
+                        // read, so the client can safely send it elsewhere.
                         break;
                     } else if (!response.matches("(?s)HTTP/1.1 (200|502|503) .*")) {
                         lost.add(traceId + ": " + response);
@@ -96,14 +98,14 @@
                                             .contains("connection: close");
                 }
             } catch (IOException e) {
-                // Refused: the process has ended.
+                // The connection was refused because the process has ended.
                 assertTrue(System.nanoTime() > signalledAt, e.toString());
                 return;
             }
         }
     }
 
-    /** The response, or null where the connection is closed without one. */
+    /** Sends a request. Returns the response, or null if the connection is closed without one. */
     private static String sendPost(Socket client, String traceId) {
         try {
             writeText(client, postHead(traceId, TIMEOUT_MILLIS, "Content-Length: 1") + "x");
@@ -118,13 +120,14 @@
     }
 
     private void assertEnds(Process child) throws Exception {
-        assertTrue(child.waitFor(STEP_TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process ends");
+        assertTrue(
+                child.waitFor(STEP_TIMEOUT_SECONDS, TimeUnit.SECONDS), "the process did not end");
         assertEquals(0, child.exitValue());
     }
 
     /**
-     * Guards against a request lost at SIGTERM, sent twice with SIGHUP between, while clients send
-     * after every response and half of the backends hang.
+     * Guards against losing a request at SIGTERM. The signal is sent twice with SIGHUP in between,
+     * while clients send a request after every response and half of the backends hang.
      */
     @Test
     void losesNoRequestUnderLoad(@TempDir Path folder) throws Exception {
--- a/src/test/java/lemondrift/proxy/SlowDiscoveryTest.java
+++ b/src/test/java/lemondrift/proxy/SlowDiscoveryTest.java
@@ -13,12 +13,12 @@
 import lemondrift.proxy.config.ProxyConfig;
 import org.junit.jupiter.api.Test;
 
-/** Discovery that takes long for each response, where the endpoint list is polled. */
+/** Tests a polled discovery that takes long for each response. */
 class SlowDiscoveryTest extends LoopbackFixture {
-    /** Milliseconds that discovery takes for each response. */
+    /** Response time of discovery, in milliseconds. */
     private static final int RESPONSE_MILLIS = 1200;
 
-    /** Seconds after which a change counts as known to the proxy. */
+    /** Seconds within which the proxy must know a change. */
     private static final int KNOWN_AFTER_SECONDS = 6;
 
     private static String delayed(String response) {
@@ -30,7 +30,10 @@
         }
     }
 
-    /** Guards against a slow list that is given up each time, so that drains are never heard of. */
+    /**
+     * Guards against a proxy that gives up each slow call for the list and therefore never learns
+     * of draining backends.
+     */
     @Test
     void followsTheListOfASlowDiscoveryAfterAReload() throws Exception {
         membershipMode = "on_request";
@@ -44,7 +47,7 @@
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(KNOWN_AFTER_SECONDS);
         proxy.reload(ProxyConfig.read(config(slow.port())));
         while (next.requests.isEmpty()) {
-            assertTrue(System.nanoTime() < deadline, "the new list is not followed");
+            assertTrue(System.nanoTime() < deadline, "the proxy does not use the new list");
             assertEquals(200, sendIdempotent().statusCode());
         }
     }
--- a/src/test/java/lemondrift/proxy/TestConfig.java
+++ b/src/test/java/lemondrift/proxy/TestConfig.java
@@ -1,36 +1,36 @@
 package lemondrift.proxy;
 
-/** The configuration of a proxy on loopback as text, and the changes that tests make to it. */
+/** Builds the configuration of a proxy on loopback as text, with the changes that tests need. */
 public final class TestConfig {
-    /** The name of the request class whose requests may be executed twice. */
+    /** Name of the idempotent request class. */
     public static final String IDEMPOTENT_CLASS = "look";
 
-    /** The name of the request class whose requests may not be executed twice. */
+    /** Name of the request class that is not idempotent. */
     public static final String NOT_IDEMPOTENT_CLASS = "order";
 
-    /** A port of loopback on which nothing listens. */
+    /** A loopback port on which nothing listens. */
     public static final int UNUSED_PORT = 1;
 
-    /** The latency objective of both classes, in milliseconds. */
+    /** Latency objective of both classes, in milliseconds. */
     public static final int LATENCY_OBJECTIVE_MILLIS = 1500;
 
-    /** The timeout of both classes, in milliseconds. */
+    /** Timeout of both classes, in milliseconds. */
     public static final int TIMEOUT_MILLIS = 4000;
 
     private static final String CLASS_TIMES = classTimes(LATENCY_OBJECTIVE_MILLIS, TIMEOUT_MILLIS);
 
     private TestConfig() {}
 
-    /** A configuration whose proxy watches discovery and sends no probes. */
+    /** Returns the configuration of a proxy that watches discovery and sends no probes. */
     public static String json(int discoveryPort) {
         return json(discoveryPort, "pushed", false);
     }
 
     /**
-     * A configuration.
+     * Returns a configuration.
      *
-     * @param membershipMode "pushed" where discovery is watched, "on_request" where it is polled
-     * @param probes whether backends are asked for load reports
+     * @param membershipMode "pushed" to watch discovery, "on_request" to poll it
+     * @param probes whether the proxy may probe backends for load reports
      */
     public static String json(int discoveryPort, String membershipMode, boolean probes) {
         String classTerms = CLASS_TIMES + ",\"benefit\":1,";
@@ -56,17 +56,17 @@
                 + "\"effect\":\"fragile\"}]}}";
     }
 
-    /** A configuration with a fixed port for clients in place of any free one. */
+    /** Returns the configuration with a fixed port for clients instead of any free one. */
     public static String withListenPort(String json, int port) {
         return json.replace("127.0.0.1:0", "127.0.0.1:" + port);
     }
 
-    /** A configuration with another number of sockets. */
+    /** Returns the configuration with another number of sockets. */
     public static String withSockets(String json, int sockets) {
         return json.replace("\"sockets\":64", "\"sockets\":" + sockets);
     }
 
-    /** A configuration with another latency objective and timeout of both classes. */
+    /** Returns the configuration with another latency objective and timeout of both classes. */
     public static String withClassTimes(
             String json, int latencyObjectiveMillis, int timeoutMillis) {
         return json.replace(CLASS_TIMES, classTimes(latencyObjectiveMillis, timeoutMillis));
--- a/src/test/java/lemondrift/proxy/UpgradeTest.java
+++ b/src/test/java/lemondrift/proxy/UpgradeTest.java
@@ -33,9 +33,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Hot restart: two proxies that accept on one listening socket, which both inherited. */
+/** Tests hot restart: two proxies accept clients on the same inherited listening socket. */
 class UpgradeTest extends LoopbackFixture {
-    /** Seconds for which a backend waits until it may respond. */
+    /** Maximum seconds for which a backend waits for its release. */
     private static final int RELEASE_TIMEOUT_SECONDS = 5;
 
     private ServerSocketChannel sharedSocket;
@@ -43,7 +43,7 @@
     private int requestCount;
 
     private ProxyServer serveOnSharedSocket() throws Exception {
-        // Clients that wait are served at once, so the endpoint list has to be known.
+        // Waiting clients are served at once, so the proxy needs an endpoint list from the start.
         String initialEndpoints = "{\"known\":" + endpointList(1, true, members) + ",";
         ProxyServer follower =
                 new ProxyServer(
@@ -67,7 +67,7 @@
         return new Socket(InetAddress.getLoopbackAddress(), sharedSocket.socket().getLocalPort());
     }
 
-    /** A connection on which a request has been sent. */
+    /** Sends a request on a new connection. */
     private Socket sendRequest() throws IOException {
         Socket client = connectToSharedSocket();
         requestCount++;
@@ -111,8 +111,7 @@
                 response);
         drain.join();
         assertTrue(
-                sharedSocket.isOpen(),
-                "the inherited socket is not closed with the process that drains");
+                sharedSocket.isOpen(), "the drained process must not close the inherited socket");
         assertServed(20);
         follower.drain();
         assertTrue(sharedSocket.isOpen());
@@ -127,7 +126,7 @@
         ProxyServer follower = serveOnSharedSocket();
         assertTrue(
                 readMessage(waiting).startsWith("HTTP/1.1 200 "),
-                "a client that came between the two waits to be accepted");
+                "a client that connects between the two processes must be served by the second");
         follower.drain();
     }
 
--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -20,12 +20,12 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The answers at the operators' address, byte for byte as the landed program gave them. */
+/** Tests that the responses of the admin address match the reference output byte for byte. */
 class AdminCompatibilityTest {
-    /** Seconds after which the I/O thread counts as stuck. */
+    /** Seconds within which the I/O thread must run a task. */
     private static final long IO_THREAD_TIMEOUT_SECONDS = 5;
 
-    /** A proxy whose figures are all known. */
+    /** A proxy with fixed metrics. */
     private static final class FixedMetricsProxy implements AdminOperations {
         @Override
         public boolean isReady() {
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Guards against calls that the I/O thread answers before the operations it was given. */
+    /** Waits until the I/O thread has set the operations, so that later calls use them. */
     private static void awaitIoThread(XnioWorker worker) throws InterruptedException {
         CountDownLatch ranTasks = new CountDownLatch(1);
         worker.getIoThread().execute(ranTasks::countDown);
@@ -115,7 +115,8 @@
                 List.of("health", "stats", "recovery", "loop", "quiesce", "resume", "nothing")) {
             for (String method : List.of("GET", "PUT")) {
                 String request = method + " /admin/" + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
-                responses.append("> ")
+                responses
+                        .append("> ")
                         .append(method)
                         .append(' ')
                         .append(path)
--- a/src/test/java/lemondrift/proxy/admin/AdminServerTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminServerTest.java
@@ -35,12 +35,12 @@
 import org.junit.jupiter.api.Test;
 import org.xnio.XnioWorker;
 
-/** The operators' address on loopback: metrics, health, quiescing and unknown or stalled calls. */
+/** Tests the admin address on loopback: metrics, health, quiescing, unknown and stalled calls. */
 class AdminServerTest extends LoopbackFixture {
     private XnioWorker worker;
     private AdminServer adminServer;
 
-    /** Starts the proxy and its operators' address. */
+    /** Starts the proxy and its admin server. */
     private void startWithAdminServer(ScriptedServer... backends) throws Exception {
         start(backends);
         startAdminServer();
@@ -64,7 +64,7 @@
         return new Socket(InetAddress.getLoopbackAddress(), adminServer.address().getPort());
     }
 
-    /** The whole response, whose connection closes with it. */
+    /** Makes a call and returns the response, which ends with the connection. */
     private String call(String method, String path) throws IOException {
         try (Socket caller = caller()) {
             writeText(caller, method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -88,7 +88,7 @@
                 .getAsInt();
     }
 
-    /** Waits without a bound until a figure of the metrics is as it should be. */
+    /** Waits without a timeout until a metric has an expected value. */
     private void awaitStat(String name, IntPredicate expected) throws IOException {
         while (!expected.test(stats().get(name).getAsInt())) {
             Thread.onSpinWait();
@@ -110,7 +110,7 @@
         assertEquals(0, stats().get("targets").getAsInt());
     }
 
-    /** Guards against a fault whose reason is in no metric. */
+    /** Guards against a failure whose reason no metric counts. */
     @Test
     void countsWhyRequestsAreNotServed() throws Exception {
         startWithAdminServer(backend(NEVER_EXECUTED));
@@ -132,7 +132,7 @@
         assertTrue(
                 response.startsWith("HTTP/1.1 405 ") && response.contains("Allow: PUT\r\n"),
                 response);
-        assertEquals(200, healthStatusForClients(), "a read must not quiesce the proxy");
+        assertEquals(200, healthStatusForClients(), "a GET call must not quiesce the proxy");
         assertTrue(call("PUT", "/admin/stats").startsWith("HTTP/1.1 405 "));
         assertFalse(call("GET", "/" + "x".repeat(20_000)).startsWith("HTTP/1.1 2"));
         assertFalse(call("\u0001", "nonsense").startsWith("HTTP/1.1 2"));
@@ -147,7 +147,8 @@
             writeText(stalled.get(i), i % 2 == 0 ? "" : "GET /admin/he");
             assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(-1, stalled.get(0).getInputStream().read(), "the oldest is closed");
+        assertEquals(
+                -1, stalled.get(0).getInputStream().read(), "the oldest connection must be closed");
         closeAll(stalled);
     }
 
@@ -180,7 +181,7 @@
         assertEquals(
                 2,
                 replyCount(NOT_IDEMPOTENT_CLASS, "error"),
-                "a rejected request counts under its class");
+                "a refused request must be counted under its class");
         assertEquals(3, stats.get("dispatches").getAsInt());
         assertEquals(0, stats.get("concurrent").getAsInt());
         assertEquals(1, stats.get("targets").getAsInt());
@@ -239,14 +240,19 @@
         assertEquals(503, healthStatusForClients());
         assertTrue(
                 call("PUT", "/admin/quiesce").startsWith("HTTP/1.1 200 "),
-                "quiescing twice does as much as once");
+                "quiescing again must succeed");
         assertTrue(
                 sendOnNewConnection(2, connections).contains("Connection: close"),
-                "a new connection is served and closed");
+                "a new connection must be served and closed");
         Socket late = connect();
         assertEquals(
-                -1, connections.get(0).getInputStream().read(), "an idle connection is closed");
-        assertEquals(-1, late.getInputStream().read(), "a new connection without a request too");
+                -1,
+                connections.get(0).getInputStream().read(),
+                "an idle connection must be closed");
+        assertEquals(
+                -1,
+                late.getInputStream().read(),
+                "a new connection without a request must be closed");
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 200 "));
         assertEquals(200, healthStatusForClients());
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 200 "));
@@ -262,6 +268,6 @@
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503 "));
         assertTrue(
                 call("PUT", "/admin/resume").startsWith("HTTP/1.1 503 "),
-                "a stopped proxy stays stopped");
+                "a stopped proxy must not resume");
     }
 }
--- a/src/test/java/lemondrift/proxy/config/ConfigFileTest.java
+++ b/src/test/java/lemondrift/proxy/config/ConfigFileTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The configuration file, read whole and without its initial endpoints. */
+/** Tests reading the configuration file with and without its initial endpoints. */
 class ConfigFileTest {
     @TempDir Path folder;
 
@@ -49,7 +49,9 @@
         assertEquals("{\"name\":\"n\"}", read.toString());
     }
 
-    /** Guards against a file cut off in its initial endpoints, which lacks all that follows. */
+    /**
+     * Guards against a file that ends within its initial endpoints and lacks all keys after them.
+     */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/src/test/java/lemondrift/proxy/config/ShadowSettingsFileTest.java
+++ b/src/test/java/lemondrift/proxy/config/ShadowSettingsFileTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file of shadow settings, and their evaluation in a proxy on loopback. */
+/** Tests the file with shadow settings and their evaluation in a proxy on loopback. */
 class ShadowSettingsFileTest extends LoopbackFixture {
     @TempDir Path folder;
 
@@ -49,7 +49,10 @@
         configChange = config -> config.withShadow(withShadow.shadow());
         start(overloaded, backend(OK));
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, sendNotIdempotent("x").statusCode(), "retried as without a shadow");
+            assertEquals(
+                    200,
+                    sendNotIdempotent("x").statusCode(),
+                    "must be retried as without shadow settings");
         }
         proxy.drain();
         ShadowEvaluator shadow = shadow();
--- a/src/test/java/lemondrift/proxy/lifecycle/CoalescingTaskTest.java
+++ b/src/test/java/lemondrift/proxy/lifecycle/CoalescingTaskTest.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** When a task that is requested by several threads runs. */
+/** Tests when a task that several threads request runs. */
 class CoalescingTaskTest {
     private final AtomicInteger runs = new AtomicInteger();
 
-    /** Guards against a reading of the file for each signal of a series during the start. */
+    /** Guards against one read of the file for each of several signals during the start. */
     @Test
     void runsOnceForAllRequestsBeforeRelease() {
         CoalescingTask task = new CoalescingTask(runs::incrementAndGet);
@@ -30,7 +30,7 @@
         assertEquals(0, runs.get());
     }
 
-    /** Guards against a newer file that is not read because an older one is being read. */
+    /** Guards against missing a newer file because an older one is still being read. */
     @Test
     void runsOnceMoreForAllRequestsDuringARun() throws Exception {
         CountDownLatch running = new CountDownLatch(1);
@@ -48,7 +48,7 @@
         running.await();
         task.request();
         task.request();
-        assertEquals(1, runs.get(), "the callers do not wait for the run");
+        assertEquals(1, runs.get(), "callers must not wait for the run");
         mayEnd.countDown();
         first.join();
         assertEquals(2, runs.get());
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Guards against a run that fails and keeps all later ones from being made. */
+    /** Guards against a failed run preventing all later runs. */
     @Test
     void runsAgainAfterARunThatThrows() {
         CoalescingTask task =
--- a/src/test/java/lemondrift/proxy/lifecycle/HangUpSignalTest.java
+++ b/src/test/java/lemondrift/proxy/lifecycle/HangUpSignalTest.java
@@ -22,32 +22,32 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real processes that get SIGHUP while they start. */
+/** Tests proxy processes that receive SIGHUP during their start. */
 class HangUpSignalTest extends LoopbackFixture {
-    /** Milliseconds between the delays after which the processes get the signals. */
+    /** Step between the delays after which the processes receive the signals, in milliseconds. */
     private static final int DELAY_STEP_MILLIS = 25;
 
-    /** The longest delay, by which a process serves on a quiet machine. */
+    /** Longest delay, in milliseconds. On an idle machine a process serves by then. */
     private static final int MAX_DELAY_MILLIS = 300;
 
-    /** How many signals a process gets. */
+    /** Number of signals that each process receives. */
     private static final int SIGNALS = 3;
 
-    /** Milliseconds after which a response counts as missing. */
+    /** Milliseconds after which a read without a response fails the test. */
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    /** Seconds in which the shell has to run its first command. */
+    /** Seconds within which the shell must run its first command. */
     private static final int IGNORE_TIMEOUT_SECONDS = 5;
 
-    /** Seconds in which a process has to end. */
+    /** Seconds within which a process must end. */
     private static final int END_TIMEOUT_SECONDS = 20;
 
-    /** Seconds in which the new configuration has to hold once the process serves. */
+    /** Seconds within which a process that serves must apply the new configuration. */
     private static final int RELOAD_TIMEOUT_SECONDS = 10;
 
     private static final String NEW_CLASS = "fresh";
 
-    /** The signal's bit among the ignored ones in /proc. */
+    /** Bit of SIGHUP in the mask of ignored signals in /proc. */
     private static final long HANG_UP_BIT = 1;
 
     private static final int HEXADECIMAL = 16;
@@ -71,7 +71,7 @@
     private static void awaitHangUpIgnored(Process process) throws Exception {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(IGNORE_TIMEOUT_SECONDS);
         while (!ignoresHangUp(process)) {
-            assertTrue(System.nanoTime() < deadline, "SIGHUP is not ignored from the start");
+            assertTrue(System.nanoTime() < deadline, "the process does not ignore SIGHUP");
         }
     }
 
@@ -100,12 +100,12 @@
         for (int number = 0; !status.equals("200"); number++) {
             assertTrue(
                     System.nanoTime() < deadline,
-                    "signalled after " + delayMillis + " ms, still answers " + status);
+                    "signal sent after " + delayMillis + " ms, last response status: " + status);
             status = statusOfNewClass(number);
         }
     }
 
-    /** Guards against a process that a reload signal ends during its start, or that forgets it. */
+    /** Guards against a reload signal during the start that ends the process or is lost. */
     @Test
     void readsTheNewFileWheneverSignalledDuringTheStart(@TempDir Path folder) throws Exception {
         ScriptedServer backend = backend(OK);
@@ -131,7 +131,7 @@
                 assertEquals(0, ProxyProcess.signal(process, "TERM"));
                 log.lines().forEach(line -> {});
                 assertTrue(process.waitFor(END_TIMEOUT_SECONDS, TimeUnit.SECONDS));
-                assertEquals(0, process.exitValue(), "signalled after " + delay + " ms");
+                assertEquals(0, process.exitValue(), "signal sent after " + delay + " ms");
             } finally {
                 process.destroyForcibly();
             }
--- a/src/test/java/lemondrift/proxy/lifecycle/TakeoverLockTest.java
+++ b/src/test/java/lemondrift/proxy/lifecycle/TakeoverLockTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How processes of one proxy find each other through locked files, and share its descriptors. */
+/** Tests how processes of one proxy detect each other by locked files and share descriptors. */
 class TakeoverLockTest {
-    /** Descriptors of a process that are for neither clients nor backends. */
+    /** Number of descriptors of a process that are used neither for clients nor for backends. */
     private static final int RESERVED_DESCRIPTORS = 40;
 
-    /** The share of the other descriptors that backends' connections may take, 0 to 1. */
+    /** Share of the other descriptors that connections to backends may use, 0 to 1. */
     private static final double BACKEND_SHARE = 0.33;
 
-    /** Another process, which says a line when it has looked, and then lives on. */
+    /** Another process. Prints the process count after its first refresh and keeps running. */
     public static final class OtherProcess {
         private OtherProcess() {}
 
@@ -59,11 +59,12 @@
         assertTrue(ownLock.refresh());
         assertEquals(1, ownLock.processCount());
         Process follower = startOtherProcess(folder);
-        assertEquals(2, reportedCount(follower), "the follower sees that another process serves");
+        assertEquals(
+                2, reportedCount(follower), "the follower must detect that another process serves");
         assertTrue(ownLock.refresh());
         assertEquals(2, ownLock.processCount());
         follower.destroyForcibly().waitFor();
-        assertTrue(ownLock.refresh(), "a killed process leaves no lock behind");
+        assertTrue(ownLock.refresh(), "the lock of a killed process must be released");
         assertEquals(1, ownLock.processCount());
         ownLock.close();
     }
--- a/src/test/java/lemondrift/proxy/lifecycle/WarmupTest.java
+++ b/src/test/java/lemondrift/proxy/lifecycle/WarmupTest.java
@@ -6,7 +6,7 @@
 import lemondrift.proxy.config.ProxyConfig;
 import org.junit.jupiter.api.Test;
 
-/** The warm-up of the process before it serves. */
+/** Tests the warm-up before the process serves. */
 class WarmupTest {
     @Test
     void leavesNothingInFlight() throws Exception {
--- a/src/test/java/lemondrift/proxy/logging/AsyncLogTest.java
+++ b/src/test/java/lemondrift/proxy/logging/AsyncLogTest.java
@@ -12,11 +12,11 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The log beside a reader that takes nothing for a while. */
+/** Tests the log with a reader that stops for a while. */
 class AsyncLogTest {
     private static final int LINE_COUNT = 3000;
 
-    /** Guards against threads that serve requests and wait for a stopped reader of the log. */
+    /** Guards against blocking the threads that serve requests when the reader of the log stops. */
     @Test
     void doesNotWaitForStoppedReaderAndCountsDroppedLines() throws Exception {
         CountDownLatch mayRead = new CountDownLatch(1);
@@ -35,7 +35,7 @@
                             }
                         });
         PrintStream out = new PrintStream(log, true);
-        // Returns, or the test never ends.
+        // If this blocked, the test would not end.
         IntStream.range(0, LINE_COUNT).forEach(i -> out.println("line " + i));
         mayRead.countDown();
         log.drain(10);
