--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -20,12 +20,12 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The answers at the operators' address, byte for byte as the landed program gave them. */
+/** Tests that the responses of the admin address match the reference output byte for byte. */
 class AdminCompatibilityTest {
-    /** Seconds after which the I/O thread counts as stuck. */
+    /** Seconds within which the I/O thread must run a task. */
     private static final long IO_THREAD_TIMEOUT_SECONDS = 5;
 
-    /** A proxy whose figures are all known. */
+    /** A proxy with fixed metrics. */
     private static final class FixedMetricsProxy implements AdminOperations {
         @Override
         public boolean isReady() {
@@ -91,31 +91,32 @@
             AdminServer adminServer =
                     new AdminServer(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
-            StringBuilder all = new StringBuilder();
-            appendAllResponses(adminServer, all.append("before there is a proxy\n"));
+            StringBuilder responses = new StringBuilder();
+            appendAllResponses(adminServer, responses.append("before there is a proxy\n"));
             adminServer.setOperations(new FixedMetricsProxy());
             awaitIoThread(worker);
-            appendAllResponses(adminServer, all.append("with one\n"));
-            GoldenFiles.assertText("admin.txt", all.toString().replace("\r\n", "\n"));
+            appendAllResponses(adminServer, responses.append("with one\n"));
+            GoldenFiles.assertText("admin.txt", responses.toString().replace("\r\n", "\n"));
         } finally {
             worker.shutdown();
         }
     }
 
-    /** Guards against calls that the I/O thread answers before the operations it was given. */
+    /** Waits until the I/O thread has set the operations, so that later calls use them. */
     private static void awaitIoThread(XnioWorker worker) throws InterruptedException {
         CountDownLatch ranTasks = new CountDownLatch(1);
         worker.getIoThread().execute(ranTasks::countDown);
         assertTrue(ranTasks.await(IO_THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
-    private static void appendAllResponses(AdminServer adminServer, StringBuilder all)
+    private static void appendAllResponses(AdminServer adminServer, StringBuilder responses)
             throws IOException {
         for (String path :
                 List.of("health", "stats", "recovery", "loop", "quiesce", "resume", "nothing")) {
             for (String method : List.of("GET", "PUT")) {
                 String request = method + " /admin/" + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
-                all.append("> ")
+                responses
+                        .append("> ")
                         .append(method)
                         .append(' ')
                         .append(path)
