--- a/src/main/java/lemondrift/balancer/BackendTable.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -6,66 +6,70 @@
 import lemondrift.model.Settings;
 
 /**
- * What all stages share: the settings in force, and the endpoint list in parallel arrays by backend
- * index, with what this proxy has in flight at each backend.
+ * The state that all stages share: the settings in force, and the endpoint list in parallel arrays
+ * by backend index, with this proxy's attempts in flight at each backend.
  */
 final class BackendTable {
-    /** How many windows back the proxy's own observations count. */
+    /** How many windows back this proxy's own observations count. */
     private static final double MEMORY_WINDOWS = 8;
 
     /**
-     * Bits of a subset score, which stands above a place in one number so that it sorts cheaply.
+     * The bits of a subset score. The score is placed above a position in one number, so that
+     * sorting is cheap.
      */
     private static final int SCORE_BITS = 40;
 
-    /** Bits of a place in the order. */
-    private static final int PLACE_BITS = 20;
+    /** The bits of a position in the order. */
+    private static final int POSITION_BITS = 20;
 
-    /** The settings in force; a request keeps the terms that it arrived under. */
+    /** The settings in force. A request keeps the terms under which it arrived. */
     Settings settings;
 
     /** The shortest latency objective of a request class, in seconds. */
     double windowSeconds;
 
-    /** How far back the proxy's own observations count, in seconds. */
+    /** How far back this proxy's own observations count, in seconds. */
     double memorySeconds;
 
-    /** How many backend indexes there are. */
+    /** The number of backend indexes. */
     int size;
 
-    /** The last update of each backend. */
+    /** By backend: its last update. */
     EndpointUpdate[] endpoint = {};
 
-    /** Whether the list gives the backend as ready. */
+    /** By backend: whether the list gives it as ready. */
     boolean[] ready = {};
 
-    /** This proxy's attempts in flight. */
+    /** By backend: this proxy's attempts in flight. */
     int[] inFlight = {};
 
-    /** When the probe that is out was sent; 0 where none is. */
+    /** By backend: when the unanswered probe was sent, in seconds; 0 if there is none. */
     double[] probeSentAt = {};
 
-    /** What each backend was last ranked by; infinite where it could not be used. */
-    double[] rankedBy = {};
+    /** By backend: the score that it was last ranked by; infinite if it was not eligible. */
+    double[] rankingScore = {};
 
-    /** The mean weight of the ready backends; 1 where weights do not count. */
+    /** The mean weight of the ready backends; 1 if weights are not used. */
     double meanWeight = 1;
 
-    /** The ready backends in this proxy's own random order, the subset that it uses first. */
+    /** The ready backends in this proxy's own random order; the subset that it uses comes first. */
     int[] order = {};
 
-    /** How many ready backends the list gives as used by this proxy and others. */
-    int gossipedCount;
+    /**
+     * The number of ready backends that the list gives as used by this proxy, so that gossip covers
+     * them.
+     */
+    int gossipedBackendCount;
 
     private final DeterministicRandom random;
-    private boolean[] inOrder = {};
-    private boolean arranged = true;
+    private boolean[] presentInOrder = {};
+    private boolean orderUpToDate = true;
 
-    /** When each backend last started; 0 is long ago or not known. */
+    /** By backend: when it last started, in seconds; 0 if that is long ago or not known. */
     private double[] startedAt = {};
 
-    /** Above all starts that were acted on. */
-    private double[] startSeenBefore = {};
+    /** By backend: a start at this time or later has not been handled yet, in seconds. */
+    private double[] firstUnhandledStart = {};
 
     BackendTable(Settings settings, DeterministicRandom random) {
         this.random = random;
@@ -79,33 +83,33 @@
     }
 
     /**
-     * Takes over a part of the endpoint list. The work is that of the updates given, and one pass
-     * over the order where a backend leaves it.
+     * Applies a part of the endpoint list. The cost is proportional to the number of updates, plus
+     * one pass over the order if a backend leaves it.
      *
      * @param full whether backends that are not among the updates are no longer listed
      */
-    void listed(boolean full, List<EndpointUpdate> updates) {
-        boolean leaves = full;
+    void applyUpdates(boolean full, List<EndpointUpdate> updates) {
+        boolean backendLeaves = full;
         Arrays.fill(ready, 0, full ? size : 0, false);
-        grow(updates);
+        ensureCapacity(updates);
         for (EndpointUpdate update : updates) {
             int backend = update.backend();
             endpoint[backend] = update.withWeightIf(settings.usesEndpointWeights());
-            leaves |= ready[backend] && update.state() != EndpointUpdate.State.READY;
+            backendLeaves |= ready[backend] && update.state() != EndpointUpdate.State.READY;
             ready[backend] = update.state() == EndpointUpdate.State.READY;
             startedAt[backend] =
                     Math.max(update.newBackend() ? 0 : startedAt[backend], update.startedAt());
-            startSeenBefore[backend] = update.newBackend() ? 0 : startSeenBefore[backend];
+            firstUnhandledStart[backend] = update.newBackend() ? 0 : firstUnhandledStart[backend];
         }
-        if (leaves) {
-            dropUnready();
+        if (backendLeaves) {
+            removeUnready();
         }
-        append(updates);
+        insertNewlyReady(updates);
         meanWeight = settings.usesEndpointWeights() ? meanWeightOfReady() : 1;
-        arranged = false;
+        orderUpToDate = false;
     }
 
-    private void grow(List<EndpointUpdate> updates) {
+    private void ensureCapacity(List<EndpointUpdate> updates) {
         int newSize = size;
         for (EndpointUpdate update : updates) {
             newSize = Math.max(newSize, update.backend() + 1);
@@ -115,19 +119,19 @@
         }
         size = newSize;
         ready = Arrays.copyOf(ready, size);
-        inOrder = Arrays.copyOf(inOrder, size);
+        presentInOrder = Arrays.copyOf(presentInOrder, size);
         endpoint = Arrays.copyOf(endpoint, size);
         startedAt = Arrays.copyOf(startedAt, size);
-        startSeenBefore = Arrays.copyOf(startSeenBefore, size);
+        firstUnhandledStart = Arrays.copyOf(firstUnhandledStart, size);
         inFlight = Arrays.copyOf(inFlight, size);
         probeSentAt = Arrays.copyOf(probeSentAt, size);
-        rankedBy = Arrays.copyOf(rankedBy, size);
+        rankingScore = Arrays.copyOf(rankingScore, size);
     }
 
-    private void dropUnready() {
+    private void removeUnready() {
         int kept = 0;
         for (int backend : order) {
-            inOrder[backend] = ready[backend];
+            presentInOrder[backend] = ready[backend];
             if (ready[backend]) {
                 order[kept++] = backend;
             }
@@ -135,21 +139,21 @@
         order = Arrays.copyOf(order, kept);
     }
 
-    /** Puts each backend that has become ready at a random place. */
-    private void append(List<EndpointUpdate> updates) {
+    /** Inserts each backend that has become ready at a random position of the order. */
+    private void insertNewlyReady(List<EndpointUpdate> updates) {
         int[] added =
                 updates.stream()
                         .mapToInt(EndpointUpdate::backend)
-                        .filter(backend -> ready[backend] && !inOrder[backend])
+                        .filter(backend -> ready[backend] && !presentInOrder[backend])
                         .sorted()
                         .distinct()
                         .toArray();
-        int before = order.length;
-        order = Arrays.copyOf(order, before + added.length);
-        System.arraycopy(added, 0, order, before, added.length);
-        for (int place = before; place < order.length; place++) {
-            inOrder[order[place]] = true;
-            swap(place, (int) (random.next() * (place + 1)));
+        int oldLength = order.length;
+        order = Arrays.copyOf(order, oldLength + added.length);
+        System.arraycopy(added, 0, order, oldLength, added.length);
+        for (int position = oldLength; position < order.length; position++) {
+            presentInOrder[order[position]] = true;
+            swap(position, (int) (random.nextDouble() * (position + 1)));
         }
     }
 
@@ -161,61 +165,70 @@
         return order.length == 0 ? 1 : sum / order.length;
     }
 
-    /** Counts and puts first the subset that gossip covers, once for all lists since the last. */
-    void arrange() {
-        if (arranged) {
+    /**
+     * Counts the backends that gossip covers and moves this proxy's subset to the front of the
+     * order. Does nothing if no list was applied since the last call.
+     */
+    void updateOrder() {
+        if (orderUpToDate) {
             return;
         }
-        arranged = true;
-        gossipedCount = 0;
+        orderUpToDate = true;
+        gossipedBackendCount = 0;
         for (int backend : order) {
-            gossipedCount += endpoint[backend].userShare() > 0 ? 1 : 0;
+            gossipedBackendCount += endpoint[backend].userShare() > 0 ? 1 : 0;
         }
         sortBySubsetScore();
     }
 
     /**
-     * Puts the backends of the lowest subset scores first, where scores are given: gossip tells of
-     * those and of no more.
+     * Moves the backends with the lowest subset scores to the front if scores are given: gossip
+     * covers these backends and no others.
      */
     void sortBySubsetScore() {
-        long[] scoresAndPlaces = new long[order.length];
-        boolean scored = false;
-        for (int place = 0; place < order.length; place++) {
-            double score = endpoint[order[place]].subsetScore();
-            scored |= score > 0;
-            scoresAndPlaces[place] = (long) (score * (1L << SCORE_BITS)) << PLACE_BITS | place;
+        long[] scoresAndPositions = new long[order.length];
+        boolean hasScores = false;
+        for (int position = 0; position < order.length; position++) {
+            double score = endpoint[order[position]].subsetScore();
+            hasScores |= score > 0;
+            scoresAndPositions[position] =
+                    (long) (score * (1L << SCORE_BITS)) << POSITION_BITS | position;
         }
-        if (!scored) {
+        if (!hasScores) {
             return;
         }
-        Arrays.sort(scoresAndPlaces);
-        int[] before = order;
-        order = new int[before.length];
-        for (int place = 0; place < order.length; place++) {
-            order[place] = before[(int) (scoresAndPlaces[place] & (1 << PLACE_BITS) - 1)];
+        Arrays.sort(scoresAndPositions);
+        int[] previousOrder = order;
+        order = new int[previousOrder.length];
+        for (int position = 0; position < order.length; position++) {
+            order[position] =
+                    previousOrder[(int) (scoresAndPositions[position] & (1 << POSITION_BITS) - 1)];
         }
     }
 
-    /** Exchanges the backends at two places of the order. */
-    void swap(int place, int otherPlace) {
-        int backend = order[place];
-        order[place] = order[otherPlace];
-        order[otherPlace] = backend;
+    /** Exchanges the backends at two positions of the order. */
+    void swap(int position, int otherPosition) {
+        int backend = order[position];
+        order[position] = order[otherPosition];
+        order[otherPosition] = backend;
     }
 
-    /** Whether a start of the backend is listed that nobody has acted on; true once for each. */
+    /**
+     * Returns whether the list gives a start of the backend that has not been handled yet; true
+     * only once for each start.
+     */
     boolean consumeNewStart(int backend) {
-        if (startedAt[backend] >= startSeenBefore[backend]) {
-            startSeenBefore[backend] = Math.nextUp(startedAt[backend]);
+        if (startedAt[backend] >= firstUnhandledStart[backend]) {
+            firstUnhandledStart[backend] = Math.nextUp(startedAt[backend]);
             return true;
         }
         return false;
     }
 
     /**
-     * The share (0 to 1) of its full capacity that a backend has at the least. It rises linearly
-     * over the slow start of the settings, from their least share to 1, which is warm.
+     * Returns the share (0 to 1) of its full capacity that a backend has at least. It rises
+     * linearly from the setting slowStartMinShare to 1, when the backend is warm, within
+     * slowStartSeconds.
      */
     double warmShare(int backend, double now) {
         double elapsedShare =
--- a/src/main/java/lemondrift/balancer/EndpointListPolling.java
+++ b/src/main/java/lemondrift/balancer/EndpointListPolling.java
@@ -4,36 +4,39 @@
 import lemondrift.model.Settings;
 
 /**
- * Keeps this proxy subscribed to the endpoint list where it must poll for it: at the start, again
- * where no answer comes, and after a failed call with a jittered backoff. Where the list is pushed
- * it does nothing.
+ * Keeps this proxy subscribed to an endpoint list that must be polled: polls at the start, again if
+ * no answer arrives, and with a jittered backoff after a failed call. Does nothing if the list is
+ * pushed.
  */
 final class EndpointListPolling {
-    private final boolean polls;
+    private final boolean pollingEnabled;
 
-    /** A quarter of the time within which the settings demand a poll. */
-    private final double quarterSeconds;
+    /** A quarter of the time within which the settings require a poll, in seconds. */
+    private final double quarterPeriodSeconds;
 
     private final DeterministicRandom random;
 
-    /** When the next call is due; infinite where none is. */
+    /** When the next call is due, in seconds; infinite if none is. */
     double pollAt = Double.POSITIVE_INFINITY;
 
     EndpointListPolling(Settings settings, DeterministicRandom random) {
-        polls = settings.pollsEndpointList();
-        quarterSeconds = settings.rules().pollWithinSeconds() / 4;
+        pollingEnabled = settings.pollsEndpointList();
+        quarterPeriodSeconds = settings.rules().pollWithinSeconds() / 4;
         this.random = random;
     }
 
-    /** A list has come; a stale one does not end the polling. */
-    void listed(boolean stale, double now) {
-        pollAt = polls && stale ? now : Double.POSITIVE_INFINITY;
+    /** Handles a received list. Polling continues if the list is stale. */
+    void listReceived(boolean stale, double now) {
+        pollAt = pollingEnabled && stale ? now : Double.POSITIVE_INFINITY;
     }
 
-    /** Guards against all proxies polling in step, which keeps a small list service down. */
-    void failed(double now, Decision decision) {
-        if (polls) {
-            pollAt = now + random.jitter(quarterSeconds / 2);
+    /**
+     * Schedules the next call after a failed one, with jitter. Guards against all proxies polling
+     * in step, which would keep a small list service down.
+     */
+    void callFailed(double now, Decision decision) {
+        if (pollingEnabled) {
+            pollAt = now + random.jitter(quarterPeriodSeconds / 2);
             decision.logMessages.add("list call failed, asking again");
         }
     }
@@ -41,7 +44,7 @@
     void wake(double now, Decision decision) {
         if (pollAt <= now) {
             decision.endpointListCalls.add(Decision.EndpointListCall.WATCH);
-            pollAt = now + 2 * quarterSeconds;
+            pollAt = now + 2 * quarterPeriodSeconds;
         }
     }
 }
--- a/src/main/java/lemondrift/connection/ConnectionEviction.java
+++ b/src/main/java/lemondrift/connection/ConnectionEviction.java
@@ -4,55 +4,57 @@
 import java.util.function.IntPredicate;
 
 /**
- * Which connections are closed while there are more than there should be. Candidates are, within a
- * source, first those without a byte, then first requests that take too long, then the longest
- * idle; {@link FairEviction} chooses between sources. A connection with a complete request is never
- * one.
+ * Closes connections while there are more than the limit. The candidates of a source are, in this
+ * order: connections without a first byte, connections whose first request takes too long, and idle
+ * connections, the longest idle first. {@link FairEviction} chooses between sources. A connection
+ * with a complete request is never a candidate.
  */
 final class ConnectionEviction {
-    private static final ConnectionState[] READING_REQUEST = {
+    private static final ConnectionState[] STATES_READING_REQUEST = {
         ConnectionState.READING_HEAD, ConnectionState.READING_BODY
     };
 
     private final ConnectionLimits limits;
     private final ConnectionTable connections;
     private final FairEviction fairEviction;
-    private final IntPredicate isSilent;
+    private final IntPredicate hasNoUnreadBytes;
     private final IntConsumer close;
 
     /**
-     * Evicts from a table.
+     * Creates the eviction for a table.
      *
-     * @param isSilent whether no unread byte waits on a connection
+     * @param hasNoUnreadBytes returns whether no unread byte waits on a connection
      * @param close closes a connection at once
      */
     ConnectionEviction(
             ConnectionLimits limits,
             ConnectionTable connections,
-            IntPredicate isSilent,
+            IntPredicate hasNoUnreadBytes,
             IntConsumer close) {
         this.limits = limits;
         this.connections = connections;
-        this.isSilent = isSilent;
+        this.hasNoUnreadBytes = hasNoUnreadBytes;
         this.close = close;
         fairEviction = new FairEviction(connections.capacity(), limits.halfLifeSeconds());
     }
 
-    /** Closes connections until there are no more than there should be, or no candidate is left. */
+    /** Closes connections until the limit is met or no candidate is left. */
     void evictExcess(double now) {
         if (!connections.isOverLimit()) {
             return;
         }
-        addWithoutByte(now);
-        for (ConnectionState state : READING_REQUEST) {
+        addConnectionsWithoutFirstByte(now);
+        for (ConnectionState state : STATES_READING_REQUEST) {
             addSlowFirstRequests(state, now);
         }
-        addIdle();
+        addIdleConnections();
         fairEviction.evict(
-                connections.openCount() - connections.maxConnections(), now, this::evictIfSilent);
+                connections.openCount() - connections.maxConnections(),
+                now,
+                this::evictIfNoUnreadBytes);
     }
 
-    private void addWithoutByte(double now) {
+    private void addConnectionsWithoutFirstByte(double now) {
         for (int connection = connections.first(ConnectionState.NEW);
                 connection != ConnectionTable.NONE;
                 connection = connections.after(connection)) {
@@ -62,19 +64,23 @@
         }
     }
 
-    /** Guards against heads without end that keep all others out; none was answered before. */
+    /**
+     * Adds connections whose first request takes too long. Guards against clients whose requests
+     * never end and that keep all other clients out. Connections that have had a response are not
+     * added.
+     */
     private void addSlowFirstRequests(ConnectionState state, double now) {
         for (int connection = connections.first(state);
                 connection != ConnectionTable.NONE;
                 connection = connections.after(connection)) {
-            if (connections.responses[connection] == 0
+            if (connections.responseCounts[connection] == 0
                     && ageSeconds(connection, now) > 2 * limits.evictionGraceSeconds()) {
                 addCandidate(connection);
             }
         }
     }
 
-    private void addIdle() {
+    private void addIdleConnections() {
         for (int connection = connections.first(ConnectionState.IDLE);
                 connection != ConnectionTable.NONE;
                 connection = connections.after(connection)) {
@@ -92,12 +98,16 @@
         fairEviction.addCandidate(connection, connections.sources[connection]);
     }
 
-    /** Guards against losing a request that came and waits unread after a pause of the process. */
-    private boolean evictIfSilent(int connection) {
+    /**
+     * Closes a connection that has no unread bytes, or whose first request is incomplete; returns
+     * whether it did. Guards against losing a request that waits unread after a pause of the
+     * process.
+     */
+    private boolean evictIfNoUnreadBytes(int connection) {
         boolean isFirstRequest =
-                connections.responses[connection] == 0
+                connections.responseCounts[connection] == 0
                         && !connections.isIn(connection, ConnectionState.NEW);
-        boolean evicts = isFirstRequest || isSilent.test(connection);
+        boolean evicts = isFirstRequest || hasNoUnreadBytes.test(connection);
         if (evicts) {
             close.accept(connection);
         }
--- a/src/main/java/lemondrift/connection/ConnectionTable.java
+++ b/src/main/java/lemondrift/connection/ConnectionTable.java
@@ -5,44 +5,53 @@
 import java.util.Map;
 
 /**
- * The facts about each client's connection, in parallel arrays under its index, and for each state
- * the connections in it. Decides nothing. Times are in seconds of {@link ProcessPauseClock}.
+ * The data of each client's connection, in parallel arrays by its index, and a list of the
+ * connections in each state. Makes no decisions. Times are in seconds of {@link ProcessPauseClock}.
  */
 final class ConnectionTable {
-    /** Stands for no connection where an index is expected. */
+    /** An index that stands for no connection. */
     static final int NONE = -1;
 
-    /** Indexes beyond the limit for closes that the kernel has seen and this table has not. */
+    /**
+     * Indexes beyond the limit, for connections that the kernel has already closed but this table
+     * has not.
+     */
     private static final int SPARE_INDEXES = 16;
 
-    /** One more spare index for each so many connections of the limit. */
+    /** For each this many connections of the limit there is one more spare index. */
     private static final int CONNECTIONS_PER_SPARE_INDEX = 16;
 
-    /** Whose connection it is, null while the index is free. */
+    /** The source of each connection; null while the index is free. */
     final ClientSource[] sources;
 
-    /** The key under which the source is found. */
+    /** The key of the source of each connection. */
     final long[] sourceKeys;
 
-    /** Why it is to be closed, or was; CLIENT_CLOSED as long as the policy has no reason to. */
+    /**
+     * Why each connection is going to be closed or was closed; CLIENT_CLOSED as long as the policy
+     * has no reason to close it.
+     */
     final CloseReason[] closeReasons;
 
     /** Whether the last response announced for how long the connection stays open. */
     final boolean[] keepAliveAnnounced;
 
-    /** Whether bytes of the next request came before the response to the present one was out. */
+    /**
+     * Whether bytes of the next request arrived before the response to the current request was
+     * sent.
+     */
     final boolean[] pipelined;
 
-    final int[] responses;
-    final int[] rejectionsInRow;
+    final int[] responseCounts;
+    final int[] consecutiveInvalidRequests;
     final double[] acceptedAt;
     final double[] enteredStateAt;
 
-    /** Until when it may stay in its state without progress. */
+    /** Until when each connection may stay in its state without progress. */
     final double[] deadlines;
 
     private final ConnectionState[] states;
-    private final Map<ConnectionState, ConnectionOrder> orders =
+    private final Map<ConnectionState, ConnectionList> connectionsByState =
             new EnumMap<>(ConnectionState.class);
     private final int configuredMaxConnections;
     private int maxConnections;
@@ -59,20 +68,20 @@
         closeReasons = new CloseReason[capacity];
         keepAliveAnnounced = new boolean[capacity];
         pipelined = new boolean[capacity];
-        responses = new int[capacity];
-        rejectionsInRow = new int[capacity];
+        responseCounts = new int[capacity];
+        consecutiveInvalidRequests = new int[capacity];
         acceptedAt = new double[capacity];
         enteredStateAt = new double[capacity];
         deadlines = new double[capacity];
         states = new ConnectionState[capacity];
-        int[] next = ConnectionOrder.newLinks(capacity);
-        int[] previous = ConnectionOrder.newLinks(capacity);
+        int[] next = ConnectionList.newLinks(capacity);
+        int[] previous = ConnectionList.newLinks(capacity);
         for (ConnectionState state : ConnectionState.values()) {
-            orders.put(state, new ConnectionOrder(next, previous));
+            connectionsByState.put(state, new ConnectionList(next, previous));
         }
         Arrays.fill(states, ConnectionState.FREE);
         for (int connection = 0; connection < capacity; connection++) {
-            orders.get(ConnectionState.FREE).add(connection);
+            connectionsByState.get(ConnectionState.FREE).add(connection);
         }
     }
 
@@ -89,8 +98,8 @@
     }
 
     void enter(int connection, ConnectionState state, double now) {
-        orders.get(states[connection]).remove(connection);
-        orders.get(state).add(connection);
+        connectionsByState.get(states[connection]).remove(connection);
+        connectionsByState.get(state).add(connection);
         states[connection] = state;
         enteredStateAt[connection] = now;
     }
@@ -99,35 +108,40 @@
         return now - enteredStateAt[connection];
     }
 
-    /** A new connection takes an index; the caller enters it into its state. */
+    /**
+     * Initializes the data of a new connection under a free index. The caller then enters it into
+     * its state.
+     */
     void reset(int connection, double now) {
         closeReasons[connection] = CloseReason.CLIENT_CLOSED;
         keepAliveAnnounced[connection] = false;
         pipelined[connection] = false;
-        responses[connection] = 0;
-        rejectionsInRow[connection] = 0;
+        responseCounts[connection] = 0;
+        consecutiveInvalidRequests[connection] = 0;
         acceptedAt[connection] = now;
     }
 
-    /** The connection that has been longest in a state, or NONE. */
+    /** Returns the connection that has been in a state for longest, or NONE. */
     int first(ConnectionState state) {
-        return orders.get(state).first();
+        return connectionsByState.get(state).first();
     }
 
-    /** The next one in the same state, or NONE. */
+    /** Returns the connection that entered the same state next, or NONE. */
     int after(int connection) {
-        return orders.get(states[connection]).after(connection);
+        return connectionsByState.get(states[connection]).after(connection);
     }
 
     int count(ConnectionState state) {
-        return orders.get(state).size();
+        return connectionsByState.get(state).size();
     }
 
     int openCount() {
         return states.length - count(ConnectionState.FREE);
     }
 
-    /** How many connections are to stay open, 1 to the configured limit. */
+    /**
+     * Returns the number of connections above which some are evicted, 1 to the configured limit.
+     */
     int maxConnections() {
         return maxConnections;
     }
--- a/src/main/java/lemondrift/gossip/AbandonedAttempts.java
+++ b/src/main/java/lemondrift/gossip/AbandonedAttempts.java
@@ -5,20 +5,25 @@
 import java.util.function.IntConsumer;
 
 /**
- * Attempts that the proxy waits for no more but that the backend may still work on; each counts as
- * in flight until it expires. Guards against backends looking idle where most attempts time out.
+ * Attempts that the proxy no longer waits for but that the backend may still execute. Each counts
+ * as in flight until it expires. Guards against backends looking idle when most attempts time out.
  */
 final class AbandonedAttempts {
-    /** An attempt by its backend's tag, and until when it counts. */
-    private record Abandoned(int tag, double countsUntil) {}
-
-    /** In order of expiry. */
+    /**
+     * An abandoned attempt.
+     *
+     * @param tag the tag of its backend
+     * @param expiresAt when it stops counting as in flight, in seconds
+     */
+    private record Abandoned(int tag, double expiresAt) {}
+
+    /** Ordered by expiry time. */
     private final Queue<Abandoned> queue = new ArrayDeque<>();
 
     private final TagCounts counts = new TagCounts();
 
-    void add(int tag, double countsUntil) {
-        queue.add(new Abandoned(tag, countsUntil));
+    void add(int tag, double expiresAt) {
+        queue.add(new Abandoned(tag, expiresAt));
         counts.increment(tag);
     }
 
@@ -26,17 +31,17 @@
         return counts.get(tag);
     }
 
-    /** When the next one expires, in seconds; infinite where there is none. */
+    /** Returns when the next attempt expires, in seconds; infinite if there are no attempts. */
     double nextExpiryAt() {
-        return queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().countsUntil;
+        return queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().expiresAt;
     }
 
-    /** Removes what has expired, and passes on the tag of each. */
-    void expire(double now, IntConsumer expired) {
-        while (!queue.isEmpty() && queue.peek().countsUntil <= now) {
+    /** Removes expired attempts and passes the tag of each to the callback. */
+    void expire(double now, IntConsumer onExpired) {
+        while (!queue.isEmpty() && queue.peek().expiresAt <= now) {
             int tag = queue.remove().tag;
             counts.decrement(tag);
-            expired.accept(tag);
+            onExpired.accept(tag);
         }
     }
 }
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -11,66 +11,76 @@
 import lemondrift.model.EndpointUpdate;
 
 /**
- * Which proxies of a fleet use which backends. Each uses the backends with its least scores
- * (rendezvous hashing); all compute the same scores, so each knows the others' subsets and none
- * need send its own.
+ * Assigns a subset of the backends to each proxy of a fleet. A proxy uses the backends with the
+ * lowest scores for that proxy (rendezvous hashing). All proxies compute the same scores, so each
+ * proxy knows the subsets of the others and none has to send its own.
  *
- * <p>A change of one backend costs one score for each proxy, whatever the number of backends: for
- * each proxy twice as many backends as its subset has are kept in order, and all are scored again
- * only when so many of those have gone that the subset itself would be short.
+ * <p>The cost of a change of one backend is one score per proxy, regardless of the number of
+ * backends. For each proxy, twice as many backends as the subset size are kept in ranked order. All
+ * backends are scored again only when so many ranked backends have been removed that the subset
+ * would become too small.
  */
 public final class SubsetAssignment {
-    /** So many ranked backends are kept for each place of a subset. */
-    private static final int KEPT_PER_PLACE = 2;
+    /** Number of ranked backends that are kept for each member of a subset. */
+    private static final int RANKED_KEYS_PER_SUBSET_MEMBER = 2;
 
-    /** Low bits of a hash that a score drops, as a double has room for 53 of 64. */
+    /** Number of low bits of a hash that a score drops: a double holds only 53 of the 64 bits. */
     private static final int DROPPED_HASH_BITS = 11;
 
-    private static final int[] NOBODY = {};
+    private static final int[] NO_PROXIES = {};
 
-    private final int proxies;
+    private final int proxyCount;
     private final int subsetSize;
 
-    /** The least keys of each proxy, by its number. */
+    /** The lowest keys of each proxy, by the number of the proxy. */
     private final RankedKeys[] ranked;
 
-    /** The ids of all backends that may be used. */
+    /** The ids of all backends that proxies may use. */
     private final IdSet active = new IdSet();
 
-    /** The users of a backend by its id, until an id comes or goes. */
+    /** The proxies that use a backend, by its id; cleared when an id is added or removed. */
     private final Map<Integer, int[]> cachedUsers = new HashMap<>();
 
-    /** What is listed, by the backend's index. */
-    private final Map<Integer, Listed> listed = new HashMap<>();
+    /** The listed backends, by index. */
+    private final Map<Integer, ListedBackend> listed = new HashMap<>();
 
-    /** The indexes of the backends that are ready, by id; two backends may have one id. */
+    /** The indexes of the ready backends, by id; two backends may have the same id. */
     private final Map<Integer, Set<Integer>> readyById = new HashMap<>();
 
     /**
-     * A backend as it was listed last.
+     * The last update of a listed backend.
      *
-     * @param id its id then; its index may stand for another backend later
+     * @param id the id at the time of the update; its index may be reassigned to another backend
+     *     later
      */
-    private record Listed(EndpointUpdate update, int id) {
+    private record ListedBackend(EndpointUpdate update, int id) {
         private boolean isReady() {
             return update.state() == EndpointUpdate.State.READY;
         }
     }
 
-    /** The subsets of a number of proxies, each of so many backends. */
-    public SubsetAssignment(int proxies, int subsetSize) {
-        this.proxies = proxies;
+    /**
+     * Creates an assignment without backends.
+     *
+     * @param proxyCount the number of proxies in the fleet
+     * @param subsetSize the maximum number of backend ids that a proxy uses
+     */
+    public SubsetAssignment(int proxyCount, int subsetSize) {
+        this.proxyCount = proxyCount;
         this.subsetSize = subsetSize;
-        ranked = new RankedKeys[proxies];
-        Arrays.setAll(ranked, proxy -> new RankedKeys(subsetSize * KEPT_PER_PLACE));
+        ranked = new RankedKeys[proxyCount];
+        Arrays.setAll(ranked, proxy -> new RankedKeys(subsetSize * RANKED_KEYS_PER_SUBSET_MEMBER));
     }
 
-    /** The score of a backend's id at a proxy, from 0 to 1; the same wherever it is computed. */
+    /**
+     * Returns the score of a backend id for a proxy, from 0 (inclusive) to 1 (exclusive). Every
+     * proxy computes the same score.
+     */
     public static double score(int proxy, int id) {
         return (hash(proxy, id) >>> DROPPED_HASH_BITS) * 0x1p-53;
     }
 
-    /** One step of SplitMix64 from the seed that the two numbers make. */
+    /** Computes one step of SplitMix64, seeded with the two numbers. */
     private static long hash(int proxy, int id) {
         long z = ((long) proxy << Integer.SIZE | id) + 0x9e3779b97f4a7c15L;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
@@ -82,7 +92,7 @@
         return RankedKeys.key(hash(proxy, id), id);
     }
 
-    /** Sets the ids of all backends that may be used. */
+    /** Replaces the ids of the backends that proxies may use. */
     public void setActive(int[] ids) {
         Set<Integer> next = new HashSet<>();
         Arrays.stream(ids).forEach(next::add);
@@ -95,42 +105,44 @@
     }
 
     /**
-     * Takes over updates of the endpoint list. Returns them with the scores and user shares of one
-     * proxy, and after them each backend listed before whose user share has changed by them.
+     * Applies updates of the endpoint list.
      *
-     * @param whole whether nothing but these backends is listed
-     * @param idOf the id of the backend of an index
+     * @param proxy the proxy for which scores and user shares are computed
+     * @param complete whether the updates contain all listed backends, so that others are removed
+     * @param idOf returns the id of the backend with an index
+     * @return the updates with the scores and user shares of the proxy, followed by an update for
+     *     each other listed backend whose user share has changed
      */
-    public List<EndpointUpdate> withUserShares(
-            int proxy, boolean whole, List<EndpointUpdate> updates, IntUnaryOperator idOf) {
+    public List<EndpointUpdate> applyUpdates(
+            int proxy, boolean complete, List<EndpointUpdate> updates, IntUnaryOperator idOf) {
         Set<Integer> affected = subsetOf(proxy);
-        if (whole) {
+        if (complete) {
             List.copyOf(listed.keySet()).forEach(this::withdraw);
         }
-        updates.forEach(update -> replace(update, idOf.applyAsInt(update.backend())));
+        updates.forEach(update -> applyUpdate(update, idOf.applyAsInt(update.backend())));
         List<EndpointUpdate> assigned = new ArrayList<>(updates.size() + subsetSize);
         affected.addAll(subsetOf(proxy));
         for (EndpointUpdate update : updates) {
             affected.remove(update.backend());
-            assigned.add(withSubset(proxy, update, idOf.applyAsInt(update.backend())));
+            assigned.add(assignSubset(proxy, update, idOf.applyAsInt(update.backend())));
         }
         affected.forEach(backend -> addIfShareChanged(proxy, backend, assigned));
         return assigned;
     }
 
-    private void replace(EndpointUpdate update, int id) {
+    private void applyUpdate(EndpointUpdate update, int id) {
         withdraw(update.backend());
         if (update.state() == EndpointUpdate.State.READY) {
-            readyById.computeIfAbsent(id, none -> new HashSet<>()).add(update.backend());
+            readyById.computeIfAbsent(id, key -> new HashSet<>()).add(update.backend());
             add(id);
         }
         if (update.state() != EndpointUpdate.State.GONE) {
-            listed.put(update.backend(), new Listed(update.asKnownBackend(), id));
+            listed.put(update.backend(), new ListedBackend(update.asKnownBackend(), id));
         }
     }
 
     private void withdraw(int backend) {
-        Listed former = listed.remove(backend);
+        ListedBackend former = listed.remove(backend);
         if (former == null || !former.isReady()) {
             return;
         }
@@ -142,23 +154,24 @@
         }
     }
 
-    private EndpointUpdate withSubset(int proxy, EndpointUpdate update, int id) {
+    private EndpointUpdate assignSubset(int proxy, EndpointUpdate update, int id) {
         double score = score(proxy, id);
         double userShare = userShare(proxy, id);
         listed.computeIfPresent(
                 update.backend(),
-                (backend, last) -> new Listed(last.update.withSubset(score, userShare), last.id));
+                (backend, last) ->
+                        new ListedBackend(last.update.withSubset(score, userShare), last.id));
         return update.withSubset(score, userShare);
     }
 
     private void addIfShareChanged(int proxy, int backend, List<EndpointUpdate> assigned) {
-        Listed last = listed.get(backend);
+        ListedBackend last = listed.get(backend);
         if (last != null && last.update.userShare() != userShare(proxy, last.id)) {
-            assigned.add(withSubset(proxy, last.update, last.id));
+            assigned.add(assignSubset(proxy, last.update, last.id));
         }
     }
 
-    /** The indexes of the backends that a proxy uses. */
+    /** Returns the indexes of the backends that a proxy uses. */
     private Set<Integer> subsetOf(int proxy) {
         Set<Integer> backends = new HashSet<>();
         for (int rank = 0; rank < currentSubsetSize(proxy); rank++) {
@@ -167,12 +180,15 @@
         return backends;
     }
 
-    /** The share of all proxies that use a backend, from 0 to 1; 0 where this one does not. */
+    /**
+     * Returns the share of all proxies that use a backend, from 0 to 1; 0 if the given proxy does
+     * not use it.
+     */
     private double userShare(int proxy, int id) {
-        return uses(proxy, id) ? (double) users(id).length / proxies : 0;
+        return uses(proxy, id) ? (double) users(id).length / proxyCount : 0;
     }
 
-    /** Whether a proxy uses the backend of an id; nobody uses one that is not listed. */
+    /** Returns whether a proxy uses the backend with an id; false if that backend is not active. */
     public boolean uses(int proxy, int id) {
         int size = currentSubsetSize(proxy);
         return size > 0 && active.contains(id) && key(proxy, id) <= ranked[proxy].key(size - 1);
@@ -182,15 +198,18 @@
         return Math.min(subsetSize, ranked[proxy].size());
     }
 
-    /** The numbers of the proxies that use the backend of an id; not to be changed. */
+    /**
+     * Returns the numbers of the proxies that use the backend with an id; empty if that backend is
+     * not active. Callers must not modify the array.
+     */
     public int[] users(int id) {
         int[] cached = cachedUsers.get(id);
         if (cached != null || !active.contains(id)) {
-            return cached == null ? NOBODY : cached;
+            return cached == null ? NO_PROXIES : cached;
         }
-        int[] all = new int[proxies];
+        int[] all = new int[proxyCount];
         int count = 0;
-        for (int proxy = 0; proxy < proxies; proxy++) {
+        for (int proxy = 0; proxy < proxyCount; proxy++) {
             if (uses(proxy, id)) {
                 all[count++] = proxy;
             }
@@ -205,7 +224,7 @@
             return;
         }
         cachedUsers.clear();
-        for (int proxy = 0; proxy < proxies; proxy++) {
+        for (int proxy = 0; proxy < proxyCount; proxy++) {
             ranked[proxy].add(key(proxy, id));
         }
     }
@@ -215,15 +234,15 @@
             return;
         }
         cachedUsers.clear();
-        for (int proxy = 0; proxy < proxies; proxy++) {
+        for (int proxy = 0; proxy < proxyCount; proxy++) {
             ranked[proxy].remove(key(proxy, id));
-            if (ranked[proxy].size() < subsetSize && ranked[proxy].hasLeftOut()) {
-                rankAll(proxy);
+            if (ranked[proxy].size() < subsetSize && ranked[proxy].isTruncated()) {
+                rankAllActive(proxy);
             }
         }
     }
 
-    private void rankAll(int proxy) {
+    private void rankAllActive(int proxy) {
         ranked[proxy].clear();
         for (int place = 0; place < active.size(); place++) {
             ranked[proxy].add(key(proxy, active.get(place)));
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -55,7 +55,7 @@
     public ModuleUnderTest(Settings settings, long seed, int self, boolean usesGossip) {
         balancer = new LoadBalancer(settings, seed);
         this.self = self;
-        if (usesGossip && balancer.wantsGossip()) {
+        if (usesGossip && balancer.needsGossip()) {
             subsets = new SubsetAssignment(settings.proxyCount(), SUBSET_SIZE);
             gossip =
                     new LoadGossip(
@@ -89,7 +89,7 @@
         recovery = step.next();
         for (RecoveryState.StatusMessage message : step.messages()) {
             pendingStatusMessages.add(
-                    new LoadGossip.Message(message.to(), message.status().encoded()));
+                    new LoadGossip.Message(message.to(), message.status().encode()));
         }
         if (recovery.isSettled()) {
             return;
@@ -105,13 +105,13 @@
     private void updatePeerState(double now) {
         if (recovery != null) {
             recovery =
-                    recovery.withMeasured(
+                    recovery.withMeasuredServiceTime(
                             balancer.measuredServiceTime().seconds(),
                             (int) balancer.measuredServiceTime().samples());
         }
         if (gossip != null) {
-            gossip.expireSilentPeers(now);
-            balancer.peersHeard(gossip.livePeerCount(now) > 0);
+            gossip.expireStaleLoad(now);
+            balancer.setGossipActive(gossip.livePeerCount(now) > 0);
         }
     }
 
@@ -164,7 +164,7 @@
         List<EndpointUpdate> used =
                 gossip == null
                         ? updates
-                        : subsets.withUserShares(self, whole, updates, backend -> backend);
+                        : subsets.applyUpdates(self, whole, updates, backend -> backend);
         return recordAttempts(balancer.endpointsListed(now, whole, false, used));
     }
 
@@ -183,7 +183,7 @@
         }
         List<LoadGossip.Message> messages = new ArrayList<>(pendingStatusMessages);
         pendingStatusMessages.clear();
-        messages.addAll(gossip.dueMessages(now));
+        messages.addAll(gossip.takeDueMessages(now));
         return messages;
     }
 
--- a/src/main/java/lemondrift/proxy/ResourceSharing.java
+++ b/src/main/java/lemondrift/proxy/ResourceSharing.java
@@ -8,12 +8,12 @@
 import org.xnio.XnioWorker;
 
 /**
- * Keeps this process to its share of connections and load while another process of the same proxy
- * lives, as during an upgrade. Looks for the other one on XNIO's task thread, which may block.
+ * Limits this process to its share of connections and load while another process of the same proxy
+ * runs, as during an upgrade. Polls for the other process on XNIO's task thread, which may block.
  */
 final class ResourceSharing {
-    /** Seconds between two looks for another process; a start takes several times as long. */
-    private static final double LOOK_INTERVAL_SECONDS = 0.25;
+    /** Seconds between polls for another process. A start takes several times as long. */
+    private static final double POLL_INTERVAL_SECONDS = 0.25;
 
     private final XnioWorker worker;
     private final ConfigReload configReload;
@@ -34,32 +34,32 @@
         this.decisionLoop = decisionLoop;
     }
 
-    /** Looks at once, then again and again as long as the worker lives. */
+    /** Polls at once and then periodically until the worker shuts down. */
     void watch(TakeoverLock takeoverLock) {
         takeoverLock.refresh();
         setProcessCount(takeoverLock.processCount());
         worker.getIoThread()
                 .executeAtInterval(
-                        () -> worker.execute(() -> lookAgain(takeoverLock)),
-                        (long) (LOOK_INTERVAL_SECONDS * 1e9),
+                        () -> worker.execute(() -> poll(takeoverLock)),
+                        (long) (POLL_INTERVAL_SECONDS * 1e9),
                         TimeUnit.NANOSECONDS);
     }
 
-    private void lookAgain(TakeoverLock takeoverLock) {
+    private void poll(TakeoverLock takeoverLock) {
         if (takeoverLock.refresh()) {
             setProcessCount(takeoverLock.processCount());
         }
     }
 
-    /** Divides what the platform gives this proxy among so many processes. */
-    void setProcessCount(int processes) {
-        double share = configReload.current().connectionShare(processes);
+    /** Divides the resources of this proxy among a number of processes. */
+    void setProcessCount(int processCount) {
+        double share = configReload.current().connectionShare(processCount);
         worker.getIoThread()
                 .execute(
                         () -> {
-                            clientListener.setResourceShare(share, processes);
+                            clientListener.setResourceShare(share, processCount);
                             backendClient.setResourceShare(share);
                         });
-        decisionLoop.setProcessCount(processes);
+        decisionLoop.setProcessCount(processCount);
     }
 }
--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -14,41 +14,42 @@
 import org.xnio.StreamConnection;
 
 /**
- * One request on one connection and its response, buffered whole, or where it is long its beginning
- * and then a {@link StreamedResponse}. It ends once: with a response, with a failure, or by {@link
- * #abandon}. It never retries. I/O thread only.
+ * One request on one connection and its response. The response is buffered completely or, if it is
+ * too long or too slow, consists of its beginning and a {@link StreamedResponse}. A call ends
+ * exactly once: with a response, with a failure, or by {@link #abandon}. It never retries. I/O
+ * thread only.
  */
 public final class BackendCall {
     private enum State {
-        /** Waits to be started, or for a connection; a place in the pool is reserved. */
+        /** Waits to be started or for a connection; a slot in the pool is reserved. */
         CONNECTING,
-        /** Holds a connection: sends the request and reads the response, at the same time. */
+        /** Has a connection: sends the request and reads the response at the same time. */
         CONNECTED,
-        /** Ended; whatever comes now changes nothing. */
+        /** Ended: later events change nothing. */
         DONE
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(BackendCall.class);
 
     private final ConnectionPool pool;
-    private final RequestWriter request;
+    private final RequestWriter requestWriter;
     private final ResponseReader reader;
     private final CallTimeouts timeouts;
 
-    /** Whether anybody waits for the response. */
-    private final BooleanSupplier isWanted;
+    /** Returns whether the response is still needed. */
+    private final BooleanSupplier isResponseAwaited;
 
     private final Runnable onSent;
     private final Consumer<BackendResponse> onEnd;
     private State state = State.CONNECTING;
 
     /** Null while connecting. */
-    private ConnectionPool.PooledConnection link;
+    private ConnectionPool.PooledConnection pooledConnection;
 
-    /** Null until the connect has begun. */
-    private IoFuture<StreamConnection> connect;
+    /** Null until connecting has started. */
+    private IoFuture<StreamConnection> connectFuture;
 
-    /** The buffer that a streamed response has taken over; null where there is none. */
+    /** The buffer that a streamed response has taken over; null if there is none. */
     private PooledByteBuffer streamedBuffer;
 
     private BackendCall(
@@ -56,26 +57,27 @@
             RequestWriter.Request request,
             ResponseReader reader,
             CallTimeouts timeouts,
-            BooleanSupplier isWanted,
+            BooleanSupplier isResponseAwaited,
             Runnable onSent,
             Consumer<BackendResponse> onEnd) {
         this.pool = pool;
-        this.request = new RequestWriter(this, pool.io, request);
+        this.requestWriter = new RequestWriter(this, pool.ioThread, request);
         this.reader = reader;
         this.timeouts = timeouts;
-        this.isWanted = isWanted;
+        this.isResponseAwaited = isResponseAwaited;
         this.onSent = onSent;
         this.onEnd = onEnd;
     }
 
     /**
-     * A call, to be started, whose response is buffered whole.
+     * Creates a call whose response is buffered completely. It sends nothing until {@link #start},
+     * but its timeouts count from now.
      *
-     * @param maxBodyBytes a longer response is a failure
+     * @param maxBodyBytes the maximum length of the response's body; a longer one is a failure
      * @param connectTimeoutSeconds how long connecting may take
-     * @param timeoutSeconds how long the whole call may take
-     * @param onEnd hears of the response or the failure once, not after {@link #abandon}
-     * @return null if no connection is free and none may be opened
+     * @param timeoutSeconds how long the entire call may take
+     * @param onEnd receives the response or the failure once, but not after {@link #abandon}
+     * @return the call; null if no connection is idle and none may be opened
      */
     public static BackendCall make(
             ConnectionPool pool,
@@ -86,7 +88,7 @@
             Consumer<BackendResponse> onEnd) {
         CallTimeouts timeouts =
                 new CallTimeouts(
-                        pool.io,
+                        pool.ioThread,
                         pool.clock,
                         connectTimeoutSeconds,
                         timeoutSeconds,
@@ -105,21 +107,23 @@
     }
 
     /**
-     * A call, to be started, whose response may be streamed: when it is too long to be buffered, or
-     * its length is unknown and it has lasted for some time. Nothing more of the request is sent
-     * once it is not wanted or its time is over.
+     * Creates a call whose response may be streamed: if it is too long to be buffered, or if its
+     * length is unknown and it has taken some time. Stops sending the request when the response is
+     * no longer needed or the time to send is over. Sends nothing until {@link #start}, but the
+     * timeouts count from now.
      *
-     * @param isWanted whether anybody waits for the response; asked before each write
-     * @param onSent hears once the last byte of the request is with the kernel
-     * @param onEnd hears of the response or the failure once, not after {@link #abandon}
-     * @return null if no connection is free and none may be opened
+     * @param isResponseAwaited returns whether the response is still needed; called before each
+     *     write
+     * @param onSent runs when the kernel has the last byte of the request
+     * @param onEnd receives the response or the failure once, but not after {@link #abandon}
+     * @return the call; null if no connection is idle and none may be opened
      */
     static BackendCall makeStreaming(
             ConnectionPool pool,
             RequestWriter.Request request,
             int maxBufferedBytes,
             CallTimeouts timeouts,
-            BooleanSupplier isWanted,
+            BooleanSupplier isResponseAwaited,
             Runnable onSent,
             Consumer<BackendResponse> onEnd) {
         BackendCall call =
@@ -128,37 +132,41 @@
                         request,
                         new ResponseReader(maxBufferedBytes, true),
                         timeouts,
-                        isWanted,
+                        isResponseAwaited,
                         onSent,
                         onEnd);
         return call.reserve() ? call : null;
     }
 
-    /** The bytes of a GET request without a body. */
-    public static byte[] getRequest(String path, String host) {
+    /** Builds the bytes of a GET request without a body. */
+    public static byte[] buildGetRequest(String path, String host) {
         return ("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** Takes an idle connection or a place for a new one, and starts the timers. */
+    /**
+     * Takes an idle connection or reserves a slot for a new one, and starts the timers. Returns
+     * false if neither is available.
+     */
     private boolean reserve() {
-        link = pool.takeRested();
-        if (link == null && !pool.reserve()) {
-            link = pool.takeIdle();
-            if (link == null) {
+        pooledConnection = pool.takeUnquarantined();
+        if (pooledConnection == null && !pool.tryReserveSlot()) {
+            pooledConnection = pool.takeAnyIdle();
+            if (pooledConnection == null) {
                 return false;
             }
         }
-        if (link != null) {
+        if (pooledConnection != null) {
             state = State.CONNECTED;
         }
-        timeouts.start(request.streamsBody(), link == null, () -> endFailed(true));
+        timeouts.start(
+                requestWriter.streamsBody(), pooledConnection == null, () -> endFailed(true));
         return true;
     }
 
-    /** Sends the request, on the connection at hand or once one is established. */
+    /** Sends the request, after a connection has been established if none was idle. */
     public void start() {
-        if (link != null) {
+        if (pooledConnection != null) {
             send();
         } else {
             connect();
@@ -167,8 +175,8 @@
 
     private void connect() {
         try {
-            connect = pool.connector.open(pool.address, this::connected);
-            connect.addNotifier(
+            connectFuture = pool.connector.open(pool.address, this::connected);
+            connectFuture.addNotifier(
                     (future, unused) -> {
                         if (future.getStatus() == IoFuture.Status.FAILED) {
                             endConnectionBroken();
@@ -176,8 +184,8 @@
                     },
                     null);
         } catch (RuntimeException e) {
-            // Wide, as connectors may throw anything. Guards against a call that ends twice: a
-            // caller that saw the exception would end it too, and then the timers would.
+            // Catches every exception, as connectors may throw any. Guards against a call that ends
+            // twice: a caller that sees the exception would end it, and then the timers would, too.
             LOG.error("connecting to {} failed", pool.address, e);
             endNotSent();
         }
@@ -188,54 +196,62 @@
             IoUtils.safeClose(connection);
             return;
         }
-        link = pool.opened(connection);
+        pooledConnection = pool.addConnection(connection);
         state = State.CONNECTED;
         timeouts.connected();
         send();
     }
 
     private void send() {
-        // Guards against a backend that began to drain while the connection was established.
+        // Guards against a backend that started to drain while the connection was established.
         if (pool.isRetired()) {
             endNotSent();
             return;
         }
-        // Guards against a stale time: less is left than before the connection was established.
-        request.makeHead(timeouts.secondsLeft());
-        link.connection.getSourceChannel().setReadListener(source -> read());
-        link.connection.getSourceChannel().resumeReads();
-        request.start(link.connection.getSinkChannel());
+        // Guards against a stale time in the head: connecting may have used a part of it.
+        requestWriter.makeHead(timeouts.secondsLeft());
+        pooledConnection.connection.getSourceChannel().setReadListener(source -> read());
+        pooledConnection.connection.getSourceChannel().resumeReads();
+        requestWriter.start(pooledConnection.connection.getSinkChannel());
     }
 
-    /** Whether the call has ended. */
+    /** Returns whether the call has ended. */
     boolean isDone() {
         return state == State.DONE;
     }
 
-    /** Whether the request is worth sending: somebody waits for the response and it has time. */
+    /** Returns whether the request should be sent: its response is needed and time is left. */
     boolean isStillWanted() {
-        return isWanted.getAsBoolean() && (request.streamsBody() || !timeouts.isTooLateToSend());
+        return isResponseAwaited.getAsBoolean()
+                && (requestWriter.streamsBody() || !timeouts.isTooLateToSend());
     }
 
-    /** The last byte of the request is with the kernel. */
+    /** Called by the {@link RequestWriter} when the kernel has the last byte of the request. */
     void requestSent() {
-        if (request.streamsBody()) {
+        if (requestWriter.streamsBody()) {
             timeouts.bodyStreamed();
         }
         onSent.run();
     }
 
-    /** The instant at which it was made, or at which the last byte of a streamed body had gone. */
+    /**
+     * Returns the time at which the call was created or, if a body was streamed, the time at which
+     * its last byte was written, in seconds of the clock.
+     */
     double startedAt() {
         return timeouts.startedAt();
     }
 
     private void read() {
-        PooledByteBuffer pooled = pool.buffers.allocate();
+        PooledByteBuffer pooled = pool.bufferPool.allocate();
         try {
             int count = 1;
             while (!isDone() && count > 0) {
-                count = link.connection.getSourceChannel().read(pooled.getBuffer().clear());
+                count =
+                        pooledConnection
+                                .connection
+                                .getSourceChannel()
+                                .read(pooled.getBuffer().clear());
                 if (count > 0) {
                     bytesRead(pooled);
                 } else if (count < 0) {
@@ -244,7 +260,8 @@
             }
             scheduleStreaming();
         } catch (IOException | RuntimeException e) {
-            // Wide: guards against an attempt without an end where a library fails on a response.
+            // Catches every exception: guards against an attempt that never ends if a library fails
+            // on a response.
             endConnectionBroken();
         } finally {
             if (streamedBuffer != pooled) {
@@ -258,7 +275,7 @@
         if (reader.read(buffer)) {
             boolean unexpectedBytes = buffer.hasRemaining();
             if (unexpectedBytes) {
-                pool.sawUnexpectedBytes();
+                pool.startQuarantine();
             }
             endComplete(unexpectedBytes);
         } else if (reader.isTooLongToBuffer()) {
@@ -267,18 +284,16 @@
     }
 
     private void connectionEnded() {
-        if (reader.endsWithConnection()) {
+        if (reader.endsAtConnectionClose()) {
             endComplete(true);
         } else {
             endConnectionBroken();
         }
     }
 
-    /**
-     * Guards against a client that hears nothing until too late of a response that comes slowly.
-     */
+    /** Guards against a client that receives nothing of a slow response until it is too late. */
     private void scheduleStreaming() {
-        if (!isDone() && reader.isLengthUnknown() && request.isSent()) {
+        if (!isDone() && reader.isLengthUnknown() && requestWriter.isSent()) {
             timeouts.scheduleStreaming(this::streamIncomplete);
         }
     }
@@ -286,32 +301,36 @@
     private void streamIncomplete() {
         if (!isDone()) {
             reader.forceStreaming();
-            PooledByteBuffer empty = pool.buffers.allocate();
+            PooledByteBuffer empty = pool.bufferPool.allocate();
             empty.getBuffer().limit(0);
             endStreamed(empty);
         }
     }
 
-    /** Hands over the beginning of the response, and the connection with what follows. */
+    /** Ends the call with the beginning of the response and the connection for the remainder. */
     private void endStreamed(PooledByteBuffer unread) {
         streamedBuffer = unread;
         finish();
-        link.connection.getSourceChannel().suspendReads();
+        pooledConnection.connection.getSourceChannel().suspendReads();
         onEnd.accept(
-                reader.streamedResponse(new StreamedResponse(pool, link, request, reader, unread)));
+                reader.streamedResponse(
+                        new StreamedResponse(
+                                pool, pooledConnection, requestWriter, reader, unread)));
     }
 
     /**
-     * Guards against the next request on the connection that gets what lies beyond this response,
-     * or follows what was not sent of this request.
+     * Ends the call with a complete response. Guards against reuse of a connection on which the
+     * next request would receive bytes beyond this response, or would follow an incomplete request.
      */
-    private void endComplete(boolean spent) {
+    private void endComplete(boolean connectionUnusable) {
         finish();
-        pool.giveBack(link, !spent && request.isSent() && !reader.closesConnection());
+        pool.release(
+                pooledConnection,
+                !connectionUnusable && requestWriter.isSent() && !reader.closesConnection());
         onEnd.accept(reader.bufferedResponse());
     }
 
-    /** The connection could not be established, broke, or brought what cannot be read. */
+    /** Ends the call, as the connection could not be established, broke, or sent invalid bytes. */
     void endConnectionBroken() {
         endFailed(false);
     }
@@ -319,11 +338,11 @@
     private void endFailed(boolean timedOut) {
         if (!isDone()) {
             abandon();
-            onEnd.accept(BackendResponse.connectionFailed(request.isSent(), timedOut));
+            onEnd.accept(BackendResponse.connectionFailed(requestWriter.isSent(), timedOut));
         }
     }
 
-    /** The request is not going to be sent, through no fault of the backend. */
+    /** Ends the call, as its request will not be sent, through no fault of the backend. */
     void endNotSent() {
         if (!isDone()) {
             abandon();
@@ -331,7 +350,7 @@
         }
     }
 
-    /** Gives the request up by closing its connection, so that no copy of it stays out. */
+    /** Ends the call and closes its connection, so that its request does not stay in flight. */
     public void abandon() {
         if (isDone()) {
             return;
@@ -339,18 +358,18 @@
         boolean connecting = state == State.CONNECTING;
         finish();
         if (!connecting) {
-            link.close();
+            pooledConnection.close();
             return;
         }
-        pool.releasePlace();
-        if (connect != null) {
-            connect.cancel();
+        pool.releaseSlot();
+        if (connectFuture != null) {
+            connectFuture.cancel();
         }
     }
 
     private void finish() {
         state = State.DONE;
         timeouts.stop();
-        request.stop();
+        requestWriter.stop();
     }
 }
--- a/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
+++ b/src/main/java/lemondrift/proxy/backend/ConnectionPool.java
@@ -14,17 +14,17 @@
 import org.xnio.XnioIoThread;
 
 /**
- * A bounded pool of connections to one address; one request at a time on each. The connection that
- * has been idle longest is used first, and any byte that comes on an idle one closes it. I/O thread
- * only.
+ * A bounded pool of connections to one address, with one request at a time on each connection. The
+ * connection that has been idle longest is used first. A byte that arrives on an idle connection
+ * closes it. I/O thread only.
  */
 public final class ConnectionPool {
     /** A connection of the pool, in use for one request or idle. */
     public static final class PooledConnection {
-        /** Its socket. */
+        /** The socket. */
         public final StreamConnection connection;
 
-        /** Since when it is idle; without meaning while it is in use. */
+        /** The time at which the connection became idle; not valid while it is in use. */
         private double idleSince;
 
         private PooledConnection(StreamConnection connection) {
@@ -35,7 +35,7 @@
             IoUtils.safeClose(connection);
         }
 
-        /** Reads a byte, which no idle connection should have, to see how it stands. */
+        /** Determines the state by reading a byte, which an idle connection should not have. */
         private IdleState idleState() {
             if (!connection.isOpen()) {
                 return IdleState.CLOSED;
@@ -51,51 +51,55 @@
         }
     }
 
-    /** What an idle connection shows when it is looked at. */
+    /** The state of an idle connection's socket. */
     private enum IdleState {
-        /** Open and nothing has come: it can be used. */
+        /** Open, and no byte has arrived: the connection can be used. */
         QUIET,
-        /** Bytes have come that belong to no response. */
+        /** Bytes have arrived that belong to no response. */
         UNEXPECTED_BYTES,
-        /** The backend has closed it, or it is broken. */
+        /** The backend has closed the connection, or it is broken. */
         CLOSED
     }
 
     /**
-     * What several pools share: how many connections may be open over all of them, their idle
-     * connections, and whether answered connections rest before they are used again.
+     * The state that several pools share: how many connections all of them together may open, their
+     * idle connections, and whether connections are quarantined after a response.
      */
     public static final class ConnectionBudget {
         private int maxConnections;
 
-        /** Until this instant connections rest after a response; see {@link Quarantine}. */
-        private double restsUntil = Double.NEGATIVE_INFINITY;
+        /** The time until which connections are quarantined after a response. */
+        private double quarantineUntil = Double.NEGATIVE_INFINITY;
 
-        /** Idle longest first. */
+        /** The idle connections of all pools, longest idle first. */
         private final Set<PooledConnection> idle = new LinkedHashSet<>();
 
-        /** Places that are taken, by connections or by attempts to connect. */
-        private int reserved;
+        /** The slots in use, by connections or by attempts to connect. */
+        private int reservedSlots;
 
-        /** A budget of so many connections. */
+        /** Creates a budget for a number of connections. */
         public ConnectionBudget(int maxConnections) {
             this.maxConnections = maxConnections;
         }
 
-        /** Sets another bound; idle connections beyond it are closed. */
+        /** Changes the limit; idle connections are closed while it is exceeded. */
         void setMaxConnections(int maxConnections) {
             this.maxConnections = maxConnections;
-            while (reserved > maxConnections && !idle.isEmpty()) {
+            while (reservedSlots > maxConnections && !idle.isEmpty()) {
                 closeLongestIdle();
             }
         }
 
-        /** Guards against idle connections to other backends that keep the chosen one from use. */
-        private boolean makePlace() {
-            if (reserved >= maxConnections && !idle.isEmpty()) {
+        /**
+         * Closes the longest idle connection if the budget is used up; returns whether another
+         * connection may be opened. Guards against idle connections to other backends that prevent
+         * one to the chosen backend.
+         */
+        private boolean makeRoom() {
+            if (reservedSlots >= maxConnections && !idle.isEmpty()) {
                 closeLongestIdle();
             }
-            return reserved < maxConnections;
+            return reservedSlots < maxConnections;
         }
 
         private void closeLongestIdle() {
@@ -104,50 +108,56 @@
     }
 
     /**
-     * The quarantine of answered connections: for some seconds a connection is not used again,
-     * while a backend has sent more than its response not long ago.
+     * The quarantine of connections after a response: while it is active, a connection is not
+     * reused until it has been idle for some time. It becomes active when a backend sends bytes
+     * beyond its response.
      *
-     * @param restSeconds how long a connection rests after a response
-     * @param memorySeconds how long after unexpected bytes connections still rest
+     * @param minIdleSeconds how long a connection must have been idle to be reused
+     * @param activeSeconds how long the quarantine stays active after unexpected bytes
      */
-    public record Quarantine(double restSeconds, double memorySeconds) {
-        /** Connections are used again at once. */
+    public record Quarantine(double minIdleSeconds, double activeSeconds) {
+        /** No quarantine: connections are reused immediately. */
         public static final Quarantine NONE = new Quarantine(0, 0);
     }
 
-    /** Where all its connections lead. */
+    /** The remote address of all connections. */
     public final InetSocketAddress address;
 
-    final XnioIoThread io;
+    final XnioIoThread ioThread;
     final BackendConnector connector;
-    final ByteBufferPool buffers;
+    final ByteBufferPool bufferPool;
     final MonotonicClock clock;
     private final ConnectionBudget budget;
     private final int maxConnections;
     private final Quarantine quarantine;
 
-    /** Idle longest last. */
+    /** The idle connections of this pool, longest idle last. */
     private final Deque<PooledConnection> idle = new ArrayDeque<>();
 
-    /** Places that are taken here, by connections or by attempts to connect. */
-    private int reserved;
+    /** The slots of this pool in use, by connections or by attempts to connect. */
+    private int reservedSlots;
 
     private boolean retired;
 
-    /** A pool of at most so many connections, all of which also count against the budget. */
+    /**
+     * Creates an empty pool.
+     *
+     * @param budget the shared budget, against which all connections of this pool count, too
+     * @param maxConnections the maximum number of connections of this pool
+     */
     public ConnectionPool(
             InetSocketAddress address,
-            XnioIoThread io,
+            XnioIoThread ioThread,
             BackendConnector connector,
-            ByteBufferPool buffers,
+            ByteBufferPool bufferPool,
             MonotonicClock clock,
             ConnectionBudget budget,
             int maxConnections,
             Quarantine quarantine) {
         this.address = address;
-        this.io = io;
+        this.ioThread = ioThread;
         this.connector = connector;
-        this.buffers = buffers;
+        this.bufferPool = bufferPool;
         this.clock = clock;
         this.budget = budget;
         this.maxConnections = maxConnections;
@@ -155,98 +165,102 @@
     }
 
     /**
-     * Takes the connection that has been idle longest, if it has rested; null if there is none.
-     * Guards against bytes or a close that follow a response late and would meet the next request.
+     * Takes the connection that has been idle longest and is not in quarantine. Guards against late
+     * bytes or a late close after a response, which would affect the next request.
+     *
+     * @return the connection; null if there is none
      */
-    PooledConnection takeRested() {
+    PooledConnection takeUnquarantined() {
         double now = clock.now();
-        return takeIdleSince(now < budget.restsUntil ? now - quarantine.restSeconds : now);
+        return takeIdleSince(now < budget.quarantineUntil ? now - quarantine.minIdleSeconds : now);
     }
 
-    /** Takes the connection that has been idle longest, rested or not; null if there is none. */
-    PooledConnection takeIdle() {
+    /** Takes the connection that has been idle longest, even in quarantine; null if none. */
+    PooledConnection takeAnyIdle() {
         return takeIdleSince(Double.POSITIVE_INFINITY);
     }
 
     private PooledConnection takeIdleSince(double instant) {
         while (!idle.isEmpty() && idle.peekLast().idleSince <= instant) {
-            PooledConnection link = idle.pollLast();
-            budget.idle.remove(link);
-            IdleState state = link.idleState();
+            PooledConnection pooledConnection = idle.pollLast();
+            budget.idle.remove(pooledConnection);
+            IdleState state = pooledConnection.idleState();
             if (state == IdleState.QUIET) {
-                return link;
+                return pooledConnection;
             }
-            closeIdle(link, state);
+            closeIdle(pooledConnection, state);
         }
         return null;
     }
 
-    /** A backend has sent more than its response: connections rest from now on. */
-    void sawUnexpectedBytes() {
-        budget.restsUntil = clock.now() + quarantine.memorySeconds;
+    /** Activates the quarantine, as a backend has sent bytes beyond its response. */
+    void startQuarantine() {
+        budget.quarantineUntil = clock.now() + quarantine.activeSeconds;
     }
 
-    /** Whether another connection may be opened; its place is taken from now on. */
-    public boolean reserve() {
-        if (reserved >= maxConnections || !budget.makePlace()) {
+    /** Reserves a slot for another connection; returns false if none may be opened. */
+    public boolean tryReserveSlot() {
+        if (reservedSlots >= maxConnections || !budget.makeRoom()) {
             return false;
         }
-        reserved++;
-        budget.reserved++;
+        reservedSlots++;
+        budget.reservedSlots++;
         return true;
     }
 
-    /** Frees a reserved place: its connection is closed, or was not established. */
-    void releasePlace() {
-        reserved--;
-        budget.reserved--;
+    /** Frees a reserved slot, as its connection is closed or could not be established. */
+    void releaseSlot() {
+        reservedSlots--;
+        budget.reservedSlots--;
     }
 
-    /** Adds a connection that was established for a reserved place; it is in use. */
-    public PooledConnection opened(StreamConnection connection) {
-        PooledConnection link = new PooledConnection(connection);
+    /** Adds a connection that was established for a reserved slot; it counts as in use. */
+    public PooledConnection addConnection(StreamConnection connection) {
+        PooledConnection pooledConnection = new PooledConnection(connection);
         connection.setCloseListener(
                 closed -> {
-                    releasePlace();
-                    idle.remove(link);
-                    budget.idle.remove(link);
+                    releaseSlot();
+                    idle.remove(pooledConnection);
+                    budget.idle.remove(pooledConnection);
                 });
-        return link;
+        return pooledConnection;
     }
 
-    /** Takes back a connection after its request: closes it unless it can be used again. */
-    void giveBack(PooledConnection link, boolean reusable) {
+    /** Returns a connection to the pool after its request, or closes it if it is not reusable. */
+    void release(PooledConnection pooledConnection, boolean reusable) {
         if (reusable) {
-            giveBackReusable(link);
+            releaseReusable(pooledConnection);
         } else {
-            link.close();
+            pooledConnection.close();
         }
     }
 
-    /** Takes back a connection that can be used again; it is idle from now on. */
-    public void giveBackReusable(PooledConnection link) {
-        if (retired || !link.connection.isOpen()) {
-            link.close();
+    /** Returns a reusable connection to the pool; closes it if the pool is retired. */
+    public void releaseReusable(PooledConnection pooledConnection) {
+        if (retired || !pooledConnection.connection.isOpen()) {
+            pooledConnection.close();
             return;
         }
-        link.idleSince = clock.now();
-        idle.addFirst(link);
-        budget.idle.add(link);
-        // Whatever comes now, its end or more bytes, makes it useless.
-        link.connection
+        pooledConnection.idleSince = clock.now();
+        idle.addFirst(pooledConnection);
+        budget.idle.add(pooledConnection);
+        // Any event now, a close or more bytes, makes the connection unusable.
+        pooledConnection
+                .connection
                 .getSourceChannel()
-                .setReadListener(source -> closeIdle(link, link.idleState()));
-        link.connection.getSourceChannel().resumeReads();
+                .setReadListener(
+                        source -> closeIdle(pooledConnection, pooledConnection.idleState()));
+        pooledConnection.connection.getSourceChannel().resumeReads();
     }
 
-    private void closeIdle(PooledConnection link, IdleState state) {
+    private void closeIdle(PooledConnection pooledConnection, IdleState state) {
         if (state == IdleState.UNEXPECTED_BYTES) {
-            sawUnexpectedBytes();
+            startQuarantine();
         }
-        link.close();
+        pooledConnection.close();
     }
 
-    /** Sends nothing more here: idle connections close now, busy ones when their request ends. */
+    /** Retires the pool: idle connections close now, busy ones when their request ends. */
     public void retire() {
         retired = true;
         closeIdleSince(Double.POSITIVE_INFINITY);
@@ -256,7 +270,7 @@
         return retired;
     }
 
-    /** Closes the connections that have been idle since this instant or longer. */
+    /** Closes the connections that have been idle since an instant or longer. */
     void closeIdleSince(double instant) {
         while (!idle.isEmpty() && idle.peekLast().idleSince <= instant) {
             idle.pollLast().close();
--- a/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
+++ b/src/main/java/lemondrift/proxy/backend/StreamedResponse.java
@@ -7,28 +7,28 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * What follows of a response whose beginning has been passed on: read from the backend's connection
- * piece by piece as it is asked for. No timer of the call runs any more; only the two sides end it.
- * I/O thread only.
+ * The remainder of a response whose beginning has been delivered: read from the backend's
+ * connection piece by piece on demand. The timers of the call no longer run; only the client or the
+ * backend ends the response. I/O thread only.
  */
 final class StreamedResponse implements ResponseRemainder {
     private final ConnectionPool pool;
-    private final ConnectionPool.PooledConnection link;
-    private final RequestWriter request;
+    private final ConnectionPool.PooledConnection pooledConnection;
+    private final RequestWriter requestWriter;
     private final ResponseReader reader;
 
-    /** What has been read from the connection and not been passed on; null once released. */
+    /** Bytes that were read from the connection but not forwarded; null once released. */
     private PooledByteBuffer unread;
 
     StreamedResponse(
             ConnectionPool pool,
-            ConnectionPool.PooledConnection link,
-            RequestWriter request,
+            ConnectionPool.PooledConnection pooledConnection,
+            RequestWriter requestWriter,
             ResponseReader reader,
             PooledByteBuffer unread) {
         this.pool = pool;
-        this.link = link;
-        this.request = request;
+        this.pooledConnection = pooledConnection;
+        this.requestWriter = requestWriter;
         this.reader = reader;
         this.unread = unread;
     }
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public ByteBuffer next() throws IOException {
+    public ByteBuffer nextPiece() throws IOException {
         ByteBuffer buffer = unread.getBuffer();
         int count = 1;
         while (count > 0) {
@@ -47,20 +47,20 @@
             if (piece != null || reader.isComplete()) {
                 return piece;
             }
-            count = link.connection.getSourceChannel().read(buffer.clear());
+            count = pooledConnection.connection.getSourceChannel().read(buffer.clear());
             buffer.flip();
             if (count < 0) {
-                endOfConnection();
+                handleConnectionClosed();
             }
         }
         return null;
     }
 
-    private void endOfConnection() throws IOException {
-        if (!reader.endsWithConnection()) {
-            throw new IOException("the response breaks off");
+    private void handleConnectionClosed() throws IOException {
+        if (!reader.endsAtConnectionClose()) {
+            throw new IOException("connection closed before the response was complete");
         }
-        reader.connectionEnded();
+        reader.connectionClosed();
     }
 
     @Override
@@ -69,30 +69,30 @@
     }
 
     @Override
-    public void awaitMore(Runnable then) {
-        ConduitStreamSourceChannel source = link.connection.getSourceChannel();
+    public void awaitMore(Runnable action) {
+        ConduitStreamSourceChannel source = pooledConnection.connection.getSourceChannel();
         source.setReadListener(
                 channel -> {
                     channel.suspendReads();
-                    then.run();
+                    action.run();
                 });
         source.resumeReads();
     }
 
     @Override
-    public void fullyRelayed() {
+    public void relayCompleted() {
         boolean reusable =
                 !unread.getBuffer().hasRemaining()
                         && !reader.closesConnection()
-                        && request.isSent();
+                        && requestWriter.isSent();
         releaseBuffer();
-        pool.giveBack(link, reusable);
+        pool.release(pooledConnection, reusable);
     }
 
     @Override
     public void abandonResponse() {
         releaseBuffer();
-        link.close();
+        pooledConnection.close();
     }
 
     private void releaseBuffer() {
--- a/src/main/java/lemondrift/proxy/client/RequestReader.java
+++ b/src/main/java/lemondrift/proxy/client/RequestReader.java
@@ -11,20 +11,21 @@
 import org.xnio.IoUtils;
 
 /**
- * Reads requests and offers them for admission: whole where the body can be buffered, else as soon
- * as it can't be. Rejects here:
+ * Reads requests and offers them for admission: with the complete body if it can be buffered,
+ * otherwise as soon as it no longer can. Refuses:
  *
  * <ul>
- *   <li>400, connection closed: ambiguous framing, a body that can't be read, a streamed request
- *       with a bad field;
- *   <li>400, connection read again later: a bad field, or the id of a request that is open;
- *   <li>413, connection closed: a body longer than {@link #MAX_BODY_BYTES}.
+ *   <li>with 400, and closes the connection: ambiguous framing, an unreadable body, and a streamed
+ *       request with an invalid field or the id of another open request;
+ *   <li>with 400, and pauses reading from the connection: a buffered request with an invalid field
+ *       or the id of another open request;
+ *   <li>with 413, and closes the connection: a body longer than {@link #MAX_BODY_BYTES}.
  * </ul>
  *
  * <p>I/O thread only.
  */
 final class RequestReader {
-    /** The longest body that is accepted. */
+    /** The length of the longest body that is accepted. */
     private static final long MAX_BODY_BYTES = 40 << 20;
 
     private static final String HEALTH_CHECK_PATH = "/healthz";
@@ -57,11 +58,11 @@
         this.decisionEvents = decisionEvents;
     }
 
-    /** Undertow has read a request's head. */
+    /** Handles a request whose head Undertow has read. */
     void handle(HttpServerExchange exchange) {
-        ClientConnection connection = connections.of(ClientConnection.socketOf(exchange));
+        ClientConnection connection = connections.find(ClientConnection.socketOf(exchange));
         if (connection == null) {
-            // Guards against a head that Undertow had read before its connection was closed.
+            // Guards against serving a head that Undertow read before its connection was closed.
             IoUtils.safeClose(ClientConnection.socketOf(exchange));
             return;
         }
@@ -69,7 +70,7 @@
         connection.attachTo(exchange);
         exchange.addExchangeCompleteListener(
                 (completed, next) -> {
-                    completed(completed, connection);
+                    exchangeCompleted(completed, connection);
                     next.proceed();
                 });
         if (isHealthCheck(exchange)) {
@@ -81,7 +82,7 @@
             responses.refuseAndClose(
                     exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE, RefusalReason.BODY_TOO_LONG);
         } else if (exchange.isRequestComplete()) {
-            requestRead(exchange, new byte[0]);
+            dispatchBuffered(exchange, new byte[0]);
         } else {
             readBody(exchange, connection);
         }
@@ -92,8 +93,12 @@
                 && !exchange.getRequestHeaders().contains(RequestValidator.REQUEST_ID);
     }
 
-    /** Guards against what was closed midway: it completes too, before its close is reported. */
-    private void completed(HttpServerExchange exchange, ClientConnection connection) {
+    /**
+     * Counts the response of a completed exchange and closes its request. Guards against counting
+     * an exchange whose connection was closed midway: Undertow completes it too, before it reports
+     * the close.
+     */
+    private void exchangeCompleted(HttpServerExchange exchange, ClientConnection connection) {
         ClientCloseWatch.stop(exchange);
         if (ClientConnection.socketOf(exchange).isOpen()) {
             responses.countCompleted(exchange);
@@ -110,7 +115,7 @@
                         MAX_BODY_BYTES,
                         backendStallTimeoutSeconds,
                         bodyListener(exchange, connection));
-        connection.body.buffer();
+        connection.body.readIntoBuffer();
     }
 
     private RequestBody.Listener bodyListener(
@@ -118,7 +123,7 @@
         return new RequestBody.Listener() {
             @Override
             public void buffered(byte[] body) {
-                requestRead(exchange, body);
+                dispatchBuffered(exchange, body);
             }
 
             @Override
@@ -157,11 +162,11 @@
         };
     }
 
-    private void requestRead(HttpServerExchange exchange, byte[] body) {
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> offerWhole(exchange, body));
+    private void dispatchBuffered(HttpServerExchange exchange, byte[] body) {
+        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> offerBuffered(exchange, body));
     }
 
-    private void offerWhole(HttpServerExchange exchange, byte[] body) {
+    private void offerBuffered(HttpServerExchange exchange, byte[] body) {
         Request request = openRequest(exchange);
         if (request == null) {
             responses.refuseAndPause(exchange, RefusalReason.BAD_FIELD_OR_OPEN_ID);
@@ -170,8 +175,8 @@
         ClientConnection connection = ClientConnection.of(exchange);
         connection.requestRead();
         ClientCloseWatch.start(exchange);
-        if (connections.stoodStill()) {
-            // Guards against a request whose client has closed while the process stood still.
+        if (connections.wasProcessPaused()) {
+            // Guards against a request whose client closed while the process was paused.
             ClientCloseWatch.checkNow(exchange);
         }
         PendingRequest pending = new PendingRequest(request, exchange, body, null);
@@ -179,33 +184,37 @@
         admission.offer(pending);
     }
 
-    /** Decided now and sent as it comes, with all the time that its client needs for it. */
+    /**
+     * Offers a request whose body is streamed. It is decided now, and its deadline is the latest
+     * possible, so that its client may take as long as it needs to send the body. The time for the
+     * response is limited separately, from the last byte of the body on.
+     */
     private void offerStreamed(HttpServerExchange exchange, RequestBody body) {
-        Request bounded = openRequest(exchange);
-        if (bounded == null) {
+        Request parsedRequest = openRequest(exchange);
+        if (parsedRequest == null) {
             responses.refuseAndClose(
                     exchange, StatusCodes.BAD_REQUEST, RefusalReason.BAD_FIELD_OR_OPEN_ID);
             return;
         }
         body.setResponseTimeoutSeconds(
                 Math.min(
-                        bounded.deadline - bounded.arrivedAt,
-                        bounded.terms.requestClass().latencyObjectiveSeconds()));
+                        parsedRequest.deadline - parsedRequest.arrivedAt,
+                        parsedRequest.terms.requestClass().latencyObjectiveSeconds()));
         double timeoutSeconds = RequestValidator.MAX_TIMEOUT_MILLIS / 1e3;
         Request request =
                 new Request(
-                        bounded.id,
-                        bounded.requestClassIndex,
-                        bounded.tenant,
-                        bounded.arrivedAt,
+                        parsedRequest.id,
+                        parsedRequest.requestClassIndex,
+                        parsedRequest.tenant,
+                        parsedRequest.arrivedAt,
                         timeoutSeconds,
-                        bounded.markedRetry);
-        request.terms = bounded.terms.withTimeout(timeoutSeconds);
+                        parsedRequest.markedRetry);
+        request.terms = parsedRequest.terms.withTimeout(timeoutSeconds);
         ClientConnection.of(exchange).request = request;
         admission.offer(new PendingRequest(request, exchange, new byte[0], body));
     }
 
-    /** Null where a field is bad or another request of its id is open. */
+    /** Opens a request; returns null if a field is invalid or another open request has its id. */
     private Request openRequest(HttpServerExchange exchange) {
         Request request = validator.parse(exchange.getRequestHeaders());
         boolean opened =
--- a/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/RecoverySettingsFile.java
@@ -7,63 +7,66 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * Reads how a proxy recovers after its start, from the file that PROXY_RECOVERY names;
- * docs/recovery.md has the keys. Durations but the snapshot interval are stated as multiples of the
- * window, the shortest latency objective.
+ * Reads the settings of the recovery after a start from the file that PROXY_RECOVERY names.
+ * docs/recovery.md describes the keys. Durations in the file are multiples of the window, the
+ * shortest latency objective, except for the snapshot interval, which is in seconds.
  */
 final class RecoverySettingsFile {
-    /** Seconds between two snapshots, where the file does not say. */
+    /** Default time between two snapshots, in seconds. */
     private static final double DEFAULT_SNAPSHOT_INTERVAL_SECONDS = 5;
 
-    /** The most peers that may be polled at once, or responses that may be asked for. */
+    /** Maximum number of peers to poll at once, and of samples that end polling. */
     private static final int MAX_COUNT = 255;
 
     private double pollIntervalWindows;
-    private double pollTimeoutWindows;
-    private double forgetAfterWindows;
+    private double decisionTimeoutWindows;
+    private double expiryWindows;
     private int peersPerPoll;
-    private int sufficientResponses;
+    private int settledSamples;
     private double snapshotIntervalSeconds = DEFAULT_SNAPSHOT_INTERVAL_SECONDS;
 
-    /** Null where no disk outlasts the process. */
+    /** Null if no disk outlives the process. */
     private Path snapshotFolder;
 
     private RecoverySettingsFile() {
-        PeerPollSettings usual = PeerPollSettings.forLatencyObjective(1);
-        pollIntervalWindows = usual.intervalSeconds();
-        pollTimeoutWindows = usual.decisionTimeoutSeconds();
-        forgetAfterWindows = usual.expirySeconds();
-        peersPerPoll = usual.fanout();
-        sufficientResponses = usual.settledSamples();
+        PeerPollSettings defaults = PeerPollSettings.forLatencyObjective(1);
+        pollIntervalWindows = defaults.intervalSeconds();
+        decisionTimeoutWindows = defaults.decisionTimeoutSeconds();
+        expiryWindows = defaults.expirySeconds();
+        peersPerPoll = defaults.fanout();
+        settledSamples = defaults.settledSamples();
     }
 
     /**
      * Reads the file.
      *
-     * @throws InvalidSettingsException where something cannot be used; one line with file and key
+     * @param windowSeconds the window in seconds, by which durations are multiplied
+     * @throws IOException if the file cannot be read
+     * @throws InvalidSettingsException if a key or value is invalid; the message is one line with
+     *     the file and the key
      */
     static RecoverySettings read(Path file, double windowSeconds) throws IOException {
         RecoverySettingsFile settings = new RecoverySettingsFile();
         SettingsFile.readKeys(file, settings::readKey);
-        if (settings.forgetAfterWindows < settings.pollTimeoutWindows) {
+        if (settings.expiryWindows < settings.decisionTimeoutWindows) {
             throw new InvalidSettingsException(
                     file
                             + ": forget: "
-                            + settings.forgetAfterWindows
-                            + " is under bound, "
-                            + settings.pollTimeoutWindows);
+                            + settings.expiryWindows
+                            + ": must not be less than bound, "
+                            + settings.decisionTimeoutWindows);
         }
         return settings.inSeconds(windowSeconds);
     }
 
     private void readKey(String key, JsonElement value) {
         switch (key) {
-            case "ask" -> pollIntervalWindows = SettingsFile.number(value, 0.01, 10);
-            case "bound" -> pollTimeoutWindows = SettingsFile.number(value, 0.1, 100);
-            case "forget" -> forgetAfterWindows = SettingsFile.number(value, 0.1, 1000);
-            case "fanout" -> peersPerPoll = (int) SettingsFile.number(value, 1, MAX_COUNT);
-            case "enough" -> sufficientResponses = (int) SettingsFile.number(value, 1, MAX_COUNT);
-            case "period" -> snapshotIntervalSeconds = SettingsFile.number(value, 0.1, 3600);
+            case "ask" -> pollIntervalWindows = SettingsFile.parseNumber(value, 0.01, 10);
+            case "bound" -> decisionTimeoutWindows = SettingsFile.parseNumber(value, 0.1, 100);
+            case "forget" -> expiryWindows = SettingsFile.parseNumber(value, 0.1, 1000);
+            case "fanout" -> peersPerPoll = (int) SettingsFile.parseNumber(value, 1, MAX_COUNT);
+            case "enough" -> settledSamples = (int) SettingsFile.parseNumber(value, 1, MAX_COUNT);
+            case "period" -> snapshotIntervalSeconds = SettingsFile.parseNumber(value, 0.1, 3600);
             case "folder" -> snapshotFolder = Path.of(value.getAsString());
             default ->
                     throw new InvalidSettingsException(
@@ -76,10 +79,10 @@
         return new RecoverySettings(
                 new PeerPollSettings(
                         pollIntervalWindows * windowSeconds,
-                        pollTimeoutWindows * windowSeconds,
-                        forgetAfterWindows * windowSeconds,
+                        decisionTimeoutWindows * windowSeconds,
+                        expiryWindows * windowSeconds,
                         peersPerPoll,
-                        sufficientResponses),
+                        settledSamples),
                 snapshotFolder,
                 snapshotIntervalSeconds);
     }
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -17,48 +17,51 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out a proxy's recovery after its start. Decision loop's thread only, but where it says
- * otherwise.
+ * Runs the recovery of a proxy after its start. Used only on the thread of the decision loop,
+ * except where noted.
  */
 public final class RecoveryCoordinator implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RecoveryCoordinator.class);
 
-    /** Hears that a peer has restarted. */
+    /** Called when a peer has restarted. */
     public interface PeerRestartListener {
         void peerRestarted(int proxy, long startNumber);
     }
 
     private record ReceivedStatus(int from, PeerStatus status) {}
 
-    private final Queue<ReceivedStatus> received = new ConcurrentLinkedQueue<>();
+    private final Queue<ReceivedStatus> receivedStatuses = new ConcurrentLinkedQueue<>();
 
-    /** Null where no disk lasts. */
+    /** Null if there is no persistent storage. */
     private final SnapshotStore snapshotStore;
 
-    /** What is used of the former self's snapshot. */
-    private final Snapshot.Trusted trusted;
+    /** The values restored from the snapshot of the previous run. */
+    private final Snapshot.RestoredValues restored;
 
     private final double snapshotIntervalSeconds;
     private double nextSnapshotAt;
 
-    /** The mean service time as it was measured last; kept where snapshots are stored. */
+    /** The last measured mean service time; updated only if snapshots are stored. */
     private volatile ServiceTime lastMeasured = new ServiceTime(0, 0);
 
-    /** A value, so that any thread may read it. */
+    /** Immutable, so any thread may read it. */
     private volatile RecoveryState state;
 
-    /** What peers have measured; null where none has, and once it is settled as it was last. */
+    /**
+     * The last estimate from peers; null if there is none. Not updated once the state is settled.
+     */
     private volatile RecoveryState.PeerEstimate peerEstimate;
 
-    /** When the phase changed last. */
-    private volatile double phaseSince;
+    /** When the phase last changed. */
+    private volatile double phaseChangedAt;
 
-    /** Whether the decisions have been given a first service time, if there was one. */
-    private boolean seeded;
+    /** Whether the balancer has been seeded with a first service time, if there was one. */
+    private boolean seedAttempted;
 
     /**
-     * The recovery of a proxy, which begins now. Before it returns, the start number is on disk
-     * where one lasts. Guards against a number that peers have seen being used a second time.
+     * Starts the recovery of a proxy. If there is persistent storage, the start number is stored
+     * before the constructor returns. Guards against reusing a start number that peers have already
+     * seen.
      */
     public RecoveryCoordinator(
             RecoverySettings settings, String proxyName, int self, int proxyCount, double now) {
@@ -67,38 +70,43 @@
                 settings.snapshotFolder() == null
                         ? null
                         : new SnapshotStore(settings.snapshotFolder(), proxyName);
-        trusted = snapshotStore == null ? Snapshot.Trusted.NOTHING : snapshotStore.readTrusted();
-        // Guards against a wall clock that went back, which would repeat a number.
-        long startNumber = Math.max(trusted.previousStart() + 1, System.currentTimeMillis());
+        restored =
+                snapshotStore == null
+                        ? Snapshot.RestoredValues.NONE
+                        : snapshotStore.restoreNewest();
+        // Guards against repeating a start number after the wall clock went back.
+        long startNumber = Math.max(restored.previousStartNumber() + 1, System.currentTimeMillis());
         state = RecoveryState.starting(settings.polling(), self, proxyCount, startNumber, now);
-        phaseSince = now;
+        phaseChangedAt = now;
         nextSnapshotAt = now + snapshotIntervalSeconds;
         if (snapshotStore != null) {
-            snapshotStore.writeNow(
-                    startNumber, trusted.serviceTimeSeconds(), trustedSamplesWithServiceTime());
+            snapshotStore.writeNow(startNumber, restored.serviceTimeSeconds(), restoredSamples());
         }
         LOG.info(
                 "recovery begins start_number={} snapshot=\"{}\" service_time_seconds={}"
                         + " samples={}",
                 startNumber,
-                trusted.reason(),
-                trusted.serviceTimeSeconds(),
-                trusted.samples());
+                restored.reason(),
+                restored.serviceTimeSeconds(),
+                restored.samples());
     }
 
-    private int trustedSamplesWithServiceTime() {
-        return trusted.serviceTimeSeconds() > 0 ? trusted.samples() : 0;
+    private int restoredSamples() {
+        return restored.serviceTimeSeconds() > 0 ? restored.samples() : 0;
     }
 
-    /** Whether a datagram is a peer's status, not gossip. Any thread. */
+    /** Returns whether a datagram is a status of a peer, not gossip. Any thread. */
     public static boolean isRecoveryDatagram(byte[] datagram) {
         return datagram.length > 0 && datagram[0] == PeerStatus.KIND;
     }
 
-    /** Queues a peer's status until the next advance; drops one that can't be read. Any thread. */
-    public void received(int from, byte[] datagram) {
+    /**
+     * Queues the status of a peer until the next {@link #advance}; drops an unreadable one. Any
+     * thread.
+     */
+    public void enqueueDatagram(int from, byte[] datagram) {
         PeerStatus.decode(datagram)
-                .ifPresent(status -> received.add(new ReceivedStatus(from, status)));
+                .ifPresent(status -> receivedStatuses.add(new ReceivedStatus(from, status)));
     }
 
     public long startNumber() {
@@ -106,19 +114,19 @@
     }
 
     /**
-     * When to advance at the latest, in seconds of the clock; infinite once it is settled and no
-     * snapshots are stored.
+     * Returns when to call {@link #advance} at the latest, in seconds of the clock; infinite if
+     * recovery is settled and no snapshots are stored.
      */
     public double wakeAt() {
         return snapshotStore == null ? state.wakeAt() : Math.min(state.wakeAt(), nextSnapshotAt);
     }
 
     /**
-     * Follows what peers have sent, passes what they have measured to the decisions, polls where
-     * that is due, and stores a snapshot from time to time.
+     * Processes the statuses received from peers, seeds the balancer with the service time that
+     * they have measured, polls peers if a poll is due, and stores snapshots periodically.
      *
-     * @param listener hears of each peer that has restarted
-     * @param sender sends what goes to peers
+     * @param listener called for each peer that has restarted
+     * @param sender sends messages to peers
      */
     public void advance(
             double now,
@@ -128,12 +136,12 @@
         boolean wasSettled = state.isSettled();
         if (!wasSettled) {
             ServiceTime measured = balancer.measuredServiceTime();
-            state = state.withMeasured(measured.seconds(), (int) measured.samples());
+            state = state.withMeasuredServiceTime(measured.seconds(), (int) measured.samples());
         }
         processReceived(now, listener, sender);
         apply(state.wake(now), now, sender);
         if (!state.isSettled()) {
-            seedDecisions(balancer, now);
+            seedBalancer(balancer, now);
         } else if (!wasSettled) {
             LOG.info(
                     "recovery settled phase={} after={} service_time_seconds={} samples={}"
@@ -154,7 +162,9 @@
 
     private void processReceived(
             double now, PeerRestartListener listener, Consumer<LoadGossip.Message> sender) {
-        for (ReceivedStatus next = received.poll(); next != null; next = received.poll()) {
+        for (ReceivedStatus next = receivedStatuses.poll();
+                next != null;
+                next = receivedStatuses.poll()) {
             RecoveryState.Step step = state.statusReceived(next.from, next.status, now);
             if (step.peerRestarted()) {
                 listener.peerRestarted(next.from, next.status.startNumber());
@@ -166,7 +176,7 @@
     private void apply(RecoveryState.Step step, double now, Consumer<LoadGossip.Message> sender) {
         RecoveryState next = step.next();
         if (next.phase() != state.phase()) {
-            phaseSince = now;
+            phaseChangedAt = now;
             LOG.info(
                     "recovery phase={} previous={} after={} peers_heard={}",
                     next.phase(),
@@ -176,30 +186,30 @@
         }
         state = next;
         for (RecoveryState.StatusMessage each : step.messages()) {
-            sender.accept(new LoadGossip.Message(each.to(), each.status().encoded()));
+            sender.accept(new LoadGossip.Message(each.to(), each.status().encode()));
         }
     }
 
-    /** Seeds the decisions' service time from peers, or at first from the snapshot. */
-    private void seedDecisions(LoadBalancer balancer, double now) {
+    /** Seeds the balancer's service time from peers, or at first from the snapshot. */
+    private void seedBalancer(LoadBalancer balancer, double now) {
         Optional<RecoveryState.PeerEstimate> current = state.peerEstimate(now);
         if (current.isPresent()) {
             balancer.seedServiceTime(current.get().serviceTimeSeconds(), current.get().samples());
-        } else if (!seeded && trusted.serviceTimeSeconds() > 0) {
-            balancer.seedServiceTime(trusted.serviceTimeSeconds(), trusted.samples());
+        } else if (!seedAttempted && restored.serviceTimeSeconds() > 0) {
+            balancer.seedServiceTime(restored.serviceTimeSeconds(), restored.samples());
         }
-        seeded = true;
+        seedAttempted = true;
         peerEstimate = current.orElse(null);
     }
 
     private void storeSnapshot(double now) {
-        // Jitter guards against all proxies of a machine writing at once to its one disk.
+        // Jitter guards against all proxies of a machine writing to its one disk at the same time.
         nextSnapshotAt = now + snapshotIntervalSeconds * (0.5 + Math.random());
-        writeMeasured();
+        writeMeasuredSnapshot();
     }
 
-    private void writeMeasured() {
-        snapshotStore.writeSoon(
+    private void writeMeasuredSnapshot() {
+        snapshotStore.writeAsync(
                 state.startNumber(),
                 lastMeasured.seconds(),
                 (int) Math.min(lastMeasured.samples(), Short.MAX_VALUE));
@@ -209,7 +219,7 @@
         return String.format(Locale.ROOT, "%.2fs", seconds);
     }
 
-    /** Phase, samples and snapshot as JSON, for operators. Any thread. */
+    /** Returns the phase, samples and snapshot as JSON, for operators. Any thread. */
     public String statusJson(double now) {
         RecoveryState current = state;
         RecoveryState.PeerEstimate estimate = peerEstimate;
@@ -217,13 +227,13 @@
         json.addProperty("start", current.startNumber());
         json.addProperty("up", now - current.startedAt());
         json.addProperty("standing", current.phase().name().toLowerCase(Locale.ROOT));
-        json.addProperty("for", now - phaseSince);
+        json.addProperty("for", now - phaseChangedAt);
         json.addProperty("settled", current.isSettled());
         json.addProperty("work", current.serviceTimeSeconds());
         json.addProperty("answers", current.samples());
         json.addProperty("asked", current.pollRounds());
         json.addProperty("heard", current.observations().size());
-        json.addProperty("snapshot", trusted.reason());
+        json.addProperty("snapshot", restored.reason());
         if (estimate != null) {
             json.addProperty("learned", estimate.serviceTimeSeconds());
             json.addProperty("from_answers", estimate.samples());
@@ -231,17 +241,15 @@
         return json.toString();
     }
 
-    /** Stores a last snapshot. Any thread, once the decision loop has ended. */
+    /** Stores the last snapshot. Any thread, after the decision loop has ended. */
     @Override
     public void close() {
         if (snapshotStore != null) {
             if (lastMeasured.samples() > 0) {
-                writeMeasured();
+                writeMeasuredSnapshot();
             } else {
-                snapshotStore.writeSoon(
-                        state.startNumber(),
-                        trusted.serviceTimeSeconds(),
-                        trustedSamplesWithServiceTime());
+                snapshotStore.writeAsync(
+                        state.startNumber(), restored.serviceTimeSeconds(), restoredSamples());
             }
             snapshotStore.close();
         }
--- a/src/main/java/lemondrift/recovery/RecoveryState.java
+++ b/src/main/java/lemondrift/recovery/RecoveryState.java
@@ -9,24 +9,24 @@
 import java.util.stream.Stream;
 
 /**
- * A proxy's recovery after its start: it polls its peers for their phase and for the service time
- * of a request, until it has measured that itself. A value; each event gives another one. Times are
- * in seconds of one clock.
+ * The recovery of a proxy after its start: the proxy polls its peers for their status and the
+ * service time of a request until it has measured the service time itself. The state is immutable;
+ * each event returns a new state. Times are in seconds of one clock.
  *
- * @param backoff how it polls
- * @param self its number among the proxies
- * @param proxyCount how many proxies there are
- * @param startNumber its own, which rises with each start
- * @param startedAt when it started
- * @param serviceTimeSeconds mean service time from its own samples, 0 without any
- * @param samples how many these are
- * @param observations the latest status of each peer that has sent one, by its number
- * @param phase what it is among them; fixed once it is settled
- * @param pollRounds how often it has polled
- * @param nextPollAt when it polls next
+ * @param pollSettings how the proxy polls its peers
+ * @param self the number of this proxy, counted from 0
+ * @param proxyCount the number of proxies in the fleet
+ * @param startNumber the start number of this proxy, which rises with each start
+ * @param startedAt when this proxy started
+ * @param serviceTimeSeconds mean service time of its own samples; 0 without samples
+ * @param samples number of its own samples
+ * @param observations the latest status of each peer that has sent one, by the number of the peer
+ * @param phase the current phase; fixed once the proxy is settled
+ * @param pollRounds number of completed poll rounds
+ * @param nextPollAt when the next poll round is due; infinite once the proxy is settled
  */
 public record RecoveryState(
-        PeerPollSettings backoff,
+        PeerPollSettings pollSettings,
         int self,
         int proxyCount,
         long startNumber,
@@ -37,44 +37,47 @@
         RecoveryPhase phase,
         int pollRounds,
         double nextPollAt) {
-    /** It counts as the only new one while at most one peer in so many is new. */
-    private static final int PEERS_PER_NEW_ONE = 4;
+    /**
+     * The proxy counts as the only new one if at most one in this number of answering peers is not
+     * settled.
+     */
+    private static final int MIN_ANSWERS_PER_UNSETTLED_PEER = 4;
 
-    /** As how many samples those of one peer count at the most. */
-    private static final int MAX_SAMPLES_OF_ONE_PEER = 8;
+    /** Maximum number of samples that one peer contributes to the estimate. */
+    private static final int MAX_SAMPLES_PER_PEER = 8;
 
-    /** In place of the recipient's start number where that is not known. */
+    /** Used as the recipient's start number if it is not known. */
     private static final long ANY_START = 0;
 
     /**
-     * What goes to a peer.
+     * A status to be sent to a peer.
      *
-     * @param to the peer's number
+     * @param to the number of the peer
      */
     public record StatusMessage(int to, PeerStatus status) {}
 
     /**
-     * What comes of an event.
+     * The result of an event.
      *
-     * @param next the state after it
-     * @param messages what is to be sent
-     * @param peerRestarted whether it shows that the peer has restarted
+     * @param next the state after the event
+     * @param messages the messages to be sent
+     * @param peerRestarted whether the event shows that a peer has restarted
      */
     public record Step(RecoveryState next, List<StatusMessage> messages, boolean peerRestarted) {}
 
     /**
-     * What peers have measured.
+     * The service time that peers have measured.
      *
      * @param serviceTimeSeconds mean service time, in seconds
-     * @param samples as how many samples it counts
+     * @param samples number of samples by which the estimate is weighted
      */
     public record PeerEstimate(double serviceTimeSeconds, int samples) {}
 
-    /** The state at the start of a proxy, which polls at once. */
+    /** Returns the state of a proxy that starts now; its first poll round is due immediately. */
     public static RecoveryState starting(
-            PeerPollSettings backoff, int self, int proxyCount, long startNumber, double now) {
+            PeerPollSettings pollSettings, int self, int proxyCount, long startNumber, double now) {
         return new RecoveryState(
-                backoff,
+                pollSettings,
                 self,
                 proxyCount,
                 startNumber,
@@ -93,7 +96,7 @@
             int pollRounds,
             double nextPollAt) {
         return new RecoveryState(
-                backoff,
+                pollSettings,
                 self,
                 proxyCount,
                 startNumber,
@@ -106,18 +109,21 @@
                 nextPollAt);
     }
 
-    /** Whether it has samples enough of its own, and polls no more. */
+    /** Returns whether the proxy has enough samples of its own and no longer polls. */
     public boolean isSettled() {
-        return samples >= backoff.settledSamples();
+        return samples >= pollSettings.settledSamples();
     }
 
-    /** The state with the mean service time that its own samples show; the same once settled. */
-    public RecoveryState withMeasured(double serviceTimeSeconds, int samples) {
+    /**
+     * Returns the state with the mean service time of the proxy's own samples; returns this state
+     * unchanged if it is already settled.
+     */
+    public RecoveryState withMeasuredServiceTime(double serviceTimeSeconds, int samples) {
         if (isSettled()) {
             return this;
         }
         return new RecoveryState(
-                backoff,
+                pollSettings,
                 self,
                 proxyCount,
                 startNumber,
@@ -127,13 +133,14 @@
                 observations,
                 phase,
                 pollRounds,
-                samples >= backoff.settledSamples() ? Double.POSITIVE_INFINITY : nextPollAt);
+                samples >= pollSettings.settledSamples() ? Double.POSITIVE_INFINITY : nextPollAt);
     }
 
     /**
-     * A peer's status has come. Guards against datagrams that come late, twice, out of order or
-     * from before one of both has restarted: such a one changes nothing. A lower start number, as
-     * of a peer whose wall clock went back, counts once the higher one has expired.
+     * Handles a status from a peer. Guards against datagrams that are late, duplicate, out of
+     * order, or from before a restart of the sender or the recipient: they change nothing. A lower
+     * start number, for example of a peer whose wall clock went back, is accepted once the status
+     * with the higher one has expired.
      */
     public Step statusReceived(int from, PeerStatus status, double now) {
         PeerObservation before = observations.get(from);
@@ -148,9 +155,9 @@
         updated.put(from, new PeerObservation(status, now));
         boolean restarted =
                 before == null
-                        ? status.uptimeSeconds() <= backoff.expirySeconds()
+                        ? status.uptimeSeconds() <= pollSettings.expirySeconds()
                         : before.status().startNumber() != status.startNumber();
-        RecoveryState next = with(updated, phase, pollRounds, nextPollAt).judged(now);
+        RecoveryState next = with(updated, phase, pollRounds, nextPollAt).withCurrentPhase(now);
         List<StatusMessage> replies =
                 status.wantsReply()
                         ? List.of(
@@ -160,15 +167,18 @@
         return new Step(next, replies, restarted);
     }
 
-    /** Polls the next few peers where that is due; each interval is longer than the one before. */
+    /**
+     * Polls the next peers in turn if a poll round is due. Each interval between two rounds is
+     * longer than the previous one, up to the expiry of a status.
+     */
     public Step wake(double now) {
         if (now < nextPollAt || proxyCount < 2) {
-            return new Step(judged(now), List.of(), false);
+            return new Step(withCurrentPhase(now), List.of(), false);
         }
         int peerCount = proxyCount - 1;
         List<StatusMessage> polls = new ArrayList<>();
-        for (int i = 0; i < Math.min(backoff.fanout(), peerCount); i++) {
-            int to = (self + 1 + (pollRounds * backoff.fanout() + i) % peerCount) % proxyCount;
+        for (int i = 0; i < Math.min(pollSettings.fanout(), peerCount); i++) {
+            int to = (self + 1 + (pollRounds * pollSettings.fanout() + i) % peerCount) % proxyCount;
             PeerObservation observation = observations.get(to);
             long recipientStart =
                     observation != null && isCurrent(observation, now)
@@ -177,12 +187,15 @@
             polls.add(new StatusMessage(to, ownStatus(recipientStart, true, now)));
         }
         double interval =
-                Math.min(backoff.expirySeconds(), backoff.intervalSeconds() * (1 + pollRounds));
-        RecoveryState next = with(observations, phase, pollRounds + 1, now + interval).judged(now);
+                Math.min(
+                        pollSettings.expirySeconds(),
+                        pollSettings.intervalSeconds() * (1 + pollRounds));
+        RecoveryState next =
+                with(observations, phase, pollRounds + 1, now + interval).withCurrentPhase(now);
         return new Step(next, polls, false);
     }
 
-    /** When to wake it; infinite once it polls no more. */
+    /** Returns when to call {@link #wake} next; infinite once the proxy is settled. */
     public double wakeAt() {
         return isSettled() ? Double.POSITIVE_INFINITY : nextPollAt;
     }
@@ -199,7 +212,7 @@
     }
 
     private boolean isCurrent(PeerObservation observation, double now) {
-        return now - observation.receivedAt() <= backoff.expirySeconds();
+        return now - observation.receivedAt() <= pollSettings.expirySeconds();
     }
 
     private Stream<PeerStatus> currentStatuses(double now) {
@@ -208,21 +221,24 @@
                 .map(PeerObservation::status);
     }
 
-    /** With the phase that the answers show, which is corrected until it is settled. */
-    private RecoveryState judged(double now) {
+    /** Returns the state with the phase updated from the current statuses, until it is settled. */
+    private RecoveryState withCurrentPhase(double now) {
         if (isSettled()) {
             return this;
         }
-        RecoveryPhase judged = judgedPhase(now);
-        return judged == phase ? this : with(observations, judged, pollRounds, nextPollAt);
+        RecoveryPhase currentPhase = determinePhase(now);
+        return currentPhase == phase
+                ? this
+                : with(observations, currentPhase, pollRounds, nextPollAt);
     }
 
-    private RecoveryPhase judgedPhase(double now) {
+    private RecoveryPhase determinePhase(double now) {
         long answered = currentStatuses(now).count();
         long settled = currentStatuses(now).filter(PeerStatus::settled).count();
-        boolean early =
-                now - startedAt < backoff.decisionTimeoutSeconds() && answered < proxyCount - 1;
-        if (early && settled == 0) {
+        boolean undecided =
+                now - startedAt < pollSettings.decisionTimeoutSeconds()
+                        && answered < proxyCount - 1;
+        if (undecided && settled == 0) {
             return RecoveryPhase.UNKNOWN;
         }
         if (answered == 0) {
@@ -231,15 +247,16 @@
         if (settled == 0) {
             return RecoveryPhase.ALL_NEW;
         }
-        return (answered - settled) * PEERS_PER_NEW_ONE <= answered
+        return (answered - settled) * MIN_ANSWERS_PER_UNSETTLED_PEER <= answered
                 ? RecoveryPhase.ALONE
                 : RecoveryPhase.AMONG_SOME;
     }
 
     /**
-     * The service time that peers have measured, of the settled ones where there are any; empty
-     * where none has measured anything. It is the upper median, of two the larger: a single peer
-     * can't move it far, and too short a time would overload a backend in slow start.
+     * Returns the service time that peers have measured: of the settled peers if there are any,
+     * else of all peers. Returns empty if no peer has samples. The estimate is the upper median
+     * (the larger of two values): a single peer cannot move it far, and an estimate that is too
+     * short would overload a backend in slow start.
      */
     public Optional<PeerEstimate> peerEstimate(double now) {
         boolean anySettled = currentStatuses(now).anyMatch(PeerStatus::settled);
@@ -256,7 +273,7 @@
         }
         int samples =
                 measured.stream()
-                        .mapToInt(status -> Math.min(MAX_SAMPLES_OF_ONE_PEER, status.samples()))
+                        .mapToInt(status -> Math.min(MAX_SAMPLES_PER_PEER, status.samples()))
                         .sum();
         return Optional.of(
                 new PeerEstimate(measured.get(measured.size() / 2).serviceTimeSeconds(), samples));
--- a/src/main/java/lemondrift/settings/RequestClassIndex.java
+++ b/src/main/java/lemondrift/settings/RequestClassIndex.java
@@ -9,27 +9,27 @@
 import lemondrift.model.RequestClass;
 
 /**
- * The index under which each named request class stands. A class keeps its index over reloads as
- * long as it is named with the same idempotency and deduplication scope, so that what is learnt of
- * one class never counts for another. Immutable; any thread.
+ * Assigns an index to each named request class. A class keeps its index across reloads as long as
+ * it is named with the same idempotency and deduplication scope, so that statistics of one class
+ * never count for another. Immutable; may be used by any thread.
  */
 public final class RequestClassIndex {
     /** Stands for no index. */
-    private static final int NONE = -1;
+    private static final int NO_INDEX = -1;
 
-    /** By index; null where no class has the index any more. */
+    /** By index; null if no class has the index any more. */
     private final List<String> names;
 
-    /** By index; null where no class has the index any more. */
-    private final List<RequestClass> byIndex;
+    /** By index; null if no class has the index any more. */
+    private final List<RequestClass> classesByIndex;
 
-    /** The index of each class in the order of the file. */
-    private final int[] indexByPlace;
+    /** By position in the file: the index of the class. */
+    private final int[] indexByPosition;
 
-    /** The indexes whose class is another one than before. */
+    /** The indexes that stand for another class than before the last reload. */
     private final List<Integer> reassigned;
 
-    /** The first classes; their indexes are their places in the file. */
+    /** Creates the index of the first classes. The index of a class is its position in the file. */
     public RequestClassIndex(List<String> names, List<RequestClass> requestClasses) {
         this(
                 names,
@@ -40,57 +40,70 @@
     }
 
     private RequestClassIndex(
-            List<String> namesByPlace,
-            List<RequestClass> classesByPlace,
+            List<String> namesByPosition,
+            List<RequestClass> classesByPosition,
             int[] indexByPlace,
             int size,
             List<Integer> reassigned) {
-        this.indexByPlace = indexByPlace;
+        this.indexByPosition = indexByPlace;
         this.reassigned = reassigned;
         String[] namesByIndex = new String[size];
-        for (int place = 0; place < indexByPlace.length; place++) {
-            namesByIndex[indexByPlace[place]] = namesByPlace.get(place);
+        for (int position = 0; position < indexByPlace.length; position++) {
+            namesByIndex[indexByPlace[position]] = namesByPosition.get(position);
         }
         names = Arrays.asList(namesByIndex);
-        byIndex = byIndex(classesByPlace, size);
+        classesByIndex = classesByIndex(classesByPosition, size);
     }
 
     /**
-     * The index after a reload, of classes in the order of the new file. An index whose class was
-     * dropped in an earlier reload is assigned again if no request is open under it. Guards against
-     * a request that still is on its way to the decisions under a class dropped just now.
+     * Returns the index after a reload. An index whose class was dropped in an earlier reload is
+     * assigned again if no request is open under it. An index whose class is dropped in this reload
+     * is not: guards against a request that is still on its way to the balancer under that class.
+     *
+     * @param namesByPosition the names of the classes in the order of the new file
+     * @param classesByPosition the classes in the order of the new file
+     * @param isOpen whether a request is open under an index
      */
     public RequestClassIndex reloaded(
-            List<String> namesByPlace, List<RequestClass> classesByPlace, IntPredicate isOpen) {
-        int[] nextIndexes =
-                IntStream.range(0, namesByPlace.size())
-                        .map(place -> keptIndex(namesByPlace.get(place), classesByPlace.get(place)))
+            List<String> namesByPosition,
+            List<RequestClass> classesByPosition,
+            IntPredicate isOpen) {
+        int[] newIndexes =
+                IntStream.range(0, namesByPosition.size())
+                        .map(
+                                position ->
+                                        findKeptIndex(
+                                                namesByPosition.get(position),
+                                                classesByPosition.get(position)))
                         .toArray();
         List<Integer> newlyAssigned = new ArrayList<>();
         int size = names.size();
-        for (int place = 0; place < nextIndexes.length; place++) {
-            if (nextIndexes[place] == NONE) {
-                int free = freeIndex(newlyAssigned, isOpen);
-                nextIndexes[place] = free == NONE ? size++ : free;
-                newlyAssigned.add(nextIndexes[place]);
+        for (int position = 0; position < newIndexes.length; position++) {
+            if (newIndexes[position] == NO_INDEX) {
+                int freeIndex = findFreeIndex(newlyAssigned, isOpen);
+                newIndexes[position] = freeIndex == NO_INDEX ? size++ : freeIndex;
+                newlyAssigned.add(newIndexes[position]);
             }
         }
         return new RequestClassIndex(
-                namesByPlace, classesByPlace, nextIndexes, size, newlyAssigned);
+                namesByPosition, classesByPosition, newIndexes, size, newlyAssigned);
     }
 
-    /** The index that a class keeps; NONE where it is new or not the same any more. */
-    private int keptIndex(String name, RequestClass requestClass) {
+    /**
+     * Returns the index that a class keeps; {@link #NO_INDEX} if the class is new or no longer the
+     * same.
+     */
+    private int findKeptIndex(String name, RequestClass requestClass) {
         int index = indexOf(name);
-        RequestClass previous = index == NONE ? null : byIndex.get(index);
+        RequestClass previous = index == NO_INDEX ? null : classesByIndex.get(index);
         boolean isSame =
                 previous != null
                         && previous.idempotency() == requestClass.idempotency()
                         && previous.deduplicationScope() == requestClass.deduplicationScope();
-        return isSame ? index : NONE;
+        return isSame ? index : NO_INDEX;
     }
 
-    private int freeIndex(List<Integer> newlyAssigned, IntPredicate isOpen) {
+    private int findFreeIndex(List<Integer> newlyAssigned, IntPredicate isOpen) {
         return IntStream.range(0, names.size())
                 .filter(
                         index ->
@@ -98,38 +111,38 @@
                                         && !newlyAssigned.contains(index)
                                         && !isOpen.test(index))
                 .findFirst()
-                .orElse(NONE);
+                .orElse(NO_INDEX);
     }
 
-    /** The names that are in use now. */
+    /** Returns the names that are in use now. */
     public List<String> names() {
         return names.stream().filter(Objects::nonNull).toList();
     }
 
-    /** The index of a name; -1 where no class has it. */
+    /** Returns the index of a name; -1 if no class has it. */
     public int indexOf(String name) {
         return names.indexOf(name);
     }
 
-    /** The classes by index; null where no class has the index any more. */
-    public List<RequestClass> byIndex() {
-        return byIndex;
+    /** Returns the classes by index; null at an index that no class has any more. */
+    public List<RequestClass> classesByIndex() {
+        return classesByIndex;
     }
 
-    /** Other classes of the same names in the same order, each under its index. */
-    public List<RequestClass> byIndex(List<RequestClass> classesByPlace) {
-        return byIndex(classesByPlace, names.size());
+    /** Returns other classes with the same names in the same order, each at its index. */
+    public List<RequestClass> classesByIndex(List<RequestClass> classesByPosition) {
+        return classesByIndex(classesByPosition, names.size());
     }
 
-    private List<RequestClass> byIndex(List<RequestClass> classesByPlace, int size) {
+    private List<RequestClass> classesByIndex(List<RequestClass> classesByPosition, int size) {
         RequestClass[] classes = new RequestClass[size];
-        for (int place = 0; place < indexByPlace.length; place++) {
-            classes[indexByPlace[place]] = classesByPlace.get(place);
+        for (int position = 0; position < indexByPosition.length; position++) {
+            classes[indexByPosition[position]] = classesByPosition.get(position);
         }
         return Arrays.asList(classes);
     }
 
-    /** The indexes whose class is another one than before the last reload. */
+    /** Returns the indexes that stand for another class than before the last reload. */
     public List<Integer> reassigned() {
         return reassigned;
     }
--- a/src/main/java/org/xnio/nio/InheritedServer.java
+++ b/src/main/java/org/xnio/nio/InheritedServer.java
@@ -14,27 +14,30 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Accepts on a listening socket that the process was given. It stands in XNIO's package because
- * XNIO only accepts on sockets that it has opened. I/O thread only.
+ * Accepts connections on a listening socket that the process inherited. This class is in XNIO's
+ * package because XNIO itself accepts only on sockets that it has opened. I/O thread only.
  */
 public final class InheritedServer {
-    /** How many are accepted at a time, so that one process of two does not take a whole burst. */
-    private static final int AT_A_TIME = 4;
+    /**
+     * Maximum number of connections to accept at a time, so that one of two processes does not take
+     * a whole burst.
+     */
+    private static final int MAX_ACCEPTS_PER_EVENT = 4;
 
-    /** Seconds without accepting where the system has no descriptor left. */
-    private static final double PAUSE = 0.25;
+    /** Seconds to wait before accepting again if the system has no descriptor left. */
+    private static final double RETRY_DELAY_SECONDS = 0.25;
 
     private final ServerSocketChannel socket;
-    private final WorkerThread io;
-    private final ChannelListener<StreamConnection> accepted;
+    private final WorkerThread ioThread;
+    private final ChannelListener<StreamConnection> acceptListener;
     private final Handle handle;
-    private int most;
-    private int open;
+    private int maxConnections;
+    private int openConnections;
     private boolean stopped;
 
     private final class Handle extends NioHandle implements ChannelClosed {
         private Handle(SelectionKey key) {
-            super(io, key);
+            super(ioThread, key);
         }
 
         @Override
@@ -49,49 +52,64 @@
 
         @Override
         void terminated() {
-            // The socket is the platform's.
+            // The socket belongs to the platform.
         }
 
         @Override
         public void channelClosed() {
-            open--;
+            openConnections--;
             listen();
         }
     }
 
-    /** Accepts, from the call of listen on, as long as there are fewer open than most. */
+    /**
+     * Creates a server that accepts connections after {@link #listen} is called.
+     *
+     * @param socket the inherited listening socket, which is made non-blocking
+     * @param maxConnections the number of open connections at which the server stops accepting
+     * @param acceptListener receives each accepted connection
+     * @throws IOException if the socket cannot be made non-blocking or registered
+     */
     public InheritedServer(
             ServerSocketChannel socket,
-            XnioIoThread io,
-            int most,
-            ChannelListener<StreamConnection> accepted)
+            XnioIoThread ioThread,
+            int maxConnections,
+            ChannelListener<StreamConnection> acceptListener)
             throws IOException {
         this.socket = socket;
-        this.io = (WorkerThread) io;
-        this.most = most;
-        this.accepted = accepted;
+        this.ioThread = (WorkerThread) ioThread;
+        this.maxConnections = maxConnections;
+        this.acceptListener = acceptListener;
         socket.configureBlocking(false);
-        SelectionKey key = this.io.registerChannel(socket);
+        SelectionKey key = this.ioThread.registerChannel(socket);
         handle = new Handle(key);
         key.attach(handle);
     }
 
+    /**
+     * Returns the address of the listening socket.
+     *
+     * @throws IOException if the socket is closed
+     */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) socket.getLocalAddress();
     }
 
-    /** Another bound on how many may be open. */
-    public void most(int other) {
-        most = other;
+    /** Sets the number of open connections at which the server stops accepting. */
+    public void setMaxConnections(int newMaxConnections) {
+        maxConnections = newMaxConnections;
         listen();
     }
 
-    /** Accepts connections while fewer are open than may be. */
+    /**
+     * Starts to accept connections, or pauses while the maximum number is open. Does nothing after
+     * {@link #stop}.
+     */
     public void listen() {
         if (stopped) {
             return;
         }
-        if (open < most) {
+        if (openConnections < maxConnections) {
             handle.resume(SelectionKey.OP_ACCEPT);
         } else {
             handle.suspend(SelectionKey.OP_ACCEPT);
@@ -99,8 +117,9 @@
     }
 
     /**
-     * Accepts no more, and lets go of the socket. Guards against XNIO closing the inherited socket
-     * at its end, with which the JDK would lead standard output and error to nowhere.
+     * Stops accepting and releases the socket without closing it. Guards against XNIO closing the
+     * inherited socket when it terminates, upon which the JDK would redirect standard output and
+     * error to the null device.
      */
     public void stop() {
         stopped = true;
@@ -109,31 +128,34 @@
 
     private void accept() {
         try {
-            for (int i = 0; i < AT_A_TIME && !stopped && open < most; i++) {
-                // Another process that has the socket as well may have been quicker.
+            for (int i = 0;
+                    i < MAX_ACCEPTS_PER_EVENT && !stopped && openConnections < maxConnections;
+                    i++) {
+                // Null if another process that shares the socket accepted the connection first.
                 SocketChannel next = socket.accept();
                 if (next == null) {
                     return;
                 }
-                came(next);
+                register(next);
             }
             listen();
         } catch (IOException e) {
             handle.suspend(SelectionKey.OP_ACCEPT);
-            io.executeAfter(this::listen, (long) (PAUSE * 1e9), TimeUnit.NANOSECONDS);
+            ioThread.executeAfter(
+                    this::listen, (long) (RETRY_DELAY_SECONDS * 1e9), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void came(SocketChannel client) {
+    private void register(SocketChannel client) {
         try {
             client.configureBlocking(false);
             client.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            SelectionKey key = io.registerChannel(client);
-            StreamConnection connection = new NioSocketStreamConnection(io, key, handle);
-            open++;
-            ChannelListeners.invokeChannelListener(connection, accepted);
+            SelectionKey key = ioThread.registerChannel(client);
+            StreamConnection connection = new NioSocketStreamConnection(ioThread, key, handle);
+            openConnections++;
+            ChannelListeners.invokeChannelListener(connection, acceptListener);
         } catch (IOException e) {
-            // One that has gone already is no reason to stop.
+            // The client has closed the connection already. The server keeps accepting.
             IoUtils.safeClose(client);
         }
     }
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -24,83 +24,86 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Datagrams, the simulator's frames and the lines of check, byte for byte as the landed program had
- * them.
+ * Compares datagrams, frames of the simulator and the lines of {@code check} byte for byte with the
+ * stored ones.
  */
 class CompatibilityTest {
 
     @TempDir Path folder;
 
     @Test
-    void aDatagramOfRecoveryIsReadAndWrittenAsBefore() throws IOException {
-        PeerStatus hello =
+    void recoveryDatagramIsReadAndWrittenAsBefore() throws IOException {
+        PeerStatus status =
                 new PeerStatus(1764756000123L, 1764755000456L, true, 12.5f, 0.21875f, 40, true);
-        LandedBytes.assertHex("recovery-datagram.hex", hello.encoded());
+        GoldenFiles.assertHex("recovery-datagram.hex", status.encode());
         assertEquals(
-                Optional.of(hello), PeerStatus.decode(LandedBytes.ofHex("recovery-datagram.hex")));
+                Optional.of(status),
+                PeerStatus.decode(GoldenFiles.readHex("recovery-datagram.hex")));
     }
 
     @Test
-    void aDatagramOfGossipIsReadAndWrittenAsBefore() throws IOException {
-        LoadGossip sender = holdings(0);
-        LoadGossip receiver = holdings(1);
+    void gossipDatagramIsReadAndWrittenAsBefore() throws IOException {
+        LoadGossip sender = newGossip(0);
+        LoadGossip receiver = newGossip(1);
         sender.attemptSent(LoadGossip.tag("backend-1"));
         sender.attemptSent(LoadGossip.tag("backend-1"));
         sender.attemptSent(LoadGossip.tag("backend-2"));
-        List<LoadGossip.Message> due = sender.dueMessages(1);
+        List<LoadGossip.Message> due = sender.takeDueMessages(1);
         assertEquals(1, due.size());
-        LandedBytes.assertHex("gossip-datagram.hex", due.get(0).datagram());
-        receiver.receive(0, LandedBytes.ofHex("gossip-datagram.hex"), 1);
+        GoldenFiles.assertHex("gossip-datagram.hex", due.get(0).datagram());
+        receiver.receive(0, GoldenFiles.readHex("gossip-datagram.hex"), 1);
         assertEquals(2, receiver.peerLoad(LoadGossip.tag("backend-1")));
         assertEquals(1, receiver.peerLoad(LoadGossip.tag("backend-2")));
     }
 
-    private static LoadGossip holdings(int self) {
+    private static LoadGossip newGossip(int self) {
         SubsetAssignment subsets = new SubsetAssignment(2, 2);
         subsets.setActive(new int[] {LoadGossip.tag("backend-1"), LoadGossip.tag("backend-2")});
         return new LoadGossip(2, self, 1764756000123L, 0.01, 0.1, subsets, tag -> {});
     }
 
     @Test
-    void theSimulatorsBatchGetsTheReplyOfBefore() throws IOException {
+    void simulatorBatchGetsTheSameReplyAsBefore() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int code =
                 SimulatorAdapter.run(
-                        new ByteArrayInputStream(LandedBytes.ofHex("simulator-batch.hex")),
+                        new ByteArrayInputStream(GoldenFiles.readHex("simulator-batch.hex")),
                         out,
                         new PrintStream(err));
         assertEquals("", err.toString(UTF_8));
         assertEquals(0, code);
-        LandedBytes.assertHex("simulator-reply.hex", out.toByteArray());
+        GoldenFiles.assertHex("simulator-reply.hex", out.toByteArray());
     }
 
     @Test
-    void whatCantBeUsedEndsCheckWithTheLineOfBefore() throws IOException {
+    void checkPrintsTheSameLineAsBeforeForInvalidInput() throws IOException {
         String usable = Files.readString(Path.of("deploy", "sample.json"));
-        Map<String, String> bad = new LinkedHashMap<>();
-        bad.put("no JSON", "nonsense");
-        bad.put("cut off", usable.substring(0, usable.length() / 2));
-        bad.put("an array", "[]");
-        bad.put("no listen", usable.replace("\"listen\"", "\"heard\""));
-        bad.put("listen without a port", usable.replace("127.0.0.1:7070", "127.0.0.1"));
-        bad.put("discovery's port", usable.replace("127.0.0.1:8500", "127.0.0.1:high"));
-        bad.put("seed", usable.replace("8c1f30d27a5be964", "xyz"));
-        bad.put("no number", usable.replace("\"coldFrom\": 0.25", "\"coldFrom\": \"some\""));
-        bad.put("below its bound", usable.replace("\"cold\": 10000", "\"cold\": -1"));
-        bad.put("unknown word", usable.replace("\"fragile\"", "\"sometimes\""));
-        bad.put("missing", usable.replaceFirst("\"contractTime\": 500,", ""));
-        bad.put("no name", usable.replaceFirst("\"name\": \"read\",", ""));
-        bad.put("a name twice", usable.replace("\"write\"", "\"read\""));
-        bad.put("no classes", usable.replace("\"serviceGrades\"", "\"others\""));
-        bad.put("membership mode", usable.replace("\"pushed\"", "\"pulled\""));
-        bad.put("zone", usable.replace("\"zone\": 0", "\"zone\": 7"));
-        bad.put("most forwards", usable.replace("\"mostForwards\": 3", "\"mostForwards\": 0"));
+        Map<String, String> invalid = new LinkedHashMap<>();
+        invalid.put("no JSON", "nonsense");
+        invalid.put("cut off", usable.substring(0, usable.length() / 2));
+        invalid.put("an array", "[]");
+        invalid.put("no listen", usable.replace("\"listen\"", "\"heard\""));
+        invalid.put("listen without a port", usable.replace("127.0.0.1:7070", "127.0.0.1"));
+        invalid.put("discovery's port", usable.replace("127.0.0.1:8500", "127.0.0.1:high"));
+        invalid.put("seed", usable.replace("8c1f30d27a5be964", "xyz"));
+        invalid.put("no number", usable.replace("\"coldFrom\": 0.25", "\"coldFrom\": \"some\""));
+        invalid.put("below its bound", usable.replace("\"cold\": 10000", "\"cold\": -1"));
+        invalid.put("unknown word", usable.replace("\"fragile\"", "\"sometimes\""));
+        invalid.put("missing", usable.replaceFirst("\"contractTime\": 500,", ""));
+        invalid.put("no name", usable.replaceFirst("\"name\": \"read\",", ""));
+        invalid.put("a name twice", usable.replace("\"write\"", "\"read\""));
+        invalid.put("no classes", usable.replace("\"serviceGrades\"", "\"others\""));
+        invalid.put("membership mode", usable.replace("\"pushed\"", "\"pulled\""));
+        invalid.put("zone", usable.replace("\"zone\": 0", "\"zone\": 7"));
+        invalid.put("most forwards", usable.replace("\"mostForwards\": 3", "\"mostForwards\": 0"));
         StringBuilder lines = new StringBuilder();
-        for (Map.Entry<String, String> each : bad.entrySet()) {
-            lines.append(each.getKey()).append(" | ").append(check(each.getValue(), Map.of()));
+        for (Map.Entry<String, String> each : invalid.entrySet()) {
+            lines.append(each.getKey())
+                    .append(" | ")
+                    .append(checkConfiguration(each.getValue(), Map.of()));
         }
-        lines.append("no file named | ").append(checked(Map.of()));
+        lines.append("no file named | ").append(runCheck(Map.of()));
         for (String file : List.of("PROXY_DOOR", "PROXY_PEERS", "PROXY_RECOVERY", "PROXY_SHADOW")) {
             for (String text : List.of("nonsense", "[]", "{\"nothing\":1}", "{}")) {
                 Path path = Files.writeString(folder.resolve(file), text);
@@ -108,24 +111,30 @@
                         .append(' ')
                         .append(text)
                         .append(" | ")
-                        .append(check(usable, Map.of(file, path.toString())));
+                        .append(checkConfiguration(usable, Map.of(file, path.toString())));
             }
         }
-        lines.append("admin | ").append(check(usable, Map.of("PROXY_ADMIN_ADDR", "nowhere")));
-        lines.append("inherited | ").append(check(usable, Map.of("PROXY_INHERITED_FD", "7")));
-        LandedBytes.assertText("check.txt", lines.toString());
+        lines.append("admin | ")
+                .append(checkConfiguration(usable, Map.of("PROXY_ADMIN_ADDR", "nowhere")));
+        lines.append("inherited | ")
+                .append(checkConfiguration(usable, Map.of("PROXY_INHERITED_FD", "7")));
+        GoldenFiles.assertText("check.txt", lines.toString());
     }
 
-    private String check(String configuration, Map<String, String> others) throws IOException {
+    private String checkConfiguration(String configuration, Map<String, String> others)
+            throws IOException {
         Map<String, String> environment = new HashMap<>(others);
         environment.put(
                 "PROXY_CONFIG",
                 Files.writeString(folder.resolve("proxy.json"), configuration).toString());
-        return checked(environment);
+        return runCheck(environment);
     }
 
-    /** The exit code and what is printed, without the folder's name. */
-    private String checked(Map<String, String> environment) {
+    /**
+     * Returns the exit code and the printed text, in which FOLDER stands for the name of the
+     * folder.
+     */
+    private String runCheck(Map<String, String> environment) {
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int code =
                 ProxyLauncher.check(
--- a/src/test/java/lemondrift/FourRulesTest.java
+++ b/src/test/java/lemondrift/FourRulesTest.java
@@ -20,9 +20,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** A plain reference model of the four rules beside the balancer, on generated events. */
+/** Checks the balancer on generated events against a simple reference model of the four rules. */
 class FourRulesTest {
-    /** The work of each request in seconds; responses never take less. */
+    /** The work of each request, in seconds; no response takes less. */
     private static final double WORK_SECONDS = 0.1;
 
     private static final RequestClass[] REQUEST_CLASSES = {
@@ -32,7 +32,7 @@
         TestDeployment.WITH_KEY_BY_CELL
     };
 
-    private final Map<Request, List<Attempt>> attemptsOf = new HashMap<>();
+    private final Map<Request, List<Attempt>> attemptsByRequest = new HashMap<>();
     private final Map<Attempt, AttemptOutcome> outcomes = new HashMap<>();
     private final Map<Request, Integer> finalAnswers = new HashMap<>();
     private final Map<Integer, EndpointUpdate> endpoints = new HashMap<>();
@@ -41,7 +41,7 @@
     private Request latestRequest;
 
     @Property(tries = 150, seed = "20261201")
-    void theBalancerKeepsTheRules(
+    void balancerObeysAllFourRules(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 7) int backends,
             @ForAll boolean byProbe,
@@ -57,37 +57,39 @@
                                         : TestDeployment.REPORTS_IN_RESPONSES,
                                 byProbe),
                         7);
-        proxy.onDecision = this::check;
-        List.of(attemptsOf, outcomes, finalAnswers, endpoints).forEach(Map::clear);
+        proxy.onDecision = this::checkDecision;
+        List.of(attemptsByRequest, outcomes, finalAnswers, endpoints).forEach(Map::clear);
         inFlight.clear();
         TestDeployment.endpoints(backends)
                 .forEach(update -> endpoints.put(update.backend(), update));
-        proxy.list(true, true, TestDeployment.endpoints(backends));
+        proxy.applyEndpointList(true, true, TestDeployment.endpoints(backends));
         for (int step = 0; step < 300; step++) {
-            proxy.loads.put(
+            proxy.probeReports.put(
                     random.nextInt(backends),
                     random.nextInt(4) == 0
                             ? null
                             : new double[] {random.nextDouble(), random.nextInt(4)});
             proxy.wakeUntil(proxy.now + random.nextDouble() * meanStepHundredths / 100);
-            endOverdue();
-            event(random, backends);
+            endTimedOutAttempts();
+            applyRandomEvent(random, backends);
         }
         proxy.wakeUntil(proxy.now + 3);
-        endOverdue();
-        attemptsOf
+        endTimedOutAttempts();
+        attemptsByRequest
                 .keySet()
                 .forEach(
                         request ->
                                 assertEquals(
                                         1,
                                         finalAnswers.getOrDefault(request, 0),
-                                        "one final answer each"));
+                                        "each request gets one final answer"));
     }
 
-    /** Hundreds of proxies that hear of one start at once share its budget. */
+    /**
+     * Hundreds of proxies that learn of the same start at once share the budget of that backend.
+     */
     @Property(tries = 12, seed = "20261201")
-    void manyProxiesTogetherOverloadNoColdBackend(
+    void manyProxiesTogetherDoNotOverloadColdBackend(
             @ForAll @IntRange(min = 2, max = 500) int proxies,
             @ForAll @IntRange(min = 1, max = 4) int requestsPerSecond) {
         List<Double> sent = new ArrayList<>();
@@ -97,16 +99,16 @@
                             TestDeployment.settings(
                                     proxies, false, TestDeployment.REPORTS_IN_RESPONSES, true),
                             i);
-            each.list(
+            each.applyEndpointList(
                     true,
                     i % 2 == 0,
                     List.of(TestDeployment.endpoint(0, EndpointUpdate.State.READY, each.now)));
             for (double at = 0.5 / requestsPerSecond; at < 6; at += 1.0 / requestsPerSecond) {
                 each.wakeUntil(100 + at);
-                Attempt attempt = each.arrive(0);
+                Attempt attempt = each.receiveRequest(0);
                 if (attempt != null) {
                     sent.add(at);
-                    each.end(attempt, AttemptOutcome.SUCCESS, 0, 0);
+                    each.endAttempt(attempt, AttemptOutcome.SUCCESS, 0, 0);
                 }
             }
         }
@@ -119,34 +121,34 @@
                             + (1 - TestDeployment.RULES.slowStartMinShare())
                                     * from
                                     / TestDeployment.RULES.slowStartSeconds();
-            double bearableSeconds =
+            double windowBudgetSeconds =
                     TestDeployment.RULES.overloadFactor()
                             * warmShare
                             * TestDeployment.RULES.overloadWindowSeconds();
             assertTrue(
-                    count * WORK_SECONDS <= bearableSeconds + WORK_SECONDS,
-                    count + " from " + from);
+                    count * WORK_SECONDS <= windowBudgetSeconds + WORK_SECONDS,
+                    count + " requests in the window from " + from + " s");
         }
     }
 
-    private void event(Random random, int backends) {
+    private void applyRandomEvent(Random random, int backends) {
         int kind = random.nextInt(20);
         if (kind < 9) {
             latestRequest =
                     new Request(
-                            attemptsOf.size(),
+                            attemptsByRequest.size(),
                             random.nextInt(4),
                             0,
                             proxy.now,
                             random.nextInt(4) == 0 ? 1.2 : 2);
-            attemptsOf.put(latestRequest, new ArrayList<>());
+            attemptsByRequest.put(latestRequest, new ArrayList<>());
             proxy.apply(proxy.balancer.requestArrived(proxy.now, latestRequest));
         } else if (kind < 16 && !inFlight.isEmpty()) {
             Attempt attempt = inFlight.get(random.nextInt(inFlight.size()));
             AttemptOutcome outcome =
                     AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
             if (outcome != AttemptOutcome.SUCCESS || proxy.now - attempt.sentAt >= WORK_SECONDS) {
-                end(attempt, outcome, random.nextDouble());
+                endAttempt(attempt, outcome, random.nextDouble());
             }
         } else if (kind < 18) {
             int backend = random.nextInt(backends + 2);
@@ -154,7 +156,7 @@
             endpoints.put(
                     backend,
                     TestDeployment.endpoint(backend, state, random.nextBoolean() ? proxy.now : 0));
-            proxy.list(false, false, List.of(endpoints.get(backend)));
+            proxy.applyEndpointList(false, false, List.of(endpoints.get(backend)));
         } else if (kind == 18) {
             proxy.apply(
                     proxy.balancer.probeEnded(
@@ -168,16 +170,16 @@
         }
     }
 
-    /** An attempt past its timeout ends as timed out, so that its request can be answered. */
-    private void endOverdue() {
+    /** Ends each attempt past its timeout as timed out, so that its request can be answered. */
+    private void endTimedOutAttempts() {
         for (Attempt attempt : List.copyOf(inFlight)) {
             if (proxy.now >= attempt.sentAt + attempt.timeoutSeconds) {
-                end(attempt, AttemptOutcome.TIMED_OUT, 1);
+                endAttempt(attempt, AttemptOutcome.TIMED_OUT, 1);
             }
         }
     }
 
-    private void end(Attempt attempt, AttemptOutcome outcome, double utilization) {
+    private void endAttempt(Attempt attempt, AttemptOutcome outcome, double utilization) {
         inFlight.remove(attempt);
         outcomes.put(attempt, outcome);
         if (outcome == AttemptOutcome.SUCCESS) {
@@ -193,18 +195,18 @@
                         new double[] {utilization, 0}));
     }
 
-    private void check(Decision decision) {
+    private void checkDecision(Decision decision) {
         for (Attempt attempt : decision.attempts) {
-            List<Attempt> earlier = attemptsOf.get(attempt.request);
+            List<Attempt> earlier = attemptsByRequest.get(attempt.request);
             assertTrue(
                     !finalAnswers.containsKey(attempt.request)
                             && proxy.now < attempt.request.deadline,
-                    "rule 1: attempt after the deadline");
+                    "rule 1: attempt after the deadline or the final answer");
             earlier.forEach(
                     previous ->
                             assertTrue(
                                     outcomes.containsKey(previous),
-                                    "two attempts in flight at once"));
+                                    "two attempts of a request in flight at once"));
             earlier.stream()
                     .filter(previous -> !outcomes.get(previous).neverExecuted)
                     .findFirst()
@@ -216,14 +218,16 @@
                                                             attempt.request.requestClassIndex],
                                                     previous,
                                                     attempt),
-                                            "rule 2: " + outcomes.get(previous)));
+                                            "rule 2: retry after " + outcomes.get(previous)));
             assertEquals(
-                    EndpointUpdate.State.READY, endpoints.get(attempt.backend).state(), "rule 3");
+                    EndpointUpdate.State.READY,
+                    endpoints.get(attempt.backend).state(),
+                    "rule 3: attempt at a backend that is not ready");
             earlier.add(attempt);
             inFlight.add(attempt);
             assertTrue(
                     workSeconds(attempt.backend) <= budgetSeconds(attempt.backend) + WORK_SECONDS,
-                    "rule 4: " + workSeconds(attempt.backend));
+                    "rule 4: work in the window, in seconds: " + workSeconds(attempt.backend));
         }
         for (Decision.LocalReply reply : decision.localReplies) {
             assertTrue(proxy.now <= reply.request().deadline, "rule 1: answered late");
@@ -232,32 +236,35 @@
                     finalAnswers.merge(reply.request(), 1, Integer::sum),
                     "rule 1: answered twice");
             boolean harmless =
-                    attemptsOf.get(reply.request()).stream()
+                    attemptsByRequest.get(reply.request()).stream()
                             .allMatch(
                                     attempt ->
                                             outcomes.containsKey(attempt)
                                                     && outcomes.get(attempt).neverExecuted);
             assertTrue(
                     !reply.rejected() || harmless || reply.request().requestClassIndex == 0,
-                    "rule 2: rejected, may have been executed");
+                    "rule 2: rejected although it may have been executed");
         }
     }
 
     private boolean mayRepeat(RequestClass requestClass, Attempt executed, Attempt retry) {
-        EndpointUpdate from = endpoints.get(executed.backend);
-        EndpointUpdate to = endpoints.get(retry.backend);
+        EndpointUpdate executedEndpoint = endpoints.get(executed.backend);
+        EndpointUpdate retryEndpoint = endpoints.get(retry.backend);
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && proxy.now - executed.sentAt <= requestClass.idempotencyKeyTtlSeconds()
-                        && from.location() == to.location()
+                        && executedEndpoint.location() == retryEndpoint.location()
                         && (requestClass.deduplicationScope() == DeduplicationScope.LOCATION
-                                || from.cell() == to.cell()));
+                                || executedEndpoint.cell() == retryEndpoint.cell()));
     }
 
-    /** All that was sent to a backend within the window up to now, since it started. */
+    /**
+     * Returns the work sent to a backend since its start within the window that ends now, in
+     * seconds.
+     */
     private double workSeconds(int backend) {
         return WORK_SECONDS
-                * attemptsOf.values().stream()
+                * attemptsByRequest.values().stream()
                         .flatMap(List::stream)
                         .filter(
                                 attempt ->
@@ -272,7 +279,8 @@
     }
 
     /**
-     * This proxy's part of what a cold backend bears in one window; without bound where it is warm.
+     * Returns this proxy's part of the work that a cold backend can take in one window, in seconds;
+     * infinite if the backend is warm.
      */
     private double budgetSeconds(int backend) {
         double elapsedShare =
--- a/src/test/java/lemondrift/LayersTest.java
+++ b/src/test/java/lemondrift/LayersTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Arrows between packages point down: adapters use cores, cores use the model alone and do no I/O.
+ * Checks that dependencies between packages point in one direction: adapters use core packages, and
+ * core packages use the model, no adapter and no I/O.
  */
 class LayersTest {
-    private static final String[] CORES = {
+    private static final String[] CORE_PACKAGES = {
         "lemondrift.model..",
         "lemondrift.balancer..",
         "lemondrift.connection..",
@@ -28,10 +29,10 @@
     };
 
     /**
-     * What each room of the proxy may use of the other rooms; the rest, lifecycle and the server,
-     * know all.
+     * The other proxy packages that each proxy package may use. The lifecycle package and the
+     * server, which are not listed, may use all.
      */
-    private static final Map<String, String> ROOMS =
+    private static final Map<String, String> ALLOWED_PROXY_DEPENDENCIES =
             Map.ofEntries(
                     Map.entry("time", ""),
                     Map.entry("http", ""),
@@ -48,16 +49,16 @@
                     Map.entry("gossip", "config discovery events"),
                     Map.entry("loop", "config discovery events gossip recovery time"));
 
-    private final JavaClasses all =
+    private final JavaClasses productionClasses =
             new ClassFileImporter()
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("lemondrift");
 
     @Test
-    void coresUseNoAdapterAndNothingThatWaitsOrTellsTheTime() {
+    void corePackagesUseNoAdapterIoThreadOrClock() {
         noClasses()
                 .that()
-                .resideInAnyPackage(CORES)
+                .resideInAnyPackage(CORE_PACKAGES)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -75,10 +76,10 @@
                         "lemondrift.proxy..",
                         "lemondrift.simulator..",
                         "lemondrift.settings..")
-                .check(all);
+                .check(productionClasses);
         noClasses()
                 .that()
-                .resideInAnyPackage(CORES)
+                .resideInAnyPackage(CORE_PACKAGES)
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -86,56 +87,60 @@
                 .orShould()
                 .dependOnClassesThat()
                 .areAssignableTo(Thread.class)
-                .check(all);
+                .check(productionClasses);
     }
 
     @Test
-    void coresDoNotUseEachOther() {
+    void connectionAndBalancerDoNotDependOnEachOther() {
         noClasses()
                 .that()
                 .resideInAPackage("lemondrift.connection..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("lemondrift.balancer..")
-                .check(all);
+                .check(productionClasses);
         noClasses()
                 .that()
                 .resideInAPackage("lemondrift.balancer..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("lemondrift.connection..")
-                .check(all);
+                .check(productionClasses);
     }
 
     @Test
-    void roomsOfTheProxyUseOnlyWhatIsListed() {
-        ROOMS.forEach(
-                (room, allowed) -> {
-                    String[] others =
-                            Stream.concat(ROOMS.keySet().stream(), Stream.of("lifecycle"))
+    void proxyPackagesUseOnlyAllowedDependencies() {
+        ALLOWED_PROXY_DEPENDENCIES.forEach(
+                (packageName, allowedPackages) -> {
+                    String[] forbiddenPackages =
+                            Stream.concat(
+                                            ALLOWED_PROXY_DEPENDENCIES.keySet().stream(),
+                                            Stream.of("lifecycle"))
                                     .filter(
                                             each ->
-                                                    !each.equals(room)
-                                                            && !Stream.of(allowed.split(" "))
+                                                    !each.equals(packageName)
+                                                            && !Stream.of(
+                                                                            allowedPackages.split(
+                                                                                    " "))
                                                                     .toList()
                                                                     .contains(each))
                                     .map(each -> "lemondrift.proxy." + each + "..")
                                     .toArray(String[]::new);
                     noClasses()
                             .that()
-                            .resideInAPackage("lemondrift.proxy." + room + "..")
+                            .resideInAPackage("lemondrift.proxy." + packageName + "..")
                             .should()
                             .dependOnClassesThat()
-                            .resideInAnyPackage(others)
+                            .resideInAnyPackage(forbiddenPackages)
                             .orShould()
                             .dependOnClassesThat()
                             .resideInAPackage("lemondrift.proxy")
-                            .check(all);
+                            .check(productionClasses);
                 });
     }
 
     @Test
-    void thereIsNoCircle() {
-        slices().matching("lemondrift.(*)..").should().beFreeOfCycles().check(all);
+    void packagesHaveNoCycles() {
+        slices().matching("lemondrift.(*)..").should().beFreeOfCycles().check(productionClasses);
     }
 }
--- a/src/test/java/lemondrift/ThinProxyTest.java
+++ b/src/test/java/lemondrift/LowTrafficProxyTest.java
@@ -17,12 +17,13 @@
 import lemondrift.model.Settings;
 import org.junit.jupiter.api.Test;
 
-/** Proxies with little traffic each, and backends whose load reports are stale. */
-class ThinProxyTest {
+/** Tests proxies with little traffic each, and backends whose load reports are stale. */
+class LowTrafficProxyTest {
     private static final int IDEMPOTENT = 0;
     private static final int NOT_IDEMPOTENT = 2;
 
-    private static TestDeployment proxy(boolean usesEndpointWeights, EndpointUpdate... endpoints) {
+    private static TestDeployment newProxy(
+            boolean usesEndpointWeights, EndpointUpdate... endpoints) {
         Settings settings =
                 TestDeployment.settings(70, false, TestDeployment.REPORTS_IN_RESPONSES, false);
         TestDeployment proxy =
@@ -42,19 +43,22 @@
                                 settings.costs(),
                                 usesEndpointWeights),
                         7);
-        proxy.list(true, false, List.of(endpoints));
+        proxy.applyEndpointList(true, false, List.of(endpoints));
         return proxy;
     }
 
-    /** A proxy whose backends have repeated their reports for some windows. */
-    private static TestDeployment withStaleReports(int backends) {
+    /** Returns a proxy whose backends have repeated their reports for some windows. */
+    private static TestDeployment proxyWithStaleReports(int backends) {
         TestDeployment proxy =
-                proxy(false, TestDeployment.endpoints(backends).toArray(new EndpointUpdate[0]));
+                newProxy(false, TestDeployment.endpoints(backends).toArray(new EndpointUpdate[0]));
         send(proxy, NOT_IDEMPOTENT, 20 * backends, 0.1, i -> AttemptOutcome.SUCCESS);
         return proxy;
     }
 
-    /** Sends requests one at a time, 0.01 s each, with one report; the attempts to each backend. */
+    /**
+     * Sends requests one at a time, each of 0.01 s and answered with the same load report. Returns
+     * the number of attempts by backend.
+     */
     private static int[] send(
             TestDeployment proxy,
             int requestClass,
@@ -71,20 +75,20 @@
             double secondsApart,
             double durationSeconds,
             Function<Integer, AttemptOutcome> outcomeOf) {
-        int[] attemptsTo = new int[60];
+        int[] attemptsByBackend = new int[60];
         for (int n = 0; n < requests; n++) {
             proxy.wakeUntil(proxy.now + secondsApart);
-            Attempt attempt = proxy.arrive(requestClass);
+            Attempt attempt = proxy.receiveRequest(requestClass);
             for (proxy.now += durationSeconds; attempt != null; ) {
-                attemptsTo[attempt.backend]++;
-                attempt = proxy.end(attempt, outcomeOf.apply(attempt.backend), 0.5, 0);
+                attemptsByBackend[attempt.backend]++;
+                attempt = proxy.endAttempt(attempt, outcomeOf.apply(attempt.backend), 0.5, 0);
             }
         }
-        return attemptsTo;
+        return attemptsByBackend;
     }
 
     @Test
-    void endpointWeightsSetTheShareWhereReportsAreStale() {
+    void endpointWeightsSetTrafficSharesIfReportsAreStale() {
         for (double badWeight : new double[] {0, -1, Double.NaN, Double.POSITIVE_INFINITY}) {
             assertEquals(
                     1,
@@ -92,7 +96,7 @@
                             .weight());
         }
         TestDeployment proxy =
-                proxy(
+                newProxy(
                         true,
                         IntStream.range(0, 3)
                                 .mapToObj(
@@ -107,25 +111,28 @@
                                                         i == 2 ? 2 : 1))
                                 .toArray(EndpointUpdate[]::new));
         send(proxy, NOT_IDEMPOTENT, 60, 1, i -> AttemptOutcome.SUCCESS);
-        int toTheLarge = send(proxy, NOT_IDEMPOTENT, 400, 1, i -> AttemptOutcome.SUCCESS)[2];
+        int sentToLargeBackend =
+                send(proxy, NOT_IDEMPOTENT, 400, 1, i -> AttemptOutcome.SUCCESS)[2];
         assertTrue(
-                toTheLarge > 160 && toTheLarge < 240,
-                toTheLarge + " of 400 went to one of half the fleet's size");
+                sentToLargeBackend > 160 && sentToLargeBackend < 240,
+                sentToLargeBackend
+                        + " of 400 requests went to the backend with half of the total weight");
     }
 
     @Test
-    void aReportCountsUntilTheNextWhereProbesAreNotAllowed() {
+    void loadReportCountsUntilTheNextIfProbesAreNotAllowed() {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 100, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        proxy.list(true, false, TestDeployment.endpoints(2));
-        List<Attempt> both = List.of(proxy.arrive(IDEMPOTENT), proxy.arrive(IDEMPOTENT));
+        proxy.applyEndpointList(true, false, TestDeployment.endpoints(2));
+        List<Attempt> both =
+                List.of(proxy.receiveRequest(IDEMPOTENT), proxy.receiveRequest(IDEMPOTENT));
         proxy.now += 0.1;
         both.forEach(
                 attempt ->
-                        proxy.end(
+                        proxy.endAttempt(
                                 attempt,
                                 AttemptOutcome.SUCCESS,
                                 attempt.backend == 0 ? 1 : 0.1,
@@ -133,19 +140,21 @@
         proxy.now += 1;
         assertEquals(
                 1,
-                proxy.arrive(IDEMPOTENT).backend,
-                "a window later: near and busy, or across and idle");
+                proxy.receiveRequest(IDEMPOTENT).backend,
+                "one window later: idle in the other zone rather than busy in this zone");
     }
 
     @Test
-    void withGossipOnlyTheSubsetIsUsedAndStaysAfterAnEndpointList() {
+    void gossipRestrictsTrafficToSubsetThatSurvivesEndpointList() {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 100, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        assertTrue(proxy.balancer.wantsGossip(), "without probes peers are to gossip");
-        assertFalse(TestDeployment.of(2).balancer.wantsGossip(), "with probes nobody need gossip");
+        assertTrue(proxy.balancer.needsGossip(), "without probes peers should gossip");
+        assertFalse(
+                TestDeployment.withBackends(2).balancer.needsGossip(),
+                "with probes no gossip is needed");
         List<EndpointUpdate> updates =
                 IntStream.range(0, 60)
                         .mapToObj(
@@ -155,65 +164,67 @@
                                                         (i * 37 % 60) / 60.0,
                                                         i * 37 % 60 < 16 ? 0.2 : 0))
                         .toList();
-        proxy.list(true, false, updates);
-        proxy.balancer.peersHeard(true);
+        proxy.applyEndpointList(true, false, updates);
+        proxy.balancer.setGossipActive(true);
         for (int round = 0; round < 3; round++) {
-            int[] attemptsTo = send(proxy, NOT_IDEMPOTENT, 200, 0.1, i -> AttemptOutcome.SUCCESS);
-            int usedCount = (int) Arrays.stream(attemptsTo).filter(n -> n > 0).count();
-            assertTrue(usedCount >= 6 && usedCount <= 16, usedCount + " are used");
+            int[] attemptsByBackend =
+                    send(proxy, NOT_IDEMPOTENT, 200, 0.1, i -> AttemptOutcome.SUCCESS);
+            int usedCount = (int) Arrays.stream(attemptsByBackend).filter(n -> n > 0).count();
+            assertTrue(usedCount >= 6 && usedCount <= 16, usedCount + " backends are used");
             updates.stream()
                     .filter(update -> update.subsetScore() * 60 > 15.5)
                     .forEach(
                             update ->
                                     assertEquals(
                                             0,
-                                            attemptsTo[update.backend()],
+                                            attemptsByBackend[update.backend()],
                                             "gossip does not cover " + update));
-            proxy.list(true, false, updates);
+            proxy.applyEndpointList(true, false, updates);
         }
     }
 
-    /** How many of 600 requests go to the only backend, which has just started. */
-    private static int sentToColdBackend(double userShare, boolean peersHeard) {
+    /** Returns how many of 600 requests are sent to the only backend, which has just started. */
+    private static int countSentToColdBackend(double userShare, boolean peersHeard) {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 6, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        proxy.list(
+        proxy.applyEndpointList(
                 true,
                 false,
                 List.of(
                         TestDeployment.endpoint(0, EndpointUpdate.State.READY, proxy.now)
                                 .withSubset(0, userShare)));
-        proxy.balancer.peersHeard(peersHeard);
+        proxy.balancer.setGossipActive(peersHeard);
         int sent = 0;
         for (int n = 0; n < 600; n++) {
             proxy.now += 0.01;
-            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
             sent += attempt == null ? 0 : 1;
             for (proxy.now += 0.0001; attempt != null; ) {
-                attempt = proxy.end(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
+                attempt = proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 0.1, 0);
             }
         }
         return sent;
     }
 
     @Test
-    void aColdBackendsBudgetIsDividedAmongItsUsersOnlyWhilePeersAreHeard() {
-        int usedByAll = sentToColdBackend(1, true);
-        int usedByAFifth = sentToColdBackend(0.2, true);
+    void coldBackendBudgetIsDividedAmongItsUsersOnlyWhileGossipIsActive() {
+        int usedByAll = countSentToColdBackend(1, true);
+        int usedByAFifth = countSentToColdBackend(0.2, true);
         assertTrue(
-                usedByAll > 0 && usedByAFifth > 3 * usedByAll, usedByAll + " and " + usedByAFifth);
+                usedByAll > 0 && usedByAFifth > 3 * usedByAll,
+                "sent if used by all proxies: " + usedByAll + ", by a fifth: " + usedByAFifth);
         assertEquals(
-                sentToColdBackend(1, false),
-                sentToColdBackend(0.2, false),
-                "no peer heard: user shares are not known to hold");
+                countSentToColdBackend(1, false),
+                countSentToColdBackend(0.2, false),
+                "without gossip, user shares are not known to be valid");
     }
 
     @Test
-    void aBackendThatFailsFastIsAvoidedAfterOneErrorAndUsedAgainOnceSound() {
-        TestDeployment proxy = withStaleReports(8);
+    void backendThatFailsFastIsAvoidedAfterOneErrorAndUsedAgainOnceHealthy() {
+        TestDeployment proxy = proxyWithStaleReports(8);
         int errors =
                 send(
                         proxy,
@@ -223,62 +234,69 @@
                         i -> i == 0 ? AttemptOutcome.ERROR : AttemptOutcome.SUCCESS)[0];
         assertTrue(
                 errors <= 3,
-                errors + " of 200 went to one that fails fast and reports that it is idle");
+                errors
+                        + " of 200 requests went to a backend that fails fast and reports being"
+                        + " idle");
         int requestsAfter = send(proxy, NOT_IDEMPOTENT, 1500, 0.1, i -> AttemptOutcome.SUCCESS)[0];
-        assertTrue(requestsAfter > 50, requestsAfter + " of 1500: sound again, used again");
+        assertTrue(
+                requestsAfter > 50,
+                requestsAfter + " of 1500 requests went to the backend after it recovered");
     }
 
     @Test
-    void aRepeatedReportDoesNotClearWhatWasSent() {
+    void repeatedLoadReportDoesNotClearCountOfSentAttempts() {
         int sentToRepeated = 0;
         for (int n = 0; n < 40; n++) {
-            TestDeployment proxy = withStaleReports(2);
+            TestDeployment proxy = proxyWithStaleReports(2);
             send(proxy, NOT_IDEMPOTENT, n, 0.1, i -> AttemptOutcome.SUCCESS);
             proxy.wakeUntil(proxy.now + 1);
             List<Attempt> inFlight = new ArrayList<>();
             for (int k = 0; k < 4; k++) {
-                inFlight.add(proxy.arrive(NOT_IDEMPOTENT));
+                inFlight.add(proxy.receiveRequest(NOT_IDEMPOTENT));
             }
             Attempt first = inFlight.get(0);
-            proxy.end(first, AttemptOutcome.SUCCESS, 0.5, 0);
+            proxy.endAttempt(first, AttemptOutcome.SUCCESS, 0.5, 0);
             assertEquals(
                     first.backend,
-                    proxy.arrive(NOT_IDEMPOTENT).backend,
-                    "one in flight against two");
-            sentToRepeated += proxy.arrive(NOT_IDEMPOTENT).backend == first.backend ? 1 : 0;
+                    proxy.receiveRequest(NOT_IDEMPOTENT).backend,
+                    "one attempt in flight is less than two");
+            sentToRepeated += proxy.receiveRequest(NOT_IDEMPOTENT).backend == first.backend ? 1 : 0;
         }
         assertTrue(
                 sentToRepeated > 5 && sentToRepeated < 35,
                 sentToRepeated
-                        + " of 40, with two in flight at each, went to one that reported idle"
-                        + " again");
+                        + " of 40 requests, with two in flight at each backend, went to the one"
+                        + " that reported being idle again");
     }
 
     @Test
-    void requestsAreRejectedDuringAJamAndAdmittedLongAfterIt() {
-        TestDeployment proxy = withStaleReports(4);
+    void requestsAreRejectedDuringOverloadAndAdmittedLongAfterIt() {
+        TestDeployment proxy = proxyWithStaleReports(4);
         List<Attempt> timingOut = new ArrayList<>();
         for (int n = 0; n < 60; n++) {
             proxy.now += 0.02;
             int repliesBefore = proxy.localReplies.size();
-            Attempt attempt = proxy.arrive(IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(IDEMPOTENT);
             assertTrue(
                     attempt != null || proxy.localReplies.size() == repliesBefore + 1,
                     "rejected at once");
             timingOut.addAll(attempt == null ? List.of() : List.of(attempt));
         }
-        assertTrue(timingOut.size() < 60, "sixty in flight and none answered is a jam");
+        assertTrue(
+                timingOut.size() < 60, "sixty requests in flight and none answered is an overload");
         proxy.now += 0.5;
-        timingOut.forEach(attempt -> proxy.end(attempt, AttemptOutcome.TIMED_OUT));
+        timingOut.forEach(attempt -> proxy.endAttempt(attempt, AttemptOutcome.TIMED_OUT));
         proxy.wakeUntil(proxy.now + 20);
-        assertNotNull(proxy.arrive(IDEMPOTENT), "nothing in flight, and no wait observed lately");
+        assertNotNull(
+                proxy.receiveRequest(IDEMPOTENT),
+                "nothing is in flight, and no wait was observed recently");
     }
 
     @Test
-    void failedGroupsAreAvoidedWithStaleReportsAndWarmUpOnceBack() {
-        TestDeployment proxy = withStaleReports(9);
-        // No report is new from here on, and three refuse.
-        int[] attemptsTo =
+    void failedBackendsAreAvoidedWithStaleReportsAndSlowStartAfterRestart() {
+        TestDeployment proxy = proxyWithStaleReports(9);
+        // From here on all reports are repeated, and three backends refuse connections.
+        int[] attemptsByBackend =
                 send(
                         proxy,
                         NOT_IDEMPOTENT,
@@ -286,10 +304,15 @@
                         0.05,
                         i -> i < 3 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.SUCCESS);
         assertTrue(
-                attemptsTo[0] + attemptsTo[1] + attemptsTo[2] <= 30,
-                "of 300, to the failed " + attemptsTo[0] + attemptsTo[1] + attemptsTo[2]);
+                attemptsByBackend[0] + attemptsByBackend[1] + attemptsByBackend[2] <= 30,
+                "of 300 requests, attempts at the failed backends: "
+                        + attemptsByBackend[0]
+                        + ", "
+                        + attemptsByBackend[1]
+                        + ", "
+                        + attemptsByBackend[2]);
         double restartedAt = proxy.now;
-        proxy.list(
+        proxy.applyEndpointList(
                 false,
                 false,
                 IntStream.range(0, 3)
@@ -298,19 +321,19 @@
                                         TestDeployment.endpoint(
                                                 i, EndpointUpdate.State.READY, restartedAt))
                         .toList());
-        attemptsTo = send(proxy, NOT_IDEMPOTENT, 20, 0.05, i -> AttemptOutcome.SUCCESS);
+        attemptsByBackend = send(proxy, NOT_IDEMPOTENT, 20, 0.05, i -> AttemptOutcome.SUCCESS);
         assertTrue(
-                attemptsTo[0] + attemptsTo[1] + attemptsTo[2] <= 3,
-                "cold, though the last report is an idle one's");
+                attemptsByBackend[0] + attemptsByBackend[1] + attemptsByBackend[2] <= 3,
+                "cold, although the last report shows an idle backend");
         proxy.wakeUntil(restartedAt + 2 * TestDeployment.RULES.slowStartSeconds());
-        attemptsTo = send(proxy, NOT_IDEMPOTENT, 300, 0.05, i -> AttemptOutcome.SUCCESS);
+        attemptsByBackend = send(proxy, NOT_IDEMPOTENT, 300, 0.05, i -> AttemptOutcome.SUCCESS);
         assertTrue(
-                attemptsTo[0] > 0 && attemptsTo[1] > 0 && attemptsTo[2] > 0,
-                "warm, and used again");
+                attemptsByBackend[0] > 0 && attemptsByBackend[1] > 0 && attemptsByBackend[2] > 0,
+                "warm backends are used again");
     }
 
     @Test
-    void requestsCrossZonesOnlyForWhatTheOwnZoneCannotCarry() {
+    void requestsCrossZonesOnlyIfOwnZoneLacksCapacity() {
         EndpointUpdate[] endpoints =
                 IntStream.range(0, 6)
                         .mapToObj(
@@ -323,42 +346,46 @@
                                                 EndpointUpdate.State.READY,
                                                 0))
                         .toArray(EndpointUpdate[]::new);
-        TestDeployment proxy = proxy(false, endpoints);
+        TestDeployment proxy = newProxy(false, endpoints);
         assertTrue(
                 send(proxy, IDEMPOTENT, 200, 0.5, i -> AttemptOutcome.SUCCESS)[0] >= 190,
-                "one at a time stays");
+                "single requests stay in their zone");
         List<Attempt> inFlight = new ArrayList<>();
         int crossed = 0;
         for (int n = 0; n < 200; n++) {
             proxy.wakeUntil(proxy.now + 0.003);
-            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
             crossed += attempt != null && attempt.backend != 0 ? 1 : 0;
             inFlight.addAll(attempt == null ? List.of() : List.of(attempt));
             if (inFlight.size() > 2) {
-                proxy.end(inFlight.remove(0), AttemptOutcome.SUCCESS, 0.5, 0);
+                proxy.endAttempt(inFlight.remove(0), AttemptOutcome.SUCCESS, 0.5, 0);
             }
         }
-        assertTrue(crossed > 80, crossed + " of 200 left a backend with several in flight");
+        assertTrue(
+                crossed > 80,
+                crossed
+                        + " of 200 requests crossed zones while the own zone had several in"
+                        + " flight");
     }
 
     @Test
-    void allProxiesTogetherKeepTheSlowStartBudgetThoughFewCarryMostTraffic() {
-        int toTheCold = 0;
+    void allProxiesTogetherKeepSlowStartBudgetEvenIfFewCarryMostTraffic() {
+        int sentToColdBackend = 0;
         for (int proxyIndex = 0; proxyIndex < 70; proxyIndex++) {
             TestDeployment proxy =
                     new TestDeployment(
                             TestDeployment.settings(
                                     70, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                             1000 + proxyIndex);
-            proxy.list(true, false, TestDeployment.endpoints(8));
+            proxy.applyEndpointList(true, false, TestDeployment.endpoints(8));
             send(proxy, NOT_IDEMPOTENT, 60, 0.01, 0.1, i -> AttemptOutcome.SUCCESS);
-            proxy.list(
+            proxy.applyEndpointList(
                     false,
                     false,
                     List.of(TestDeployment.endpoint(0, EndpointUpdate.State.READY, proxy.now)));
             double windowSeconds = TestDeployment.RULES.overloadWindowSeconds();
             double secondsApart = proxyIndex < 5 ? 0.01 : 0.5;
-            toTheCold +=
+            sentToColdBackend +=
                     send(
                             proxy,
                             NOT_IDEMPOTENT,
@@ -372,18 +399,18 @@
                         * TestDeployment.RULES.slowStartMinShare()
                         * TestDeployment.RULES.overloadWindowSeconds();
         assertTrue(
-                toTheCold > 0 && toTheCold * 0.1 <= budgetSeconds,
-                toTheCold + " requests of 0.1 s for a budget of " + budgetSeconds);
+                sentToColdBackend > 0 && sentToColdBackend * 0.1 <= budgetSeconds,
+                sentToColdBackend + " requests of 0.1 s for a budget of " + budgetSeconds + " s");
     }
 
-    /** A proxy among forty that gossip; it uses sixteen of thirty backends. */
-    private static TestDeployment withGossip(double startedAt) {
+    /** Returns one of forty proxies that gossip; it uses sixteen of thirty backends. */
+    private static TestDeployment proxyWithGossip(double startedAt) {
         TestDeployment proxy =
                 new TestDeployment(
                         TestDeployment.settings(
                                 40, false, TestDeployment.REPORTS_IN_RESPONSES, false),
                         7);
-        proxy.list(
+        proxy.applyEndpointList(
                 true,
                 false,
                 IntStream.range(0, 30)
@@ -393,82 +420,91 @@
                                                         i, EndpointUpdate.State.READY, startedAt)
                                                 .withSubset(i / 30.0, i < 16 ? 0.5 : 0))
                         .toList());
-        proxy.balancer.peersHeard(true);
+        proxy.balancer.setGossipActive(true);
         return proxy;
     }
 
-    /** Guards against rejecting all after an overload, for the waits of that time. */
+    /**
+     * Guards against rejecting all requests after an overload because of the waits observed during
+     * it.
+     */
     @Test
-    void waitsObservedBeforeRejectNothingWhereNothingIsInFlight() {
-        TestDeployment proxy = withGossip(0);
+    void waitsObservedEarlierRejectNothingIfNothingIsInFlight() {
+        TestDeployment proxy = proxyWithGossip(0);
         for (int n = 0; n < 60; n++) {
             proxy.now += 0.01;
-            Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+            Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
             if (attempt != null) {
                 proxy.now += 1;
-                proxy.end(attempt, AttemptOutcome.TIMED_OUT);
+                proxy.endAttempt(attempt, AttemptOutcome.TIMED_OUT);
             }
         }
         for (int requestClass : new int[] {0, NOT_IDEMPOTENT}) {
-            assertNotNull(proxy.arrive(requestClass), "request class " + requestClass);
+            assertNotNull(proxy.receiveRequest(requestClass), "request class " + requestClass);
         }
     }
 
-    /** Guards against backends that look idle since no peer tells of them. */
+    /** Guards against backends that look idle because gossip does not cover them. */
     @Test
-    void noBackendOutsideGossipIsDrawnWhereOneOfTheSubsetCouldTakeTheRequest() {
-        TestDeployment proxy = withGossip(0);
+    void backendOutsideGossipIsNotDrawnIfSubsetCanTakeTheRequest() {
+        TestDeployment proxy = proxyWithGossip(0);
         IntStream.range(0, 30).forEach(i -> proxy.balancer.peerLoadReported(i, i < 16 ? 30 : 0));
-        assertNull(proxy.arrive(0), "all that gossip covers are busy");
+        assertNull(proxy.receiveRequest(0), "all backends that gossip covers are busy");
         IntStream.range(0, 16).forEach(i -> proxy.balancer.peerLoadReported(i, 0));
-        assertTrue(proxy.arrive(0).backend < 16);
+        assertTrue(proxy.receiveRequest(0).backend < 16);
     }
 
     /** Guards against low priorities taking the last capacity of cold backends. */
     @Test
-    void theLastCapacityOfColdBackendsIsForTheHighestPriority() {
-        int[] attemptsOf = new int[4];
+    void lastCapacityOfColdBackendsIsReservedForHighestPriority() {
+        int[] attemptsByClass = new int[4];
         for (int seed = 0; seed < 20; seed++) {
-            TestDeployment proxy = withGossip(99);
+            TestDeployment proxy = proxyWithGossip(99);
             proxy.balancer.seedServiceTime(0.1, 8);
             for (int n = 0; n < 30; n++) {
                 proxy.now += 0.1;
                 int requestClass = n % 2 == 0 ? IDEMPOTENT : NOT_IDEMPOTENT;
-                Attempt attempt = proxy.arrive(requestClass);
-                attemptsOf[requestClass] += attempt == null ? 0 : 1;
+                Attempt attempt = proxy.receiveRequest(requestClass);
+                attemptsByClass[requestClass] += attempt == null ? 0 : 1;
                 if (attempt != null) {
                     proxy.now += 0.1;
-                    proxy.end(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
+                    proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
                     proxy.now -= 0.1;
                 }
             }
         }
         assertTrue(
-                attemptsOf[NOT_IDEMPOTENT] > 1.3 * attemptsOf[0] && attemptsOf[0] > 0,
-                attemptsOf[NOT_IDEMPOTENT] + " and " + attemptsOf[0]);
+                attemptsByClass[NOT_IDEMPOTENT] > 1.3 * attemptsByClass[0]
+                        && attemptsByClass[0] > 0,
+                "attempts of the higher priority: "
+                        + attemptsByClass[NOT_IDEMPOTENT]
+                        + ", of the lower: "
+                        + attemptsByClass[0]);
     }
 
     @Test
-    void aSeededServiceTimeOpensColdBackendsUntilOwnResponsesSayOtherwise() {
+    void seededServiceTimeAdmitsMoreToColdBackendsUntilOwnResponsesDisagree() {
         int[] sent = new int[3];
         for (int i = 0; i < 3; i++) {
-            TestDeployment proxy = withGossip(99);
+            TestDeployment proxy = proxyWithGossip(99);
             if (i > 0) {
                 proxy.balancer.seedServiceTime(0.02, 8);
             }
             double serviceSeconds = i == 2 ? 0.8 : 0.02;
             for (int n = 0; n < 300; n++) {
                 proxy.now += 0.01;
-                Attempt attempt = proxy.arrive(NOT_IDEMPOTENT);
+                Attempt attempt = proxy.receiveRequest(NOT_IDEMPOTENT);
                 sent[i] += attempt == null ? 0 : 1;
                 if (attempt != null) {
                     proxy.now += serviceSeconds;
-                    proxy.end(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
+                    proxy.endAttempt(attempt, AttemptOutcome.SUCCESS, 0.5, 0);
                     proxy.now -= serviceSeconds;
                 }
             }
         }
         assertTrue(sent[1] > 1.5 * sent[0], "seeded " + sent[1] + ", unseeded " + sent[0]);
-        assertTrue(sent[2] < sent[1] / 2, "seeded wrongly " + sent[2] + ", rightly " + sent[1]);
+        assertTrue(
+                sent[2] < sent[1] / 2,
+                "seeded with a wrong time " + sent[2] + ", with the right time " + sent[1]);
     }
 }
