--- a/src/test/java/lemondrift/TestDeployment.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -21,7 +21,9 @@
 import lemondrift.model.Settings;
 import lemondrift.shadow.ShadowEvaluator;
 
-/** One proxy's balancer in a small made-up deployment, and simulator frames built by hand. */
+/**
+ * The balancer of one proxy in a small test deployment, and helpers that build simulator frames.
+ */
 final class TestDeployment {
     static final RequestClass IDEMPOTENT =
             new RequestClass(1, 0, 1, 2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0);
@@ -42,8 +44,8 @@
     final LoadBalancer balancer;
     final List<Decision.LocalReply> localReplies = new ArrayList<>();
 
-    /** Why the last request that got a local reply was not served. */
-    FailureReason lastReason() {
+    /** Returns why the last request that got a local reply was not served. */
+    FailureReason lastFailureReason() {
         return localReplies.get(localReplies.size() - 1).request().failureReason;
     }
 
@@ -53,9 +55,10 @@
     final List<Decision.EndpointListCall> endpointListCalls = new ArrayList<>();
 
     /**
-     * What each backend answers to a probe: utilization and requests in flight; null is no answer.
+     * By backend: the load report that answers a probe (utilization and requests in flight); null
+     * if it does not answer.
      */
-    final Map<Integer, double[]> loads = new HashMap<>();
+    final Map<Integer, double[]> probeReports = new HashMap<>();
 
     double now = 100;
     double wakeAt;
@@ -66,22 +69,22 @@
         this(settings, seed, null);
     }
 
-    /** One with a shadow, where that is not null. */
+    /** Creates a deployment with a shadow if that is not null. */
     TestDeployment(Settings settings, long seed, ShadowEvaluator shadow) {
         balancer = new LoadBalancer(settings, seed);
         this.shadow = shadow;
     }
 
-    private void tellShadow(Consumer<ShadowEvaluator> event) {
+    private void notifyShadow(Consumer<ShadowEvaluator> event) {
         if (shadow != null) {
             event.accept(shadow);
         }
     }
 
-    static TestDeployment of(int backends) {
+    static TestDeployment withBackends(int backends) {
         TestDeployment proxy =
                 new TestDeployment(settings(3, false, REPORTS_IN_RESPONSES, true), 7);
-        proxy.list(true, false, endpoints(backends));
+        proxy.applyEndpointList(true, false, endpoints(backends));
         return proxy;
     }
 
@@ -105,7 +108,7 @@
                 new Settings.Costs(0.05, 0.002));
     }
 
-    /** The same where clients mark their retries. */
+    /** Returns the settings with clients that mark their retries. */
     static Settings withMarkedRetries(Settings settings) {
         return new Settings(
                 settings.proxyCount(),
@@ -136,7 +139,7 @@
 
     void apply(Decision decision) {
         onDecision.accept(decision);
-        tellShadow(s -> s.decided(now, decision));
+        notifyShadow(s -> s.decisionMade(now, decision));
         localReplies.addAll(decision.localReplies);
         attempts.addAll(decision.attempts);
         cancellations.addAll(decision.cancellations);
@@ -144,44 +147,44 @@
         endpointListCalls.addAll(decision.endpointListCalls);
         wakeAt = decision.wakeAt;
         for (int i : List.copyOf(decision.probes)) {
-            double[] report = loads.getOrDefault(i, new double[] {0, 0});
+            double[] report = probeReports.getOrDefault(i, new double[] {0, 0});
             if (report != null) {
-                // No two reports are quite the same, unless one is repeated.
+                // Makes each report slightly different, because an equal one counts as repeated.
                 double[] distinct = report.clone();
                 distinct[0] += 1e-9 * probes.size();
-                tellShadow(s -> s.probeEnded(now, i, AttemptOutcome.SUCCESS, distinct));
+                notifyShadow(s -> s.probeEnded(now, i, AttemptOutcome.SUCCESS, distinct));
                 apply(balancer.probeEnded(now, i, AttemptOutcome.SUCCESS, distinct));
             }
         }
     }
 
-    TestDeployment load(double... utilization) {
+    TestDeployment setUtilization(double... utilization) {
         for (int i = 0; i < utilization.length; i++) {
-            loads.put(i, new double[] {utilization[i], 0});
+            probeReports.put(i, new double[] {utilization[i], 0});
         }
         return this;
     }
 
-    void list(boolean full, boolean stale, List<EndpointUpdate> updates) {
-        tellShadow(s -> s.endpointsListed(now, full, stale, updates));
+    void applyEndpointList(boolean full, boolean stale, List<EndpointUpdate> updates) {
+        notifyShadow(s -> s.endpointsListed(now, full, stale, updates));
         apply(balancer.endpointsListed(now, full, stale, updates));
     }
 
-    /** The first attempt of a new request, or null. */
-    Attempt arrive(int requestClass) {
+    /** Handles a new request and returns its first attempt, or null if none is made. */
+    Attempt receiveRequest(int requestClass) {
         int attemptsBefore = attempts.size();
         Request request = new Request(attempts.size(), requestClass, 0, now, 2);
-        tellShadow(s -> s.requestArrived(now, request));
+        notifyShadow(s -> s.requestArrived(now, request));
         apply(balancer.requestArrived(now, request));
         return attempts.size() > attemptsBefore ? attempts.get(attemptsBefore) : null;
     }
 
-    /** The attempt that follows, or null. */
-    Attempt end(Attempt attempt, AttemptOutcome outcome, double... loadReport) {
+    /** Ends an attempt and returns the attempt that follows, or null if none is made. */
+    Attempt endAttempt(Attempt attempt, AttemptOutcome outcome, double... loadReport) {
         int attemptsBefore = attempts.size();
         boolean completed = outcome == AttemptOutcome.SUCCESS || attempt.request.completed;
         double[] report = loadReport.length == 0 ? null : loadReport;
-        tellShadow(
+        notifyShadow(
                 s ->
                         s.attemptEnded(
                                 now, attempt, outcome, now - attempt.sentAt, completed, report));
@@ -194,22 +197,25 @@
     void wakeUntil(double time) {
         for (int wakes = 0; wakeAt <= time; wakes++) {
             if (wakes > 10_000) {
-                throw new AssertionError("wakes without end");
+                throw new AssertionError("more than 10,000 wake-ups until " + time + " s");
             }
             now = Math.max(now, wakeAt);
             apply(balancer.wake(now));
-            tellShadow(s -> s.wake(now));
+            notifyShadow(s -> s.wake(now));
         }
         now = time;
     }
 
-    static byte[] hex(String text) {
+    static byte[] parseHex(String text) {
         return HexFormat.of().parseHex(text.replaceAll("\\s", ""));
     }
 
-    /** A batch at 61,233.0 ms of records given in hex; each states its own code and length. */
-    static byte[] batch(int count, String... records) {
-        byte[] body = hex(String.join("", records));
+    /**
+     * Returns a frame with a batch at 61,233.0 ms. Its records are given in hexadecimal digits;
+     * each contains its own code and length.
+     */
+    static byte[] batchFrame(int count, String... records) {
+        byte[] body = parseHex(String.join("", records));
         return ByteBuffer.allocate(16 + body.length)
                 .order(ByteOrder.LITTLE_ENDIAN)
                 .putInt(12 + body.length)
@@ -219,7 +225,7 @@
                 .array();
     }
 
-    static String born(int instance, String... dropped) {
+    static String startRecordHex(int instance, String... omittedKeys) {
         String text =
                 "siblings=3\n"
                         + "zone=0\n"
@@ -240,11 +246,11 @@
                         + "serviceGrades.0.expiry=880\n"
                         + "serviceGrades.0.effect=retryable\n"
                         + "something.new=1\n";
-        for (String key : dropped) {
+        for (String key : omittedKeys) {
             text = text.replaceAll(key + "=.*\n", "");
         }
         byte[] bytes = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        ByteBuffer b =
+        ByteBuffer buffer =
                 ByteBuffer.allocate(21 + bytes.length)
                         .order(ByteOrder.LITTLE_ENDIAN)
                         .put((byte) 1)
@@ -253,6 +259,6 @@
                         .putLong(42)
                         .putInt(bytes.length)
                         .put(bytes);
-        return HexFormat.of().formatHex(b.array());
+        return HexFormat.of().formatHex(buffer.array());
     }
 }
--- a/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
+++ b/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
@@ -14,11 +14,11 @@
 
 class BodyBufferBudgetTest {
     /**
-     * Bodies that come in pieces and end in any order: the bounds hold, and in the end nothing is
-     * held.
+     * Bodies arrive in pieces and end in any order: the limits hold, and in the end nothing is
+     * reserved.
      */
     @Property(tries = 300, seed = "48")
-    void neitherBoundIsExceededAndAllIsReleased(
+    void noBoundIsExceededAndAllBytesAreReleased(
             @ForAll List<@IntRange(min = 0, max = 999) Integer> steps) {
         BodyBufferBudget bufferBudget = new BodyBufferBudget(100, 250);
         int[] reserved = new int[8];
@@ -32,7 +32,7 @@
                     int sum = Arrays.stream(reserved).sum();
                     assertTrue(
                             reserved[body] + more > 100 || sum + more > 250,
-                            "refused without need");
+                            "refused although within both limits");
                 }
             } else {
                 bufferBudget.release(reserved[body]);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void withoutBudgetNothingIsBuffered() {
+    void nothingIsBufferedWithoutBudget() {
         assertFalse(new BodyBufferBudget(0, 100).tryReserve(0, 1));
         assertFalse(new BodyBufferBudget(100, 0).tryReserve(0, 1));
         assertThrows(IllegalArgumentException.class, () -> new BodyBufferBudget(-1, 5));
--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -13,42 +13,44 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Gossip beside a plain model, under loss, repeats, disorder and unreadable datagrams. */
+/**
+ * Tests gossip against a simple model, with lost, duplicate, reordered and unreadable datagrams.
+ */
 class LoadGossipTest {
-    /** Seconds after which what a peer reported counts no more. */
+    /** Seconds after which the report of a silent peer is dropped. */
     private static final double EXPIRY_SECONDS = 0.1;
 
     private record Undelivered(int from, LoadGossip.Message message) {}
 
-    /** The gossip of one of a few proxies that all use all backends. */
-    private static LoadGossip gossip(int proxies, int self, int backends) {
+    /** Creates the gossip of one proxy in a small fleet in which all proxies use all backends. */
+    private static LoadGossip newGossip(int proxies, int self, int backends) {
         return new LoadGossip(
                 proxies,
                 self,
                 1,
                 0.01,
                 EXPIRY_SECONDS,
-                everyoneUsesAll(proxies, backends),
+                subsetsOfAllBackends(proxies, backends),
                 tag -> {});
     }
 
-    private static SubsetAssignment everyoneUsesAll(int proxies, int backends) {
+    private static SubsetAssignment subsetsOfAllBackends(int proxies, int backends) {
         SubsetAssignment subsets = new SubsetAssignment(proxies, backends);
         subsets.setActive(IntStream.range(0, backends).toArray());
         return subsets;
     }
 
-    /** The only message that is due now. */
+    /** Takes the due messages, checks that there is exactly one, and returns its datagram. */
     private static byte[] onlyDueMessage(LoadGossip sender, double now) {
-        List<LoadGossip.Message> due = sender.dueMessages(now);
-        assertEquals(1, due.size(), "due");
+        List<LoadGossip.Message> due = sender.takeDueMessages(now);
+        assertEquals(1, due.size(), "number of due messages");
         return due.get(0).datagram();
     }
 
     @Test
-    void unreadableLateAndRepeatedMessagesChangeNothing() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void ignoresUnreadableLateAndRepeatedMessages() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         sender.attemptSent(7);
         byte[] old = onlyDueMessage(sender, 1);
         sender.attemptSent(7);
@@ -69,20 +71,18 @@
     }
 
     @Test
-    void attemptsOfAKilledProxyExpireAndItsNewStartIsHeard() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void expiresAttemptsOfKilledProxyAndAcceptsItsRestart() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         for (int i = 0; i < 50; i++) {
             sender.attemptSent(7);
             receiver.receive(0, onlyDueMessage(sender, 1 + 0.02 * i), 1 + 0.02 * i);
         }
-        receiver.expireSilentPeers(2.09);
+        receiver.expireStaleLoad(2.09);
         assertEquals(0, receiver.peerLoad(7));
         assertEquals(
-                0,
-                receiver.livePeerCount(2.09),
-                "a silent peer counts no more than what it reported");
-        LoadGossip restarted = gossip(2, 0, 10);
+                0, receiver.livePeerCount(2.09), "a silent peer is dropped along with its report");
+        LoadGossip restarted = newGossip(2, 0, 10);
         restarted.attemptSent(8);
         receiver.receive(0, onlyDueMessage(restarted, 3), 3);
         assertEquals(1, receiver.peerLoad(8));
@@ -90,21 +90,23 @@
     }
 
     @Test
-    void messagesStayWithinTheirBytesAndRate() {
-        LoadGossip sender = gossip(2, 0, 1000);
+    void limitsMessageSizeAndRate() {
+        LoadGossip sender = newGossip(2, 0, 1000);
         for (int i = 0; i < 1000; i++) {
             sender.attemptSent(i);
         }
         assertTrue(onlyDueMessage(sender, 1).length <= LoadGossip.MAX_DATAGRAM_BYTES);
         sender.attemptSent(1);
-        assertEquals(List.of(), sender.dueMessages(1.005));
+        assertEquals(List.of(), sender.takeDueMessages(1.005));
         onlyDueMessage(sender, 1.011);
         assertEquals(
-                List.of(), sender.dueMessages(1.02), "what has not changed is repeated seldom");
+                List.of(),
+                sender.takeDueMessages(1.02),
+                "an unchanged report is not sent again yet");
     }
 
-    /** How many backends have a lesser score at a proxy than the one of a tag. */
-    private static long better(int proxy, int tag, int[] tags) {
+    /** Returns how many backends have a lower score for a proxy than the backend with a tag. */
+    private static long countBackendsWithLowerScore(int proxy, int tag, int[] tags) {
         double score = SubsetAssignment.score(proxy, tag);
         return Arrays.stream(tags)
                 .filter(other -> SubsetAssignment.score(proxy, other) < score)
@@ -112,7 +114,7 @@
     }
 
     @Test
-    void onlyPeersThatUseTheBackendGetMessagesHoweverManyThereAre() {
+    void sendsOnlyToPeersThatUseTheBackendWhateverTheFleetSize() {
         for (int proxies : new int[] {20, 100, 300}) {
             int backends = 2 * proxies;
             int messages = 0;
@@ -120,33 +122,40 @@
             SubsetAssignment subsets = new SubsetAssignment(proxies, 16);
             subsets.setActive(tags);
             for (int tag : tags) {
-                LoadGossip one = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> {});
-                one.attemptSent(tag);
-                int[] to = one.dueMessages(1).stream().mapToInt(LoadGossip.Message::to).toArray();
+                LoadGossip sender = new LoadGossip(proxies, 3, 1, 0.01, 0.1, subsets, t -> {});
+                sender.attemptSent(tag);
+                int[] to =
+                        sender.takeDueMessages(1).stream()
+                                .mapToInt(LoadGossip.Message::to)
+                                .toArray();
                 int[] users =
                         IntStream.range(0, proxies)
-                                .filter(p -> p != 3 && better(p, tag, tags) < 16)
+                                .filter(
+                                        p ->
+                                                p != 3
+                                                        && countBackendsWithLowerScore(p, tag, tags)
+                                                                < 16)
                                 .toArray();
                 assertArrayEquals(users, to);
                 messages += to.length;
             }
             assertTrue(
                     messages > 7 * backends && messages <= 8 * backends,
-                    messages + " messages for " + backends);
+                    messages + " messages for " + backends + " backends");
         }
     }
 
     /**
-     * Whatever was lost, late or doubled before: once all messages arrive, each knows what the
-     * others have in flight as soon as the last message before can have expired.
+     * Checks convergence after lost, late and duplicate messages: once all messages arrive, each
+     * proxy knows the attempts in flight of the others after one expiry time.
      */
     @Property(tries = 2000, seed = "48")
-    void onceMessagesArriveAllKnowWhatTheOthersHaveInFlight(@ForAll long seed) {
+    void convergesOnAttemptsInFlightOnceMessagesArrive(@ForAll long seed) {
         Random random = new Random(seed);
         int proxies = 4;
         int backends = 5;
-        LoadGossip[] all = new LoadGossip[proxies];
-        Arrays.setAll(all, proxy -> gossip(proxies, proxy, backends));
+        LoadGossip[] gossips = new LoadGossip[proxies];
+        Arrays.setAll(gossips, proxy -> newGossip(proxies, proxy, backends));
         int[][] inFlight = new int[proxies][backends];
         List<Undelivered> undelivered = new ArrayList<>();
         double now = 1;
@@ -155,22 +164,23 @@
             int backend = random.nextInt(backends);
             if (inFlight[proxy][backend] > 0 && random.nextBoolean()) {
                 inFlight[proxy][backend]--;
-                all[proxy].attemptEnded(backend);
+                gossips[proxy].attemptEnded(backend);
             } else {
                 inFlight[proxy][backend]++;
-                all[proxy].attemptSent(backend);
+                gossips[proxy].attemptSent(backend);
             }
-            all[proxy]
-                    .dueMessages(now)
+            gossips[proxy]
+                    .takeDueMessages(now)
                     .forEach(message -> undelivered.add(new Undelivered(proxy, message)));
             if (!undelivered.isEmpty() && random.nextInt(3) > 0) {
-                // Any of them, perhaps again, perhaps never: lost, late, twice.
-                Undelivered any = undelivered.get(random.nextInt(undelivered.size()));
-                all[any.message.to()].receive(any.from, any.message.datagram(), now);
+                // Delivers a random one: any message may be lost, late or delivered repeatedly.
+                Undelivered delivered = undelivered.get(random.nextInt(undelivered.size()));
+                gossips[delivered.message.to()].receive(
+                        delivered.from, delivered.message.datagram(), now);
             }
         }
         for (double end = now + EXPIRY_SECONDS + 0.01; now < end; now += 0.005) {
-            arrive(all, now);
+            deliverDueMessages(gossips, now);
         }
         for (int receiver = 0; receiver < proxies; receiver++) {
             for (int backend = 0; backend < backends; backend++) {
@@ -180,64 +190,69 @@
                 }
                 assertEquals(
                         expected,
-                        all[receiver].peerLoad(backend),
+                        gossips[receiver].peerLoad(backend),
                         "seed " + seed + ", proxy " + receiver + ", backend " + backend);
             }
         }
     }
 
-    /** All that is due is sent and arrives, and what is too old expires. */
-    private static void arrive(LoadGossip[] all, double now) {
-        for (int i = 0; i < all.length; i++) {
-            for (LoadGossip.Message each : all[i].dueMessages(now)) {
-                all[each.to()].receive(i, each.datagram(), now);
+    /** Delivers all due messages, then expires stale load. */
+    private static void deliverDueMessages(LoadGossip[] gossips, double now) {
+        for (int i = 0; i < gossips.length; i++) {
+            for (LoadGossip.Message each : gossips[i].takeDueMessages(now)) {
+                gossips[each.to()].receive(i, each.datagram(), now);
             }
         }
-        for (LoadGossip each : all) {
-            each.expireSilentPeers(now);
+        for (LoadGossip each : gossips) {
+            each.expireStaleLoad(now);
         }
     }
 
-    /** Guards against a lost last message of a peer that then has nothing more to report. */
+    /**
+     * Guards against the loss of the last message of a peer that then has nothing more to report.
+     */
     @Test
-    void aLostLastMessageIsMadeUpForByTheExpiryAndNoLater() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void dropsPeerLoadAtExpiryWhenLastMessageIsLost() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         sender.attemptSent(7);
         receiver.receive(0, onlyDueMessage(sender, 1), 1);
         sender.attemptEnded(7);
-        assertTrue(onlyDueMessage(sender, 1.02).length > 0, "sent, and lost");
-        assertEquals(List.of(), sender.dueMessages(1.1), "it has nothing more to report");
-        receiver.expireSilentPeers(1 + EXPIRY_SECONDS - 0.001);
-        assertEquals(1, receiver.peerLoad(7), "believed until then");
-        receiver.expireSilentPeers(1 + EXPIRY_SECONDS + 0.001);
+        assertTrue(onlyDueMessage(sender, 1.02).length > 0, "this message is lost");
+        assertEquals(List.of(), sender.takeDueMessages(1.1), "it has nothing more to report");
+        receiver.expireStaleLoad(1 + EXPIRY_SECONDS - 0.001);
+        assertEquals(1, receiver.peerLoad(7), "still counted before the expiry");
+        receiver.expireStaleLoad(1 + EXPIRY_SECONDS + 0.001);
         assertEquals(0, receiver.peerLoad(7));
     }
 
-    /** Guards against a backend looking idle that still works on abandoned attempts. */
+    /** Guards against a backend looking idle while it still executes abandoned attempts. */
     @Test
-    void abandonedAttemptsCountForAWhileHereAndAtPeers() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void countsAbandonedAttemptsLocallyAndAtPeersUntilTheyExpire() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         sender.attemptSent(7);
         sender.attemptAbandoned(7, 1);
         receiver.receive(0, onlyDueMessage(sender, 1), 1);
         assertEquals(
                 1,
                 sender.peerLoad(7),
-                "it is no longer in flight for the decisions, so it counts beside");
+                "the balancer no longer counts the attempt as in flight, so gossip does");
         assertEquals(1, receiver.peerLoad(7));
-        assertTrue(sender.nextSendAt() <= 1.02, "its end is still to be sent");
+        assertTrue(sender.nextSendAt() <= 1.02, "the end of the attempt is still to be sent");
         receiver.receive(0, onlyDueMessage(sender, 1.02), 1.02);
         assertEquals(0, sender.peerLoad(7));
         assertEquals(0, receiver.peerLoad(7));
     }
 
-    /** Guards against a restarted peer that is not heard, or whose former attempts still count. */
+    /**
+     * Guards against ignoring messages of a restarted peer, and against counting its attempts from
+     * before the restart.
+     */
     @Test
-    void aRestartedPeerHasNothingInFlightAndIsHeardAtOnce() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void clearsAttemptsOfRestartedPeerAndAcceptsItsNextMessage() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         for (int i = 0; i < 9; i++) {
             sender.attemptSent(7);
             receiver.receive(0, onlyDueMessage(sender, 1 + 0.02 * i), 1 + 0.02 * i);
@@ -248,35 +263,40 @@
         receiver.peerRestarted(0, 2);
         assertEquals(0, receiver.peerLoad(7));
         LoadGossip restarted =
-                new LoadGossip(2, 0, 2, 0.01, 0.1, everyoneUsesAll(2, 10), tag -> {});
+                new LoadGossip(2, 0, 2, 0.01, 0.1, subsetsOfAllBackends(2, 10), tag -> {});
         restarted.attemptSent(3);
         receiver.receive(0, late, 1.2);
-        assertEquals(0, receiver.peerLoad(7), "a message of its former start comes late");
+        assertEquals(0, receiver.peerLoad(7), "a late message from before the restart");
         receiver.receive(0, onlyDueMessage(restarted, 1.2), 1.2);
         receiver.receive(0, late, 1.21);
         assertEquals(1, receiver.peerLoad(3));
         assertEquals(0, receiver.peerLoad(7));
     }
 
-    /** Guards against going on by what the peers had in flight when they fell silent. */
+    /** Guards against using the outdated load of peers that have fallen silent. */
     @Test
-    void manyMeanIntervalsWithoutAMessageAreSilenceLongBeforeTheExpiry() {
-        LoadGossip sender = gossip(2, 0, 10);
-        LoadGossip receiver = gossip(2, 1, 10);
+    void detectsSilenceAfterManyMeanIntervalsBeforeExpiry() {
+        LoadGossip sender = newGossip(2, 0, 10);
+        LoadGossip receiver = newGossip(2, 1, 10);
         assertEquals(0, receiver.livePeerCount(0));
         double now = 1;
         for (int i = 0; i < 200; i++, now += 0.0025) {
             sender.attemptSent(i % 10);
-            for (LoadGossip.Message each : sender.dueMessages(now)) {
+            for (LoadGossip.Message each : sender.takeDueMessages(now)) {
                 receiver.receive(0, each.datagram(), now);
             }
-            assertEquals(1, receiver.livePeerCount(now), "a few intervals are no silence");
+            assertEquals(
+                    1,
+                    receiver.livePeerCount(now),
+                    "a few intervals without a message are not silence");
         }
         assertEquals(1, receiver.livePeerCount(now + 0.03));
         assertEquals(
-                0, receiver.livePeerCount(now + 0.15 * 0.6), "expires after 0.1 s, silent before");
+                0,
+                receiver.livePeerCount(now + 0.15 * 0.6),
+                "silence is detected before the expiry of 0.1 s");
         sender.attemptSent(3);
         receiver.receive(0, onlyDueMessage(sender, now + 0.095), now + 0.095);
-        assertEquals(1, receiver.livePeerCount(now + 0.095), "the first message ends it");
+        assertEquals(1, receiver.livePeerCount(now + 0.095), "the first message ends the silence");
     }
 }
--- a/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
+++ b/src/test/java/lemondrift/gossip/SubsetAssignmentTest.java
@@ -22,7 +22,7 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 import org.junit.jupiter.api.Test;
 
-/** The subsets, and the share of the proxies that use a backend. */
+/** Tests the subsets and the shares of the proxies that use a backend. */
 class SubsetAssignmentTest {
     private static final int SUBSET_SIZE = 12;
 
@@ -36,74 +36,75 @@
                 .toList();
     }
 
-    private static EndpointUpdate lastOf(List<EndpointUpdate> updates, int backend) {
+    private static EndpointUpdate updateOf(List<EndpointUpdate> updates, int backend) {
         return updates.stream()
                 .filter(update -> update.backend() == backend)
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Guards against all proxies together sending a backend in slow start more than it bears. */
+    /** Guards against all proxies together overloading a backend in slow start. */
     @Property(tries = 50, seed = "48")
-    void theSharesOfABackendsUsersAddUpToOne(
+    void userSharesOfABackendSumToOne(
             @ForAll @IntRange(min = 2, max = 60) int proxies,
             @ForAll @IntRange(min = 1, max = 40) int backends) {
         double[] shares = new double[backends];
         for (int proxy = 0; proxy < proxies; proxy++) {
             for (EndpointUpdate update :
                     new SubsetAssignment(proxies, SUBSET_SIZE)
-                            .withUserShares(proxy, true, readyUpdates(0, backends), i -> i)) {
-                // One that does not use it has the part that it had before parts were known.
+                            .applyUpdates(proxy, true, readyUpdates(0, backends), i -> i)) {
+                // A proxy that does not use the backend is left out: it falls back to the share
+                // that it used before user shares were known.
                 shares[update.backend()] +=
                         update.userShare() > 0 ? 1 / (proxies * update.userShare()) : 0;
                 assertTrue(update.userShare() >= 0 && update.userShare() <= 1, update.toString());
             }
         }
         for (double share : shares) {
-            assertTrue(share == 0 || Math.abs(share - 1) < 1e-9, "together " + share);
+            assertTrue(share == 0 || Math.abs(share - 1) < 1e-9, "sum of the shares: " + share);
         }
     }
 
-    /** Whom a proxy uses of those that are ready, by sorting all of them. */
-    private static List<Integer> subset(int proxy, Set<Integer> ready) {
+    /** Returns the subset of a proxy, computed by sorting all ready backends. */
+    private static List<Integer> expectedSubset(int proxy, Set<Integer> ready) {
         return ready.stream()
                 .sorted(Comparator.comparing(id -> SubsetAssignment.score(proxy, id)))
                 .limit(SUBSET_SIZE)
                 .toList();
     }
 
-    private static double userShare(int proxy, int proxies, int id, Set<Integer> ready) {
-        return !subset(proxy, ready).contains(id)
+    private static double expectedUserShare(int proxy, int proxies, int id, Set<Integer> ready) {
+        return !expectedSubset(proxy, ready).contains(id)
                 ? 0
                 : (double)
                                 IntStream.range(0, proxies)
-                                        .filter(p -> subset(p, ready).contains(id))
+                                        .filter(p -> expectedSubset(p, ready).contains(id))
                                         .count()
                         / proxies;
     }
 
     /**
-     * Whatever changes, the last update of each backend is what sorting all of them gives, and no
-     * more.
+     * Checks after random changes that the last update of each backend equals the result of sorting
+     * all backends, and that unchanged backends get no update.
      */
     @Property(tries = 40, seed = "48")
-    void updatesOverManyChangesAreWhatSortingAllGives(@ForAll long seed) {
+    void matchesFullSortAfterManyChanges(@ForAll long seed) {
         Random random = new Random(seed);
         int proxies = 1 + random.nextInt(8);
-        int own = random.nextInt(proxies);
+        int self = random.nextInt(proxies);
         int backends = 60;
         SubsetAssignment subsets = new SubsetAssignment(proxies, SUBSET_SIZE);
         TreeSet<Integer> ready = new TreeSet<>();
         Map<Integer, EndpointUpdate> lastUpdates = new HashMap<>();
         for (int step = 0; step < 25; step++) {
-            boolean whole = random.nextInt(8) == 0;
+            boolean complete = random.nextInt(8) == 0;
             Map<Integer, EndpointUpdate> changes = new HashMap<>();
-            for (int i = random.nextInt(whole ? 40 : 10); i > 0; i--) {
+            for (int i = random.nextInt(complete ? 40 : 10); i > 0; i--) {
                 int backend = random.nextInt(backends);
                 changes.put(
                         backend, update(backend, EndpointUpdate.State.values()[random.nextInt(3)]));
             }
-            if (whole) {
+            if (complete) {
                 ready.clear();
             }
             changes.values()
@@ -116,35 +117,37 @@
                             });
             Map<Integer, EndpointUpdate> before = Map.copyOf(lastUpdates);
             List<EndpointUpdate> assigned =
-                    subsets.withUserShares(own, whole, List.copyOf(changes.values()), i -> i);
+                    subsets.applyUpdates(self, complete, List.copyOf(changes.values()), i -> i);
             assigned.forEach(update -> lastUpdates.put(update.backend(), update));
             for (int id : ready) {
                 assertEquals(
-                        userShare(own, proxies, id, ready),
+                        expectedUserShare(self, proxies, id, ready),
                         lastUpdates.get(id).userShare(),
                         "seed " + seed);
                 assertEquals(
-                        subset(own, ready).contains(id), subsets.uses(own, id), "seed " + seed);
+                        expectedSubset(self, ready).contains(id),
+                        subsets.uses(self, id),
+                        "seed " + seed);
             }
             for (EndpointUpdate update : assigned) {
                 assertTrue(
                         changes.containsKey(update.backend())
                                 || before.get(update.backend()).userShare() != update.userShare(),
-                        seed + " gives " + update);
+                        "seed " + seed + ": unexpected update " + update);
             }
-            int some = random.nextInt(backends);
+            int probedBackend = random.nextInt(backends);
             assertArrayEquals(
                     IntStream.range(0, proxies)
-                            .filter(p -> subset(p, ready).contains(some))
+                            .filter(p -> expectedSubset(p, ready).contains(probedBackend))
                             .toArray(),
-                    subsets.users(some),
+                    subsets.users(probedBackend),
                     "seed " + seed);
         }
     }
 
-    /** Guards against proxies of two versions side by side computing different scores. */
+    /** Guards against proxies of different versions in one fleet computing different scores. */
     @Test
-    void scoresAreThoseOfSplitMix64() {
+    void scoresEqualSplitMix64() {
         new Random(1)
                 .ints(1000, 0, 1 << 24)
                 .forEach(
@@ -157,24 +160,26 @@
                         });
     }
 
-    /** Guards against one change among thousands of backends costing more than one. */
+    /** Guards against the cost of a change growing with the number of backends. */
     @Test
-    void aListUpdatesWhatItChangesAndNoMore() {
+    void returnsUpdatesOfChangedBackendsOnly() {
         SubsetAssignment subsets = new SubsetAssignment(50, SUBSET_SIZE);
-        List<EndpointUpdate> first = subsets.withUserShares(3, true, readyUpdates(0, 60), i -> i);
+        List<EndpointUpdate> first = subsets.applyUpdates(3, true, readyUpdates(0, 60), i -> i);
         List<EndpointUpdate> gone =
                 new ArrayList<>(
                         IntStream.range(0, 40)
                                 .mapToObj(i -> update(i, EndpointUpdate.State.GONE))
                                 .toList());
-        List<EndpointUpdate> then = subsets.withUserShares(3, false, gone, i -> i);
-        List<Integer> stay =
-                then.stream().map(EndpointUpdate::backend).filter(i -> i >= 40).toList();
-        assertEquals(stay.size(), stay.stream().distinct().count());
+        List<EndpointUpdate> second = subsets.applyUpdates(3, false, gone, i -> i);
+        List<Integer> remaining =
+                second.stream().map(EndpointUpdate::backend).filter(i -> i >= 40).toList();
+        assertEquals(remaining.size(), remaining.stream().distinct().count());
         TreeSet<Integer> ready = new TreeSet<>(IntStream.range(40, 60).boxed().toList());
-        assertTrue(stay.containsAll(subset(3, ready)), "each that is used by more now");
         assertTrue(
-                then.stream()
+                remaining.containsAll(expectedSubset(3, ready)),
+                "updates cover the whole subset, whose user shares have grown");
+        assertTrue(
+                second.stream()
                                 .filter(update -> update.backend() >= 40)
                                 .mapToDouble(EndpointUpdate::userShare)
                                 .sum()
@@ -182,69 +187,71 @@
                                 .filter(update -> update.backend() >= 40)
                                 .mapToDouble(EndpointUpdate::userShare)
                                 .sum(),
-                "twenty are used by more");
+                "the remaining 20 backends are used by more proxies");
         assertEquals(
                 List.of(),
-                subsets.withUserShares(3, false, List.of(), i -> i),
-                "nothing has changed");
+                subsets.applyUpdates(3, false, List.of(), i -> i),
+                "no update without a change");
         assertEquals(
                 1,
-                subsets.withUserShares(3, true, readyUpdates(47, 48), i -> i).size(),
-                "a whole list is all");
+                subsets.applyUpdates(3, true, readyUpdates(47, 48), i -> i).size(),
+                "a complete list replaces all backends");
         SubsetAssignment large = new SubsetAssignment(100, SUBSET_SIZE);
-        large.withUserShares(3, true, readyUpdates(0, 3200), i -> i);
-        List<EndpointUpdate> one = List.of(update(7, EndpointUpdate.State.GONE));
+        large.applyUpdates(3, true, readyUpdates(0, 3200), i -> i);
+        List<EndpointUpdate> singleChange = List.of(update(7, EndpointUpdate.State.GONE));
         assertTrue(
-                large.withUserShares(3, false, one, i -> i).size() <= 1 + SUBSET_SIZE,
-                "one line of thousands");
+                large.applyUpdates(3, false, singleChange, i -> i).size() <= 1 + SUBSET_SIZE,
+                "one change among thousands of backends");
     }
 
     @Test
-    void aBackendThatComesAndGoesWithinOneListIsGone() {
+    void usesLastUpdateWhenAListNamesABackendTwice() {
         SubsetAssignment subsets = new SubsetAssignment(10, SUBSET_SIZE);
-        EndpointUpdate comes = update(4, EndpointUpdate.State.READY);
-        EndpointUpdate goes = update(4, EndpointUpdate.State.GONE);
-        subsets.withUserShares(0, false, List.of(comes, goes), i -> i);
+        EndpointUpdate ready = update(4, EndpointUpdate.State.READY);
+        EndpointUpdate gone = update(4, EndpointUpdate.State.GONE);
+        subsets.applyUpdates(0, false, List.of(ready, gone), i -> i);
         assertFalse(subsets.uses(0, 4));
         List<EndpointUpdate> assigned =
-                subsets.withUserShares(0, false, List.of(goes, comes), i -> i);
+                subsets.applyUpdates(0, false, List.of(gone, ready), i -> i);
         assertTrue(subsets.uses(0, 4));
         assertEquals(EndpointUpdate.State.READY, assigned.get(assigned.size() - 1).state());
     }
 
-    /** Guards against the former backend of a reassigned index staying in the subsets. */
+    /** Guards against the former backend of a reassigned index remaining in the subsets. */
     @Test
-    void anIndexThatIsReassignedLeavesItsFormerBackendOut() {
+    void removesFormerBackendOfReassignedIndex() {
         int[] ids = {500, 501, 502};
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
-        subsets.withUserShares(0, true, readyUpdates(0, 3), i -> ids[i]);
+        subsets.applyUpdates(0, true, readyUpdates(0, 3), i -> ids[i]);
         ids[1] = 777;
-        EndpointUpdate newcomer = new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0);
-        subsets.withUserShares(
-                0, false, List.of(update(1, EndpointUpdate.State.GONE), newcomer), i -> ids[i]);
+        EndpointUpdate newBackend =
+                new EndpointUpdate(1, true, 0, 0, EndpointUpdate.State.READY, 0);
+        subsets.applyUpdates(
+                0, false, List.of(update(1, EndpointUpdate.State.GONE), newBackend), i -> ids[i]);
         int users =
                 Arrays.stream(new int[] {500, 502, 777}).map(id -> subsets.users(id).length).sum();
-        assertEquals(10, users, "each proxy uses one of those that are there");
+        assertEquals(10, users, "each proxy uses one of the listed backends");
         assertEquals(0, subsets.users(501).length);
     }
 
     @Test
-    void anUpdateThatIsRepeatedIsNoNewBackend() {
+    void repeatedUpdateIsNotMarkedAsNewBackend() {
         SubsetAssignment subsets = new SubsetAssignment(10, 1);
-        EndpointUpdate newcomer = new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
+        EndpointUpdate newBackend =
+                new EndpointUpdate(4, true, 0, 0, EndpointUpdate.State.READY, 12);
         assertTrue(
-                lastOf(subsets.withUserShares(0, false, List.of(newcomer), i -> i), 4)
+                updateOf(subsets.applyUpdates(0, false, List.of(newBackend), i -> i), 4)
                         .newBackend());
         int lower =
                 IntStream.range(5, 1000)
                         .filter(i -> SubsetAssignment.score(0, i) < SubsetAssignment.score(0, 4))
                         .findFirst()
                         .orElseThrow();
-        EndpointUpdate again =
-                lastOf(subsets.withUserShares(0, false, readyUpdates(lower, lower + 1), i -> i), 4);
-        assertFalse(again.newBackend(), "its index stands for it already");
-        assertEquals(12, again.startedAt());
-        assertEquals(0, again.userShare(), "another has the least score now");
-        assertEquals(SubsetAssignment.score(0, 4), again.subsetScore());
+        EndpointUpdate repeated =
+                updateOf(subsets.applyUpdates(0, false, readyUpdates(lower, lower + 1), i -> i), 4);
+        assertFalse(repeated.newBackend(), "the index is already assigned to the backend");
+        assertEquals(12, repeated.startedAt());
+        assertEquals(0, repeated.userShare(), "another backend has the lowest score now");
+        assertEquals(SubsetAssignment.score(0, 4), repeated.subsetScore());
     }
 }
--- a/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
+++ b/src/test/java/lemondrift/metrics/ProxyMetricsTest.java
@@ -9,14 +9,14 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The counts of requests and replies. */
+/** Tests the counts of requests and replies. */
 class ProxyMetricsTest {
     /**
-     * Event 0 accepts a request, 1 answers and completes one, 2 completes one whose client has
-     * left.
+     * Event 0 accepts a request, 1 replies to a request and completes it, 2 completes a request
+     * whose client has left.
      */
     @Property(seed = "48")
-    void requestsInFlightAreThoseAcceptedLessThoseCompleted(
+    void requestsInFlightEqualAcceptedMinusCompleted(
             @ForAll List<@IntRange(min = 0, max = 2) Integer> events) {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look"));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aClassThatIsDroppedKeepsItsCountsAndANewOneBeginsAtZero() {
+    void droppedClassKeepsItsCountsAndNewClassStartsAtZero() {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look", "order"));
         metrics.replySent("look", ProxyMetrics.Reply.OVERLOAD);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aSnapshotDoesNotChange() {
+    void snapshotIsNotAffectedByLaterCounts() {
         ProxyMetrics metrics = new ProxyMetrics();
         metrics.registerClasses(List.of("look"));
         ProxyMetrics.Snapshot snapshot = metrics.snapshot();
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -56,44 +56,44 @@
 import org.xnio.StreamConnection;
 
 /**
- * Two events that cross, in the order that does harm; docs/incidents/narrow-moments.md has the
- * list.
+ * Tests pairs of concurrent events in the order that causes failures.
+ * docs/incidents/narrow-moments.md lists them.
  */
 class RaceConditionsTest extends LoopbackFixture {
-    /** Milliseconds after which a response counts as missing. */
+    /** Milliseconds after which a read without a response fails the test. */
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-    /** The timeout of a client that waits longer than any class lets it, in milliseconds. */
+    /** A client timeout longer than the timeout of any request class, in milliseconds. */
     private static final int CLIENT_TIMEOUT_MILLIS = 60_000;
 
-    /** Nanoseconds after which a state counts as not reached. */
+    /** Nanoseconds within which an expected state must be reached. */
     private static final long STATE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    /** Time between two looks at the state. */
+    /** Milliseconds between checks of the state. */
     private static final long STATE_POLL_MILLIS = 2;
 
-    /** Seconds after which a thread that is asked for its state counts as stuck. */
+    /** Seconds within which a thread must report its state. */
     private static final long THREAD_TIMEOUT_SECONDS = 5;
 
-    /** Seconds after which a thread that a test blocks goes on by itself. */
+    /** Seconds after which a thread that a test blocks continues even if it is not released. */
     private static final long BLOCK_TIMEOUT_SECONDS = 20;
 
-    /** Seconds after which a response to a request sent by the HTTP client counts as missing. */
+    /** Seconds within which the HTTP client must receive a response. */
     private static final long RESPONSE_TIMEOUT_SECONDS = 10;
 
-    /** The declared length of a body that is streamed to the backend, in bytes. */
+    /** Declared length of a body that is streamed to the backend, in bytes. */
     private static final int STREAMED_BODY_BYTES = 1_000_000;
 
-    /** How much of a streamed body is sent, in bytes. */
+    /** Number of bytes of a streamed body that are sent. */
     private static final int SENT_BODY_BYTES = 400_000;
 
-    /** How long a drain runs while the I/O thread reads nothing. */
+    /** Milliseconds of a drain during which the I/O thread reads nothing. */
     private static final int UNREAD_MILLIS = 1500;
 
-    /** How long a request stays incomplete in a drain. */
+    /** Milliseconds for which a request stays incomplete during a drain. */
     private static final int INCOMPLETE_MILLIS = 1000;
 
-    /** How long a request stays incomplete that is accepted late in a drain. */
+    /** Milliseconds for which a request that is accepted late in a drain stays incomplete. */
     private static final int LATE_IN_DRAIN_MILLIS = 900;
 
     private boolean mayCancel = true;
@@ -110,15 +110,15 @@
                 TestConfig.withSockets(json, 1024), latencyObjectiveMillis, timeoutMillis);
     }
 
-    private Socket client() throws IOException {
+    private Socket connectClient() throws IOException {
         return connect(READ_TIMEOUT_MILLIS);
     }
 
-    private static String get(String traceId) {
+    private static String getRequestWithLongTimeout(String traceId) {
         return getRequest(traceId, CLIENT_TIMEOUT_MILLIS);
     }
 
-    /** A request of which some of the body is missing. */
+    /** Returns a request whose body is incomplete. */
     private static String partialPost(
             String traceId, int clientTimeoutMillis, int declaredBytes, int sentBytes) {
         return postHead(traceId, clientTimeoutMillis, "Content-Length: " + declaredBytes)
@@ -130,28 +130,28 @@
         assertTrue(response != null && response.startsWith(start), String.valueOf(response));
     }
 
-    private ProxyServer.InFlight inFlight() throws Exception {
-        return proxy.inFlight().get(THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    private ProxyServer.InFlightCounts countInFlight() throws Exception {
+        return proxy.countInFlight().get(THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Waits for a state that is to be reached at last. */
-    private void awaitInFlight(Predicate<ProxyServer.InFlight> state) throws Exception {
-        ProxyServer.InFlight now = inFlight();
+    /** Waits until the counts reach an expected state. */
+    private void awaitInFlight(Predicate<ProxyServer.InFlightCounts> state) throws Exception {
+        ProxyServer.InFlightCounts current = countInFlight();
         for (long deadline = System.nanoTime() + STATE_TIMEOUT_NANOS;
-                !state.test(now);
+                !state.test(current);
                 Thread.sleep(STATE_POLL_MILLIS)) {
-            assertTrue(System.nanoTime() < deadline, "not reached, but " + now);
-            now = inFlight();
+            assertTrue(System.nanoTime() < deadline, "expected state not reached: " + current);
+            current = countInFlight();
         }
     }
 
     private void awaitNothingInFlight() throws Exception {
-        awaitInFlight(new ProxyServer.InFlight(0, 0, 0, 0)::equals);
+        awaitInFlight(new ProxyServer.InFlightCounts(0, 0, 0, 0)::equals);
     }
 
-    /** Waits until both threads have handled what they were given before. */
+    /** Waits until both threads have handled the tasks that are queued now. */
     private void awaitQueuedTasks() throws Exception {
-        awaitInFlight(now -> true);
+        awaitInFlight(counts -> true);
     }
 
     private long requestsOnIoThread() throws Exception {
@@ -161,7 +161,9 @@
         return requests.get(THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Waits until the I/O thread sees so many open requests, whatever the decision loop does. */
+    /**
+     * Waits until the I/O thread has a number of open requests. Works with a blocked decision loop.
+     */
     private void awaitRequestsOnIoThread(int count) throws Exception {
         long deadline = System.nanoTime() + STATE_TIMEOUT_NANOS;
         while (requestsOnIoThread() != count) {
@@ -185,7 +187,7 @@
     }
 
     private void holdConnections() throws IOException {
-        heldConnector = new HeldConnector(ProxyServer.worker());
+        heldConnector = new HeldConnector(ProxyServer.createWorker());
     }
 
     private void release(HeldConnector.HeldConnection connection) {
@@ -193,19 +195,22 @@
         proxy.runOnIoThread(connection.release());
     }
 
-    /** The one connection that was opened is closed, and nothing was sent on it. */
+    /** Asserts that the only connection to a backend is closed and that nothing was sent on it. */
     private static void assertReceivedNothing(ScriptedServer backend) throws Exception {
-        assertTrue(backend.awaitConnectionEnd(), "the connection is closed");
+        assertTrue(backend.awaitConnectionEnd(), "the connection was not closed");
         assertTrue(backend.requests.isEmpty(), backend.requests.toString());
     }
 
-    /** Leaves a connection to a backend that is reused by the next request. */
+    /** Opens a connection to a backend that the next request reuses. */
     private void openReusableConnection(ScriptedServer backend) throws Exception {
-        assertEquals(200, sendIdempotent().statusCode(), "a connection to be reused");
+        assertEquals(
+                200,
+                sendIdempotent().statusCode(),
+                "status of the request that opens the connection");
         backend.requests.clear();
     }
 
-    // A client that left while its request waited.
+    // Clients that leave while their request waits.
 
     @Test
     void doesNotSendWhenClientLeavesDuringConnectAndCancellationIsOff() throws Exception {
@@ -214,11 +219,11 @@
         ScriptedServer backend = backend(SILENCE);
         start(backend);
         HeldConnector.HeldConnection connection;
-        try (Socket client = client()) {
-            writeText(client, get("a"));
-            connection = heldConnector.next();
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a"));
+            connection = heldConnector.nextConnection();
         }
-        awaitInFlight(now -> now.connections() == 0);
+        awaitInFlight(counts -> counts.connections() == 0);
         release(connection);
         assertReceivedNothing(backend);
         awaitNothingInFlight();
@@ -231,8 +236,8 @@
         start(backend);
         openReusableConnection(backend);
         CountDownLatch mayDecide = blockDecisionLoop();
-        try (Socket client = client()) {
-            writeText(client, get("b"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("b"));
             awaitRequestsOnIoThread(1);
         }
         awaitRequestsOnIoThread(0);
@@ -249,21 +254,27 @@
         ScriptedServer backend = backend(SILENCE);
         start(backend);
         for (String pipelined :
-                new String[] {"G", get("next").substring(0, 60), get("next") + get("third")}) {
-            try (Socket client = client()) {
-                writeText(client, get("a"));
+                new String[] {
+                    "G",
+                    getRequestWithLongTimeout("next").substring(0, 60),
+                    getRequestWithLongTimeout("next") + getRequestWithLongTimeout("third")
+                }) {
+            try (Socket client = connectClient()) {
+                writeText(client, getRequestWithLongTimeout("a"));
                 assertNotNull(backend.nextRequest());
                 writeText(client, pipelined);
             }
             awaitNothingInFlight();
         }
-        try (Socket client = client()) {
-            writeText(client, get("a") + get("in one piece"));
+        try (Socket client = connectClient()) {
+            writeText(
+                    client,
+                    getRequestWithLongTimeout("a") + getRequestWithLongTimeout("in one piece"));
             assertNotNull(backend.nextRequest());
         }
         awaitNothingInFlight();
-        Socket reset = client();
-        writeText(reset, get("a"));
+        Socket reset = connectClient();
+        writeText(reset, getRequestWithLongTimeout("a"));
         assertNotNull(backend.nextRequest());
         writeText(reset, "GE");
         reset.setSoLinger(true, 0);
@@ -271,7 +282,7 @@
         awaitNothingInFlight();
         assertTrue(
                 backend.requests.isEmpty(),
-                "no pipelined request was forwarded: " + backend.requests);
+                "a pipelined request was forwarded: " + backend.requests);
     }
 
     private void setClassTimes(int millis) {
@@ -285,10 +296,10 @@
         CountDownLatch mayRespond = new CountDownLatch(1);
         ScriptedServer backend = backend(mayRespond);
         start(backend);
-        try (Socket client = client()) {
-            writeText(client, get("a"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a"));
             assertNotNull(backend.nextRequest());
-            String pipelined = get("b") + get("c");
+            String pipelined = getRequestWithLongTimeout("b") + getRequestWithLongTimeout("c");
             for (int at = 0; at < pipelined.length(); at += pieceBytes) {
                 writeText(
                         client,
@@ -307,19 +318,19 @@
         mayCancel = false;
         ScriptedServer backend = backend(SILENCE);
         start(backend);
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             writeText(
                     client, partialPost("a", TIMEOUT_MILLIS, STREAMED_BODY_BYTES, SENT_BODY_BYTES));
-            awaitInFlight(now -> now.calls() == 1);
+            awaitInFlight(counts -> counts.calls() == 1);
         }
         awaitNothingInFlight();
-        assertTrue(backend.awaitConnectionEnd(), "the connection is closed");
+        assertTrue(backend.awaitConnectionEnd(), "the connection was not closed");
         assertTrue(
                 backend.requests.take().length() < STREAMED_BODY_BYTES,
-                "cut short, so that it is not executed");
+                "the backend received the whole request and may execute it");
     }
 
-    /** Guards against a trace id or any other state that is kept after its client has left. */
+    /** Guards against a trace id or other state that is kept after its client has left. */
     @Test
     void releasesAllStateWhenClientsLeaveAtRandomSteps() throws Exception {
         start(backend(OK), backend(CLOSE), backend(NEVER_EXECUTED));
@@ -333,7 +344,7 @@
                             () -> {
                                 try {
                                     for (int i = 0; i < 40; i++) {
-                                        leaveAtRandomStep(random, traceId);
+                                        closeAtRandomStep(random, traceId);
                                     }
                                 } catch (Exception e) {
                                     failures.add(e);
@@ -346,37 +357,41 @@
         }
         assertEquals(List.of(), List.copyOf(failures));
         awaitNothingInFlight();
-        // What a client sent before it left may be read after such a look; what is left behind
-        // stays.
+        // A request that a client sent before it left may be read after the check above, so this
+        // waits once more. State that is wrongly kept never goes away.
         awaitRequestsOnIoThread(0);
         for (int i = 0; i < 3; i++) {
             int status =
                     send(request(IDEMPOTENT_CLASS).setHeader("X-Trace-Id", "same-" + i))
                             .statusCode();
-            assertNotEquals(400, status, "the id is free");
+            assertNotEquals(400, status, "the trace id is still in use");
         }
     }
 
-    private void leaveAtRandomStep(Random random, String traceId) throws IOException {
-        try (Socket client = client()) {
+    private void closeAtRandomStep(Random random, String traceId) throws IOException {
+        try (Socket client = connectClient()) {
             switch (random.nextInt(6)) {
-                case 0 -> writeText(client, get(traceId));
-                case 1 -> writeText(client, get(traceId) + get(traceId + "-ahead"));
+                case 0 -> writeText(client, getRequestWithLongTimeout(traceId));
+                case 1 ->
+                        writeText(
+                                client,
+                                getRequestWithLongTimeout(traceId)
+                                        + getRequestWithLongTimeout(traceId + "-ahead"));
                 case 2 -> writeText(client, partialPost(traceId, TIMEOUT_MILLIS, 300_000, 290_000));
                 case 3 -> {
-                    writeText(client, get(traceId));
+                    writeText(client, getRequestWithLongTimeout(traceId));
                     readMessage(client);
                 }
-                case 4 -> writeText(client, get(traceId).substring(0, 50));
+                case 4 -> writeText(client, getRequestWithLongTimeout(traceId).substring(0, 50));
                 default -> {
-                    writeText(client, get(traceId));
+                    writeText(client, getRequestWithLongTimeout(traceId));
                     client.setSoLinger(true, 0);
                 }
             }
         }
     }
 
-    // Time that has passed, and lists, while an attempt waits.
+    // Deadlines that pass and endpoint lists that arrive while an attempt waits.
 
     @Test
     void doesNotSendWhenConnectionOpensAfterAttemptDeadline() throws Exception {
@@ -385,11 +400,11 @@
         ScriptedServer backend = backend(SILENCE);
         start(backend);
         var response = sendAsync(request(NOT_IDEMPOTENT_CLASS));
-        HeldConnector.HeldConnection connection = heldConnector.next();
+        HeldConnector.HeldConnection connection = heldConnector.nextConnection();
         proxy.runOnIoThread(
                 () -> {
-                    // The I/O thread stands still until the time is over; no timer runs before the
-                    // connection is open.
+                    // Blocks the I/O thread until the deadline has passed, so that no timer runs
+                    // before the connection is open.
                     try {
                         Thread.sleep(400);
                     } catch (InterruptedException e) {
@@ -401,11 +416,11 @@
         assertEquals(
                 503,
                 response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode(),
-                "it was never executed");
+                "the request was never executed, so it must be rejected");
         awaitNothingInFlight();
     }
 
-    /** Guards against an attempt sent before the I/O thread has read that its client closed. */
+    /** Guards against sending an attempt before the I/O thread has read its client's close. */
     @Test
     void doesNotSendWhenClientLeavesWhileIoThreadIsBlocked() throws Exception {
         mayCancel = false;
@@ -414,14 +429,14 @@
         openReusableConnection(backend);
         CountDownLatch mayDecide = blockDecisionLoop();
         CountDownLatch clientLeft = new CountDownLatch(1);
-        try (Socket client = client()) {
-            writeText(client, get("b"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("b"));
             awaitRequestsOnIoThread(1);
             proxy.runOnIoThread(
                     () -> {
                         awaitLatch(clientLeft);
                         mayDecide.countDown();
-                        // Nothing is read until the attempt has been decided and is to be made.
+                        // Nothing is read until the decision to send the attempt is made.
                         CountDownLatch decided = new CountDownLatch(1);
                         proxy.runOnLoop(decided::countDown);
                         awaitLatch(decided);
@@ -429,10 +444,10 @@
         }
         clientLeft.countDown();
         awaitNothingInFlight();
-        assertTrue(backend.requests.isEmpty(), "the client had left");
+        assertTrue(backend.requests.isEmpty(), "sent although the client had left");
     }
 
-    /** Guards against a backend that works on after the deadline by the time of a handshake. */
+    /** Guards against a backend that works past the deadline by the duration of the handshake. */
     @Test
     void sendsRemainingTimeWhenConnectionOpensLate() throws Exception {
         int handshakeMillis = 600;
@@ -440,7 +455,7 @@
         ScriptedServer backend = backend(OK);
         start(backend);
         var response = sendAsync(request(IDEMPOTENT_CLASS));
-        HeldConnector.HeldConnection connection = heldConnector.next();
+        HeldConnector.HeldConnection connection = heldConnector.nextConnection();
         Thread.sleep(handshakeMillis);
         release(connection);
         assertEquals(200, response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode());
@@ -451,7 +466,9 @@
                 remainingMillis);
     }
 
-    /** Guards against 502, "may have been executed", for what was never sent (OVERDUE). */
+    /**
+     * Guards against 502, "may have been executed", for a request that was never sent (OVERDUE).
+     */
     @ParameterizedTest
     @ValueSource(strings = {IDEMPOTENT_CLASS, NOT_IDEMPOTENT_CLASS})
     void rejectsUnsentRequestAtDeadlineWhenDecisionLoopIsBlocked(String requestClass)
@@ -461,7 +478,7 @@
         ScriptedServer backend = backend(OK);
         start(backend);
         CountDownLatch mayDecide = blockDecisionLoop();
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             writeText(client, getRequest("a", requestClass, 300));
             assertResponseStartsWith("HTTP/1.1 503", client);
             mayDecide.countDown();
@@ -470,8 +487,8 @@
         }
     }
 
-    /** The lines with a text that are logged while a task runs. */
-    private static List<String> logged(String text, Callable<Void> task) throws Exception {
+    /** Runs a task and returns the lines with a text that are logged in the meantime. */
+    private static List<String> captureLogLines(String text, Callable<Void> task) throws Exception {
         PrintStream standardError = System.err;
         ByteArrayOutputStream log = new ByteArrayOutputStream();
         System.setErr(new PrintStream(log, true, StandardCharsets.UTF_8));
@@ -486,7 +503,7 @@
                 .toList();
     }
 
-    /** Guards against a log line that tells of the next request on the connection. */
+    /** Guards against a log line with the values of the next request on the connection. */
     @Test
     void logsWhyARequestIsNotServedOnceAndWithItsOwnFigures() throws Exception {
         timeoutMillis = 500;
@@ -494,10 +511,10 @@
         start(backend(SILENCE));
         CountDownLatch mayDecide = blockDecisionLoop();
         List<String> notServed =
-                logged(
+                captureLogLines(
                         "not served",
                         () -> {
-                            try (Socket client = client()) {
+                            try (Socket client = connectClient()) {
                                 writeText(client, getRequest("a", 300));
                                 assertResponseStartsWith("HTTP/1.1 503", client);
                                 writeText(client, getRequest("b", 300));
@@ -517,19 +534,19 @@
                 notServed.toString());
     }
 
-    /** Guards against a 4xx that leaves no line in the log. */
+    /** Guards against a 4xx response that is not logged. */
     @Test
     void logsWhyARequestIsRefused() throws Exception {
         start(backend(OK));
         List<String> refused =
-                logged(
+                captureLogLines(
                         "refused",
                         () -> {
-                            try (Socket client = client()) {
+                            try (Socket client = connectClient()) {
                                 writeText(client, getRequest("a", "nothing-known", 300));
                                 assertResponseStartsWith("HTTP/1.1 400", client);
                             }
-                            try (Socket client = client()) {
+                            try (Socket client = connectClient()) {
                                 writeText(
                                         client,
                                         postHead("b", 300, "Content-Length: " + (41 << 20)));
@@ -546,7 +563,10 @@
                 refused.toString());
     }
 
-    /** Guards against 503, "a retry is harmless", for what a backend may have executed. */
+    /**
+     * Guards against 503, "a retry is harmless", for a non-idempotent request that a backend may
+     * have executed.
+     */
     @ParameterizedTest
     @CsvSource({IDEMPOTENT_CLASS + ",503", NOT_IDEMPOTENT_CLASS + ",502"})
     void endsSentRequestAtDeadlineByItsIdempotencyWhenDecisionLoopIsBlocked(
@@ -555,7 +575,7 @@
         latencyObjectiveMillis = 400;
         ScriptedServer backend = backend(SILENCE);
         start(backend);
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             writeText(client, getRequest("a", requestClass, 300));
             assertNotNull(backend.nextRequest());
             CountDownLatch mayDecide = blockDecisionLoop();
@@ -576,7 +596,10 @@
         assertSentElsewhereAfterListDuringConnect(port -> newPort, "active");
     }
 
-    /** A list changes a backend while an attempt waits for its connection to it. */
+    /**
+     * Applies a list that changes a backend while an attempt waits for its connection, and asserts
+     * that the attempt goes to the other backend.
+     */
     private void assertSentElsewhereAfterListDuringConnect(
             IntUnaryOperator newPort, String newPhase) throws Exception {
         holdConnections();
@@ -584,7 +607,7 @@
         ScriptedServer second = backend(OK);
         start(first, second);
         var response = sendAsync(request(NOT_IDEMPOTENT_CLASS));
-        HeldConnector.HeldConnection connection = heldConnector.next();
+        HeldConnector.HeldConnection connection = heldConnector.nextConnection();
         ScriptedServer changed = connection.address().getPort() == first.port() ? first : second;
         discoveryUpdates.add(
                 okResponse(
@@ -598,18 +621,18 @@
         awaitDiscoveryRequest("from=2");
         awaitQueuedTasks();
         release(connection);
-        release(heldConnector.next());
+        release(heldConnector.nextConnection());
         assertEquals(200, response.get(RESPONSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode());
-        assertTrue(changed.requests.isEmpty(), "the list came before the first byte was sent");
+        assertTrue(changed.requests.isEmpty(), "sent to the backend after the list had changed it");
         awaitNothingInFlight();
     }
 
-    // The end of an attempt.
+    // Completion of attempts.
 
     @Test
     void endsAttemptOnceWhenConnectorThrows() throws Exception {
         heldConnector =
-                new HeldConnector(ProxyServer.worker()) {
+                new HeldConnector(ProxyServer.createWorker()) {
                     @Override
                     public IoFuture<StreamConnection> open(
                             InetSocketAddress address, ChannelListener<StreamConnection> opened) {
@@ -618,7 +641,7 @@
                 };
         start(backend(OK));
         assertEquals(503, sendIdempotent().statusCode());
-        assertEquals(0, inFlight().calls(), "none ends again with its timers");
+        assertEquals(0, countInFlight().calls(), "attempts still in flight");
         awaitNothingInFlight();
     }
 
@@ -631,8 +654,8 @@
         assertEquals(200, sendIdempotent().statusCode());
         CountDownLatch mayRead = new CountDownLatch(1);
         proxy.runOnIoThread(() -> awaitLatch(mayRead));
-        try (Socket client = client()) {
-            writeText(client, get("a"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a"));
             Thread drain = startDrain();
             drain.join(UNREAD_MILLIS);
             mayRead.countDown();
@@ -649,14 +672,14 @@
             if (proxy.phase() == ProxyServer.Phase.STOPPED) {
                 start(backend(OK));
             }
-            try (Socket client = client()) {
+            try (Socket client = connectClient()) {
                 writeText(client, whole.substring(0, cut));
                 Thread drain = startDrain();
                 client.setSoTimeout(INCOMPLETE_MILLIS);
                 assertThrows(
                         SocketTimeoutException.class,
                         () -> client.getInputStream().read(),
-                        "the connection stays open");
+                        "the connection was closed or received a response");
                 client.setSoTimeout(READ_TIMEOUT_MILLIS);
                 writeText(client, whole.substring(cut));
                 assertResponseStartsWith("HTTP/1.1 200", client);
@@ -669,13 +692,13 @@
     void answersRequestThatIsAcceptedLateInDrain() throws Exception {
         setClassTimes(1500);
         start(backend(SILENCE));
-        try (Socket client = client()) {
-            writeText(client, get("a").substring(0, 40));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a").substring(0, 40));
             Thread drain = startDrain();
             client.setSoTimeout(LATE_IN_DRAIN_MILLIS);
             assertThrows(SocketTimeoutException.class, () -> client.getInputStream().read());
             client.setSoTimeout(READ_TIMEOUT_MILLIS);
-            writeText(client, get("a").substring(40));
+            writeText(client, getRequestWithLongTimeout("a").substring(40));
             assertResponseStartsWith("HTTP/1.1 50", client);
             drain.join();
         }
@@ -685,9 +708,9 @@
     void answersOpenUploadWhenDrainEnds() throws Exception {
         setClassTimes(1000);
         start(backend(SILENCE));
-        try (Socket client = client()) {
+        try (Socket client = connectClient()) {
             writeText(client, partialPost("a", 1000, STREAMED_BODY_BYTES, SENT_BODY_BYTES));
-            awaitInFlight(now -> now.calls() == 1);
+            awaitInFlight(counts -> counts.calls() == 1);
             Thread drain = startDrain();
             assertResponseStartsWith("HTTP/1.1 50", client);
             drain.join();
@@ -699,8 +722,8 @@
         CountDownLatch mayRespond = new CountDownLatch(1);
         ScriptedServer backend = backend(mayRespond);
         start(backend);
-        try (Socket client = client()) {
-            writeText(client, get("a"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a"));
             assertNotNull(backend.nextRequest());
             writeText(client, partialPost("b", TIMEOUT_MILLIS, 100_000, 50_000));
             Thread drain = startDrain();
@@ -712,9 +735,9 @@
 
     // Idle connections.
 
-    /** Guards against a late second response that is delivered to the next request. */
+    /** Guards against delivering a late second response to the next request. */
     @Test
-    void discardsSecondResponseThatComesAfterTheNextRequest() throws Exception {
+    void discardsSecondResponseThatArrivesAfterTheNextRequest() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             startDaemon(
                     () -> {
@@ -725,8 +748,8 @@
                                     () -> {
                                         readMessage(connection);
                                         writeText(connection, OK + excess);
-                                        // The second response waits for the second request, in
-                                        // case one comes here.
+                                        // Sends another response only after a second request, if
+                                        // one arrives on this connection.
                                         readMessage(connection);
                                         writeText(connection, okResponse("evil") + OK);
                                     });
@@ -758,21 +781,21 @@
         CountDownLatch mayDecide = blockDecisionLoop();
         proxy.reload(ProxyConfig.read(withoutFirst.toString()));
         proxy.reload(ProxyConfig.read(withNewClass.toString()));
-        try (Socket client = client()) {
-            writeText(client, get("a"));
+        try (Socket client = connectClient()) {
+            writeText(client, getRequestWithLongTimeout("a"));
             awaitRequestsOnIoThread(1);
             mayDecide.countDown();
             assertTrue(
                     readMessage(client).startsWith("HTTP/1.1 200"),
-                    "under the rules that held when it arrived");
+                    "the request must follow the settings at its arrival");
         }
         awaitQueuedTasks();
-        assertEquals(3, proxy.classesKnown(), "the new class has an index of its own");
+        assertEquals(3, proxy.indexedClassCount(), "the new class must have an index of its own");
     }
 
     // Endpoint lists.
 
-    /** Guards against a request that is sent to a backend which drained before the start. */
+    /** Guards against a request to a backend that started to drain before the proxy started. */
     @Test
     void acceptsNoClientBeforeTheFirstListFromDiscovery() throws Exception {
         ScriptedServer draining = backend(OK);
@@ -806,11 +829,12 @@
         mayRespond.countDown();
         startup.join();
         assertEquals(200, sendIdempotent().statusCode());
-        assertTrue(draining.requests.isEmpty(), "it has drained since before the start");
+        assertTrue(draining.requests.isEmpty(), "sent to a backend that drained before the start");
     }
 
     /**
-     * Guards against changes that are missed: they count as received 6 s after a watch is silent.
+     * Guards against missed changes: a change counts as known to the proxy after 6 s, so two silent
+     * watches must be reopened within that time.
      */
     @Test
     void reopensTwoSilentWatchesInARowInTime() throws Exception {
@@ -820,7 +844,7 @@
         awaitDiscoveryRequest("from=1");
         discoveryUpdates.add(SILENCE);
         awaitDiscoveryRequest("from=1");
-        assertTrue(System.nanoTime() - startedAt < 6e9, "the third watch is open");
+        assertTrue(System.nanoTime() - startedAt < 6e9, "the third watch was opened too late");
     }
 
     @Test
@@ -839,6 +863,7 @@
         discoveryUpdates.add(SILENCE);
         awaitDiscoveryRequest("from=2");
         assertEquals(200, sendNotIdempotent("x").statusCode());
-        assertEquals(1, first.requests.size(), "it is as it was before that list");
+        assertEquals(
+                1, first.requests.size(), "the backend with the unreadable entry must stay usable");
     }
 }
--- a/src/test/java/lemondrift/proxy/UpgradeTest.java
+++ b/src/test/java/lemondrift/proxy/UpgradeTest.java
@@ -33,9 +33,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Hot restart: two proxies that accept on one listening socket, which both inherited. */
+/** Tests hot restart: two proxies accept clients on the same inherited listening socket. */
 class UpgradeTest extends LoopbackFixture {
-    /** Seconds for which a backend waits until it may respond. */
+    /** Maximum seconds for which a backend waits for its release. */
     private static final int RELEASE_TIMEOUT_SECONDS = 5;
 
     private ServerSocketChannel sharedSocket;
@@ -43,7 +43,7 @@
     private int requestCount;
 
     private ProxyServer serveOnSharedSocket() throws Exception {
-        // Clients that wait are served at once, so the endpoint list has to be known.
+        // Waiting clients are served at once, so the proxy needs an endpoint list from the start.
         String initialEndpoints = "{\"known\":" + endpointList(1, true, members) + ",";
         ProxyServer follower =
                 new ProxyServer(
@@ -67,7 +67,7 @@
         return new Socket(InetAddress.getLoopbackAddress(), sharedSocket.socket().getLocalPort());
     }
 
-    /** A connection on which a request has been sent. */
+    /** Sends a request on a new connection. */
     private Socket sendRequest() throws IOException {
         Socket client = connectToSharedSocket();
         requestCount++;
@@ -91,7 +91,7 @@
                 backend(
                         request ->
                                 firstReceived.getAndSet(true)
-                                                || isReleased(mayRespond, RELEASE_TIMEOUT_SECONDS)
+                                                || awaitRelease(mayRespond, RELEASE_TIMEOUT_SECONDS)
                                         ? OK
                                         : CLOSE);
         ProxyServer serving = startFirst(slow);
@@ -111,8 +111,7 @@
                 response);
         drain.join();
         assertTrue(
-                sharedSocket.isOpen(),
-                "the inherited socket is not closed with the process that drains");
+                sharedSocket.isOpen(), "the drained process must not close the inherited socket");
         assertServed(20);
         follower.drain();
         assertTrue(sharedSocket.isOpen());
@@ -127,13 +126,13 @@
         ProxyServer follower = serveOnSharedSocket();
         assertTrue(
                 readMessage(waiting).startsWith("HTTP/1.1 200 "),
-                "a client that came between the two waits to be accepted");
+                "a client that connects between the two processes must be served by the second");
         follower.drain();
     }
 
     @Test
     void servesClientsWhileSilentOnesFillTheConnectionLimit() throws Exception {
-        ProxyServer only = startFirst(backend(OK));
+        ProxyServer server = startFirst(backend(OK));
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             silent.add(connectToSharedSocket());
@@ -141,11 +140,11 @@
         assertServed(3);
         closeAll(silent);
         assertServed(3);
-        only.drain();
+        server.drain();
     }
 
     @Test
-    void exitsWhenInheritedDescriptorIsNoListeningSocket(@TempDir Path folder) throws Exception {
+    void exitsWhenInheritedDescriptorIsNotAListeningSocket(@TempDir Path folder) throws Exception {
         Path file = Files.writeString(folder.resolve("config.json"), config(UNUSED_PORT));
         for (String descriptor : List.of("0", "1", "none", "")) {
             var errorOutput = new ByteArrayOutputStream();
--- a/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
+++ b/src/test/java/lemondrift/proxy/admin/AdminCompatibilityTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import lemondrift.LandedBytes;
+import lemondrift.GoldenFiles;
 import lemondrift.metrics.EventLoopMetrics;
 import lemondrift.metrics.ProxyMetrics;
 import org.junit.jupiter.api.Test;
@@ -20,13 +20,13 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The answers at the operators' address, byte for byte as the landed program gave them. */
+/** Tests that the responses of the admin address match the reference output byte for byte. */
 class AdminCompatibilityTest {
-    /** Seconds after which the I/O thread counts as stuck. */
+    /** Seconds within which the I/O thread must run a task. */
     private static final long IO_THREAD_TIMEOUT_SECONDS = 5;
 
-    /** A proxy whose figures are all known. */
-    private static final class KnownProxy implements AdminOperations {
+    /** A proxy with fixed metrics. */
+    private static final class FixedMetricsProxy implements AdminOperations {
         @Override
         public boolean isReady() {
             return true;
@@ -44,7 +44,7 @@
             metrics.replySent("write", ProxyMetrics.Reply.OVERLOAD);
             metrics.replySent("write", ProxyMetrics.Reply.ERROR);
             metrics.attemptSent();
-            metrics.backendsCounted(5, 2);
+            metrics.setBackendCounts(5, 2);
             metrics.configurationReloaded(true);
             metrics.configurationReloaded(false);
             metrics.configurationReloaded(false);
@@ -84,48 +84,50 @@
     }
 
     @Test
-    void answersMatchLandedProgram() throws Exception {
+    void responsesMatchReferenceOutput() throws Exception {
         XnioWorker worker =
                 Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         try {
             AdminServer adminServer =
                     new AdminServer(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), worker);
-            StringBuilder all = new StringBuilder();
-            askAll(adminServer, all.append("before there is a proxy\n"));
-            adminServer.setOperations(new KnownProxy());
+            StringBuilder responses = new StringBuilder();
+            appendAllResponses(adminServer, responses.append("before there is a proxy\n"));
+            adminServer.setOperations(new FixedMetricsProxy());
             awaitIoThread(worker);
-            askAll(adminServer, all.append("with one\n"));
-            LandedBytes.assertText("admin.txt", all.toString().replace("\r\n", "\n"));
+            appendAllResponses(adminServer, responses.append("with one\n"));
+            GoldenFiles.assertText("admin.txt", responses.toString().replace("\r\n", "\n"));
         } finally {
             worker.shutdown();
         }
     }
 
-    /** Guards against calls that the I/O thread answers before the operations it was given. */
+    /** Waits until the I/O thread has set the operations, so that later calls use them. */
     private static void awaitIoThread(XnioWorker worker) throws InterruptedException {
         CountDownLatch ranTasks = new CountDownLatch(1);
         worker.getIoThread().execute(ranTasks::countDown);
         assertTrue(ranTasks.await(IO_THREAD_TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
-    private static void askAll(AdminServer adminServer, StringBuilder all) throws IOException {
+    private static void appendAllResponses(AdminServer adminServer, StringBuilder responses)
+            throws IOException {
         for (String path :
                 List.of("health", "stats", "recovery", "loop", "quiesce", "resume", "nothing")) {
             for (String method : List.of("GET", "PUT")) {
                 String request = method + " /admin/" + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
-                all.append("> ")
+                responses
+                        .append("> ")
                         .append(method)
                         .append(' ')
                         .append(path)
                         .append('\n')
-                        .append(ask(adminServer, request))
+                        .append(call(adminServer, request))
                         .append('\n');
             }
         }
     }
 
-    private static String ask(AdminServer adminServer, String request) throws IOException {
+    private static String call(AdminServer adminServer, String request) throws IOException {
         try (Socket caller =
                 new Socket(InetAddress.getLoopbackAddress(), adminServer.address().getPort())) {
             caller.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
+++ b/src/test/java/lemondrift/proxy/http/LongBodiesTest.java
@@ -44,60 +44,61 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Bodies that are longer than what is buffered, in both directions, and clients and backends that
- * are slow with them or close midway.
+ * Tests bodies that are too long to be buffered, in both directions, with clients and backends that
+ * are slow or close in the middle of a body.
  */
 class LongBodiesTest extends LoopbackFixture {
-    /** Milliseconds after which a response counts as missing. */
+    /** How long a client waits for a response before the test fails. */
     private static final int READ_TIMEOUT_MILLIS = 20_000;
 
-    /** Seconds after which a state counts as not reached. */
+    /** How long a test waits for a state before it fails. */
     private static final long STATE_TIMEOUT_SECONDS = 20;
 
     /** The length of bodies that are streamed in either direction, in bytes. */
     private static final int LONG_BODY_BYTES = 3_000_000;
 
-    /** The length of a response that no buffer between backend and client takes, in bytes. */
+    /** The length of a response that exceeds all buffers between backend and client, in bytes. */
     private static final int FLOOD_BYTES = 512 * FloodingBackend.PIECE_BYTES;
 
-    /** The longest response that the reader of the property buffers, in bytes. */
+    /** The longest body that the reader in the property test buffers, in bytes. */
     private static final int MAX_BUFFERED_BYTES = 1000;
 
-    private static byte[] bytes(int count) {
+    private static byte[] randomBytes(int count) {
         byte[] bytes = new byte[count];
         new Random(count).nextBytes(bytes);
         return bytes;
     }
 
-    private static String text(byte[] bytes) {
+    private static String latin1Text(byte[] bytes) {
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
     private static String responseWithLength(byte[] body) {
-        return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n" + text(body);
+        return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n" + latin1Text(body);
     }
 
     private static String chunkedResponse(byte[] body, int chunkBytes) {
         StringBuilder response =
                 new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        for (int at = 0; at < body.length; at += chunkBytes) {
-            byte[] chunk = Arrays.copyOfRange(body, at, Math.min(body.length, at + chunkBytes));
+        for (int offset = 0; offset < body.length; offset += chunkBytes) {
+            byte[] chunk =
+                    Arrays.copyOfRange(body, offset, Math.min(body.length, offset + chunkBytes));
             response.append(Integer.toHexString(chunk.length))
                     .append(";x=y\r\n")
-                    .append(text(chunk))
+                    .append(latin1Text(chunk))
                     .append("\r\n");
         }
         return response.append("0\r\nTrailer: x\r\n\r\n").toString();
     }
 
-    /** A connection on which a request without a body has been sent. */
+    /** Sends a request without a body and returns its connection. */
     private Socket sendGet(String traceId) throws IOException {
         Socket client = connect(READ_TIMEOUT_MILLIS);
         writeText(client, getRequest(traceId, TIMEOUT_MILLIS));
         return client;
     }
 
-    /** A connection on which the head of a request has been sent. */
+    /** Sends the head of a request with a body and returns its connection. */
     private Socket sendPostHead(String traceId, String framing) throws IOException {
         Socket client = connect(READ_TIMEOUT_MILLIS);
         writeText(client, postHead(traceId, TIMEOUT_MILLIS, framing));
@@ -113,7 +114,10 @@
         return response.body();
     }
 
-    /** Waits for so many replies of a kind to requests of a class, and for none of another kind. */
+    /**
+     * Waits for a number of replies of one kind to requests of a class, and checks that there are
+     * none of another kind.
+     */
     private void awaitReplies(String requestClass, ProxyMetrics.Reply reply, int count)
             throws Exception {
         long[] counts = {};
@@ -125,19 +129,19 @@
             }
         }
         assertEquals(count, counts[reply.ordinal()]);
-        assertEquals(count, Arrays.stream(counts).sum(), "counted once");
+        assertEquals(count, Arrays.stream(counts).sum(), "replies of all kinds");
     }
 
     @Test
-    void relaysLongResponsesWholeInAnyFraming() throws Exception {
-        byte[] body = bytes(LONG_BODY_BYTES);
+    void relaysCompleteLongResponsesInAnyFraming() throws Exception {
+        byte[] body = randomBytes(LONG_BODY_BYTES);
         AtomicInteger requests = new AtomicInteger();
         String[] responses = {
             responseWithLength(body),
             chunkedResponse(body, 50_000),
             chunkedResponse(body, 7000),
             OK,
-            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + text(body)
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + latin1Text(body)
         };
         ScriptedServer backend =
                 backend(request -> responses[requests.getAndIncrement() % responses.length]);
@@ -164,9 +168,9 @@
         try (Socket client = sendGet("half")) {
             byte[] received = client.getInputStream().readAllBytes();
             assertTrue(
-                    text(received).startsWith("HTTP/1.1 200 OK\r\n")
+                    latin1Text(received).startsWith("HTTP/1.1 200 OK\r\n")
                             && received.length < declaredBytes,
-                    "received " + received.length);
+                    "received " + received.length + " bytes");
         }
         assertEquals(1, first.requests.size() + second.requests.size());
         awaitReplies(IDEMPOTENT_CLASS, ProxyMetrics.Reply.ERROR, 1);
@@ -187,7 +191,7 @@
                     writtenBefore = backend.writtenBytes.get();
                     Thread.sleep(300);
                 }
-                assertTrue(writtenBefore < FLOOD_BYTES, "all of it would be buffered");
+                assertTrue(writtenBefore < FLOOD_BYTES, "the entire response was buffered");
                 assertEquals(FLOOD_BYTES, in.readNBytes(FLOOD_BYTES).length);
             }
         }
@@ -206,14 +210,14 @@
 
     @Test
     void relaysSlowResponseOfUnknownLengthAsItArrives() throws Exception {
-        CountDownLatch mayGoOn = new CountDownLatch(1);
+        CountDownLatch mayContinue = new CountDownLatch(1);
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             startDaemon(
                     () -> {
                         try (Socket connection = server.accept()) {
                             readMessage(connection);
                             writeText(connection, FIRST_CHUNK);
-                            mayGoOn.await(STATE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+                            mayContinue.await(STATE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
                             writeText(connection, LAST_CHUNKS);
                             connection.getInputStream().read();
                         }
@@ -223,7 +227,7 @@
                 InputStream in = client.getInputStream();
                 StringBuilder received = new StringBuilder();
                 readUntil("bo", in, received);
-                mayGoOn.countDown();
+                mayContinue.countDown();
                 readUntil("\r\n0\r\n\r\n", in, received);
                 assertTrue(received.toString().contains("dy"), received.toString());
             }
@@ -247,8 +251,8 @@
     }
 
     @Test
-    void streamsLongRequestBodiesWholeInAnyFraming() throws Exception {
-        byte[] body = bytes(LONG_BODY_BYTES);
+    void streamsCompleteLongRequestBodiesInAnyFraming() throws Exception {
+        byte[] body = randomBytes(LONG_BODY_BYTES);
         for (boolean chunked : new boolean[] {false, true}) {
             try (RecordingBackend backend = new RecordingBackend()) {
                 startWithPorts(backend.port());
@@ -277,12 +281,12 @@
     }
 
     @Test
-    void retriesStreamedBodyWhileAllOfItIsBuffered() throws Exception {
+    void retriesStreamedBodyWhileItIsFullyBuffered() throws Exception {
         try (RecordingBackend backend = new RecordingBackend()) {
             ScriptedServer closed = backend(OK);
             closed.close();
             startWithPorts(closed.port(), backend.port());
-            byte[] body = bytes(700_000);
+            byte[] body = randomBytes(700_000);
             for (int i = 0; i < 3; i++) {
                 backend.body.reset();
                 assertEquals(
@@ -296,16 +300,18 @@
         }
     }
 
-    /** Guards against an upload whose time counts as the response's: that starts with its end. */
+    /**
+     * Guards against a response timeout that includes the upload; it starts at the end of the body.
+     */
     @Test
     void doesNotTimeOutSlowRequestBody() throws Exception {
         int pieceBytes = 250_000;
         try (RecordingBackend backend = new RecordingBackend()) {
             startWithPorts(backend.port());
-            byte[] body = bytes(1_000_000);
+            byte[] body = randomBytes(1_000_000);
             try (Socket client = sendPostHead("slow", "Content-Length: " + body.length)) {
-                for (int at = 0; at < body.length; at += pieceBytes) {
-                    client.getOutputStream().write(body, at, pieceBytes);
+                for (int offset = 0; offset < body.length; offset += pieceBytes) {
+                    client.getOutputStream().write(body, offset, pieceBytes);
                     Thread.sleep(600);
                 }
                 assertTrue(readMessage(client).startsWith("HTTP/1.1 200 "));
@@ -326,15 +332,15 @@
                         client.getOutputStream().write(new byte[100_000]);
                     }
                 } catch (IOException e) {
-                    // The response is out, and what is still sent is read by nobody.
+                    // The response has been sent, and the proxy does not read the rest of the body.
                 }
                 assertEquals(
                         0,
                         Math.min(first.bodyBytes.get(), second.bodyBytes.get()),
-                        "only one has received any of it");
+                        "only one backend received a part of the body");
             }
             awaitReplies(NOT_IDEMPOTENT_CLASS, ProxyMetrics.Reply.OVERLOAD, 1);
-            assertEquals(0, first.requests.get() + second.requests.get());
+            assertEquals(0, first.completeRequests.get() + second.completeRequests.get());
         }
     }
 
@@ -347,7 +353,7 @@
                 awaitBodyBytes(400_000, backend);
             }
             assertTrue(backend.connectionEnded.await(STATE_TIMEOUT_SECONDS, TimeUnit.SECONDS));
-            assertEquals(0, backend.requests.get());
+            assertEquals(0, backend.completeRequests.get());
             assertEquals(200, sendNotIdempotent("x").statusCode());
         }
     }
@@ -377,7 +383,7 @@
                             }
                         });
             }
-            assertEquals(0, backend.requests.get());
+            assertEquals(0, backend.completeRequests.get());
             awaitReplies(NOT_IDEMPOTENT_CLASS, ProxyMetrics.Reply.ERROR, 1);
         }
     }
@@ -393,7 +399,7 @@
                                                 "\"sockets\":64,\"memory_mb\":0.1"));
         try (RecordingBackend backend = new RecordingBackend()) {
             startWithPorts(backend.port());
-            byte[] body = bytes(60_000);
+            byte[] body = randomBytes(60_000);
             int halfBytes = body.length / 2;
             try (Socket client = sendPostHead("little", "Content-Length: " + body.length)) {
                 client.getOutputStream().write(body, 0, halfBytes);
@@ -406,7 +412,7 @@
     }
 
     @Property(tries = 300, seed = "48")
-    void readsTheSameResponseHoweverItsBytesAreSplit(
+    void readsSameResponseForAnySplitOfItsBytes(
             @ForAll @IntRange(min = 0, max = 3000) int length,
             @ForAll @IntRange(min = 1, max = 700) int chunkBytes,
             @ForAll boolean chunked,
@@ -414,7 +420,7 @@
             @ForAll @IntRange(min = 1, max = 400) int maxPieceBytes,
             @ForAll long seed)
             throws IOException {
-        byte[] body = bytes(length);
+        byte[] body = randomBytes(length);
         byte[] response =
                 ("HTTP/1.1 100 Continue\r\n\r\n"
                                 + (chunked
@@ -425,11 +431,11 @@
         ResponseReader reader = new ResponseReader(MAX_BUFFERED_BYTES, true);
         ByteArrayOutputStream streamed = new ByteArrayOutputStream();
         boolean isStreamed = false;
-        for (int at = 0; at < response.length; ) {
+        for (int offset = 0; offset < response.length; ) {
             int pieceBytes = atOnce ? response.length : 1 + random.nextInt(maxPieceBytes);
-            int end = Math.min(response.length, at + pieceBytes);
-            ByteBuffer piece = ByteBuffer.wrap(response, at, end - at).slice();
-            at = end;
+            int end = Math.min(response.length, offset + pieceBytes);
+            ByteBuffer piece = ByteBuffer.wrap(response, offset, end - offset).slice();
+            offset = end;
             if (!isStreamed) {
                 reader.read(piece);
                 isStreamed = reader.isTooLongToBuffer();
--- a/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -33,23 +33,26 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The decision loop without sockets; the test sets its clock and records what it asks for. */
+/**
+ * Tests the decision loop without sockets. The test sets the clock and records the requested
+ * actions.
+ */
 class DecisionLoopTest implements ProxyActions {
     private static final int BACKENDS = 3200;
 
-    /** Seconds after which what a test waits for counts as missing. */
+    /** How long a test waits for an action before it fails, in seconds. */
     private static final long WAIT_SECONDS = 5;
 
-    /** The timeout of requests, as their client states it. */
+    /** The timeout that clients state in their requests. */
     private static final double REQUEST_TIMEOUT_SECONDS = 2;
 
-    /** The index of the class whose requests may not be executed twice. */
+    /** The index of the class whose requests must not be executed twice. */
     private static final int NOT_IDEMPOTENT_CLASS = 0;
 
     /** The index of the class whose requests may be executed twice. */
     private static final int IDEMPOTENT_CLASS = 1;
 
-    /** An index that no class has, so that a decision about its request throws. */
+    /** An index without a class, so that a decision about such a request throws. */
     private static final int UNKNOWN_CLASS = 99;
 
     private static final Settings SETTINGS =
@@ -77,7 +80,7 @@
     private volatile double now = 1000;
     private volatile boolean sendFails;
 
-    /** Seconds that pass while a pool is retired. */
+    /** By how many seconds the clock advances when the next pool is retired. */
     private volatile double retireSeconds;
 
     private final DecisionLoop decisionLoop =
@@ -106,8 +109,8 @@
                         null));
     }
 
-    /** The attempt that is sent for a request; null where none is. */
-    private Attempt attemptFor(long id) throws InterruptedException {
+    /** Returns the attempt that is sent for a request; null if none is sent in time. */
+    private Attempt receiveRequestAndAwaitAttempt(long id) throws InterruptedException {
         receiveRequest(id);
         return nextAttempt();
     }
@@ -135,11 +138,11 @@
     }
 
     /**
-     * Guards against an attempt whose send throws and that stays in flight for good, and against
-     * 502 for a request of which nothing was sent.
+     * Guards against an attempt that stays in flight forever after its send has thrown, and against
+     * replying 502 to a request of which nothing was sent.
      */
     @Test
-    void rejectsOnlyTheRequestWhoseAttemptThrowsAndEndsTheAttempt() throws Exception {
+    void rejectsRequestAndEndsAttemptWhenSendThrows() throws Exception {
         decisionLoop.start();
         receiveList("active");
         sendFails = true;
@@ -148,26 +151,28 @@
         sendFails = false;
         Attempt unsent = nextAttempt();
         assertEquals(0, openRequestsAndReferences());
-        assertTrue(unsent.ended, "the balancer has heard of its end");
+        assertTrue(unsent.ended, "the balancer was not informed of the attempt's end");
         assertEquals(0, unsent.request.attemptsInFlight);
-        decisionLoop.attemptEnded(attemptFor(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        decisionLoop.attemptEnded(
+                receiveRequestAndAwaitAttempt(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         assertEquals("delivered 2", nextAction());
         assertEquals(0, openRequestsAndReferences());
     }
 
-    /** Guards against a request that is never answered because a decision about it throws. */
+    /** Guards against a request that is never answered because a decision about it has thrown. */
     @Test
-    void failsTheRequestAboutWhichTheBalancerThrowsAndGoesOn() throws Exception {
+    void failsRequestWhenBalancerThrowsAndKeepsRunning() throws Exception {
         decisionLoop.start();
         receiveList("active");
         receiveRequest(1, UNKNOWN_CLASS);
         assertEquals("failed 1", nextAction());
-        decisionLoop.attemptEnded(attemptFor(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        decisionLoop.attemptEnded(
+                receiveRequestAndAwaitAttempt(2), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         assertEquals("delivered 2", nextAction());
         assertEquals(0, openRequestsAndReferences());
     }
 
-    /** How many requests are open, and how many attempts and probes hold a backend. */
+    /** Returns the number of open requests plus the number of references to backends. */
     private int openRequestsAndReferences() throws Exception {
         CompletableFuture<Integer> count = new CompletableFuture<>();
         decisionLoop.runOnLoop(
@@ -179,13 +184,13 @@
     }
 
     @Test
-    void sendsAttemptsInFlightToOtherProxies() throws Exception {
+    void reportsAttemptsInFlightToOtherProxies() throws Exception {
         InetSocketAddress anyAddress = InetSocketAddress.createUnresolved("p", 1);
         decisionLoop.enableGossip(
                 new GossipSettings(null, List.of(anyAddress, anyAddress), 1, 0, 1, 12));
         decisionLoop.start();
         receiveList("active");
-        Attempt attempt = attemptFor(1);
+        Attempt attempt = receiveRequestAndAwaitAttempt(1);
         SubsetAssignment subsets = new SubsetAssignment(2, 12);
         LoadGossip otherProxy = new LoadGossip(2, 0, 1, 0, 1, subsets, tag -> {});
         otherProxy.receive(1, nextGossipDatagram(), now);
@@ -204,22 +209,26 @@
     void answersRequestOnceAndDiscardsLateResponses() throws Exception {
         decisionLoop.start();
         receiveList("active");
-        Attempt first = attemptFor(1);
+        Attempt first = receiveRequestAndAwaitAttempt(1);
         now += 1.5;
         decisionLoop.attemptEnded(first, AttemptOutcome.TIMED_OUT, 1.5, null, null);
         assertEquals("failed 1", nextAction());
-        Attempt second = attemptFor(2);
+        Attempt second = receiveRequestAndAwaitAttempt(2);
         decisionLoop.requestAbandoned(second.request);
         assertEquals("cancelled 2", nextAction());
         decisionLoop.attemptEnded(second, AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
-        decisionLoop.attemptEnded(attemptFor(3), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
+        decisionLoop.attemptEnded(
+                receiveRequestAndAwaitAttempt(3), AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         assertEquals(
-                "delivered 3", nextAction(), "nothing more for the request whose client has left");
+                "delivered 3", nextAction(), "no action for the request whose client has left");
     }
 
-    /** Guards against 502 at the end of the process for what a client may send again. */
+    /**
+     * Guards against replying 502 at the end of the process to requests that a client may send
+     * again.
+     */
     @Test
-    void endsOpenRequestsByTheirIdempotencyAtShutdown() throws Exception {
+    void rejectsIdempotentAndFailsOtherOpenRequestsAtShutdown() throws Exception {
         decisionLoop.start();
         receiveList("active");
         receiveRequest(1, NOT_IDEMPOTENT_CLASS);
@@ -241,7 +250,7 @@
         assertEquals("rejected 1", nextAction());
     }
 
-    /** Thousands of backends, all in one phase. */
+    /** Returns an incomplete list of thousands of backends, all in the same phase. */
     private static EndpointList longList(String phase) {
         return EndpointLists.of(
                 false,
@@ -251,7 +260,7 @@
                         .toArray(String[]::new));
     }
 
-    /** Guards against a long list that holds up requests and replies. */
+    /** Guards against a long list that delays requests and replies. */
     @Test
     void decidesRequestsAndKeepsDeadlinesWhileALongListIsApplied() throws Exception {
         receiveList("active");
@@ -259,7 +268,8 @@
         receiveRequest(1);
         decisionLoop.start();
         Attempt first = nextAttempt();
-        assertEquals(List.of(), List.copyOf(actions), "sent before the list was applied");
+        assertEquals(
+                List.of(), List.copyOf(actions), "the attempt is sent before the list is applied");
         assertEquals("applied", nextAction());
         retireSeconds = 3;
         decisionLoop.endpointListReceived(longList("left"), false, () -> actions.add("applied"));
@@ -273,9 +283,9 @@
         decisionLoop.attemptEnded(first, AttemptOutcome.CANCELLED, 3, null, null);
     }
 
-    /** Guards against an older list that is applied after a newer one. */
+    /** Guards against applying an older list after a newer one. */
     @Test
-    void appliesListsInTheOrderInWhichTheyCame() throws Exception {
+    void appliesListsInOrderOfArrival() throws Exception {
         decisionLoop.endpointListReceived(
                 longList("active"), false, () -> actions.add("applied 1"));
         decisionLoop.endpointListReceived(
@@ -285,7 +295,9 @@
             assertTrue(List.of("applied 1", "pool retired").contains(action), action);
         }
         assertEquals(
-                0, attemptFor(1).backend, "the only one left, under the first index that is free");
+                0,
+                receiveRequestAndAwaitAttempt(1).backend,
+                "the only remaining backend has the first free index");
     }
 
     @Override
@@ -332,10 +344,10 @@
     }
 
     @Override
-    public void requestsDecided(int requests, double seconds) {}
+    public void requestsDecided(int requestCount, double totalSeconds) {}
 
     @Override
-    public void backendsCounted(int listed, int disabled) {}
+    public void updateBackendCounts(int listedCount, int disabledCount) {}
 
     @Override
     public void settingsChanged(RequestClassIndex requestClasses, Settings settings) {
--- a/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/SnapshotFileTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Snapshots under power failures, failing disks and copies by hand. */
+/** Tests snapshots with power failures, failing disks and manually copied files. */
 class SnapshotFileTest {
     private static final Snapshot OLDER = new Snapshot("n1", "boot", 7, 1000, 0.2, 40);
     private static final Snapshot NEWER = new Snapshot("n1", "boot", 8, 1005, 0.25, 60);
@@ -45,23 +45,23 @@
         SnapshotFile.write(file(), OLDER);
         SnapshotFile.write(file(), NEWER);
         assertEquals(NEWER, SnapshotFile.read(file()));
-        assertEquals(OLDER, SnapshotFile.read(SnapshotFile.previous(file())));
+        assertEquals(OLDER, SnapshotFile.read(SnapshotFile.previousFile(file())));
     }
 
-    /** A damaged snapshot is never used, and the one before it is. */
+    /** Checks that a damaged snapshot is not used and that the previous one is used instead. */
     private void assertDamagedIsSetAside(UnaryOperator<byte[]> damage) throws IOException {
         writeBoth();
         Files.write(file(), damage.apply(Files.readAllBytes(file())));
         assertThrows(IOException.class, () -> SnapshotFile.read(file()));
         try (SnapshotStore store = new SnapshotStore(folder, "n1")) {
-            assertEquals(7, store.readTrusted().previousStart());
+            assertEquals(7, store.restoreNewest().previousStartNumber());
         }
-        assertFalse(Files.exists(file()), "set aside");
+        assertFalse(Files.exists(file()), "the damaged file is set aside");
     }
 
     @Test
     void usesPreviousSnapshotWhenLatestIsDamaged() throws IOException {
-        int length = SnapshotFile.encoded(NEWER).length;
+        int length = SnapshotFile.encode(NEWER).length;
         for (int i = 0; i < length; i++) {
             int at = i;
             assertDamagedIsSetAside(all -> Arrays.copyOf(all, at));
@@ -90,10 +90,13 @@
     void keepsWholeSnapshotWhenPowerFailsDuringAWrite() throws IOException {
         writeBoth();
         Files.write(folder.resolve("n1.snap.new"), new byte[] {1, 2, 3});
-        assertEquals(NEWER, SnapshotFile.read(file()), "before the new one is synced");
-        Files.move(file(), SnapshotFile.previous(file()), StandardCopyOption.REPLACE_EXISTING);
+        assertEquals(NEWER, SnapshotFile.read(file()), "power fails before the new file is synced");
+        Files.move(file(), SnapshotFile.previousFile(file()), StandardCopyOption.REPLACE_EXISTING);
         try (SnapshotStore store = new SnapshotStore(folder, "n1")) {
-            assertEquals(8, store.readTrusted().previousStart(), "between its two renames");
+            assertEquals(
+                    8,
+                    store.restoreNewest().previousStartNumber(),
+                    "power fails between the two renames");
             assertTrue(store.writeNow(9, 0, 0));
         }
         assertEquals(9, SnapshotFile.read(file()).startNumber());
@@ -108,13 +111,13 @@
             assertEquals(
                     ahead + 1,
                     SnapshotFile.read(file()).startNumber(),
-                    "stored before any datagram");
+                    "stored before the first datagram is sent");
         }
         try (RecoveryCoordinator coordinator = coordinator(folder, "n1")) {
             assertEquals(ahead + 2, startNumber(coordinator));
         }
         Files.write(file(), new byte[0]);
-        Files.write(SnapshotFile.previous(file()), new byte[0]);
+        Files.write(SnapshotFile.previousFile(file()), new byte[0]);
         try (RecoveryCoordinator coordinator = coordinator(folder, "n1")) {
             assertTrue(startNumber(coordinator) <= System.currentTimeMillis());
         }
@@ -124,8 +127,8 @@
     void ignoresSnapshotCopiedFromAnotherProxy() throws IOException {
         SnapshotFile.write(folder.resolve("n2.snap"), NEWER);
         try (SnapshotStore store = new SnapshotStore(folder, "n2")) {
-            assertEquals(0, store.readTrusted().previousStart());
-            assertTrue(store.readTrusted().reason().contains("n1"));
+            assertEquals(0, store.restoreNewest().previousStartNumber());
+            assertTrue(store.restoreNewest().reason().contains("n1"));
         }
     }
 
--- a/src/test/java/lemondrift/recovery/RecoveryStateTest.java
+++ b/src/test/java/lemondrift/recovery/RecoveryStateTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class RecoveryStateTest {
-    private static final PeerPollSettings BACKOFF = new PeerPollSettings(1, 5, 20, 2, 3);
+    private static final PeerPollSettings POLL_SETTINGS = new PeerPollSettings(1, 5, 20, 2, 3);
 
     private static PeerStatus status(
             long startNumber,
@@ -30,7 +30,7 @@
     }
 
     private static RecoveryState starting(int proxyCount) {
-        return RecoveryState.starting(BACKOFF, 0, proxyCount, 100, 0);
+        return RecoveryState.starting(POLL_SETTINGS, 0, proxyCount, 100, 0);
     }
 
     private static RecoveryState received(RecoveryState state, double now, PeerStatus... statuses) {
@@ -41,8 +41,8 @@
     }
 
     @Test
-    void aDatagramThatIsCutForeignOfAnotherVersionOrOutOfRangeIsNotRead() {
-        byte[] good = new PeerStatus(7, 9, true, 1.5f, 0.25f, 300, false).encoded();
+    void rejectsDatagramThatIsTruncatedForeignOrOutOfRange() {
+        byte[] good = new PeerStatus(7, 9, true, 1.5f, 0.25f, 300, false).encode();
         assertEquals(
                 Optional.of(new PeerStatus(7, 9, true, 1.5f, 0.25f, 255, false)),
                 PeerStatus.decode(good));
@@ -60,12 +60,12 @@
         }
         assertEquals(
                 Optional.empty(),
-                PeerStatus.decode(status(1, 1, 0, 5, false).encoded()),
+                PeerStatus.decode(status(1, 1, 0, 5, false).encode()),
                 "samples without service time");
     }
 
     @Property(tries = 300, seed = "48")
-    void anyBytesAreReadInRangeOrNotAtAll(@ForAll @Size(28) byte[] bytes) {
+    void decodedStatusIsAlwaysInRange(@ForAll @Size(28) byte[] bytes) {
         bytes[0] = PeerStatus.KIND;
         bytes[1] = PeerStatus.VERSION;
         assertTrue(
@@ -78,39 +78,42 @@
     }
 
     @Test
-    void thePhaseFollowsFromWhoAnswers() {
+    void derivesPhaseFromPeersThatAnswer() {
         assertEquals(RecoveryPhase.UNKNOWN, starting(4).wake(1).next().phase());
-        assertEquals(RecoveryPhase.CUT_OFF, starting(4).wake(5).next().phase(), "nobody answers");
-        PeerStatus warm = status(50, 99, 0.2f, 40, true);
-        PeerStatus newOne = status(101, 1, 0, 0, false);
-        assertEquals(RecoveryPhase.ALONE, received(starting(9), 1, warm).phase(), "at once");
+        assertEquals(RecoveryPhase.CUT_OFF, starting(4).wake(5).next().phase(), "no peer answers");
+        PeerStatus settledPeer = status(50, 99, 0.2f, 40, true);
+        PeerStatus newPeer = status(101, 1, 0, 0, false);
+        assertEquals(
+                RecoveryPhase.ALONE, received(starting(9), 1, settledPeer).phase(), "immediately");
         assertEquals(
                 RecoveryPhase.UNKNOWN,
-                received(starting(4), 1, newOne).phase(),
-                "others may be warm");
+                received(starting(4), 1, newPeer).phase(),
+                "other peers may be settled");
         assertEquals(
                 RecoveryPhase.ALL_NEW,
-                received(starting(4), 1, newOne, newOne, newOne).phase(),
-                "at once");
+                received(starting(4), 1, newPeer, newPeer, newPeer).phase(),
+                "immediately, because all peers have answered");
         assertEquals(
-                RecoveryPhase.AMONG_SOME, received(starting(4), 1, newOne, warm, newOne).phase());
-        RecoveryState late = received(starting(9), 1, newOne).wake(5).next();
-        assertEquals(RecoveryPhase.ALL_NEW, late.phase());
-        PeerStatus settled = status(101, 6, 0.2f, 3, true);
+                RecoveryPhase.AMONG_SOME,
+                received(starting(4), 1, newPeer, settledPeer, newPeer).phase());
+        RecoveryState afterTimeout = received(starting(9), 1, newPeer).wake(5).next();
+        assertEquals(RecoveryPhase.ALL_NEW, afterTimeout.phase());
+        PeerStatus nowSettled = status(101, 6, 0.2f, 3, true);
         assertEquals(
                 RecoveryPhase.ALONE,
-                received(late, 6, settled, warm).phase(),
-                "corrected by later answers");
+                received(afterTimeout, 6, nowSettled, settledPeer).phase(),
+                "corrected after later answers");
         assertEquals(
                 RecoveryPhase.CUT_OFF,
-                received(starting(9), 1, warm).wake(22).next().phase(),
-                "expired");
+                received(starting(9), 1, settledPeer).wake(22).next().phase(),
+                "the only status has expired");
     }
 
     @Test
-    void aSettledProxyPollsNobodyAndKeepsItsPhase() {
+    void settledProxyStopsPollingAndKeepsItsPhase() {
         RecoveryState state =
-                received(starting(4), 1, status(50, 99, 0.2f, 40, true)).withMeasured(0.3, 3);
+                received(starting(4), 1, status(50, 99, 0.2f, 40, true))
+                        .withMeasuredServiceTime(0.3, 3);
         assertTrue(state.isSettled());
         assertEquals(Double.POSITIVE_INFINITY, state.wakeAt());
         assertEquals(List.of(), state.wake(40).messages());
@@ -125,12 +128,12 @@
     }
 
     @Test
-    void aStatusFromOrForAnEarlierStartChangesNothing() {
+    void ignoresStatusFromOrForAnEarlierStart() {
         RecoveryState state = received(starting(4), 1, status(200, 3, 0.2f, 4, false));
         assertSame(
                 state,
                 state.statusReceived(1, status(199, 9, 0.9f, 9, true), 2).next(),
-                "of an earlier start of its sender");
+                "from an earlier start of the sender");
         assertSame(
                 state,
                 state.statusReceived(1, status(200, 2, 0.9f, 9, true), 2).next(),
@@ -138,32 +141,40 @@
         assertSame(
                 state,
                 state.statusReceived(2, new PeerStatus(300, 99, true, 1, 0.9f, 9, true), 2).next(),
-                "for an earlier start of its own");
+                "for an earlier start of the recipient");
         assertSame(
-                state, state.statusReceived(0, status(300, 1, 0.9f, 9, true), 2).next(), "itself");
+                state,
+                state.statusReceived(0, status(300, 1, 0.9f, 9, true), 2).next(),
+                "from itself");
         assertSame(
-                state, state.statusReceived(4, status(300, 1, 0.9f, 9, true), 2).next(), "nobody");
+                state,
+                state.statusReceived(4, status(300, 1, 0.9f, 9, true), 2).next(),
+                "unknown sender");
         assertSame(
-                state, state.statusReceived(-1, status(300, 1, 0.9f, 9, true), 2).next(), "nobody");
+                state,
+                state.statusReceived(-1, status(300, 1, 0.9f, 9, true), 2).next(),
+                "unknown sender");
         assertTrue(
                 state.statusReceived(1, status(201, 0, 0, 0, false), 2).peerRestarted(),
-                "a restart");
+                "a higher start number shows a restart");
         assertFalse(state.statusReceived(1, status(200, 4, 0.2f, 5, false), 2).peerRestarted());
     }
 
-    /** Guards against ignoring a proxy whose wall clock went back with a power loss. */
+    /** Guards against ignoring a proxy whose wall clock went back after a power loss. */
     @Test
-    void aLowerStartNumberIsHeardOnceTheHigherOneHasBeenSilent() {
+    void acceptsLowerStartNumberOnceTheHigherOneHasExpired() {
         RecoveryState state = received(starting(4), 1, status(200, 3, 0.2f, 4, true));
-        PeerStatus back = status(150, 1, 0, 0, false);
-        assertSame(state, state.statusReceived(1, back, 15).next());
-        assertEquals(back, state.statusReceived(1, back, 22).next().observations().get(1).status());
+        PeerStatus lowerStart = status(150, 1, 0, 0, false);
+        assertSame(state, state.statusReceived(1, lowerStart, 15).next());
+        assertEquals(
+                lowerStart,
+                state.statusReceived(1, lowerStart, 22).next().observations().get(1).status());
     }
 
     @Test
-    void newProxiesReportOnlyWhatTheyHaveMeasuredThemselves() {
+    void reportsOnlyItsOwnMeasurements() {
         RecoveryState first = starting(2);
-        RecoveryState second = RecoveryState.starting(BACKOFF, 1, 2, 101, 0);
+        RecoveryState second = RecoveryState.starting(POLL_SETTINGS, 1, 2, 101, 0);
         for (double now = 0; now < 15; now++) {
             RecoveryState.Step poll = first.wake(now);
             first = poll.next();
@@ -172,20 +183,21 @@
                 second = reply.next();
                 first = first.statusReceived(1, reply.messages().get(0).status(), now).next();
             }
-            assertEquals(Optional.empty(), first.peerEstimate(now), "two without samples");
+            assertEquals(Optional.empty(), first.peerEstimate(now), "neither proxy has samples");
         }
-        RecoveryState informed = received(first, 15, status(101, 15, 0.4f, 2, false));
+        RecoveryState withEstimate = received(first, 15, status(101, 15, 0.4f, 2, false));
         assertEquals(
-                Optional.of(new RecoveryState.PeerEstimate(0.4f, 2)), informed.peerEstimate(15));
+                Optional.of(new RecoveryState.PeerEstimate(0.4f, 2)),
+                withEstimate.peerEstimate(15));
         assertTrue(
-                informed.wake(informed.wakeAt()).messages().stream()
+                withEstimate.wake(withEstimate.wakeAt()).messages().stream()
                         .allMatch(each -> each.status().samples() == 0),
-                "what a peer measured is not passed on");
-        assertEquals(Optional.empty(), informed.peerEstimate(36), "expired");
+                "measurements of peers are not forwarded");
+        assertEquals(Optional.empty(), withEstimate.peerEstimate(36), "the status has expired");
     }
 
     @Test
-    void noSinglePeerOfSeveralMovesTheEstimate() {
+    void onePeerCannotDistortTheEstimate() {
         PeerStatus[] statuses = {
             status(1, 9, 0.2f, 40, true),
             status(1, 9, 0.3f, 3, true),
@@ -201,7 +213,7 @@
     }
 
     @Property(tries = 100, seed = "48")
-    void eachRoundPollsOtherPeersInTurn(
+    void pollsAllPeersInTurn(
             @ForAll @IntRange(min = 2, max = 40) int proxyCount,
             @ForAll @IntRange(min = 0, max = 39) int self) {
         RecoveryState state =
@@ -220,33 +232,33 @@
             state = step.next();
         }
         for (int proxy = 0; proxy < proxyCount; proxy++) {
-            assertEquals(proxy != self % proxyCount, polled[proxy], "number " + proxy);
+            assertEquals(proxy != self % proxyCount, polled[proxy], "proxy " + proxy);
         }
     }
 
     @Test
-    void aSnapshotIsTrustedAsFarAsItsAgeAndMachineAllow() {
+    void weighsSnapshotByAgeBootAndProxyName() {
         Snapshot snapshot = new Snapshot("n1", "boot-1", 77, 1000, 0.2, 40);
-        assertEquals(40, snapshot.trusted("n1", "boot-1", 1010).samples());
+        assertEquals(40, snapshot.restore("n1", "boot-1", 1010).samples());
         assertEquals(
                 1,
-                snapshot.trusted("n1", "boot-2", 1010).samples(),
-                "the machine has lost power too");
+                snapshot.restore("n1", "boot-2", 1010).samples(),
+                "the machine has been rebooted");
         assertEquals(
-                1, snapshot.trusted("n1", "boot-1", 1000 + 25 * 3600).samples(), "over a day old");
+                1, snapshot.restore("n1", "boot-1", 1000 + 25 * 3600).samples(), "over a day old");
         assertEquals(
                 1,
-                snapshot.trusted("n1", "boot-1", 1000 - 3600).samples(),
-                "the clock went back an hour");
+                snapshot.restore("n1", "boot-1", 1000 - 3600).samples(),
+                "the clock went back by one hour");
         assertEquals(
                 77,
-                snapshot.trusted("n1", "boot-1", -5).previousStart(),
-                "no clock takes the start number back");
+                snapshot.restore("n1", "boot-1", -5).previousStartNumber(),
+                "the start number does not depend on the clock");
         assertEquals(
                 0,
-                snapshot.trusted("n2", "boot-1", 1010).previousStart(),
-                "copied from another proxy");
-        assertEquals(0, snapshot.trusted("n2", "boot-1", 1010).serviceTimeSeconds());
+                snapshot.restore("n2", "boot-1", 1010).previousStartNumber(),
+                "snapshot of another proxy");
+        assertEquals(0, snapshot.restore("n2", "boot-1", 1010).serviceTimeSeconds());
         assertThrows(IllegalArgumentException.class, () -> new Snapshot("n", "b", 1, 1, -1, 1));
         assertThrows(IllegalArgumentException.class, () -> new Snapshot("n", "b", 1, 1, 0, 1));
     }
--- a/src/test/java/lemondrift/settings/SettingsReaderTest.java
+++ b/src/test/java/lemondrift/settings/SettingsReaderTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The settings that a deployment states, and values that cannot be used. */
+/** Tests reading the settings of a deployment, and rejecting values that cannot be used. */
 class SettingsReaderTest {
     private static final String VALID =
             "siblings=3\n"
@@ -24,7 +24,7 @@
                     + "serviceGrades.0.effect=retryable\n";
 
     @Test
-    void endpointWeightsAreUsedOnlyWhereTheSettingsSaySo() {
+    void endpointWeightsAreUsedOnlyIfTheSettingsSaySo() {
         assertFalse(SettingsReader.read(VALID).usesEndpointWeights());
         for (String weights : "off none live nominal rough".split(" ")) {
             String text = VALID + "weights=" + weights + "\n";
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void unusableKeysAreNamed() {
+    void errorMessageNamesTheInvalidKey() {
         for (String line :
                 ("charges.crossZone=NaN charges.crossZone=-0.1 charges.probe=much"
                      + " charges.probe=Infinity weights=heavy membershipMode=sometimes"
