--- a/src/main/java/lemondrift/cli/FleetCommand.java
+++ b/src/main/java/lemondrift/cli/FleetCommand.java
@@ -56,7 +56,7 @@
             printTable(experiment, runs);
             for (Experiment.Run run : runs) {
                 printDetails(run);
-                failed |= run.broken() != null || run.figures().crashed > 0;
+                failed |= run.ruleViolation() != null || run.result().crashed > 0;
             }
             failed |= lab.printMissedExpectations(experiment, runs);
             lab.out().flush();
@@ -70,7 +70,7 @@
 
     private void printTable(Experiment experiment, List<Experiment.Run> runs) {
         PrintWriter out = lab.out();
-        int proxies = experiment.day().proxies();
+        int proxies = experiment.scenario().proxies();
         out.println(experiment.name() + ": " + experiment.about());
         out.println(FleetRun.row("policy", "seed", null, proxies, 1));
         for (Experiment.Run run : runs) {
@@ -78,9 +78,9 @@
                     FleetRun.row(
                             run.policy(),
                             String.valueOf(run.seed()),
-                            run.figures(),
+                            run.result(),
                             proxies,
-                            experiment.day().lasts()));
+                            experiment.scenario().durationSeconds()));
         }
     }
 
@@ -88,10 +88,10 @@
         PrintWriter out = lab.out();
         if (printsSeconds) {
             out.print(run.policy() + ", seed " + run.seed() + "\n");
-            out.print(FleetRun.seconds(run.figures()));
+            out.print(FleetRun.seconds(run.result()));
         }
-        if (run.broken() != null) {
-            out.print(run.broken() + "\n");
+        if (run.ruleViolation() != null) {
+            out.print(run.ruleViolation() + "\n");
         }
     }
 
--- a/src/main/java/lemondrift/cli/LabCommand.java
+++ b/src/main/java/lemondrift/cli/LabCommand.java
@@ -53,7 +53,7 @@
         boolean anyMissed = false;
         for (Experiment.Expectation expectation : experiment.expectations()) {
             for (Experiment.Run run : runs) {
-                if (run.policy().equals(Experiment.MODULE) && !expectation.holds(run.figures())) {
+                if (run.policy().equals(Experiment.MODULE) && !expectation.isMetBy(run.result())) {
                     anyMissed = true;
                     printMissed(expectation, run);
                 }
@@ -63,17 +63,17 @@
     }
 
     private void printMissed(Experiment.Expectation expectation, Experiment.Run run) {
-        int windowStart = run.figures().worstWindowStart(WORST_WINDOW_SECONDS);
+        int windowStart = run.result().worstWindowStart(WORST_WINDOW_SECONDS);
         out().printf(
                         Locale.ROOT,
                         "  not met: %s (%.4f, seed %d); most is lost from "
                                 + "%d to %d s, most forwards fail at backends %s%n",
                         expectation,
-                        expectation.figure().read(run.figures()),
+                        expectation.figure().readFrom(run.result()),
                         run.seed(),
                         windowStart,
                         windowStart + WORST_WINDOW_SECONDS,
-                        run.figures().worstBackends(WORST_BACKENDS));
+                        run.result().worstBackends(WORST_BACKENDS));
     }
 
     /** Plays experiments and prints a table of each. */
@@ -100,7 +100,7 @@
             List<Report> reports = new ArrayList<>();
             for (Path file : files) {
                 Experiment experiment = ExperimentFile.read(file);
-                List<Experiment.Run> runs = experiment.play();
+                List<Experiment.Run> runs = experiment.run();
                 failed |= print(experiment, runs);
                 reports.add(Report.of(experiment, runs));
             }
@@ -120,14 +120,14 @@
                         "  %-18s seed %-4d %s%s%n",
                         run.policy(),
                         run.seed(),
-                        run.figures(),
-                        run.broken() == null ? "" : "  RULE BROKEN");
+                        run.result(),
+                        run.ruleViolation() == null ? "" : "  RULE BROKEN");
             }
             boolean failed = false;
             for (Experiment.Run run : runs) {
-                if (run.broken() != null) {
+                if (run.ruleViolation() != null) {
                     failed = true;
-                    out.println(run.broken());
+                    out.println(run.ruleViolation());
                 }
             }
             failed |= lab.printMissedExpectations(experiment, runs);
@@ -149,7 +149,7 @@
 
         @Override
         public Integer call() throws IOException {
-            for (Path file : ExperimentFile.in(folder)) {
+            for (Path file : ExperimentFile.listFiles(folder)) {
                 Experiment experiment = ExperimentFile.read(file);
                 lab.out().printf("%-26s %s%n", experiment.name(), experiment.about());
             }
@@ -174,8 +174,8 @@
             boolean anyBroken = false;
             for (Path file : files) {
                 Experiment experiment = ExperimentFile.read(file);
-                List<Experiment.Run> runs = experiment.play();
-                anyBroken |= runs.stream().anyMatch(run -> run.broken() != null);
+                List<Experiment.Run> runs = experiment.run();
+                anyBroken |= runs.stream().anyMatch(run -> run.ruleViolation() != null);
                 print(experiment, runs);
             }
             return anyBroken ? RootCommand.FAILED : RootCommand.DONE;
@@ -209,7 +209,7 @@
         private static double[] serviceShares(List<Experiment.Run> runs, String policy) {
             return runs.stream()
                     .filter(run -> run.policy().equals(policy))
-                    .mapToDouble(run -> run.figures().service())
+                    .mapToDouble(run -> run.result().servedShare())
                     .toArray();
         }
     }
--- a/src/main/java/lemondrift/cli/LoadCommand.java
+++ b/src/main/java/lemondrift/cli/LoadCommand.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import lemondrift.lab.load.Load;
+import lemondrift.lab.load.LoadGenerator;
 import lemondrift.settings.InvalidSettingsException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -72,8 +72,8 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        Load.Plan plan =
-                new Load.Plan(
+        LoadGenerator.Plan plan =
+                new LoadGenerator.Plan(
                         address(),
                         rate,
                         seconds,
@@ -83,13 +83,13 @@
                         timeoutSeconds);
         PrintWriter out = spec.commandLine().getOut();
         if (highestRateBoundSeconds != null) {
-            double highestRate = Load.highestRate(plan, 99, highestRateBoundSeconds);
+            double highestRate = LoadGenerator.findHighestRate(plan, 99, highestRateBoundSeconds);
             out.printf(Locale.ROOT, "highest rate %.0f a second%n", highestRate);
             return RootCommand.DONE;
         }
-        Load.Result result = Load.play(plan);
+        LoadGenerator.Result result = LoadGenerator.run(plan);
         out.println(result);
-        return result.keptUp() && result.failed() == 0 ? RootCommand.DONE : RootCommand.FAILED;
+        return result.reachedRate() && result.failed() == 0 ? RootCommand.DONE : RootCommand.FAILED;
     }
 
     private InetSocketAddress address() {
--- a/src/main/java/lemondrift/cli/SoakCommand.java
+++ b/src/main/java/lemondrift/cli/SoakCommand.java
@@ -44,7 +44,7 @@
             paramLabel = "N",
             defaultValue = "1",
             description = "days that are played side by side (${DEFAULT-VALUE})")
-    int atOnce;
+    int concurrentRuns;
 
     @Option(
             names = "--without-signals",
@@ -63,7 +63,7 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         ProcessLauncher launcher = ProcessLauncher.deployed(root.toAbsolutePath().normalize());
-        ExecutorService executor = Executors.newFixedThreadPool(atOnce);
+        ExecutorService executor = Executors.newFixedThreadPool(concurrentRuns);
         List<Future<SoakRun.Verdict>> verdicts = new ArrayList<>();
         for (long seed = firstSeed; seed < firstSeed + seedCount; seed++) {
             SoakRun.Plan plan = withoutSignals ? SoakRun.plan(seed) : SoakRun.planWithSignals(seed);
@@ -72,7 +72,7 @@
         executor.shutdown();
         int failedCount = 0;
         for (int i = 0; i < seedCount; i++) {
-            failedCount += printVerdict(firstSeed + i, verdicts.get(i)) ? 0 : 1;
+            failedCount += printOutcome(firstSeed + i, verdicts.get(i)) ? 0 : 1;
         }
         lab.out().printf("%d days, %d of them with something wrong%n", seedCount, failedCount);
         lab.out().flush();
@@ -80,7 +80,7 @@
     }
 
     /** Prints what came of a seed; returns whether all went well. */
-    private boolean printVerdict(long seed, Future<SoakRun.Verdict> played)
+    private boolean printOutcome(long seed, Future<SoakRun.Verdict> played)
             throws InterruptedException {
         PrintWriter out = lab.out();
         try {
--- a/src/main/java/lemondrift/lab/Baseline.java
+++ b/src/main/java/lemondrift/lab/Baseline.java
@@ -78,7 +78,7 @@
     private final IntToDoubleFunction trueLoad;
     private final Decision decision = new Decision();
     private final List<BackendState> backends = new ArrayList<>();
-    private int roundRobinTurn;
+    private int roundRobinPosition;
 
     /**
      * The baseline of one proxy.
@@ -117,7 +117,7 @@
     /** Makes another attempt, or replies where none can be made. */
     private void sendOrReply(double now, Request request) {
         boolean mayAttempt = now < request.attemptDeadline && request.attemptCount < MAX_ATTEMPTS;
-        OptionalInt picked = mayAttempt ? pick(now) : OptionalInt.empty();
+        OptionalInt picked = mayAttempt ? selectBackend(now) : OptionalInt.empty();
         if (picked.isPresent()) {
             send(now, request, picked.getAsInt());
         } else {
@@ -140,7 +140,7 @@
     }
 
     /** The backend for an attempt; empty where none is ready. */
-    private OptionalInt pick(double now) {
+    private OptionalInt selectBackend(double now) {
         int[] ready =
                 IntStream.range(0, backends.size()).filter(i -> backends.get(i).ready).toArray();
         if (ready.length == 0) {
@@ -151,11 +151,12 @@
         return OptionalInt.of(
                 switch (kind) {
                     case RANDOM -> drawn;
-                    case ROUND_ROBIN -> ready[roundRobinTurn++ % ready.length];
-                    case LEAST_OUTSTANDING -> least(ready, drawn, this::attemptsInFlight);
+                    case ROUND_ROBIN -> ready[roundRobinPosition++ % ready.length];
+                    case LEAST_OUTSTANDING -> selectLeastCost(ready, drawn, this::attemptsInFlight);
                     case TWO_CHOICES -> fewerInFlight(drawn, ready[random.nextInt(ready.length)]);
-                    case PEAK_EWMA -> least(ready, drawn, backend -> peakCost(backend, now));
-                    case ORACLE -> least(ready, drawn, trueLoad);
+                    case PEAK_EWMA ->
+                            selectLeastCost(ready, drawn, backend -> peakCost(backend, now));
+                    case ORACLE -> selectLeastCost(ready, drawn, trueLoad);
                 });
     }
 
@@ -173,7 +174,7 @@
     }
 
     /** The backend of the least cost; the preferred one where none costs less than it. */
-    private static int least(int[] backends, int preferred, IntToDoubleFunction cost) {
+    private static int selectLeastCost(int[] backends, int preferred, IntToDoubleFunction cost) {
         int best = preferred;
         double leastCost = cost.applyAsDouble(preferred);
         for (int backend : backends) {
@@ -192,13 +193,13 @@
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
-            boolean over,
+            boolean completed,
             double[] loadReport) {
         emptyDecision();
         Request request = attempt.request;
         attempt.ended = true;
         request.attemptsInFlight--;
-        request.completed |= over;
+        request.completed |= completed;
         BackendState backend = backends.get(attempt.backend);
         backend.attemptsInFlight--;
         backend.recordResponseTime(durationSeconds, now);
@@ -223,7 +224,7 @@
     }
 
     @Override
-    public Decision endpointsListed(double now, boolean whole, List<EndpointUpdate> updates) {
+    public Decision endpointsListed(double now, boolean isFullList, List<EndpointUpdate> updates) {
         for (EndpointUpdate update : updates) {
             while (backends.size() <= update.backend()) {
                 backends.add(new BackendState());
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -1,5 +1,6 @@
 package lemondrift.lab;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -21,31 +22,32 @@
  *
  * @param name the file's name without its ending
  * @param about one line on what it shows
- * @param day the scenario; its seed is replaced by each of the seeds
+ * @param scenario the scenario; its seed is replaced by each of the seeds
  * @param policies the names of the policies, the module first
  * @param seeds each policy plays one run for each
  * @param expectations what must hold of each run of the module
- * @param tells whether the module's proxies use gossip
- * @param recovers whether they ask one another after their start for what they have measured, where
- *     they use gossip
+ * @param gossipEnabled whether the module's proxies use gossip
+ * @param recoveryEnabled whether they ask one another after their start for what they have
+ *     measured, where they use gossip
  * @param host what it is played on
- * @param uneven the standard deviation of the logarithm of a proxy's share of traffic, on
- *     processes; 0 is even
- * @param connections how many connections a backend holds at once, on processes; 0 is any number
+ * @param trafficLogStandardDeviation the standard deviation of the logarithm of a proxy's share of
+ *     traffic, on processes; 0 is even
+ * @param maxConnectionsPerBackend how many connections a backend holds at once, on processes; 0 is
+ *     any number
  * @param faults the faults of the processes and between them
  */
 public record Experiment(
         String name,
         String about,
-        Scenario day,
+        Scenario scenario,
         List<String> policies,
         List<Long> seeds,
         List<Expectation> expectations,
-        boolean tells,
-        boolean recovers,
+        boolean gossipEnabled,
+        boolean recoveryEnabled,
         Host host,
-        double uneven,
-        int connections,
+        double trafficLogStandardDeviation,
+        int maxConnectionsPerBackend,
         List<Fault> faults) {
     /** What an experiment is played on. */
     public enum Host {
@@ -59,7 +61,7 @@
     public static final String MODULE = "module";
 
     /** The names of the lab's request classes, by their index. */
-    public static final List<String> GRADES = List.of("look", "order", "book");
+    public static final List<String> REQUEST_CLASS_NAMES = List.of("look", "order", "book");
 
     /** Deadline of all request classes, over their latency objective. */
     private static final double TIMEOUT_OBJECTIVES = 2.4;
@@ -83,7 +85,7 @@
     /** Slow start from 30% over 6 s; a cold backend bears 3 times its capacity over 2 s. */
     private static final Settings.Rules RULES = new Settings.Rules(0.3, 6, 3, 2, 10);
 
-    /** The lab's own request classes, named by {@link #GRADES}. */
+    /** The lab's own request classes, named by {@link #REQUEST_CLASS_NAMES}. */
     private static List<RequestClass> requestClasses(double latencyObjectiveSeconds) {
         return List.of(
                 requestClass(
@@ -142,7 +144,7 @@
             return Arrays.stream(values()).filter(each -> each.symbol.equals(symbol)).findFirst();
         }
 
-        private boolean holds(double value, double bound) {
+        private boolean test(double value, double bound) {
             return switch (this) {
                 case AT_LEAST -> value >= bound;
                 case AT_MOST -> value <= bound;
@@ -154,8 +156,8 @@
     /** A bound on one figure of a run. */
     public record Expectation(Figure figure, Comparison comparison, double bound) {
         /** Whether it holds of a run; of one that a broken rule has ended it does not. */
-        public boolean holds(RunResult result) {
-            return comparison.holds(figure.read(result), bound);
+        public boolean isMetBy(RunResult result) {
+            return comparison.test(figure.readFrom(result), bound);
         }
 
         @Override
@@ -167,9 +169,13 @@
     /**
      * One run of one policy, which reports give by these names.
      *
-     * @param broken the message of the broken rule that ended it; null where all were kept
+     * @param ruleViolation the message of the broken rule that ended it; null where all were kept
      */
-    public record Run(String policy, long seed, RunResult figures, String broken) {}
+    public record Run(
+            String policy,
+            long seed,
+            @JsonProperty("figures") RunResult result,
+            @JsonProperty("broken") String ruleViolation) {}
 
     /**
      * The settings of the lab's proxies.
@@ -195,11 +201,11 @@
     }
 
     /** Plays the scenario in virtual time, each policy with each seed, one after the other. */
-    public List<Run> play() {
+    public List<Run> run() {
         List<Run> runs = new ArrayList<>();
         for (String policy : policies) {
             for (long seed : seeds) {
-                runs.add(play(policy, seed));
+                runs.add(run(policy, seed));
             }
         }
         return runs;
@@ -207,41 +213,41 @@
 
     /** The scenario with a seed. */
     public Scenario day(long seed) {
-        return day.withSeed(seed);
+        return scenario.withSeed(seed);
     }
 
-    private Run play(String policy, long seed) {
+    private Run run(String policy, long seed) {
         Simulation simulation =
                 policy.equals(MODULE)
-                        ? moduleSimulation(day(seed))
-                        : baselineSimulation(kindOf(policy), day(seed));
+                        ? createModuleSimulation(day(seed))
+                        : createBaselineSimulation(baselineKind(policy), day(seed));
         try {
-            return new Run(policy, seed, simulation.play(), null);
-        } catch (Referee.Broken e) {
-            return new Run(policy, seed, simulation.figures(), e.getMessage());
+            return new Run(policy, seed, simulation.run(), null);
+        } catch (Referee.RuleViolationException e) {
+            return new Run(policy, seed, simulation.resultSoFar(), e.getMessage());
         }
     }
 
-    private static Baseline.Kind kindOf(String policy) {
+    private static Baseline.Kind baselineKind(String policy) {
         return Baseline.Kind.valueOf(policy.toUpperCase(Locale.ROOT));
     }
 
-    private Simulation moduleSimulation(Scenario scenario) {
-        return new Simulation(scenario, (proxy, trueLoad) -> module(scenario, proxy));
+    private Simulation createModuleSimulation(Scenario scenario) {
+        return new Simulation(scenario, (proxy, trueLoad) -> createModule(scenario, proxy));
     }
 
-    private ModuleUnderTest module(Scenario scenario, int proxy) {
+    private ModuleUnderTest createModule(Scenario scenario, int proxy) {
         Settings settings = scenario.settings();
         Settings ofProxy = settings.withLocation(proxy % settings.locationCount());
         long seed = proxySeed(scenario, proxy);
-        ModuleUnderTest module = new ModuleUnderTest(ofProxy, seed, proxy, tells);
-        return recovers && tells ? module.recovering(ofProxy) : module;
+        ModuleUnderTest module = new ModuleUnderTest(ofProxy, seed, proxy, gossipEnabled);
+        return recoveryEnabled && gossipEnabled ? module.enableRecovery(ofProxy) : module;
     }
 
-    private static Simulation baselineSimulation(Baseline.Kind kind, Scenario scenario) {
+    private static Simulation createBaselineSimulation(Baseline.Kind kind, Scenario scenario) {
         return new Simulation(
                 scenario,
-                Referee.RULES_OF_BASELINES,
+                Referee.BASELINE_RULE_COUNT,
                 (proxy, trueLoad) ->
                         new Baseline(
                                 kind, scenario.settings(), proxySeed(scenario, proxy), trueLoad));
--- a/src/main/java/lemondrift/lab/ExperimentFile.java
+++ b/src/main/java/lemondrift/lab/ExperimentFile.java
@@ -42,7 +42,7 @@
                     "contract",
                     "uneven",
                     "connections");
-    private static final List<String> TROUBLE_KEYS =
+    private static final List<String> BACKEND_FAULT_KEYS =
             List.of("kind", "at", "lasts", "share", "strength");
     private static final List<String> FAULT_KEYS =
             List.of("kind", "channel", "from", "to", "both", "at", "lasts", "share", "by");
@@ -74,7 +74,7 @@
      * @throws IOException where the file cannot be read
      */
     public static Experiment read(Path file) throws IOException {
-        return new ExperimentFile(file).experiment();
+        return new ExperimentFile(file).readExperiment();
     }
 
     /**
@@ -82,31 +82,31 @@
      *
      * @throws IOException where the folder cannot be read
      */
-    public static List<Path> in(Path folder) throws IOException {
+    public static List<Path> listFiles(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(file -> file.toString().endsWith(".toml")).sorted().toList();
         }
     }
 
-    private Experiment experiment() {
+    private Experiment readExperiment() {
         JsonNode root = toml.root();
         toml.rejectUnknownKeys(root, ROOT_KEYS);
-        List<Long> seeds = seeds(root);
+        List<Long> seeds = readSeeds(root);
         Experiment.Host host =
                 toml.enumValue(
                         root, "host", Experiment.Host.class, "host", Experiment.Host.VIRTUAL);
-        List<String> policies = policies(root);
+        List<String> policies = readPolicies(root);
         List<Experiment.Expectation> expectations = new ArrayList<>();
-        root.path("expect").forEach(each -> expectations.add(expectation(each.asText())));
-        List<BackendFault> backendFaults = backendFaults(root);
-        List<Fault> faults = faults(root, host);
+        root.path("expect").forEach(each -> expectations.add(parseExpectation(each.asText())));
+        List<BackendFault> backendFaults = readBackendFaults(root);
+        List<Fault> faults = readFaults(root, host);
         JsonNode world = root.path("world");
         toml.enterTable("[world]", 0);
         toml.rejectUnknownKeys(world, WORLD_KEYS);
         return new Experiment(
                 file.getFileName().toString().replaceFirst("\\.toml$", ""),
                 root.path("about").asText(),
-                scenario(world, backendFaults),
+                readScenario(world, backendFaults),
                 policies,
                 seeds,
                 expectations,
@@ -118,13 +118,13 @@
                 faults);
     }
 
-    private static List<Long> seeds(JsonNode root) {
+    private static List<Long> readSeeds(JsonNode root) {
         List<Long> seeds = new ArrayList<>();
         root.path("seeds").forEach(seed -> seeds.add(seed.asLong()));
         return seeds.isEmpty() ? List.of(DEFAULT_SEED) : seeds;
     }
 
-    private List<String> policies(JsonNode root) {
+    private List<String> readPolicies(JsonNode root) {
         List<String> policies = new ArrayList<>(List.of(Experiment.MODULE));
         for (JsonNode each : root.path("policies")) {
             String policy = each.asText();
@@ -144,17 +144,17 @@
                         .anyMatch(kind -> TomlReader.lowerCaseName(kind).equals(name));
     }
 
-    private List<BackendFault> backendFaults(JsonNode root) {
+    private List<BackendFault> readBackendFaults(JsonNode root) {
         List<BackendFault> faults = new ArrayList<>();
         for (JsonNode table : root.path("trouble")) {
             toml.enterTable("[[trouble]]", faults.size());
-            toml.rejectUnknownKeys(table, TROUBLE_KEYS);
-            faults.add(backendFault(table));
+            toml.rejectUnknownKeys(table, BACKEND_FAULT_KEYS);
+            faults.add(readBackendFault(table));
         }
         return faults;
     }
 
-    private List<Fault> faults(JsonNode root, Experiment.Host host) {
+    private List<Fault> readFaults(JsonNode root, Experiment.Host host) {
         List<Fault> faults = new ArrayList<>();
         for (JsonNode table : root.path("fault")) {
             toml.enterTable("[[fault]]", faults.size());
@@ -162,12 +162,12 @@
             if (host != Experiment.Host.PROCESSES) {
                 throw toml.invalid("kind", "faults need host = \"processes\"");
             }
-            faults.add(fault(table));
+            faults.add(readFault(table));
         }
         return faults;
     }
 
-    private Scenario scenario(JsonNode world, List<BackendFault> faults) {
+    private Scenario readScenario(JsonNode world, List<BackendFault> faults) {
         int proxies = toml.integer(world, "proxies", 3, 1, 500);
         int backends = toml.integer(world, "backends", 10, 0, 2000);
         int cores = toml.integer(world, "cores", 2, 1, 64);
@@ -197,7 +197,7 @@
                 faults);
     }
 
-    private BackendFault backendFault(JsonNode table) {
+    private BackendFault readBackendFault(JsonNode table) {
         BackendFault.Kind kind = toml.enumValue(table, "kind", BackendFault.Kind.class, "trouble");
         boolean strengthIsShare =
                 kind == BackendFault.Kind.ERRORS || kind == BackendFault.Kind.GRADE;
@@ -209,13 +209,13 @@
                 toml.number(table, "strength", strengthIsShare ? 0.8 : 3, 0, 1000));
     }
 
-    private Fault fault(JsonNode table) {
+    private Fault readFault(JsonNode table) {
         Fault.Kind kind = toml.enumValue(table, "kind", Fault.Kind.class, "fault");
         Fault.Channel channel =
                 toml.enumValue(
                         table, "channel", Fault.Channel.class, "channel", Fault.Channel.DATAGRAMS);
         if (channel != Fault.Channel.DATAGRAMS
-                && !kind.isOfProcesses()
+                && !kind.isProcessFault()
                 && kind != Fault.Kind.CUT
                 && kind != Fault.Kind.LATE) {
             throw toml.invalid("kind", "connections can be cut or late, nothing else");
@@ -223,8 +223,8 @@
         return new Fault(
                 kind,
                 channel,
-                target(table, "from"),
-                target(table, "to"),
+                readTarget(table, "from"),
+                readTarget(table, "to"),
                 toml.flag(table, "both"),
                 toml.seconds(table, "at", DEFAULT_FAULT_AT),
                 toml.positiveSeconds(table, "lasts", DEFAULT_FAULT_SECONDS),
@@ -232,15 +232,15 @@
                 toml.seconds(table, "by", 0.2));
     }
 
-    private FaultTarget target(JsonNode table, String key) {
-        FaultTarget target = FaultTarget.of(table.path(key).asText("all"));
+    private FaultTarget readTarget(JsonNode table, String key) {
+        FaultTarget target = FaultTarget.parse(table.path(key).asText("all"));
         if (target == null) {
             throw toml.invalid(key, "none of " + FaultTarget.FORMS + ": " + table.path(key));
         }
         return target;
     }
 
-    private Experiment.Expectation expectation(String text) {
+    private Experiment.Expectation parseExpectation(String text) {
         Matcher parts = EXPECTATION.matcher(text);
         if (parts.matches()) {
             Optional<Figure> figure = Figure.byKey(parts.group(1));
--- a/src/main/java/lemondrift/lab/Figure.java
+++ b/src/main/java/lemondrift/lab/Figure.java
@@ -11,7 +11,7 @@
 @SuppressWarnings("ImmutableEnumChecker") // the readers are method references without state
 public enum Figure {
     /** Served priority weight, as a share of the requested. */
-    SERVICE("service", RunResult::service),
+    SERVICE("service", RunResult::servedShare),
     /** Client requests served within the latency objective, as a share. */
     IN_TIME("in_time", RunResult::inTimeShare),
     /** Accepted requests without a response at their deadline. */
@@ -43,9 +43,9 @@
     /** Processes that ended by themselves or did not drain. */
     CRASHED("crashed", result -> result.crashed),
     /** Served priority weight, over what the backends could have served. */
-    OF_SERVABLE("of_bearable", RunResult::ofBearable),
+    OF_SERVABLE("of_bearable", RunResult::servedShareOfServable),
     /** Seconds after which priority weight is served as usual to the end. */
-    BACK_AFTER("back_after", RunResult::backAfter);
+    BACK_AFTER("back_after", RunResult::recoveredAfterSeconds);
 
     private final String key;
     private final ToDoubleFunction<RunResult> reader;
@@ -71,7 +71,7 @@
     }
 
     /** The figure of a run; NaN of a run that a broken rule has ended, which lacks some of them. */
-    public double read(RunResult result) {
+    public double readFrom(RunResult result) {
         return result.evenness == null ? Double.NaN : reader.applyAsDouble(result);
     }
 }
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -28,7 +28,7 @@
     private static final int SUBSET_SIZE = 12;
 
     private final LoadBalancer balancer;
-    private final int self;
+    private final int proxyIndex;
 
     /** Null where the proxy uses no gossip; tags of backends are their indexes. */
     private LoadGossip gossip;
@@ -49,18 +49,18 @@
     /**
      * The module of a proxy.
      *
-     * @param self the proxy's index
+     * @param proxyIndex the proxy's index
      * @param usesGossip whether it uses gossip, where the settings let it
      */
-    public ModuleUnderTest(Settings settings, long seed, int self, boolean usesGossip) {
+    public ModuleUnderTest(Settings settings, long seed, int proxyIndex, boolean usesGossip) {
         balancer = new LoadBalancer(settings, seed);
-        this.self = self;
+        this.proxyIndex = proxyIndex;
         if (usesGossip && balancer.needsGossip()) {
             subsets = new SubsetAssignment(settings.proxyCount(), SUBSET_SIZE);
             gossip =
                     new LoadGossip(
                             settings.proxyCount(),
-                            self,
+                            proxyIndex,
                             startNumber(),
                             GOSSIP_INTERVAL_WINDOWS * settings.windowSeconds(),
                             PEER_EXPIRY_WINDOWS * settings.windowSeconds(),
@@ -70,15 +70,15 @@
     }
 
     private int startNumber() {
-        return 1 + self;
+        return 1 + proxyIndex;
     }
 
     /** Makes the proxy ask its peers for what they have measured. */
-    public ModuleUnderTest recovering(Settings settings) {
+    public ModuleUnderTest enableRecovery(Settings settings) {
         recovery =
                 RecoveryState.starting(
                         PeerPollSettings.forLatencyObjective(settings.windowSeconds()),
-                        self,
+                        proxyIndex,
                         settings.proxyCount(),
                         startNumber(),
                         0);
@@ -134,12 +134,13 @@
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
-            boolean over,
+            boolean completed,
             double[] loadReport) {
         updatePeerState(now);
         recordAttemptEnd(attempt, outcome, now);
         return recordAttempts(
-                balancer.attemptEnded(now, attempt, outcome, durationSeconds, over, loadReport));
+                balancer.attemptEnded(
+                        now, attempt, outcome, durationSeconds, completed, loadReport));
     }
 
     private void recordAttemptEnd(Attempt attempt, AttemptOutcome outcome, double now) {
@@ -160,12 +161,12 @@
     }
 
     @Override
-    public Decision endpointsListed(double now, boolean whole, List<EndpointUpdate> updates) {
+    public Decision endpointsListed(double now, boolean isFullList, List<EndpointUpdate> updates) {
         List<EndpointUpdate> used =
                 gossip == null
                         ? updates
-                        : subsets.applyUpdates(self, whole, updates, backend -> backend);
-        return recordAttempts(balancer.endpointsListed(now, whole, false, used));
+                        : subsets.applyUpdates(proxyIndex, isFullList, updates, backend -> backend);
+        return recordAttempts(balancer.endpointsListed(now, isFullList, false, used));
     }
 
     @Override
@@ -174,7 +175,7 @@
     }
 
     @Override
-    public List<LoadGossip.Message> dueMessages(double now) {
+    public List<LoadGossip.Message> takeDueMessages(double now) {
         if (gossip == null) {
             return List.of();
         }
--- a/src/main/java/lemondrift/lab/Report.java
+++ b/src/main/java/lemondrift/lab/Report.java
@@ -1,6 +1,7 @@
 package lemondrift.lab;
 
 import com.fasterxml.jackson.annotation.JsonAutoDetect;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.PropertyAccessor;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import java.io.IOException;
@@ -13,10 +14,14 @@
  * The components name its keys.
  */
 public record Report(
-        String name, String about, List<BackendFault> troubles, List<Experiment.Run> runs) {
+        String name,
+        String about,
+        @JsonProperty("troubles") List<BackendFault> backendFaults,
+        List<Experiment.Run> runs) {
     /** The report of an experiment that has been played. */
     public static Report of(Experiment experiment, List<Experiment.Run> runs) {
-        return new Report(experiment.name(), experiment.about(), experiment.day().troubles(), runs);
+        return new Report(
+                experiment.name(), experiment.about(), experiment.scenario().backendFaults(), runs);
     }
 
     /**
--- a/src/main/java/lemondrift/lab/fleet/BackendFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -96,8 +96,8 @@
     /** Seconds of work of one warm core that all fit backends do in a second now. */
     double capacity() {
         return Arrays.stream(backends)
-                .filter(Backend::isFit)
-                .mapToDouble(backend -> context.scenario().cores() / backend.slowness())
+                .filter(Backend::isAvailable)
+                .mapToDouble(backend -> context.scenario().cores() / backend.serviceTimeFactor())
                 .sum();
     }
 
--- a/src/main/java/lemondrift/lab/fleet/BackendPicker.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendPicker.java
@@ -49,7 +49,7 @@
     public OptionalInt pick(IntUnaryOperator inFlight) {
         int[] up =
                 IntStream.range(0, backendFleet.backends.length)
-                        .filter(i -> backendFleet.backends[i].isFit())
+                        .filter(i -> backendFleet.backends[i].isAvailable())
                         .toArray();
         if (up.length == 0) {
             return OptionalInt.empty();
@@ -80,7 +80,8 @@
 
     /** Counts requests on their way to the backend too: all would pick the same one otherwise. */
     private double estimate(int backend, int preferred, IntUnaryOperator inFlight) {
-        double load = inFlight.applyAsInt(backend) * backendFleet.backends[backend].slowness();
+        double load =
+                inFlight.applyAsInt(backend) * backendFleet.backends[backend].serviceTimeFactor();
         return load + (backend == preferred ? 0 : TIE_BREAK * context.random().nextDouble());
     }
 
--- a/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
@@ -81,7 +81,8 @@
 
     /** Reports how many requests a backend holds now. */
     void recordLoad(int backend) {
-        recorder.recordBackendLoad(backend, backends[backend].held(), backends[backend].isFit());
+        recorder.recordBackendLoad(
+                backend, backends[backend].heldRequestCount(), backends[backend].isAvailable());
     }
 
     @Override
@@ -104,7 +105,8 @@
     }
 
     private void handleRequest(BackendConnection connection, String head) {
-        if (!connection.connection.isOpen() || backends[connection.backend].silent > 0) {
+        if (!connection.connection.isOpen()
+                || backends[connection.backend].activeSilenceFaults > 0) {
             return;
         }
         Optional<String> traceId = HttpConnection.field(head, "x-trace-id");
@@ -139,7 +141,7 @@
         Backend backend = backends[connection.backend];
         connection.attempt = recorder.recordAttempt(pending, connection.backend);
         boolean failing = context.random().nextDouble() < errorShare(backend, pending);
-        if (backend.fallsOver(pending.workSeconds)) {
+        if (backend.addWorkAndCheckOverload(pending.workSeconds)) {
             recorder.result().overloadedColdBackends++;
             recorder.recordAttemptEnd(connection.attempt, AttemptOutcome.RESET);
             overloadListener.accept(connection.backend);
@@ -148,14 +150,15 @@
         } else if (failing) {
             endAttempt(connection, AttemptOutcome.ERROR, "500 Error", NO_FIELDS);
         } else {
-            connection.job = backend.take(pending.workSeconds, ran -> finishJob(connection, ran));
+            connection.job = backend.submit(pending.workSeconds, ran -> finishJob(connection, ran));
             recordLoad(connection.backend);
         }
     }
 
     private double errorShare(Backend backend, OutcomeRecorder.PendingRequest pending) {
         boolean isOfLastClass = pending.request.requestClassIndex == lastRequestClass;
-        return Math.max(backend.errors, isOfLastClass ? backend.classErrors : 0);
+        return Math.max(
+                backend.faultErrorShare, isOfLastClass ? backend.lastClassFaultErrorShare : 0);
     }
 
     private boolean hasTooManyConnections(int backend) {
@@ -204,8 +207,8 @@
         return String.format(
                 Locale.ROOT,
                 "util=%.3f, queue=%d",
-                backends[backend].utilisation(),
-                backends[backend].queued());
+                backends[backend].utilization(),
+                backends[backend].queuedRequestCount());
     }
 
     @Override
--- a/src/main/java/lemondrift/lab/fleet/ClientFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientFleet.java
@@ -68,7 +68,7 @@
             return;
         }
         send(createRequest());
-        double rate = scenario.rate() * faultInjector.traffic;
+        double rate = scenario.rate() * faultInjector.trafficFactor;
         context.scheduler().after(interarrival.sample() / rate, this::sendNext);
     }
 
@@ -79,10 +79,10 @@
         int second =
                 context.recorder().recordClientRequest(classIndex, requestClass.priorityWeight());
         double dueAt = context.scheduler().now();
-        double spread = scenario.spread();
+        double spread = scenario.workLogStandardDeviation();
         double workSeconds =
-                scenario.work()
-                        * faultInjector.heavy
+                scenario.meanWorkSeconds()
+                        * faultInjector.workFactor
                         * Math.exp(spread * normal.sample() - spread * spread / 2);
         return new ClientRequest(
                 classIndex, requestClass, dueAt, second, workSeconds, context.recorder().result());
@@ -121,7 +121,7 @@
     /** The same after a wait that a rejection names. */
     void retryOrGiveUp(ClientRequest request, double waitSeconds) {
         double ageSeconds = context.scheduler().now() - request.dueAt;
-        if (request.tries < scenario.tries()
+        if (request.tries < scenario.maxTries()
                 && ageSeconds < request.requestClass.timeoutSeconds()) {
             context.scheduler().after(waitSeconds, () -> send(request));
         } else {
--- a/src/main/java/lemondrift/lab/fleet/ClientTry.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientTry.java
@@ -136,7 +136,7 @@
                         + " /api HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: "
                         + traceId
                         + "\r\nX-Qos: "
-                        + Experiment.GRADES.get(clientRequest.requestClassIndex)
+                        + Experiment.REQUEST_CLASS_NAMES.get(clientRequest.requestClassIndex)
                         + "\r\nX-Expires-In-Ms: "
                         + millisLeft;
         return HttpConnection.message(head, idempotent ? NO_BODY : BODY);
--- a/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
+++ b/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
@@ -191,8 +191,9 @@
                         return;
                     }
                 }
-                case LATE -> dueAt += affected ? fault.by() : 0;
-                case DISORDER -> dueAt += affected ? fault.by() * random.nextDouble() : 0;
+                case LATE -> dueAt += affected ? fault.maxDelaySeconds() : 0;
+                case DISORDER ->
+                        dueAt += affected ? fault.maxDelaySeconds() * random.nextDouble() : 0;
                 case TWICE -> duplicated |= affected;
                 default -> {}
             }
--- a/src/main/java/lemondrift/lab/fleet/DayPlayer.java
+++ b/src/main/java/lemondrift/lab/fleet/DayPlayer.java
@@ -86,7 +86,7 @@
         measureCapacityUntil(day.endAt());
         proxies.startUsageMeasurement();
         for (BackendFault fault : day.backendFaults) {
-            scheduler.after(fault.at(), () -> backendFaultInjector.begins(fault));
+            scheduler.after(fault.startAt(), () -> backendFaultInjector.startFault(fault));
         }
         proxies.scheduleFaults(day.faultPlan, clientFleet);
     }
@@ -95,7 +95,7 @@
         recorder.recordCapacity(
                 backendFleet.capacity()
                         * CAPACITY_INTERVAL_SECONDS
-                        / (context.scenario().work() * backendFaultInjector.heavy));
+                        / (context.scenario().meanWorkSeconds() * backendFaultInjector.workFactor));
         if (scheduler.now() + CAPACITY_INTERVAL_SECONDS < end) {
             scheduler.after(CAPACITY_INTERVAL_SECONDS, () -> measureCapacityUntil(end));
         }
--- a/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
+++ b/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
@@ -67,7 +67,7 @@
     /** Sends a change to all agents; 0 for a backend that was up from the beginning. */
     void announce(int backend, EndpointUpdate.State state, long upSinceMillis) {
         EndpointChange change = new EndpointChange(backend, state, upSinceMillis);
-        double meanDelaySeconds = context.scenario().delay();
+        double meanDelaySeconds = context.scenario().discoveryDelaySeconds();
         for (DiscoveryAgent agent : agents) {
             double sentAt = Math.max(context.scheduler().now(), silentUntil);
             double delayShare = MIN_DELAY_SHARE + context.random().nextDouble();
--- a/src/main/java/lemondrift/lab/fleet/FaultPlan.java
+++ b/src/main/java/lemondrift/lab/fleet/FaultPlan.java
@@ -23,7 +23,8 @@
     /** One fault, and whether it falls on the sender and the receiver of each number. */
     record DrawnFault(Fault fault, boolean[] from, boolean[] to) {
         boolean fallsOn(int sender, int receiver) {
-            return (from[sender] && to[receiver]) || (fault.both() && from[receiver] && to[sender]);
+            return (from[sender] && to[receiver])
+                    || (fault.bidirectional() && from[receiver] && to[sender]);
         }
 
         /** The numbers of the proxies that it falls on, for a fault of processes. */
@@ -32,7 +33,7 @@
         }
 
         private boolean isBetweenProcesses(Fault.Channel channel) {
-            return !fault.kind().isOfProcesses() && fault.channel() == channel;
+            return !fault.kind().isProcessFault() && fault.channel() == channel;
         }
     }
 
@@ -66,8 +67,8 @@
         IntUnaryOperator location = number -> number % locations;
         for (Fault fault : faults) {
             int receivers = fault.channel() == Fault.Channel.BACKENDS ? backends : proxies;
-            boolean[] from = fault.from().among(proxies, location, random);
-            boolean[] to = fault.to().among(receivers, location, random);
+            boolean[] from = fault.from().selectTargets(proxies, location, random);
+            boolean[] to = fault.to().selectTargets(receivers, location, random);
             drawnFaults.add(new DrawnFault(fault, from, to));
         }
         segments =
@@ -112,12 +113,12 @@
     }
 
     private boolean isActive(DrawnFault drawn, double now) {
-        return drawn.fault.holds(now - dayStart);
+        return drawn.fault.isActiveAt(now - dayStart);
     }
 
     /** The faults that fall on processes. */
     List<DrawnFault> ofProcesses() {
-        return drawnFaults.stream().filter(each -> each.fault.kind().isOfProcesses()).toList();
+        return drawnFaults.stream().filter(each -> each.fault.kind().isProcessFault()).toList();
     }
 
     /** The active faults that send datagrams which no proxy has sent. */
@@ -167,14 +168,16 @@
     private double cutUntil(
             Fault.Channel channel, double now, Predicate<DrawnFault> fallsOnMessage) {
         return active(channel, Fault.Kind.CUT, now, fallsOnMessage)
-                .mapToDouble(fault -> dayStart + fault.at() + fault.lasts())
+                .mapToDouble(fault -> dayStart + fault.startAt() + fault.durationSeconds())
                 .max()
                 .orElse(now);
     }
 
     private double delaySeconds(
             Fault.Channel channel, double now, Predicate<DrawnFault> fallsOnMessage) {
-        return active(channel, Fault.Kind.LATE, now, fallsOnMessage).mapToDouble(Fault::by).sum();
+        return active(channel, Fault.Kind.LATE, now, fallsOnMessage)
+                .mapToDouble(Fault::maxDelaySeconds)
+                .sum();
     }
 
     private Stream<Fault> active(
--- a/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
@@ -82,15 +82,15 @@
         // Before the first day nothing goes wrong.
         faultPlan = drawFaults(experiment.faults(), Double.POSITIVE_INFINITY);
         context = TestbedContext.create(scenario, seed, judgedRules, () -> faultPlan);
-        backendFleet = new BackendFleet(context, experiment.connections());
+        backendFleet = new BackendFleet(context, experiment.maxConnectionsPerBackend());
         BackendFaultInjector backendFaultInjector =
                 new BackendFaultInjector(
                         context.scheduler(),
                         context.random(),
                         backendFleet.backends,
-                        scenario.delay(),
+                        scenario.discoveryDelaySeconds(),
                         new BackendFaultHost());
-        backendFleet.setOverloadListener(backend -> backendFaultInjector.dies(backend, true));
+        backendFleet.setOverloadListener(backend -> backendFaultInjector.takeDown(backend, true));
         proxies = proxiesFactory.create(context, backendFleet);
         clientFleet = new ClientFleet(context, proxies.clientTargets(), backendFaultInjector);
         dayPlayer =
@@ -115,7 +115,7 @@
         return new FleetTestbed(
                 experiment,
                 seed,
-                Referee.ALL_RULES,
+                Referee.RULE_COUNT,
                 (context, backendFleet) ->
                         new ProxyFleet(context, experiment, launcher, backendFleet),
                 progress);
@@ -160,7 +160,7 @@
         }
 
         @Override
-        public void died(int backend, boolean connectionsReset) {
+        public void processEnded(int backend, boolean connectionsReset) {
             if (connectionsReset) {
                 backendFleet.crash(backend);
             } else {
@@ -169,7 +169,7 @@
         }
 
         @Override
-        public void restarted(int backend) {
+        public void processRestarted(int backend) {
             upSinceMillis[backend] = System.currentTimeMillis();
             backendFleet.restart(backend);
         }
@@ -191,7 +191,7 @@
 
     /** Plays the experiment's day; throws as the other {@link #play(List, List, double)} does. */
     public DayOutcome play() throws InterruptedException {
-        return play(scenario.troubles(), experiment.faults(), scenario.lasts());
+        return play(scenario.backendFaults(), experiment.faults(), scenario.durationSeconds());
     }
 
     /**
--- a/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
+++ b/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
@@ -77,7 +77,7 @@
                 new Referee(
                         scenario.settings(),
                         judgedRules,
-                        scenario.grace(),
+                        scenario.drainGraceSeconds(),
                         SLACK_SECONDS,
                         scenario.proxies(),
                         locations,
@@ -92,7 +92,7 @@
     /** Starts the figures anew; the rules are judged with all that went before. */
     void startDay() {
         dayStart = now();
-        evenness.begins(dayStart);
+        evenness.startCounting(dayStart);
         result = new RunResult(scenario);
         servable =
                 new ServableOracle(
@@ -127,25 +127,25 @@
         result.clientRequests++;
         result.requestedWeight += priorityWeight;
         result.requestedWeightPerSecond[second] += priorityWeight;
-        servable.wants(second, requestClassIndex);
+        servable.recordRequest(second, requestClassIndex);
         return second;
     }
 
     /** Adds how many requests the backends are able to serve now. */
     void recordCapacity(double requests) {
-        servable.bears(secondOfDay(now()), requests);
+        servable.addCapacity(secondOfDay(now()), requests);
     }
 
     /** Ends the measuring of the backends' load; clients may still be waiting. */
     RunResult endDay() {
         System.arraycopy(
-                servable.benefit(),
+                servable.servableWeightBySecond(),
                 0,
                 result.servableWeightPerSecond,
                 0,
                 result.servableWeightPerSecond.length);
         result.evenness = evenness.measure(now());
-        double[] idleShares = evenness.idleBySecond();
+        double[] idleShares = evenness.idleShareBySecond();
         System.arraycopy(
                 idleShares,
                 0,
@@ -166,7 +166,7 @@
     private void judge(Runnable event) {
         try {
             event.run();
-        } catch (Referee.Broken e) {
+        } catch (Referee.RuleViolationException e) {
             brokenRule = brokenRule.or(() -> Optional.of(e.getMessage()));
         }
     }
@@ -180,7 +180,7 @@
         PendingRequest pending = new PendingRequest(request, proxy, workSeconds);
         pendingRequests.put(traceId, pending);
         result.accepted++;
-        judge(() -> referee.taken(proxy, request, now()));
+        judge(() -> referee.requestAccepted(proxy, request, now()));
         return pending;
     }
 
@@ -193,32 +193,32 @@
     Attempt recordAttempt(PendingRequest pending, int backend) {
         Attempt attempt = new Attempt(pending.request, backend, now(), 0, 0);
         result.attempts++;
-        evenness.sends(backend, now());
+        evenness.recordSend(backend, now());
         // A paused process cannot know that a client left, so what it sends late breaks no rule.
         if (!pending.excused) {
-            judge(() -> referee.sent(pending.proxy, attempt, pending.workSeconds, now()));
+            judge(() -> referee.attemptSent(pending.proxy, attempt, pending.workSeconds, now()));
         }
         return attempt;
     }
 
     void recordAttemptEnd(Attempt attempt, AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.SUCCESS) {
-            evenness.served(attempt.backend);
+            evenness.recordServed(attempt.backend);
         } else {
             result.failedAttemptsByBackend[attempt.backend]++;
         }
-        judge(() -> referee.ended(attempt, outcome, now()));
+        judge(() -> referee.attemptEnded(attempt, outcome, now()));
     }
 
     /** A client has got its response. */
     void recordResponse(PendingRequest pending, boolean rejected) {
-        judge(() -> referee.answered(pending.proxy, pending.request, rejected, now()));
+        judge(() -> referee.responseSent(pending.proxy, pending.request, rejected, now()));
     }
 
     /** A client has stopped waiting without a response. */
     void recordUnanswered(PendingRequest pending) {
         pending.excused = isExcused(pending);
-        judge(() -> referee.closed(pending.proxy, pending.request, pending.excused, now()));
+        judge(() -> referee.requestClosed(pending.proxy, pending.request, pending.excused, now()));
     }
 
     /** Whether the proxy was unable to answer at some time since it got the request. */
@@ -235,7 +235,7 @@
     void forget(String traceId) {
         PendingRequest pending = pendingRequests.remove(traceId);
         if (pending != null) {
-            referee.forgets(pending.request);
+            referee.forget(pending.request);
         }
     }
 
@@ -251,16 +251,16 @@
 
     /** A proxy is sent the state of a backend by its discovery agent. */
     void recordEndpointState(int proxy, int backend, boolean ready) {
-        judge(() -> referee.told(proxy, backend, ready, now()));
+        judge(() -> referee.endpointStateReceived(proxy, backend, ready, now()));
     }
 
     void recordBackendStart(int backend) {
-        referee.started(backend, now());
+        referee.backendStarted(backend, now());
     }
 
     /** A backend holds this many requests from now on, and is able to take more or not. */
     void recordBackendLoad(int backend, int heldRequests, boolean fit) {
-        evenness.holds(backend, heldRequests, fit, now());
+        evenness.updateBackend(backend, heldRequests, fit, now());
     }
 
     /** A client has been served; ignored where that was due in an earlier day. */
--- a/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
@@ -33,7 +33,7 @@
     /** Starts a fault now; the clients are those that use a proxy until it is killed. */
     void inject(FaultPlan.DrawnFault drawn, ClientFleet clients) {
         int[] proxies = drawn.affectedProxies();
-        double durationSeconds = drawn.fault().lasts();
+        double durationSeconds = drawn.fault().durationSeconds();
         switch (drawn.fault().kind()) {
             case KILL -> kill(proxies, durationSeconds);
             case STOP -> stop(proxies, durationSeconds);
--- a/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
@@ -121,7 +121,7 @@
         for (int i = 0; i < settings.requestClasses().size(); i++) {
             RequestClass requestClass = settings.requestClasses().get(i);
             node.addObject()
-                    .put("name", Experiment.GRADES.get(i))
+                    .put("name", Experiment.REQUEST_CLASS_NAMES.get(i))
                     .put("benefit", requestClass.priorityWeight())
                     .put("contractTime", MILLIS_PER_SECOND * requestClass.latencyObjectiveSeconds())
                     .put("expiry", MILLIS_PER_SECOND * requestClass.timeoutSeconds())
--- a/src/main/java/lemondrift/lab/fleet/ProxyFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyFleet.java
@@ -51,19 +51,21 @@
         agents = new DiscoveryAgents(context, backendFleet);
         ProxyConfigWriter configWriter =
                 new ProxyConfigWriter(
-                        context.scenario().settings(), experiment.tells(), relayAddresses());
+                        context.scenario().settings(),
+                        experiment.gossipEnabled(),
+                        relayAddresses());
         processes =
                 new ProxyProcesses(
                         launcher,
                         context.folder(),
                         proxyCount,
                         configWriter,
-                        experiment.recovers());
+                        experiment.recoveryEnabled());
         distributor =
                 new ClientDistributor(
                         context,
                         addresses.listen(),
-                        experiment.uneven(),
+                        experiment.trafficLogStandardDeviation(),
                         RandomSource.XO_RO_SHI_RO_128_PP.create(context.seed() + 2));
         processThread = new ProcessThread(scheduler);
         lifecycle =
@@ -162,7 +164,7 @@
     @Override
     public void scheduleFaults(FaultPlan faultPlan, ClientFleet clients) {
         for (FaultPlan.DrawnFault drawn : faultPlan.ofProcesses()) {
-            scheduler.after(drawn.fault().at(), () -> faultInjector.inject(drawn, clients));
+            scheduler.after(drawn.fault().startAt(), () -> faultInjector.inject(drawn, clients));
         }
     }
 
--- a/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
@@ -196,7 +196,7 @@
         return new Fault(
                 kind,
                 Fault.Channel.DATAGRAMS,
-                FaultTarget.of(target),
+                FaultTarget.parse(target),
                 FaultTarget.ALL,
                 false,
                 drawStart(),
@@ -210,7 +210,7 @@
         return new Fault(
                 kind,
                 channel,
-                FaultTarget.of(target),
+                FaultTarget.parse(target),
                 FaultTarget.ALL,
                 channel == Fault.Channel.DATAGRAMS,
                 drawStart(),
--- a/src/main/java/lemondrift/lab/fleet/SoakRun.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakRun.java
@@ -29,7 +29,7 @@
     public record Plan(long seed, Experiment experiment, int idleClientsPerProxy) {
         /** One line on what is drawn. */
         public String about() {
-            Scenario scenario = experiment.day();
+            Scenario scenario = experiment.scenario();
             StringBuilder text =
                     new StringBuilder(
                             String.format(
@@ -40,7 +40,7 @@
                                     scenario.rate(),
                                     scenario.settings().windowSeconds(),
                                     idleClientsPerProxy));
-            scenario.troubles().forEach(fault -> text.append(describe(fault)));
+            scenario.backendFaults().forEach(fault -> text.append(describe(fault)));
             experiment.faults().forEach(fault -> text.append(describe(fault)));
             return text.toString();
         }
@@ -50,8 +50,8 @@
                     Locale.ROOT,
                     " %s@%.1f+%.1fx%.2f",
                     fault.kind(),
-                    fault.at(),
-                    fault.lasts(),
+                    fault.startAt(),
+                    fault.durationSeconds(),
                     fault.share());
         }
 
@@ -61,8 +61,8 @@
                     " %s/%s@%.1f+%.1f",
                     fault.kind(),
                     fault.channel(),
-                    fault.at(),
-                    fault.lasts());
+                    fault.startAt(),
+                    fault.durationSeconds());
         }
     }
 
--- a/src/main/java/lemondrift/lab/load/LoadConnection.java
+++ b/src/main/java/lemondrift/lab/load/LoadConnection.java
@@ -50,11 +50,11 @@
      *
      * @throws IOException where there is no whole response in time; the connection must be closed
      */
-    int exchange(byte[] request) throws IOException {
+    int sendAndReceive(byte[] request) throws IOException {
         socket.getOutputStream().write(request);
         InputStream in = socket.getInputStream();
         String head = readHead(in);
-        int length = contentLength(head);
+        int length = parseContentLength(head);
         if (in.readNBytes(length).length < length) {
             throw new IOException("no whole answer");
         }
@@ -63,7 +63,7 @@
     }
 
     /** Closes the connection where the server does so after the latest response. */
-    void closeIfServerDoes() {
+    void closeIfServerCloses() {
         if (closesAfterResponse) {
             close();
         }
@@ -82,7 +82,7 @@
         return head.toString().toLowerCase(Locale.ROOT);
     }
 
-    private static int contentLength(String head) {
+    private static int parseContentLength(String head) {
         int field = head.indexOf(CONTENT_LENGTH);
         if (field < 0) {
             return 0;
--- a/src/main/java/lemondrift/lab/load/Load.java
+++ b/src/main/java/lemondrift/lab/load/LoadGenerator.java
@@ -16,12 +16,12 @@
  * from when a request was due: waiting for a free connection is the client's time too. It sends to
  * loopback alone.
  */
-public final class Load {
+public final class LoadGenerator {
     /** A request that is sent this many seconds late shows that the load falls behind its rate. */
-    private static final double BEHIND_SECONDS = 0.01;
+    private static final double LATE_SEND_SECONDS = 0.01;
 
     /** The share of the requests that may be sent late is one in so many. */
-    private static final long KEPT_UP_DIVISOR = 100;
+    private static final long MAX_LATE_SENDS_DIVISOR = 100;
 
     /** The longest latency that is told apart. */
     private static final long MAX_LATENCY_MICROS = 60_000_000;
@@ -52,22 +52,22 @@
     /**
      * What to send.
      *
-     * @param to a loopback address
+     * @param target a loopback address
      * @param rate requests a second, over 0
-     * @param seconds for how long, over 0; the warm-up comes before and is left out
-     * @param warmUp seconds of warm-up, 0 or more
+     * @param durationSeconds for how long, over 0; the warm-up comes before and is left out
+     * @param warmUpSeconds seconds of warm-up, 0 or more
      * @param connections how many requests may be open at once, 1 to 4096
-     * @param grade the request class that each request names
-     * @param timeout seconds after which a request has failed, over 0
+     * @param requestClass the request class that each request names
+     * @param timeoutSeconds seconds after which a request has failed, over 0
      */
     public record Plan(
-            InetSocketAddress to,
+            InetSocketAddress target,
             double rate,
-            double seconds,
-            double warmUp,
+            double durationSeconds,
+            double warmUpSeconds,
             int connections,
-            String grade,
-            double timeout) {
+            String requestClass,
+            double timeoutSeconds) {
         /**
          * Checks the plan.
          *
@@ -75,27 +75,35 @@
          *     loopback
          */
         public Plan {
-            if (to.isUnresolved() || !to.getAddress().isLoopbackAddress()) {
-                throw new InvalidSettingsException("not a loopback address: " + to.getHostString());
+            if (target.isUnresolved() || !target.getAddress().isLoopbackAddress()) {
+                throw new InvalidSettingsException(
+                        "not a loopback address: " + target.getHostString());
             }
             if (!(rate > 0 && rate <= MAX_RATE)
-                    || !(seconds > 0 && seconds <= MAX_SECONDS)
-                    || !(warmUp >= 0)
+                    || !(durationSeconds > 0 && durationSeconds <= MAX_SECONDS)
+                    || !(warmUpSeconds >= 0)
                     || connections < 1
                     || connections > MAX_CONNECTIONS
-                    || !(timeout > 0)) {
+                    || !(timeoutSeconds > 0)) {
                 throw new InvalidSettingsException(
                         "a load that cannot be: rate "
                                 + rate
                                 + ", seconds "
-                                + seconds
+                                + durationSeconds
                                 + ", connections "
                                 + connections);
             }
         }
 
         private Plan withRate(double newRate) {
-            return new Plan(to, newRate, seconds, warmUp, connections, grade, timeout);
+            return new Plan(
+                    target,
+                    newRate,
+                    durationSeconds,
+                    warmUpSeconds,
+                    connections,
+                    requestClass,
+                    timeoutSeconds);
         }
     }
 
@@ -107,13 +115,18 @@
      * @param succeeded those answered with status 200
      * @param rejected those answered with status 429 or 503
      * @param failed all others
-     * @param behind those that were sent late for want of a free connection
+     * @param sentLate those that were sent late for want of a free connection
      */
     public record Result(
-            Histogram latency, long sent, long succeeded, long rejected, long failed, long behind) {
+            Histogram latency,
+            long sent,
+            long succeeded,
+            long rejected,
+            long failed,
+            long sentLate) {
         /** Whether the load kept its rate: at most one request in a hundred was sent late. */
-        public boolean keptUp() {
-            return behind <= sent / KEPT_UP_DIVISOR;
+        public boolean reachedRate() {
+            return sentLate <= sent / MAX_LATE_SENDS_DIVISOR;
         }
 
         @Override
@@ -133,9 +146,9 @@
                     latency.getValueAtPercentile(99),
                     latency.getValueAtPercentile(99.9),
                     latency.getMaxValue(),
-                    keptUp()
+                    reachedRate()
                             ? ""
-                            : "; BEHIND: " + behind + " went out late, the rate was not reached");
+                            : "; BEHIND: " + sentLate + " went out late, the rate was not reached");
         }
     }
 
@@ -149,12 +162,12 @@
     private long succeeded;
     private long rejected;
     private long failed;
-    private long behind;
+    private long sentLate;
 
-    private Load(Plan plan) {
+    private LoadGenerator(Plan plan) {
         this.plan = plan;
-        warmUpCount = (long) (plan.rate * plan.warmUp);
-        totalCount = warmUpCount + (long) Math.max(1, plan.rate * plan.seconds);
+        warmUpCount = (long) (plan.rate * plan.warmUpSeconds);
+        totalCount = warmUpCount + (long) Math.max(1, plan.rate * plan.durationSeconds);
     }
 
     /**
@@ -162,8 +175,8 @@
      *
      * @throws InterruptedException where the calling thread is interrupted
      */
-    public static Result play(Plan plan) throws InterruptedException {
-        Load load = new Load(plan);
+    public static Result run(Plan plan) throws InterruptedException {
+        LoadGenerator load = new LoadGenerator(plan);
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < plan.connections; i++) {
             Thread thread = new Thread(load::sendAll, "load-" + i);
@@ -175,7 +188,7 @@
             thread.join();
         }
         return new Result(
-                load.latency, load.sent, load.succeeded, load.rejected, load.failed, load.behind);
+                load.latency, load.sent, load.succeeded, load.rejected, load.failed, load.sentLate);
     }
 
     /**
@@ -187,13 +200,13 @@
      * @param boundSeconds for the latency at that percentile
      * @throws InterruptedException where the calling thread is interrupted
      */
-    public static double highestRate(Plan first, double percentile, double boundSeconds)
+    public static double findHighestRate(Plan first, double percentile, double boundSeconds)
             throws InterruptedException {
         double highestGood = 0;
         double lowestBad = Double.POSITIVE_INFINITY;
         double rate = first.rate;
         while (lowestBad - highestGood > RATE_PRECISION_SHARE * highestGood && rate <= MAX_RATE) {
-            if (isWithin(play(first.withRate(rate)), percentile, boundSeconds)) {
+            if (meetsBound(run(first.withRate(rate)), percentile, boundSeconds)) {
                 highestGood = rate;
             } else {
                 lowestBad = rate;
@@ -206,8 +219,8 @@
         return highestGood;
     }
 
-    private static boolean isWithin(Result result, double percentile, double boundSeconds) {
-        return result.keptUp()
+    private static boolean meetsBound(Result result, double percentile, double boundSeconds) {
+        return result.reachedRate()
                 && result.failed == 0
                 && result.rejected == 0
                 && result.latency.getValueAtPercentile(percentile) <= boundSeconds * 1e6;
@@ -215,7 +228,7 @@
 
     /** One thread: takes the next request that is due until there is none. */
     private void sendAll() {
-        try (LoadConnection connection = new LoadConnection(plan.to, plan.timeout)) {
+        try (LoadConnection connection = new LoadConnection(plan.target, plan.timeoutSeconds)) {
             for (long index = nextIndex.getAndIncrement();
                     index < totalCount;
                     index = nextIndex.getAndIncrement()) {
@@ -232,12 +245,12 @@
         double lateSeconds = (System.nanoTime() - dueNanos) / NANOS_PER_SECOND;
         try {
             connection.open();
-            int status = connection.exchange(request(index));
-            count(index, dueNanos, lateSeconds, status);
-            connection.closeIfServerDoes();
+            int status = connection.sendAndReceive(encodeRequest(index));
+            recordOutcome(index, dueNanos, lateSeconds, status);
+            connection.closeIfServerCloses();
         } catch (IOException e) {
             // A request that failed is not counted as sent late as well.
-            count(index, dueNanos, 0, NO_RESPONSE);
+            recordOutcome(index, dueNanos, 0, NO_RESPONSE);
             connection.close();
         }
     }
@@ -248,25 +261,26 @@
         }
     }
 
-    private byte[] request(long index) {
+    private byte[] encodeRequest(long index) {
         return ("GET /load HTTP/1.1\r\nHost: load\r\nX-Trace-Id: load-"
                         + originNanos
                         + "-"
                         + index
                         + "\r\nX-Qos: "
-                        + plan.grade
+                        + plan.requestClass
                         + "\r\nX-Expires-In-Ms: "
-                        + (long) (plan.timeout * 1000)
+                        + (long) (plan.timeoutSeconds * 1000)
                         + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    private synchronized void count(long index, long dueNanos, double lateSeconds, int status) {
+    private synchronized void recordOutcome(
+            long index, long dueNanos, double lateSeconds, int status) {
         if (index < warmUpCount) {
             return;
         }
         sent++;
-        behind += lateSeconds > BEHIND_SECONDS ? 1 : 0;
+        sentLate += lateSeconds > LATE_SEND_SECONDS ? 1 : 0;
         switch (status) {
             case 200 -> {
                 succeeded++;
--- a/src/main/java/lemondrift/lab/simulation/Backend.java
+++ b/src/main/java/lemondrift/lab/simulation/Backend.java
@@ -59,19 +59,19 @@
     private double utilizationAt;
 
     /** How many faults hold the process down now. */
-    int faultsHoldingDown;
+    int activeDownFaults;
 
     /** How many faults make the machine silent now: connections neither come up nor break. */
-    public int silent;
+    public int activeSilenceFaults;
 
     /** How many times as long as usual all work takes now. */
-    double slowdown = 1;
+    double faultSlowdown = 1;
 
     /** The share of all requests that fail by faults now, 0 to 1 or more where faults overlap. */
-    public double errors;
+    public double faultErrorShare;
 
     /** The same for the requests of the last class alone. */
-    public double classErrors;
+    public double lastClassFaultErrorShare;
 
     /**
      * Creates a backend that is warm and idle.
@@ -87,12 +87,12 @@
 
     /** Whether its process is up, be its machine silent or not. */
     public boolean isUp() {
-        return faultsHoldingDown == 0;
+        return activeDownFaults == 0;
     }
 
     /** Whether its process is up and its machine not silent. */
-    public boolean isFit() {
-        return isUp() && silent == 0;
+    public boolean isAvailable() {
+        return isUp() && activeSilenceFaults == 0;
     }
 
     /** The share of its full capacity that it has now, 0 to 1. */
@@ -108,7 +108,7 @@
      * Adds work, in seconds of one warm core, and returns whether it overloads a cold backend: more
      * came within the overload window than the backend can bear.
      */
-    public boolean fallsOver(double workSeconds) {
+    public boolean addWorkAndCheckOverload(double workSeconds) {
         double capacityShare = capacityShare();
         if (capacityShare == 1) {
             coldWork.clear();
@@ -126,32 +126,32 @@
 
     /** The share of the requests of a class that fail by faults now; above 1 all do. */
     double errorShare(boolean isLastClass) {
-        return Math.max(errors, isLastClass ? classErrors : 0);
+        return Math.max(faultErrorShare, isLastClass ? lastClassFaultErrorShare : 0);
     }
 
     /** How many times as long as on a warm backend without faults its work takes now. */
-    public double slowness() {
-        return slowdown / capacityShare();
+    public double serviceTimeFactor() {
+        return faultSlowdown / capacityShare();
     }
 
     /** The requests that it holds for each core, over its present speed; stalls add to it. */
     double load() {
-        return (waiting.size() + running.size()) / (double) cores * slowness()
+        return (waiting.size() + running.size()) / (double) cores * serviceTimeFactor()
                 + Math.max(0, stalledUntil - scheduler.now());
     }
 
     /** How many requests it holds, running and waiting. */
-    public int held() {
+    public int heldRequestCount() {
         return running.size() + waiting.size();
     }
 
     /** How many requests wait for a core. */
-    public int queued() {
+    public int queuedRequestCount() {
         return waiting.size();
     }
 
     /** The share of its cores that are busy, a moving average, 0 to 1. */
-    public double utilisation() {
+    public double utilization() {
         updateUtilization();
         return Math.min(1, utilization);
     }
@@ -164,7 +164,7 @@
     }
 
     /** Accepts a request whose work is given in seconds of one warm core. */
-    public Job take(double workSeconds, JobListener listener) {
+    public Job submit(double workSeconds, JobListener listener) {
         Job job = new Job(workSeconds, listener);
         waiting.add(job);
         startWaitingJobs();
@@ -177,7 +177,7 @@
             Job job = waiting.remove();
             running.add(job);
             double startAt = Math.max(scheduler.now(), stalledUntil);
-            double durationSeconds = job.workSeconds * slowdown / capacityShare();
+            double durationSeconds = job.workSeconds * faultSlowdown / capacityShare();
             job.completion = scheduler.at(startAt + durationSeconds, () -> complete(job));
         }
     }
--- a/src/main/java/lemondrift/lab/simulation/BackendFault.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFault.java
@@ -1,16 +1,23 @@
 package lemondrift.lab.simulation;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
  * A fault of backends, traffic or discovery; any may overlap with any. Reports give its components
  * by these names.
  *
  * @param kind what fails
- * @param at when it begins, in seconds from the start of the scenario
- * @param lasts for how many seconds
+ * @param startAt when it begins, in seconds from the start of the scenario
+ * @param durationSeconds for how many seconds
  * @param share of the backends that it falls on, 0 to 1; at least one
  * @param strength how many times slower, or more traffic; for ERRORS and GRADE the share that fails
  */
-public record BackendFault(Kind kind, double at, double lasts, double share, double strength) {
+public record BackendFault(
+        Kind kind,
+        @JsonProperty("at") double startAt,
+        @JsonProperty("lasts") double durationSeconds,
+        double share,
+        double strength) {
     /** Kinds of fault, as experiments name them. */
     public enum Kind {
         /** Processes die and reset what they held; they restart cold when it is over. */
@@ -48,12 +55,12 @@
      */
     public BackendFault {
         if (kind == null
-                || !(at >= 0)
-                || !(lasts > 0)
+                || !(startAt >= 0)
+                || !(durationSeconds > 0)
                 || !(share >= 0 && share <= 1)
                 || !(strength >= 0)) {
             throw new IllegalArgumentException(
-                    "a trouble that cannot be: " + kind + " at " + at + " s");
+                    "a trouble that cannot be: " + kind + " at " + startAt + " s");
         }
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
@@ -17,10 +17,10 @@
          * @param resetsRequests whether what it held was reset; else nothing is heard of it any
          *     more
          */
-        default void died(int backend, boolean resetsRequests) {}
+        default void processEnded(int backend, boolean resetsRequests) {}
 
         /** The process of a backend has started again, idle and cold. */
-        void restarted(int backend);
+        void processRestarted(int backend);
 
         /** Discovery says nothing for a time. */
         void silenceDiscovery(double seconds);
@@ -39,10 +39,10 @@
     private final Host host;
 
     /** How many times as many requests as usual arrive now. */
-    public double traffic = 1;
+    public double trafficFactor = 1;
 
     /** How many times as much work as usual a request costs now. */
-    public double heavy = 1;
+    public double workFactor = 1;
 
     /** Creates an injector for these backends; the delay is that of discovery, in seconds. */
     public BackendFaultInjector(
@@ -73,17 +73,17 @@
     }
 
     /** A fault begins now; it ends by itself after its duration. */
-    public void begins(BackendFault fault) {
+    public void startFault(BackendFault fault) {
         switch (fault.kind()) {
             case BURST -> {
-                traffic *= fault.strength();
-                scheduler.after(fault.lasts(), () -> traffic /= fault.strength());
+                trafficFactor *= fault.strength();
+                scheduler.after(fault.durationSeconds(), () -> trafficFactor /= fault.strength());
             }
             case HEAVY -> {
-                heavy *= fault.strength();
-                scheduler.after(fault.lasts(), () -> heavy /= fault.strength());
+                workFactor *= fault.strength();
+                scheduler.after(fault.durationSeconds(), () -> workFactor /= fault.strength());
             }
-            case SILENCE -> host.silenceDiscovery(fault.lasts());
+            case SILENCE -> host.silenceDiscovery(fault.durationSeconds());
             case DEPLOY -> startDeploy(fault);
             default -> {
                 for (int backend : drawBackends(fault)) {
@@ -99,8 +99,8 @@
         for (int k = 0; k < drawn.length; k++) {
             int backend = drawn[k];
             scheduler.after(
-                    fault.lasts() * k / drawn.length,
-                    () -> replace(backend, fault.lasts() / drawn.length));
+                    fault.durationSeconds() * k / drawn.length,
+                    () -> replace(backend, fault.durationSeconds() / drawn.length));
         }
     }
 
@@ -108,31 +108,35 @@
         Backend backend = backends[index];
         switch (fault.kind()) {
             case CRASH -> {
-                dies(index, true);
-                scheduler.after(fault.lasts(), () -> restart(index));
+                takeDown(index, true);
+                scheduler.after(fault.durationSeconds(), () -> restart(index));
             }
             case VANISH -> {
-                backend.silent++;
-                dies(index, false);
+                backend.activeSilenceFaults++;
+                takeDown(index, false);
                 scheduler.after(
-                        fault.lasts(),
+                        fault.durationSeconds(),
                         () -> {
-                            backend.silent--;
+                            backend.activeSilenceFaults--;
                             restart(index);
                         });
             }
-            case STALL -> backend.stall(scheduler.now() + fault.lasts());
+            case STALL -> backend.stall(scheduler.now() + fault.durationSeconds());
             case SLOW -> {
-                backend.slowdown *= fault.strength();
-                scheduler.after(fault.lasts(), () -> backend.slowdown /= fault.strength());
+                backend.faultSlowdown *= fault.strength();
+                scheduler.after(
+                        fault.durationSeconds(), () -> backend.faultSlowdown /= fault.strength());
             }
             case ERRORS -> {
-                backend.errors += fault.strength();
-                scheduler.after(fault.lasts(), () -> backend.errors -= fault.strength());
+                backend.faultErrorShare += fault.strength();
+                scheduler.after(
+                        fault.durationSeconds(), () -> backend.faultErrorShare -= fault.strength());
             }
             case GRADE -> {
-                backend.classErrors += fault.strength();
-                scheduler.after(fault.lasts(), () -> backend.classErrors -= fault.strength());
+                backend.lastClassFaultErrorShare += fault.strength();
+                scheduler.after(
+                        fault.durationSeconds(),
+                        () -> backend.lastClassFaultErrorShare -= fault.strength());
             }
             default -> throw new IllegalStateException(fault.kind() + " falls on no backend");
         }
@@ -143,19 +147,19 @@
      *
      * @param resetsRequests whether what it held is reset; else nothing is heard of it any more
      */
-    public void dies(int backend, boolean resetsRequests) {
-        if (backends[backend].faultsHoldingDown++ == 0) {
+    public void takeDown(int backend, boolean resetsRequests) {
+        if (backends[backend].activeDownFaults++ == 0) {
             backends[backend].terminate(resetsRequests);
-            host.died(backend, resetsRequests);
+            host.processEnded(backend, resetsRequests);
             host.announce(backend, EndpointUpdate.State.GONE);
         }
     }
 
     /** Restarts a backend when the last of the faults that hold it down has ended. */
     private void restart(int backend) {
-        if (--backends[backend].faultsHoldingDown == 0) {
+        if (--backends[backend].activeDownFaults == 0) {
             backends[backend].restart();
-            host.restarted(backend);
+            host.processRestarted(backend);
             host.announce(backend, EndpointUpdate.State.READY);
         }
     }
@@ -167,7 +171,7 @@
         scheduler.after(
                 drainSeconds,
                 () -> {
-                    dies(backend, true);
+                    takeDown(backend, true);
                     scheduler.after(REPLACEMENT_DOWNTIME_SECONDS, () -> restart(backend));
                 });
     }
--- a/src/main/java/lemondrift/lab/simulation/EventHistory.java
+++ b/src/main/java/lemondrift/lab/simulation/EventHistory.java
@@ -11,15 +11,15 @@
     /** How many events are kept. */
     private static final int CAPACITY = 12;
 
-    private record Event(double at, String what, int proxy, long requestId, int backend) {}
+    private record Event(double at, String description, int proxy, long requestId, int backend) {}
 
     private final Deque<Event> events = new ArrayDeque<>();
 
-    void add(double at, String what, int proxy, long requestId, int backend) {
+    void add(double at, String description, int proxy, long requestId, int backend) {
         if (events.size() == CAPACITY) {
             events.removeFirst();
         }
-        events.add(new Event(at, what, proxy, requestId, backend));
+        events.add(new Event(at, description, proxy, requestId, backend));
     }
 
     /** Appends each event on a line of its own. */
@@ -28,7 +28,7 @@
             text.append("\n  ")
                     .append(event.at)
                     .append(" s ")
-                    .append(event.what)
+                    .append(event.description)
                     .append(", proxy ")
                     .append(event.proxy)
                     .append(", exchange ")
--- a/src/main/java/lemondrift/lab/simulation/Fault.java
+++ b/src/main/java/lemondrift/lab/simulation/Fault.java
@@ -8,22 +8,23 @@
  * @param channel the channel, for a fault between processes
  * @param from whose messages, or which processes
  * @param to to whom the messages go
- * @param both whether the opposite direction has it too
- * @param at when it begins, in seconds from the start of the scenario
- * @param lasts for how many seconds; a process that was killed or stopped is started again then
+ * @param bidirectional whether the opposite direction has it too
+ * @param startAt when it begins, in seconds from the start of the scenario
+ * @param durationSeconds for how many seconds; a process that was killed or stopped is started
+ *     again then
  * @param share of the messages that it falls on, 0 to 1
- * @param by how many seconds a message is late at the most
+ * @param maxDelaySeconds how many seconds a message is late at the most
  */
 public record Fault(
         Kind kind,
         Channel channel,
         FaultTarget from,
         FaultTarget to,
-        boolean both,
-        double at,
-        double lasts,
+        boolean bidirectional,
+        double startAt,
+        double durationSeconds,
         double share,
-        double by) {
+        double maxDelaySeconds) {
     /** Kinds of fault. */
     public enum Kind {
         /** Nothing gets through; connections stay open at both ends. */
@@ -66,15 +67,15 @@
          */
         INTERRUPTED_START(true);
 
-        private final boolean ofProcesses;
+        private final boolean processFault;
 
-        Kind(boolean ofProcesses) {
-            this.ofProcesses = ofProcesses;
+        Kind(boolean processFault) {
+            this.processFault = processFault;
         }
 
         /** Whether it falls on processes; else on a channel between them. */
-        public boolean isOfProcesses() {
-            return ofProcesses;
+        public boolean isProcessFault() {
+            return processFault;
         }
     }
 
@@ -98,17 +99,17 @@
                 || channel == null
                 || from == null
                 || to == null
-                || !(at >= 0)
-                || !(lasts > 0)
+                || !(startAt >= 0)
+                || !(durationSeconds > 0)
                 || !(share >= 0 && share <= 1)
-                || !(by >= 0)) {
+                || !(maxDelaySeconds >= 0)) {
             throw new IllegalArgumentException(
-                    "a fault that cannot be: " + kind + " at " + at + " s");
+                    "a fault that cannot be: " + kind + " at " + startAt + " s");
         }
     }
 
     /** Whether it is in effect at a time, in seconds from the start of the scenario. */
-    public boolean holds(double now) {
-        return now >= at && now < at + lasts;
+    public boolean isActiveAt(double now) {
+        return now >= startAt && now < startAt + durationSeconds;
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/FaultTarget.java
+++ b/src/main/java/lemondrift/lab/simulation/FaultTarget.java
@@ -35,7 +35,7 @@
             Pattern.compile("(location|number) (\\d{1,4})|(\\d+(?:\\.\\d+)?)%");
 
     /** Parses one of the {@link #FORMS}; null where the text is none of them. */
-    public static FaultTarget of(String text) {
+    public static FaultTarget parse(String text) {
         if (text.equals("all")) {
             return ALL;
         }
@@ -58,7 +58,8 @@
      * @param location the location of each index
      * @param random where a share is drawn from; a share is at least one of them
      */
-    public boolean[] among(int count, IntUnaryOperator location, UniformRandomProvider random) {
+    public boolean[] selectTargets(
+            int count, IntUnaryOperator location, UniformRandomProvider random) {
         boolean[] targets = new boolean[count];
         switch (kind) {
             case ALL -> IntStream.range(0, count).forEach(i -> targets[i] = true);
--- a/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
+++ b/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
@@ -26,7 +26,7 @@
     private final int cores;
     private final double herdWindowSeconds;
     private final int[] held;
-    private final boolean[] fit;
+    private final boolean[] available;
     private final double[] idleSince;
     private final long[] served;
 
@@ -38,12 +38,12 @@
     /** Up to when all has been counted, and from when on. */
     private double now;
 
-    private double countedFrom;
+    private double countingSince;
 
-    /** Integrals over time since {@link #countedFrom}. */
+    /** Integrals over time since {@link #countingSince}. */
     private double wasteSeconds;
 
-    private double fullestSeconds;
+    private double mostHeldSeconds;
     private double idleSeconds;
 
     /** Whether any backend is crowded, and since when. */
@@ -63,19 +63,19 @@
         this.cores = cores;
         herdWindowSeconds = HERD_WINDOW_SHARE * latencyObjectiveSeconds;
         held = new int[backends];
-        fit = new boolean[backends];
-        Arrays.fill(fit, true);
+        available = new boolean[backends];
+        Arrays.fill(available, true);
         idleSince = new double[backends];
         served = new long[backends];
         recentSendCount = new int[backends];
     }
 
     /** Counts anew from a time on; what the backends hold stays known. */
-    public void begins(double time) {
+    public void startCounting(double time) {
         advanceTo(time);
-        countedFrom = time;
+        countingSince = time;
         wasteSeconds = 0;
-        fullestSeconds = 0;
+        mostHeldSeconds = 0;
         idleSeconds = 0;
         idleShareBySecond = new double[0];
         longestIdleSeconds = 0;
@@ -95,7 +95,7 @@
         int queuedCount = 0;
         int mostHeld = 0;
         for (int i = 0; i < held.length; i++) {
-            if (fit[i]) {
+            if (available[i]) {
                 idleCount += held[i] == 0 ? 1 : 0;
                 queuedCount += Math.max(0, held[i] - cores);
                 mostHeld = Math.max(mostHeld, held[i]);
@@ -104,14 +104,14 @@
         wasteSeconds += spanSeconds * Math.min(idleCount, queuedCount);
         idleSeconds += spanSeconds * idleCount;
         addIdleBySecond(spanSeconds, idleCount);
-        fullestSeconds += spanSeconds * mostHeld;
+        mostHeldSeconds += spanSeconds * mostHeld;
         now = time;
     }
 
     /** Adds idle time to each second that it lies in. */
     private void addIdleBySecond(double spanSeconds, int idleCount) {
-        double end = now - countedFrom + spanSeconds;
-        for (double at = now - countedFrom; at < end; at = Math.floor(at) + 1) {
+        double end = now - countingSince + spanSeconds;
+        for (double at = now - countingSince; at < end; at = Math.floor(at) + 1) {
             int second = (int) at;
             if (second >= idleShareBySecond.length) {
                 idleShareBySecond = Arrays.copyOf(idleShareBySecond, 2 * second + 1);
@@ -124,44 +124,44 @@
      * The share of backends that were fit and idle in each second since it began to count, 0 to 1;
      * it may be longer than the time that has passed.
      */
-    public double[] idleBySecond() {
+    public double[] idleShareBySecond() {
         return idleShareBySecond;
     }
 
     /** A backend holds so many requests from a time on, and is fit or not. */
-    public void holds(int backend, int count, boolean isFit, double time) {
+    public void updateBackend(int backend, int count, boolean isAvailable, double time) {
         advanceTo(time);
         if (!isIdle(backend)) {
             idleSince[backend] = time;
-        } else if (!isFit || count != 0) {
-            endOfIdleness(backend);
+        } else if (!isAvailable || count != 0) {
+            recordIdlePeriod(backend);
         }
         held[backend] = count;
-        fit[backend] = isFit;
+        available[backend] = isAvailable;
         updateCrowded();
     }
 
     private void updateCrowded() {
         boolean isAnyCrowded =
                 IntStream.range(0, held.length)
-                        .anyMatch(i -> fit[i] && held[i] - cores >= CROWDED_QUEUE);
+                        .anyMatch(i -> available[i] && held[i] - cores >= CROWDED_QUEUE);
         if (isAnyCrowded && !crowded) {
             crowdedSince = now;
         } else if (!isAnyCrowded && crowded) {
-            endOfCrowd();
+            recordIdlePeriods();
         }
         crowded = isAnyCrowded;
     }
 
     private boolean isIdle(int backend) {
-        return fit[backend] && held[backend] == 0;
+        return available[backend] && held[backend] == 0;
     }
 
-    private void endOfCrowd() {
-        IntStream.range(0, held.length).filter(this::isIdle).forEach(this::endOfIdleness);
+    private void recordIdlePeriods() {
+        IntStream.range(0, held.length).filter(this::isIdle).forEach(this::recordIdlePeriod);
     }
 
-    private void endOfIdleness(int backend) {
+    private void recordIdlePeriod(int backend) {
         if (crowded) {
             double since = Math.max(idleSince[backend], crowdedSince);
             longestIdleSeconds = Math.max(longestIdleSeconds, now - since);
@@ -169,7 +169,7 @@
     }
 
     /** A request was sent to a backend. */
-    public void sends(int backend, double time) {
+    public void recordSend(int backend, double time) {
         advanceTo(time);
         while (!recentSends.isEmpty() && recentSends.peek().at < time - herdWindowSeconds) {
             recentSendCount[recentSends.remove().backend]--;
@@ -180,7 +180,7 @@
     }
 
     /** A backend has answered a request successfully. */
-    public void served(int backend) {
+    public void recordServed(int backend) {
         served[backend]++;
     }
 
@@ -188,15 +188,15 @@
     public Measure measure(double time) {
         advanceTo(time);
         if (crowded) {
-            endOfCrowd();
+            recordIdlePeriods();
         }
-        double spanSeconds = Math.max(SHORTEST_SPAN_SECONDS, now - countedFrom);
+        double spanSeconds = Math.max(SHORTEST_SPAN_SECONDS, now - countingSince);
         int backendCount = Math.max(1, held.length);
         double meanServed = Arrays.stream(served).average().orElse(0);
         return new Measure(
                 wasteSeconds / spanSeconds / backendCount,
                 idleSeconds / spanSeconds / backendCount,
-                fullestSeconds / spanSeconds,
+                mostHeldSeconds / spanSeconds,
                 herd,
                 longestIdleSeconds,
                 meanServed == 0 ? 0 : Arrays.stream(served).min().orElse(0) / meanServed,
--- a/src/main/java/lemondrift/lab/simulation/RandomDelay.java
+++ b/src/main/java/lemondrift/lab/simulation/RandomDelay.java
@@ -7,7 +7,7 @@
     private RandomDelay() {}
 
     /** A delay in seconds, drawn evenly from half to one and a half of the mean. */
-    static double around(double meanSeconds, UniformRandomProvider random) {
+    static double drawAround(double meanSeconds, UniformRandomProvider random) {
         return meanSeconds * (0.5 + random.nextDouble());
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -14,14 +14,14 @@
 /**
  * Judges a run by the four rules alone. It shares no code with the decisions and sees only what
  * passes: requests accepted, attempts sent and ended, backends listed, responses. All times are in
- * seconds. Every event throws {@link Broken} where it breaks a rule that is judged.
+ * seconds. Every event throws {@link RuleViolationException} where it breaks a rule that is judged.
  */
 public final class Referee {
     /** How many rules there are. */
-    public static final int ALL_RULES = 4;
+    public static final int RULE_COUNT = 4;
 
     /** How many of the first rules a baseline keeps: it spares no cold backend. */
-    public static final int RULES_OF_BASELINES = 3;
+    public static final int BASELINE_RULE_COUNT = 3;
 
     /** Each request gets one response before its deadline, and no attempt after it. */
     private static final int ONE_RESPONSE_RULE = 1;
@@ -39,20 +39,20 @@
     private static final double ROUNDING_SECONDS = 1e-9;
 
     /** A rule was broken; the message names rule, request, time and the events before. */
-    public static final class Broken extends RuntimeException {
+    public static final class RuleViolationException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
         /** The number of the rule, from 1. */
         public final int rule;
 
-        Broken(int rule, String message) {
+        RuleViolationException(int rule, String message) {
             super(message);
             this.rule = rule;
         }
     }
 
     private final Settings settings;
-    private final int judgedRules;
+    private final int checkedRules;
     private final double drainGraceSeconds;
     private final double slackSeconds;
     private final int[] locations;
@@ -74,7 +74,7 @@
     /**
      * Creates a referee.
      *
-     * @param judgedRules how many of the rules are judged, the first ones
+     * @param checkedRules how many of the rules are judged, the first ones
      * @param drainGraceSeconds how long a draining backend may still be sent requests
      * @param slackSeconds how much later than at the proxy an event may be seen
      * @param locations the location of each backend
@@ -82,14 +82,14 @@
      */
     public Referee(
             Settings settings,
-            int judgedRules,
+            int checkedRules,
             double drainGraceSeconds,
             double slackSeconds,
             int proxies,
             int[] locations,
             double backendCapacity) {
         this.settings = settings;
-        this.judgedRules = judgedRules;
+        this.checkedRules = checkedRules;
         this.drainGraceSeconds = drainGraceSeconds;
         this.slackSeconds = slackSeconds;
         this.locations = locations;
@@ -104,8 +104,8 @@
         Arrays.setAll(coldWork, i -> new WorkWindow(settings.rules().overloadWindowSeconds()));
     }
 
-    private void fail(int rule, String why, double at, int proxy, long requestId) {
-        if (rule > judgedRules) {
+    private void reportViolation(int rule, String why, double at, int proxy, long requestId) {
+        if (rule > checkedRules) {
             return;
         }
         StringBuilder text = new StringBuilder();
@@ -115,38 +115,38 @@
         text.append(", exchange ").append(requestId);
         text.append(": ").append(why);
         history.appendTo(text);
-        throw new Broken(rule, text.toString());
+        throw new RuleViolationException(rule, text.toString());
     }
 
     /** A proxy has accepted a request. */
-    public void taken(int proxy, Request request, double now) {
+    public void requestAccepted(int proxy, Request request, double now) {
         history.add(now, "taken", proxy, request.id, EventHistory.NONE);
         openRequests.put(request, new RequestHistory());
     }
 
     /** An attempt was sent; its work is in seconds of one warm core. All four rules are judged. */
-    public void sent(int proxy, Attempt attempt, double workSeconds, double now) {
+    public void attemptSent(int proxy, Attempt attempt, double workSeconds, double now) {
         Request request = attempt.request;
         history.add(now, "sent", proxy, request.id, attempt.backend);
         RequestHistory seen = openRequests.get(request);
         if (seen == null
-                || seen.isOver(now, slackSeconds)
+                || seen.wasClosedBefore(now, slackSeconds)
                 || now >= request.deadline + slackSeconds) {
             String why = "sent after its answer or expiry to backend " + attempt.backend;
-            fail(ONE_RESPONSE_RULE, why, now, proxy, request.id);
+            reportViolation(ONE_RESPONSE_RULE, why, now, proxy, request.id);
             return;
         }
-        judgeRepeat(proxy, attempt, seen, now);
+        checkRepeat(proxy, attempt, seen, now);
         seen.addAttempt(attempt);
-        judgeDrain(proxy, attempt, now);
-        judgeColdBackend(proxy, attempt, workSeconds, now);
+        checkDrain(proxy, attempt, now);
+        checkColdBackend(proxy, attempt, workSeconds, now);
     }
 
-    private void judgeRepeat(int proxy, Attempt attempt, RequestHistory seen, double now) {
+    private void checkRepeat(int proxy, Attempt attempt, RequestHistory seen, double now) {
         for (Attempt before : seen.attempts()) {
             if (!seen.wasNeverExecuted(before) && !mayRepeat(attempt, before, now)) {
                 String why = "sent again though it may have run at backend " + before.backend;
-                fail(NO_UNSAFE_REPEAT_RULE, why, now, proxy, attempt.request.id);
+                reportViolation(NO_UNSAFE_REPEAT_RULE, why, now, proxy, attempt.request.id);
             }
         }
     }
@@ -173,16 +173,16 @@
         return settings.requestClasses().get(request.requestClassIndex);
     }
 
-    private void judgeDrain(int proxy, Attempt attempt, double now) {
+    private void checkDrain(int proxy, Attempt attempt, double now) {
         double since = drainingSince[proxy][attempt.backend];
         if (now > since + drainGraceSeconds + slackSeconds) {
             String why = "sent to a backend told as leaving at " + since;
-            fail(DRAIN_RULE, why, now, proxy, attempt.request.id);
+            reportViolation(DRAIN_RULE, why, now, proxy, attempt.request.id);
         }
     }
 
     /** All proxies' work for a cold backend in any window, against what it can do then. */
-    private void judgeColdBackend(int proxy, Attempt attempt, double workSeconds, double now) {
+    private void checkColdBackend(int proxy, Attempt attempt, double workSeconds, double now) {
         Settings.Rules rules = settings.rules();
         double ageSeconds = now - startedAt[attempt.backend];
         if (ageSeconds >= rules.slowStartSeconds()) {
@@ -205,12 +205,12 @@
                     "a cold backend got more than it can bear, "
                             + work.requestCount()
                             + " exchanges in a window";
-            fail(COLD_BACKEND_RULE, why, now, proxy, attempt.request.id);
+            reportViolation(COLD_BACKEND_RULE, why, now, proxy, attempt.request.id);
         }
     }
 
     /** An attempt has ended, as its proxy learns of it. */
-    public void ended(Attempt attempt, AttemptOutcome outcome, double now) {
+    public void attemptEnded(Attempt attempt, AttemptOutcome outcome, double now) {
         history.add(now, outcome.name(), EventHistory.NONE, attempt.request.id, attempt.backend);
         RequestHistory seen = openRequests.get(attempt.request);
         if (seen != null) {
@@ -219,18 +219,24 @@
     }
 
     /** A request got its final response; a rejection promises that a retry is harmless. */
-    public void answered(int proxy, Request request, boolean rejected, double now) {
+    public void responseSent(int proxy, Request request, boolean rejected, double now) {
         history.add(now, rejected ? "shed" : "answered", proxy, request.id, EventHistory.NONE);
         RequestHistory seen = openRequests.get(request);
         if (seen == null
                 || seen.isClosed()
                 || now > request.deadline + slackSeconds + ROUNDING_SECONDS) {
-            fail(ONE_RESPONSE_RULE, "answered twice or after its expiry", now, proxy, request.id);
+            reportViolation(
+                    ONE_RESPONSE_RULE,
+                    "answered twice or after its expiry",
+                    now,
+                    proxy,
+                    request.id);
             return;
         }
         seen.close(now);
         if (rejected && !isRetryHarmless(request, seen)) {
-            fail(NO_UNSAFE_REPEAT_RULE, "shed though it may have run", now, proxy, request.id);
+            reportViolation(
+                    NO_UNSAFE_REPEAT_RULE, "shed though it may have run", now, proxy, request.id);
         }
     }
 
@@ -248,33 +254,33 @@
      *
      * @param left whether the client left by itself; else a missing response breaks a rule
      */
-    public void closed(int proxy, Request request, boolean left, double now) {
+    public void requestClosed(int proxy, Request request, boolean left, double now) {
         RequestHistory seen = openRequests.get(request);
         if (seen == null) {
             return;
         }
         if (!seen.isClosed() && !left) {
-            fail(ONE_RESPONSE_RULE, "no answer by its expiry", now, proxy, request.id);
+            reportViolation(ONE_RESPONSE_RULE, "no answer by its expiry", now, proxy, request.id);
         }
         seen.close(now);
     }
 
     /** Nothing more will be seen of a request. */
-    public void forgets(Request request) {
+    public void forget(Request request) {
         openRequests.remove(request);
     }
 
     /**
      * A proxy has received from discovery that a backend is ready, or that it drains or is gone.
      */
-    public void told(int proxy, int backend, boolean ready, double now) {
+    public void endpointStateReceived(int proxy, int backend, boolean ready, double now) {
         history.add(now, ready ? "told ready" : "told leaving", proxy, EventHistory.NONE, backend);
         drainingSince[proxy][backend] =
                 ready ? Double.POSITIVE_INFINITY : Math.min(now, drainingSince[proxy][backend]);
     }
 
     /** The process of a backend has started, cold. */
-    public void started(int backend, double now) {
+    public void backendStarted(int backend, double now) {
         startedAt[backend] = now;
         coldWork[backend].clear();
     }
--- a/src/main/java/lemondrift/lab/simulation/RequestHistory.java
+++ b/src/main/java/lemondrift/lab/simulation/RequestHistory.java
@@ -44,7 +44,7 @@
     }
 
     /** Whether it was closed longer ago than an event may be seen late. */
-    boolean isOver(double now, double slackSeconds) {
+    boolean wasClosedBefore(double now, double slackSeconds) {
         return closed && now > closedAt + slackSeconds;
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
+++ b/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
@@ -20,7 +20,7 @@
      * An attempt has ended.
      *
      * @param durationSeconds since the attempt was sent
-     * @param over whether its request has its final response
+     * @param completed whether its request has its final response
      * @param loadReport the load report that came with the response; null where none did
      */
     Decision attemptEnded(
@@ -28,7 +28,7 @@
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
-            boolean over,
+            boolean completed,
             double[] loadReport);
 
     /** A probe has ended; the load report is null where none came. */
@@ -37,15 +37,15 @@
     /**
      * Discovery has sent endpoints.
      *
-     * @param whole whether it is the full list; else changes of it
+     * @param isFullList whether it is the full list; else changes of it
      */
-    Decision endpointsListed(double now, boolean whole, List<EndpointUpdate> updates);
+    Decision endpointsListed(double now, boolean isFullList, List<EndpointUpdate> updates);
 
     /** The time has come that a decision asked to be woken at, or that of the next message. */
     Decision wake(double now);
 
     /** The gossip messages that are to be sent to other proxies now. */
-    default List<LoadGossip.Message> dueMessages(double now) {
+    default List<LoadGossip.Message> takeDueMessages(double now) {
         return List.of();
     }
 
--- a/src/main/java/lemondrift/lab/simulation/RunResult.java
+++ b/src/main/java/lemondrift/lab/simulation/RunResult.java
@@ -124,7 +124,7 @@
 
     /** Creates a result with all figures at zero. */
     public RunResult(Scenario scenario) {
-        int seconds = (int) Math.ceil(scenario.lasts()) + 1;
+        int seconds = (int) Math.ceil(scenario.durationSeconds()) + 1;
         requestedWeightPerSecond = new double[seconds];
         servedWeightPerSecond = new double[seconds];
         rejectedPerSecond = new double[seconds];
@@ -154,18 +154,18 @@
      * Seconds from the start of the run after which priority weight is served as usual to its end:
      * the end of the last three seconds of which under 95% was served; 0 where there are none.
      */
-    public int backAfter() {
+    public int recoveredAfterSeconds() {
         int backAfter = 0;
         int lastSecond = requestedWeightPerSecond.length - 1;
         for (int end = RECOVERY_WINDOW_SECONDS; end <= lastSecond; end++) {
-            double requested = sumOfWindow(requestedWeightPerSecond, end);
-            double served = sumOfWindow(servedWeightPerSecond, end);
+            double requested = sumWindow(requestedWeightPerSecond, end);
+            double served = sumWindow(servedWeightPerSecond, end);
             backAfter = served < USUAL_SERVICE_SHARE * requested ? end : backAfter;
         }
         return backAfter;
     }
 
-    private static double sumOfWindow(double[] perSecond, int end) {
+    private static double sumWindow(double[] perSecond, int end) {
         double sum = 0;
         for (int second = end - RECOVERY_WINDOW_SECONDS; second < end; second++) {
             sum += perSecond[second];
@@ -186,7 +186,7 @@
     }
 
     /** The share of the requested priority weight that was served, 0 to 1; 1 where none was. */
-    public double service() {
+    public double servedShare() {
         return requestedWeight == 0 ? 1 : servedWeight / requestedWeight;
     }
 
@@ -194,7 +194,7 @@
      * The priority weight served, over what the backends could have served; 1 where that is not
      * known.
      */
-    public double ofBearable() {
+    public double servedShareOfServable() {
         double servableWeight = Arrays.stream(servableWeightPerSecond).sum();
         return servableWeight == 0 ? 1 : servedWeight / servableWeight;
     }
@@ -209,7 +209,7 @@
         return String.format(
                 "service %.4f, taken %d, %s %d, late %d, %s %d, %s %d, unanswered %d,"
                         + " forwards %d, probes %d, fallen %d, told %d, waste %.4f, herd %d",
-                service(),
+                servedShare(),
                 accepted,
                 ReportKeys.SUCCEEDED,
                 succeeded,
--- a/src/main/java/lemondrift/lab/simulation/Scenario.java
+++ b/src/main/java/lemondrift/lab/simulation/Scenario.java
@@ -11,16 +11,17 @@
  * @param backends how many backends there are, 0 or more
  * @param cores of each backend, 1 or more
  * @param rate requests that clients make a second, over all proxies
- * @param work mean work of a request, in seconds of one warm core; it is lognormal with the spread
- * @param spread the standard deviation of the work's logarithm
- * @param tries how often a client sends a request at the most, 1 or more
+ * @param meanWorkSeconds mean work of a request, in seconds of one warm core; it is lognormal with
+ *     the spread
+ * @param workLogStandardDeviation the standard deviation of the work's logarithm
+ * @param maxTries how often a client sends a request at the most, 1 or more
  * @param oneWaySeconds how long a message takes from a proxy to a backend or back
- * @param delay mean seconds by which discovery is late
- * @param grace seconds after the notice of a drain from which nothing may be sent
- * @param lasts the length in seconds; clients make requests until then, and open ones are waited
- *     for
+ * @param discoveryDelaySeconds mean seconds by which discovery is late
+ * @param drainGraceSeconds seconds after the notice of a drain from which nothing may be sent
+ * @param durationSeconds the length in seconds; clients make requests until then, and open ones are
+ *     waited for
  * @param seed of all random draws
- * @param troubles the faults of backends, traffic and discovery
+ * @param backendFaults the faults of backends, traffic and discovery
  */
 public record Scenario(
         Settings settings,
@@ -28,15 +29,15 @@
         int backends,
         int cores,
         double rate,
-        double work,
-        double spread,
-        int tries,
+        double meanWorkSeconds,
+        double workLogStandardDeviation,
+        int maxTries,
         double oneWaySeconds,
-        double delay,
-        double grace,
-        double lasts,
+        double discoveryDelaySeconds,
+        double drainGraceSeconds,
+        double durationSeconds,
         long seed,
-        List<BackendFault> troubles) {
+        List<BackendFault> backendFaults) {
     /**
      * Checks the fields.
      *
@@ -47,16 +48,16 @@
                 || backends < 0
                 || cores < 1
                 || !(rate > 0)
-                || !(work > 0)
-                || !(spread >= 0)
-                || tries < 1
+                || !(meanWorkSeconds > 0)
+                || !(workLogStandardDeviation >= 0)
+                || maxTries < 1
                 || !(oneWaySeconds >= 0)
-                || !(delay >= 0)
-                || !(grace >= 0)
-                || !(lasts > 0)) {
+                || !(discoveryDelaySeconds >= 0)
+                || !(drainGraceSeconds >= 0)
+                || !(durationSeconds > 0)) {
             throw new IllegalArgumentException("a day that cannot be");
         }
-        troubles = List.copyOf(troubles);
+        backendFaults = List.copyOf(backendFaults);
     }
 
     /** The same scenario with another seed. */
@@ -67,14 +68,14 @@
                 backends,
                 cores,
                 rate,
-                work,
-                spread,
-                tries,
+                meanWorkSeconds,
+                workLogStandardDeviation,
+                maxTries,
                 oneWaySeconds,
-                delay,
-                grace,
-                lasts,
+                discoveryDelaySeconds,
+                drainGraceSeconds,
+                durationSeconds,
                 newSeed,
-                troubles);
+                backendFaults);
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/ServableOracle.java
+++ b/src/main/java/lemondrift/lab/simulation/ServableOracle.java
@@ -40,17 +40,17 @@
     }
 
     /** A client makes a request of a class in a second. */
-    public void wants(int second, int requestClass) {
+    public void recordRequest(int second, int requestClass) {
         requested[second][requestClass]++;
     }
 
     /** The backends can serve so many more requests in a second. */
-    public void bears(int second, double requests) {
+    public void addCapacity(int second, double requests) {
         capacity[second] += requests;
     }
 
     /** The priority weight that could have been served of what was requested, by second. */
-    public double[] benefit() {
+    public double[] servableWeightBySecond() {
         double[] servableWeight = new double[capacity.length];
         Arrays.setAll(servableWeight, this::servableWeight);
         return servableWeight;
--- a/src/main/java/lemondrift/lab/simulation/SimulatedClients.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulatedClients.java
@@ -27,7 +27,7 @@
         /** Until when a response is in time, in seconds. */
         final double objectiveAt;
 
-        int tries;
+        int sendCount;
 
         ClientRequest(int classIndex, int firstSecond, double objectiveAt) {
             this.classIndex = classIndex;
@@ -78,7 +78,7 @@
 
     private void sendNextClientRequest() {
         double now = scheduler.now();
-        if (now >= scenario.lasts()) {
+        if (now >= scenario.durationSeconds()) {
             return;
         }
         int classIndex = random.nextInt(requestClasses.size());
@@ -87,12 +87,12 @@
         send(
                 new ClientRequest(
                         classIndex, (int) now, now + requestClass.latencyObjectiveSeconds()));
-        double rate = scenario.rate() * faultInjector.traffic;
+        double rate = scenario.rate() * faultInjector.trafficFactor;
         scheduler.after(interarrival.sample() / rate, this::sendNextClientRequest);
     }
 
     private void send(ClientRequest clientRequest) {
-        clientRequest.tries++;
+        clientRequest.sendCount++;
         int proxy = random.nextInt(scenario.proxies());
         Request request =
                 new Request(
@@ -142,7 +142,7 @@
     }
 
     private void retryLater(ClientRequest clientRequest, double retryAfterSeconds) {
-        if (clientRequest.tries >= scenario.tries()) {
+        if (clientRequest.sendCount >= scenario.maxTries()) {
             return;
         }
         RequestClass requestClass = requestClasses.get(clientRequest.classIndex);
--- a/src/main/java/lemondrift/lab/simulation/SimulatedDiscovery.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulatedDiscovery.java
@@ -58,19 +58,19 @@
             int proxy = p;
             double at =
                     Math.max(scheduler.now(), silentUntil)
-                            + RandomDelay.around(scenario.delay(), random);
+                            + RandomDelay.drawAround(scenario.discoveryDelaySeconds(), random);
             scheduler.at(at, () -> receive(proxy, update));
         }
     }
 
     private void receive(int proxy, EndpointUpdate update) {
         boolean ready = update.state() == EndpointUpdate.State.READY;
-        recorder.recordListed(proxy, update.backend(), ready);
+        recorder.recordEndpointState(proxy, update.backend(), ready);
         proxies.endpointsListed(proxy, false, List.of(update));
     }
 
     @Override
-    public void restarted(int backend) {
+    public void processRestarted(int backend) {
         startedAt[backend] = scheduler.now();
         recorder.recordRestart(backend);
     }
--- a/src/main/java/lemondrift/lab/simulation/SimulatedProxies.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulatedProxies.java
@@ -122,11 +122,11 @@
     }
 
     private void sendGossip(int proxy) {
-        for (LoadGossip.Message message : policies[proxy].dueMessages(scheduler.now())) {
+        for (LoadGossip.Message message : policies[proxy].takeDueMessages(scheduler.now())) {
             recorder.recordGossip(message.datagram());
             if (random.nextDouble() >= GOSSIP_LOSS_SHARE) {
                 scheduler.after(
-                        RandomDelay.around(GOSSIP_DELAY_SECONDS, random),
+                        RandomDelay.drawAround(GOSSIP_DELAY_SECONDS, random),
                         () -> receiveGossip(message.to(), proxy, message.datagram()));
             }
         }
--- a/src/main/java/lemondrift/lab/simulation/SimulatedTransport.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulatedTransport.java
@@ -79,9 +79,9 @@
 
     /** Lognormal, with the scenario's mean. */
     private double drawWorkSeconds() {
-        double spread = scenario.spread();
-        return scenario.work()
-                * faultInjector.heavy
+        double spread = scenario.workLogStandardDeviation();
+        return scenario.meanWorkSeconds()
+                * faultInjector.workFactor
                 * Math.exp(spread * normal.sample() - spread * spread / 2);
     }
 
@@ -92,7 +92,7 @@
 
     private void attemptReachesBackend(Attempt attempt, SentAttempt sent) {
         Backend backend = backends[attempt.backend];
-        if (!inFlight.containsKey(attempt) || backend.silent > 0) {
+        if (!inFlight.containsKey(attempt) || backend.activeSilenceFaults > 0) {
             return;
         }
         recorder.recordArrivalAtBackend(attempt.backend);
@@ -100,17 +100,17 @@
         boolean failsByFault = random.nextDouble() < errorShare(backend, attempt.request);
         if (!backend.isUp()) {
             respond(attempt, AttemptOutcome.CONNECT_FAILED);
-        } else if (backend.fallsOver(sent.workSeconds)) {
+        } else if (backend.addWorkAndCheckOverload(sent.workSeconds)) {
             // It stays down for the rest of the scenario: no fault ends that would restart it.
             recorder.recordOverloadedColdBackend();
-            faultInjector.dies(attempt.backend, true);
+            faultInjector.takeDown(attempt.backend, true);
             respond(attempt, AttemptOutcome.CONNECT_FAILED);
         } else if (backend.isFull()) {
             respond(attempt, AttemptOutcome.OVERLOADED);
         } else if (failsByFault) {
             respond(attempt, AttemptOutcome.ERROR);
         } else {
-            sent.job = backend.take(sent.workSeconds, completed -> jobEnded(attempt, completed));
+            sent.job = backend.submit(sent.workSeconds, completed -> jobEnded(attempt, completed));
         }
         recorder.recordLoad(attempt.backend, backend);
     }
@@ -174,7 +174,7 @@
     }
 
     private void probeEnded(int proxy, int backend) {
-        if (backends[backend].isFit()) {
+        if (backends[backend].isAvailable()) {
             proxies.probeEnded(proxy, backend, AttemptOutcome.SUCCESS, loadReport(backend));
         } else {
             proxies.probeEnded(proxy, backend, AttemptOutcome.CONNECT_FAILED, null);
@@ -185,10 +185,10 @@
         Settings.LoadReports fields = scenario.settings().loadReports();
         double[] loadReport = new double[LOAD_REPORT_FIELDS];
         if (fields.utilizationField() >= 0) {
-            loadReport[fields.utilizationField()] = backends[backend].utilisation();
+            loadReport[fields.utilizationField()] = backends[backend].utilization();
         }
         if (fields.inFlightField() >= 0) {
-            loadReport[fields.inFlightField()] = backends[backend].queued();
+            loadReport[fields.inFlightField()] = backends[backend].queuedRequestCount();
         }
         return loadReport;
     }
--- a/src/main/java/lemondrift/lab/simulation/Simulation.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -36,16 +36,16 @@
 
     /** Creates a simulation that is judged by all four rules. */
     public Simulation(Scenario scenario, PolicyFactory policyFactory) {
-        this(scenario, Referee.ALL_RULES, policyFactory);
+        this(scenario, Referee.RULE_COUNT, policyFactory);
     }
 
     /**
      * Creates a simulation that is judged by the first rules alone.
      *
-     * @param judgedRules how many rules are judged; {@link Referee#RULES_OF_BASELINES} for a
+     * @param checkedRules how many rules are judged; {@link Referee#BASELINE_RULE_COUNT} for a
      *     baseline, which spares no cold backend
      */
-    public Simulation(Scenario scenario, int judgedRules, PolicyFactory policyFactory) {
+    public Simulation(Scenario scenario, int checkedRules, PolicyFactory policyFactory) {
         this.scenario = scenario;
         Settings settings = scenario.settings();
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed());
@@ -53,14 +53,15 @@
         Arrays.setAll(backends, i -> new Backend(scheduler, scenario.cores(), settings.rules()));
         int[] locations = new int[scenario.backends()];
         Arrays.setAll(locations, i -> i % settings.locationCount());
-        recorder = new SimulationRecorder(scenario, judgedRules, locations, scheduler);
+        recorder = new SimulationRecorder(scenario, checkedRules, locations, scheduler);
         RoutingPolicy[] policies = new RoutingPolicy[scenario.proxies()];
         Arrays.setAll(policies, proxy -> policyFactory.create(proxy, this::trueLoad));
         SimulatedProxies proxies = new SimulatedProxies(policies, scheduler, random, recorder);
         discovery =
                 new SimulatedDiscovery(scenario, locations, scheduler, random, recorder, proxies);
         faultInjector =
-                new BackendFaultInjector(scheduler, random, backends, scenario.delay(), discovery);
+                new BackendFaultInjector(
+                        scheduler, random, backends, scenario.discoveryDelaySeconds(), discovery);
         clients =
                 new SimulatedClients(scenario, scheduler, random, recorder, faultInjector, proxies);
         SimulatedTransport transport =
@@ -79,17 +80,17 @@
     /**
      * Plays the scenario to its end and waits for all open requests.
      *
-     * @throws Referee.Broken at the first rule that is broken
+     * @throws Referee.RuleViolationException at the first rule that is broken
      * @throws IllegalStateException where requests are still open after the longest wait
      */
-    public RunResult play() {
+    public RunResult run() {
         discovery.sendFullLists();
-        for (BackendFault fault : scenario.troubles()) {
-            scheduler.at(fault.at(), () -> faultInjector.begins(fault));
+        for (BackendFault fault : scenario.backendFaults()) {
+            scheduler.at(fault.startAt(), () -> faultInjector.startFault(fault));
         }
         clients.start();
-        scheduler.at(scenario.lasts(), recorder::recordEvenness);
-        scheduler.runUntil(scenario.lasts() + longestWaitSeconds());
+        scheduler.at(scenario.durationSeconds(), recorder::recordEvenness);
+        scheduler.runUntil(scenario.durationSeconds() + longestWaitSeconds());
         if (clients.openRequestCount() > 0) {
             throw new IllegalStateException(
                     clients.openRequestCount() + " requests are open after the day");
@@ -104,18 +105,20 @@
                         .mapToDouble(RequestClass::timeoutSeconds)
                         .max()
                         .orElse(1);
-        return (scenario.tries() + 1) * 2 * longestTimeoutSeconds;
+        return (scenario.maxTries() + 1) * 2 * longestTimeoutSeconds;
     }
 
     private double trueLoad(int backendIndex) {
         Backend backend = backends[backendIndex];
-        return backend.isFit()
-                ? backend.load() + (backend.errors + backend.classErrors) * scenario.cores()
+        return backend.isAvailable()
+                ? backend.load()
+                        + (backend.faultErrorShare + backend.lastClassFaultErrorShare)
+                                * scenario.cores()
                 : Double.POSITIVE_INFINITY;
     }
 
     /** The figures counted so far. */
-    public RunResult figures() {
+    public RunResult resultSoFar() {
         return recorder.result();
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/SimulationRecorder.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulationRecorder.java
@@ -7,7 +7,7 @@
 
 /**
  * Records what the parts of a simulation do: counts it in the result of the run and hands it to the
- * referee, which throws {@link Referee.Broken} at the first broken rule.
+ * referee, which throws {@link Referee.RuleViolationException} at the first broken rule.
  */
 final class SimulationRecorder {
     /** In virtual time the referee sees everything at the instant at which it happens. */
@@ -18,14 +18,14 @@
     private final LoadEvenness evenness;
     private final RunResult result;
 
-    SimulationRecorder(Scenario scenario, int judgedRules, int[] locations, Scheduler scheduler) {
+    SimulationRecorder(Scenario scenario, int checkedRules, int[] locations, Scheduler scheduler) {
         this.scheduler = scheduler;
         result = new RunResult(scenario);
         referee =
                 new Referee(
                         scenario.settings(),
-                        judgedRules,
-                        scenario.grace(),
+                        checkedRules,
+                        scenario.drainGraceSeconds(),
                         REFEREE_SLACK_SECONDS,
                         scenario.proxies(),
                         locations,
@@ -51,18 +51,18 @@
     /** A proxy has accepted a request. */
     void recordAccepted(int proxy, Request request) {
         result.accepted++;
-        referee.taken(proxy, request, scheduler.now());
+        referee.requestAccepted(proxy, request, scheduler.now());
     }
 
     /** The deadline of a request has passed without a response. */
     void recordUnanswered(int proxy, Request request) {
         result.unanswered++;
-        referee.closed(proxy, request, false, scheduler.now());
+        referee.requestClosed(proxy, request, false, scheduler.now());
     }
 
     /** A proxy has given a request its final response. */
     void recordResponse(int proxy, Request request, boolean rejected) {
-        referee.answered(proxy, request, rejected, scheduler.now());
+        referee.responseSent(proxy, request, rejected, scheduler.now());
     }
 
     /** A client got what it wanted, first asked for in the second given. */
@@ -89,7 +89,7 @@
 
     /** Nothing more will be seen of a request. */
     void forget(Request request) {
-        referee.forgets(request);
+        referee.forget(request);
     }
 
     // Proxies.
@@ -101,13 +101,13 @@
 
     void recordAttemptSent(int proxy, Attempt attempt, double workSeconds) {
         result.attempts++;
-        referee.sent(proxy, attempt, workSeconds, scheduler.now());
+        referee.attemptSent(proxy, attempt, workSeconds, scheduler.now());
     }
 
     void recordAttemptEnded(Attempt attempt, AttemptOutcome outcome) {
-        referee.ended(attempt, outcome, scheduler.now());
+        referee.attemptEnded(attempt, outcome, scheduler.now());
         if (outcome == AttemptOutcome.SUCCESS) {
-            evenness.served(attempt.backend);
+            evenness.recordServed(attempt.backend);
         } else if (outcome != AttemptOutcome.CANCELLED) {
             result.failedAttemptsByBackend[attempt.backend]++;
         }
@@ -118,19 +118,20 @@
     }
 
     /** A proxy has received the state of a backend from discovery. */
-    void recordListed(int proxy, int backend, boolean ready) {
-        referee.told(proxy, backend, ready, scheduler.now());
+    void recordEndpointState(int proxy, int backend, boolean ready) {
+        referee.endpointStateReceived(proxy, backend, ready, scheduler.now());
     }
 
     // Backends.
 
     void recordArrivalAtBackend(int backend) {
-        evenness.sends(backend, scheduler.now());
+        evenness.recordSend(backend, scheduler.now());
     }
 
     /** What a backend holds has changed, or whether it is fit. */
     void recordLoad(int index, Backend backend) {
-        evenness.holds(index, backend.held(), backend.isFit(), scheduler.now());
+        evenness.updateBackend(
+                index, backend.heldRequestCount(), backend.isAvailable(), scheduler.now());
     }
 
     void recordOverloadedColdBackend() {
@@ -138,7 +139,7 @@
     }
 
     void recordRestart(int backend) {
-        referee.started(backend, scheduler.now());
+        referee.backendStarted(backend, scheduler.now());
     }
 
     /** Measures how evenly the backends were used until now. */
--- a/src/main/java/lemondrift/simulator/FrameReader.java
+++ b/src/main/java/lemondrift/simulator/FrameReader.java
@@ -20,7 +20,7 @@
     }
 
     /** The next batch's bytes after the length, or null where the input ends between batches. */
-    ByteBuffer next() throws IOException {
+    ByteBuffer readBatch() throws IOException {
         int read = in.readNBytes(head, 0, 4);
         if (read == 0) {
             return null;
--- a/src/main/java/lemondrift/simulator/ReplyWriter.java
+++ b/src/main/java/lemondrift/simulator/ReplyWriter.java
@@ -32,7 +32,7 @@
         records = 0;
     }
 
-    private ByteBuffer record(int code, int bytes, int proxy) {
+    private ByteBuffer startRecord(int code, int bytes, int proxy) {
         if (buffer.remaining() < 5 + bytes) {
             ByteBuffer larger = ByteBuffer.allocate(2 * buffer.capacity() + bytes);
             buffer = larger.order(ByteOrder.LITTLE_ENDIAN).put(buffer.flip());
@@ -42,52 +42,52 @@
     }
 
     void send(int proxy, long request, long address, double timeoutSeconds) {
-        putAddress(record(SEND, 26, proxy).putLong(request), address)
+        putAddress(startRecord(SEND, 26, proxy).putLong(request), address)
                 .putDouble(timeoutSeconds * 1000);
     }
 
     void fail(int proxy, long request) {
-        record(FAIL, 12, proxy).putLong(request);
+        startRecord(FAIL, 12, proxy).putLong(request);
     }
 
     void reject(int proxy, long request, double retryAfterSeconds) {
-        record(REJECT, 20, proxy).putLong(request).putDouble(retryAfterSeconds * 1000);
+        startRecord(REJECT, 20, proxy).putLong(request).putDouble(retryAfterSeconds * 1000);
     }
 
     void cancel(int proxy, long request, int index) {
-        record(CANCEL, 13, proxy).putLong(request).put((byte) index);
+        startRecord(CANCEL, 13, proxy).putLong(request).put((byte) index);
     }
 
     void probe(int proxy, long address) {
-        putAddress(record(PROBE, 10, proxy), address);
+        putAddress(startRecord(PROBE, 10, proxy), address);
     }
 
     void pollFullList(int proxy) {
-        record(POLL_FULL_LIST, 4, proxy);
+        startRecord(POLL_FULL_LIST, 4, proxy);
     }
 
     void watchList(int proxy) {
-        record(WATCH_LIST, 5, proxy).put((byte) 1);
+        startRecord(WATCH_LIST, 5, proxy).put((byte) 1);
     }
 
     void alarm(int proxy, double delaySeconds, long tag) {
-        record(ALARM, 20, proxy).putDouble(delaySeconds * 1000).putLong(tag);
+        startRecord(ALARM, 20, proxy).putDouble(delaySeconds * 1000).putLong(tag);
     }
 
     void note(int proxy, String text) {
-        text(NOTE, proxy, text);
+        writeText(NOTE, proxy, text);
     }
 
     void proxyFailed(int proxy, String text) {
-        text(PROXY_FAILED, proxy, text);
+        writeText(PROXY_FAILED, proxy, text);
     }
 
-    private void text(int code, int proxy, String text) {
-        byte[] bytes = bytes(text, MAX_TEXT_BYTES);
-        record(code, 6 + bytes.length, proxy).putShort((short) bytes.length).put(bytes);
+    private void writeText(int code, int proxy, String text) {
+        byte[] bytes = encodeText(text, MAX_TEXT_BYTES);
+        startRecord(code, 6 + bytes.length, proxy).putShort((short) bytes.length).put(bytes);
     }
 
-    private static byte[] bytes(String text, int maxBytes) {
+    private static byte[] encodeText(String text, int maxBytes) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return bytes.length <= maxBytes ? bytes : Arrays.copyOf(bytes, maxBytes);
     }
--- a/src/main/java/lemondrift/simulator/SimulatedProxy.java
+++ b/src/main/java/lemondrift/simulator/SimulatedProxy.java
@@ -36,7 +36,7 @@
     }
 
     /** The dense index of a backend, given out at its first mention. */
-    int index(long address) {
+    int backendIndex(long address) {
         Integer known = indexes.get(address);
         if (known == null) {
             known = addresses.size();
@@ -46,13 +46,13 @@
         return known;
     }
 
-    List<EndpointUpdate> updates(List<Endpoint> endpoints) {
+    List<EndpointUpdate> toEndpointUpdates(List<Endpoint> endpoints) {
         List<EndpointUpdate> updates = new ArrayList<>(endpoints.size());
         for (Endpoint endpoint : endpoints) {
             boolean newBackend = !indexes.containsKey(endpoint.address);
             updates.add(
                     new EndpointUpdate(
-                            index(endpoint.address),
+                            backendIndex(endpoint.address),
                             newBackend,
                             endpoint.location,
                             endpoint.cell,
@@ -101,7 +101,7 @@
     }
 
     /** Writes what was decided; decision times are in seconds. */
-    void write(Decision decision, double now, ReplyWriter reply) {
+    void writeDecision(Decision decision, double now, ReplyWriter reply) {
         for (Attempt attempt : decision.cancellations) {
             reply.cancel(number, attempt.request.id, attempt.index);
         }
--- a/src/main/java/lemondrift/simulator/SimulatorAdapter.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -75,10 +75,10 @@
         FrameReader frames = new FrameReader(in);
         long batch = 0;
         try {
-            for (ByteBuffer body = frames.next(); body != null; body = frames.next()) {
+            for (ByteBuffer body = frames.readBatch(); body != null; body = frames.readBatch()) {
                 batch++;
                 adapter.reply.start();
-                adapter.batch(body);
+                adapter.processBatch(body);
                 adapter.reply.finish(out);
             }
             return 0;
@@ -88,7 +88,7 @@
         }
     }
 
-    private void batch(ByteBuffer body) {
+    private void processBatch(ByteBuffer body) {
         now = body.getDouble() / 1000;
         int count = body.getInt();
         int limit = body.limit();
@@ -115,7 +115,7 @@
             int end = body.position() + length;
             body.limit(end);
             try {
-                record(code, body);
+                processRecord(code, body);
             } catch (java.nio.BufferUnderflowException | IllegalArgumentException e) {
                 throw new InvalidSettingsException(
                         "record "
@@ -135,9 +135,9 @@
         }
     }
 
-    private void record(int code, ByteBuffer in) {
+    private void processRecord(int code, ByteBuffer in) {
         if (code == DEFINE_LIST) {
-            lists.put(Byte.toUnsignedInt(in.get()), endpoints(in));
+            lists.put(Byte.toUnsignedInt(in.get()), readEndpoints(in));
             return;
         }
         if (code < PROXY_STARTED || code > DEFINE_LIST) {
@@ -147,19 +147,19 @@
         switch (code) {
             case PROXY_STARTED -> proxyStarted(number, in);
             case PROXY_CRASHED -> proxies.remove(number);
-            default -> event(code, number, in);
+            default -> processEvent(code, number, in);
         }
     }
 
     private void proxyStarted(int number, ByteBuffer in) {
         long seed = in.getLong();
-        byte[] text = new byte[checkedCount(in, in.getInt(), 1)];
+        byte[] text = new byte[requireFits(in, in.getInt(), 1)];
         in.get(text);
         Settings settings = SettingsReader.read(new String(text, StandardCharsets.UTF_8));
         proxies.put(number, new SimulatedProxy(number, settings, seed));
     }
 
-    private void event(int code, int number, ByteBuffer in) {
+    private void processEvent(int code, int number, ByteBuffer in) {
         SimulatedProxy proxy = proxies.get(number);
         if (proxy == null) {
             return;
@@ -178,32 +178,32 @@
             return;
         }
         if (decision != null) {
-            proxy.write(decision, now, reply);
+            proxy.writeDecision(decision, now, reply);
         }
     }
 
     /** Decodes one event and hands it to the proxy; null where it needs no decision. */
     private Decision decide(int code, SimulatedProxy proxy, ByteBuffer in) {
         return switch (code) {
-            case ENDPOINT_LIST -> endpointList(proxy, in);
+            case ENDPOINT_LIST -> endpointListReceived(proxy, in);
             case REQUEST_ARRIVED -> requestArrived(proxy, in);
             case RESPONSE_STARTED -> responseStarted(proxy, in);
             case ATTEMPT_ENDED -> attemptEnded(proxy, in);
             case CLIENT_LEFT -> clientLeft(proxy, in);
-            case ALARM -> alarm(proxy, in);
+            case ALARM -> alarmFired(proxy, in);
             case PROBE_ENDED -> probeEnded(proxy, in);
             default -> null;
         };
     }
 
-    private Decision alarm(SimulatedProxy proxy, ByteBuffer in) {
+    private Decision alarmFired(SimulatedProxy proxy, ByteBuffer in) {
         if (!proxy.isCurrentAlarm(in.getLong())) {
             return null;
         }
         return proxy.balancer.wake(now);
     }
 
-    private Decision endpointList(SimulatedProxy proxy, ByteBuffer in) {
+    private Decision endpointListReceived(SimulatedProxy proxy, ByteBuffer in) {
         int list = Byte.toUnsignedInt(in.get());
         int kind = in.get();
         if (kind == LIST_FAILED) {
@@ -214,7 +214,10 @@
             throw new InvalidSettingsException("list " + list + " was never defined");
         }
         return proxy.balancer.endpointsListed(
-                now, kind != LIST_OF_CHANGES, kind == LIST_STALE, proxy.updates(endpoints));
+                now,
+                kind != LIST_OF_CHANGES,
+                kind == LIST_STALE,
+                proxy.toEndpointUpdates(endpoints));
     }
 
     private Decision requestArrived(SimulatedProxy proxy, ByteBuffer in) {
@@ -229,22 +232,22 @@
         return proxy.balancer.requestArrived(now, proxy.accept(request));
     }
 
-    private static Attempt attempt(SimulatedProxy proxy, ByteBuffer in) {
+    private static Attempt readAttempt(SimulatedProxy proxy, ByteBuffer in) {
         return proxy.attempt(in.getLong(), Byte.toUnsignedInt(in.get()));
     }
 
     private Decision responseStarted(SimulatedProxy proxy, ByteBuffer in) {
-        Attempt attempt = attempt(proxy, in);
+        Attempt attempt = readAttempt(proxy, in);
         return attempt == null ? null : proxy.balancer.responseStarted(now, attempt);
     }
 
     private Decision attemptEnded(SimulatedProxy proxy, ByteBuffer in) {
-        Attempt attempt = attempt(proxy, in);
-        address(in);
+        Attempt attempt = readAttempt(proxy, in);
+        readAddress(in);
         int outcome = Short.toUnsignedInt(in.getShort());
         double durationSeconds = in.getDouble() / 1000;
         boolean completed = in.get() != 0;
-        double[] loadReport = loadReport(in);
+        double[] loadReport = readLoadReport(in);
         if (attempt == null || outcome >= OUTCOMES.length) {
             return null;
         }
@@ -266,19 +269,19 @@
     }
 
     private Decision probeEnded(SimulatedProxy proxy, ByteBuffer in) {
-        int backend = proxy.index(address(in));
+        int backend = proxy.backendIndex(readAddress(in));
         in.getDouble(); // how long it took
         int outcome = Short.toUnsignedInt(in.getShort());
         return outcome >= OUTCOMES.length
                 ? null
-                : proxy.balancer.probeEnded(now, backend, OUTCOMES[outcome], loadReport(in));
+                : proxy.balancer.probeEnded(now, backend, OUTCOMES[outcome], readLoadReport(in));
     }
 
-    private static List<SimulatedProxy.Endpoint> endpoints(ByteBuffer in) {
-        int count = checkedCount(in, in.getInt(), 24);
+    private static List<SimulatedProxy.Endpoint> readEndpoints(ByteBuffer in) {
+        int count = requireFits(in, in.getInt(), 24);
         List<SimulatedProxy.Endpoint> endpoints = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            long address = address(in);
+            long address = readAddress(in);
             int location = Short.toUnsignedInt(in.getShort());
             in.get();
             int cell = Short.toUnsignedInt(in.getShort());
@@ -296,7 +299,7 @@
         return endpoints;
     }
 
-    private static int checkedCount(ByteBuffer in, int count, int bytesEach) {
+    private static int requireFits(ByteBuffer in, int count, int bytesEach) {
         if (count < 0 || (long) count * bytesEach > in.remaining()) {
             throw new InvalidSettingsException(
                     "a count of " + Integer.toUnsignedString(count) + " does not fit its record");
@@ -304,13 +307,13 @@
         return count;
     }
 
-    private static long address(ByteBuffer in) {
+    private static long readAddress(ByteBuffer in) {
         long host = Integer.toUnsignedLong(in.getInt());
         return host | (long) Short.toUnsignedInt(in.getShort()) << 32;
     }
 
     /** Null where no report came along. */
-    private static double[] loadReport(ByteBuffer in) {
+    private static double[] readLoadReport(ByteBuffer in) {
         int count = in.hasRemaining() ? Byte.toUnsignedInt(in.get()) : 0;
         if (count == 0) {
             return null;
--- a/src/test/java/lemondrift/cli/RootCommandTest.java
+++ b/src/test/java/lemondrift/cli/RootCommandTest.java
@@ -12,7 +12,7 @@
 /** Exit codes of the command line. */
 class RootCommandTest {
     @Test
-    void exitCodesSayWhetherACommandSucceeded(@TempDir Path folder) throws Exception {
+    void exitCodesReportWhetherACommandSucceeded(@TempDir Path folder) throws Exception {
         String world = "[world]\nproxies = 1\nbackends = 2\nlasts = \"1s\"\n";
         Path good =
                 Files.writeString(
--- a/src/test/java/lemondrift/lab/ExperimentTest.java
+++ b/src/test/java/lemondrift/lab/ExperimentTest.java
@@ -42,22 +42,22 @@
     }
 
     @Test
-    void anExperimentIsPlayedAsItsFileSays() throws Exception {
+    void experimentRunsAsItsFileSpecifies() throws Exception {
         Experiment experiment = read(GOOD);
         assertEquals(List.of("module", "random"), experiment.policies());
-        assertEquals(0.5, experiment.day().troubles().get(0).lasts());
-        List<Experiment.Run> runs = experiment.play();
+        assertEquals(0.5, experiment.scenario().backendFaults().get(0).durationSeconds());
+        List<Experiment.Run> runs = experiment.run();
         assertEquals(4, runs.size());
-        assertEquals(runs.toString(), experiment.play().toString(), "the same each time");
-        runs.forEach(run -> assertNull(run.broken()));
-        assertTrue(experiment.expectations().get(1).holds(runs.get(0).figures()));
+        assertEquals(runs.toString(), experiment.run().toString(), "the same each time");
+        runs.forEach(run -> assertNull(run.ruleViolation()));
+        assertTrue(experiment.expectations().get(1).isMetBy(runs.get(0).result()));
         Experiment.Expectation unreachable =
                 new Experiment.Expectation(Figure.SERVICE, Experiment.Comparison.AT_LEAST, 1.1);
-        assertFalse(unreachable.holds(runs.get(0).figures()));
+        assertFalse(unreachable.isMetBy(runs.get(0).result()));
     }
 
     @Test
-    void anUnusableValueIsReportedWithFileLineAndKey() {
+    void invalidValueIsReportedWithFileLineAndKey() {
         Map<String, String> bad =
                 Map.of(
                         GOOD.replace("proxies = 2", "proxis = 2"),
@@ -92,10 +92,10 @@
     }
 
     @Test
-    void faultsNeedProcessesAndNameTheirTargets() throws Exception {
+    void faultsRequireProcessesAndValidTargets() throws Exception {
         String fault = "\n[[fault]]\nkind = \"cut\"\nfrom = \"location 1\"\nboth = true\n";
         String good = "host = \"processes\"\n" + GOOD + fault;
-        assertTrue(read(good).faults().get(0).both());
+        assertTrue(read(good).faults().get(0).bidirectional());
         Map<String, String> bad =
                 Map.of(
                         GOOD + fault,
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void pairsSeparateADifferenceFromChance() {
+    void confidenceIntervalExcludesZeroOnlyForAConsistentDifference() {
         PairedDifference same =
                 PairedDifference.of(new double[] {1, 2, 3, 4}, new double[] {1.1, 1.9, 3.1, 3.9});
         assertTrue(same.low() < 0 && same.high() > 0, same.toString());
--- a/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
@@ -23,8 +23,8 @@
                 new Fault(
                         Fault.Kind.CUT,
                         Fault.Channel.DATAGRAMS,
-                        FaultTarget.of("location 0"),
-                        FaultTarget.of("location 1"),
+                        FaultTarget.parse("location 0"),
+                        FaultTarget.parse("location 1"),
                         false,
                         2,
                         3,
@@ -40,7 +40,7 @@
                 new Fault(
                         Fault.Kind.CUT,
                         Fault.Channel.DATAGRAMS,
-                        FaultTarget.of("location 0"),
+                        FaultTarget.parse("location 0"),
                         FaultTarget.ALL,
                         true,
                         2,
@@ -85,7 +85,7 @@
     void textThatNamesNoTargetIsNone() {
         for (String text :
                 List.of("", "alle", "location", "location -1", "number x", "101%", "30", "%")) {
-            assertNull(FaultTarget.of(text), text);
+            assertNull(FaultTarget.parse(text), text);
         }
     }
 }
--- a/src/test/java/lemondrift/lab/fleet/Fleets.java
+++ b/src/test/java/lemondrift/lab/fleet/Fleets.java
@@ -95,8 +95,8 @@
         return new Fault(
                 kind,
                 Fault.Channel.DATAGRAMS,
-                FaultTarget.of(from),
-                FaultTarget.of(to),
+                FaultTarget.parse(from),
+                FaultTarget.parse(to),
                 true,
                 at,
                 lasts,
@@ -108,8 +108,8 @@
         return new Fault(
                 Fault.Kind.CUT,
                 channel,
-                FaultTarget.of(from),
-                FaultTarget.of(to),
+                FaultTarget.parse(from),
+                FaultTarget.parse(to),
                 false,
                 at,
                 lasts,
--- a/src/test/java/lemondrift/lab/load/LoadTest.java
+++ b/src/test/java/lemondrift/lab/load/LoadGeneratorTest.java
@@ -15,14 +15,15 @@
 import org.junit.jupiter.api.Test;
 
 /** The load against a bare server that responds after a known delay. */
-class LoadTest {
-    private static InetSocketAddress serverOf(String status, int delayMillis) throws IOException {
+class LoadGeneratorTest {
+    private static InetSocketAddress startServer(String status, int delayMillis)
+            throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-        daemon(
+        startDaemon(
                 () -> {
                     while (true) {
                         Socket socket = server.accept();
-                        daemon(
+                        startDaemon(
                                 () -> {
                                     byte[] buffer = new byte[4096];
                                     while (socket.getInputStream().read(buffer) > 0) {
@@ -46,7 +47,7 @@
         void run() throws Exception;
     }
 
-    private static void daemon(Task task) {
+    private static void startDaemon(Task task) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -60,51 +61,52 @@
         thread.start();
     }
 
-    private static Load.Result play(InetSocketAddress to, double rate, int connections)
+    private static LoadGenerator.Result run(InetSocketAddress to, double rate, int connections)
             throws Exception {
-        return Load.play(new Load.Plan(to, rate, 1, 0.2, connections, "look", 5));
+        return LoadGenerator.run(new LoadGenerator.Plan(to, rate, 1, 0.2, connections, "look", 5));
     }
 
     @Test
-    void latencyIsCountedAndWarmUpLeftOut() throws Exception {
-        Load.Result result = play(serverOf("200 OK", 20), 100, 32);
+    void latencyIsRecordedWithoutTheWarmUp() throws Exception {
+        LoadGenerator.Result result = run(startServer("200 OK", 20), 100, 32);
         assertEquals(100, result.sent());
         assertEquals(100, result.succeeded());
         assertTrue(result.latency().getMinValue() >= 20_000 * 0.98, result.toString());
     }
 
     @Test
-    void aLoadThatFallsBehindSaysSoAndCountsTheWait() throws Exception {
+    void loadThatFallsBehindReportsItAndCountsTheWaitAsLatency() throws Exception {
         // Two connections at 50 ms each can send 40 a second; 200 are asked for.
-        Load.Result result = play(serverOf("200 OK", 50), 200, 2);
-        assertFalse(result.keptUp());
+        LoadGenerator.Result result = run(startServer("200 OK", 50), 200, 2);
+        assertFalse(result.reachedRate());
         assertTrue(result.toString().contains("BEHIND"), result.toString());
         assertTrue(
                 result.latency().getMaxValue() > 1_000_000, "from when it should have been sent");
     }
 
     @Test
-    void rejectedAndFailedAreCountedApart() throws Exception {
-        assertEquals(100, play(serverOf("503 Rejected", 0), 100, 8).rejected());
-        assertEquals(100, play(serverOf("502 Failed", 0), 100, 8).failed());
+    void rejectedAndFailedRequestsAreCountedSeparately() throws Exception {
+        assertEquals(100, run(startServer("503 Rejected", 0), 100, 8).rejected());
+        assertEquals(100, run(startServer("502 Failed", 0), 100, 8).failed());
         int port;
         try (ServerSocket closed = new ServerSocket(0)) {
             port = closed.getLocalPort();
         }
-        assertEquals(100, play(new InetSocketAddress("127.0.0.1", port), 100, 8).failed());
+        assertEquals(100, run(new InetSocketAddress("127.0.0.1", port), 100, 8).failed());
     }
 
-    private static void assertRefused(InetSocketAddress to, double rate) {
+    private static void assertRejected(InetSocketAddress to, double rate) {
         assertThrows(
-                InvalidSettingsException.class, () -> new Load.Plan(to, rate, 1, 0, 1, "look", 1));
+                InvalidSettingsException.class,
+                () -> new LoadGenerator.Plan(to, rate, 1, 0, 1, "look", 1));
     }
 
     @Test
-    void onlyLoopbackIsSentTo() {
+    void onlyLoopbackTargetsAreAccepted() {
         for (String other : new String[] {"10.0.0.1", "192.168.1.1", "8.8.8.8"}) {
-            assertRefused(new InetSocketAddress(other, 80), 1);
+            assertRejected(new InetSocketAddress(other, 80), 1);
         }
-        assertRefused(InetSocketAddress.createUnresolved("localhost", 80), 1);
-        assertRefused(new InetSocketAddress("127.0.0.1", 80), 0);
+        assertRejected(InetSocketAddress.createUnresolved("localhost", 80), 1);
+        assertRejected(new InetSocketAddress("127.0.0.1", 80), 0);
     }
 }
--- a/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
+++ b/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
@@ -17,12 +17,12 @@
     @Test
     void wasteIsIdlenessWhileAsManyRequestsWaitElsewhere() {
         LoadEvenness evenness = new LoadEvenness(4, 1, 1);
-        evenness.holds(0, 3, true, 0);
-        evenness.holds(1, 1, true, 0);
+        evenness.updateBackend(0, 3, true, 0);
+        evenness.updateBackend(1, 1, true, 0);
         // Two are idle and two requests wait; from 1 s on one of the idle is down, from 2 s on no
         // request waits.
-        evenness.holds(2, 0, false, 1);
-        evenness.holds(0, 1, true, 2);
+        evenness.updateBackend(2, 0, false, 1);
+        evenness.updateBackend(0, 1, true, 2);
         LoadEvenness.Measure measure = evenness.measure(4);
         assertEquals((2 + 1) / 4.0 / 4, measure.waste(), 1e-9);
         assertEquals((2 + 1 + 1 + 1) / 4.0 / 4, measure.idle(), 1e-9);
@@ -32,14 +32,14 @@
     @Test
     void longestIdleCountsOnlyWhileAnotherHoldsThreeBeyondItsCores() {
         LoadEvenness evenness = new LoadEvenness(2, 1, 1);
-        evenness.holds(0, 3, true, 1);
-        evenness.holds(0, 4, true, 2);
-        evenness.holds(1, 1, true, 4.5);
-        evenness.holds(1, 0, true, 5);
-        evenness.holds(0, 3, true, 6);
+        evenness.updateBackend(0, 3, true, 1);
+        evenness.updateBackend(0, 4, true, 2);
+        evenness.updateBackend(1, 1, true, 4.5);
+        evenness.updateBackend(1, 0, true, 5);
+        evenness.updateBackend(0, 3, true, 6);
         assertEquals(2.5, evenness.measure(9).longestIdle(), 1e-9);
-        evenness.begins(9);
-        evenness.holds(0, 4, true, 10);
+        evenness.startCounting(9);
+        evenness.updateBackend(0, 4, true, 10);
         assertEquals(1, evenness.measure(11).longestIdle(), 1e-9);
     }
 
@@ -47,20 +47,20 @@
     void herdIsTheMostSentToOneBackendWithinATenthOfALatencyObjective() {
         LoadEvenness evenness = new LoadEvenness(2, 1, 1);
         for (double at : new double[] {0, 0.05, 0.09, 0.16, 0.3}) {
-            evenness.sends(0, at);
+            evenness.recordSend(0, at);
         }
-        evenness.sends(1, 0.3);
+        evenness.recordSend(1, 0.3);
         assertEquals(3, evenness.measure(1).herd());
-        evenness.served(0);
-        evenness.served(0);
-        evenness.served(1);
+        evenness.recordServed(0);
+        evenness.recordServed(0);
+        evenness.recordServed(1);
         assertEquals(2 / 1.5, evenness.measure(1).most(), 1e-9);
         assertEquals(1 / 1.5, evenness.measure(1).least(), 1e-9);
     }
 
     /** Against a plain sum over steps of one second each. */
     @Property(tries = 200, seed = "48")
-    void wasteAndFullestAreThoseOfAPlainSum(
+    void wasteAndFullestMatchASimpleSum(
             @ForAll @Size(30) int[] moves, @ForAll @IntRange(min = 1, max = 3) int cores) {
         LoadEvenness evenness = new LoadEvenness(3, cores, 1);
         int[] held = new int[3];
@@ -69,7 +69,7 @@
         for (int second = 0; second < moves.length; second++) {
             int backend = Math.floorMod(moves[second], 3);
             held[backend] = Math.floorMod(moves[second] / 3, 7);
-            evenness.holds(backend, held[backend], true, second);
+            evenness.updateBackend(backend, held[backend], true, second);
             int idle = 0;
             int queued = 0;
             int most = 0;
@@ -87,16 +87,16 @@
     }
 
     @Test
-    void capacityGoesToMostPriorityWeightAndNoneIsCarriedOver() {
+    void capacityServesHighestPriorityWeightFirstAndIsNotCarriedOver() {
         List<RequestClass> requestClasses = Experiment.settings(1, 1, 0, 1).requestClasses();
         ServableOracle oracle = new ServableOracle(requestClasses, 3);
         for (int requestClass = 0; requestClass < 3; requestClass++) {
-            oracle.wants(0, requestClass);
-            oracle.wants(1, requestClass);
+            oracle.recordRequest(0, requestClass);
+            oracle.recordRequest(1, requestClass);
         }
-        oracle.bears(0, 1.5);
-        oracle.bears(1, 9);
-        oracle.bears(2, 9);
-        assertArrayEquals(new double[] {9 + 1.5, 13, 0}, oracle.benefit(), 1e-9);
+        oracle.addCapacity(0, 1.5);
+        oracle.addCapacity(1, 9);
+        oracle.addCapacity(2, 9);
+        assertArrayEquals(new double[] {9 + 1.5, 13, 0}, oracle.servableWeightBySecond(), 1e-9);
     }
 }
--- a/src/test/java/lemondrift/lab/simulation/ScenarioBuilder.java
+++ b/src/test/java/lemondrift/lab/simulation/ScenarioBuilder.java
@@ -17,9 +17,9 @@
         settings = base.settings();
         proxies = base.proxies();
         rate = base.rate();
-        tries = base.tries();
-        graceSeconds = base.grace();
-        durationSeconds = base.lasts();
+        tries = base.maxTries();
+        graceSeconds = base.drainGraceSeconds();
+        durationSeconds = base.durationSeconds();
     }
 
     static ScenarioBuilder from(Scenario base) {
@@ -63,14 +63,14 @@
                 base.backends(),
                 base.cores(),
                 rate,
-                base.work(),
-                base.spread(),
+                base.meanWorkSeconds(),
+                base.workLogStandardDeviation(),
                 tries,
                 base.oneWaySeconds(),
-                base.delay(),
+                base.discoveryDelaySeconds(),
                 graceSeconds,
                 durationSeconds,
                 base.seed(),
-                base.troubles());
+                base.backendFaults());
     }
 }
--- a/src/test/java/lemondrift/lab/simulation/Scenarios.java
+++ b/src/test/java/lemondrift/lab/simulation/Scenarios.java
@@ -62,12 +62,12 @@
                 List.of(faults));
     }
 
-    static RunResult play(Scenario scenario) {
+    static RunResult run(Scenario scenario) {
         return new Simulation(
                         scenario,
                         (proxy, trueLoad) ->
                                 new ModuleUnderTest(
                                         scenario.settings(), scenario.seed() * 1000 + proxy))
-                .play();
+                .run();
     }
 }
--- a/src/test/java/lemondrift/lab/simulation/SimulationTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -31,7 +31,7 @@
         return new BackendFault(kind, 5, 6, share, strength);
     }
 
-    private static BackendFault usual(Kind kind) {
+    private static BackendFault defaultFault(Kind kind) {
         return fault(
                 kind,
                 0.3,
@@ -44,43 +44,46 @@
 
     @Test
     void theSameSeedGivesTheSameRun() {
-        Scenario scenario = Scenarios.of(3, 8, 1, usual(Kind.CRASH), usual(Kind.SLOW));
-        assertEquals(Scenarios.play(scenario).toString(), Scenarios.play(scenario).toString());
+        Scenario scenario =
+                Scenarios.of(3, 8, 1, defaultFault(Kind.CRASH), defaultFault(Kind.SLOW));
+        assertEquals(Scenarios.run(scenario).toString(), Scenarios.run(scenario).toString());
         assertNotEquals(
-                Scenarios.play(scenario).toString(),
-                Scenarios.play(Scenarios.of(3, 8, 2, usual(Kind.CRASH), usual(Kind.SLOW)))
+                Scenarios.run(scenario).toString(),
+                Scenarios.run(
+                                Scenarios.of(
+                                        3, 8, 2, defaultFault(Kind.CRASH), defaultFault(Kind.SLOW)))
                         .toString());
     }
 
     @Test
-    void aScenarioWithoutFaultsIsServed() {
-        RunResult result = Scenarios.play(Scenarios.of(3, 8, 1));
-        assertTrue(result.service() > 0.98, result.toString());
+    void scenarioWithoutFaultsIsServed() {
+        RunResult result = Scenarios.run(Scenarios.of(3, 8, 1));
+        assertTrue(result.servedShare() > 0.98, result.toString());
         assertEquals(0, result.unanswered);
     }
 
     @Test
-    void theModuleKeepsTheRulesUnderEachFaultAlone() {
+    void moduleKeepsTheRulesUnderEachSingleFault() {
         for (Kind kind : Kind.values()) {
-            RunResult result = Scenarios.play(Scenarios.of(3, 10, 3, usual(kind)));
-            assertTrue(result.service() > 0.4, kind + ": " + result);
+            RunResult result = Scenarios.run(Scenarios.of(3, 10, 3, defaultFault(kind)));
+            assertTrue(result.servedShare() > 0.4, kind + ": " + result);
             assertEquals(0, result.unanswered, kind + ": " + result);
         }
     }
 
     @Property(tries = 12, seed = "20261201")
-    void theModuleKeepsTheRulesUnderAnyFaultsTogether(
+    void moduleKeepsTheRulesUnderCombinedFaults(
             @ForAll @Size(min = 2, max = 4) List<Kind> kinds,
             @ForAll @IntRange(max = 99) int seed) {
         BackendFault[] faults =
-                kinds.stream().map(SimulationTest::usual).toArray(BackendFault[]::new);
-        assertEquals(0, Scenarios.play(Scenarios.of(3, 6, seed, faults)).unanswered);
+                kinds.stream().map(SimulationTest::defaultFault).toArray(BackendFault[]::new);
+        assertEquals(0, Scenarios.run(Scenarios.of(3, 6, seed, faults)).unanswered);
     }
 
     @Test
-    void theFiguresShowWhenAndWhereMostIsLost() {
+    void resultShowsWhenAndWhereMostWeightIsLost() {
         RunResult result =
-                Scenarios.play(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 8, 3, 1, 1)));
+                Scenarios.run(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 8, 3, 1, 1)));
         int worstStart = result.worstWindowStart(3);
         assertTrue(worstStart >= 7 && worstStart <= 9, "from " + worstStart);
         double lostWeight = 0;
@@ -94,10 +97,10 @@
 
     @Test
     void withoutAnyBackendEveryRequestIsAnsweredInTime() {
-        RunResult none = Scenarios.play(Scenarios.of(2, 0, 1));
+        RunResult none = Scenarios.run(Scenarios.of(2, 0, 1));
         assertEquals(none.accepted, none.rejected);
         RunResult gone =
-                Scenarios.play(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 4, 30, 1, 1)));
+                Scenarios.run(Scenarios.of(2, 4, 1, new BackendFault(Kind.CRASH, 4, 30, 1, 1)));
         assertEquals(0, gone.unanswered);
         assertTrue(gone.rejected > 0.5 * gone.accepted, gone.toString());
     }
@@ -113,9 +116,9 @@
                         new BackendFault(Kind.VANISH, 3, 5, 1, 1),
                         new BackendFault(Kind.SLOW, 2, 6, 1, 4),
                         new BackendFault(Kind.STALL, 2, 6, 1, 1));
-        RunResult result = Scenarios.play(scenario);
+        RunResult result = Scenarios.run(scenario);
         assertEquals(0, result.unanswered);
-        assertTrue(result.service() > 0.2, "it goes on after them: " + result);
+        assertTrue(result.servedShare() > 0.2, "it goes on after them: " + result);
     }
 
     /** The module with one defect, which a subclass adds. */
@@ -169,16 +172,16 @@
     }
 
     private static void assertBreaksRule(int rule, Scenario scenario, RoutingPolicy policy) {
-        Referee.Broken broken =
+        Referee.RuleViolationException broken =
                 assertThrows(
-                        Referee.Broken.class,
-                        () -> new Simulation(scenario, (proxy, trueLoad) -> policy).play());
+                        Referee.RuleViolationException.class,
+                        () -> new Simulation(scenario, (proxy, trueLoad) -> policy).run());
         assertEquals(rule, broken.rule, broken.getMessage());
         assertTrue(broken.getMessage().lines().count() > 5, "it lists the events before");
     }
 
     @Test
-    void aModuleThatDoesNotRespondIsCaught() {
+    void missingResponseIsDetected() {
         Scenario scenario = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 10, 1, 1));
         assertBreaksRule(
                 1,
@@ -193,7 +196,7 @@
     }
 
     @Test
-    void aModuleThatRetriesWhatMayHaveBeenExecutedIsCaught() {
+    void retryOfAPossiblyExecutedRequestIsDetected() {
         Scenario scenario = Scenarios.of(1, 4, 1, new BackendFault(Kind.ERRORS, 2, 10, 1, 1));
         Map<Request, Attempt> retried = new HashMap<>();
         assertBreaksRule(
@@ -233,7 +236,7 @@
     }
 
     @Test
-    void aModuleThatSendsToADrainingBackendIsCaught() {
+    void sendingToADrainingBackendIsDetected() {
         // The process of a draining backend lives on for longer than the grace.
         Scenario usual = Scenarios.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
         Scenario scenario = ScenarioBuilder.from(usual).graceSeconds(0.2).build();
@@ -256,11 +259,11 @@
                                 .toList();
                     }
                 });
-        Scenarios.play(scenario);
+        Scenarios.run(scenario);
     }
 
     /** The same with cold backends that are overloaded at one and a half times their capacity. */
-    private static Settings withFrailColdBackends(Settings usual) {
+    private static Settings withLowColdOverloadFactor(Settings usual) {
         return new Settings(
                 1,
                 2,
@@ -277,11 +280,11 @@
     }
 
     @Test
-    void aModuleThatTreatsAColdBackendAsWarmIsCaught() {
+    void overloadingAColdBackendIsDetected() {
         Scenario usual = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 4, 0.75, 1));
         Scenario scenario =
                 ScenarioBuilder.from(usual)
-                        .settings(withFrailColdBackends(usual.settings()))
+                        .settings(withLowColdOverloadFactor(usual.settings()))
                         .rate(2 * usual.rate())
                         .build();
         assertBreaksRule(
@@ -314,16 +317,16 @@
                         return decision;
                     }
                 });
-        Scenarios.play(scenario);
+        Scenarios.run(scenario);
     }
 
-    private static RunResult playBaseline(Baseline.Kind kind, Scenario scenario) {
+    private static RunResult runBaseline(Baseline.Kind kind, Scenario scenario) {
         return new Simulation(
                         scenario,
-                        Referee.RULES_OF_BASELINES,
+                        Referee.BASELINE_RULE_COUNT,
                         (proxy, trueLoad) ->
                                 new Baseline(kind, scenario.settings(), proxy, trueLoad))
-                .play();
+                .run();
     }
 
     @Test
@@ -335,19 +338,19 @@
                         1,
                         new BackendFault(Kind.CRASH, 4, 3, 0.6, 1),
                         fault(Kind.BURST, 1, 2));
-        double module = Scenarios.play(scenario).service();
+        double module = Scenarios.run(scenario).servedShare();
         for (Baseline.Kind kind : Baseline.Kind.values()) {
-            RunResult result = playBaseline(kind, scenario);
+            RunResult result = runBaseline(kind, scenario);
             assertEquals(0, result.unanswered, kind + ": " + result);
             assertTrue(
-                    kind == Baseline.Kind.ORACLE || result.service() < module,
+                    kind == Baseline.Kind.ORACLE || result.servedShare() < module,
                     kind + ": " + result);
         }
     }
 
     /** Clients that retry keep the backends overloaded after the fault, where none are rejected. */
     @Test
-    void aRetryStormOutlivesItsFaultWithANaivePolicyAndNotWithTheModule() {
+    void retryStormContinuesAfterItsFaultWithLeastOutstandingButNotWithTheModule() {
         Scenario usual = Scenarios.of(2, 6, 1, new BackendFault(Kind.HEAVY, 5, 5, 1, 4));
         Scenario storm =
                 ScenarioBuilder.from(usual)
@@ -355,13 +358,13 @@
                         .tries(6)
                         .durationSeconds(40)
                         .build();
-        double naive = playBaseline(Baseline.Kind.LEAST_OUTSTANDING, storm).service();
-        double module = Scenarios.play(storm).service();
+        double naive = runBaseline(Baseline.Kind.LEAST_OUTSTANDING, storm).servedShare();
+        double module = Scenarios.run(storm).servedShare();
         assertTrue(module > naive + 0.1, "module " + module + ", naive " + naive);
     }
 
     @Test
-    void impossibleFaultsAndScenariosAreRefused() {
+    void invalidFaultsAndScenariosAreRejected() {
         assertThrows(
                 IllegalArgumentException.class, () -> new BackendFault(Kind.SLOW, -1, 1, 0.5, 1));
         assertThrows(
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionLoad.java
@@ -20,7 +20,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import lemondrift.lab.load.Load;
+import lemondrift.lab.load.LoadGenerator;
 import lemondrift.proxy.ProxyProcess;
 import lemondrift.proxy.TestConfig;
 
@@ -169,9 +169,9 @@
      */
     private static double[] measureLoad(Build build, double rate) throws Exception {
         double before = build.processorSeconds();
-        Load.Result result =
-                Load.play(
-                        new Load.Plan(
+        LoadGenerator.Result result =
+                LoadGenerator.run(
+                        new LoadGenerator.Plan(
                                 new InetSocketAddress("127.0.0.1", build.port),
                                 rate,
                                 ROUND_SECONDS,
