--- a/src/main/java/lemondrift/cli/FleetCommand.java
+++ b/src/main/java/lemondrift/cli/FleetCommand.java
@@ -47,12 +47,13 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        ProcessLauncher launcher = ProcessLauncher.deployed(root.toAbsolutePath().normalize());
+        ProcessLauncher launcher =
+                ProcessLauncher.fromDeployFile(root.toAbsolutePath().normalize());
         boolean failed = false;
         List<Report> reports = new ArrayList<>();
         for (Path file : files) {
             Experiment experiment = ExperimentFile.read(file);
-            List<Experiment.Run> runs = FleetRun.play(experiment, launcher, this::printProgress);
+            List<Experiment.Run> runs = FleetRun.run(experiment, launcher, this::printProgress);
             printTable(experiment, runs);
             for (Experiment.Run run : runs) {
                 printDetails(run);
@@ -72,10 +73,10 @@
         PrintWriter out = lab.out();
         int proxies = experiment.scenario().proxies();
         out.println(experiment.name() + ": " + experiment.about());
-        out.println(FleetRun.row("policy", "seed", null, proxies, 1));
+        out.println(FleetRun.formatRow("policy", "seed", null, proxies, 1));
         for (Experiment.Run run : runs) {
             out.println(
-                    FleetRun.row(
+                    FleetRun.formatRow(
                             run.policy(),
                             String.valueOf(run.seed()),
                             run.result(),
@@ -88,7 +89,7 @@
         PrintWriter out = lab.out();
         if (printsSeconds) {
             out.print(run.policy() + ", seed " + run.seed() + "\n");
-            out.print(FleetRun.seconds(run.result()));
+            out.print(FleetRun.formatSeconds(run.result()));
         }
         if (run.ruleViolation() != null) {
             out.print(run.ruleViolation() + "\n");
--- a/src/main/java/lemondrift/cli/SoakCommand.java
+++ b/src/main/java/lemondrift/cli/SoakCommand.java
@@ -62,12 +62,13 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        ProcessLauncher launcher = ProcessLauncher.deployed(root.toAbsolutePath().normalize());
+        ProcessLauncher launcher =
+                ProcessLauncher.fromDeployFile(root.toAbsolutePath().normalize());
         ExecutorService executor = Executors.newFixedThreadPool(concurrentRuns);
-        List<Future<SoakRun.Verdict>> verdicts = new ArrayList<>();
+        List<Future<SoakRun.Outcome>> verdicts = new ArrayList<>();
         for (long seed = firstSeed; seed < firstSeed + seedCount; seed++) {
             SoakRun.Plan plan = withoutSignals ? SoakRun.plan(seed) : SoakRun.planWithSignals(seed);
-            verdicts.add(executor.submit(() -> SoakRun.play(plan, launcher, line -> {})));
+            verdicts.add(executor.submit(() -> SoakRun.run(plan, launcher, line -> {})));
         }
         executor.shutdown();
         int failedCount = 0;
@@ -80,21 +81,21 @@
     }
 
     /** Prints what came of a seed; returns whether all went well. */
-    private boolean printOutcome(long seed, Future<SoakRun.Verdict> played)
+    private boolean printOutcome(long seed, Future<SoakRun.Outcome> played)
             throws InterruptedException {
         PrintWriter out = lab.out();
         try {
-            SoakRun.Verdict verdict = played.get();
+            SoakRun.Outcome verdict = played.get();
             out.printf(
                     Locale.ROOT,
                     "seed %d: %s, in time %.3f, unanswered %d; %s%n",
                     seed,
-                    verdict.wrong().isEmpty() ? "well" : "WRONG",
-                    verdict.figures().inTimeShare(),
-                    verdict.figures().unanswered,
-                    verdict.plan().about());
-            verdict.wrong().forEach(out::println);
-            return verdict.wrong().isEmpty();
+                    verdict.violations().isEmpty() ? "well" : "WRONG",
+                    verdict.result().inTimeShare(),
+                    verdict.result().unanswered,
+                    verdict.plan().describe());
+            verdict.violations().forEach(out::println);
+            return verdict.violations().isEmpty();
         } catch (ExecutionException e) {
             out.printf("seed %d: WRONG, not played to its end: %s%n", seed, e.getCause());
             return false;
--- a/src/main/java/lemondrift/lab/fleet/BackendPicker.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendPicker.java
@@ -74,12 +74,12 @@
     private int pickLeastLoaded(int[] up, int preferred, IntUnaryOperator inFlight) {
         return Arrays.stream(up)
                 .boxed()
-                .min(Comparator.comparingDouble(i -> estimate(i, preferred, inFlight)))
+                .min(Comparator.comparingDouble(i -> estimateLoad(i, preferred, inFlight)))
                 .get();
     }
 
     /** Counts requests on their way to the backend too: all would pick the same one otherwise. */
-    private double estimate(int backend, int preferred, IntUnaryOperator inFlight) {
+    private double estimateLoad(int backend, int preferred, IntUnaryOperator inFlight) {
         double load =
                 inFlight.applyAsInt(backend) * backendFleet.backends[backend].serviceTimeFactor();
         return load + (backend == preferred ? 0 : TIE_BREAK * context.random().nextDouble());
--- a/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
@@ -15,7 +15,7 @@
 /** Answers what comes on the connections to the backends. I/O thread only. */
 final class BackendRequestHandler implements HttpConnection.Listener {
     /** Requests whose trace id starts so are answered at once and not judged. */
-    static final String UNJUDGED_TRACE_ID_PREFIX = "aside-";
+    static final String UNCHECKED_TRACE_ID_PREFIX = "aside-";
 
     private static final String OK = "200 OK";
     private static final String NO_FIELDS = "";
@@ -109,13 +109,13 @@
                 || backends[connection.backend].activeSilenceFaults > 0) {
             return;
         }
-        Optional<String> traceId = HttpConnection.field(head, "x-trace-id");
+        Optional<String> traceId = HttpConnection.findField(head, "x-trace-id");
         if (traceId.isEmpty()) {
             answerStatusRequest(connection, head);
             return;
         }
         Optional<OutcomeRecorder.PendingRequest> pending = recorder.pendingRequest(traceId.get());
-        if (traceId.get().startsWith(UNJUDGED_TRACE_ID_PREFIX)) {
+        if (traceId.get().startsWith(UNCHECKED_TRACE_ID_PREFIX)) {
             respond(connection, OK, NO_FIELDS, SUCCESS_BODY);
         } else if (pending.isEmpty()) {
             respond(connection, "400 Unknown", NO_FIELDS, NO_BODY);
@@ -140,7 +140,7 @@
             BackendConnection connection, OutcomeRecorder.PendingRequest pending) {
         Backend backend = backends[connection.backend];
         connection.attempt = recorder.recordAttempt(pending, connection.backend);
-        boolean failing = context.random().nextDouble() < errorShare(backend, pending);
+        boolean failing = context.random().nextDouble() < errorProbability(backend, pending);
         if (backend.addWorkAndCheckOverload(pending.workSeconds)) {
             recorder.result().overloadedColdBackends++;
             recorder.recordAttemptEnd(connection.attempt, AttemptOutcome.RESET);
@@ -155,7 +155,7 @@
         }
     }
 
-    private double errorShare(Backend backend, OutcomeRecorder.PendingRequest pending) {
+    private double errorProbability(Backend backend, OutcomeRecorder.PendingRequest pending) {
         boolean isOfLastClass = pending.request.requestClassIndex == lastRequestClass;
         return Math.max(
                 backend.faultErrorShare, isOfLastClass ? backend.lastClassFaultErrorShare : 0);
@@ -187,7 +187,7 @@
 
     private void respond(BackendConnection to, String status, String fields, byte[] body) {
         byte[] message =
-                HttpConnection.message(
+                HttpConnection.encodeMessage(
                         "HTTP/1.1 "
                                 + status
                                 + "\r\nEndpoint-Load-Metrics: TEXT "
--- a/src/main/java/lemondrift/lab/fleet/ClientConnections.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientConnections.java
@@ -16,7 +16,7 @@
 final class ClientConnections implements HttpConnection.Listener, AutoCloseable {
     private final XnioIoThread ioThread;
     private final Map<Integer, Deque<HttpConnection>> idleByTarget = new HashMap<>();
-    private final Map<HttpConnection, HttpConnection.Listener> users = new HashMap<>();
+    private final Map<HttpConnection, HttpConnection.Listener> listeners = new HashMap<>();
 
     ClientConnections(XnioIoThread ioThread) {
         this.ioThread = ioThread;
@@ -27,41 +27,42 @@
         HttpConnection.open(ioThread, address, this, callback);
     }
 
-    private Deque<HttpConnection> idle(int target) {
+    private Deque<HttpConnection> idleConnections(int target) {
         return idleByTarget.computeIfAbsent(target, none -> new ArrayDeque<>());
     }
 
     void addIdle(int target, HttpConnection connection) {
-        idle(target).addFirst(connection);
+        idleConnections(target).addFirst(connection);
     }
 
     /** Takes the open connection that was used last. */
-    Optional<HttpConnection> takeLatest(int target) {
-        HttpConnection latest = idle(target).pollFirst();
+    Optional<HttpConnection> takeMostRecentlyUsed(int target) {
+        HttpConnection latest = idleConnections(target).pollFirst();
         while (latest != null && !latest.isOpen()) {
-            latest = idle(target).pollFirst();
+            latest = idleConnections(target).pollFirst();
         }
         return Optional.ofNullable(latest);
     }
 
     /** Takes the connection that has been idle for longest; empty where it is not open. */
-    Optional<HttpConnection> takeOldest(int target) {
-        return Optional.ofNullable(idle(target).pollLast()).filter(HttpConnection::isOpen);
+    Optional<HttpConnection> takeLongestIdle(int target) {
+        return Optional.ofNullable(idleConnections(target).pollLast())
+                .filter(HttpConnection::isOpen);
     }
 
     /** Sends the events of a connection to a listener. */
-    void assign(HttpConnection connection, HttpConnection.Listener user) {
-        users.put(connection, user);
+    void setListener(HttpConnection connection, HttpConnection.Listener listener) {
+        listeners.put(connection, listener);
     }
 
     /** Nobody uses a connection any more. */
-    void unassign(HttpConnection connection) {
-        users.remove(connection);
+    void removeListener(HttpConnection connection) {
+        listeners.remove(connection);
     }
 
     @Override
     public void onMessage(HttpConnection connection, String head, byte[] body) {
-        HttpConnection.Listener user = users.get(connection);
+        HttpConnection.Listener user = listeners.get(connection);
         if (user != null) {
             user.onMessage(connection, head, body);
         } else {
@@ -71,7 +72,7 @@
 
     @Override
     public void onClosed(HttpConnection connection) {
-        HttpConnection.Listener user = users.get(connection);
+        HttpConnection.Listener user = listeners.get(connection);
         if (user != null) {
             user.onClosed(connection);
         }
@@ -80,6 +81,6 @@
     @Override
     public void close() {
         idleByTarget.values().forEach(idle -> idle.forEach(HttpConnection::close));
-        users.keySet().forEach(HttpConnection::close);
+        listeners.keySet().forEach(HttpConnection::close);
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/ClientDistributor.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientDistributor.java
@@ -19,7 +19,7 @@
     private static final double HEALTH_CHECK_INTERVAL_SECONDS = 0.2;
 
     private static final byte[] HEALTH_CHECK =
-            HttpConnection.message("GET /healthz HTTP/1.1\r\nHost: origin.svc", new byte[0]);
+            HttpConnection.encodeMessage("GET /healthz HTTP/1.1\r\nHost: origin.svc", new byte[0]);
 
     private final TestbedContext context;
     private final List<InetSocketAddress> addresses;
@@ -30,13 +30,14 @@
     /**
      * All proxies are closed at first.
      *
-     * @param deviation the standard deviation of the logarithm of a proxy's share; 0 is even
+     * @param logStandardDeviation the standard deviation of the logarithm of a proxy's share; 0 is
+     *     even
      * @param random for the shares and the picks alone
      */
     ClientDistributor(
             TestbedContext context,
             List<InetSocketAddress> addresses,
-            double deviation,
+            double logStandardDeviation,
             UniformRandomProvider random) {
         this.context = context;
         this.addresses = addresses;
@@ -44,7 +45,7 @@
         ZigguratSampler.NormalizedGaussian normal = ZigguratSampler.NormalizedGaussian.of(random);
         open = new boolean[addresses.size()];
         trafficWeights = new double[addresses.size()];
-        Arrays.setAll(trafficWeights, proxy -> Math.exp(deviation * normal.sample()));
+        Arrays.setAll(trafficWeights, proxy -> Math.exp(logStandardDeviation * normal.sample()));
     }
 
     @Override
--- a/src/main/java/lemondrift/lab/fleet/ClientFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientFleet.java
@@ -16,10 +16,10 @@
  */
 final class ClientFleet implements AutoCloseable {
     /** After a rejection that names no time, as a share of the latency objective. */
-    private static final double RETRY_WAIT_SHARE = 0.5;
+    private static final double DEFAULT_RETRY_WAIT_SHARE = 0.5;
 
     /** Between two requests on the connections to a proxy that is to end. */
-    private static final double KEPT_CONNECTION_INTERVAL_SECONDS = 0.01;
+    private static final double IDLE_CONNECTION_SEND_INTERVAL_SECONDS = 0.01;
 
     private final TestbedContext context;
     private final Scenario scenario;
@@ -34,10 +34,10 @@
     private final String traceIdPrefix = Long.toHexString(System.nanoTime());
 
     /** By target. */
-    private final Map<Integer, Integer> inFlight = new HashMap<>();
+    private final Map<Integer, Integer> inFlightByTarget = new HashMap<>();
 
     private boolean started;
-    private int openRequests;
+    private int openRequestCount;
     private long tryCount;
 
     /** Sends nothing before {@link #start}; the fault injector may raise the rate and the work. */
@@ -75,7 +75,7 @@
     private ClientRequest createRequest() {
         int classIndex = random.nextInt(scenario.settings().requestClasses().size());
         RequestClass requestClass = scenario.settings().requestClasses().get(classIndex);
-        openRequests++;
+        openRequestCount++;
         int second =
                 context.recorder().recordClientRequest(classIndex, requestClass.priorityWeight());
         double dueAt = context.scheduler().now();
@@ -89,7 +89,7 @@
     }
 
     private void send(ClientRequest request) {
-        request.tries++;
+        request.sendCount++;
         createTry(request).start();
     }
 
@@ -102,26 +102,29 @@
      * Sends requests on the connections that clients have to a proxy, whether or not it is open,
      * until a time or until there are no connections.
      */
-    void useKeptConnections(int proxy, double until) {
-        if (!started || context.scheduler().now() >= until) {
+    void sendOnIdleConnections(int proxy, double endAt) {
+        if (!started || context.scheduler().now() >= endAt) {
             return;
         }
-        Optional<HttpConnection> kept = connections.takeOldest(proxy);
+        Optional<HttpConnection> kept = connections.takeLongestIdle(proxy);
         kept.ifPresent(connection -> createTry(createRequest()).startOn(connection, proxy));
         context.scheduler()
-                .after(KEPT_CONNECTION_INTERVAL_SECONDS, () -> useKeptConnections(proxy, until));
+                .after(
+                        IDLE_CONNECTION_SEND_INTERVAL_SECONDS,
+                        () -> sendOnIdleConnections(proxy, endAt));
     }
 
     /** Sends a request once more after a while, where its client still waits and may try again. */
     void retryOrGiveUp(ClientRequest request) {
-        double waitSeconds = RETRY_WAIT_SHARE * request.requestClass.latencyObjectiveSeconds();
+        double waitSeconds =
+                DEFAULT_RETRY_WAIT_SHARE * request.requestClass.latencyObjectiveSeconds();
         retryOrGiveUp(request, waitSeconds);
     }
 
     /** The same after a wait that a rejection names. */
     void retryOrGiveUp(ClientRequest request, double waitSeconds) {
         double ageSeconds = context.scheduler().now() - request.dueAt;
-        if (request.tries < scenario.maxTries()
+        if (request.sendCount < scenario.maxTries()
                 && ageSeconds < request.requestClass.timeoutSeconds()) {
             context.scheduler().after(waitSeconds, () -> send(request));
         } else {
@@ -131,27 +134,27 @@
 
     /** A request is not tried any more. */
     void finish() {
-        openRequests--;
+        openRequestCount--;
     }
 
     /** Counts a request that is sent to a target. */
     void addInFlight(int target) {
-        inFlight.merge(target, 1, Integer::sum);
+        inFlightByTarget.merge(target, 1, Integer::sum);
     }
 
     /** Counts that a request is no longer in flight at a target. */
     void removeInFlight(int target) {
-        inFlight.merge(target, -1, Integer::sum);
+        inFlightByTarget.merge(target, -1, Integer::sum);
     }
 
     /** How many requests are in flight at a target. */
-    int inFlight(int target) {
-        return inFlight.getOrDefault(target, 0);
+    int inFlightCount(int target) {
+        return inFlightByTarget.getOrDefault(target, 0);
     }
 
     /** How many requests of clients have not ended. */
-    int openRequests() {
-        return openRequests;
+    int openRequestCount() {
+        return openRequestCount;
     }
 
     @Override
--- a/src/main/java/lemondrift/lab/fleet/ClientRequest.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientRequest.java
@@ -22,7 +22,7 @@
     final RunResult result;
 
     /** How often it was sent; a first time on a kept connection is not counted. */
-    int tries;
+    int sendCount;
 
     ClientRequest(
             int requestClassIndex,
--- a/src/main/java/lemondrift/lab/fleet/ClientTry.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientTry.java
@@ -18,7 +18,7 @@
     /** Without proxies the recorder counts all requests with the first. */
     private static final int FIRST_PROXY = 0;
 
-    private static final byte[] BODY = "what".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] REQUEST_BODY = "what".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] NO_BODY = {};
     private static final double MILLIS_PER_SECOND = 1000;
 
@@ -76,14 +76,14 @@
 
     /** Picks a target and sends it there. */
     void start() {
-        OptionalInt picked = targets.pick(fleet::inFlight);
+        OptionalInt picked = targets.pick(fleet::inFlightCount);
         if (picked.isEmpty() || ++targetsTried > MAX_TARGETS) {
             clientRequest.result.unreached++;
             fleet.retryOrGiveUp(clientRequest);
             return;
         }
         target = picked.getAsInt();
-        connections.takeLatest(target).ifPresentOrElse(this::send, this::connect);
+        connections.takeMostRecentlyUsed(target).ifPresentOrElse(this::send, this::connect);
     }
 
     private void connect() {
@@ -105,19 +105,19 @@
     }
 
     private void send(HttpConnection open) {
-        connections.assign(open, this);
+        connections.setListener(open, this);
         connection = open;
-        startInFlight();
+        countInFlight();
         if (pending == null) {
             recordFirstSend();
         }
         double secondsLeft = pending.request.deadline - context.scheduler().now();
-        connection.write(message(Math.round(MILLIS_PER_SECOND * secondsLeft)));
+        connection.write(encodeRequest(Math.round(MILLIS_PER_SECOND * secondsLeft)));
     }
 
     private void recordFirstSend() {
         pending =
-                recorder.recordAccepted(
+                recorder.recordFirstSend(
                         traceId,
                         targets.areBackends() ? FIRST_PROXY : target,
                         clientRequest.requestClassIndex,
@@ -129,7 +129,7 @@
                                 this::onTimeout);
     }
 
-    private byte[] message(long millisLeft) {
+    private byte[] encodeRequest(long millisLeft) {
         boolean idempotent = isIdempotent();
         String head =
                 (idempotent ? "GET" : "POST")
@@ -139,21 +139,21 @@
                         + Experiment.REQUEST_CLASS_NAMES.get(clientRequest.requestClassIndex)
                         + "\r\nX-Expires-In-Ms: "
                         + millisLeft;
-        return HttpConnection.message(head, idempotent ? NO_BODY : BODY);
+        return HttpConnection.encodeMessage(head, idempotent ? NO_BODY : REQUEST_BODY);
     }
 
     private boolean isIdempotent() {
         return clientRequest.requestClass.idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    private void startInFlight() {
+    private void countInFlight() {
         if (!inFlight) {
             inFlight = true;
             fleet.addInFlight(target);
         }
     }
 
-    private void endInFlight() {
+    private void uncountInFlight() {
         if (inFlight) {
             inFlight = false;
             fleet.removeInFlight(target);
@@ -162,8 +162,8 @@
 
     @Override
     public void onMessage(HttpConnection from, String head, byte[] body) {
-        connections.unassign(from);
-        endInFlight();
+        connections.removeListener(from);
+        uncountInFlight();
         keepOrClose(from, head);
         String status = head.length() < STATUS_END ? "" : head.substring(STATUS_START, STATUS_END);
         boolean rejected = status.equals("503") || status.equals("429");
@@ -184,7 +184,7 @@
     }
 
     private void keepOrClose(HttpConnection from, String head) {
-        Optional<String> connectionField = HttpConnection.field(head, "connection");
+        Optional<String> connectionField = HttpConnection.findField(head, "connection");
         if (connectionField.filter("close"::equalsIgnoreCase).isPresent()) {
             from.close();
         } else {
@@ -200,9 +200,9 @@
     }
 
     private void recordRejection(String head) {
-        clientRequest.recordRejection(recorder.secondOfDay(context.scheduler().now()));
+        clientRequest.recordRejection(recorder.secondOfRun(context.scheduler().now()));
         double retryAfterSeconds =
-                HttpConnection.field(head, "retry-after").map(Double::parseDouble).orElse(0.0);
+                HttpConnection.findField(head, "retry-after").map(Double::parseDouble).orElse(0.0);
         if (retryAfterSeconds > 0) {
             fleet.retryOrGiveUp(clientRequest, retryAfterSeconds);
         } else {
@@ -212,11 +212,13 @@
 
     @Override
     public void onClosed(HttpConnection from) {
-        connections.unassign(connection);
+        connections.removeListener(connection);
         // Guards against repeating what a killed proxy may have had executed: its connections were
         // not closed as idle ones.
         boolean closedAsIdle =
-                from.isUsed() && !targets.areBackends() && !recorder.isUnableToAnswer(target);
+                from.hasReceivedMessage()
+                        && !targets.areBackends()
+                        && !recorder.isUnavailable(target);
         if (closedAsIdle && !resent) {
             resend();
         } else {
@@ -228,8 +230,8 @@
     private void resend() {
         resent = true;
         if (!targets.isOpen(target)) {
-            endInFlight();
-            target = targets.pick(fleet::inFlight).orElse(0);
+            uncountInFlight();
+            target = targets.pick(fleet::inFlightCount).orElse(0);
         }
         connect();
     }
@@ -239,7 +241,7 @@
         end();
         clientRequest.result.unanswered++;
         targets.reportUnreachable(target);
-        if (isIdempotent() && recorder.isExcused(pending)) {
+        if (isIdempotent() && recorder.wasProxyUnavailable(pending)) {
             fleet.retryOrGiveUp(clientRequest);
         } else {
             fleet.finish();
@@ -247,14 +249,14 @@
     }
 
     private void onTimeout() {
-        connections.unassign(connection);
+        connections.removeListener(connection);
         connection.close();
         endWithoutResponse();
     }
 
     private void end() {
         ended = true;
-        endInFlight();
+        uncountInFlight();
         timeout.cancel();
         // An attempt may still be in flight for it.
         context.scheduler()
--- a/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
+++ b/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
@@ -122,7 +122,7 @@
     private void run() {
         while (!closed) {
             try {
-                selector.select(key -> receiveFor((Integer) key.attachment()), waitMillis());
+                selector.select(key -> receiveDatagrams((Integer) key.attachment()), waitMillis());
                 deliverDue();
                 sendJunkWhenDue();
             } catch (IOException e) {
@@ -149,7 +149,7 @@
     private void sendJunkWhenDue() {
         if (now() >= nextJunkAt) {
             nextJunkAt = now() + JUNK_INTERVAL_MILLIS / MILLIS_PER_SECOND;
-            context.faultPlan().activeJunk(now()).forEach(this::sendJunk);
+            context.faultPlan().activeJunkFaults(now()).forEach(this::sendJunk);
         }
     }
 
@@ -157,7 +157,7 @@
         return context.scheduler().now();
     }
 
-    private void receiveFor(int receiver) {
+    private void receiveDatagrams(int receiver) {
         try {
             SocketAddress source = sockets[receiver].receive(buffer.clear());
             while (source != null) {
@@ -180,7 +180,7 @@
         double now = now();
         double dueAt = now;
         boolean duplicated = false;
-        for (Fault fault : context.faultPlan().onDatagram(from, to, now)) {
+        for (Fault fault : context.faultPlan().activeDatagramFaults(from, to, now)) {
             boolean affected = random.nextDouble() < fault.share();
             switch (fault.kind()) {
                 case CUT -> {
--- a/src/main/java/lemondrift/lab/fleet/DiscoveryAgent.java
+++ b/src/main/java/lemondrift/lab/fleet/DiscoveryAgent.java
@@ -117,13 +117,13 @@
     private void sendFullList(HttpConnection connection) {
         List<EndpointChange> endpoints = endpoints();
         recordSent(endpoints);
-        send(connection, listWriter.fullList(proxy, received.size(), endpoints));
+        send(connection, listWriter.writeFullList(proxy, received.size(), endpoints));
     }
 
     private void sendChanges(HttpConnection connection, int since) {
         List<EndpointChange> changes = received.subList(since, received.size());
         recordSent(changes);
-        send(connection, listWriter.changes(proxy, received.size(), changes));
+        send(connection, listWriter.writeChanges(proxy, received.size(), changes));
     }
 
     private void recordSent(List<EndpointChange> changes) {
@@ -135,14 +135,14 @@
 
     private static void send(HttpConnection connection, String list) {
         connection.write(
-                HttpConnection.message(
+                HttpConnection.encodeMessage(
                         "HTTP/1.1 200 OK\r\nContent-Type: application/json",
                         list.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** The whole endpoint list as this agent knows it, in the protocol's JSON. */
-    String fullList() {
-        return listWriter.fullList(proxy, received.size(), endpoints());
+    String fullListJson() {
+        return listWriter.writeFullList(proxy, received.size(), endpoints());
     }
 
     private List<EndpointChange> endpoints() {
--- a/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
+++ b/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
@@ -60,8 +60,8 @@
     }
 
     /** The endpoint list that a proxy is started with, as its agent knows it. */
-    String fullList(int proxy) {
-        return agents.get(proxy).fullList();
+    String fullListJson(int proxy) {
+        return agents.get(proxy).fullListJson();
     }
 
     /** Sends a change to all agents; 0 for a backend that was up from the beginning. */
--- a/src/main/java/lemondrift/lab/fleet/EndpointListWriter.java
+++ b/src/main/java/lemondrift/lab/fleet/EndpointListWriter.java
@@ -16,28 +16,29 @@
     }
 
     /** Writes the whole list, with the addresses at which a proxy finds the backends. */
-    String fullList(int proxy, int revision, List<EndpointChange> endpoints) {
-        return list(proxy, revision, true, endpoints);
+    String writeFullList(int proxy, int revision, List<EndpointChange> endpoints) {
+        return writeList(proxy, revision, true, endpoints);
     }
 
     /** Writes the changes since an earlier revision. */
-    String changes(int proxy, int revision, List<EndpointChange> changes) {
-        return list(proxy, revision, false, changes);
+    String writeChanges(int proxy, int revision, List<EndpointChange> changes) {
+        return writeList(proxy, revision, false, changes);
     }
 
-    private String list(int proxy, int revision, boolean complete, List<EndpointChange> endpoints) {
+    private String writeList(
+            int proxy, int revision, boolean complete, List<EndpointChange> endpoints) {
         return "{\"revision\":"
                 + revision
                 + ",\"complete\":"
                 + complete
                 + ",\"members\":["
                 + endpoints.stream()
-                        .map(endpoint -> member(proxy, endpoint))
+                        .map(endpoint -> writeEndpoint(proxy, endpoint))
                         .collect(Collectors.joining(","))
                 + "]}";
     }
 
-    private String member(int proxy, EndpointChange endpoint) {
+    private String writeEndpoint(int proxy, EndpointChange endpoint) {
         int backend = endpoint.backend();
         return String.format(
                 Locale.ROOT,
@@ -47,11 +48,11 @@
                 LoopbackAddresses.hostAndPort(backendFleet.addressForProxy(proxy, backend)),
                 backend % locationCount,
                 backend,
-                phase(endpoint.state()),
+                phaseName(endpoint.state()),
                 endpoint.upSinceMillis());
     }
 
-    private static String phase(EndpointUpdate.State state) {
+    private static String phaseName(EndpointUpdate.State state) {
         return switch (state) {
             case READY -> "active";
             case DRAINING -> "leaving";
--- a/src/main/java/lemondrift/lab/fleet/FaultPlan.java
+++ b/src/main/java/lemondrift/lab/fleet/FaultPlan.java
@@ -22,7 +22,7 @@
 final class FaultPlan {
     /** One fault, and whether it falls on the sender and the receiver of each number. */
     record DrawnFault(Fault fault, boolean[] from, boolean[] to) {
-        boolean fallsOn(int sender, int receiver) {
+        boolean affects(int sender, int receiver) {
             return (from[sender] && to[receiver])
                     || (fault.bidirectional() && from[receiver] && to[sender]);
         }
@@ -32,13 +32,13 @@
             return IntStream.range(0, from.length).filter(proxy -> from[proxy]).toArray();
         }
 
-        private boolean isBetweenProcesses(Fault.Channel channel) {
+        private boolean isOnChannel(Fault.Channel channel) {
             return !fault.kind().isProcessFault() && fault.channel() == channel;
         }
     }
 
     /** The time at which the day starts. */
-    private final double dayStart;
+    private final double runStart;
 
     private final List<DrawnFault> drawnFaults = new ArrayList<>();
 
@@ -46,13 +46,13 @@
     private final int[] segments;
 
     /** One proxy of each segment. */
-    private final int[] representatives;
+    private final int[] firstProxies;
 
     /**
      * Draws the faults. The location of a proxy or backend is its number modulo the locations.
      *
      * @param separateSegments whether each proxy is a segment of its own
-     * @param dayStart the time from which the faults' times count
+     * @param runStart the time from which the faults' times count
      */
     FaultPlan(
             List<Fault> faults,
@@ -61,8 +61,8 @@
             int locations,
             long seed,
             boolean separateSegments,
-            double dayStart) {
-        this.dayStart = dayStart;
+            double runStart) {
+        this.runStart = runStart;
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         IntUnaryOperator location = number -> number % locations;
         for (Fault fault : faults) {
@@ -76,11 +76,11 @@
                         ? IntStream.range(0, proxies).toArray()
                         : segmentsByFaults(proxies);
         int segmentCount = Arrays.stream(segments).max().orElse(-1) + 1;
-        representatives = IntStream.range(0, segmentCount).map(this::firstProxyOfSegment).toArray();
+        firstProxies = IntStream.range(0, segmentCount).map(this::firstProxyOfSegment).toArray();
     }
 
     private int[] segmentsByFaults(int proxies) {
-        List<DrawnFault> towardsBackends = onChannel(Fault.Channel.BACKENDS);
+        List<DrawnFault> towardsBackends = faultsOnChannel(Fault.Channel.BACKENDS);
         Map<List<Boolean>, Integer> segmentByFaults = new LinkedHashMap<>();
         int[] segmentOfProxy = new int[proxies];
         for (int proxy = 0; proxy < proxies; proxy++) {
@@ -100,7 +100,7 @@
     }
 
     int segmentCount() {
-        return representatives.length;
+        return firstProxies.length;
     }
 
     /** The segment that a proxy belongs to. */
@@ -108,33 +108,33 @@
         return segments[proxy];
     }
 
-    private List<DrawnFault> onChannel(Fault.Channel channel) {
-        return drawnFaults.stream().filter(each -> each.isBetweenProcesses(channel)).toList();
+    private List<DrawnFault> faultsOnChannel(Fault.Channel channel) {
+        return drawnFaults.stream().filter(each -> each.isOnChannel(channel)).toList();
     }
 
     private boolean isActive(DrawnFault drawn, double now) {
-        return drawn.fault.isActiveAt(now - dayStart);
+        return drawn.fault.isActiveAt(now - runStart);
     }
 
     /** The faults that fall on processes. */
-    List<DrawnFault> ofProcesses() {
+    List<DrawnFault> processFaults() {
         return drawnFaults.stream().filter(each -> each.fault.kind().isProcessFault()).toList();
     }
 
     /** The active faults that send datagrams which no proxy has sent. */
-    List<DrawnFault> activeJunk(double now) {
+    List<DrawnFault> activeJunkFaults(double now) {
         return drawnFaults.stream()
                 .filter(each -> each.fault.kind() == Fault.Kind.JUNK && isActive(each, now))
                 .toList();
     }
 
     /** The active faults of a datagram from one proxy to another. */
-    List<Fault> onDatagram(int sender, int receiver, double now) {
+    List<Fault> activeDatagramFaults(int sender, int receiver, double now) {
         List<Fault> active = new ArrayList<>();
         for (DrawnFault drawn : drawnFaults) {
             if (isActive(drawn, now)
-                    && drawn.isBetweenProcesses(Fault.Channel.DATAGRAMS)
-                    && drawn.fallsOn(sender, receiver)) {
+                    && drawn.isOnChannel(Fault.Channel.DATAGRAMS)
+                    && drawn.affects(sender, receiver)) {
                 active.add(drawn.fault);
             }
         }
@@ -143,16 +143,16 @@
 
     /** Until when nothing gets from a segment's proxies to a backend; now where it is not cut. */
     double backendCutUntil(int segment, int backend, double now) {
-        return cutUntil(Fault.Channel.BACKENDS, now, fallsOnBackend(segment, backend));
+        return cutUntil(Fault.Channel.BACKENDS, now, affectsBackend(segment, backend));
     }
 
     /** By how much a message from a segment's proxies to a backend is late. */
     double backendDelaySeconds(int segment, int backend, double now) {
-        return delaySeconds(Fault.Channel.BACKENDS, now, fallsOnBackend(segment, backend));
+        return delaySeconds(Fault.Channel.BACKENDS, now, affectsBackend(segment, backend));
     }
 
-    private Predicate<DrawnFault> fallsOnBackend(int segment, int backend) {
-        return each -> each.from[representatives[segment]] && each.to[backend];
+    private Predicate<DrawnFault> affectsBackend(int segment, int backend) {
+        return each -> each.from[firstProxies[segment]] && each.to[backend];
     }
 
     /** Until when a proxy gets nothing from its discovery agent; now where it is not cut. */
@@ -166,29 +166,29 @@
     }
 
     private double cutUntil(
-            Fault.Channel channel, double now, Predicate<DrawnFault> fallsOnMessage) {
-        return active(channel, Fault.Kind.CUT, now, fallsOnMessage)
-                .mapToDouble(fault -> dayStart + fault.startAt() + fault.durationSeconds())
+            Fault.Channel channel, double now, Predicate<DrawnFault> affectsMessage) {
+        return activeFaults(channel, Fault.Kind.CUT, now, affectsMessage)
+                .mapToDouble(fault -> runStart + fault.startAt() + fault.durationSeconds())
                 .max()
                 .orElse(now);
     }
 
     private double delaySeconds(
-            Fault.Channel channel, double now, Predicate<DrawnFault> fallsOnMessage) {
-        return active(channel, Fault.Kind.LATE, now, fallsOnMessage)
+            Fault.Channel channel, double now, Predicate<DrawnFault> affectsMessage) {
+        return activeFaults(channel, Fault.Kind.LATE, now, affectsMessage)
                 .mapToDouble(Fault::maxDelaySeconds)
                 .sum();
     }
 
-    private Stream<Fault> active(
+    private Stream<Fault> activeFaults(
             Fault.Channel channel,
             Fault.Kind kind,
             double now,
-            Predicate<DrawnFault> fallsOnMessage) {
-        return onChannel(channel).stream()
+            Predicate<DrawnFault> affectsMessage) {
+        return faultsOnChannel(channel).stream()
                 .filter(each -> each.fault.kind() == kind)
                 .filter(each -> isActive(each, now))
-                .filter(fallsOnMessage)
+                .filter(affectsMessage)
                 .map(DrawnFault::fault);
     }
 
--- a/src/main/java/lemondrift/lab/fleet/FleetRun.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetRun.java
@@ -22,7 +22,7 @@
      * @throws IOException where a socket cannot be opened
      * @throws IllegalStateException where a day cannot be played to its end
      */
-    public static List<Experiment.Run> play(
+    public static List<Experiment.Run> run(
             Experiment experiment, ProcessLauncher launcher, Consumer<String> progress)
             throws IOException, InterruptedException {
         if (experiment.host() != Experiment.Host.PROCESSES) {
@@ -32,13 +32,13 @@
         List<Experiment.Run> runs = new ArrayList<>();
         for (String policy : experiment.policies()) {
             for (long seed : experiment.seeds()) {
-                runs.add(play(experiment, policy, seed, launcher, progress));
+                runs.add(run(experiment, policy, seed, launcher, progress));
             }
         }
         return runs;
     }
 
-    private static Experiment.Run play(
+    private static Experiment.Run run(
             Experiment experiment,
             String policy,
             long seed,
@@ -50,7 +50,7 @@
         try (FleetTestbed testbed =
                 createTestbed(experiment, policy, seed, launcher, dayProgress)) {
             testbed.start();
-            FleetTestbed.DayOutcome outcome = testbed.play();
+            FleetTestbed.RunOutcome outcome = testbed.run();
             List<String> problems = testbed.stop();
             problems.forEach(progress);
             outcome.result().crashed = problems.size();
@@ -77,7 +77,7 @@
      * Writes a line for each second: priority weight served and servable as shares of what was
      * requested, the share of backends idle, and how many requests were rejected.
      */
-    public static String seconds(RunResult result) {
+    public static String formatSeconds(RunResult result) {
         StringBuilder text = new StringBuilder();
         for (int second = 0; second < result.requestedWeightPerSecond.length - 1; second++) {
             double requested = Math.max(Double.MIN_NORMAL, result.requestedWeightPerSecond[second]);
@@ -94,7 +94,7 @@
         return text.toString();
     }
 
-    private static String header(String policy, String seed) {
+    private static String formatHeader(String policy, String seed) {
         return String.format(
                 "  %-12s %5s %8s %8s %7s %7s %7s %7s %5s %6s %6s %6s %6s %6s %6s %6s %6s %7s"
                         + " %8s %6s %5s",
@@ -104,10 +104,10 @@
     }
 
     /** Writes one line of the table; its head where there is no result. */
-    public static String row(
-            String policy, String seed, RunResult result, int proxies, double daySeconds) {
+    public static String formatRow(
+            String policy, String seed, RunResult result, int proxies, double runSeconds) {
         if (result == null) {
-            return header(policy, seed);
+            return formatHeader(policy, seed);
         }
         return String.format(
                 Locale.ROOT,
@@ -130,8 +130,8 @@
                 result.unanswered,
                 result.servedShareOfServable(),
                 result.recoveredAfterSeconds(),
-                result.gossipMessages / daySeconds / proxies,
-                result.gossipBytes / daySeconds / proxies,
+                result.gossipMessages / runSeconds / proxies,
+                result.gossipBytes / runSeconds / proxies,
                 result.cpuShare,
                 result.memoryMegabytes);
     }
--- a/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
@@ -47,7 +47,7 @@
     private static final int CLOSE_TIMEOUT_SECONDS = 1;
 
     /** What one day came to; the rule is the first that was broken, empty where all were kept. */
-    public record DayOutcome(RunResult result, Optional<String> brokenRule) {}
+    public record RunOutcome(RunResult result, Optional<String> brokenRule) {}
 
     /** Makes what stands between the clients and the backends. */
     private interface ProxiesFactory {
@@ -62,15 +62,15 @@
     private final BackendFleet backendFleet;
     private final TestbedProxies proxies;
     private final ClientFleet clientFleet;
-    private final DayPlayer dayPlayer;
+    private final TestbedRunner runner;
     private final List<IdleClient> idleClients = new ArrayList<>();
     private volatile FaultPlan faultPlan;
-    private boolean playedBefore;
+    private boolean hasRunBefore;
 
     private FleetTestbed(
             Experiment experiment,
             long seed,
-            int judgedRules,
+            int checkedRules,
             ProxiesFactory proxiesFactory,
             Consumer<String> progress)
             throws IOException {
@@ -81,7 +81,7 @@
         scenario = experiment.day(seed);
         // Before the first day nothing goes wrong.
         faultPlan = drawFaults(experiment.faults(), Double.POSITIVE_INFINITY);
-        context = TestbedContext.create(scenario, seed, judgedRules, () -> faultPlan);
+        context = TestbedContext.create(scenario, seed, checkedRules, () -> faultPlan);
         backendFleet = new BackendFleet(context, experiment.maxConnectionsPerBackend());
         BackendFaultInjector backendFaultInjector =
                 new BackendFaultInjector(
@@ -93,8 +93,8 @@
         backendFleet.setOverloadListener(backend -> backendFaultInjector.takeDown(backend, true));
         proxies = proxiesFactory.create(context, backendFleet);
         clientFleet = new ClientFleet(context, proxies.clientTargets(), backendFaultInjector);
-        dayPlayer =
-                new DayPlayer(
+        runner =
+                new TestbedRunner(
                         context,
                         clientFleet,
                         backendFleet,
@@ -139,7 +139,7 @@
                 progress);
     }
 
-    private FaultPlan drawFaults(List<Fault> faults, double dayStart) {
+    private FaultPlan drawFaults(List<Fault> faults, double runStart) {
         return new FaultPlan(
                 faults,
                 scenario.proxies(),
@@ -147,7 +147,7 @@
                 scenario.settings().locationCount(),
                 seed,
                 scenario.proxies() * scenario.backends() <= MAX_SEPARATE_PATHS,
-                dayStart);
+                runStart);
     }
 
     /** What a fault of a backend does beside what it does to the backend itself. */
@@ -189,9 +189,9 @@
         proxies.start(progress);
     }
 
-    /** Plays the experiment's day; throws as the other {@link #play(List, List, double)} does. */
-    public DayOutcome play() throws InterruptedException {
-        return play(scenario.backendFaults(), experiment.faults(), scenario.durationSeconds());
+    /** Plays the experiment's day; throws as the other {@link #run(List, List, double)} does. */
+    public RunOutcome run() throws InterruptedException {
+        return run(scenario.backendFaults(), experiment.faults(), scenario.durationSeconds());
     }
 
     /**
@@ -201,16 +201,17 @@
      * @param faults of processes and between them
      * @throws IllegalStateException where something takes too long or fails
      */
-    public DayOutcome play(
+    public RunOutcome run(
             List<BackendFault> backendFaults, List<Fault> faults, double durationSeconds)
             throws InterruptedException {
-        double warmUpSeconds = playedBefore ? NEXT_WARM_UP_SECONDS : FIRST_WARM_UP_SECONDS;
+        double warmUpSeconds = hasRunBefore ? NEXT_WARM_UP_SECONDS : FIRST_WARM_UP_SECONDS;
         double startAt = context.scheduler().now() + warmUpSeconds;
-        playedBefore = true;
+        hasRunBefore = true;
         FaultPlan plan = drawFaults(faults, startAt);
         faultPlan = plan;
         progress.accept(plan.describe());
-        return dayPlayer.play(new DayPlayer.Day(startAt, durationSeconds, backendFaults, plan));
+        return runner.run(
+                new TestbedRunner.MeasuredRun(startAt, durationSeconds, backendFaults, plan));
     }
 
     /** Lets so many idle clients connect to each proxy, again and again until the end. */
@@ -237,7 +238,7 @@
     }
 
     /** Lets a proxy read its configuration again, as SIGHUP does. */
-    void hangUp(int proxy) {
+    void reload(int proxy) {
         proxies.reload(proxy);
     }
 
--- a/src/main/java/lemondrift/lab/fleet/HttpConnection.java
+++ b/src/main/java/lemondrift/lab/fleet/HttpConnection.java
@@ -59,7 +59,7 @@
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
     private ByteBuffer unsent = EMPTY;
     private boolean closed;
-    private boolean used;
+    private boolean messageReceived;
 
     /** Starts to read from a connection that is established. */
     HttpConnection(StreamConnection stream, Listener listener) {
@@ -133,7 +133,7 @@
                 received.write(readBuffer.array(), 0, readBuffer.position());
                 readBuffer.clear();
             }
-            deliverWholeMessages();
+            deliverCompleteMessages();
             if (count < 0) {
                 closeAndNotify();
             }
@@ -142,7 +142,7 @@
         }
     }
 
-    private void deliverWholeMessages() throws IOException {
+    private void deliverCompleteMessages() throws IOException {
         while (!closed) {
             byte[] bytes = received.toByteArray();
             OptionalInt headEnd = findHeadEnd(bytes);
@@ -151,7 +151,7 @@
             }
             String head = new String(bytes, 0, headEnd.getAsInt(), StandardCharsets.ISO_8859_1);
             int bodyStart = headEnd.getAsInt() + END_OF_HEAD.length;
-            int bodyLength = bodyLength(head);
+            int bodyLength = parseBodyLength(head);
             if (bytes.length < bodyStart + bodyLength) {
                 return;
             }
@@ -160,13 +160,13 @@
             int messageEnd = bodyStart + bodyLength;
             received.reset();
             received.write(bytes, messageEnd, bytes.length - messageEnd);
-            used = true;
+            messageReceived = true;
             listener.onMessage(this, head, body);
         }
     }
 
-    private static int bodyLength(String head) throws IOException {
-        int length = field(head, "content-length").map(Integer::parseInt).orElse(0);
+    private static int parseBodyLength(String head) throws IOException {
+        int length = findField(head, "content-length").map(Integer::parseInt).orElse(0);
         if (length > MAX_BODY_BYTES) {
             throw new IOException("a body of " + length + " bytes");
         }
@@ -189,7 +189,7 @@
     }
 
     /** Reads a field of a head by its name in lower case. */
-    static Optional<String> field(String head, String name) {
+    static Optional<String> findField(String head, String name) {
         for (int lineEnd = head.indexOf("\r\n");
                 lineEnd >= 0;
                 lineEnd = head.indexOf("\r\n", lineEnd + 2)) {
@@ -205,7 +205,7 @@
     }
 
     /** Encodes a message: its first line and fields without the final empty line, and its body. */
-    static byte[] message(String head, byte[] body) {
+    static byte[] encodeMessage(String head, byte[] body) {
         byte[] headBytes =
                 (head + "\r\nContent-Length: " + body.length + "\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1);
@@ -252,8 +252,8 @@
     }
 
     /** Whether a message has come on it, so that its close may cross a request on its way. */
-    boolean isUsed() {
-        return used;
+    boolean hasReceivedMessage() {
+        return messageReceived;
     }
 
     boolean isOpen() {
--- a/src/main/java/lemondrift/lab/fleet/IdleClient.java
+++ b/src/main/java/lemondrift/lab/fleet/IdleClient.java
@@ -51,11 +51,11 @@
             connection.ifPresent(HttpConnection::close);
             connectLater();
         } else {
-            occupy(connection.get());
+            holdOpen(connection.get());
         }
     }
 
-    private void occupy(HttpConnection connection) {
+    private void holdOpen(HttpConnection connection) {
         latestConnection = Optional.of(connection);
         if (context.random().nextBoolean()) {
             connection.write(HALF_REQUEST);
--- a/src/main/java/lemondrift/lab/fleet/NoProxies.java
+++ b/src/main/java/lemondrift/lab/fleet/NoProxies.java
@@ -41,7 +41,7 @@
     public void addUsageTo(RunResult result, double durationSeconds) {}
 
     @Override
-    public void awaitProcessWork() {}
+    public void awaitProcessTasks() {}
 
     @Override
     public InetSocketAddress listenAddress(int proxy) {
--- a/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
+++ b/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
@@ -40,7 +40,7 @@
         final double workSeconds;
 
         /** Whether its client has stopped waiting while the proxy was unable to answer. */
-        private boolean excused;
+        private boolean abandonedWhileUnavailable;
 
         private PendingRequest(Request request, int proxy, double workSeconds) {
             this.request = request;
@@ -56,17 +56,17 @@
     private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
 
     /** Until when each proxy was last known to be unable to answer. */
-    private final double[] excusedUntil;
+    private final double[] unavailableUntil;
 
     private RunResult result;
-    private double dayStart;
-    private ServableOracle servable;
+    private double runStart;
+    private ServableOracle servableOracle;
     private Histogram latencyMicros;
     private Optional<String> brokenRule = Optional.empty();
     private long requestCount;
 
     /** Judges by the first rules, as many as stated; the clock is in seconds. */
-    OutcomeRecorder(Scenario scenario, int judgedRules, DoubleSupplier clock) {
+    OutcomeRecorder(Scenario scenario, int checkedRules, DoubleSupplier clock) {
         this.scenario = scenario;
         this.clock = clock;
         int[] locations =
@@ -76,25 +76,25 @@
         referee =
                 new Referee(
                         scenario.settings(),
-                        judgedRules,
+                        checkedRules,
                         scenario.drainGraceSeconds(),
                         SLACK_SECONDS,
                         scenario.proxies(),
                         locations,
                         scenario.cores());
-        excusedUntil = new double[scenario.proxies()];
+        unavailableUntil = new double[scenario.proxies()];
         evenness =
                 new LoadEvenness(
                         scenario.backends(), scenario.cores(), scenario.settings().windowSeconds());
-        startDay();
+        startRun();
     }
 
     /** Starts the figures anew; the rules are judged with all that went before. */
-    void startDay() {
-        dayStart = now();
-        evenness.startCounting(dayStart);
+    void startRun() {
+        runStart = now();
+        evenness.startCounting(runStart);
         result = new RunResult(scenario);
-        servable =
+        servableOracle =
                 new ServableOracle(
                         scenario.settings().requestClasses(),
                         result.requestedWeightPerSecond.length);
@@ -116,30 +116,30 @@
     }
 
     /** The second of the day that a time lies in; the first or last for a time outside of it. */
-    int secondOfDay(double time) {
+    int secondOfRun(double time) {
         int lastSecond = result.requestedWeightPerSecond.length - 1;
-        return (int) Math.max(0, Math.min(lastSecond, time - dayStart));
+        return (int) Math.max(0, Math.min(lastSecond, time - runStart));
     }
 
     /** A client wants something now; returns the second of the day. */
     int recordClientRequest(int requestClassIndex, double priorityWeight) {
-        int second = secondOfDay(now());
+        int second = secondOfRun(now());
         result.clientRequests++;
         result.requestedWeight += priorityWeight;
         result.requestedWeightPerSecond[second] += priorityWeight;
-        servable.recordRequest(second, requestClassIndex);
+        servableOracle.recordRequest(second, requestClassIndex);
         return second;
     }
 
     /** Adds how many requests the backends are able to serve now. */
     void recordCapacity(double requests) {
-        servable.addCapacity(secondOfDay(now()), requests);
+        servableOracle.addCapacity(secondOfRun(now()), requests);
     }
 
     /** Ends the measuring of the backends' load; clients may still be waiting. */
-    RunResult endDay() {
+    RunResult endRun() {
         System.arraycopy(
-                servable.servableWeightBySecond(),
+                servableOracle.servableWeightBySecond(),
                 0,
                 result.servableWeightPerSecond,
                 0,
@@ -163,7 +163,7 @@
     }
 
     /** Guards against a broken rule ending the run while proxies still run; keeps the first one. */
-    private void judge(Runnable event) {
+    private void checkRules(Runnable event) {
         try {
             event.run();
         } catch (Referee.RuleViolationException e) {
@@ -172,7 +172,7 @@
     }
 
     /** A client sends a request for the first time. */
-    PendingRequest recordAccepted(
+    PendingRequest recordFirstSend(
             String traceId, int proxy, int requestClassIndex, double workSeconds) {
         double timeoutSeconds =
                 scenario.settings().requestClasses().get(requestClassIndex).timeoutSeconds();
@@ -180,7 +180,7 @@
         PendingRequest pending = new PendingRequest(request, proxy, workSeconds);
         pendingRequests.put(traceId, pending);
         result.accepted++;
-        judge(() -> referee.requestAccepted(proxy, request, now()));
+        checkRules(() -> referee.requestAccepted(proxy, request, now()));
         return pending;
     }
 
@@ -195,8 +195,9 @@
         result.attempts++;
         evenness.recordSend(backend, now());
         // A paused process cannot know that a client left, so what it sends late breaks no rule.
-        if (!pending.excused) {
-            judge(() -> referee.attemptSent(pending.proxy, attempt, pending.workSeconds, now()));
+        if (!pending.abandonedWhileUnavailable) {
+            checkRules(
+                    () -> referee.attemptSent(pending.proxy, attempt, pending.workSeconds, now()));
         }
         return attempt;
     }
@@ -207,28 +208,34 @@
         } else {
             result.failedAttemptsByBackend[attempt.backend]++;
         }
-        judge(() -> referee.attemptEnded(attempt, outcome, now()));
+        checkRules(() -> referee.attemptEnded(attempt, outcome, now()));
     }
 
     /** A client has got its response. */
     void recordResponse(PendingRequest pending, boolean rejected) {
-        judge(() -> referee.responseSent(pending.proxy, pending.request, rejected, now()));
+        checkRules(() -> referee.responseSent(pending.proxy, pending.request, rejected, now()));
     }
 
     /** A client has stopped waiting without a response. */
     void recordUnanswered(PendingRequest pending) {
-        pending.excused = isExcused(pending);
-        judge(() -> referee.requestClosed(pending.proxy, pending.request, pending.excused, now()));
+        pending.abandonedWhileUnavailable = wasProxyUnavailable(pending);
+        checkRules(
+                () ->
+                        referee.requestClosed(
+                                pending.proxy,
+                                pending.request,
+                                pending.abandonedWhileUnavailable,
+                                now()));
     }
 
     /** Whether the proxy was unable to answer at some time since it got the request. */
-    boolean isExcused(PendingRequest pending) {
-        return excusedUntil[pending.proxy] >= pending.request.arrivedAt;
+    boolean wasProxyUnavailable(PendingRequest pending) {
+        return unavailableUntil[pending.proxy] >= pending.request.arrivedAt;
     }
 
     /** Whether a proxy is unable to answer now, as it was killed or is paused. */
-    boolean isUnableToAnswer(int proxy) {
-        return excusedUntil[proxy] == Double.POSITIVE_INFINITY;
+    boolean isUnavailable(int proxy) {
+        return unavailableUntil[proxy] == Double.POSITIVE_INFINITY;
     }
 
     /** No more events of a request are expected. */
@@ -240,18 +247,18 @@
     }
 
     /** A proxy is unable to answer from now on. */
-    void startExcuse(int proxy) {
-        excusedUntil[proxy] = Double.POSITIVE_INFINITY;
+    void markUnavailable(int proxy) {
+        unavailableUntil[proxy] = Double.POSITIVE_INFINITY;
     }
 
     /** A proxy that was unable to answer until now is able again. */
-    void endExcuse(int proxy) {
-        excusedUntil[proxy] = Math.min(excusedUntil[proxy], now());
+    void markAvailable(int proxy) {
+        unavailableUntil[proxy] = Math.min(unavailableUntil[proxy], now());
     }
 
     /** A proxy is sent the state of a backend by its discovery agent. */
     void recordEndpointState(int proxy, int backend, boolean ready) {
-        judge(() -> referee.endpointStateReceived(proxy, backend, ready, now()));
+        checkRules(() -> referee.endpointStateReceived(proxy, backend, ready, now()));
     }
 
     void recordBackendStart(int backend) {
@@ -264,8 +271,8 @@
     }
 
     /** A client has been served; ignored where that was due in an earlier day. */
-    void recordLatency(RunResult day, double latencySeconds) {
-        if (day != result) {
+    void recordLatency(RunResult resultOfRequest, double latencySeconds) {
+        if (resultOfRequest != result) {
             return;
         }
         long micros = (long) (latencySeconds * MICROS_PER_SECOND);
--- a/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
@@ -5,22 +5,22 @@
 /** Lets the faults of processes fall on the proxies. I/O thread only. */
 final class ProcessFaultInjector {
     /** In how many steps a rolling restart of the fleet is done. */
-    private static final int ROLL_STEPS = 10;
+    private static final int ROLLING_RESTART_STEPS = 10;
 
     /** How many reloads one fault makes, evenly over its duration. */
-    private static final int RELOADS = 4;
+    private static final int RELOADS_PER_FAULT = 4;
 
     /** Signals within milliseconds. */
-    private static final List<String> RELOAD_SERIES = List.of("HUP", "HUP", "HUP");
+    private static final List<String> RELOAD_SIGNALS = List.of("HUP", "HUP", "HUP");
 
     /**
      * Signals within milliseconds: reloads just before and just after the end, which comes twice.
      */
-    private static final List<String> TERMINATION_SERIES =
+    private static final List<String> TERMINATION_SIGNALS =
             List.of("HUP", "HUP", "TERM", "HUP", "HUP", "TERM", "HUP");
 
     /** When signals come during a start: before the JVM runs, as it begins, in the warm-up. */
-    private static final double[] START_DELAYS_SECONDS = {0.015, 0.06, 0.12, 0.25};
+    private static final double[] START_SIGNAL_DELAYS_SECONDS = {0.015, 0.06, 0.12, 0.25};
 
     private final RealTimeScheduler scheduler;
     private final ProxyLifecycle lifecycle;
@@ -38,10 +38,10 @@
             case KILL -> kill(proxies, durationSeconds);
             case STOP -> stop(proxies, durationSeconds);
             case PAUSE -> pause(proxies, durationSeconds);
-            case ROLL -> roll(proxies, durationSeconds);
+            case ROLL -> rollingRestart(proxies, durationSeconds);
             case TERMINATE -> terminate(proxies, durationSeconds, clients);
             case HANG_UP -> reload(proxies, durationSeconds);
-            case SIGNAL_SERIES -> signalSeries(proxies, durationSeconds, clients);
+            case SIGNAL_SERIES -> terminateWithSignalSeries(proxies, durationSeconds, clients);
             case INTERRUPTED_START -> interruptStart(proxies, durationSeconds);
             default ->
                     throw new IllegalStateException(drawn.fault().kind() + " falls on no process");
@@ -69,12 +69,12 @@
         }
     }
 
-    private void roll(int[] proxies, double durationSeconds) {
+    private void rollingRestart(int[] proxies, double durationSeconds) {
         for (int i = 0; i < proxies.length; i++) {
             int proxy = proxies[i];
-            int step = i * ROLL_STEPS / proxies.length;
+            int step = i * ROLLING_RESTART_STEPS / proxies.length;
             scheduler.after(
-                    durationSeconds / ROLL_STEPS * step,
+                    durationSeconds / ROLLING_RESTART_STEPS * step,
                     () -> {
                         lifecycle.stop(proxy);
                         lifecycle.restart(proxy);
@@ -89,28 +89,31 @@
         }
     }
 
-    private void signalSeries(int[] proxies, double durationSeconds, ClientFleet clients) {
+    private void terminateWithSignalSeries(
+            int[] proxies, double durationSeconds, ClientFleet clients) {
         for (int proxy : proxies) {
-            lifecycle.terminate(proxy, clients, TERMINATION_SERIES);
+            lifecycle.terminate(proxy, clients, TERMINATION_SIGNALS);
             scheduler.after(
                     durationSeconds,
                     () ->
                             lifecycle.restart(
-                                    proxy, () -> hangUpDuringStart(proxy, START_DELAYS_SECONDS)));
+                                    proxy,
+                                    () -> reloadDuringStart(proxy, START_SIGNAL_DELAYS_SECONDS)));
         }
     }
 
     /** Delays count from the moment at which the process was started. */
-    private void hangUpDuringStart(int proxy, double[] delaysSeconds) {
+    private void reloadDuringStart(int proxy, double[] delaysSeconds) {
         for (double delaySeconds : delaysSeconds) {
-            scheduler.after(delaySeconds, () -> lifecycle.signal(proxy, RELOAD_SERIES));
+            scheduler.after(delaySeconds, () -> lifecycle.signal(proxy, RELOAD_SIGNALS));
         }
     }
 
     private void interruptStart(int[] proxies, double durationSeconds) {
         for (int i = 0; i < proxies.length; i++) {
             int proxy = proxies[i];
-            double delaySeconds = START_DELAYS_SECONDS[i % START_DELAYS_SECONDS.length];
+            double delaySeconds =
+                    START_SIGNAL_DELAYS_SECONDS[i % START_SIGNAL_DELAYS_SECONDS.length];
             lifecycle.kill(proxy);
             scheduler.after(
                     durationSeconds,
@@ -128,8 +131,8 @@
     }
 
     private void reload(int[] proxies, double durationSeconds) {
-        for (int i = 0; i < RELOADS; i++) {
-            scheduler.after(durationSeconds * i / RELOADS, () -> reload(proxies));
+        for (int i = 0; i < RELOADS_PER_FAULT; i++) {
+            scheduler.after(durationSeconds * i / RELOADS_PER_FAULT, () -> reload(proxies));
         }
     }
 
--- a/src/main/java/lemondrift/lab/fleet/ProcessLauncher.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessLauncher.java
@@ -24,7 +24,7 @@
      *     does not end in an exec
      * @throws IOException where the deploy file cannot be read
      */
-    public static ProcessLauncher deployed(Path root) throws IOException {
+    public static ProcessLauncher fromDeployFile(Path root) throws IOException {
         Path archive = root.resolve("target/lemondrift.jar");
         if (!Files.exists(archive)) {
             throw new InvalidSettingsException(archive + ": not there; make build makes it");
--- a/src/main/java/lemondrift/lab/fleet/ProcessSignals.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessSignals.java
@@ -7,7 +7,7 @@
 /** Sends signals to processes, known by their id. */
 final class ProcessSignals {
     /** Sends the process that is named first all signals that are named after it. */
-    private static final String SEND_ALL =
+    private static final String SEND_SIGNALS_SCRIPT =
             "process=$1; shift; for signal; do kill -$signal $process; done";
 
     private ProcessSignals() {}
@@ -25,7 +25,7 @@
             process.destroy();
             return;
         }
-        List<String> command = new ArrayList<>(List.of("/bin/sh", "-c", SEND_ALL, "sh"));
+        List<String> command = new ArrayList<>(List.of("/bin/sh", "-c", SEND_SIGNALS_SCRIPT, "sh"));
         command.add(String.valueOf(process.pid()));
         command.addAll(signals);
         new ProcessBuilder(command)
--- a/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
@@ -35,19 +35,19 @@
     private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
     private final Settings settings;
-    private final boolean gossips;
+    private final boolean gossipEnabled;
     private final List<String> peerAddresses;
     private int writeCount;
 
     /**
      * Creates a writer for all proxies.
      *
-     * @param gossips whether the proxies send one another gossip messages
+     * @param gossipEnabled whether the proxies send one another gossip messages
      * @param peerAddresses where the proxies reach one another, by number, as "host:port"
      */
-    ProxyConfigWriter(Settings settings, boolean gossips, List<String> peerAddresses) {
+    ProxyConfigWriter(Settings settings, boolean gossipEnabled, List<String> peerAddresses) {
         this.settings = settings;
-        this.gossips = gossips;
+        this.gossipEnabled = gossipEnabled;
         this.peerAddresses = peerAddresses;
     }
 
@@ -58,7 +58,7 @@
      */
     String write(int proxy, ProxyEndpoints endpoints) throws IOException {
         ObjectNode root = JSON.createObjectNode();
-        root.put("name", ProxyProcesses.name(proxy))
+        root.put("name", ProxyProcesses.proxyName(proxy))
                 .put("listen", LoopbackAddresses.hostAndPort(endpoints.listen()))
                 .put("discovery", LoopbackAddresses.hostAndPort(endpoints.discovery()))
                 .put("seed", Long.toHexString(SEED_STEP * proxy + ++writeCount));
@@ -75,7 +75,7 @@
     }
 
     private void writeSettings(int proxy, ObjectNode node) {
-        writePlace(proxy, node);
+        writeLocations(proxy, node);
         writeLimits(node.putObject("limits"));
         writeRules(node.putObject("invariants"));
         node.putObject("report").put("how", "inline").putArray("names").add("util").add("queue");
@@ -85,7 +85,7 @@
         writeRequestClasses(node.putArray("serviceGrades"));
     }
 
-    private void writePlace(int proxy, ObjectNode node) {
+    private void writeLocations(int proxy, ObjectNode node) {
         int locations = settings.locationCount();
         node.put("siblings", settings.proxyCount())
                 .put("zone", proxy % locations)
@@ -106,7 +106,7 @@
                 .put("maxRetryAfter", MILLIS_PER_SECOND * limits.maxRetryAfterSeconds())
                 .put("connIdle", IDLE_CONNECTION_MILLIS)
                 .put("connectTimeout", CONNECT_TIMEOUT_MILLIS)
-                .put("mayTell", gossips);
+                .put("mayTell", gossipEnabled);
     }
 
     private void writeRules(ObjectNode node) {
@@ -125,13 +125,13 @@
                     .put("benefit", requestClass.priorityWeight())
                     .put("contractTime", MILLIS_PER_SECOND * requestClass.latencyObjectiveSeconds())
                     .put("expiry", MILLIS_PER_SECOND * requestClass.timeoutSeconds())
-                    .put("effect", effect(requestClass.idempotency()))
-                    .put("group", group(requestClass.deduplicationScope()))
+                    .put("effect", effectName(requestClass.idempotency()))
+                    .put("group", groupName(requestClass.deduplicationScope()))
                     .put("keyTtl", MILLIS_PER_SECOND * requestClass.idempotencyKeyTtlSeconds());
         }
     }
 
-    private static String effect(Idempotency idempotency) {
+    private static String effectName(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "retryable";
             case IDEMPOTENT_WITH_KEY -> "dedup";
@@ -139,7 +139,7 @@
         };
     }
 
-    private static String group(DeduplicationScope scope) {
+    private static String groupName(DeduplicationScope scope) {
         return scope == DeduplicationScope.ALL ? "all" : "zone";
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/ProxyFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyFleet.java
@@ -16,7 +16,7 @@
     private static final double START_TIMEOUT_SECONDS = 180;
 
     /** Within which all proxies have to be back after a day. */
-    private static final double RETURN_TIMEOUT_SECONDS = 60;
+    private static final double REOPEN_TIMEOUT_SECONDS = 60;
 
     /** Between two looks at what is waited for. */
     private static final long POLL_INTERVAL_MILLIS = 50;
@@ -101,8 +101,8 @@
                 return;
             }
             progress.accept("starting, " + (proxyCount - closedCount) + " of " + proxyCount);
-            startedCount = startMore(startedCount, closedCount);
-            checkNoneCrashed(startedCount);
+            startedCount = startNextProxies(startedCount, closedCount);
+            checkNoneEnded(startedCount);
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
         throw new IllegalStateException(
@@ -110,7 +110,7 @@
     }
 
     /** Returns how many are started then. */
-    private int startMore(int startedBefore, int closedCount) {
+    private int startNextProxies(int startedBefore, int closedCount) {
         int maxStarting = Runtime.getRuntime().availableProcessors();
         int started = startedBefore;
         while (started < proxyCount && closedCount - (proxyCount - started) < maxStarting) {
@@ -121,7 +121,7 @@
         return started;
     }
 
-    private void checkNoneCrashed(int startedCount) {
+    private void checkNoneEnded(int startedCount) {
         for (int proxy = 0; proxy < startedCount; proxy++) {
             if (processes.hasEnded(proxy)) {
                 throw new IllegalStateException(
@@ -136,7 +136,7 @@
 
     @Override
     public void awaitOpen() throws InterruptedException {
-        double deadline = scheduler.now() + RETURN_TIMEOUT_SECONDS;
+        double deadline = scheduler.now() + REOPEN_TIMEOUT_SECONDS;
         List<Integer> closed = closedProxies();
         while (!closed.isEmpty()) {
             if (scheduler.now() > deadline) {
@@ -163,7 +163,7 @@
 
     @Override
     public void scheduleFaults(FaultPlan faultPlan, ClientFleet clients) {
-        for (FaultPlan.DrawnFault drawn : faultPlan.ofProcesses()) {
+        for (FaultPlan.DrawnFault drawn : faultPlan.processFaults()) {
             scheduler.after(drawn.fault().startAt(), () -> faultInjector.inject(drawn, clients));
         }
     }
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public void awaitProcessWork() throws InterruptedException {
+    public void awaitProcessTasks() throws InterruptedException {
         processThread.call(() -> null);
     }
 
--- a/src/main/java/lemondrift/lab/fleet/ProxyLifecycle.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyLifecycle.java
@@ -61,8 +61,8 @@
                         addresses.listen().get(proxy),
                         addresses.gossip().get(proxy),
                         agents.address(proxy),
-                        agents.fullList(proxy));
-        context.recorder().startExcuse(proxy);
+                        agents.fullListJson(proxy));
+        context.recorder().markUnavailable(proxy);
         down[proxy] = false;
         startCounts[proxy]++;
         processThread.execute(
@@ -81,8 +81,8 @@
         distributor.openWhenHealthy(
                 proxy,
                 () -> {
-                    context.recorder().endExcuse(proxy);
-                    processThread.execute(() -> processes.seenServing(proxy));
+                    context.recorder().markAvailable(proxy);
+                    processThread.execute(() -> processes.markServing(proxy));
                 });
     }
 
@@ -90,7 +90,7 @@
     void kill(int proxy) {
         if (!down[proxy]) {
             down[proxy] = true;
-            context.recorder().startExcuse(proxy);
+            context.recorder().markUnavailable(proxy);
             processThread.execute(() -> processes.kill(proxy));
         }
     }
@@ -134,17 +134,17 @@
                                     + longestTimeoutSeconds()
                                     + KILL_DELAY_SECONDS;
                     context.scheduler()
-                            .execute(() -> terminated(proxy, clients, startCount, killAt));
+                            .execute(() -> scheduleKill(proxy, clients, startCount, killAt));
                 });
     }
 
-    private void terminated(int proxy, ClientFleet clients, int startCount, double killAt) {
+    private void scheduleKill(int proxy, ClientFleet clients, int startCount, double killAt) {
         context.scheduler()
                 .after(
                         CLOSE_DELAY_SECONDS,
                         () -> {
                             distributor.close(proxy);
-                            clients.useKeptConnections(proxy, killAt);
+                            clients.sendOnIdleConnections(proxy, killAt);
                         });
         context.scheduler().at(killAt, () -> killUnlessRestarted(proxy, startCount));
     }
@@ -194,7 +194,7 @@
 
     /** Suspends a proxy; what it leaves unanswered meanwhile is excused. */
     void pause(int proxy) {
-        context.recorder().startExcuse(proxy);
+        context.recorder().markUnavailable(proxy);
         processThread.execute(() -> processes.pause(proxy));
     }
 
@@ -203,7 +203,7 @@
         processThread.execute(
                 () -> {
                     processes.resume(proxy);
-                    context.scheduler().execute(() -> context.recorder().endExcuse(proxy));
+                    context.scheduler().execute(() -> context.recorder().markAvailable(proxy));
                 });
     }
 
--- a/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
@@ -26,17 +26,17 @@
     private static final int KILOBYTES_PER_MEGABYTE = 1024;
 
     /** Within which a process has to end after SIGTERM. */
-    private static final int DRAIN_SECONDS = 15;
+    private static final int DRAIN_TIMEOUT_SECONDS = 15;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
     /** The exit value of a process that SIGTERM ended by its default. */
-    private static final int ENDED_BY_TERMINATE = 143;
+    private static final int SIGTERM_EXIT_CODE = 143;
 
     private final ProcessLauncher launcher;
     private final Path folder;
     private final ProxyConfigWriter configWriter;
-    private final boolean recovers;
+    private final boolean recoveryEnabled;
 
     /** By proxy; null before its first start. */
     private final Process[] processes;
@@ -58,7 +58,7 @@
     /**
      * Starts none yet.
      *
-     * @param recovers whether a proxy asks its peers after its start
+     * @param recoveryEnabled whether a proxy asks its peers after its start
      * @throws InvalidSettingsException where the machine's free memory is too small for all
      * @throws IOException where that cannot be read
      */
@@ -67,12 +67,12 @@
             Path folder,
             int proxyCount,
             ProxyConfigWriter configWriter,
-            boolean recovers)
+            boolean recoveryEnabled)
             throws IOException {
         this.launcher = launcher;
         this.folder = folder;
         this.configWriter = configWriter;
-        this.recovers = recovers;
+        this.recoveryEnabled = recoveryEnabled;
         processes = new Process[proxyCount];
         paused = new boolean[proxyCount];
         killed = new boolean[proxyCount];
@@ -112,12 +112,12 @@
     }
 
     /** The name of a proxy, which its files have too. */
-    static String name(int proxy) {
+    static String proxyName(int proxy) {
         return "n" + proxy;
     }
 
     private Path logFile(int proxy) {
-        return folder.resolve(name(proxy) + ".log");
+        return folder.resolve(proxyName(proxy) + ".log");
     }
 
     /** The last line that a proxy has logged, or why it cannot be read. Any thread. */
@@ -136,8 +136,8 @@
      */
     void start(int proxy, ProxyEndpoints endpoints) {
         try {
-            checkFormerEnd(proxy);
-            Path configFile = folder.resolve(name(proxy) + ".json");
+            checkPreviousExit(proxy);
+            Path configFile = folder.resolve(proxyName(proxy) + ".json");
             Files.writeString(configFile, configWriter.write(proxy, endpoints));
             processes[proxy] = processBuilder(proxy, configFile).start();
             paused[proxy] = false;
@@ -149,13 +149,13 @@
         }
     }
 
-    private void checkFormerEnd(int proxy) {
+    private void checkPreviousExit(int proxy) {
         if (!hasEnded(proxy) || killed[proxy] || processes[proxy].exitValue() == 0) {
             return;
         }
         // A JVM that has no handler yet ends by the signal itself, which docs/operating.md allows.
         boolean endedDuringStart =
-                !served[proxy] && processes[proxy].exitValue() == ENDED_BY_TERMINATE;
+                !served[proxy] && processes[proxy].exitValue() == SIGTERM_EXIT_CODE;
         if (!endedDuringStart) {
             problems.add(
                     "proxy "
@@ -173,43 +173,43 @@
                         .redirectErrorStream(true)
                         .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile(proxy).toFile()));
         builder.environment().putAll(launcher.environment());
-        if (!recovers) {
+        if (!recoveryEnabled) {
             builder.environment().put("PROXY_RECOVERY", "");
         }
         builder.environment().put("PROXY_CONFIG", configFile.toString());
-        builder.environment().put("PROXY_NAME", name(proxy));
+        builder.environment().put("PROXY_NAME", proxyName(proxy));
         builder.environment().put("TMPDIR", folder.toString());
         return builder;
     }
 
-    private Optional<Process> process(int proxy) {
+    private Optional<Process> findProcess(int proxy) {
         return Optional.ofNullable(processes[proxy]);
     }
 
     boolean isAlive(int proxy) {
-        return process(proxy).map(Process::isAlive).orElse(false);
+        return findProcess(proxy).map(Process::isAlive).orElse(false);
     }
 
     /** Whether a process was started and has ended. Any thread. */
     boolean hasEnded(int proxy) {
-        return process(proxy).map(process -> !process.isAlive()).orElse(false);
+        return findProcess(proxy).map(process -> !process.isAlive()).orElse(false);
     }
 
     /** A process has been seen to serve. */
-    void seenServing(int proxy) {
+    void markServing(int proxy) {
         served[proxy] = true;
     }
 
     /** Ends a process with SIGKILL, without a drain. */
     void kill(int proxy) {
         killed[proxy] = true;
-        process(proxy).ifPresent(Process::destroyForcibly);
+        findProcess(proxy).ifPresent(Process::destroyForcibly);
     }
 
     /** Lets a process drain and end, with SIGTERM. */
     void stop(int proxy) {
         resume(proxy);
-        process(proxy).ifPresent(Process::destroy);
+        findProcess(proxy).ifPresent(Process::destroy);
     }
 
     /** Suspends a process with its sockets open, with SIGSTOP. */
@@ -243,7 +243,7 @@
 
     /** Seconds of a core that a process has used since its start; 0 where that is unknown. */
     double cpuSeconds(int proxy) {
-        return process(proxy)
+        return findProcess(proxy)
                         .flatMap(process -> process.info().totalCpuDuration())
                         .map(Duration::toNanos)
                         .orElse(0L)
@@ -274,18 +274,22 @@
         }
         for (int proxy = 0; proxy < processes.length; proxy++) {
             if (processes[proxy] != null) {
-                awaitEnd(proxy, crashed[proxy]).ifPresent(problems::add);
+                awaitExit(proxy, crashed[proxy]).ifPresent(problems::add);
             }
         }
         return List.copyOf(problems);
     }
 
-    private Optional<String> awaitEnd(int proxy, boolean crashed) throws InterruptedException {
+    private Optional<String> awaitExit(int proxy, boolean crashed) throws InterruptedException {
         Process process = processes[proxy];
-        if (!process.waitFor(DRAIN_SECONDS, TimeUnit.SECONDS)) {
+        if (!process.waitFor(DRAIN_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             kill(proxy);
             return Optional.of(
-                    "proxy " + proxy + " had not ended " + DRAIN_SECONDS + " s after SIGTERM");
+                    "proxy "
+                            + proxy
+                            + " had not ended "
+                            + DRAIN_TIMEOUT_SECONDS
+                            + " s after SIGTERM");
         }
         if (crashed || process.exitValue() != 0) {
             return Optional.of(
--- a/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
@@ -16,7 +16,7 @@
  */
 final class SoakPlanner {
     /** The length of a day. */
-    private static final double DAY_SECONDS = 14;
+    private static final double RUN_SECONDS = 14;
 
     /** At the start of the day, in which no fault begins. */
     private static final double QUIET_START_SECONDS = 0.5;
@@ -40,7 +40,7 @@
     private static final int IDLE_CLIENTS_PER_PROXY = 150;
 
     /** The share of days that have idle clients. */
-    private static final double IDLE_CLIENTS_SHARE = 0.4;
+    private static final double IDLE_CLIENTS_PROBABILITY = 0.4;
 
     /** The share of datagrams that is lost where datagrams are lost. */
     private static final double LOSS_SHARE = 0.3;
@@ -62,9 +62,9 @@
         int proxies = 3 + random.nextInt(3);
         Scenario scenario = drawScenario(proxies);
         List<Fault> faults = drawFaults(proxies);
-        boolean hasIdleClients = random.nextDouble() < IDLE_CLIENTS_SHARE;
+        boolean hasIdleClients = random.nextDouble() < IDLE_CLIENTS_PROBABILITY;
         if (withSignals) {
-            faults.addAll(drawSignals(proxies));
+            faults.addAll(drawSignalFaults(proxies));
         }
         Experiment experiment =
                 new Experiment(
@@ -84,10 +84,10 @@
     }
 
     /** After all that is drawn for a day without them, so that the rest of a seed's day stays. */
-    private List<Fault> drawSignals(int proxies) {
+    private List<Fault> drawSignalFaults(int proxies) {
         return List.of(
-                faultOfProcesses(Fault.Kind.SIGNAL_SERIES, drawProxy(proxies), 0.5, 3),
-                faultOfProcesses(Fault.Kind.INTERRUPTED_START, drawProxy(proxies), 0.1, 1));
+                drawProcessFault(Fault.Kind.SIGNAL_SERIES, drawProxy(proxies), 0.5, 3),
+                drawProcessFault(Fault.Kind.INTERRUPTED_START, drawProxy(proxies), 0.1, 1));
     }
 
     private Scenario drawScenario(int proxies) {
@@ -108,7 +108,7 @@
                 0,
                 0.1,
                 2,
-                DAY_SECONDS,
+                RUN_SECONDS,
                 seed,
                 drawBackendFaults());
     }
@@ -118,7 +118,7 @@
     }
 
     private double drawStart() {
-        return drawBetween(QUIET_START_SECONDS, DAY_SECONDS - QUIET_END_SECONDS);
+        return drawBetween(QUIET_START_SECONDS, RUN_SECONDS - QUIET_END_SECONDS);
     }
 
     private List<BackendFault> drawBackendFaults() {
@@ -132,18 +132,18 @@
 
     private BackendFault drawBackendFault() {
         return switch (random.nextInt(8)) {
-            case 0 -> faultOfSome(BackendFault.Kind.DEPLOY, 3, 6, 0.3, 0.7, 1);
-            case 1 -> faultOfSome(BackendFault.Kind.CRASH, 0.5, 4, 0.1, 0.3, 1);
-            case 2 -> faultOfSome(BackendFault.Kind.VANISH, 0.5, 4, 0.1, 0.3, 1);
-            case 3 -> faultOfSome(BackendFault.Kind.STALL, 0.5, 4, 0.2, 0.6, 1);
-            case 4 -> faultOfSome(BackendFault.Kind.SLOW, 2, 5, 0.1, 0.3, 5);
-            case 5 -> faultOfSome(BackendFault.Kind.ERRORS, 1, 4, 0.1, 0.3, 0.5);
-            case 6 -> faultOfAll(BackendFault.Kind.BURST, 0.5, 2, 3);
-            default -> faultOfAll(BackendFault.Kind.SILENCE, 1, 5, 1);
+            case 0 -> drawFaultOfSomeBackends(BackendFault.Kind.DEPLOY, 3, 6, 0.3, 0.7, 1);
+            case 1 -> drawFaultOfSomeBackends(BackendFault.Kind.CRASH, 0.5, 4, 0.1, 0.3, 1);
+            case 2 -> drawFaultOfSomeBackends(BackendFault.Kind.VANISH, 0.5, 4, 0.1, 0.3, 1);
+            case 3 -> drawFaultOfSomeBackends(BackendFault.Kind.STALL, 0.5, 4, 0.2, 0.6, 1);
+            case 4 -> drawFaultOfSomeBackends(BackendFault.Kind.SLOW, 2, 5, 0.1, 0.3, 5);
+            case 5 -> drawFaultOfSomeBackends(BackendFault.Kind.ERRORS, 1, 4, 0.1, 0.3, 0.5);
+            case 6 -> drawFaultOfAllBackends(BackendFault.Kind.BURST, 0.5, 2, 3);
+            default -> drawFaultOfAllBackends(BackendFault.Kind.SILENCE, 1, 5, 1);
         };
     }
 
-    private BackendFault faultOfSome(
+    private BackendFault drawFaultOfSomeBackends(
             BackendFault.Kind kind,
             double minSeconds,
             double maxSeconds,
@@ -156,7 +156,7 @@
         return new BackendFault(kind, start, seconds, share, strength);
     }
 
-    private BackendFault faultOfAll(
+    private BackendFault drawFaultOfAllBackends(
             BackendFault.Kind kind, double minSeconds, double maxSeconds, double strength) {
         double start = drawStart();
         double seconds = drawBetween(minSeconds, maxSeconds);
@@ -166,7 +166,7 @@
     /** On each day at least one process gets SIGTERM. */
     private List<Fault> drawFaults(int proxies) {
         List<Fault> faults = new ArrayList<>();
-        faults.add(faultOfProcesses(Fault.Kind.TERMINATE, drawProxy(proxies), 0.5, 3));
+        faults.add(drawProcessFault(Fault.Kind.TERMINATE, drawProxy(proxies), 0.5, 3));
         int moreCount = 1 + random.nextInt(3);
         for (int i = 0; i < moreCount; i++) {
             faults.add(drawFault(drawProxy(proxies)));
@@ -180,17 +180,17 @@
 
     private Fault drawFault(String proxy) {
         return switch (random.nextInt(8)) {
-            case 0 -> faultOfProcesses(Fault.Kind.TERMINATE, "50%", 0.5, 3);
-            case 1 -> faultOfProcesses(Fault.Kind.KILL, proxy, 0.2, 2);
-            case 2 -> faultOfProcesses(Fault.Kind.PAUSE, proxy, 0.1, 1);
-            case 3, 4 -> faultOfProcesses(Fault.Kind.HANG_UP, "all", 0.01, 2);
-            case 5 -> faultBetween(Fault.Channel.DISCOVERY, Fault.Kind.CUT, proxy);
-            case 6 -> faultBetween(Fault.Channel.DATAGRAMS, Fault.Kind.CUT, proxy);
-            default -> faultBetween(Fault.Channel.DATAGRAMS, Fault.Kind.LOSE, "all");
+            case 0 -> drawProcessFault(Fault.Kind.TERMINATE, "50%", 0.5, 3);
+            case 1 -> drawProcessFault(Fault.Kind.KILL, proxy, 0.2, 2);
+            case 2 -> drawProcessFault(Fault.Kind.PAUSE, proxy, 0.1, 1);
+            case 3, 4 -> drawProcessFault(Fault.Kind.HANG_UP, "all", 0.01, 2);
+            case 5 -> drawChannelFault(Fault.Channel.DISCOVERY, Fault.Kind.CUT, proxy);
+            case 6 -> drawChannelFault(Fault.Channel.DATAGRAMS, Fault.Kind.CUT, proxy);
+            default -> drawChannelFault(Fault.Channel.DATAGRAMS, Fault.Kind.LOSE, "all");
         };
     }
 
-    private Fault faultOfProcesses(
+    private Fault drawProcessFault(
             Fault.Kind kind, String target, double minSeconds, double maxSeconds) {
         double seconds = drawBetween(minSeconds, maxSeconds);
         return new Fault(
@@ -205,7 +205,7 @@
                 0);
     }
 
-    private Fault faultBetween(Fault.Channel channel, Fault.Kind kind, String target) {
+    private Fault drawChannelFault(Fault.Channel channel, Fault.Kind kind, String target) {
         double seconds = drawBetween(1, 5);
         return new Fault(
                 kind,
--- a/src/main/java/lemondrift/lab/fleet/SoakRun.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakRun.java
@@ -28,7 +28,7 @@
      */
     public record Plan(long seed, Experiment experiment, int idleClientsPerProxy) {
         /** One line on what is drawn. */
-        public String about() {
+        public String describe() {
             Scenario scenario = experiment.scenario();
             StringBuilder text =
                     new StringBuilder(
@@ -67,7 +67,7 @@
     }
 
     /** What one day came to; wrong has a line on each fault of the proxies, empty for none. */
-    public record Verdict(Plan plan, RunResult figures, List<String> wrong) {}
+    public record Outcome(Plan plan, RunResult result, List<String> violations) {}
 
     /** Draws the day of a seed. */
     public static Plan plan(long seed) {
@@ -86,13 +86,13 @@
      * @throws IOException where a socket cannot be opened
      * @throws IllegalStateException where the day cannot be played to its end
      */
-    public static Verdict play(Plan plan, ProcessLauncher launcher, Consumer<String> progress)
+    public static Outcome run(Plan plan, ProcessLauncher launcher, Consumer<String> progress)
             throws IOException, InterruptedException {
         try (FleetTestbed testbed =
                 FleetTestbed.withProxies(plan.experiment, plan.seed, launcher, progress)) {
             testbed.start();
             testbed.connectIdleClients(plan.idleClientsPerProxy);
-            FleetTestbed.DayOutcome outcome = testbed.play();
+            FleetTestbed.RunOutcome outcome = testbed.run();
             List<String> wrong = new ArrayList<>();
             outcome.brokenRule().ifPresent(wrong::add);
             long overloaded = outcome.result().overloadedColdBackends;
@@ -100,7 +100,7 @@
                 wrong.add(overloaded + " cold backends pushed over");
             }
             wrong.addAll(testbed.stop());
-            return new Verdict(plan, outcome.result(), wrong);
+            return new Outcome(plan, outcome.result(), wrong);
         }
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/TestbedContext.java
+++ b/src/main/java/lemondrift/lab/fleet/TestbedContext.java
@@ -37,17 +37,17 @@
     /**
      * Starts the I/O thread and makes the folder.
      *
-     * @param judgedRules how many rules the recorder judges by, the first ones
+     * @param checkedRules how many rules the recorder judges by, the first ones
      * @throws IOException where that fails
      */
     static TestbedContext create(
-            Scenario scenario, long seed, int judgedRules, Supplier<FaultPlan> currentFaultPlan)
+            Scenario scenario, long seed, int checkedRules, Supplier<FaultPlan> currentFaultPlan)
             throws IOException {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         Path folder = Files.createTempDirectory("lemondrift-fleet");
         XnioWorker worker = createWorker();
         RealTimeScheduler scheduler = new RealTimeScheduler(worker.getIoThread());
-        OutcomeRecorder recorder = new OutcomeRecorder(scenario, judgedRules, scheduler::now);
+        OutcomeRecorder recorder = new OutcomeRecorder(scenario, checkedRules, scheduler::now);
         return new TestbedContext(
                 scenario, seed, random, worker, scheduler, recorder, currentFaultPlan, folder);
     }
--- a/src/main/java/lemondrift/lab/fleet/TestbedProxies.java
+++ b/src/main/java/lemondrift/lab/fleet/TestbedProxies.java
@@ -42,7 +42,7 @@
     void addUsageTo(RunResult result, double durationSeconds);
 
     /** Guards against a result that is handed out before what the processes used is in it. */
-    void awaitProcessWork() throws InterruptedException;
+    void awaitProcessTasks() throws InterruptedException;
 
     /** Where a proxy listens for clients. */
     InetSocketAddress listenAddress(int proxy);
--- a/src/main/java/lemondrift/lab/fleet/DayPlayer.java
+++ b/src/main/java/lemondrift/lab/fleet/TestbedRunner.java
@@ -7,7 +7,7 @@
 import lemondrift.lab.simulation.RunResult;
 
 /** Plays one day of a testbed and measures it. Not on the I/O thread. */
-final class DayPlayer {
+final class TestbedRunner {
     /** How often it is measured how much the backends are able to serve. */
     private static final double CAPACITY_INTERVAL_SECONDS = 0.1;
 
@@ -23,7 +23,7 @@
      * @param startAt the time from which its figures count
      * @param faultPlan the faults of processes and between them
      */
-    record Day(
+    record MeasuredRun(
             double startAt,
             double durationSeconds,
             List<BackendFault> backendFaults,
@@ -42,7 +42,7 @@
     private final TestbedProxies proxies;
     private final Consumer<String> progress;
 
-    DayPlayer(
+    TestbedRunner(
             TestbedContext context,
             ClientFleet clientFleet,
             BackendFleet backendFleet,
@@ -64,31 +64,31 @@
      *
      * @throws IllegalStateException where that takes too long, or something failed
      */
-    FleetTestbed.DayOutcome play(Day day) throws InterruptedException {
+    FleetTestbed.RunOutcome run(MeasuredRun measuredRun) throws InterruptedException {
         scheduler.run(
                 () -> {
                     clientFleet.start();
-                    scheduler.at(day.startAt, () -> startDay(day));
+                    scheduler.at(measuredRun.startAt, () -> startRun(measuredRun));
                 });
-        reportProgressUntilEnd(day);
-        RunResult result = scheduler.call(recorder::endDay);
-        proxies.addUsageTo(result, day.durationSeconds);
+        reportProgressUntilEnd(measuredRun);
+        RunResult result = scheduler.call(recorder::endRun);
+        proxies.addUsageTo(result, measuredRun.durationSeconds);
         scheduler.run(clientFleet::stop);
         awaitOpenRequests();
         proxies.awaitOpen();
-        proxies.awaitProcessWork();
-        return new FleetTestbed.DayOutcome(
+        proxies.awaitProcessTasks();
+        return new FleetTestbed.RunOutcome(
                 scheduler.call(recorder::finishResult), scheduler.call(recorder::brokenRule));
     }
 
-    private void startDay(Day day) {
-        recorder.startDay();
-        measureCapacityUntil(day.endAt());
+    private void startRun(MeasuredRun measuredRun) {
+        recorder.startRun();
+        measureCapacityUntil(measuredRun.endAt());
         proxies.startUsageMeasurement();
-        for (BackendFault fault : day.backendFaults) {
+        for (BackendFault fault : measuredRun.backendFaults) {
             scheduler.after(fault.startAt(), () -> backendFaultInjector.startFault(fault));
         }
-        proxies.scheduleFaults(day.faultPlan, clientFleet);
+        proxies.scheduleFaults(measuredRun.faultPlan, clientFleet);
     }
 
     private void measureCapacityUntil(double end) {
@@ -101,17 +101,17 @@
         }
     }
 
-    private void reportProgressUntilEnd(Day day) throws InterruptedException {
+    private void reportProgressUntilEnd(MeasuredRun measuredRun) throws InterruptedException {
         int reportedSecond = -1;
-        while (scheduler.now() < day.endAt()) {
-            int second = (int) (scheduler.now() - day.startAt);
+        while (scheduler.now() < measuredRun.endAt()) {
+            int second = (int) (scheduler.now() - measuredRun.startAt);
             if (second > reportedSecond) {
                 reportedSecond = second;
                 progress.accept(
                         "playing, "
                                 + second
                                 + " of "
-                                + (int) day.durationSeconds
+                                + (int) measuredRun.durationSeconds
                                 + " s, open "
                                 + openRequests());
             }
@@ -120,7 +120,7 @@
     }
 
     private int openRequests() throws InterruptedException {
-        return scheduler.call(clientFleet::openRequests);
+        return scheduler.call(clientFleet::openRequestCount);
     }
 
     private void awaitOpenRequests() throws InterruptedException {
--- a/src/test/java/lemondrift/lab/fleet/ClientTryTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ClientTryTest.java
@@ -163,7 +163,7 @@
     }
 
     /** A first request is answered, and a second one is in flight on the same connection. */
-    private Socket sendOnKeptConnection(Idempotency idempotency) throws Exception {
+    private Socket sendOnReusedConnection(Idempotency idempotency) throws Exception {
         send("first", idempotency);
         proxies.get(FIRST).awaitRequest().getOutputStream().write(RESPONSE);
         awaitCount(1, true);
@@ -190,9 +190,9 @@
      * backend, which the recorder would blame on the proxies.
      */
     @Test
-    void repeatsNothingAtAnotherProxyAfterItsProxyWasKilled() throws Exception {
-        Socket inFlight = sendOnKeptConnection(Idempotency.NOT_IDEMPOTENT);
-        context.scheduler().run(() -> context.recorder().startExcuse(FIRST));
+    void doesNotResendAtAnotherProxyAfterItsProxyWasKilled() throws Exception {
+        Socket inFlight = sendOnReusedConnection(Idempotency.NOT_IDEMPOTENT);
+        context.scheduler().run(() -> context.recorder().markUnavailable(FIRST));
         inFlight.close();
         awaitCount(1, false);
         assertTrue(proxies.get(SECOND).requests.isEmpty(), "sent to the other proxy");
@@ -200,8 +200,8 @@
 
     /** An idle connection may be closed by a draining proxy just as a request is sent on it. */
     @Test
-    void sendsAgainAtAnotherProxyWhatCrossedTheCloseOfAnIdleConnection() throws Exception {
-        Socket inFlight = sendOnKeptConnection(Idempotency.NOT_IDEMPOTENT);
+    void resendsAtAnotherProxyWhenAnIdleConnectionClosesDuringSend() throws Exception {
+        Socket inFlight = sendOnReusedConnection(Idempotency.NOT_IDEMPOTENT);
         inFlight.close();
         proxies.get(SECOND).awaitRequest().getOutputStream().write(RESPONSE);
         awaitCount(2, true);
--- a/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void aCutBetweenLocationsFallsOnTheirPairsAndBothWaysOnlyWhereStated() {
+    void cutBetweenLocationsAffectsTheirPairsAndBothDirectionsOnlyIfStated() {
         Fault oneWay =
                 new Fault(
                         Fault.Kind.CUT,
@@ -31,11 +31,11 @@
                         1,
                         0);
         FaultPlan faults = plan(false, oneWay);
-        assertEquals(List.of(oneWay), faults.onDatagram(4, 1, 102));
-        assertEquals(List.of(), faults.onDatagram(1, 4, 102), "the way back");
-        assertEquals(List.of(), faults.onDatagram(4, 2, 102), "another location");
-        assertEquals(List.of(), faults.onDatagram(4, 1, 101.9), "before it");
-        assertEquals(List.of(), faults.onDatagram(4, 1, 105), "after it");
+        assertEquals(List.of(oneWay), faults.activeDatagramFaults(4, 1, 102));
+        assertEquals(List.of(), faults.activeDatagramFaults(1, 4, 102), "the way back");
+        assertEquals(List.of(), faults.activeDatagramFaults(4, 2, 102), "another location");
+        assertEquals(List.of(), faults.activeDatagramFaults(4, 1, 101.9), "before it");
+        assertEquals(List.of(), faults.activeDatagramFaults(4, 1, 105), "after it");
         Fault bothWays =
                 new Fault(
                         Fault.Kind.CUT,
@@ -47,11 +47,11 @@
                         3,
                         1,
                         0);
-        assertEquals(List.of(bothWays), plan(false, bothWays).onDatagram(1, 4, 102));
+        assertEquals(List.of(bothWays), plan(false, bothWays).activeDatagramFaults(1, 4, 102));
     }
 
     @Test
-    void proxiesThatMeetTheSameFaultsTowardsBackendsShareASegment() {
+    void proxiesWithTheSameBackendFaultsShareASegment() {
         Fault cut = Fleets.cut(Fault.Channel.BACKENDS, "location 2", "number 3", 2, 3);
         FaultPlan faults = plan(false, cut);
         assertEquals(2, faults.segmentCount());
@@ -64,15 +64,15 @@
     }
 
     @Test
-    void aShareIsDrawnFromTheSeedAndIsAtLeastOne() {
+    void affectedShareIsDrawnFromTheSeedAndIsAtLeastOneProxy() {
         Fault kill = Fleets.fault(Fault.Kind.KILL, "70%", "all", 0, 1, 1);
-        int[] killed = plan(false, kill).ofProcesses().get(0).affectedProxies();
+        int[] killed = plan(false, kill).processFaults().get(0).affectedProxies();
         assertEquals(6, killed.length);
-        assertArrayEquals(killed, plan(false, kill).ofProcesses().get(0).affectedProxies());
+        assertArrayEquals(killed, plan(false, kill).processFaults().get(0).affectedProxies());
         assertEquals(
                 1,
                 plan(false, Fleets.fault(Fault.Kind.KILL, "1%", "all", 0, 1, 1))
-                        .ofProcesses()
+                        .processFaults()
                         .get(0)
                         .affectedProxies()
                         .length);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void textThatNamesNoTargetIsNone() {
+    void invalidTargetTextGivesNull() {
         for (String text :
                 List.of("", "alle", "location", "location -1", "number x", "101%", "30", "%")) {
             assertNull(FaultTarget.parse(text), text);
--- a/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
@@ -23,7 +23,7 @@
 
 /** Four real processes with faults between them; the same ones over all days. */
 class FleetTestbedTest {
-    private static final int MAX_DAYS_TO_RECOVER = 10;
+    private static final int MAX_RUNS_TO_RECOVER = 10;
     private static FleetTestbed testbed;
 
     @BeforeAll
@@ -36,9 +36,9 @@
         Fleets.stop(testbed);
     }
 
-    private static RunResult play(List<BackendFault> backendFaults, Fault... faults)
+    private static RunResult run(List<BackendFault> backendFaults, Fault... faults)
             throws Exception {
-        return Fleets.play(testbed, backendFaults, faults);
+        return Fleets.run(testbed, backendFaults, faults);
     }
 
     /**
@@ -47,25 +47,25 @@
      */
     private static void assertRecovers() throws Exception {
         RunResult last = null;
-        for (int i = 0; i < MAX_DAYS_TO_RECOVER; i++) {
-            last = play(List.of());
+        for (int i = 0; i < MAX_RUNS_TO_RECOVER; i++) {
+            last = run(List.of());
             if (last.succeeded == last.clientRequests && last.rejected == 0) {
                 return;
             }
         }
-        fail("not as before after " + MAX_DAYS_TO_RECOVER + " calm days: " + last);
+        fail("not as before after " + MAX_RUNS_TO_RECOVER + " calm days: " + last);
     }
 
-    private static void assertAllAnswered(RunResult day) {
-        assertEquals(0, day.unanswered, day.toString());
-        assertEquals(0, day.unreached, day.toString());
-        assertTrue(day.clientRequests > 0 && day.succeeded > 0, day.toString());
+    private static void assertAllAnswered(RunResult result) {
+        assertEquals(0, result.unanswered, result.toString());
+        assertEquals(0, result.unreached, result.toString());
+        assertTrue(result.clientRequests > 0 && result.succeeded > 0, result.toString());
     }
 
     @Test
-    void noResponseIsLostWhenDatagramsAreCutLostDuplicatedLateOrHostile() throws Exception {
+    void noResponseIsLostWhenDatagramsAreCutLostDuplicatedDelayedOrInvalid() throws Exception {
         assertAllAnswered(
-                play(
+                run(
                         List.of(),
                         fault(Kind.CUT, "location 0", "location 1", 0, 3, 1),
                         fault(Kind.LOSE, "all", "all", 1, 4, 0.3),
@@ -81,9 +81,9 @@
      * processes used.
      */
     @Test
-    void resultIsCompleteThoughTheProcessThreadIsBusyAsTheDayEnds() throws Exception {
+    void resultIsCompleteWhenTheProcessThreadIsBusyAtTheEndOfTheRun() throws Exception {
         // The first day of a testbed has a longer lead than all others.
-        play(List.of());
+        run(List.of());
         CountDownLatch busyUntil = new CountDownLatch(1);
         CompletableFuture<Void> release =
                 CompletableFuture.runAsync(
@@ -93,7 +93,7 @@
                 CompletableFuture.runAsync(
                         () -> testbed.runOnProcessThread(() -> await(busyUntil)),
                         CompletableFuture.delayedExecutor(1500, TimeUnit.MILLISECONDS));
-        RunResult day = play(List.of());
+        RunResult day = run(List.of());
         assertTrue(day.gossipMessages > 0, day.toString());
         assertTrue(day.cpuShare > 0 && day.memoryMegabytes > 0, day.toString());
         CompletableFuture.allOf(hold, release).join();
@@ -109,16 +109,16 @@
 
     @Test
     void recoversAfterAllGossipIsCut() throws Exception {
-        RunResult day = play(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
+        RunResult day = run(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
         assertAllAnswered(day);
         assertTrue(day.gossipMessages > 0, "they go on gossiping");
         assertRecovers();
     }
 
     @Test
-    void recoversAfterAKillWithOldDatagramsStillOnTheirWay() throws Exception {
+    void recoversAfterAKillWhileOldDatagramsAreInFlight() throws Exception {
         RunResult day =
-                play(
+                run(
                         List.of(),
                         fault(Kind.LATE, "all", "all", 0, 5, 1),
                         fault(Kind.KILL, "number 1", "all", 1, 0.5, 1));
@@ -128,14 +128,14 @@
 
     @Test
     void recoversAfterAPause() throws Exception {
-        play(List.of(), fault(Kind.PAUSE, "number 2", "all", 1, 3, 1));
+        run(List.of(), fault(Kind.PAUSE, "number 2", "all", 1, 3, 1));
         assertRecovers();
     }
 
     @Test
     void recoversAfterARollingRestartDuringADeployWithDiscoveryCut() throws Exception {
         RunResult day =
-                play(
+                run(
                         List.of(new BackendFault(BackendFault.Kind.DEPLOY, 0.5, 3, 0.5, 1)),
                         fault(Kind.ROLL, "all", "all", 0.5, 4, 1),
                         cut(Fault.Channel.DISCOVERY, "30%", "all", 1, 2));
@@ -149,7 +149,7 @@
     @Test
     void noResponseIsLostWhenABackendIsCutOffFromOneProxy() throws Exception {
         assertAllAnswered(
-                play(
+                run(
                         List.of(),
                         cut(Fault.Channel.BACKENDS, "number 0", "number 3", 0.5, 3),
                         cut(Fault.Channel.BACKENDS, "location 1", "number 2", 1, 3)));
@@ -158,13 +158,13 @@
 
     /** The baselines play the same file, and there is no process for its faults to fall on. */
     @Test
-    void aPolicyWithoutProxiesPlaysADayWithProcessFaults() throws Exception {
+    void policyWithoutProxiesIgnoresProcessFaults() throws Exception {
         try (FleetTestbed direct =
                 FleetTestbed.withoutProxies(
                         Fleets.experiment(0.4), 1, Baseline.Kind.ORACLE, line -> {})) {
             direct.start();
-            FleetTestbed.DayOutcome day =
-                    direct.play(List.of(), List.of(fault(Kind.KILL, "all", "all", 0, 1, 1)), 1);
+            FleetTestbed.RunOutcome day =
+                    direct.run(List.of(), List.of(fault(Kind.KILL, "all", "all", 0, 1, 1)), 1);
             assertEquals(Optional.empty(), day.brokenRule());
             assertEquals(
                     day.result().clientRequests, day.result().succeeded, day.result().toString());
@@ -173,9 +173,9 @@
     }
 
     @Test
-    void noResponseIsLostWhenBackendsCrashVanishAndFailAtOnce() throws Exception {
+    void noResponseIsLostWhenBackendsCrashVanishAndFailAtTheSameTime() throws Exception {
         RunResult day =
-                play(
+                run(
                         List.of(
                                 new BackendFault(BackendFault.Kind.CRASH, 0.5, 2, 0.2, 1),
                                 new BackendFault(BackendFault.Kind.VANISH, 1, 2, 0.2, 1),
--- a/src/test/java/lemondrift/lab/fleet/Fleets.java
+++ b/src/test/java/lemondrift/lab/fleet/Fleets.java
@@ -20,8 +20,8 @@
     static final int PROXIES = 4;
     static final int BACKENDS = 6;
 
-    private static final double DAY_SECONDS = 5;
-    private static final double DAY_WITHOUT_FAULTS_SECONDS = 2;
+    private static final double RUN_SECONDS = 5;
+    private static final double RUN_WITHOUT_FAULTS_SECONDS = 2;
     private static final double WORK_SECONDS = 0.05;
 
     private Fleets() {}
@@ -91,7 +91,12 @@
     }
 
     static Fault fault(
-            Fault.Kind kind, String from, String to, double at, double lasts, double share) {
+            Fault.Kind kind,
+            String from,
+            String to,
+            double at,
+            double durationSeconds,
+            double share) {
         return new Fault(
                 kind,
                 Fault.Channel.DATAGRAMS,
@@ -99,12 +104,13 @@
                 FaultTarget.parse(to),
                 true,
                 at,
-                lasts,
+                durationSeconds,
                 share,
                 0.3);
     }
 
-    static Fault cut(Fault.Channel channel, String from, String to, double at, double lasts) {
+    static Fault cut(
+            Fault.Channel channel, String from, String to, double at, double durationSeconds) {
         return new Fault(
                 Fault.Kind.CUT,
                 channel,
@@ -112,17 +118,17 @@
                 FaultTarget.parse(to),
                 false,
                 at,
-                lasts,
+                durationSeconds,
                 1,
                 0);
     }
 
     /** Plays a day with these faults, and checks that all rules are kept. */
-    static RunResult play(FleetTestbed testbed, List<BackendFault> backendFaults, Fault... faults)
+    static RunResult run(FleetTestbed testbed, List<BackendFault> backendFaults, Fault... faults)
             throws Exception {
-        double durationSeconds = faults.length > 0 ? DAY_SECONDS : DAY_WITHOUT_FAULTS_SECONDS;
-        FleetTestbed.DayOutcome outcome =
-                testbed.play(backendFaults, List.of(faults), durationSeconds);
+        double durationSeconds = faults.length > 0 ? RUN_SECONDS : RUN_WITHOUT_FAULTS_SECONDS;
+        FleetTestbed.RunOutcome outcome =
+                testbed.run(backendFaults, List.of(faults), durationSeconds);
         assertEquals(Optional.empty(), outcome.brokenRule());
         return outcome.result();
     }
--- a/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
+++ b/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
@@ -24,7 +24,7 @@
 
 /** Four real processes that are killed, with snapshots on a disk that is kept. */
 class RecoveryProcessTest {
-    private static final int MAX_DAYS_TO_RECOVER = 12;
+    private static final int MAX_RUNS_TO_RECOVER = 12;
     private static final BackendFault CRASH_OF_ALL_BACKENDS =
             new BackendFault(BackendFault.Kind.CRASH, 1, 0.5, 1, 1);
     private static FleetTestbed testbed;
@@ -42,9 +42,9 @@
         Fleets.stop(testbed);
     }
 
-    private static RunResult play(List<BackendFault> backendFaults, Fault... faults)
+    private static RunResult run(List<BackendFault> backendFaults, Fault... faults)
             throws Exception {
-        RunResult day = Fleets.play(testbed, backendFaults, faults);
+        RunResult day = Fleets.run(testbed, backendFaults, faults);
         assertEquals(
                 0,
                 day.overloadedColdBackends,
@@ -58,8 +58,8 @@
      */
     private static void assertRecovers() throws Exception {
         RunResult last = null;
-        for (int i = 0; i < MAX_DAYS_TO_RECOVER; i++) {
-            last = play(List.of());
+        for (int i = 0; i < MAX_RUNS_TO_RECOVER; i++) {
+            last = run(List.of());
             if (last.succeeded == last.clientRequests
                     && last.rejected == 0
                     && IntStream.range(0, Fleets.PROXIES)
@@ -67,7 +67,7 @@
                 return;
             }
         }
-        fail("not as before after " + MAX_DAYS_TO_RECOVER + " calm days: " + last);
+        fail("not as before after " + MAX_RUNS_TO_RECOVER + " calm days: " + last);
     }
 
     private static List<String> log(int proxy) {
@@ -96,15 +96,15 @@
     }
 
     @Test
-    void recoversWhenAllAreKilledAndTheBackendsStayWarm() throws Exception {
-        play(List.of(), fault(Kind.KILL, "all", "all", 1, 0.3, 1));
+    void recoversWhenAllProxiesAreKilledAndTheBackendsStayWarm() throws Exception {
+        run(List.of(), fault(Kind.KILL, "all", "all", 1, 0.3, 1));
         assertRecovers();
     }
 
     @Test
-    void recoversWhenAllAreKilledAndAllBackendsRestartTwice() throws Exception {
+    void recoversWhenAllProxiesAreKilledAndAllBackendsRestartTwice() throws Exception {
         BackendFault secondCrash = new BackendFault(BackendFault.Kind.CRASH, 3.5, 0.5, 1, 1);
-        play(
+        run(
                 List.of(CRASH_OF_ALL_BACKENDS, secondCrash),
                 fault(Kind.KILL, "all", "all", 1, 0.3, 1),
                 fault(Kind.KILL, "all", "all", 3.5, 0.3, 1));
@@ -112,8 +112,8 @@
     }
 
     @Test
-    void recoversWhenAllAreKilledDuringADeployWithDiscoveryCut() throws Exception {
-        play(
+    void recoversWhenAllProxiesAreKilledDuringADeployWithDiscoveryCut() throws Exception {
+        run(
                 List.of(
                         CRASH_OF_ALL_BACKENDS,
                         new BackendFault(BackendFault.Kind.DEPLOY, 1.5, 2, 0.3, 1)),
@@ -123,8 +123,8 @@
     }
 
     @Test
-    void recoversWhenHalfStartsLaterAndTheHalvesAreCutOffFromEachOther() throws Exception {
-        play(
+    void recoversWhenHalfTheProxiesStartLaterAndTheHalvesCannotReachEachOther() throws Exception {
+        run(
                 List.of(CRASH_OF_ALL_BACKENDS),
                 fault(Kind.KILL, "location 0", "all", 1, 0.3, 1),
                 fault(Kind.KILL, "location 1", "all", 1, 2.5, 1),
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void oneProxyRecoversFromItsPeersWhenItsSnapshotIsBadAndOldDatagramsComeLate()
+    void proxyRecoversFromPeersWhenItsSnapshotIsUnreadableAndOldDatagramsArriveLate()
             throws Exception {
         assertRecovers();
         long recoveriesBefore = countLines(2, "recovery begins");
@@ -148,7 +148,7 @@
                 // The proxy has just written another one.
             }
         }
-        play(
+        run(
                 List.of(),
                 fault(Kind.LATE, "number 2", "all", 0, 5, 1),
                 fault(Kind.KILL, "number 2", "all", 1, 0.5, 1));
@@ -164,8 +164,8 @@
     }
 
     @Test
-    void startNumberRisesWithEachStart() throws Exception {
-        play(List.of(), fault(Kind.STOP, "number 1", "all", 0.5, 1, 1));
+    void startNumberIncreasesWithEachStart() throws Exception {
+        run(List.of(), fault(Kind.STOP, "number 1", "all", 0.5, 1, 1));
         assertRecovers();
         long[] startNumbers =
                 log(1).stream()
--- a/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
@@ -44,7 +44,7 @@
                                                             + "/api"))
                                     .header(
                                             "X-Trace-Id",
-                                            BackendRequestHandler.UNJUDGED_TRACE_ID_PREFIX
+                                            BackendRequestHandler.UNCHECKED_TRACE_ID_PREFIX
                                                     + ++requestCount)
                                     .header("X-Qos", "fresh")
                                     .header("X-Expires-In-Ms", "4000")
@@ -78,17 +78,18 @@
 
     /** Guards against a peers file that is missing or broken and so blocks new settings. */
     @Test
-    void newSettingsAreUsedWhateverBecomesOfThePeersFile(@TempDir Path folder) throws Exception {
+    void newSettingsAreUsedEvenIfThePeersFileIsMissingOrBroken(@TempDir Path folder)
+            throws Exception {
         Path peers = folder.resolve("peers.json");
         String validPeers = Files.readString(Path.of("deploy/peers.json"));
         Files.writeString(peers, validPeers);
         testbed = Fleets.start(0.3, peers);
         try (FleetTestbed closing = testbed) {
-            CompletableFuture<FleetTestbed.DayOutcome> traffic =
+            CompletableFuture<FleetTestbed.RunOutcome> traffic =
                     CompletableFuture.supplyAsync(
                             () -> {
                                 try {
-                                    return testbed.play(List.of(), List.of(), 8);
+                                    return testbed.run(List.of(), List.of(), 8);
                                 } catch (InterruptedException e) {
                                     throw new IllegalStateException(e);
                                 }
@@ -103,12 +104,12 @@
                         Files.writeString(
                                 peers, i % 5 == 0 ? validPeers : "{\"pace\": \"no number\"");
                         Files.writeString(config, changed);
-                        testbed.hangUp(0);
+                        testbed.reload(0);
                         await("the new class is known", () -> statusOfNewClass() == 200);
                     }
                     case 1 -> {
                         Files.writeString(config, changed.substring(0, changed.length() / 2));
-                        testbed.hangUp(0);
+                        testbed.reload(0);
                         await(
                                 "the broken file is refused",
                                 () -> countRejectedConfigurations() > before);
@@ -117,12 +118,12 @@
                     default -> {
                         Files.deleteIfExists(peers);
                         Files.writeString(config, original);
-                        testbed.hangUp(0);
+                        testbed.reload(0);
                         await("the class is gone", () -> statusOfNewClass() == 400);
                     }
                 }
             }
-            FleetTestbed.DayOutcome outcome = traffic.get();
+            FleetTestbed.RunOutcome outcome = traffic.get();
             assertEquals(Optional.empty(), outcome.brokenRule());
             assertEquals(
                     outcome.result().clientRequests,
--- a/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
+++ b/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
@@ -15,45 +15,44 @@
 class SoakRunTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void allRulesAreKeptAndAllProcessesEndWithZero(long seed) throws Exception {
-        assertAllRulesAreKeptAndAllProcessesEndWithZero(seed);
+    void allRulesHoldAndAllProcessesExitWithZero(long seed) throws Exception {
+        assertAllRulesHoldAndAllProcessesExitWithZero(seed);
     }
 
     /** A process is told to read its configuration again while it still starts. */
     @Test
-    void allProcessesEndWithZeroWhereReloadSignalComesDuringTheStart() throws Exception {
-        assertAllRulesAreKeptAndAllProcessesEndWithZero(3);
+    void allProcessesExitWithZeroWhenAReloadSignalArrivesDuringTheStart() throws Exception {
+        assertAllRulesHoldAndAllProcessesExitWithZero(3);
     }
 
     /** Guards against a process that signals in series end early, late or not with zero. */
     @Test
-    void allRulesAreKeptWhereSignalsComeInSeriesAndStartsAreInterrupted() throws Exception {
-        assertAllRulesAreKeptAndAllProcessesEndWithZero(SoakRun.planWithSignals(4));
+    void allRulesHoldWhenSignalsArriveInSeriesAndStartsAreInterrupted() throws Exception {
+        assertAllRulesHoldAndAllProcessesExitWithZero(SoakRun.planWithSignals(4));
     }
 
-    private static void assertAllRulesAreKeptAndAllProcessesEndWithZero(long seed)
-            throws Exception {
-        assertAllRulesAreKeptAndAllProcessesEndWithZero(SoakRun.plan(seed));
+    private static void assertAllRulesHoldAndAllProcessesExitWithZero(long seed) throws Exception {
+        assertAllRulesHoldAndAllProcessesExitWithZero(SoakRun.plan(seed));
     }
 
-    private static void assertAllRulesAreKeptAndAllProcessesEndWithZero(SoakRun.Plan plan)
+    private static void assertAllRulesHoldAndAllProcessesExitWithZero(SoakRun.Plan plan)
             throws Exception {
         ProcessLauncher launcher =
                 Fleets.launcher(Path.of("deploy/peers.json"), Path.of("deploy/recovery.json"));
-        SoakRun.Verdict verdict = SoakRun.play(plan, launcher, line -> {});
-        assertEquals(List.of(), verdict.wrong(), plan.about());
-        assertTrue(verdict.figures().succeeded > 0, plan.about());
+        SoakRun.Outcome verdict = SoakRun.run(plan, launcher, line -> {});
+        assertEquals(List.of(), verdict.violations(), plan.describe());
+        assertTrue(verdict.result().succeeded > 0, plan.describe());
     }
 
     @Test
-    void aSeedDrawsTheSameDayEveryTime() {
+    void sameSeedDrawsTheSameRunEveryTime() {
         for (long seed = 0; seed < 50; seed++) {
-            assertEquals(SoakRun.plan(seed).about(), SoakRun.plan(seed).about());
-            String withSignals = SoakRun.planWithSignals(seed).about();
-            assertEquals(withSignals, SoakRun.planWithSignals(seed).about());
-            assertTrue(withSignals.startsWith(SoakRun.plan(seed).about()), withSignals);
+            assertEquals(SoakRun.plan(seed).describe(), SoakRun.plan(seed).describe());
+            String withSignals = SoakRun.planWithSignals(seed).describe();
+            assertEquals(withSignals, SoakRun.planWithSignals(seed).describe());
+            assertTrue(withSignals.startsWith(SoakRun.plan(seed).describe()), withSignals);
         }
-        assertNotEquals(SoakRun.plan(1).about(), SoakRun.plan(2).about());
+        assertNotEquals(SoakRun.plan(1).describe(), SoakRun.plan(2).describe());
         assertTrue(
                 SoakRun.plan(1).experiment().faults().stream()
                         .anyMatch(fault -> fault.kind() == Fault.Kind.TERMINATE));
