--- a/src/main/java/lemondrift/connection/ConnectionPolicy.java
+++ b/src/main/java/lemondrift/connection/ConnectionPolicy.java
@@ -280,12 +280,13 @@
     public double startReadPause(int connection, double now) {
         double time = pauseClock.runningTime(now);
         connections.enter(connection, ConnectionState.READ_PAUSED, time);
-        double rejections =
+        double invalidRequests =
                 Math.max(
                         connections.consecutiveInvalidRequests[connection],
                         connections.sources[connection].netCost(time, limits.halfLifeSeconds()));
         double pauseSeconds =
-                limits.firstReadPauseSeconds() * Math.scalb(1.0, (int) Math.max(0, rejections - 1));
+                limits.firstReadPauseSeconds()
+                        * Math.scalb(1.0, (int) Math.max(0, invalidRequests - 1));
         return Math.min(limits.maxReadPauseSeconds(), pauseSeconds);
     }
 
--- a/src/main/java/lemondrift/gossip/SubsetAssignment.java
+++ b/src/main/java/lemondrift/gossip/SubsetAssignment.java
@@ -244,8 +244,8 @@
 
     private void rankAllActive(int proxy) {
         ranked[proxy].clear();
-        for (int place = 0; place < active.size(); place++) {
-            ranked[proxy].add(key(proxy, active.get(place)));
+        for (int position = 0; position < active.size(); position++) {
+            ranked[proxy].add(key(proxy, active.get(position)));
         }
     }
 }
--- a/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
+++ b/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
@@ -72,7 +72,7 @@
     /** Applies the next slice of the oldest list. At least one list must be pending. */
     void applyNextSlice() {
         EndpointListUpdate list = pendingLists.peek();
-        List<EndpointUpdate> updates = peers.withSubsets(list.nextSlice());
+        List<EndpointUpdate> updates = peers.assignSubsets(list.nextSlice());
         shadow.endpointsListed(list.isKnownBeforeStart(), updates);
         balancer.endpointsChanged(clock.now(), false, updates);
         peers.endpointsApplied(updates);
--- a/src/main/java/lemondrift/proxy/loop/PeerExchange.java
+++ b/src/main/java/lemondrift/proxy/loop/PeerExchange.java
@@ -99,7 +99,7 @@
      * theirs has changed; returns the argument unchanged if gossip is disabled or there are no
      * updates.
      */
-    List<EndpointUpdate> withSubsets(List<EndpointUpdate> updates) {
+    List<EndpointUpdate> assignSubsets(List<EndpointUpdate> updates) {
         return gossipSession == null || updates.isEmpty()
                 ? updates
                 : gossipSession.assignSubsets(updates);
--- a/src/main/java/lemondrift/settings/RequestClassIndex.java
+++ b/src/main/java/lemondrift/settings/RequestClassIndex.java
@@ -42,14 +42,14 @@
     private RequestClassIndex(
             List<String> namesByPosition,
             List<RequestClass> classesByPosition,
-            int[] indexByPlace,
+            int[] indexByPosition,
             int size,
             List<Integer> reassigned) {
-        this.indexByPosition = indexByPlace;
+        this.indexByPosition = indexByPosition;
         this.reassigned = reassigned;
         String[] namesByIndex = new String[size];
-        for (int position = 0; position < indexByPlace.length; position++) {
-            namesByIndex[indexByPlace[position]] = namesByPosition.get(position);
+        for (int position = 0; position < indexByPosition.length; position++) {
+            namesByIndex[indexByPosition[position]] = namesByPosition.get(position);
         }
         names = Arrays.asList(namesByIndex);
         classesByIndex = classesByIndex(classesByPosition, size);
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -154,12 +154,12 @@
         if (copy == null || copy.actualAttempt == null) {
             return;
         }
-        Attempt followed = copy.actualAttempt;
+        Attempt actual = copy.actualAttempt;
         copy.actualAttempt = null;
         finishDecision(
                 now,
                 balancer.attemptEnded(
-                        now, followed, outcome, durationSeconds, completed, loadReport));
+                        now, actual, outcome, durationSeconds, completed, loadReport));
         if (completed) {
             shadowRequests.remove(attempt.request);
         }
--- a/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
+++ b/src/test/java/lemondrift/buffer/BodyBufferBudgetTest.java
@@ -18,7 +18,7 @@
      * reserved.
      */
     @Property(tries = 300, seed = "48")
-    void noBoundIsExceededAndAllBytesAreReleased(
+    void noLimitIsExceededAndAllBytesAreReleased(
             @ForAll List<@IntRange(min = 0, max = 999) Integer> steps) {
         BodyBufferBudget bufferBudget = new BodyBufferBudget(100, 250);
         int[] reserved = new int[8];
--- a/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
+++ b/src/test/java/lemondrift/connection/ConnectionPolicyTest.java
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void requestBelowMinimumRateIsClosed() {
+    void connectionWithRequestBelowMinimumRateIsClosed() {
         ConnectionPolicyModel model = ConnectionPolicyModel.withSourcePerConnection(20);
         int connection = model.accept();
         double startedAt = model.now;
