--- a/src/main/java/lemondrift/balancer/AdmissionControl.java
+++ b/src/main/java/lemondrift/balancer/AdmissionControl.java
@@ -20,8 +20,10 @@
  * The priority of a tenant that exceeds its quota is multiplied by the setting overQuotaWeight.
  * Before a request is rejected, backends outside the subset are tried once.
  *
- * <p>If no backend is eligible, the wait is infinite and the reason is NO_BACKEND or, for a retry,
- * NO_BACKEND_FOR_RETRY. The Retry-After of the reply is the expected wait, at most one window.
+ * <p>If no backend is eligible, or if the eligible ones are reserved for higher priorities ({@link
+ * BackendSelector}), the wait is infinite and the reason is NO_BACKEND or, for a retry,
+ * NO_BACKEND_FOR_RETRY. The Retry-After of the reply is the expected wait, at most one window and
+ * at most the setting maxRetryAfterSeconds.
  */
 final class AdmissionControl extends DecisionStage {
     /** The share of its time that a request of priority 0 may wait. */
@@ -139,8 +141,10 @@
     }
 
     /**
-     * Returns which requests would be rejected now. Sends no probe and does not affect later
-     * decisions.
+     * Returns the threshold below which requests of a class would be rejected now. Sends no probe
+     * and does not affect later decisions.
+     *
+     * @param request a request of the class, which is not offered
      */
     ShedThreshold shedThreshold(Request request, double now) {
         double wait = selector.minExpectedWait(request, now);
--- a/src/main/java/lemondrift/balancer/BackendSelector.java
+++ b/src/main/java/lemondrift/balancer/BackendSelector.java
@@ -90,7 +90,10 @@
                 && super.isBackendEligible(request, backend, now);
     }
 
-    /** Sorts the subset, the best backend first, and sets the request's best backend. */
+    /**
+     * Sorts the subset, the best backend first, and sets the request's best backend: {@link
+     * Request#NO_BACKEND} if no more backends are eligible than the request must leave free.
+     */
     private void rankSubset(Request request, int size, double now) {
         double crossZoneCost = crossZoneCost(request);
         int[] order = backends.order;
@@ -153,8 +156,8 @@
     }
 
     /**
-     * Returns how many usable backends the request must leave free. Guards against low priorities
-     * taking the last capacity of cold backends from high ones.
+     * Returns how many eligible backends the request must leave free; 0 if the best backend is
+     * warm. Guards against low priorities taking the last capacity of cold backends from high ones.
      */
     private int reservedBackendCount(Request request, int size, double now) {
         if (backends.warmShare(backends.order[0], now) == 1) {
--- a/src/main/java/lemondrift/balancer/BackendSubset.java
+++ b/src/main/java/lemondrift/balancer/BackendSubset.java
@@ -79,8 +79,8 @@
 
     /**
      * Draws backends that are eligible for the request from outside the subset, once for each
-     * attempt, and puts them in the place of backends of the subset. Guards against rejecting a
-     * request that other backends could take.
+     * attempt, and exchanges them with backends of the subset. Guards against rejecting a request
+     * that other backends could take.
      *
      * @return whether any backend was found
      */
--- a/src/main/java/lemondrift/balancer/BackendTable.java
+++ b/src/main/java/lemondrift/balancer/BackendTable.java
@@ -227,8 +227,9 @@
 
     /**
      * Returns the share (0 to 1) of its full capacity that a backend has at least. It rises
-     * linearly from the setting slowStartMinShare to 1, when the backend is warm, within
-     * slowStartSeconds.
+     * linearly from the setting slowStartMinShare at the start of the backend to 1 after
+     * slowStartSeconds, when the backend is warm. It is 1 if the backend started long ago or its
+     * start is not known.
      */
     double warmShare(int backend, double now) {
         double elapsedShare =
--- a/src/main/java/lemondrift/balancer/EndpointListPolling.java
+++ b/src/main/java/lemondrift/balancer/EndpointListPolling.java
@@ -25,7 +25,10 @@
         this.random = random;
     }
 
-    /** Handles a received list. Polling continues if the list is stale. */
+    /**
+     * Handles a received list. If the list is stale, the next call is due at once; otherwise no
+     * further call is due.
+     */
     void listReceived(boolean stale, double now) {
         pollAt = pollingEnabled && stale ? now : Double.POSITIVE_INFINITY;
     }
--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -222,8 +222,8 @@
     }
 
     /**
-     * Returns which requests of a class would be rejected if they arrived now. Does not affect
-     * later decisions.
+     * Returns the threshold below which requests of a class would be rejected if they arrived now.
+     * Does not affect later decisions.
      */
     public ShedThreshold shedThreshold(double now, int requestClass) {
         Request request = new Request(0, requestClass, 0, now, 0);
--- a/src/main/java/lemondrift/balancer/OutlierDetection.java
+++ b/src/main/java/lemondrift/balancer/OutlierDetection.java
@@ -24,9 +24,10 @@
  * #MAX_EJECTED_SHARE} of the ready backends are ejected. Starting from 0, reaching that score takes
  * at least four failures in a row. An ejection lasts half to one and a half windows (a window is
  * the shortest latency objective), then a trial follows: one attempt at a time. A successful trial
- * ends the ejection, with half the score left. A failed trial doubles the ejection, up to {@link
- * #MAX_EJECTION_WINDOWS} windows, again multiplied by half to one and a half. A restart of the
- * backend ends the ejection as well.
+ * ends the ejection, with half the score left. A failed trial ejects the backend again for twice as
+ * many windows, up to {@link #MAX_EJECTION_WINDOWS}, again multiplied by a random factor of 0.5 to
+ * 1.5. A restart of the backend ends the ejection as well. The log calls an ejected backend
+ * suspended, and a request class a grade.
  */
 final class OutlierDetection extends DecisionStage {
     /** The least share of failures that a healthy backend is assumed to have. */
@@ -41,7 +42,7 @@
     /** The natural logarithm of 1,000: the outcomes are 1,000 times likelier at an outlier. */
     private static final double EJECTION_SCORE = Math.log(1000);
 
-    /** The number of windows up to which an ejection doubles. */
+    /** The largest number of windows that an ejection lasts before the random factor. */
     private static final double MAX_EJECTION_WINDOWS = 8;
 
     /** How much worse a backend is ranked when it is about to be ejected, in utilization. */
@@ -65,7 +66,10 @@
     /** By test and backend: the log-likelihood ratio, doubled by each failed trial. */
     private double[][] score = {};
 
-    /** By test and backend: when the ejection ends and the trial begins, in seconds. */
+    /**
+     * By test and backend: when the ejection ends and the trial begins, in seconds; {@link
+     * #NOT_EJECTED} if the backend is not ejected.
+     */
     private double[][] ejectedUntil = {};
 
     /** By backend: when its last outcome was recorded, in seconds. */
--- a/src/main/java/lemondrift/balancer/RetryPolicy.java
+++ b/src/main/java/lemondrift/balancer/RetryPolicy.java
@@ -14,8 +14,9 @@
  * Rule 2: decides whether and where a request may be attempted again, so that no effect happens
  * twice.
  *
- * <p>A retry is made if all of the following conditions hold. Otherwise the request ends here or,
- * if no backend is left, in {@link AdmissionControl}:
+ * <p>A retry must pass {@link RequestDeadlines} and {@link AdmissionControl} like a first attempt.
+ * In addition, all of the following conditions must hold. Otherwise the request ends here or, if no
+ * backend is left, in {@link AdmissionControl}:
  *
  * <ul>
  *   <li>the request has had fewer attempts than its terms allow; otherwise it ends with
@@ -27,8 +28,8 @@
  *   <li>no earlier attempt may have been executed ({@link AttemptOutcome#neverExecuted}); or the
  *       request is idempotent; or it carries an idempotency key, the first attempt that may have
  *       been executed is not older than the key's time to live (seconds), and the backend shares
- *       its memory of keys with the backend of that attempt: all backends do, or those of its
- *       location, or those of its cell.
+ *       its memory of keys with the backend of that attempt: depending on the {@link
+ *       DeduplicationScope}, all backends do, or those of its zone, or those of its cell.
  * </ul>
  */
 final class RetryPolicy extends DecisionStage {
--- a/src/main/java/lemondrift/balancer/SlowStart.java
+++ b/src/main/java/lemondrift/balancer/SlowStart.java
@@ -13,8 +13,8 @@
  * <p>A backend that has just started has the share of its capacity that {@link
  * BackendTable#warmShare} returns, which rises from slowStartMinShare to 1 over slowStartSeconds.
  * All proxies that use the backend must together send it at most overloadFactor times that capacity
- * within overloadWindowSeconds (all of these are settings). This proxy's part in one window, in
- * seconds of a warm backend's work, is therefore overloadFactor times warmShare times
+ * within overloadWindowSeconds (all of these are settings). This proxy's part in one window, its
+ * budget, in seconds of a warm backend's work, is therefore overloadFactor times warmShare times
  * overloadWindowSeconds, divided by the number of those proxies. Half of it may be sent at once,
  * the other half over the window.
  *
--- a/src/main/java/lemondrift/balancer/package-info.java
+++ b/src/main/java/lemondrift/balancer/package-info.java
@@ -24,7 +24,7 @@
  *
  * <p>The package holds the state of the backends and of the open requests. It does no I/O, starts
  * no thread and reads no clock: every call carries the time in seconds. All calls come from one
- * thread, the decision loop's. {@code DeterministicRandom} is the only source of randomness, so
+ * thread, the decision thread. {@code DeterministicRandom} is the only source of randomness, so
  * that the same seed and events give the same decisions.
  */
 package lemondrift.balancer;
--- a/src/main/java/lemondrift/connection/ConnectionLimits.java
+++ b/src/main/java/lemondrift/connection/ConnectionLimits.java
@@ -17,7 +17,7 @@
  * @param minBytesPerSecond the minimum rate, in bytes per second, at which a request must be
  *     received and a response must be read by the client; greater than 0
  * @param typicalPriorityWeight the priority weight of a typical request, greater than 0; the credit
- *     of a request is its ratio to this weight
+ *     of a request is its own priority weight divided by this one
  */
 public record ConnectionLimits(
         int maxConnections,
@@ -40,7 +40,10 @@
         TENANT
     }
 
-    /** The share of the connection slots that may be unused before a slot has its full price. */
+    /**
+     * The share of the connection slots that unused connections hold when a slot has its full
+     * price.
+     */
     static final double UNUSED_SHARE_AT_FULL_PRICE = 0.25;
 
     /**
--- a/src/main/java/lemondrift/gossip/package-info.java
+++ b/src/main/java/lemondrift/gossip/package-info.java
@@ -5,7 +5,7 @@
  * ({@link lemondrift.gossip.SubsetAssignment}).
  *
  * <p>This package computes decisions and encodes datagrams; it has no I/O and reads no clock. The
- * proxy calls it on the thread of the decision loop. docs/gossip.md describes the settings and the
- * format of a datagram.
+ * proxy calls it on the decision thread. docs/gossip.md describes the settings and the format of a
+ * datagram.
  */
 package lemondrift.gossip;
--- a/src/main/java/lemondrift/model/DeduplicationScope.java
+++ b/src/main/java/lemondrift/model/DeduplicationScope.java
@@ -4,8 +4,8 @@
 public enum DeduplicationScope {
     /** All backends. */
     ALL,
-    /** The backends of its location. */
+    /** The backends of its zone. */
     LOCATION,
-    /** The backends of its location and cell. */
+    /** The backends of its cell within its zone. */
     CELL
 }
--- a/src/main/java/lemondrift/model/FailureReason.java
+++ b/src/main/java/lemondrift/model/FailureReason.java
@@ -1,8 +1,8 @@
 package lemondrift.model;
 
 /**
- * Why a request was rejected or failed instead of being answered by a backend; the log contains
- * this name.
+ * Why a request was rejected or failed instead of being answered by a backend. The log and the
+ * metrics contain these names.
  */
 public enum FailureReason {
     /** Its attempt deadline had passed before another attempt could be made. */
@@ -11,16 +11,19 @@
     EXPIRED,
     /** The expected wait was longer than the request's priority and remaining time allow. */
     WAIT_TOO_LONG,
-    /** No backend is eligible for the request, and none has had it. */
+    /**
+     * No backend is eligible for the request, or the eligible ones are cold and reserved for
+     * requests of higher priority. No backend has had the request.
+     */
     NO_BACKEND,
     /**
-     * No backend is eligible for this retry: those that take requests have had it or must not
-     * execute it again.
+     * As {@link #NO_BACKEND}, for a retry. A backend that has had the request, or that might
+     * execute it a second time, is not eligible.
      */
     NO_BACKEND_FOR_RETRY,
     /** It has had as many attempts as it is allowed. */
     ATTEMPTS_USED,
-    /** The retry budget is spent: retries have reached their share of the traffic. */
+    /** The retry budget is spent: retries have reached their share of the requests. */
     RETRY_BUDGET_SPENT,
     /** The process is shutting down. */
     SHUTDOWN,
--- a/src/main/java/lemondrift/model/Request.java
+++ b/src/main/java/lemondrift/model/Request.java
@@ -5,7 +5,7 @@
  * balancer's state of the request.
  */
 public final class Request {
-    /** In {@link #bestBackend}: no backend is eligible for the request. */
+    /** In {@link #bestBackend}: no backend may be given the request now. */
     public static final int NO_BACKEND = -1;
 
     public final long id;
--- a/src/main/java/lemondrift/model/Settings.java
+++ b/src/main/java/lemondrift/model/Settings.java
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Returns the window, which is the unit of time of the decisions: the shortest latency
+     * Returns the window, a unit in which the balancer expresses durations: the shortest latency
      * objective, in seconds; 1 if there is no class.
      */
     public double windowSeconds() {
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -117,7 +117,10 @@
         return policy.unreadSince(now) < now;
     }
 
-    /** Returns whether the drain is complete: no connection needs a response any more. */
+    /**
+     * Returns whether no connection is open, except those that were sent the closing response of
+     * the drain and had enough time to read it.
+     */
     boolean isDrained() {
         return policy.isDrained(clock.now());
     }
--- a/src/main/java/lemondrift/proxy/events/DecisionEvents.java
+++ b/src/main/java/lemondrift/proxy/events/DecisionEvents.java
@@ -7,7 +7,7 @@
 import lemondrift.model.ShedThreshold;
 
 /**
- * The events that the I/O thread reports to the decisions thread. Each method except {@link
+ * The events that the I/O thread reports to the decision thread. Each method except {@link
  * #shedThreshold} queues an event and returns without waiting for the event to be handled; it
  * blocks only while the queue is full.
  */
@@ -59,7 +59,7 @@
      *
      * @param knownBeforeStart whether the list is the one in the configuration, which was known
      *     before the process started
-     * @param onApplied runs on the decisions thread once the balancer has the whole list
+     * @param onApplied runs on the decision thread once the balancer has the whole list
      */
     void endpointListReceived(EndpointList list, boolean knownBeforeStart, Runnable onApplied);
 
--- a/src/main/java/lemondrift/proxy/events/EndpointList.java
+++ b/src/main/java/lemondrift/proxy/events/EndpointList.java
@@ -24,7 +24,7 @@
      *
      * @param state null if only the id could be read
      * @param address null if the list does not state it
-     * @param locality the name of its location; null if the list does not state it
+     * @param locality the name of its zone; null if the list does not state it
      * @param cell null if the list does not state it
      * @param weight relative capacity; 1 if the list does not state it
      * @param startedAt when the backend started, in seconds of Unix time; 0 if it started long ago
--- a/src/main/java/lemondrift/proxy/events/ProxyActions.java
+++ b/src/main/java/lemondrift/proxy/events/ProxyActions.java
@@ -8,9 +8,9 @@
 import lemondrift.settings.RequestClassIndex;
 
 /**
- * The actions that the decisions thread requests from the I/O thread. Called on the decisions
- * thread. Each method returns at once; the actions are performed after the next {@link #flush}, in
- * the order of the calls.
+ * The actions that the decision thread requests from the I/O thread. Called on the decision thread.
+ * Each method returns at once; the actions are performed after the next {@link #flush}, in the
+ * order of the calls.
  */
 public interface ProxyActions {
     /** Sends an attempt to its backend. */
--- a/src/main/java/lemondrift/proxy/events/package-info.java
+++ b/src/main/java/lemondrift/proxy/events/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The interface between the decisions thread and the I/O thread. The I/O thread reports through
- * {@link lemondrift.proxy.events.DecisionEvents}, which queues events; the decisions thread acts
+ * The interface between the decision thread and the I/O thread. The I/O thread reports through
+ * {@link lemondrift.proxy.events.DecisionEvents}, which queues events; the decision thread acts
  * through {@link lemondrift.proxy.events.ProxyActions}, which queues work for the I/O thread. The
  * other types are the values that are passed between the two.
  *
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -16,8 +16,7 @@
 
 /**
  * Connects gossip to the balancer: translates between the backend indexes of the balancer and the
- * tags of gossip. Used only on the thread of the decision loop, except for {@link
- * #enqueueDatagram}.
+ * tags of gossip. Used only on the decision thread, except for {@link #enqueueDatagram}.
  */
 public final class GossipSession {
     private record ReceivedDatagram(int from, byte[] datagram) {}
--- a/src/main/java/lemondrift/proxy/loop/ActiveSettings.java
+++ b/src/main/java/lemondrift/proxy/loop/ActiveSettings.java
@@ -9,7 +9,7 @@
 
 /**
  * Holds the settings in force. A reload passes the new settings to the balancer, the shadow and the
- * I/O thread, and clears the shed thresholds. Decisions thread only.
+ * I/O thread, and clears the shed thresholds. Decision thread only.
  */
 final class ActiveSettings {
     private final LoadBalancer balancer;
--- a/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionExecutor.java
@@ -23,7 +23,7 @@
 /**
  * Executes decisions: turns them into actions of the I/O thread. Owns the open requests and the
  * time at which the balancer is to be woken. {@link #eventFailed} handles an exception thrown while
- * an event is handled. Decisions thread only.
+ * an event is handled. Decision thread only.
  */
 final class DecisionExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(DecisionExecutor.class);
--- a/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
+++ b/src/main/java/lemondrift/proxy/loop/DecisionLoop.java
@@ -23,7 +23,7 @@
 
 /**
  * The entry point to the balancer for all other threads. Unless stated otherwise, a public method
- * queues an event for the decisions thread and returns without waiting for the event to be handled;
+ * queues an event for the decision thread and returns without waiting for the event to be handled;
  * it blocks only while the queue is full. {@link EventLoop} owns the queue and the thread.
  */
 public final class DecisionLoop implements DecisionEvents {
--- a/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
+++ b/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
@@ -17,7 +17,7 @@
  * Applies new endpoint lists one after the other in the order of their arrival. Each list is
  * applied in slices, so that requests never wait for a whole long list. A slice is passed to the
  * shadow, the balancer and gossip. Then idle connections to backends that are no longer ready or
- * have a new address are closed. Decisions thread only.
+ * have a new address are closed. Decision thread only.
  */
 final class EndpointListApplier {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListApplier.class);
--- a/src/main/java/lemondrift/proxy/loop/EventHandler.java
+++ b/src/main/java/lemondrift/proxy/loop/EventHandler.java
@@ -12,7 +12,7 @@
 
 /**
  * Handles events about requests and backends: passes each to gossip, the shadow and the balancer,
- * and has the balancer's decision executed. Decisions thread only.
+ * and has the balancer's decision executed. Decision thread only.
  */
 final class EventHandler {
     private final LoadBalancer balancer;
--- a/src/main/java/lemondrift/proxy/loop/PeerExchange.java
+++ b/src/main/java/lemondrift/proxy/loop/PeerExchange.java
@@ -13,7 +13,7 @@
 
 /**
  * Connects the loop to gossip with the other proxies and to recovery after a start. Does nothing if
- * gossip is disabled. Decisions thread only, unless stated otherwise.
+ * gossip is disabled. Decision thread only, unless stated otherwise.
  */
 final class PeerExchange {
     private final LoadBalancer balancer;
@@ -95,9 +95,10 @@
     }
 
     /**
-     * Returns the updates with this proxy's subset assigned, and updates of other backends if
-     * theirs has changed; returns the argument unchanged if gossip is disabled or there are no
-     * updates.
+     * Adds the scores of this proxy, and the share of proxies that use each backend, to updates.
+     *
+     * @return the given updates, followed by an update for each other backend whose share has
+     *     changed; the argument itself if gossip is disabled or there are no updates
      */
     List<EndpointUpdate> assignSubsets(List<EndpointUpdate> updates) {
         return gossipSession == null || updates.isEmpty()
--- a/src/main/java/lemondrift/proxy/loop/ShadowRunner.java
+++ b/src/main/java/lemondrift/proxy/loop/ShadowRunner.java
@@ -16,7 +16,7 @@
 
 /**
  * Passes events and decisions to the shadow evaluator and logs its counts. Does nothing if there is
- * no evaluator. Decisions thread only.
+ * no evaluator. Decision thread only.
  */
 final class ShadowRunner {
     private static final Logger LOG = LoggerFactory.getLogger(ShadowRunner.class);
--- a/src/main/java/lemondrift/proxy/loop/ShedThresholds.java
+++ b/src/main/java/lemondrift/proxy/loop/ShedThresholds.java
@@ -39,7 +39,7 @@
                 .filter(threshold -> secondsLeft < threshold.minSecondsLeft());
     }
 
-    /** Replaces all thresholds with the balancer's current ones. Decisions thread. */
+    /** Replaces all thresholds with the balancer's current ones. Decision thread. */
     void update(Settings settings) {
         byRequestClass =
                 IntStream.range(0, settings.requestClasses().size())
@@ -51,7 +51,7 @@
                         .toList();
     }
 
-    /** Removes all thresholds: no request is shed until the next update. Decisions thread. */
+    /** Removes all thresholds: no request is shed until the next update. Decision thread. */
     void clear() {
         byRequestClass = List.of();
     }
--- a/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
+++ b/src/main/java/lemondrift/proxy/recovery/RecoveryCoordinator.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs the recovery of a proxy after its start. Used only on the thread of the decision loop,
- * except where noted.
+ * Runs the recovery of a proxy after its start. Used only on the decision thread, except where
+ * noted.
  */
 public final class RecoveryCoordinator implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(RecoveryCoordinator.class);
--- a/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
+++ b/src/main/java/lemondrift/proxy/recovery/SnapshotStore.java
@@ -125,8 +125,7 @@
     }
 
     /**
-     * Writes a snapshot on the writer thread, because the thread of the decision loop must not wait
-     * for a disk.
+     * Writes a snapshot on the writer thread, because the decision thread must not wait for a disk.
      */
     void writeAsync(long startNumber, double serviceTimeSeconds, int samples) {
         writer.execute(() -> writeNow(startNumber, serviceTimeSeconds, samples));
--- a/src/main/java/lemondrift/recovery/package-info.java
+++ b/src/main/java/lemondrift/recovery/package-info.java
@@ -5,6 +5,6 @@
  * lemondrift.recovery.RecoveryState}).
  *
  * <p>All types are immutable values without I/O, clock or threads. The proxy uses them on the
- * thread of the decision loop.
+ * decision thread.
  */
 package lemondrift.recovery;
--- a/src/main/java/lemondrift/shadow/package-info.java
+++ b/src/main/java/lemondrift/shadow/package-info.java
@@ -3,6 +3,6 @@
  * reports what it would have decided. None of its decisions is carried out.
  *
  * <p>The package holds the second balancer and the counts. It does no I/O; all calls come from the
- * decision loop's thread.
+ * decision thread.
  */
 package lemondrift.shadow;
