--- a/src/main/java/lemondrift/model/FailureReason.java
+++ b/src/main/java/lemondrift/model/FailureReason.java
@@ -9,7 +9,11 @@
     NO_TIME_LEFT,
     /** It was still open when its client stopped waiting. */
     EXPIRED,
-    /** The expected wait was longer than the request's priority and remaining time allow. */
+    /**
+     * The expected wait was longer than the request's priority and remaining time allow. Decided by
+     * the balancer or, while many requests wait for the balancer, by the client side of the proxy
+     * with the balancer's {@link ShedThreshold}.
+     */
     WAIT_TOO_LONG,
     /**
      * No backend is eligible for the request, or the eligible ones are cold and reserved for
--- a/src/main/java/lemondrift/model/ShedThreshold.java
+++ b/src/main/java/lemondrift/model/ShedThreshold.java
@@ -3,7 +3,7 @@
 /**
  * The threshold below which requests of a class would be rejected now.
  *
- * @param minSecondsLeft requests with less time until their attempt deadline would be rejected
+ * @param minSecondsLeft requests with fewer seconds until their attempt deadline would be rejected
  * @param retryAfterSeconds the Retry-After that the rejection would contain; 0 if there is none
  */
 public record ShedThreshold(double minSecondsLeft, double retryAfterSeconds) {
--- a/src/main/java/lemondrift/proxy/events/DecisionEvents.java
+++ b/src/main/java/lemondrift/proxy/events/DecisionEvents.java
@@ -19,7 +19,8 @@
      * Returns the threshold by which a request of this class would be shed now; empty if it would
      * not be shed. Any thread.
      *
-     * @param secondsLeft seconds left until the request's attempt deadline
+     * @param secondsLeft seconds left until the request's latency objective or its deadline,
+     *     whichever is earlier; it has no attempt deadline before it reaches the balancer
      */
     Optional<ShedThreshold> shedThreshold(int requestClass, double secondsLeft);
 
--- a/src/main/java/lemondrift/proxy/loop/ShedThresholds.java
+++ b/src/main/java/lemondrift/proxy/loop/ShedThresholds.java
@@ -28,7 +28,8 @@
     /**
      * Returns the threshold by which a request is shed; empty if it is not shed. Any thread.
      *
-     * @param secondsLeft seconds left until the request's attempt deadline
+     * @param secondsLeft seconds left until the request's latency objective or its deadline,
+     *     whichever is earlier; it has no attempt deadline before it reaches the balancer
      */
     Optional<ShedThreshold> forRequest(int requestClass, double secondsLeft) {
         List<ShedThreshold> thresholds = byRequestClass;
