--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -46,7 +46,7 @@
     private final ClientConnections connections;
     private final RequestValidator validator;
     private final RequestAdmission admission;
-    private final ResponseWriter responses;
+    private final ResponseWriter responseWriter;
     private final BodyBufferBudget bufferBudget;
 
     /** This process's own socket; null if it inherited one, or does not listen. */
@@ -80,23 +80,24 @@
                         config.seed(),
                         metrics,
                         decisionEvents::requestAbandoned);
-        responses = new ResponseWriter(worker.getIoThread(), clock, metrics, stallTimeoutSeconds);
+        responseWriter =
+                new ResponseWriter(worker.getIoThread(), clock, metrics, stallTimeoutSeconds);
         validator = new RequestValidator(config.tenantNames(), connections);
         admission =
                 new RequestAdmission(
-                        config.settings().windowSeconds(), decisionEvents, responses, clock);
+                        config.settings().windowSeconds(), decisionEvents, responseWriter, clock);
         settingsChanged(requestClasses, config.settings());
         RequestReader requestReader =
                 new RequestReader(
                         connections,
                         validator,
                         admission,
-                        responses,
+                        responseWriter,
                         bufferBudget,
                         bufferPool,
                         stallTimeoutSeconds,
                         decisionEvents);
-        httpListener = httpListener(bufferPool);
+        httpListener = createHttpListener(bufferPool);
         httpListener.setRootHandler(Handlers.httpContinueRead(requestReader::handle));
     }
 
@@ -104,7 +105,7 @@
      * Creates a listener without Undertow's buffer for pipelined responses, as a response in it
      * would wait for the end of the next request.
      */
-    private static HttpOpenListener httpListener(ByteBufferPool bufferPool) {
+    private static HttpOpenListener createHttpListener(ByteBufferPool bufferPool) {
         return new HttpOpenListener(
                 bufferPool,
                 OptionMap.builder()
@@ -212,20 +213,20 @@
      *     seconds of the proxy's clock
      */
     public void drain(double closeIdleBy, double lastResponsesAt) {
-        responses.setDraining(true);
+        responseWriter.setDraining(true);
         validator.setLastResponsesAt(lastResponsesAt);
         worker.getIoThread().execute(() -> connections.drain(closeIdleBy));
     }
 
     /** Ends a drain. May be called from any thread. */
     public void resume() {
-        responses.setDraining(false);
+        responseWriter.setDraining(false);
         worker.getIoThread().execute(connections::resume);
     }
 
     /** Returns whether a drain has been started and not ended. May be called from any thread. */
     public boolean isDraining() {
-        return responses.isDraining();
+        return responseWriter.isDraining();
     }
 
     /**
@@ -286,7 +287,7 @@
 
     /** Forwards a backend's response to the client. */
     public void deliver(PendingRequest pending, BackendResponse response) {
-        responses.deliver(pending, response);
+        responseWriter.deliver(pending, response);
     }
 
     /**
@@ -295,11 +296,11 @@
      * @param retryAfterSeconds the value of Retry-After; 0 to send none
      */
     public void reject(PendingRequest pending, double retryAfterSeconds) {
-        responses.reject(pending, retryAfterSeconds);
+        responseWriter.reject(pending, retryAfterSeconds);
     }
 
     /** Answers a request that no backend serves with 502, which promises nothing about a retry. */
     public void fail(PendingRequest pending) {
-        responses.fail(pending);
+        responseWriter.fail(pending);
     }
 }
--- a/src/main/java/lemondrift/proxy/client/RequestAdmission.java
+++ b/src/main/java/lemondrift/proxy/client/RequestAdmission.java
@@ -20,18 +20,18 @@
 
     private final RequestQueue<PendingRequest> requestQueue;
     private final DecisionEvents decisionEvents;
-    private final ResponseWriter responses;
+    private final ResponseWriter responseWriter;
     private final MonotonicClock clock;
     private Runnable beforeEachRequest = () -> {};
 
     RequestAdmission(
             double latencyObjectiveSeconds,
             DecisionEvents decisionEvents,
-            ResponseWriter responses,
+            ResponseWriter responseWriter,
             MonotonicClock clock) {
         requestQueue = new RequestQueue<>(latencyObjectiveSeconds);
         this.decisionEvents = decisionEvents;
-        this.responses = responses;
+        this.responseWriter = responseWriter;
         this.clock = clock;
     }
 
@@ -65,7 +65,7 @@
                         : Optional.empty();
         if (shed.isPresent()) {
             request.failureReason = FailureReason.WAIT_TOO_LONG;
-            responses.reject(pending, shed.get().retryAfterSeconds());
+            responseWriter.reject(pending, shed.get().retryAfterSeconds());
         } else {
             requestQueue.holdBack(pending, decideBy);
         }
@@ -98,9 +98,9 @@
         Request request = pending.request();
         request.failureReason = FailureReason.OVERDUE;
         if (isClientRetryHarmless(pending)) {
-            responses.reject(pending, NO_RETRY_AFTER);
+            responseWriter.reject(pending, NO_RETRY_AFTER);
         } else {
-            responses.fail(pending);
+            responseWriter.fail(pending);
         }
         decisionEvents.requestAbandoned(request);
     }
--- a/src/main/java/lemondrift/proxy/client/RequestReader.java
+++ b/src/main/java/lemondrift/proxy/client/RequestReader.java
@@ -33,7 +33,7 @@
     private final ClientConnections connections;
     private final RequestValidator validator;
     private final RequestAdmission admission;
-    private final ResponseWriter responses;
+    private final ResponseWriter responseWriter;
     private final BodyBufferBudget bufferBudget;
     private final ByteBufferPool bufferPool;
     private final double backendStallTimeoutSeconds;
@@ -43,7 +43,7 @@
             ClientConnections connections,
             RequestValidator validator,
             RequestAdmission admission,
-            ResponseWriter responses,
+            ResponseWriter responseWriter,
             BodyBufferBudget bufferBudget,
             ByteBufferPool bufferPool,
             double backendStallTimeoutSeconds,
@@ -51,7 +51,7 @@
         this.connections = connections;
         this.validator = validator;
         this.admission = admission;
-        this.responses = responses;
+        this.responseWriter = responseWriter;
         this.bufferBudget = bufferBudget;
         this.bufferPool = bufferPool;
         this.backendStallTimeoutSeconds = backendStallTimeoutSeconds;
@@ -74,12 +74,12 @@
                     next.proceed();
                 });
         if (isHealthCheck(exchange)) {
-            responses.writeHealth(exchange);
+            responseWriter.writeHealth(exchange);
         } else if (!RequestValidator.isUnambiguous(exchange)) {
-            responses.refuseAndClose(
+            responseWriter.refuseAndClose(
                     exchange, StatusCodes.BAD_REQUEST, RefusalReason.AMBIGUOUS_FRAMING);
         } else if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
-            responses.refuseAndClose(
+            responseWriter.refuseAndClose(
                     exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE, RefusalReason.BODY_TOO_LONG);
         } else if (exchange.isRequestComplete()) {
             dispatchBuffered(exchange, new byte[0]);
@@ -101,7 +101,7 @@
     private void exchangeCompleted(HttpServerExchange exchange, ClientConnection connection) {
         ClientCloseWatch.stop(exchange);
         if (ClientConnection.socketOf(exchange).isOpen()) {
-            responses.countCompleted(exchange);
+            responseWriter.countCompleted(exchange);
             connection.responseSent();
         }
     }
@@ -144,7 +144,7 @@
 
             @Override
             public void tooLong() {
-                responses.refuseAndClose(
+                responseWriter.refuseAndClose(
                         exchange,
                         StatusCodes.REQUEST_ENTITY_TOO_LARGE,
                         RefusalReason.BODY_TOO_LONG);
@@ -153,7 +153,7 @@
             @Override
             public void unreadable() {
                 if (connection.request == null) {
-                    responses.refuseAndClose(
+                    responseWriter.refuseAndClose(
                             exchange, StatusCodes.BAD_REQUEST, RefusalReason.UNREADABLE_BODY);
                 } else {
                     IoUtils.safeClose(ClientConnection.socketOf(exchange));
@@ -169,7 +169,7 @@
     private void offerBuffered(HttpServerExchange exchange, byte[] body) {
         Request request = openRequest(exchange);
         if (request == null) {
-            responses.refuseAndPause(exchange, RefusalReason.BAD_FIELD_OR_OPEN_ID);
+            responseWriter.refuseAndPause(exchange, RefusalReason.BAD_FIELD_OR_OPEN_ID);
             return;
         }
         ClientConnection connection = ClientConnection.of(exchange);
@@ -192,7 +192,7 @@
     private void offerStreamed(HttpServerExchange exchange, RequestBody body) {
         Request parsedRequest = openRequest(exchange);
         if (parsedRequest == null) {
-            responses.refuseAndClose(
+            responseWriter.refuseAndClose(
                     exchange, StatusCodes.BAD_REQUEST, RefusalReason.BAD_FIELD_OR_OPEN_ID);
             return;
         }
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListParserTask.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListParserTask.java
@@ -23,10 +23,10 @@
     /** Pause between two steps, during which other threads can run. */
     private static final long STEP_PAUSE_NANOS = 500_000;
 
-    private final XnioIoThread io;
+    private final XnioIoThread ioThread;
 
-    EndpointListParserTask(XnioIoThread io) {
-        this.io = io;
+    EndpointListParserTask(XnioIoThread ioThread) {
+        this.ioThread = ioThread;
     }
 
     /**
@@ -34,7 +34,7 @@
      */
     void start(byte[] body, Consumer<EndpointList> onParsed, Consumer<Throwable> onFailure) {
         EndpointListParser parser = new EndpointListParser(body);
-        execute(io.getWorker(), () -> parse(parser, onParsed, onFailure));
+        execute(ioThread.getWorker(), () -> parse(parser, onParsed, onFailure));
     }
 
     private void parse(
@@ -46,11 +46,11 @@
                 LockSupport.parkNanos(STEP_PAUSE_NANOS);
             }
             EndpointList list = parser.list();
-            execute(io, () -> onParsed.accept(list));
+            execute(ioThread, () -> onParsed.accept(list));
         } catch (IOException | RuntimeException | StackOverflowError e) {
             // Catches every exception: each kind of malformed JSON throws a different one, and deep
             // nesting overflows the stack.
-            execute(io, () -> onFailure.accept(e));
+            execute(ioThread, () -> onFailure.accept(e));
         }
     }
 
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -80,7 +80,7 @@
     }
 
     private final MonotonicClock clock;
-    private final XnioIoThread io;
+    private final XnioIoThread ioThread;
     private final BackendConnector connector;
     private final ByteBufferPool buffers;
     private final DecisionEvents decisionEvents;
@@ -110,13 +110,13 @@
     public EndpointListWatch(
             ProxyConfig config,
             MonotonicClock clock,
-            XnioIoThread io,
+            XnioIoThread ioThread,
             BackendConnector connector,
             ByteBufferPool buffers,
             DecisionEvents decisionEvents) {
         this.clock = clock;
-        this.io = io;
-        parserTask = new EndpointListParserTask(io);
+        this.ioThread = ioThread;
+        parserTask = new EndpointListParserTask(ioThread);
         this.connector = connector;
         this.buffers = buffers;
         this.decisionEvents = decisionEvents;
@@ -127,7 +127,7 @@
     private ConnectionPool createPool(InetSocketAddress discovery) {
         return new ConnectionPool(
                 discovery,
-                io,
+                ioThread,
                 connector,
                 buffers,
                 clock,
@@ -237,11 +237,11 @@
         ConnectionPool sourcePool = pool;
         parserTask.start(
                 response.body(),
-                list -> parsed(list, sourcePool),
+                list -> listParsed(list, sourcePool),
                 cause -> parsingFailed(cause, sourcePool));
     }
 
-    private void parsed(EndpointList list, ConnectionPool sourcePool) {
+    private void listParsed(EndpointList list, ConnectionPool sourcePool) {
         if (!endParsing(sourcePool)) {
             return;
         }
@@ -289,7 +289,7 @@
         if (polling) {
             decisionEvents.endpointListFailed();
         } else {
-            io.executeAfter(
+            ioThread.executeAfter(
                     this::startCall, Math.round(RETRY_PAUSE_SECONDS * 1e9), TimeUnit.NANOSECONDS);
         }
     }
--- a/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
+++ b/src/test/java/lemondrift/proxy/client/ClientConnectionsTest.java
@@ -205,12 +205,12 @@
     }
 
     @Test
-    void closesConnectionAfterRepeatedRejections() throws Exception {
+    void closesConnectionAfterRepeatedRefusals() throws Exception {
         start(backend(OK));
         Socket client = connectClient();
-        int rejections = 0;
+        int refusals = 0;
         try {
-            for (String response = ""; response != null; rejections++) {
+            for (String response = ""; response != null; refusals++) {
                 writeText(client, "GET / HTTP/1.1\r\nHost: a\r\n\r\n");
                 response = readMessage(client);
                 assertTrue(response == null || response.startsWith("HTTP/1.1 400"), response);
@@ -218,7 +218,7 @@
         } catch (IOException e) {
             // The connection was closed while the next request was being sent.
         }
-        assertTrue(rejections >= 6 && rejections <= 7, "closed after rejections: " + rejections);
+        assertTrue(refusals >= 6 && refusals <= 7, "closed after refusals: " + refusals);
         assertEquals(200, sendNotIdempotent("x").statusCode());
     }
 
