--- a/src/main/java/lemondrift/proxy/GracefulShutdown.java
+++ b/src/main/java/lemondrift/proxy/GracefulShutdown.java
@@ -12,10 +12,12 @@
  * Shuts the proxy down at SIGTERM. Times count from the signal (0 s):
  *
  * <ol>
- *   <li>From 0 s: new clients are still accepted. Each response closes its connection, and idle
- *       connections are closed one by one.
- *   <li>From {@link #ACCEPT_SECONDS}: as soon as no connection waits for a response, the listener
- *       closes and the shutdown is complete.
+ *   <li>From 0 s: new clients are still accepted, except on an inherited listening socket, which is
+ *       left to the new process at once. Each response closes its connection, and idle connections
+ *       are closed one by one.
+ *   <li>From {@link #ACCEPT_SECONDS}: as soon as no connection is open, except those that were sent
+ *       their closing response and had enough time to read it, the listener closes and the shutdown
+ *       is complete.
  *   <li>At the request deadline + {@link #RESPONSE_GRACE_SECONDS}: requests that are still open are
  *       rejected or failed. The request deadline is the time at which a request that arrives at the
  *       signal times out at the latest.
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -362,7 +362,10 @@
         return result;
     }
 
-    /** Returns how many request classes have an index. */
+    /**
+     * Returns the number of indexes of request classes, including indexes that no class has any
+     * more.
+     */
     int indexedClassCount() {
         return clientListener.requestClassCount();
     }
--- a/src/main/java/lemondrift/proxy/admin/AdminOperations.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminOperations.java
@@ -4,7 +4,10 @@
 
 /** The operations of the admin address. Each returns without blocking. I/O thread only. */
 public interface AdminOperations {
-    /** Returns true if this process is ready to serve. */
+    /**
+     * Returns true if the start is complete and the shutdown has not begun. A quiesced process is
+     * ready, too.
+     */
     boolean isReady();
 
     /** Returns the current metrics. */
@@ -22,9 +25,16 @@
     /** Returns the number of rejected or failed requests by reason, as JSON. */
     String notServedJson();
 
-    /** Takes the proxy out of service. Returns false if it is not serving. */
+    /**
+     * Takes the proxy out of service: until {@link #resume}, client connections are closed and
+     * health checks at the client address fail. Returns false and does nothing if the process is
+     * not ready.
+     */
     boolean quiesce();
 
-    /** Takes the proxy back into service. Returns false if it is not serving. */
+    /**
+     * Takes a quiesced proxy back into service. Returns false and does nothing if the process is
+     * not ready.
+     */
     boolean resume();
 }
--- a/src/main/java/lemondrift/proxy/admin/AdminServer.java
+++ b/src/main/java/lemondrift/proxy/admin/AdminServer.java
@@ -104,8 +104,9 @@
     }
 
     /**
-     * Sets the operations of the proxy. Until then, calls are answered as for a proxy that is not
-     * ready. Any thread.
+     * Sets the operations of the proxy. Until then, {@link #STATS} returns metrics without counts,
+     * {@link #HEALTH}, {@link #QUIESCE} and {@link #RESUME} are answered with 503 and the other
+     * calls with 404. May be called from any thread.
      */
     public void setOperations(AdminOperations newOperations) {
         worker.getIoThread().execute(() -> operations = newOperations);
--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -14,10 +14,10 @@
 import org.xnio.StreamConnection;
 
 /**
- * One request on one connection and its response. The response is buffered completely or, if it is
- * too long or too slow, consists of its beginning and a {@link StreamedResponse}. A call ends
- * exactly once: with a response, with a failure, or by {@link #abandon}. It never retries. I/O
- * thread only.
+ * One request on one connection and its response. The response is buffered completely. If it is too
+ * long, or its length is unknown and it is slow, it consists of its beginning and a {@link
+ * StreamedResponse} instead. A call ends exactly once: with a response, with a failure, or by
+ * {@link #abandon}. It never retries. I/O thread only.
  */
 public final class BackendCall {
     private enum State {
--- a/src/main/java/lemondrift/proxy/backend/BackendConnector.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendConnector.java
@@ -8,8 +8,8 @@
 /** Opens connections to backends; the warm-up and tests use their own implementations. */
 public interface BackendConnector {
     /**
-     * Starts to connect. The listener receives the connection once it is established; the future
-     * reports a failure, too. I/O thread only.
+     * Starts to connect. The listener receives the connection once it is established. The future
+     * also reports a failure. I/O thread only.
      */
     IoFuture<StreamConnection> open(
             InetSocketAddress address, ChannelListener<StreamConnection> openListener);
--- a/src/main/java/lemondrift/proxy/client/ClientConnection.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnection.java
@@ -234,8 +234,8 @@
     }
 
     /**
-     * Starts a pause in which nothing is read, as the request has been refused. Returns its length
-     * in seconds; 0 if the connection is closed.
+     * Starts a pause in which nothing is read, after a request was refused, rejected or failed.
+     * Returns the length of the pause in seconds; 0 if the connection is closed.
      */
     double startReadPause() {
         return closed ? 0 : policy.startReadPause(index, clock.now());
--- a/src/main/java/lemondrift/proxy/client/ClientConnections.java
+++ b/src/main/java/lemondrift/proxy/client/ClientConnections.java
@@ -36,10 +36,10 @@
     /** How many sweeps run in each sweep interval of the policy during a drain. */
     private static final int DRAIN_SWEEPS_PER_INTERVAL = 4;
 
-    /** How long after its deadline a request that is still open is ended here. */
+    /** Seconds after its deadline at which a request that is still open is ended here. */
     private static final double OVERDUE_GRACE_SECONDS = 0.1;
 
-    /** The minimum time between two log lines about too many connections. */
+    /** Minimum seconds between two log lines about too many connections. */
     private static final double LOG_INTERVAL_SECONDS = 1;
 
     private final MonotonicClock clock;
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -138,7 +138,10 @@
         }
     }
 
-    /** Returns how many request classes the settings have. May be called from any thread. */
+    /**
+     * Returns the number of indexes of request classes, including indexes that no class has any
+     * more. May be called from any thread.
+     */
     public int requestClassCount() {
         return validator.requestClassCount();
     }
@@ -230,9 +233,10 @@
     }
 
     /**
-     * Accepts the connections that wait to be accepted, and returns whether no connection is left
-     * that needs a response. Guards against losing requests that arrive after the check: a caller
-     * that closes because of the result must do so in the same task of the I/O thread.
+     * Accepts the connections that wait to be accepted, and returns whether no connection is open,
+     * except those that were sent their closing response and had enough time to read it. Guards
+     * against losing requests that arrive after the check: a caller that closes because of the
+     * result must do so in the same task of the I/O thread.
      */
     public boolean isDrained() {
         try {
@@ -250,7 +254,10 @@
         return server == null ? null : server.accept();
     }
 
-    /** Stops accepting; open connections stay as they are. May be called from any thread. */
+    /**
+     * Closes this process's own listening socket, if it has one, and stops the sweeps of
+     * connections. Open connections stay open. May be called from any thread.
+     */
     public void close() {
         worker.getIoThread().execute(connections::stop);
         IoUtils.safeClose(server);
@@ -293,7 +300,7 @@
     /**
      * Answers a request that no backend serves with 503, which promises that a retry is harmless.
      *
-     * @param retryAfterSeconds the value of Retry-After; 0 to send none
+     * @param retryAfterSeconds the value of Retry-After in seconds; 0 to send none
      */
     public void reject(PendingRequest pending, double retryAfterSeconds) {
         responseWriter.reject(pending, retryAfterSeconds);
--- a/src/main/java/lemondrift/proxy/client/RequestBody.java
+++ b/src/main/java/lemondrift/proxy/client/RequestBody.java
@@ -23,7 +23,7 @@
         /** The complete body has arrived and is buffered. */
         void buffered(byte[] body);
 
-        /** The body is too long to be buffered completely and must be streamed. */
+        /** The body exceeds the buffer budget and must be streamed. */
         void streamed(RequestBody body);
 
         /** The last byte of a streamed body has arrived. */
@@ -93,7 +93,10 @@
         this.listener = listener;
     }
 
-    /** Reads until the complete body or as much as the budget allows is buffered. */
+    /**
+     * Buffers the complete body, or starts to stream it if it exceeds the budget. Continues when
+     * more bytes arrive.
+     */
     void readIntoBuffer() {
         try (PooledByteBuffer pooled = bufferPool.allocate()) {
             ByteBuffer piece = pooled.getBuffer();
@@ -193,7 +196,9 @@
         return nextPieces.poll();
     }
 
-    /** Reads the next piece. Throws nothing: guards against blaming a backend for the client. */
+    /**
+     * Reads the next piece. Throws nothing: a backend must not be blamed for the client's error.
+     */
     private void readNext() {
         try {
             if (!startedUnbuffered) {
--- a/src/main/java/lemondrift/proxy/client/RequestReader.java
+++ b/src/main/java/lemondrift/proxy/client/RequestReader.java
@@ -11,8 +11,8 @@
 import org.xnio.IoUtils;
 
 /**
- * Reads requests and offers them for admission: with the complete body if it can be buffered,
- * otherwise as soon as it no longer can. Refuses:
+ * Reads requests and offers them for admission: with the complete body if the buffer budget allows
+ * it, otherwise as soon as the body exceeds the budget. Refuses:
  *
  * <ul>
  *   <li>with 400, and closes the connection: ambiguous framing, an unreadable body, and a streamed
--- a/src/main/java/lemondrift/proxy/client/RequestValidator.java
+++ b/src/main/java/lemondrift/proxy/client/RequestValidator.java
@@ -59,7 +59,10 @@
         Arrays.setAll(termsByClass, settings::termsFor);
     }
 
-    /** Returns how many request classes the settings have. May be called from any thread. */
+    /**
+     * Returns the number of indexes of request classes, including indexes that no class has any
+     * more. May be called from any thread.
+     */
     int requestClassCount() {
         return termsByClass.length;
     }
--- a/src/main/java/lemondrift/proxy/client/ResponseWriter.java
+++ b/src/main/java/lemondrift/proxy/client/ResponseWriter.java
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Refuses a request that need not be complete with a 4xx status, and closes its connection. The
-     * response has a body: guards against a delay, as Undertow holds an empty response back until
-     * the whole request has arrived.
+     * Refuses a request with a 4xx status and closes its connection. The request need not have
+     * arrived completely. The response has a body: guards against a delay, as Undertow holds an
+     * empty response back until the whole request has arrived.
      */
     void refuseAndClose(HttpServerExchange exchange, int status, RefusalReason reason) {
         exchange.setPersistent(false);
@@ -161,7 +161,8 @@
      * Answers a request that no backend serves with 503, which promises that a retry is harmless.
      * Does nothing if a response has been started or the client has closed.
      *
-     * @param retryAfterSeconds the value of Retry-After, rounded up to milliseconds; 0 to send none
+     * @param retryAfterSeconds the value of Retry-After in seconds, rounded up to milliseconds; 0
+     *     to send none
      */
     void reject(PendingRequest pending, double retryAfterSeconds) {
         if (!ClientCloseWatch.isUnanswered(pending)) {
@@ -256,7 +257,8 @@
             response.remainder().relayCompleted();
             exchange.endExchange();
         } else {
-            // The client detects this close: bytes of the length or the last chunk are missing.
+            // The client detects that the body is incomplete: bytes of its length or the last
+            // chunk are missing.
             response.remainder().abandonResponse();
             count(exchange, ProxyMetrics.Reply.ERROR);
             IoUtils.safeClose(ClientConnection.socketOf(exchange));
--- a/src/main/java/lemondrift/proxy/client/package-info.java
+++ b/src/main/java/lemondrift/proxy/client/package-info.java
@@ -18,8 +18,13 @@
  *   <li>{@code ClientCloseWatch} detects that a client closes while it waits for a response.
  * </ul>
  *
+ * <p>A connection ends when its client closes it, when it is closed after a response that does not
+ * keep it open ({@code ResponseWriter}), when a body breaks off, or when the policy closes it for a
+ * {@link lemondrift.connection.CloseReason}. {@code ClientConnections.closed} handles every end and
+ * reports an open request to the decision loop as abandoned.
+ *
  * <p>At SIGTERM {@code ClientListener.drain} makes each response close its connection, and closes
- * connections without a request one by one. New connections are still accepted and their requests
- * answered, until {@code ClientListener.isDrained}.
+ * connections without a request one by one. New connections are still accepted, except on an
+ * inherited socket, and their requests answered, until {@code ClientListener.isDrained}.
  */
 package lemondrift.proxy.client;
--- a/src/main/java/lemondrift/proxy/config/GossipSettings.java
+++ b/src/main/java/lemondrift/proxy/config/GossipSettings.java
@@ -9,8 +9,9 @@
  * @param listen the address at which this proxy receives datagrams
  * @param proxies the address of each proxy of the fleet, by its number
  * @param self the number of this proxy
- * @param minIntervalSeconds the minimum seconds between two messages to the same peer
- * @param expirySeconds the seconds without a message after which a peer's load reports expire
+ * @param minIntervalSeconds the minimum time between two messages to the same peer, in seconds
+ * @param expirySeconds the time without a message after which a peer's load reports expire, in
+ *     seconds
  * @param subsetSize the number of backends that each proxy uses
  */
 public record GossipSettings(
--- a/src/main/java/lemondrift/proxy/config/SettingsFile.java
+++ b/src/main/java/lemondrift/proxy/config/SettingsFile.java
@@ -64,7 +64,8 @@
     /**
      * Returns a value as a number from min to max.
      *
-     * @throws InvalidSettingsException if the value is text that is not a number, or out of range
+     * @throws InvalidSettingsException if the value is a boolean, text that is not a number, or out
+     *     of range
      * @throws UnsupportedOperationException if the value is a JSON object or null
      * @throws IllegalStateException if the value is a JSON array that does not have one element
      */
--- a/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -17,7 +17,7 @@
  * Maps the ids of backends to their addresses and to the dense indexes by which the balancer refers
  * to them. An index is reassigned to another backend once its backend is gone and no references to
  * it remain. The cost of processing one endpoint does not grow with the number of backends. Used
- * only on the thread of the decision loop.
+ * only on the decision loop's thread.
  */
 public final class BackendDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(BackendDirectory.class);
@@ -185,8 +185,8 @@
     }
 
     /**
-     * Returns whether an index is assigned to a listed backend that is missing from the complete
-     * list with a number.
+     * Returns whether a complete list withdraws a backend: it is listed, but was not marked with
+     * the number of that list.
      */
     boolean isMissingFrom(int listNumber, int backend) {
         Entry entry = byIndex.get(backend);
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -40,9 +40,9 @@
     private static final double HOLD_SECONDS = 1.8;
 
     /**
-     * Seconds for which discovery may hold a call if the balancer polls. It is longer because each
-     * call has a cost; one call without a response ends within the 6 s after which a change counts
-     * as known.
+     * Seconds for which discovery may hold a call if the balancer polls. Longer than {@link
+     * #HOLD_SECONDS} because each call has a cost. One call without a response ends within the 6 s
+     * after which a change counts as known.
      */
     private static final double POLLING_HOLD_SECONDS = 3;
 
@@ -212,7 +212,7 @@
                         full ? fullListTimeoutSeconds() : holdSeconds + HOLD_SLACK_SECONDS,
                         this::callEnded);
         if (call == null) {
-            callFailed("no free connection to discovery");
+            callFailed("no connection free");
         } else {
             state = State.CALLING;
             call.start();
--- a/src/main/java/lemondrift/proxy/http/ProxyHeaders.java
+++ b/src/main/java/lemondrift/proxy/http/ProxyHeaders.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * The header fields that the proxy itself reads or writes, with their names on the wire, and the
- * rule which fields it forwards.
+ * The header fields that the proxy itself reads or writes, with their names on the wire, and which
+ * fields it forwards.
  */
 public final class ProxyHeaders {
     /** How long the sender waits for the response, in milliseconds. */
--- a/src/main/java/lemondrift/proxy/lifecycle/HangUpSignal.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/HangUpSignal.java
@@ -6,10 +6,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Installs a handler for SIGHUP, which ends a JVM without one. To survive a SIGHUP that arrives
- * before the handler is installed, a process is started with the signal ignored, as the {@code run}
- * entry of the deploy file does. Such a JVM accepts a handler only after the library built from
- * {@code hangup.c} is loaded.
+ * Installs a handler for SIGHUP. The signal ends a JVM that has no handler. To survive a SIGHUP
+ * that arrives before the handler is installed, a process is started with the signal ignored, as
+ * the {@code run} entry of the deploy file does. Such a JVM accepts a handler only after the
+ * library built from {@code hangup.c} is loaded.
  */
 final class HangUpSignal {
     /** Name of the library built from {@code hangup.c}. */
--- a/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/ProxyLauncher.java
@@ -19,7 +19,7 @@
     /** Environment variable with the descriptor of an inherited listening socket. */
     private static final String INHERITED_SOCKET_VARIABLE = "PROXY_INHERITED_FD";
 
-    /** Maximum seconds to write the last log lines when the process ends. */
+    /** Maximum time to write the last log lines when the process ends, in seconds. */
     private static final double LOG_DRAIN_SECONDS = 0.05;
 
     private final Map<String, String> environment;
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Starts the proxy. Returns 0 when it serves, and the proxy keeps running. If it cannot start,
-     * prints the reason on one line and returns 1 as the exit code.
+     * Starts the proxy. Returns 0 once the proxy serves; its threads keep running. If it cannot
+     * start, prints the reason on one line and returns 1 as the exit code.
      */
     public static int run(Map<String, String> environment, PrintStream err) {
         ProxyLauncher launcher = new ProxyLauncher(environment);
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Opens the takeover lock. Other processes of this proxy see at once that this one starts, and
-     * reduce their share of the resources.
+     * Opens the takeover lock and refreshes it at once, so that other processes of this proxy
+     * detect this one at their next poll and reduce their share of the resources.
      */
     private static TakeoverLock openTakeoverLock(
             Map<String, String> environment, ProxyConfig config) {
--- a/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
+++ b/src/main/java/lemondrift/proxy/lifecycle/Warmup.java
@@ -43,10 +43,10 @@
     /** Number of requests to send if time permits. */
     private static final int REQUESTS = 120;
 
-    /** Maximum seconds for the requests. */
+    /** Maximum time for the requests, in seconds. */
     private static final double MAX_SECONDS = 1.5;
 
-    /** Maximum seconds after that for the responses to the last requests. */
+    /** Maximum time after that for the responses to the last requests, in seconds. */
     private static final double FINAL_RESPONSES_SECONDS = 0.5;
 
     /** Maximum length of a request or response, in bytes. */
--- a/src/test/java/lemondrift/proxy/ProxyServerTest.java
+++ b/src/test/java/lemondrift/proxy/ProxyServerTest.java
@@ -224,9 +224,8 @@
             assertTrue(response.startsWith("HTTP/1.1 200"), response);
             closed += response.toLowerCase(Locale.ROOT).contains("connection: close") ? 1 : 0;
         }
-        // A quarter of the 24 places may stay idle. Beyond that, only a few connections are kept,
-        // to
-        // sample idle times.
+        // A quarter of the 24 connections may stay idle. Beyond that, only a few connections are
+        // kept, to sample idle times.
         assertTrue(closed >= 10, "only " + closed + " connections were closed");
         closeAll(connections);
     }
