--- a/src/main/java/lemondrift/lab/simulation/Backend.java
+++ b/src/main/java/lemondrift/lab/simulation/Backend.java
@@ -6,14 +6,17 @@
 import java.util.List;
 import lemondrift.model.Settings;
 
-/** A backend: cores, one queue before them, and the faults that fall on it. */
+/**
+ * A simulated backend: its cores, one queue of waiting requests, and the state of the faults that
+ * affect it.
+ */
 public final class Backend {
     /** One request that the backend holds. */
     public static final class Job {
         private final double workSeconds;
         private final JobListener listener;
 
-        /** Its completion as scheduled; null while it waits. */
+        /** The scheduled completion; null while the job waits for a core. */
         private Scheduler.Entry completion;
 
         private boolean dropped;
@@ -28,9 +31,10 @@
     @FunctionalInterface
     public interface JobListener {
         /**
-         * A job has ended.
+         * Handles the end of a job.
          *
-         * @param completed whether it ran to its end; else it was reset with the backend's process
+         * @param completed true if the job ran to its end; false if it was reset because the
+         *     backend's process ended
          */
         void jobEnded(boolean completed);
     }
@@ -38,7 +42,7 @@
     /** The time constant of the moving average of the utilization, in seconds. */
     private static final double UTILIZATION_AVERAGE_SECONDS = 0.1;
 
-    /** How many requests may wait for each core. */
+    /** The maximum number of waiting requests per core. */
     private static final int MAX_WAITING_PER_CORE = 20;
 
     private final Scheduler scheduler;
@@ -53,24 +57,33 @@
     private double startedAt = Double.NEGATIVE_INFINITY;
     private double stalledUntil;
 
-    /** The share of busy cores, a moving average as of {@link #utilizationAt}. */
+    /** The moving average of the share of busy cores, as of {@link #utilizationAt}. */
     private double utilization;
 
     private double utilizationAt;
 
-    /** How many faults hold the process down now. */
+    /** The number of active faults that keep the process down. */
     int activeDownFaults;
 
-    /** How many faults make the machine silent now: connections neither come up nor break. */
+    /**
+     * The number of active faults that make the machine silent: connections are neither established
+     * nor broken.
+     */
     public int activeSilenceFaults;
 
-    /** How many times as long as usual all work takes now. */
+    /** The factor by which active faults lengthen all work; 1 without faults. */
     double faultSlowdown = 1;
 
-    /** The share of all requests that fail by faults now, 0 to 1 or more where faults overlap. */
+    /**
+     * The share of all requests that fail because of active faults, from 0; above 1 if faults
+     * overlap.
+     */
     public double faultErrorShare;
 
-    /** The same for the requests of the last class alone. */
+    /**
+     * The additional failing share of the requests of the last request class, from 0; above 1 if
+     * faults overlap.
+     */
     public double lastClassFaultErrorShare;
 
     /**
@@ -85,17 +98,17 @@
         coldWork = new WorkWindow(rules.overloadWindowSeconds());
     }
 
-    /** Whether its process is up, be its machine silent or not. */
+    /** Returns whether the process is up, regardless of whether the machine is silent. */
     public boolean isUp() {
         return activeDownFaults == 0;
     }
 
-    /** Whether its process is up and its machine not silent. */
+    /** Returns whether the process is up and the machine is not silent. */
     public boolean isAvailable() {
         return isUp() && activeSilenceFaults == 0;
     }
 
-    /** The share of its full capacity that it has now, 0 to 1. */
+    /** Returns the current share of the full capacity, 0 to 1; below 1 during slow start. */
     private double capacityShare() {
         double warmedShare = (scheduler.now() - startedAt) / rules.slowStartSeconds();
         return warmedShare >= 1
@@ -105,8 +118,9 @@
     }
 
     /**
-     * Adds work, in seconds of one warm core, and returns whether it overloads a cold backend: more
-     * came within the overload window than the backend can bear.
+     * Adds work, in seconds of one warm core, and returns whether it overloads a cold backend:
+     * whether more work arrived within the overload window than the backend can handle. A warm
+     * backend is never overloaded.
      */
     public boolean addWorkAndCheckOverload(double workSeconds) {
         double capacityShare = capacityShare();
@@ -119,51 +133,59 @@
                 rules.overloadFactor() * capacityShare * cores * rules.overloadWindowSeconds());
     }
 
-    /** Whether its queue is full. */
+    /** Returns whether the queue is full. */
     public boolean isFull() {
         return waiting.size() >= MAX_WAITING_PER_CORE * cores;
     }
 
-    /** The share of the requests of a class that fail by faults now; above 1 all do. */
+    /**
+     * Returns the share of the requests of a class that fail because of active faults; all of them
+     * fail if it is 1 or more.
+     */
     double errorShare(boolean isLastClass) {
         return Math.max(faultErrorShare, isLastClass ? lastClassFaultErrorShare : 0);
     }
 
-    /** How many times as long as on a warm backend without faults its work takes now. */
+    /** Returns how many times longer work takes now than on a warm backend without faults. */
     public double serviceTimeFactor() {
         return faultSlowdown / capacityShare();
     }
 
-    /** The requests that it holds for each core, over its present speed; stalls add to it. */
+    /**
+     * Returns the running and waiting requests per core, multiplied by {@link #serviceTimeFactor},
+     * plus the remaining seconds of a stall.
+     */
     double load() {
         return (waiting.size() + running.size()) / (double) cores * serviceTimeFactor()
                 + Math.max(0, stalledUntil - scheduler.now());
     }
 
-    /** How many requests it holds, running and waiting. */
+    /** Returns the number of running and waiting requests. */
     public int heldRequestCount() {
         return running.size() + waiting.size();
     }
 
-    /** How many requests wait for a core. */
+    /** Returns the number of requests that wait for a core. */
     public int queuedRequestCount() {
         return waiting.size();
     }
 
-    /** The share of its cores that are busy, a moving average, 0 to 1. */
+    /** Returns the moving average of the share of busy cores, 0 to 1. */
     public double utilization() {
         updateUtilization();
         return Math.min(1, utilization);
     }
 
-    /** Must be called before the number of running jobs changes. */
+    /** Updates the moving average. Must be called before the number of running jobs changes. */
     private void updateUtilization() {
         double share = Math.exp((utilizationAt - scheduler.now()) / UTILIZATION_AVERAGE_SECONDS);
         utilization = utilization * share + (1 - share) * running.size() / cores;
         utilizationAt = scheduler.now();
     }
 
-    /** Accepts a request whose work is given in seconds of one warm core. */
+    /**
+     * Accepts a request and starts it if a core is free; its work is in seconds of one warm core.
+     */
     public Job submit(double workSeconds, JobListener listener) {
         Job job = new Job(workSeconds, listener);
         waiting.add(job);
@@ -195,22 +217,25 @@
         startWaitingJobs();
     }
 
-    /** Drops a job that nobody waits for: it leaves the queue, or runs on where it has started. */
+    /**
+     * Drops a job whose result is no longer needed: it is removed from the queue, or runs to its
+     * end without a call of its listener if it has started.
+     */
     public void drop(Job job) {
         job.dropped = true;
         waiting.remove(job);
     }
 
-    /** Stands still until a time, in seconds of the scheduler. */
+    /** Completes no job until a time, in seconds of the scheduler. */
     void stall(double until) {
         stalledUntil = Math.max(stalledUntil, until);
     }
 
     /**
-     * The process ends and loses all jobs.
+     * Ends the process, which loses all jobs.
      *
-     * @param resetsJobs whether the listeners are called; else nothing is heard of the jobs any
-     *     more
+     * @param resetsJobs whether the listeners of the jobs are called; if false, the jobs end
+     *     without a call
      */
     void terminate(boolean resetsJobs) {
         updateUtilization();
@@ -228,7 +253,7 @@
         }
     }
 
-    /** The process starts again, cold and idle. */
+    /** Restarts the process, cold and idle. */
     void restart() {
         startedAt = scheduler.now();
         coldWork.clear();
--- a/src/main/java/lemondrift/lab/simulation/BackendFault.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFault.java
@@ -3,14 +3,15 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * A fault of backends, traffic or discovery; any may overlap with any. Reports give its components
- * by these names.
+ * A fault of backends, traffic or discovery. Faults may overlap. Reports contain the components as
+ * JSON.
  *
  * @param kind what fails
- * @param startAt when it begins, in seconds from the start of the scenario
- * @param durationSeconds for how many seconds
- * @param share of the backends that it falls on, 0 to 1; at least one
- * @param strength how many times slower, or more traffic; for ERRORS and GRADE the share that fails
+ * @param startAt start time, in seconds from the start of the scenario
+ * @param durationSeconds duration in seconds, over 0
+ * @param share share of the backends that are affected, 0 to 1; at least one backend is affected
+ * @param strength factor by which backends become slower, or traffic or work increases; for ERRORS
+ *     and GRADE the share of requests that fail
  */
 public record BackendFault(
         Kind kind,
@@ -18,40 +19,43 @@
         @JsonProperty("lasts") double durationSeconds,
         double share,
         double strength) {
-    /** Kinds of fault, as experiments name them. */
+    /** Kinds of fault; experiments name them in lower case. */
     public enum Kind {
-        /** Processes die and reset what they held; they restart cold when it is over. */
+        /** Processes end and reset their requests; they restart cold when the fault ends. */
         CRASH,
         /**
-         * Machines are silent: connections neither come up nor break; they restart cold when it is
-         * over.
+         * Machines are silent: connections are neither established nor broken. The processes
+         * restart cold when the fault ends.
          */
         VANISH,
-        /** Backends stand still. */
+        /** Backends make no progress. */
         STALL,
-        /** Backends work slower, by the strength. */
+        /** Backends work slower by a factor, the strength. */
         SLOW,
-        /** Backends answer a share of the requests with an error at once. */
+        /** Backends respond to a share of the requests with an immediate error. */
         ERRORS,
-        /** The same for the last request class alone. */
+        /**
+         * Backends respond to a share of the requests of the last request class with an immediate
+         * error.
+         */
         GRADE,
         /**
-         * Backends are replaced one after another within the time, each drained first, their
-         * successors cold.
+         * Backends are replaced one after another, evenly over the duration; each is drained first,
+         * and its successor starts cold.
          */
         DEPLOY,
-        /** Traffic is so many times the usual. */
+        /** Traffic is multiplied by the strength. */
         BURST,
-        /** Requests cost so many times the usual. */
+        /** The work of each request is multiplied by the strength. */
         HEAVY,
-        /** Discovery says nothing; changes are announced when it is over. */
+        /** Discovery sends nothing; changes are announced when the fault ends. */
         SILENCE
     }
 
     /**
      * Checks the fields.
      *
-     * @throws IllegalArgumentException where one is missing or out of its range
+     * @throws IllegalArgumentException if a field is missing or out of its range
      */
     public BackendFault {
         if (kind == null
@@ -60,7 +64,19 @@
                 || !(share >= 0 && share <= 1)
                 || !(strength >= 0)) {
             throw new IllegalArgumentException(
-                    "a trouble that cannot be: " + kind + " at " + startAt + " s");
+                    "invalid fault: "
+                            + kind
+                            + " at "
+                            + startAt
+                            + " s for "
+                            + durationSeconds
+                            + " s, share "
+                            + share
+                            + ", strength "
+                            + strength
+                            + ": the kind must be given, the start must not be negative, the"
+                            + " duration must be over 0 s, the share from 0 to 1 and the strength"
+                            + " not negative");
         }
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFaultInjector.java
@@ -4,32 +4,37 @@
 import lemondrift.model.EndpointUpdate;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Has faults fall on backends, traffic and discovery, in virtual time and on sockets alike. */
+/** Applies faults to backends, traffic and discovery, both in virtual time and on real sockets. */
 public final class BackendFaultInjector {
-    /** What the faults fall on beside the backends' own state. */
+    /** Receives the effects of faults beyond the backends' own state. */
     public interface Host {
-        /** Discovery is to announce the state of a backend. */
+        /** Announces the state of a backend through discovery. */
         void announce(int backend, EndpointUpdate.State state);
 
         /**
-         * The process or machine of a backend has gone.
+         * Handles the end of a backend's process or the silence of its machine.
          *
-         * @param resetsRequests whether what it held was reset; else nothing is heard of it any
-         *     more
+         * @param resetsRequests whether its requests were reset; if false, they get no further
+         *     response
          */
         default void processEnded(int backend, boolean resetsRequests) {}
 
-        /** The process of a backend has started again, idle and cold. */
+        /** Handles the restart of a backend's process, which is idle and cold. */
         void processRestarted(int backend);
 
-        /** Discovery says nothing for a time. */
+        /** Stops the announcements of discovery for a time in seconds. */
         void silenceDiscovery(double seconds);
     }
 
-    /** How long a replaced process is gone before its successor starts, in seconds. */
+    /**
+     * The time between the end of a replaced process and the start of its successor, in seconds.
+     */
     private static final double REPLACEMENT_DOWNTIME_SECONDS = 0.1;
 
-    /** How long a replaced backend drains beyond twice the delay of discovery, in seconds. */
+    /**
+     * The time for which a replaced backend drains, beyond twice the delay of discovery, in
+     * seconds.
+     */
     private static final double DRAIN_MARGIN_SECONDS = 1;
 
     private final Scheduler scheduler;
@@ -38,13 +43,17 @@
     private final double discoveryDelaySeconds;
     private final Host host;
 
-    /** How many times as many requests as usual arrive now. */
+    /** The factor by which active faults increase the request rate; 1 without faults. */
     public double trafficFactor = 1;
 
-    /** How many times as much work as usual a request costs now. */
+    /** The factor by which active faults increase the work of a request; 1 without faults. */
     public double workFactor = 1;
 
-    /** Creates an injector for these backends; the delay is that of discovery, in seconds. */
+    /**
+     * Creates an injector for the given backends.
+     *
+     * @param discoveryDelaySeconds the mean delay of discovery
+     */
     public BackendFaultInjector(
             Scheduler scheduler,
             UniformRandomProvider random,
@@ -58,7 +67,7 @@
         this.host = host;
     }
 
-    /** Draws the backends that a fault falls on: its share of them, at least one. */
+    /** Draws the backends that a fault affects: the fault's share of all backends, at least one. */
     private int[] drawBackends(BackendFault fault) {
         int[] order = new int[backends.length];
         Arrays.setAll(order, i -> i);
@@ -72,7 +81,7 @@
         return Arrays.copyOf(order, Math.min(order.length, count));
     }
 
-    /** A fault begins now; it ends by itself after its duration. */
+    /** Starts a fault now and schedules its end after its duration. */
     public void startFault(BackendFault fault) {
         switch (fault.kind()) {
             case BURST -> {
@@ -138,14 +147,16 @@
                         fault.durationSeconds(),
                         () -> backend.lastClassFaultErrorShare -= fault.strength());
             }
-            default -> throw new IllegalStateException(fault.kind() + " falls on no backend");
+            default ->
+                    throw new IllegalStateException(
+                            fault.kind() + " is not a fault of single backends");
         }
     }
 
     /**
-     * The process of a backend goes down, unless another fault holds it down already.
+     * Ends the process of a backend, unless another fault already keeps it down.
      *
-     * @param resetsRequests whether what it held is reset; else nothing is heard of it any more
+     * @param resetsRequests whether its requests are reset; if false, they get no further response
      */
     public void takeDown(int backend, boolean resetsRequests) {
         if (backends[backend].activeDownFaults++ == 0) {
@@ -155,7 +166,9 @@
         }
     }
 
-    /** Restarts a backend when the last of the faults that hold it down has ended. */
+    /**
+     * Ends one fault that keeps a backend down, and restarts the backend if it was the last one.
+     */
     private void restart(int backend) {
         if (--backends[backend].activeDownFaults == 0) {
             backends[backend].restart();
--- a/src/main/java/lemondrift/lab/simulation/EventHistory.java
+++ b/src/main/java/lemondrift/lab/simulation/EventHistory.java
@@ -3,12 +3,12 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The last events that the referee saw, which the message of a broken rule lists. */
+/** The most recent events that the referee received. The message of a rule violation lists them. */
 final class EventHistory {
-    /** Stands in an event for a proxy, request or backend that it does not concern. */
+    /** The index of the proxy, request or backend in an event that does not concern one. */
     static final int NONE = -1;
 
-    /** How many events are kept. */
+    /** The maximum number of events kept. */
     private static final int CAPACITY = 12;
 
     private record Event(double at, String description, int proxy, long requestId, int backend) {}
@@ -22,7 +22,7 @@
         events.add(new Event(at, description, proxy, requestId, backend));
     }
 
-    /** Appends each event on a line of its own. */
+    /** Appends each event on a separate line, oldest first. */
     void appendTo(StringBuilder text) {
         for (Event event : events) {
             text.append("\n  ")
@@ -31,7 +31,7 @@
                     .append(event.description)
                     .append(", proxy ")
                     .append(event.proxy)
-                    .append(", exchange ")
+                    .append(", request ")
                     .append(event.requestId)
                     .append(", backend ")
                     .append(event.backend);
--- a/src/main/java/lemondrift/lab/simulation/Fault.java
+++ b/src/main/java/lemondrift/lab/simulation/Fault.java
@@ -1,19 +1,19 @@
 package lemondrift.lab.simulation;
 
 /**
- * A fault of the proxies' processes, or of the channels between them, to the backends or to
- * discovery; any may overlap with any.
+ * A fault of the proxies' processes, or of the channels between proxies, to the backends or from
+ * discovery. Faults may overlap.
  *
  * @param kind what fails
- * @param channel the channel, for a fault between processes
- * @param from whose messages, or which processes
- * @param to to whom the messages go
- * @param bidirectional whether the opposite direction has it too
- * @param startAt when it begins, in seconds from the start of the scenario
- * @param durationSeconds for how many seconds; a process that was killed or stopped is started
- *     again then
- * @param share of the messages that it falls on, 0 to 1
- * @param maxDelaySeconds how many seconds a message is late at the most
+ * @param channel the affected channel, for a fault of a channel
+ * @param from the senders whose messages are affected, or the affected processes
+ * @param to the receivers of the affected messages
+ * @param bidirectional whether the opposite direction is affected too
+ * @param startAt start time, in seconds from the start of the scenario
+ * @param durationSeconds duration in seconds, over 0; at its end a process that was killed or
+ *     stopped is started again
+ * @param share share of the messages that are affected, 0 to 1
+ * @param maxDelaySeconds maximum delay of a message, in seconds
  */
 public record Fault(
         Kind kind,
@@ -27,7 +27,7 @@
         double maxDelaySeconds) {
     /** Kinds of fault. */
     public enum Kind {
-        /** Nothing gets through; connections stay open at both ends. */
+        /** No data gets through; connections stay open at both ends. */
         CUT(false),
         /** A share of the datagrams is lost. */
         LOSE(false),
@@ -36,34 +36,39 @@
         /** A share of the datagrams is duplicated. */
         TWICE(false),
         /**
-         * A share of the datagrams is delayed by times of their own, so that they are reordered.
+         * A share of the datagrams is delayed, each by a different time, so that they are
+         * reordered.
          */
         DISORDER(false),
-        /** Datagrams that no proxy sent: random bytes, absurd lengths, foreign senders. */
+        /**
+         * Proxies receive datagrams that no proxy sent: random bytes, invalid lengths, unknown
+         * senders.
+         */
         JUNK(false),
-        /** Processes get SIGKILL at one instant and are started again when it is over. */
+        /** Processes get SIGKILL at the same time and are started again when the fault ends. */
         KILL(true),
-        /** Processes get SIGTERM and are started again when it is over. */
+        /** Processes get SIGTERM and are started again when the fault ends. */
         STOP(true),
-        /** Processes get SIGSTOP, and SIGCONT when it is over. */
+        /** Processes get SIGSTOP, and SIGCONT when the fault ends. */
         PAUSE(true),
-        /** Processes are restarted over its duration, a tenth of them at a time. */
+        /** Processes are restarted over the duration, a tenth of them at a time. */
         ROLL(true),
         /**
-         * Processes get SIGTERM while clients go on using the connections that they have, and are
-         * killed as early as the platform may do so.
+         * Processes get SIGTERM while clients continue to use their open connections, and are
+         * killed at the earliest time at which the platform may kill them.
          */
         TERMINATE(true),
-        /** Processes get SIGHUP, to reload their configuration, several times over its duration. */
+        /** Processes get SIGHUP, to reload their configuration, several times over the duration. */
         HANG_UP(true),
         /**
-         * As {@link #TERMINATE}, with SIGHUP in series just before and just after SIGTERM, which
-         * comes twice; and SIGHUP in series at several moments of the start that follows.
+         * Like {@link #TERMINATE}, but with a series of SIGHUP just before and just after SIGTERM,
+         * which is sent twice, and with a series of SIGHUP at several times during the following
+         * start.
          */
         SIGNAL_SERIES(true),
         /**
-         * Processes get SIGKILL, are started again when it is over, get SIGTERM during that start,
-         * and are started once more.
+         * Processes get SIGKILL, are started again when the fault ends, get SIGTERM during that
+         * start, and are started once more.
          */
         INTERRUPTED_START(true);
 
@@ -73,13 +78,13 @@
             this.processFault = processFault;
         }
 
-        /** Whether it falls on processes; else on a channel between them. */
+        /** Returns whether the fault affects processes; if not, it affects a channel. */
         public boolean isProcessFault() {
             return processFault;
         }
     }
 
-    /** Channels between processes. */
+    /** Channels on which messages can be affected. */
     public enum Channel {
         /** Gossip between proxies. */
         DATAGRAMS,
@@ -92,7 +97,7 @@
     /**
      * Checks the fields.
      *
-     * @throws IllegalArgumentException where one is missing or out of its range
+     * @throws IllegalArgumentException if a field is missing or out of its range
      */
     public Fault {
         if (kind == null
@@ -104,11 +109,29 @@
                 || !(share >= 0 && share <= 1)
                 || !(maxDelaySeconds >= 0)) {
             throw new IllegalArgumentException(
-                    "a fault that cannot be: " + kind + " at " + startAt + " s");
+                    "invalid fault: "
+                            + kind
+                            + " on "
+                            + channel
+                            + " from "
+                            + from
+                            + " to "
+                            + to
+                            + " at "
+                            + startAt
+                            + " s for "
+                            + durationSeconds
+                            + " s, share "
+                            + share
+                            + ", delay "
+                            + maxDelaySeconds
+                            + " s: the start and the delay must not be negative, the duration must"
+                            + " be over 0 s, the share from 0 to 1, and no other field may be"
+                            + " missing");
         }
     }
 
-    /** Whether it is in effect at a time, in seconds from the start of the scenario. */
+    /** Returns whether the fault is active at a time, in seconds from the start of the scenario. */
     public boolean isActiveAt(double now) {
         return now >= startAt && now < startAt + durationSeconds;
     }
--- a/src/main/java/lemondrift/lab/simulation/FaultTarget.java
+++ b/src/main/java/lemondrift/lab/simulation/FaultTarget.java
@@ -7,34 +7,37 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The proxies or backends that a fault falls on.
+ * The proxies or backends that a fault affects.
  *
- * @param kind how they are named
- * @param value the location, the number, or the share from 0 to 1; 1 for all
+ * @param kind how the targets are selected
+ * @param value the location, the index, or the share from 0 to 1; 1 for all
  */
 public record FaultTarget(Kind kind, double value) {
-    /** How the targets are named. */
+    /** How the targets are selected. */
     public enum Kind {
-        /** All there are. */
+        /** All proxies or backends. */
         ALL,
-        /** Those of a location. */
+        /** All in one location. */
         LOCATION,
-        /** One by its number. */
+        /** A single one, by its index. */
         NUMBER,
-        /** A share of them, drawn at random. */
+        /** A share of all, drawn at random. */
         SHARE
     }
 
-    /** The forms in an experiment's file, for messages. */
+    /** Examples of all valid forms in an experiment's file, for messages. */
     public static final String FORMS = "\"all\", \"location 1\", \"number 3\", \"30%\"";
 
-    /** All there are. */
+    /** All proxies or backends. */
     public static final FaultTarget ALL = new FaultTarget(Kind.ALL, 1);
 
     private static final Pattern FORM =
             Pattern.compile("(location|number) (\\d{1,4})|(\\d+(?:\\.\\d+)?)%");
 
-    /** Parses one of the {@link #FORMS}; null where the text is none of them. */
+    /**
+     * Parses one of the {@link #FORMS}; returns null if the text has another form or its percentage
+     * is above 100.
+     */
     public static FaultTarget parse(String text) {
         if (text.equals("all")) {
             return ALL;
@@ -53,10 +56,11 @@
     }
 
     /**
-     * Which of a number of proxies or backends are targets, by index.
+     * Selects the targets among a number of proxies or backends; returns for each index whether it
+     * is a target.
      *
-     * @param location the location of each index
-     * @param random where a share is drawn from; a share is at least one of them
+     * @param location returns the location of each index
+     * @param random the source for drawing a share; at least one index is drawn
      */
     public boolean[] selectTargets(
             int count, IntUnaryOperator location, UniformRandomProvider random) {
--- a/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
+++ b/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
@@ -6,21 +6,28 @@
 import java.util.stream.IntStream;
 
 /**
- * How evenly backends are used, by what they hold alone; docs/lab.md defines the figures. Times are
- * in seconds and must not fall from one call to the next. A backend is fit while it is up and not
- * silent; all are fit and idle at first.
+ * Measures how evenly backends are used, from the number of requests that each one holds;
+ * docs/lab.md defines the figures. Times are in seconds and must not decrease from one call to the
+ * next. A backend is available while it is up and not silent. Initially all backends are available
+ * and idle.
  */
 public final class LoadEvenness {
-    /** A backend that holds so many requests beyond its cores makes another's idleness a fault. */
+    /**
+     * A backend is crowded if it holds at least this number of requests more than its cores. An
+     * idle backend counts for the longest idle time only while another one is crowded.
+     */
     private static final int CROWDED_QUEUE = 3;
 
-    /** The herd is counted over this share of a latency objective. */
+    /**
+     * The length of the window in which sends to one backend are counted for the herd figure, as a
+     * share of the latency objective.
+     */
     private static final double HERD_WINDOW_SHARE = 0.1;
 
-    /** Stands in for a span of no length where a mean over time is taken. */
+    /** Replaces a time span of length 0 as the divisor of a mean over time. */
     private static final double SHORTEST_SPAN_SECONDS = 1e-9;
 
-    /** One request that was sent to a backend. */
+    /** One request sent to a backend. */
     private record Send(double at, int backend) {}
 
     private final int cores;
@@ -30,34 +37,37 @@
     private final double[] idleSince;
     private final long[] served;
 
-    /** The requests sent within the herd's window, and how many of them to each backend. */
+    /** The requests sent within the herd window, and their number per backend. */
     private final Deque<Send> recentSends = new ArrayDeque<>();
 
     private final int[] recentSendCount;
 
-    /** Up to when all has been counted, and from when on. */
+    /** The times until which and since which the integrals are counted. */
     private double now;
 
     private double countingSince;
 
-    /** Integrals over time since {@link #countingSince}. */
+    /** Integrals over the time since {@link #countingSince}. */
     private double wasteSeconds;
 
     private double mostHeldSeconds;
     private double idleSeconds;
 
-    /** Whether any backend is crowded, and since when. */
+    /** Whether any backend is crowded, and since which time. */
     private boolean crowded;
 
     private double crowdedSince;
     private double longestIdleSeconds;
     private int herd;
 
-    /** Longer than the seconds counted so far; the rest is 0. */
+    /** By second; may be longer than the counted time, with 0 in the remaining elements. */
     private double[] idleShareBySecond = {};
 
     /**
-     * Creates one for backends of so many cores; the latency objective is the shortest, in seconds.
+     * Creates a measurement over backends that are all available and idle.
+     *
+     * @param cores the number of cores of each backend
+     * @param latencyObjectiveSeconds the shortest latency objective of all request classes
      */
     public LoadEvenness(int backends, int cores, double latencyObjectiveSeconds) {
         this.cores = cores;
@@ -70,7 +80,7 @@
         recentSendCount = new int[backends];
     }
 
-    /** Counts anew from a time on; what the backends hold stays known. */
+    /** Restarts counting at a time; the current state of the backends is kept. */
     public void startCounting(double time) {
         advanceTo(time);
         countingSince = time;
@@ -85,7 +95,7 @@
         crowdedSince = time;
     }
 
-    /** Adds up the time since the last event, in which no backend has changed. */
+    /** Adds the time since the last event, in which no backend has changed, to the integrals. */
     private void advanceTo(double time) {
         double spanSeconds = time - now;
         if (spanSeconds <= 0) {
@@ -108,7 +118,7 @@
         now = time;
     }
 
-    /** Adds idle time to each second that it lies in. */
+    /** Distributes idle time over the seconds in which it lies. */
     private void addIdleBySecond(double spanSeconds, int idleCount) {
         double end = now - countingSince + spanSeconds;
         for (double at = now - countingSince; at < end; at = Math.floor(at) + 1) {
@@ -121,14 +131,17 @@
     }
 
     /**
-     * The share of backends that were fit and idle in each second since it began to count, 0 to 1;
-     * it may be longer than the time that has passed.
+     * Returns the share of backends that were available and idle in each second since counting
+     * started, 0 to 1; the array may be longer than the counted time.
      */
     public double[] idleShareBySecond() {
         return idleShareBySecond;
     }
 
-    /** A backend holds so many requests from a time on, and is fit or not. */
+    /**
+     * Records the number of requests that a backend holds from a time on, and whether it is
+     * available.
+     */
     public void updateBackend(int backend, int count, boolean isAvailable, double time) {
         advanceTo(time);
         if (!isIdle(backend)) {
@@ -168,7 +181,7 @@
         }
     }
 
-    /** A request was sent to a backend. */
+    /** Records that a request was sent to a backend. */
     public void recordSend(int backend, double time) {
         advanceTo(time);
         while (!recentSends.isEmpty() && recentSends.peek().at < time - herdWindowSeconds) {
@@ -179,12 +192,12 @@
         herd = Math.max(herd, recentSendCount[backend]);
     }
 
-    /** A backend has answered a request successfully. */
+    /** Records that a backend has responded successfully to a request. */
     public void recordServed(int backend) {
         served[backend]++;
     }
 
-    /** The figures from when it began to count until a time. */
+    /** Returns the figures from the start of counting until a time. */
     public Measure measure(double time) {
         advanceTo(time);
         if (crowded) {
@@ -204,17 +217,20 @@
     }
 
     /**
-     * The figures of a run.
+     * The figures of a run. Reports contain them as JSON under these names.
      *
-     * @param waste share of backends that stand idle while as many requests wait elsewhere, over
-     *     time
-     * @param idle share of backends that are fit and idle, over time
-     * @param fullest requests that the fullest backend holds, mean over time
-     * @param herd most requests sent to one backend within a tenth of a latency objective
-     * @param longestIdle longest time, in seconds, that one stood idle while another held three or
-     *     more beyond its cores
-     * @param least served by the backend with the least, over the mean
-     * @param most served by the backend with the most, over the mean
+     * @param waste share of backends that are idle while as many requests wait at other backends,
+     *     mean over time
+     * @param idle share of backends that are available and idle, mean over time
+     * @param fullest number of requests that the fullest backend holds, mean over time
+     * @param herd maximum number of requests sent to one backend within a tenth of a latency
+     *     objective
+     * @param longestIdle longest time, in seconds, for which one backend was idle while another
+     *     held at least three requests more than its cores
+     * @param least smallest number of requests served by a backend, divided by the mean; 0 if none
+     *     was served
+     * @param most largest number of requests served by a backend, divided by the mean; 0 if none
+     *     was served
      */
     public record Measure(
             double waste,
--- a/src/main/java/lemondrift/lab/simulation/RandomDelay.java
+++ b/src/main/java/lemondrift/lab/simulation/RandomDelay.java
@@ -2,11 +2,11 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Delays that differ from message to message. */
+/** Draws a random delay for each message. */
 final class RandomDelay {
     private RandomDelay() {}
 
-    /** A delay in seconds, drawn evenly from half to one and a half of the mean. */
+    /** Returns a delay in seconds, uniformly distributed from 0.5 to 1.5 times the mean. */
     static double drawAround(double meanSeconds, UniformRandomProvider random) {
         return meanSeconds * (0.5 + random.nextDouble());
     }
--- a/src/main/java/lemondrift/lab/simulation/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -12,33 +12,43 @@
 import lemondrift.model.Settings;
 
 /**
- * Judges a run by the four rules alone. It shares no code with the decisions and sees only what
- * passes: requests accepted, attempts sent and ended, backends listed, responses. All times are in
- * seconds. Every event throws {@link RuleViolationException} where it breaks a rule that is judged.
+ * Checks a run against the four rules. It shares no code with the decisions and receives only
+ * events: requests accepted, attempts sent and ended, endpoint states received, responses sent. All
+ * times are in seconds. Every event method throws {@link RuleViolationException} if the event
+ * violates a checked rule.
  */
 public final class Referee {
-    /** How many rules there are. */
+    /** The number of rules. */
     public static final int RULE_COUNT = 4;
 
-    /** How many of the first rules a baseline keeps: it spares no cold backend. */
+    /**
+     * The number of rules that a baseline keeps, counted from the first: it does not protect cold
+     * backends.
+     */
     public static final int BASELINE_RULE_COUNT = 3;
 
-    /** Each request gets one response before its deadline, and no attempt after it. */
+    /**
+     * Each request gets one response before its deadline, and no attempt is sent after the response
+     * or the deadline.
+     */
     private static final int ONE_RESPONSE_RULE = 1;
 
-    /** What may have been executed is not executed again, unless that is harmless. */
+    /** A request that may have been executed is not executed again, unless that is harmless. */
     private static final int NO_UNSAFE_REPEAT_RULE = 2;
 
-    /** A draining backend gets nothing new after the grace. */
+    /** A draining backend gets no new attempt after the grace period. */
     private static final int DRAIN_RULE = 3;
 
-    /** A cold backend gets no more work than it can bear. */
+    /** A cold backend gets no more work than it can handle. */
     private static final int COLD_BACKEND_RULE = 4;
 
-    /** How much later than the deadline a response may be by rounding, in seconds. */
+    /** The tolerance for rounding errors of a response at the deadline, in seconds. */
     private static final double ROUNDING_SECONDS = 1e-9;
 
-    /** A rule was broken; the message names rule, request, time and the events before. */
+    /**
+     * Thrown if a rule is violated; the message names the rule, time, proxy and request, and lists
+     * the previous events.
+     */
     public static final class RuleViolationException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -61,11 +71,12 @@
     private final Map<Request, RequestHistory> openRequests = new HashMap<>();
 
     /**
-     * By proxy and backend: since when the proxy knows that it drains; infinite where it is ready.
+     * By proxy and backend: when the proxy was first notified that the backend drains or is gone;
+     * infinite if it is ready.
      */
     private final double[][] drainingSince;
 
-    /** When each backend last started. */
+    /** When each backend last started; negative infinity before its first restart. */
     private final double[] startedAt;
 
     /** The work sent to each backend while it was cold. */
@@ -74,11 +85,11 @@
     /**
      * Creates a referee.
      *
-     * @param checkedRules how many of the rules are judged, the first ones
-     * @param drainGraceSeconds how long a draining backend may still be sent requests
-     * @param slackSeconds how much later than at the proxy an event may be seen
-     * @param locations the location of each backend
-     * @param backendCapacity seconds of work that each warm backend does in a second
+     * @param checkedRules the number of rules that are checked, counted from the first
+     * @param drainGraceSeconds how long requests may still be sent to a draining backend
+     * @param slackSeconds how much later than at the proxy an event may be reported here
+     * @param locations the location of each backend, by its index
+     * @param backendCapacity seconds of work that each warm backend completes per second
      */
     public Referee(
             Settings settings,
@@ -110,29 +121,33 @@
         }
         StringBuilder text = new StringBuilder();
         text.append("rule ").append(rule);
-        text.append(" broken at ").append(at).append(" s");
+        text.append(" violated at ").append(at).append(" s");
         text.append(" by proxy ").append(proxy);
-        text.append(", exchange ").append(requestId);
+        text.append(", request ").append(requestId);
         text.append(": ").append(why);
         history.appendTo(text);
         throw new RuleViolationException(rule, text.toString());
     }
 
-    /** A proxy has accepted a request. */
+    /** Records that a proxy has accepted a request. */
     public void requestAccepted(int proxy, Request request, double now) {
-        history.add(now, "taken", proxy, request.id, EventHistory.NONE);
+        history.add(now, "request accepted", proxy, request.id, EventHistory.NONE);
         openRequests.put(request, new RequestHistory());
     }
 
-    /** An attempt was sent; its work is in seconds of one warm core. All four rules are judged. */
+    /**
+     * Checks all four rules for an attempt that was sent; its work is in seconds of one warm core.
+     */
     public void attemptSent(int proxy, Attempt attempt, double workSeconds, double now) {
         Request request = attempt.request;
-        history.add(now, "sent", proxy, request.id, attempt.backend);
+        history.add(now, "attempt sent", proxy, request.id, attempt.backend);
         RequestHistory seen = openRequests.get(request);
         if (seen == null
                 || seen.wasClosedBefore(now, slackSeconds)
                 || now >= request.deadline + slackSeconds) {
-            String why = "sent after its answer or expiry to backend " + attempt.backend;
+            String why =
+                    "attempt sent after the response or the deadline of its request, to backend "
+                            + attempt.backend;
             reportViolation(ONE_RESPONSE_RULE, why, now, proxy, request.id);
             return;
         }
@@ -145,7 +160,9 @@
     private void checkRepeat(int proxy, Attempt attempt, RequestHistory seen, double now) {
         for (Attempt before : seen.attempts()) {
             if (!seen.wasNeverExecuted(before) && !mayRepeat(attempt, before, now)) {
-                String why = "sent again though it may have run at backend " + before.backend;
+                String why =
+                        "retry of a request that may have been executed at backend "
+                                + before.backend;
                 reportViolation(NO_UNSAFE_REPEAT_RULE, why, now, proxy, attempt.request.id);
             }
         }
@@ -176,12 +193,15 @@
     private void checkDrain(int proxy, Attempt attempt, double now) {
         double since = drainingSince[proxy][attempt.backend];
         if (now > since + drainGraceSeconds + slackSeconds) {
-            String why = "sent to a backend told as leaving at " + since;
+            String why = "attempt sent to a backend that drains or is gone, notified at " + since;
             reportViolation(DRAIN_RULE, why, now, proxy, attempt.request.id);
         }
     }
 
-    /** All proxies' work for a cold backend in any window, against what it can do then. */
+    /**
+     * Compares the work that all proxies sent to a cold backend within the overload window with the
+     * work that it can handle.
+     */
     private void checkColdBackend(int proxy, Attempt attempt, double workSeconds, double now) {
         Settings.Rules rules = settings.rules();
         double ageSeconds = now - startedAt[attempt.backend];
@@ -202,14 +222,16 @@
                         * rules.overloadWindowSeconds();
         if (work.exceeds(budgetSeconds)) {
             String why =
-                    "a cold backend got more than it can bear, "
+                    "cold backend overloaded: "
                             + work.requestCount()
-                            + " exchanges in a window";
+                            + " requests in the overload window exceed "
+                            + budgetSeconds
+                            + " s of work";
             reportViolation(COLD_BACKEND_RULE, why, now, proxy, attempt.request.id);
         }
     }
 
-    /** An attempt has ended, as its proxy learns of it. */
+    /** Records the outcome of an attempt, when its proxy receives it. */
     public void attemptEnded(Attempt attempt, AttemptOutcome outcome, double now) {
         history.add(now, outcome.name(), EventHistory.NONE, attempt.request.id, attempt.backend);
         RequestHistory seen = openRequests.get(attempt.request);
@@ -218,16 +240,16 @@
         }
     }
 
-    /** A request got its final response; a rejection promises that a retry is harmless. */
+    /** Checks the final response of a request; a rejection guarantees that a retry is harmless. */
     public void responseSent(int proxy, Request request, boolean rejected, double now) {
-        history.add(now, rejected ? "shed" : "answered", proxy, request.id, EventHistory.NONE);
+        history.add(now, rejected ? "rejected" : "responded", proxy, request.id, EventHistory.NONE);
         RequestHistory seen = openRequests.get(request);
         if (seen == null
                 || seen.isClosed()
                 || now > request.deadline + slackSeconds + ROUNDING_SECONDS) {
             reportViolation(
                     ONE_RESPONSE_RULE,
-                    "answered twice or after its expiry",
+                    "second response, or response after the deadline",
                     now,
                     proxy,
                     request.id);
@@ -236,7 +258,11 @@
         seen.close(now);
         if (rejected && !isRetryHarmless(request, seen)) {
             reportViolation(
-                    NO_UNSAFE_REPEAT_RULE, "shed though it may have run", now, proxy, request.id);
+                    NO_UNSAFE_REPEAT_RULE,
+                    "rejected although it may have been executed",
+                    now,
+                    proxy,
+                    request.id);
         }
     }
 
@@ -250,9 +276,10 @@
     }
 
     /**
-     * The client has left or the deadline of its request has passed.
+     * Handles a client that has left, or the deadline of its request.
      *
-     * @param left whether the client left by itself; else a missing response breaks a rule
+     * @param left whether the client closed the connection; if false, a missing response violates a
+     *     rule
      */
     public void requestClosed(int proxy, Request request, boolean left, double now) {
         RequestHistory seen = openRequests.get(request);
@@ -260,26 +287,30 @@
             return;
         }
         if (!seen.isClosed() && !left) {
-            reportViolation(ONE_RESPONSE_RULE, "no answer by its expiry", now, proxy, request.id);
+            reportViolation(
+                    ONE_RESPONSE_RULE, "no response until the deadline", now, proxy, request.id);
         }
         seen.close(now);
     }
 
-    /** Nothing more will be seen of a request. */
+    /** Removes a request for which no further events follow. */
     public void forget(Request request) {
         openRequests.remove(request);
     }
 
-    /**
-     * A proxy has received from discovery that a backend is ready, or that it drains or is gone.
-     */
+    /** Records that a proxy has received the state of a backend from discovery. */
     public void endpointStateReceived(int proxy, int backend, boolean ready, double now) {
-        history.add(now, ready ? "told ready" : "told leaving", proxy, EventHistory.NONE, backend);
+        history.add(
+                now,
+                ready ? "endpoint ready received" : "endpoint draining or gone received",
+                proxy,
+                EventHistory.NONE,
+                backend);
         drainingSince[proxy][backend] =
                 ready ? Double.POSITIVE_INFINITY : Math.min(now, drainingSince[proxy][backend]);
     }
 
-    /** The process of a backend has started, cold. */
+    /** Records that the process of a backend has started, cold. */
     public void backendStarted(int backend, double now) {
         startedAt[backend] = now;
         coldWork[backend].clear();
--- a/src/main/java/lemondrift/lab/simulation/ReportKeys.java
+++ b/src/main/java/lemondrift/lab/simulation/ReportKeys.java
@@ -1,14 +1,14 @@
 package lemondrift.lab.simulation;
 
-/** Operators' words that reports keep, where the code uses the standard terms; docs/glossary.md. */
+/** Keys of reports that differ from the terms in the code; docs/glossary.md maps them. */
 public final class ReportKeys {
-    /** Requests that were answered successfully. */
+    /** Requests that got a successful response. */
     public static final String SUCCEEDED = "delivered";
 
-    /** Requests that were failed with a local reply. */
+    /** Requests that a proxy failed with a local reply. */
     public static final String FAILED = "scrapped";
 
-    /** Requests that were rejected with a local reply. */
+    /** Requests that a proxy rejected with a local reply. */
     public static final String REJECTED = "shed";
 
     private ReportKeys() {}
--- a/src/main/java/lemondrift/lab/simulation/RequestHistory.java
+++ b/src/main/java/lemondrift/lab/simulation/RequestHistory.java
@@ -7,7 +7,7 @@
 import lemondrift.model.Attempt;
 import lemondrift.model.AttemptOutcome;
 
-/** What the referee saw of one request. */
+/** The events of one request that the referee received. */
 final class RequestHistory {
     private final List<Attempt> attempts = new ArrayList<>();
     private final Map<Attempt, AttemptOutcome> outcomes = new HashMap<>();
@@ -18,7 +18,7 @@
         attempts.add(attempt);
     }
 
-    /** The attempts sent so far, in their order. */
+    /** Returns the attempts sent so far, in the order of sending. */
     List<Attempt> attempts() {
         return attempts;
     }
@@ -27,13 +27,15 @@
         outcomes.put(attempt, outcome);
     }
 
-    /** Whether an attempt has ended in a way that proves it was never executed. */
+    /**
+     * Returns whether an attempt has ended with an outcome that proves that it was never executed.
+     */
     boolean wasNeverExecuted(Attempt attempt) {
         AttemptOutcome outcome = outcomes.get(attempt);
         return outcome != null && outcome.neverExecuted;
     }
 
-    /** The request got its final response, or its client no longer waits. */
+    /** Marks the request as closed: it got its final response, or its client no longer waits. */
     void close(double now) {
         closed = true;
         closedAt = now;
@@ -43,7 +45,10 @@
         return closed;
     }
 
-    /** Whether it was closed longer ago than an event may be seen late. */
+    /**
+     * Returns whether the request was closed more than the slack before the given time, so that no
+     * late event can explain a new attempt.
+     */
     boolean wasClosedBefore(double now, double slackSeconds) {
         return closed && now > closedAt + slackSeconds;
     }
--- a/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
+++ b/src/main/java/lemondrift/lab/simulation/RoutingPolicy.java
@@ -9,19 +9,19 @@
 import lemondrift.model.Request;
 
 /**
- * The decisions of one proxy: the decision module, or a baseline in its place. All times are in
- * seconds. A decision that is returned may be reused at the next call.
+ * Makes the decisions of one proxy: the decision module, or a baseline in its place. All times are
+ * in seconds. A returned decision object may be reused by the next call.
  */
 public interface RoutingPolicy {
-    /** The proxy has accepted a request. */
+    /** Decides about a request that the proxy has accepted. */
     Decision requestArrived(double now, Request request);
 
     /**
-     * An attempt has ended.
+     * Handles the end of an attempt.
      *
-     * @param durationSeconds since the attempt was sent
-     * @param completed whether its request has its final response
-     * @param loadReport the load report that came with the response; null where none did
+     * @param durationSeconds time since the attempt was sent
+     * @param completed whether the request has its final response
+     * @param loadReport the load report in the response; null if there was none
      */
     Decision attemptEnded(
             double now,
@@ -31,29 +31,32 @@
             boolean completed,
             double[] loadReport);
 
-    /** A probe has ended; the load report is null where none came. */
+    /** Handles the end of a probe; the load report is null if there was none. */
     Decision probeEnded(double now, int backend, AttemptOutcome outcome, double[] loadReport);
 
     /**
-     * Discovery has sent endpoints.
+     * Applies endpoints sent by discovery.
      *
-     * @param isFullList whether it is the full list; else changes of it
+     * @param isFullList whether the updates are the full list; if false, they are changes
      */
     Decision endpointsListed(double now, boolean isFullList, List<EndpointUpdate> updates);
 
-    /** The time has come that a decision asked to be woken at, or that of the next message. */
+    /** Handles the wake time that a decision requested, or the time of the next gossip message. */
     Decision wake(double now);
 
-    /** The gossip messages that are to be sent to other proxies now. */
+    /**
+     * Returns the gossip messages that are due for sending to other proxies; empty if there are
+     * none.
+     */
     default List<LoadGossip.Message> takeDueMessages(double now) {
         return List.of();
     }
 
-    /** When the next gossip message is due; infinite where none is. */
+    /** Returns when the next gossip message is due; infinite if none is scheduled. */
     default double nextSendAt() {
         return Double.POSITIVE_INFINITY;
     }
 
-    /** A gossip message of another proxy has come. */
+    /** Handles a gossip message from another proxy. */
     default void datagramReceived(double now, int from, byte[] datagram) {}
 }
--- a/src/main/java/lemondrift/lab/simulation/RunResult.java
+++ b/src/main/java/lemondrift/lab/simulation/RunResult.java
@@ -7,25 +7,32 @@
 import java.util.stream.IntStream;
 
 /**
- * The figures of one run, which a report gives as JSON: annotations hold its keys where the code
- * uses other terms. The priority weight of what a client wants counts once, however often it tries.
+ * The figures of one run. Reports contain the public fields as JSON; annotations hold the keys that
+ * differ from the field names. The priority weight of a client request counts once, regardless of
+ * the number of tries.
  */
 public final class RunResult {
-    /** The share of the requested priority weight that counts as served as usual. */
+    /** The share of the requested priority weight from which service counts as recovered. */
     private static final double USUAL_SERVICE_SHARE = 0.95;
 
-    /** Over how many seconds it is looked at whether weight is served as usual. */
+    /**
+     * The length of the window in which the served share is compared with {@link
+     * #USUAL_SERVICE_SHARE}.
+     */
     private static final int RECOVERY_WINDOW_SECONDS = 3;
 
-    /** The priority weight of what clients wanted. */
+    /** The priority weight of all client requests. */
     @JsonProperty("wanted")
     public double requestedWeight;
 
-    /** The priority weight that was served: that of late responses counts as their class says. */
+    /**
+     * The priority weight that was served; a late response counts with the late priority weight of
+     * its request class.
+     */
     @JsonProperty("served")
     public double servedWeight;
 
-    /** Requests that proxies accepted, each try of a client by itself. */
+    /** Requests that proxies accepted; each try of a client counts separately. */
     @JsonProperty("taken")
     public long accepted;
 
@@ -33,7 +40,7 @@
     @JsonProperty(ReportKeys.SUCCEEDED)
     public long succeeded;
 
-    /** Those of them whose response came after the latency objective. */
+    /** Successful requests whose response arrived after the latency objective. */
     public long late;
 
     /** Accepted requests that were rejected. */
@@ -54,40 +61,47 @@
     /** Probes sent to backends. */
     public long probes;
 
-    /** What clients wanted, over all tries. */
+    /** Client requests; all tries of a request count as one. */
     @JsonProperty("wants")
     public long clientRequests;
 
-    /** How much of it they had within the latency objective. */
+    /** Client requests that succeeded within the latency objective. */
     public long inTime;
 
-    /** Tries that no proxy accepted a connection for, on processes. */
+    /** Tries for which no proxy accepted a connection; only on processes. */
     public long unreached;
 
-    /** Bytes of the gossip between proxies. */
+    /** Bytes of gossip sent between proxies. */
     @JsonProperty("told")
     public long gossipBytes;
 
-    /** Messages of the gossip between proxies. */
+    /** Gossip messages sent between proxies. */
     @JsonProperty("messages")
     public long gossipMessages;
 
-    /** Processes that ended by themselves or did not drain. */
+    /** Processes that ended unexpectedly or did not drain. */
     public long crashed;
 
-    /** The share of a core that a process takes, the mean over all, on processes. */
+    /**
+     * The share of a core that a process uses, as the mean over all processes; only on processes.
+     */
     @JsonProperty("cpu")
     public double cpuShare;
 
-    /** The megabytes that a process takes, the most of all, on processes. */
+    /** The memory in megabytes of the process that uses the most; only on processes. */
     @JsonProperty("memory")
     public double memoryMegabytes;
 
-    /** Seconds from when a client's request was due until it has what it wants, the median. */
+    /**
+     * The median time in seconds from when a client request was due until its successful response.
+     */
     @JsonProperty("p50")
     public double medianSeconds;
 
-    /** The same, the 99th percentile. */
+    /**
+     * The 99th percentile of the time in seconds from when a client request was due until its
+     * successful response.
+     */
     @JsonProperty("p99")
     public double p99Seconds;
 
@@ -95,7 +109,7 @@
     @JsonProperty("fallen")
     public long overloadedColdBackends;
 
-    /** Priority weight of what clients wanted, by second. */
+    /** Priority weight of client requests, by second. */
     @JsonProperty("wantedIn")
     public final double[] requestedWeightPerSecond;
 
@@ -103,15 +117,15 @@
     @JsonProperty("servedIn")
     public final double[] servedWeightPerSecond;
 
-    /** Requests rejected, by second, on processes. */
+    /** Requests rejected, by second; only on processes. */
     @JsonProperty("shedIn")
     public final double[] rejectedPerSecond;
 
-    /** The share of backends that were fit and idle, 0 to 1, by second, on processes. */
+    /** The share of backends that were available and idle, 0 to 1, by second; only on processes. */
     @JsonProperty("idleIn")
     public final double[] idleSharePerSecond;
 
-    /** Priority weight that the backends could have served, by second, on processes. */
+    /** Priority weight that the backends could have served, by second; only on processes. */
     @JsonProperty("borneIn")
     public final double[] servableWeightPerSecond;
 
@@ -119,7 +133,7 @@
     @JsonProperty("failedAt")
     public final long[] failedAttemptsByBackend;
 
-    /** How evenly the backends were used; null while the run is played. */
+    /** How evenly the backends were used; null until the end of the run. */
     public LoadEvenness.Measure evenness;
 
     /** Creates a result with all figures at zero. */
@@ -133,7 +147,10 @@
         failedAttemptsByBackend = new long[scenario.backends()];
     }
 
-    /** The first second of the window of so many seconds that lost most priority weight. */
+    /**
+     * Returns the first second of the window of the given length in which the most priority weight
+     * was lost.
+     */
     public int worstWindowStart(int windowSeconds) {
         int worstStart = 0;
         double mostLost = Double.NEGATIVE_INFINITY;
@@ -151,8 +168,9 @@
     }
 
     /**
-     * Seconds from the start of the run after which priority weight is served as usual to its end:
-     * the end of the last three seconds of which under 95% was served; 0 where there are none.
+     * Returns the number of seconds from the start of the run after which at least 95% of the
+     * priority weight is served until the end of the run: the end of the last window of three
+     * seconds in which less than 95% was served; 0 if there is no such window.
      */
     public int recoveredAfterSeconds() {
         int backAfter = 0;
@@ -173,7 +191,10 @@
         return sum;
     }
 
-    /** The backends at which most attempts failed, so many at the most, the worst first. */
+    /**
+     * Returns the backends with the most failed attempts, at most the given number of them, the
+     * worst first; empty if no attempt failed.
+     */
     public List<Integer> worstBackends(int maxCount) {
         return IntStream.range(0, failedAttemptsByBackend.length)
                 .boxed()
@@ -185,21 +206,27 @@
                 .toList();
     }
 
-    /** The share of the requested priority weight that was served, 0 to 1; 1 where none was. */
+    /**
+     * Returns the share of the requested priority weight that was served, 0 to 1; 1 if none was
+     * requested.
+     */
     public double servedShare() {
         return requestedWeight == 0 ? 1 : servedWeight / requestedWeight;
     }
 
     /**
-     * The priority weight served, over what the backends could have served; 1 where that is not
-     * known.
+     * Returns the served priority weight divided by the weight that the backends could have served;
+     * 1 if the latter is unknown or 0. It can exceed 1.
      */
     public double servedShareOfServable() {
         double servableWeight = Arrays.stream(servableWeightPerSecond).sum();
         return servableWeight == 0 ? 1 : servedWeight / servableWeight;
     }
 
-    /** The share of what clients wanted that they had within the latency objective, 0 to 1. */
+    /**
+     * Returns the share of client requests that succeeded within the latency objective, 0 to 1; 1
+     * if there were no requests.
+     */
     public double inTimeShare() {
         return clientRequests == 0 ? 1 : (double) inTime / clientRequests;
     }
--- a/src/main/java/lemondrift/lab/simulation/Scenario.java
+++ b/src/main/java/lemondrift/lab/simulation/Scenario.java
@@ -4,23 +4,24 @@
 import lemondrift.model.Settings;
 
 /**
- * What one run plays: proxies, backends, traffic and the faults of backends.
+ * The input of one run: proxies, backends, traffic and the faults of backends.
  *
  * @param settings the proxies' settings, with request classes and rules
- * @param proxies how many proxies there are, 1 or more; the settings' proxy count says the same
- * @param backends how many backends there are, 0 or more
- * @param cores of each backend, 1 or more
- * @param rate requests that clients make a second, over all proxies
- * @param meanWorkSeconds mean work of a request, in seconds of one warm core; it is lognormal with
- *     the spread
+ * @param proxies number of proxies, 1 or more; equal to the proxy count in the settings
+ * @param backends number of backends, 0 or more
+ * @param cores number of cores of each backend, 1 or more
+ * @param rate client requests per second over all proxies, without retries
+ * @param meanWorkSeconds mean work of a request, in seconds of one warm core; the work is
+ *     lognormally distributed
  * @param workLogStandardDeviation the standard deviation of the work's logarithm
- * @param maxTries how often a client sends a request at the most, 1 or more
- * @param oneWaySeconds how long a message takes from a proxy to a backend or back
- * @param discoveryDelaySeconds mean seconds by which discovery is late
- * @param drainGraceSeconds seconds after the notice of a drain from which nothing may be sent
- * @param durationSeconds the length in seconds; clients make requests until then, and open ones are
- *     waited for
- * @param seed of all random draws
+ * @param maxTries maximum number of times that a client sends a request, 1 or more
+ * @param oneWaySeconds network delay of a message from a proxy to a backend or back
+ * @param discoveryDelaySeconds mean delay of discovery
+ * @param drainGraceSeconds time after a proxy is notified of a drain from which it must not send to
+ *     the backend
+ * @param durationSeconds duration of the scenario, over 0; clients send new requests until then,
+ *     and the run continues until the open requests have ended
+ * @param seed seed of all random draws
  * @param backendFaults the faults of backends, traffic and discovery
  */
 public record Scenario(
@@ -41,7 +42,7 @@
     /**
      * Checks the fields.
      *
-     * @throws IllegalArgumentException where one is missing or out of its range
+     * @throws IllegalArgumentException if a field is out of its range
      */
     public Scenario {
         if (proxies < 1
@@ -55,12 +56,36 @@
                 || !(discoveryDelaySeconds >= 0)
                 || !(drainGraceSeconds >= 0)
                 || !(durationSeconds > 0)) {
-            throw new IllegalArgumentException("a day that cannot be");
+            throw new IllegalArgumentException(
+                    "invalid scenario: proxies "
+                            + proxies
+                            + ", backends "
+                            + backends
+                            + ", cores "
+                            + cores
+                            + ", rate "
+                            + rate
+                            + ", work "
+                            + meanWorkSeconds
+                            + " s, spread "
+                            + workLogStandardDeviation
+                            + ", tries "
+                            + maxTries
+                            + ", one-way delay "
+                            + oneWaySeconds
+                            + " s, discovery delay "
+                            + discoveryDelaySeconds
+                            + " s, drain grace "
+                            + drainGraceSeconds
+                            + " s, duration "
+                            + durationSeconds
+                            + " s: proxies, cores and tries must be 1 or more, rate, work and"
+                            + " duration over 0, the others not negative");
         }
         backendFaults = List.copyOf(backendFaults);
     }
 
-    /** The same scenario with another seed. */
+    /** Returns this scenario with another seed. */
     public Scenario withSeed(long newSeed) {
         return new Scenario(
                 settings,
--- a/src/main/java/lemondrift/lab/simulation/Scheduler.java
+++ b/src/main/java/lemondrift/lab/simulation/Scheduler.java
@@ -1,20 +1,20 @@
 package lemondrift.lab.simulation;
 
-/** Runs tasks at their time, in seconds from the start of a run, virtual or real. */
+/** Runs tasks at scheduled times, in seconds since the start of a run, in virtual or real time. */
 public interface Scheduler {
-    /** One scheduled task. */
+    /** A scheduled task. */
     interface Entry {
-        /** Keeps the task from running; nothing happens where it has run. */
+        /** Prevents the task from running; does nothing if it has already run. */
         void cancel();
     }
 
-    /** The present time in seconds. */
+    /** Returns the current time in seconds. */
     double now();
 
-    /** Schedules a task for a time, or for now where that has passed. */
+    /** Schedules a task for a time, or for the current time if that has passed. */
     Entry at(double time, Runnable task);
 
-    /** Schedules a task for so many seconds from now. */
+    /** Schedules a task after a delay in seconds. */
     default Entry after(double seconds, Runnable task) {
         return at(now() + seconds, task);
     }
--- a/src/main/java/lemondrift/lab/simulation/ServableOracle.java
+++ b/src/main/java/lemondrift/lab/simulation/ServableOracle.java
@@ -7,23 +7,23 @@
 import lemondrift.model.RequestClass;
 
 /**
- * What backends could have served, second by second, had their capacity gone to the requests of
- * most priority weight. No request waits for the next second, so that a run may serve a little more
- * by what was retried later.
+ * Computes for each second what backends could have served if their capacity had gone to the
+ * requests with the highest priority weight. No request is carried over to the next second, so that
+ * a run may serve slightly more by later retries.
  */
 public final class ServableOracle {
     private final List<RequestClass> requestClasses;
 
-    /** The indexes of the request classes, the one of most priority weight first. */
+    /** The indexes of the request classes, highest priority weight first. */
     private final int[] classesByWeight;
 
-    /** How many requests clients made, by second and request class. */
+    /** The number of client requests, by second and request class. */
     private final double[][] requested;
 
-    /** How many requests the backends could serve, by second. */
+    /** The number of requests that the backends could serve, by second. */
     private final double[] capacity;
 
-    /** Creates one that counts over so many seconds. */
+    /** Creates an oracle for a run of the given number of seconds. */
     public ServableOracle(List<RequestClass> requestClasses, int seconds) {
         this.requestClasses = requestClasses;
         classesByWeight =
@@ -39,17 +39,17 @@
         capacity = new double[seconds];
     }
 
-    /** A client makes a request of a class in a second. */
+    /** Records a client request of a request class in a second. */
     public void recordRequest(int second, int requestClass) {
         requested[second][requestClass]++;
     }
 
-    /** The backends can serve so many more requests in a second. */
+    /** Adds to the number of requests that the backends can serve in a second. */
     public void addCapacity(int second, double requests) {
         capacity[second] += requests;
     }
 
-    /** The priority weight that could have been served of what was requested, by second. */
+    /** Returns the requested priority weight that could have been served, by second. */
     public double[] servableWeightBySecond() {
         double[] servableWeight = new double[capacity.length];
         Arrays.setAll(servableWeight, this::servableWeight);
--- a/src/main/java/lemondrift/lab/simulation/SimulatedClients.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulatedClients.java
@@ -10,21 +10,25 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * The clients of a simulation, an open loop: requests arrive at the scenario's rate whatever
- * becomes of those before. A client sends a rejected request again until it has tried often enough.
+ * The clients of a simulation, an open loop: requests arrive at the scenario's rate regardless of
+ * the outcome of earlier requests. A client retries a rejected request up to the scenario's maximum
+ * number of tries.
  */
 final class SimulatedClients {
-    /** When a client retries that was given no retry-after, as a share of the latency objective. */
+    /**
+     * The delay before a client retries if the rejection had no retry-after, as a share of the
+     * latency objective.
+     */
     private static final double RETRY_DELAY_SHARE = 0.5;
 
-    /** What a client wants, over all its tries. */
+    /** A request of a client, over all its tries. */
     private static final class ClientRequest {
         final int classIndex;
 
-        /** The second of the scenario in which it was first sent. */
+        /** The second of the scenario in which the request was first sent. */
         final int firstSecond;
 
-        /** Until when a response is in time, in seconds. */
+        /** The time until which a response meets the latency objective, in seconds. */
         final double objectiveAt;
 
         int sendCount;
@@ -36,7 +40,7 @@
         }
     }
 
-    /** A request that has no response yet, and the alarm at its deadline. */
+    /** A request without a response, and the alarm at its deadline. */
     private record OpenRequest(ClientRequest clientRequest, Scheduler.Entry deadlineAlarm) {}
 
     private final Scenario scenario;
@@ -67,7 +71,7 @@
         this.proxies = proxies;
     }
 
-    /** Schedules the first request; each schedules the next one until the scenario ends. */
+    /** Schedules the first request; each request schedules the next one until the scenario ends. */
     void start() {
         scheduler.after(interarrival.sample() / scenario.rate(), this::sendNextClientRequest);
     }
@@ -113,7 +117,7 @@
         recorder.recordUnanswered(proxy, request);
     }
 
-    /** A proxy passes on the successful response of a backend. */
+    /** Handles a successful response that a proxy forwards from a backend. */
     void succeeded(int proxy, Request request) {
         close(proxy, request, false)
                 .ifPresent(
@@ -130,7 +134,10 @@
                 scheduler.now() <= clientRequest.objectiveAt);
     }
 
-    /** A proxy rejects a request; a retry-after of 0 seconds says nothing. */
+    /**
+     * Handles the rejection of a request by a proxy; a retry-after of 0 seconds means that the
+     * response has none.
+     */
     void rejected(int proxy, Request request, double retryAfterSeconds) {
         close(proxy, request, true)
                 .ifPresent(
@@ -153,7 +160,10 @@
         scheduler.after(delaySeconds, () -> send(clientRequest));
     }
 
-    /** A proxy fails a request; it may have been executed, so that its client does not retry. */
+    /**
+     * Handles a request that a proxy failed; it may have been executed, so the client does not
+     * retry.
+     */
     void failed(int proxy, Request request) {
         close(proxy, request, false)
                 .ifPresent(
@@ -163,7 +173,10 @@
                         });
     }
 
-    /** Records the final response; empty where the request was no longer open. */
+    /**
+     * Records the final response and closes the request; returns empty if the request was no longer
+     * open.
+     */
     private Optional<ClientRequest> close(int proxy, Request request, boolean rejected) {
         recorder.recordResponse(proxy, request, rejected);
         OpenRequest open = openRequests.remove(request);
@@ -174,7 +187,7 @@
         return Optional.of(open.clientRequest);
     }
 
-    /** Nothing more is seen of a request that is answered and has no attempt in flight. */
+    /** Removes a request from the referee if it is closed and has no attempt in flight. */
     void forgetIfDone(Request request) {
         if (!openRequests.containsKey(request) && request.attemptsInFlight == 0) {
             recorder.forget(request);
--- a/src/main/java/lemondrift/lab/simulation/SimulatedDiscovery.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulatedDiscovery.java
@@ -5,7 +5,10 @@
 import lemondrift.model.EndpointUpdate;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Discovery in a simulation: sends endpoint updates to all proxies, each after its own delay. */
+/**
+ * Discovery in a simulation: sends endpoint updates to all proxies, each after a separately drawn
+ * delay.
+ */
 final class SimulatedDiscovery implements BackendFaultInjector.Host {
     private final Scenario scenario;
     private final int[] locations;
@@ -14,7 +17,7 @@
     private final SimulationRecorder recorder;
     private final SimulatedProxies proxies;
 
-    /** When each backend last started, in seconds; 0 where it has run from the beginning. */
+    /** When each backend last started, in seconds; 0 if it has run since the beginning. */
     private final double[] startedAt;
 
     private double silentUntil;
@@ -35,7 +38,10 @@
         startedAt = new double[locations.length];
     }
 
-    /** Sends all proxies the full list at once; one that knows no backend would reject all. */
+    /**
+     * Sends the full endpoint list to all proxies without delay: a proxy without backends would
+     * reject all requests.
+     */
     void sendFullLists() {
         List<EndpointUpdate> all = new ArrayList<>();
         for (int backend = 0; backend < locations.length; backend++) {
--- a/src/main/java/lemondrift/lab/simulation/SimulatedProxies.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulatedProxies.java
@@ -10,14 +10,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The proxies of a simulation: hands events to their routing policies, carries out what these
- * decide, and carries gossip from one to another.
+ * The proxies of a simulation: passes events to their routing policies, carries out the decisions,
+ * and delivers gossip between proxies.
  */
 final class SimulatedProxies {
-    /** The mean time that a gossip message takes, in seconds. */
+    /** The mean network delay of a gossip message, in seconds. */
     private static final double GOSSIP_DELAY_SECONDS = 0.01;
 
-    /** The share of the gossip messages that is lost, 0 to 1. */
+    /** The share of the gossip messages that are lost, 0 to 1. */
     private static final double GOSSIP_LOSS_SHARE = 0.01;
 
     private final RoutingPolicy[] policies;
@@ -25,7 +25,7 @@
     private final UniformRandomProvider random;
     private final SimulationRecorder recorder;
 
-    /** The alarm that each policy has asked for; null where it has asked for none. */
+    /** The alarm that each policy has requested; null if it has requested none. */
     private final Scheduler.Entry[] wakeAlarms;
 
     private SimulatedClients clients;
@@ -43,7 +43,9 @@
         wakeAlarms = new Scheduler.Entry[policies.length];
     }
 
-    /** Connects the proxies to both their sides, which need the proxies themselves when created. */
+    /**
+     * Connects the proxies to the clients and the transport, whose constructors need this object.
+     */
     void connect(SimulatedClients clients, SimulatedTransport transport) {
         this.clients = clients;
         this.transport = transport;
@@ -58,10 +60,10 @@
     }
 
     /**
-     * An attempt has ended.
+     * Passes the end of an attempt to its proxy.
      *
-     * @param completed whether its request has its final response
-     * @param loadReport the load report that came with it; null where none did
+     * @param completed whether the request has its final response
+     * @param loadReport the load report in the response; null if there was none
      */
     void attemptEnded(
             int proxy,
@@ -76,12 +78,12 @@
                         now, attempt, outcome, now - attempt.sentAt, completed, loadReport));
     }
 
-    /** A probe has ended; the load report is null where none came. */
+    /** Passes the end of a probe to its proxy; the load report is null if there was none. */
     void probeEnded(int proxy, int backend, AttemptOutcome outcome, double[] loadReport) {
         carryOut(proxy, policies[proxy].probeEnded(scheduler.now(), backend, outcome, loadReport));
     }
 
-    /** Discovery has sent the full endpoint list, or changes of it. */
+    /** Passes the full endpoint list, or changes of it, to a proxy. */
     void endpointsListed(int proxy, boolean full, List<EndpointUpdate> updates) {
         carryOut(proxy, policies[proxy].endpointsListed(scheduler.now(), full, updates));
     }
@@ -91,7 +93,8 @@
     }
 
     private void carryOut(int proxy, Decision decision) {
-        // The policy reuses its decision at the next call: what it asks for is copied first.
+        // The policy may reuse the decision object at the next call, so its content is copied
+        // first.
         List<Attempt> cancellations = List.copyOf(decision.cancellations);
         List<Attempt> attempts = List.copyOf(decision.attempts);
         List<Decision.LocalReply> localReplies = List.copyOf(decision.localReplies);
--- a/src/main/java/lemondrift/lab/simulation/SimulatedTransport.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulatedTransport.java
@@ -10,21 +10,21 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * What stands between the proxies and the backends of a simulation: carries attempts, responses,
- * cancellations and probes, each with the delay of the network.
+ * The network between the proxies and the backends of a simulation: delivers attempts, responses
+ * and probes with the network delay, and carries out cancellations.
  */
 final class SimulatedTransport {
-    /** How many fields a load report has. */
+    /** The number of fields of a load report. */
     private static final int LOAD_REPORT_FIELDS = 3;
 
-    /** One attempt in flight. */
+    /** An attempt in flight. */
     private static final class SentAttempt {
         final int proxy;
 
-        /** What it costs the backend, in seconds of one warm core. */
+        /** The work for the backend, in seconds of one warm core. */
         final double workSeconds;
 
-        /** The backend's job for it; null until the backend has accepted it. */
+        /** The backend's job for the attempt; null until the backend accepts it. */
         Backend.Job job;
 
         Scheduler.Entry timeoutAlarm;
@@ -66,7 +66,7 @@
         this.proxies = proxies;
     }
 
-    /** Sends an attempt, which ends at its timeout at the latest. */
+    /** Sends an attempt, which ends no later than its timeout. */
     void send(int proxy, Attempt attempt) {
         SentAttempt sent = new SentAttempt(proxy, drawWorkSeconds());
         recorder.recordAttemptSent(proxy, attempt, sent.workSeconds);
@@ -77,7 +77,10 @@
         scheduler.after(scenario.oneWaySeconds(), () -> attemptReachesBackend(attempt, sent));
     }
 
-    /** Lognormal, with the scenario's mean. */
+    /**
+     * Draws the work of an attempt from a lognormal distribution with the scenario's mean, in
+     * seconds of one warm core.
+     */
     private double drawWorkSeconds() {
         double spread = scenario.workLogStandardDeviation();
         return scenario.meanWorkSeconds()
@@ -96,12 +99,12 @@
             return;
         }
         recorder.recordArrivalAtBackend(attempt.backend);
-        // Drawn before the checks: the draws of a seed must not depend on what these find.
+        // Drawn before the checks: the random draws of a seed must not depend on their results.
         boolean failsByFault = random.nextDouble() < errorShare(backend, attempt.request);
         if (!backend.isUp()) {
             respond(attempt, AttemptOutcome.CONNECT_FAILED);
         } else if (backend.addWorkAndCheckOverload(sent.workSeconds)) {
-            // It stays down for the rest of the scenario: no fault ends that would restart it.
+            // The backend stays down for the rest of the scenario: no end of a fault restarts it.
             recorder.recordOverloadedColdBackend();
             faultInjector.takeDown(attempt.backend, true);
             respond(attempt, AttemptOutcome.CONNECT_FAILED);
@@ -150,7 +153,10 @@
         clients.forgetIfDone(attempt.request);
     }
 
-    /** Cancels an attempt: its job is dropped where it waits, and runs on where it has started. */
+    /**
+     * Cancels an attempt: its job is removed from the queue if it waits, and runs to its end if it
+     * has started.
+     */
     void cancel(Attempt attempt) {
         SentAttempt sent = inFlight.get(attempt);
         if (sent != null) {
@@ -167,7 +173,7 @@
         }
     }
 
-    /** Asks a backend for its load report. */
+    /** Requests the load report of a backend. */
     void probe(int proxy, int backend) {
         recorder.recordProbe();
         scheduler.after(2 * scenario.oneWaySeconds(), () -> probeEnded(proxy, backend));
--- a/src/main/java/lemondrift/lab/simulation/Simulation.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -8,8 +8,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Plays one scenario in virtual time: clients, proxies, backends and discovery, with a referee over
- * all of it. It composes these parts and runs their scheduler to the end.
+ * Runs one scenario in virtual time: creates clients, proxies, backends, discovery and a referee
+ * that checks the rules, and runs their scheduler to the end.
  */
 public final class Simulation {
     /** Creates the routing policy of each proxy. */
@@ -19,9 +19,9 @@
          * Creates the policy of one proxy.
          *
          * @param proxy the index of the proxy
-         * @param trueLoad the true load of a backend by its index: what it has to do, in requests
-         *     for each core; infinite where it is gone; it may be called only once the simulation
-         *     plays
+         * @param trueLoad returns the true load of a backend by its index, in requests per core;
+         *     infinite if the backend is not available; must not be called before the simulation
+         *     runs
          */
         RoutingPolicy create(int proxy, IntToDoubleFunction trueLoad);
     }
@@ -34,16 +34,16 @@
     private final SimulatedDiscovery discovery;
     private final SimulatedClients clients;
 
-    /** Creates a simulation that is judged by all four rules. */
+    /** Creates a simulation that is checked against all four rules. */
     public Simulation(Scenario scenario, PolicyFactory policyFactory) {
         this(scenario, Referee.RULE_COUNT, policyFactory);
     }
 
     /**
-     * Creates a simulation that is judged by the first rules alone.
+     * Creates a simulation that is checked against the first rules only.
      *
-     * @param checkedRules how many rules are judged; {@link Referee#BASELINE_RULE_COUNT} for a
-     *     baseline, which spares no cold backend
+     * @param checkedRules the number of rules that are checked; {@link Referee#BASELINE_RULE_COUNT}
+     *     for a baseline, which does not protect cold backends
      */
     public Simulation(Scenario scenario, int checkedRules, PolicyFactory policyFactory) {
         this.scenario = scenario;
@@ -78,10 +78,10 @@
     }
 
     /**
-     * Plays the scenario to its end and waits for all open requests.
+     * Runs the scenario to its end, and on until all open requests have ended.
      *
-     * @throws Referee.RuleViolationException at the first rule that is broken
-     * @throws IllegalStateException where requests are still open after the longest wait
+     * @throws Referee.RuleViolationException at the first violation of a checked rule
+     * @throws IllegalStateException if requests are still open after the longest possible wait
      */
     public RunResult run() {
         discovery.sendFullLists();
@@ -93,12 +93,17 @@
         scheduler.runUntil(scenario.durationSeconds() + longestWaitSeconds());
         if (clients.openRequestCount() > 0) {
             throw new IllegalStateException(
-                    clients.openRequestCount() + " requests are open after the day");
+                    clients.openRequestCount()
+                            + " requests are still open after the longest possible wait; none were"
+                            + " expected");
         }
         return recorder.result();
     }
 
-    /** How long the last client may go on after the scenario's end, with all its tries. */
+    /**
+     * Returns an upper bound of the time for which clients may continue after the scenario's end,
+     * with all their tries.
+     */
     private double longestWaitSeconds() {
         double longestTimeoutSeconds =
                 scenario.settings().requestClasses().stream()
@@ -117,7 +122,7 @@
                 : Double.POSITIVE_INFINITY;
     }
 
-    /** The figures counted so far. */
+    /** Returns the figures counted so far. */
     public RunResult resultSoFar() {
         return recorder.result();
     }
--- a/src/main/java/lemondrift/lab/simulation/SimulationRecorder.java
+++ b/src/main/java/lemondrift/lab/simulation/SimulationRecorder.java
@@ -6,11 +6,11 @@
 import lemondrift.model.RequestClass;
 
 /**
- * Records what the parts of a simulation do: counts it in the result of the run and hands it to the
- * referee, which throws {@link Referee.RuleViolationException} at the first broken rule.
+ * Records the events of a simulation: counts them in the result of the run and passes them to the
+ * referee, which throws {@link Referee.RuleViolationException} at the first violation of a rule.
  */
 final class SimulationRecorder {
-    /** In virtual time the referee sees everything at the instant at which it happens. */
+    /** In virtual time the referee receives each event at the time at which it happens. */
     private static final double REFEREE_SLACK_SECONDS = 0;
 
     private final Scheduler scheduler;
@@ -41,31 +41,31 @@
 
     // Clients.
 
-    /** A client wants something in a second of the scenario; its tries are not counted here. */
+    /** Records a new client request in a second of the scenario; retries are not counted here. */
     void recordClientRequest(int second, RequestClass requestClass) {
         result.requestedWeight += requestClass.priorityWeight();
         result.clientRequests++;
         result.requestedWeightPerSecond[second] += requestClass.priorityWeight();
     }
 
-    /** A proxy has accepted a request. */
+    /** Records that a proxy has accepted a request. */
     void recordAccepted(int proxy, Request request) {
         result.accepted++;
         referee.requestAccepted(proxy, request, scheduler.now());
     }
 
-    /** The deadline of a request has passed without a response. */
+    /** Records that the deadline of a request has passed without a response. */
     void recordUnanswered(int proxy, Request request) {
         result.unanswered++;
         referee.requestClosed(proxy, request, false, scheduler.now());
     }
 
-    /** A proxy has given a request its final response. */
+    /** Records the final response of a proxy to a request. */
     void recordResponse(int proxy, Request request, boolean rejected) {
         referee.responseSent(proxy, request, rejected, scheduler.now());
     }
 
-    /** A client got what it wanted, first asked for in the second given. */
+    /** Records the success of a client request that was first sent in the given second. */
     void recordSuccess(int second, RequestClass requestClass, boolean inTime) {
         double servedWeight =
                 inTime ? requestClass.priorityWeight() : requestClass.latePriorityWeight();
@@ -87,7 +87,7 @@
         result.failed++;
     }
 
-    /** Nothing more will be seen of a request. */
+    /** Removes a request for which no further events follow. */
     void forget(Request request) {
         referee.forget(request);
     }
@@ -117,7 +117,7 @@
         result.probes++;
     }
 
-    /** A proxy has received the state of a backend from discovery. */
+    /** Records that a proxy has received the state of a backend from discovery. */
     void recordEndpointState(int proxy, int backend, boolean ready) {
         referee.endpointStateReceived(proxy, backend, ready, scheduler.now());
     }
@@ -128,7 +128,7 @@
         evenness.recordSend(backend, scheduler.now());
     }
 
-    /** What a backend holds has changed, or whether it is fit. */
+    /** Records the number of requests that a backend holds and whether it is available. */
     void recordLoad(int index, Backend backend) {
         evenness.updateBackend(
                 index, backend.heldRequestCount(), backend.isAvailable(), scheduler.now());
@@ -142,7 +142,7 @@
         referee.backendStarted(backend, scheduler.now());
     }
 
-    /** Measures how evenly the backends were used until now. */
+    /** Stores the figures of how evenly the backends were used until now. */
     void recordEvenness() {
         result.evenness = evenness.measure(scheduler.now());
     }
--- a/src/main/java/lemondrift/lab/simulation/VirtualScheduler.java
+++ b/src/main/java/lemondrift/lab/simulation/VirtualScheduler.java
@@ -2,13 +2,19 @@
 
 import java.util.PriorityQueue;
 
-/** A scheduler in virtual time; tasks due at the same time run in the order of their scheduling. */
+/**
+ * A scheduler in virtual time; tasks that are due at the same time run in the order in which they
+ * were scheduled.
+ */
 final class VirtualScheduler implements Scheduler {
     private static final class ScheduledTask implements Entry, Comparable<ScheduledTask> {
         private final double dueAt;
         private final long sequence;
 
-        /** Null once cancelled: what the task refers to is not kept until it would be due. */
+        /**
+         * Null once cancelled, so that the objects that the task references can be freed before its
+         * due time.
+         */
         private Runnable task;
 
         private ScheduledTask(double dueAt, long sequence, Runnable task) {
@@ -45,7 +51,7 @@
         return entry;
     }
 
-    /** Runs all tasks that are due until a time, those included that they schedule. */
+    /** Runs all tasks that are due until a time, including tasks that these tasks schedule. */
     void runUntil(double end) {
         while (!queue.isEmpty() && queue.peek().dueAt <= end) {
             ScheduledTask entry = queue.poll();
--- a/src/main/java/lemondrift/lab/simulation/WorkWindow.java
+++ b/src/main/java/lemondrift/lab/simulation/WorkWindow.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The work that one cold backend was given within a sliding window of time. */
+/** The work that one cold backend received within a sliding time window. */
 final class WorkWindow {
     private record Item(double at, double workSeconds) {}
 
@@ -14,7 +14,10 @@
         this.windowSeconds = windowSeconds;
     }
 
-    /** Adds the work of one request, in seconds of one warm core, and drops what is too old. */
+    /**
+     * Adds the work of one request, in seconds of one warm core, and drops requests older than the
+     * window.
+     */
     void add(double now, double workSeconds) {
         items.add(new Item(now, workSeconds));
         while (items.peek().at < now - windowSeconds) {
@@ -22,13 +25,16 @@
         }
     }
 
-    /** Whether the work exceeds a budget; one request alone never does, however heavy it is. */
+    /**
+     * Returns whether the work in the window exceeds a budget, in seconds of one warm core; a
+     * single request never does, regardless of its work.
+     */
     boolean exceeds(double budgetSeconds) {
         return items.size() > 1
                 && items.stream().mapToDouble(Item::workSeconds).sum() > budgetSeconds;
     }
 
-    /** How many requests are in the window. */
+    /** Returns the number of requests in the window. */
     int requestCount() {
         return items.size();
     }
