--- a/src/main/java/lemondrift/cli/FleetCommand.java
+++ b/src/main/java/lemondrift/cli/FleetCommand.java
@@ -16,31 +16,36 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.ParentCommand;
 
-/** Plays experiments on real processes. */
+/** Runs experiments on real processes. */
 @Command(
         name = "fleet",
-        description = "Plays experiments with real processes of the built archive.",
+        description = "Runs experiments with real processes of the built archive.",
         mixinStandardHelpOptions = true)
 final class FleetCommand implements Callable<Integer> {
     @ParentCommand LabCommand lab;
 
-    @Parameters(arity = "1..*", paramLabel = "FILE", description = "experiments, in TOML")
+    @Parameters(arity = "1..*", paramLabel = "FILE", description = "TOML files of experiments")
     List<Path> files;
 
     @Option(
             names = "--root",
             paramLabel = "FOLDER",
             defaultValue = ".",
-            description = "where deploy/balancer.toml and the built archive are (${DEFAULT-VALUE})")
+            description =
+                    "folder that contains deploy/balancer.toml and the built archive"
+                            + " (${DEFAULT-VALUE})")
     Path root;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "all figures as JSON")
+    @Option(
+            names = "--json",
+            paramLabel = "FILE",
+            description = "write all figures to this file as JSON")
     Path json;
 
-    @Option(names = "--seconds", description = "what was served, second by second")
+    @Option(names = "--seconds", description = "print the served requests for each second")
     boolean printsSeconds;
 
-    @Option(names = "--quiet", description = "no line of progress")
+    @Option(names = "--quiet", description = "print no progress")
     boolean quiet;
 
     private String lastProgress = "";
@@ -96,7 +101,7 @@
         }
     }
 
-    /** Prints a line of progress, unless it is the one before. */
+    /** Prints a line of progress unless it equals the previous one. */
     private void printProgress(String line) {
         if (!quiet && !line.equals(lastProgress)) {
             lastProgress = line;
--- a/src/main/java/lemondrift/cli/LabCommand.java
+++ b/src/main/java/lemondrift/cli/LabCommand.java
@@ -19,10 +19,12 @@
 import picocli.CommandLine.ParentCommand;
 import picocli.CommandLine.Spec;
 
-/** Plays experiments, in virtual time where its subcommands do not say otherwise. */
+/** Runs experiments; in virtual time, except for the subcommands that use real processes. */
 @Command(
         name = "lab",
-        description = "Experiments on the decisions, in virtual time.",
+        description =
+                "Runs experiments on the load balancing decisions, in virtual time or on real"
+                        + " processes.",
         mixinStandardHelpOptions = true,
         subcommands = {
             LabCommand.Run.class,
@@ -33,10 +35,10 @@
             SoakCommand.class
         })
 final class LabCommand {
-    /** The length of the worst window that is printed with a figure that is not met. */
+    /** The length of the worst window that is printed with an expectation that is not met. */
     private static final int WORST_WINDOW_SECONDS = 5;
 
-    /** How many of the worst backends are printed with it. */
+    /** The number of worst backends that are printed with an expectation that is not met. */
     private static final int WORST_BACKENDS = 3;
 
     @Spec CommandSpec spec;
@@ -46,8 +48,8 @@
     }
 
     /**
-     * Prints which expectations the module's runs do not meet, and where most was lost; returns
-     * whether there are any.
+     * Prints the expectations that the module's runs do not meet, with the time at which the most
+     * priority weight was lost; returns whether there are any.
      */
     boolean printMissedExpectations(Experiment experiment, List<Experiment.Run> runs) {
         boolean anyMissed = false;
@@ -76,11 +78,11 @@
                         run.result().worstBackends(WORST_BACKENDS));
     }
 
-    /** Plays experiments and prints a table of each. */
+    /** Runs experiments and prints the figures of each run. */
     @Command(
             name = "run",
             description =
-                    "Plays experiments; fails where a rule broke or an expectation does not hold.",
+                    "Runs experiments; fails if a rule is violated or an expectation is not met.",
             mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
         @ParentCommand LabCommand lab;
@@ -91,7 +93,8 @@
         @Option(
                 names = "--json",
                 paramLabel = "FILE",
-                description = "all figures, also second by second, as JSON")
+                description =
+                        "write all figures, including those for each second, to this file as JSON")
         Path json;
 
         @Override
@@ -110,7 +113,7 @@
             return failed ? RootCommand.FAILED : RootCommand.DONE;
         }
 
-        /** Prints the runs; returns whether a rule broke or an expectation does not hold. */
+        /** Prints the runs; returns whether a rule is violated or an expectation is not met. */
         private boolean print(Experiment experiment, List<Experiment.Run> runs) {
             PrintWriter out = lab.out();
             out.println(experiment.name() + ": " + experiment.about());
@@ -121,7 +124,7 @@
                         run.policy(),
                         run.seed(),
                         run.result(),
-                        run.ruleViolation() == null ? "" : "  RULE BROKEN");
+                        run.ruleViolation() == null ? "" : "  RULE VIOLATED");
             }
             boolean failed = false;
             for (Experiment.Run run : runs) {
@@ -161,7 +164,9 @@
     /** Compares the module with each other policy of an experiment, paired by seed. */
     @Command(
             name = "compare",
-            description = "The module's service less each policy's, by seed, with intervals.",
+            description =
+                    "Prints the served share of the module minus that of each other policy, paired"
+                            + " by seed, with 95%% confidence intervals.",
             mixinStandardHelpOptions = true)
     static final class Compare implements Callable<Integer> {
         @ParentCommand LabCommand lab;
@@ -205,7 +210,7 @@
             out.flush();
         }
 
-        /** The served share of each run of a policy, in the order of the seeds. */
+        /** Returns the served share of each run of a policy, in the order of the seeds. */
         private static double[] serviceShares(List<Experiment.Run> runs, String policy) {
             return runs.stream()
                     .filter(run -> run.policy().equals(policy))
--- a/src/main/java/lemondrift/cli/LoadCommand.java
+++ b/src/main/java/lemondrift/cli/LoadCommand.java
@@ -12,10 +12,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Sends load to a loopback address. */
+/** Sends requests to a loopback address at a given rate. */
 @Command(
         name = "load",
-        description = "Sends requests at a rate to a loopback address.",
+        description = "Sends requests to a loopback address at a given rate.",
         mixinStandardHelpOptions = true)
 final class LoadCommand implements Callable<Integer> {
     @Spec CommandSpec spec;
@@ -26,48 +26,49 @@
     @Option(
             names = "--rate",
             defaultValue = "100",
-            description = "requests a second (${DEFAULT-VALUE})")
+            description = "requests per second (${DEFAULT-VALUE})")
     double rate;
 
     @Option(
             names = "--seconds",
             defaultValue = "10",
-            description = "for how long (${DEFAULT-VALUE})")
+            description = "duration without the warm-up (${DEFAULT-VALUE})")
     double seconds;
 
     @Option(
             names = "--warm-up",
             paramLabel = "<warmUp>",
             defaultValue = "1",
-            description = "seconds before, left out (${DEFAULT-VALUE})")
+            description = "seconds of warm-up, which are not counted (${DEFAULT-VALUE})")
     double warmUpSeconds;
 
     @Option(
             names = "--connections",
             defaultValue = "64",
-            description = "open at most (${DEFAULT-VALUE})")
+            description = "maximum number of open connections (${DEFAULT-VALUE})")
     int connections;
 
     @Option(
             names = "--grade",
             paramLabel = "<grade>",
             required = true,
-            description = "the service grade that each request names")
+            description = "name of the service grade in each request")
     String requestClass;
 
     @Option(
             names = "--timeout",
             paramLabel = "<timeout>",
             defaultValue = "5",
-            description = "seconds for an answer (${DEFAULT-VALUE})")
+            description =
+                    "seconds without a response after which a request fails (${DEFAULT-VALUE})")
     double timeoutSeconds;
 
     @Option(
             names = "--highest",
             paramLabel = "SECONDS",
             description =
-                    "search the highest rate whose 99th percentile stays within this, from --rate"
-                            + " on")
+                    "search the highest rate at which the 99th percentile of the latency stays"
+                            + " within this, starting from --rate")
     Double highestRateBoundSeconds;
 
     @Override
@@ -98,7 +99,7 @@
             int port = Integer.parseInt(target.substring(colon + 1));
             return new InetSocketAddress(target.substring(0, colon), port);
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            throw new InvalidSettingsException("not host:port: " + target);
+            throw new InvalidSettingsException("expected HOST:PORT, found " + target);
         }
     }
 }
--- a/src/main/java/lemondrift/cli/RecoveryCommand.java
+++ b/src/main/java/lemondrift/cli/RecoveryCommand.java
@@ -12,10 +12,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The snapshots that proxies keep for their next start. */
+/** Shows snapshots, which proxies store for their next start. */
 @Command(
         name = "recovery",
-        description = "What a proxy keeps for its next start.",
+        description = "Shows what a proxy has stored for its next start.",
         mixinStandardHelpOptions = true,
         subcommands = RecoveryCommand.Show.class)
 final class RecoveryCommand {
@@ -26,7 +26,7 @@
 
         @Parameters(
                 paramLabel = "FILE",
-                description = "NAME.snap, or NAME.snap.1 for the one before")
+                description = "NAME.snap, or NAME.snap.1 for the previous snapshot")
         Path file;
 
         @Override
--- a/src/main/java/lemondrift/cli/RootCommand.java
+++ b/src/main/java/lemondrift/cli/RootCommand.java
@@ -6,12 +6,12 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line but for serve, check and drill, which Main starts without it. */
+/** The command line of all commands except serve, check and drill, which Main starts directly. */
 @Command(
         name = "lemondrift",
         mixinStandardHelpOptions = true,
         version = "lemondrift 0.1.0",
-        description = "A load balancer whose decisions stay good when things fail.",
+        description = "A load balancer that keeps making good decisions under failure.",
         subcommands = {
             RootCommand.Serve.class,
             RootCommand.Check.class,
@@ -21,28 +21,36 @@
             AutoComplete.GenerateCompletion.class
         })
 public final class RootCommand {
-    /** Exit code: done. */
+    /** Exit code of a command that succeeded. */
     static final int DONE = 0;
 
-    /** Exit code: a run failed, a rule broke or an expectation does not hold. */
+    /**
+     * Exit code of a command whose run failed: a rule was violated, an expectation was not met or
+     * requests failed.
+     */
     static final int FAILED = 1;
 
-    /** Exit code: the call or a file that it names cannot be used. */
+    /** Exit code of a command with invalid arguments or an invalid file. */
     static final int USAGE = 2;
 
-    // Main runs these three itself, without the library; here they stand for the usage only.
-    @Command(name = "serve", description = "One real proxy; PROXY_CONFIG names its configuration.")
+    // Main runs these three without the command line library; they are listed here only for the
+    // usage.
+    @Command(
+            name = "serve",
+            description = "Runs one proxy with the configuration file that PROXY_CONFIG names.")
     static final class Serve {}
 
-    @Command(name = "check", description = "Can the configuration that PROXY_CONFIG names be used?")
+    @Command(name = "check", description = "Checks the configuration file that PROXY_CONFIG names.")
     static final class Check {}
 
-    @Command(name = "drill", description = "The operators' simulator on standard input and output.")
+    @Command(
+            name = "drill",
+            description = "Connects to the operators' simulator on standard input and output.")
     static final class Drill {}
 
     /**
-     * Runs a command and returns its exit code: 0 done, 1 failed, 2 the call cannot be used, with
-     * one line on standard error.
+     * Runs a command and returns its exit code: 0 if it succeeded, 1 if its run failed, 2 if an
+     * argument or a file is invalid, which is reported on standard error.
      */
     public static int run(String... args) {
         CommandLine commandLine = new CommandLine(new RootCommand());
@@ -54,7 +62,10 @@
         return commandLine.execute(args);
     }
 
-    /** Prints what cannot be used on one line; any other exception is thrown on. */
+    /**
+     * Prints an invalid value or an I/O error on one line and returns {@link #USAGE}; rethrows any
+     * other exception.
+     */
     private static int reportUnusable(
             Exception e, CommandLine command, CommandLine.ParseResult parsed) throws Exception {
         if (e instanceof InvalidSettingsException) {
--- a/src/main/java/lemondrift/cli/SoakCommand.java
+++ b/src/main/java/lemondrift/cli/SoakCommand.java
@@ -17,10 +17,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParentCommand;
 
-/** Plays runs of real processes with faults drawn from seeds. */
+/** Runs scenarios on real processes with faults drawn from seeds. */
 @Command(
         name = "soak",
-        description = "Plays days of real processes on which all that fails is drawn from a seed.",
+        description =
+                "Runs scenarios on real processes; all faults of a run are drawn from its seed.",
         mixinStandardHelpOptions = true)
 final class SoakCommand implements Callable<Integer> {
     @ParentCommand LabCommand lab;
@@ -36,28 +37,30 @@
             names = "--seeds",
             paramLabel = "N",
             defaultValue = "5",
-            description = "how many (${DEFAULT-VALUE})")
+            description = "number of seeds (${DEFAULT-VALUE})")
     int seedCount;
 
     @Option(
             names = "--at-once",
             paramLabel = "N",
             defaultValue = "1",
-            description = "days that are played side by side (${DEFAULT-VALUE})")
+            description = "number of concurrent runs (${DEFAULT-VALUE})")
     int concurrentRuns;
 
     @Option(
             names = "--without-signals",
             description =
-                    "leave out the signals in series and the interrupted starts, which come beside"
-                            + " the rest of a seed's day")
+                    "leave out the series of signals and the interrupted starts, which are added to"
+                            + " the other faults of a seed")
     boolean withoutSignals;
 
     @Option(
             names = "--root",
             paramLabel = "FOLDER",
             defaultValue = ".",
-            description = "where deploy/balancer.toml and the built archive are (${DEFAULT-VALUE})")
+            description =
+                    "folder that contains deploy/balancer.toml and the built archive"
+                            + " (${DEFAULT-VALUE})")
     Path root;
 
     @Override
@@ -75,12 +78,12 @@
         for (int i = 0; i < seedCount; i++) {
             failedCount += printOutcome(firstSeed + i, verdicts.get(i)) ? 0 : 1;
         }
-        lab.out().printf("%d days, %d of them with something wrong%n", seedCount, failedCount);
+        lab.out().printf("%d runs, %d of them with violations%n", seedCount, failedCount);
         lab.out().flush();
         return failedCount > 0 ? RootCommand.FAILED : RootCommand.DONE;
     }
 
-    /** Prints what came of a seed; returns whether all went well. */
+    /** Prints the outcome of a seed; returns whether the run ended without violations. */
     private boolean printOutcome(long seed, Future<SoakRun.Outcome> played)
             throws InterruptedException {
         PrintWriter out = lab.out();
@@ -97,7 +100,7 @@
             verdict.violations().forEach(out::println);
             return verdict.violations().isEmpty();
         } catch (ExecutionException e) {
-            out.printf("seed %d: WRONG, not played to its end: %s%n", seed, e.getCause());
+            out.printf("seed %d: WRONG, run not completed: %s%n", seed, e.getCause());
             return false;
         } finally {
             out.flush();
--- a/src/main/java/lemondrift/cli/package-info.java
+++ b/src/main/java/lemondrift/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line but for {@code serve}, {@code check} and {@code drill}, which start without it:
- * reads arguments, calls the lab, prints results. Exit codes: 0 done, 1 the run failed or a rule
- * broke, 2 the call cannot be used.
+ * The command line of all commands except {@code serve}, {@code check} and {@code drill}, which
+ * start without it: parses arguments, calls the lab and prints results. Exit codes: 0 if a command
+ * succeeded, 1 if its run failed or a rule was violated, 2 if an argument or a file is invalid.
  */
 package lemondrift.cli;
--- a/src/main/java/lemondrift/lab/load/LoadConnection.java
+++ b/src/main/java/lemondrift/lab/load/LoadConnection.java
@@ -7,16 +7,17 @@
 import java.util.Locale;
 
 /**
- * One connection of the load, opened when it is needed and again after a close. Used by one thread.
+ * A connection of the load generator, opened when needed and reopened after a close. Used by a
+ * single thread.
  */
 final class LoadConnection implements AutoCloseable {
-    /** The most characters that the head of a response may have. */
+    /** The maximum number of characters of a response head. */
     private static final int MAX_HEAD_LENGTH = 16_384;
 
     private static final String HEAD_END = "\r\n\r\n";
     private static final String CONTENT_LENGTH = "content-length: ";
 
-    /** Where the status stands in a response: after "HTTP/1.1 ". */
+    /** The position of the status in a response: after "HTTP/1.1 ". */
     private static final int STATUS_START = 9;
 
     private static final int STATUS_END = 12;
@@ -24,7 +25,7 @@
     private final InetSocketAddress address;
     private final int timeoutMillis;
 
-    /** Null while it is closed. */
+    /** Null while the connection is closed. */
     private Socket socket;
 
     /** Whether the server closes the connection after the latest response. */
@@ -35,7 +36,7 @@
         timeoutMillis = (int) Math.ceil(timeoutSeconds * 1000);
     }
 
-    /** Opens the connection, unless it is open. */
+    /** Opens the connection if it is not open. */
     void open() throws IOException {
         if (socket == null) {
             socket = new Socket();
@@ -46,9 +47,10 @@
     }
 
     /**
-     * Sends a request, reads the whole response and returns its status.
+     * Sends a request, reads the complete response and returns its status.
      *
-     * @throws IOException where there is no whole response in time; the connection must be closed
+     * @throws IOException if no complete response arrives before the timeout; the caller must then
+     *     close the connection
      */
     int sendAndReceive(byte[] request) throws IOException {
         socket.getOutputStream().write(request);
@@ -56,26 +58,33 @@
         String head = readHead(in);
         int length = parseContentLength(head);
         if (in.readNBytes(length).length < length) {
-            throw new IOException("no whole answer");
+            throw new IOException(
+                    "connection closed before the response body of "
+                            + length
+                            + " bytes was complete");
         }
         closesAfterResponse = head.contains("connection: close");
         return Integer.parseInt(head.substring(STATUS_START, STATUS_END));
     }
 
-    /** Closes the connection where the server does so after the latest response. */
+    /** Closes the connection if the latest response announced that the server closes it. */
     void closeIfServerCloses() {
         if (closesAfterResponse) {
             close();
         }
     }
 
-    /** The head of a response in small letters. */
+    /** Reads the head of a response and returns it in lower case. */
     private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf(HEAD_END) < 0) {
             int next = in.read();
             if (next < 0 || head.length() > MAX_HEAD_LENGTH) {
-                throw new IOException("no whole answer");
+                throw new IOException(
+                        "connection closed before the response head was complete, or head longer"
+                                + " than "
+                                + MAX_HEAD_LENGTH
+                                + " characters");
             }
             head.append((char) next);
         }
@@ -98,7 +107,7 @@
                 socket.close();
             }
         } catch (IOException e) {
-            // Guards against a failed close ending the thread: the socket is not used again.
+            // Guards against a failed close that ends the thread: the socket is not used again.
         }
         socket = null;
     }
--- a/src/main/java/lemondrift/lab/load/LoadGenerator.java
+++ b/src/main/java/lemondrift/lab/load/LoadGenerator.java
@@ -12,53 +12,59 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Sends requests at a stated rate, whatever becomes of those before (an open loop). Latency counts
- * from when a request was due: waiting for a free connection is the client's time too. It sends to
- * loopback alone.
+ * Sends requests at a given rate, regardless of the outcome of earlier requests (an open loop).
+ * Latency is measured from when a request was due, so that it includes the wait for a free
+ * connection. Only loopback addresses are accepted as the target.
  */
 public final class LoadGenerator {
-    /** A request that is sent this many seconds late shows that the load falls behind its rate. */
+    /** A request counts as sent late if it is sent more than this after it was due. */
     private static final double LATE_SEND_SECONDS = 0.01;
 
-    /** The share of the requests that may be sent late is one in so many. */
+    /** The rate counts as reached if at most one in this number of requests is sent late. */
     private static final long MAX_LATE_SENDS_DIVISOR = 100;
 
-    /** The longest latency that is told apart. */
+    /** The longest latency that is recorded; longer ones are recorded as this value. */
     private static final long MAX_LATENCY_MICROS = 60_000_000;
 
-    /** To how many digits latencies are counted. */
+    /** The number of significant digits of recorded latencies. */
     private static final int LATENCY_DIGITS = 2;
 
-    /** The first request is due this long after the start, when all threads wait for theirs. */
+    /**
+     * The delay of the first request after the start, in which all threads start and wait for their
+     * first request.
+     */
     private static final long START_DELAY_NANOS = 20_000_000;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The highest rate of a plan, in requests a second. */
+    /** The highest rate of a plan, in requests per second. */
     private static final double MAX_RATE = 1e6;
 
     private static final double MAX_SECONDS = 3600;
     private static final int MAX_CONNECTIONS = 4096;
 
-    /** The search for the highest rate ends when it is known to this share. */
+    /**
+     * The search for the highest rate ends when the remaining gap is at most this share of the
+     * rate.
+     */
     private static final double RATE_PRECISION_SHARE = 0.1;
 
-    /** The search gives up where not even this rate holds, in requests a second. */
+    /** The search fails if the bound is exceeded even at this rate, in requests per second. */
     private static final double MIN_RATE = 1;
 
-    /** Stands for the status of a request that got no whole response. */
+    /** Represents the status of a request that got no complete response. */
     private static final int NO_RESPONSE = 0;
 
     /**
-     * What to send.
+     * The load to send.
      *
      * @param target a loopback address
-     * @param rate requests a second, over 0
-     * @param durationSeconds for how long, over 0; the warm-up comes before and is left out
-     * @param warmUpSeconds seconds of warm-up, 0 or more
-     * @param connections how many requests may be open at once, 1 to 4096
-     * @param requestClass the request class that each request names
-     * @param timeoutSeconds seconds after which a request has failed, over 0
+     * @param rate requests per second, over 0 and at most one million
+     * @param durationSeconds duration without the warm-up, over 0 and at most 3600
+     * @param warmUpSeconds duration of the warm-up, whose requests are not counted, 0 or more
+     * @param connections maximum number of concurrent requests, 1 to 4096
+     * @param requestClass the name of the request class in each request
+     * @param timeoutSeconds time without a response after which a request fails, over 0
      */
     public record Plan(
             InetSocketAddress target,
@@ -71,13 +77,13 @@
         /**
          * Checks the plan.
          *
-         * @throws InvalidSettingsException where a figure is out of its range or the address is not
-         *     loopback
+         * @throws InvalidSettingsException if a value is out of its range or the target is not a
+         *     loopback address
          */
         public Plan {
             if (target.isUnresolved() || !target.getAddress().isLoopbackAddress()) {
                 throw new InvalidSettingsException(
-                        "not a loopback address: " + target.getHostString());
+                        "expected a loopback address, found " + target.getHostString());
             }
             if (!(rate > 0 && rate <= MAX_RATE)
                     || !(durationSeconds > 0 && durationSeconds <= MAX_SECONDS)
@@ -86,12 +92,23 @@
                     || connections > MAX_CONNECTIONS
                     || !(timeoutSeconds > 0)) {
                 throw new InvalidSettingsException(
-                        "a load that cannot be: rate "
+                        "invalid load: rate "
                                 + rate
                                 + ", seconds "
                                 + durationSeconds
                                 + ", connections "
-                                + connections);
+                                + connections
+                                + ", warm-up "
+                                + warmUpSeconds
+                                + " s, timeout "
+                                + timeoutSeconds
+                                + " s: expected a rate over 0 and at most "
+                                + MAX_RATE
+                                + ", seconds over 0 and at most "
+                                + MAX_SECONDS
+                                + ", connections from 1 to "
+                                + MAX_CONNECTIONS
+                                + ", a warm-up of 0 s or more and a timeout over 0 s");
             }
         }
 
@@ -108,14 +125,14 @@
     }
 
     /**
-     * What came of a load.
+     * The result of a load.
      *
-     * @param latency of the requests that succeeded, in microseconds
-     * @param sent how many requests were due after the warm-up
-     * @param succeeded those answered with status 200
-     * @param rejected those answered with status 429 or 503
-     * @param failed all others
-     * @param sentLate those that were sent late for want of a free connection
+     * @param latency latency of the requests that succeeded, in microseconds
+     * @param sent number of requests that were due after the warm-up
+     * @param succeeded requests with a response of status 200
+     * @param rejected requests with a response of status 429 or 503
+     * @param failed all other requests
+     * @param sentLate requests that were sent late because no connection was free
      */
     public record Result(
             Histogram latency,
@@ -124,7 +141,7 @@
             long rejected,
             long failed,
             long sentLate) {
-        /** Whether the load kept its rate: at most one request in a hundred was sent late. */
+        /** Returns whether the rate was reached: at most one request in a hundred was sent late. */
         public boolean reachedRate() {
             return sentLate <= sent / MAX_LATE_SENDS_DIVISOR;
         }
@@ -148,7 +165,9 @@
                     latency.getMaxValue(),
                     reachedRate()
                             ? ""
-                            : "; BEHIND: " + sentLate + " went out late, the rate was not reached");
+                            : "; BEHIND: "
+                                    + sentLate
+                                    + " requests were sent late, the rate was not reached");
         }
     }
 
@@ -171,9 +190,9 @@
     }
 
     /**
-     * Plays a plan and returns when its last request has ended.
+     * Sends the load of a plan and returns when its last request has ended.
      *
-     * @throws InterruptedException where the calling thread is interrupted
+     * @throws InterruptedException if the calling thread is interrupted
      */
     public static Result run(Plan plan) throws InterruptedException {
         LoadGenerator load = new LoadGenerator(plan);
@@ -192,13 +211,15 @@
     }
 
     /**
-     * The highest rate, by doubling and then halving the gap, at which a percentile of the latency
-     * stays within a bound and every request succeeds; 0 where not even one a second does.
+     * Searches for the highest rate at which the load generator keeps up, a percentile of the
+     * latency stays within a bound and every request succeeds. The search doubles the rate and then
+     * halves the gap. Returns the rate in requests per second; 0 if no rate of at least one per
+     * second meets the conditions.
      *
-     * @param first the plan to begin with
-     * @param percentile such as 99
-     * @param boundSeconds for the latency at that percentile
-     * @throws InterruptedException where the calling thread is interrupted
+     * @param first the plan of the first attempt, with the rate at which the search starts
+     * @param percentile the percentile of the latency, such as 99
+     * @param boundSeconds the bound of the latency at that percentile
+     * @throws InterruptedException if the calling thread is interrupted
      */
     public static double findHighestRate(Plan first, double percentile, double boundSeconds)
             throws InterruptedException {
@@ -226,7 +247,7 @@
                 && result.latency.getValueAtPercentile(percentile) <= boundSeconds * 1e6;
     }
 
-    /** One thread: takes the next request that is due until there is none. */
+    /** Sends requests over one connection until none is left. Each thread runs this method. */
     private void sendAll() {
         try (LoadConnection connection = new LoadConnection(plan.target, plan.timeoutSeconds)) {
             for (long index = nextIndex.getAndIncrement();
@@ -249,7 +270,7 @@
             recordOutcome(index, dueNanos, lateSeconds, status);
             connection.closeIfServerCloses();
         } catch (IOException e) {
-            // A request that failed is not counted as sent late as well.
+            // A failed request is not also counted as sent late.
             recordOutcome(index, dueNanos, 0, NO_RESPONSE);
             connection.close();
         }
--- a/src/main/java/lemondrift/lab/load/package-info.java
+++ b/src/main/java/lemondrift/lab/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * An open-loop load on one proxy on loopback, with latencies counted from when a request was due.
- * One blocking thread for each connection.
+ * An open-loop load generator for one proxy on loopback; latency is measured from when a request
+ * was due. Each connection has its own blocking thread.
  */
 package lemondrift.lab.load;
--- a/src/main/java/lemondrift/simulator/FrameReader.java
+++ b/src/main/java/lemondrift/simulator/FrameReader.java
@@ -6,9 +6,9 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 
-/** Reads one batch at a time into a buffer that is reused. */
+/** Reads batches one at a time into a reused buffer. */
 final class FrameReader {
-    /** A batch larger than this is taken for a broken length. */
+    /** A length above this is treated as invalid. */
     private static final int MAX_BATCH_BYTES = 1 << 30;
 
     private final InputStream in;
@@ -19,7 +19,13 @@
         this.in = in;
     }
 
-    /** The next batch's bytes after the length, or null where the input ends between batches. */
+    /**
+     * Reads the next batch and returns its bytes after the length field, in a buffer that is valid
+     * until the next call; null if the input ends between two batches.
+     *
+     * @throws EOFException if the input ends within a batch
+     * @throws IOException if the length is invalid or reading fails
+     */
     ByteBuffer readBatch() throws IOException {
         int read = in.readNBytes(head, 0, 4);
         if (read == 0) {
@@ -31,7 +37,11 @@
         }
         int length = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt();
         if (length < 12 || length > MAX_BATCH_BYTES) {
-            throw new IOException("a batch's length is " + Integer.toUnsignedString(length));
+            throw new IOException(
+                    "invalid batch length: "
+                            + Integer.toUnsignedString(length)
+                            + " bytes, expected 12 to "
+                            + MAX_BATCH_BYTES);
         }
         if (body.capacity() < length) {
             body =
--- a/src/main/java/lemondrift/simulator/ReplyWriter.java
+++ b/src/main/java/lemondrift/simulator/ReplyWriter.java
@@ -8,8 +8,8 @@
 import java.util.Arrays;
 
 /**
- * Encodes one reply frame in a buffer that grows and is reused; the record codes are the wire
- * page's.
+ * Encodes one reply frame in a reused buffer that grows as needed. The record codes are those of
+ * the simulator's wire protocol.
  */
 final class ReplyWriter {
     private static final int CANCEL = 66;
@@ -92,7 +92,10 @@
         return bytes.length <= maxBytes ? bytes : Arrays.copyOf(bytes, maxBytes);
     }
 
-    /** An address is kept as the six bytes it came in, in one long. */
+    /**
+     * Writes an address, which is stored in a long as the six bytes received: four of the host,
+     * then two of the port.
+     */
     private static ByteBuffer putAddress(ByteBuffer to, long address) {
         return to.putInt((int) address).putShort((short) (address >>> 32));
     }
--- a/src/main/java/lemondrift/simulator/SimulatedProxy.java
+++ b/src/main/java/lemondrift/simulator/SimulatedProxy.java
@@ -11,9 +11,12 @@
 import lemondrift.model.Request;
 import lemondrift.model.Settings;
 
-/** One proxy's load balancer, with the ids by which the wire names its requests and backends. */
+/**
+ * The load balancer of one simulated proxy. Maps the request ids and backend addresses of the wire
+ * protocol to its requests and backend indexes.
+ */
 final class SimulatedProxy {
-    /** One endpoint as it came, before its backend gets an index; startedAt in seconds. */
+    /** An endpoint as received, before its backend gets an index; startedAt is in seconds. */
     record Endpoint(
             long address,
             int location,
@@ -35,7 +38,9 @@
         this.balancer = new LoadBalancer(settings, seed);
     }
 
-    /** The dense index of a backend, given out at its first mention. */
+    /**
+     * Returns the dense index of a backend, which is assigned when its address is first received.
+     */
     int backendIndex(long address) {
         Integer known = indexes.get(address);
         if (known == null) {
@@ -63,18 +68,21 @@
         return updates;
     }
 
-    /** Keeps a request under its id. */
+    /** Stores a request under its id and returns it. */
     Request accept(Request request) {
         requests.put(request.id, request);
         return request;
     }
 
-    /** Null where the id is not known any more. */
+    /** Returns the request with an id; null if it is unknown or already removed. */
     Request request(long id) {
         return requests.get(id);
     }
 
-    /** An attempt that is in flight, by its request and its number; null where there is none. */
+    /**
+     * Returns the attempt in flight with an index among the attempts of a request; null if there is
+     * none.
+     */
     Attempt attempt(long id, int index) {
         Request request = requests.get(id);
         Attempt attempt = request == null ? null : request.latestAttempt;
@@ -84,14 +92,17 @@
         return attempt == null || attempt.ended ? null : attempt;
     }
 
-    /** Forgets a request that is completed and has no attempt in flight. */
+    /** Removes a request if it is completed and has no attempt in flight. */
     void forgetIfDone(Request request) {
         if (request.completed && request.attemptsInFlight == 0) {
             requests.remove(request.id);
         }
     }
 
-    /** Whether an alarm that went off is the latest one set; an earlier one is ignored. */
+    /**
+     * Returns whether an alarm that fired is the latest one set, and marks it as fired; earlier
+     * alarms are ignored.
+     */
     boolean isCurrentAlarm(long tag) {
         if (tag != alarmTag) {
             return false;
@@ -100,7 +111,7 @@
         return true;
     }
 
-    /** Writes what was decided; decision times are in seconds. */
+    /** Writes a decision to the reply; times are in seconds. */
     void writeDecision(Decision decision, double now, ReplyWriter reply) {
         for (Attempt attempt : decision.cancellations) {
             reply.cancel(number, attempt.request.id, attempt.index);
--- a/src/main/java/lemondrift/simulator/SimulatorAdapter.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -20,15 +20,15 @@
 import lemondrift.settings.SettingsReader;
 
 /**
- * The operators' simulator on standard input and output: decodes batches of events into calls to
- * the load balancers of many proxies and encodes what they decide. The record codes are those of
- * the wire page.
+ * Connects the operators' simulator on standard input and output: decodes batches of events into
+ * calls of the load balancers of many proxies and encodes their decisions. The record codes are
+ * those of the simulator's wire protocol.
  */
 public final class SimulatorAdapter {
-    /** The bit of an arrival that says that the client has tried before. */
+    /** The flag of an arriving request that marks it as a retry by the client. */
     private static final int RETRY_FLAG = 2;
 
-    /** A batch's record codes. */
+    /** The record codes of a batch. */
     private static final int PROXY_STARTED = 1;
 
     private static final int ENDPOINT_LIST = 2;
@@ -41,13 +41,13 @@
     private static final int PROXY_CRASHED = 10;
     private static final int DEFINE_LIST = 11;
 
-    /** The kinds of endpoint list that an event may bring; any other is a full one. */
+    /** The kinds of endpoint list event; any other value means a full list. */
     private static final int LIST_OF_CHANGES = 0;
 
     private static final int LIST_STALE = 2;
     private static final int LIST_FAILED = 3;
 
-    /** Attempt outcomes by their code on the wire. */
+    /** Attempt outcomes, indexed by their code on the wire. */
     private static final AttemptOutcome[] OUTCOMES = {
         AttemptOutcome.ERROR,
         AttemptOutcome.SUCCESS,
@@ -69,7 +69,10 @@
         this.err = err;
     }
 
-    /** Plays until the input ends; returns the process's exit code. */
+    /**
+     * Processes batches until the input ends; returns the exit code of the process: 0, or 1 after
+     * an invalid batch or an I/O error.
+     */
     public static int run(InputStream in, OutputStream out, PrintStream err) {
         SimulatorAdapter adapter = new SimulatorAdapter(err);
         FrameReader frames = new FrameReader(in);
@@ -170,7 +173,7 @@
         } catch (java.nio.BufferUnderflowException | InvalidSettingsException e) {
             throw e;
         } catch (RuntimeException e) {
-            // Guards against one proxy's fault ending the simulation of all others.
+            // Guards against an error of one proxy that ends the simulation of all others.
             err.println("lemondrift drill: instance " + number + ", event code " + code + ":");
             e.printStackTrace(err);
             reply.proxyFailed(number, e.toString());
@@ -182,7 +185,9 @@
         }
     }
 
-    /** Decodes one event and hands it to the proxy; null where it needs no decision. */
+    /**
+     * Decodes one event and passes it to the proxy; returns null if the event needs no decision.
+     */
     private Decision decide(int code, SimulatedProxy proxy, ByteBuffer in) {
         return switch (code) {
             case ENDPOINT_LIST -> endpointListReceived(proxy, in);
@@ -211,7 +216,10 @@
         }
         List<SimulatedProxy.Endpoint> endpoints = lists.get(list);
         if (endpoints == null) {
-            throw new InvalidSettingsException("list " + list + " was never defined");
+            throw new InvalidSettingsException(
+                    "endpoint list event: list "
+                            + list
+                            + " was never defined, expected a list from an earlier record");
         }
         return proxy.balancer.endpointsListed(
                 now,
@@ -224,9 +232,9 @@
         long id = in.getLong();
         int requestClass = Short.toUnsignedInt(in.getShort());
         int tenant = in.getInt();
-        in.getLong(); // the idempotency key, which only backends need
+        in.getLong(); // skip the idempotency key, which only backends need
         double secondsLeft = in.getDouble() / 1000;
-        in.getDouble(); // the client's own time-out
+        in.getDouble(); // skip the timeout of the client
         boolean markedRetry = (in.get() & RETRY_FLAG) != 0;
         Request request = new Request(id, requestClass, tenant, now, secondsLeft, markedRetry);
         return proxy.balancer.requestArrived(now, proxy.accept(request));
@@ -270,7 +278,7 @@
 
     private Decision probeEnded(SimulatedProxy proxy, ByteBuffer in) {
         int backend = proxy.backendIndex(readAddress(in));
-        in.getDouble(); // how long it took
+        in.getDouble(); // skip the duration of the probe
         int outcome = Short.toUnsignedInt(in.getShort());
         return outcome >= OUTCOMES.length
                 ? null
@@ -302,7 +310,13 @@
     private static int requireFits(ByteBuffer in, int count, int bytesEach) {
         if (count < 0 || (long) count * bytesEach > in.remaining()) {
             throw new InvalidSettingsException(
-                    "a count of " + Integer.toUnsignedString(count) + " does not fit its record");
+                    "invalid count: "
+                            + Integer.toUnsignedString(count)
+                            + " entries of "
+                            + bytesEach
+                            + " bytes, but the record has only "
+                            + in.remaining()
+                            + " bytes left");
         }
         return count;
     }
@@ -312,7 +326,7 @@
         return host | (long) Short.toUnsignedInt(in.getShort()) << 32;
     }
 
-    /** Null where no report came along. */
+    /** Returns the load report at the end of a record; null if there is none. */
     private static double[] readLoadReport(ByteBuffer in) {
         int count = in.hasRemaining() ? Byte.toUnsignedInt(in.get()) : 0;
         if (count == 0) {
--- a/src/main/java/lemondrift/simulator/package-info.java
+++ b/src/main/java/lemondrift/simulator/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The adapter of the operators' simulator (command {@code drill}): many proxies' load balancers in
- * one process of one thread, driven by batches on standard input, their decisions on standard
- * output. It does no other I/O, and the wire's record codes and field order stand here alone.
+ * The adapter of the operators' simulator (command {@code drill}): runs the load balancers of many
+ * proxies in one thread of one process. It reads batches of events from standard input, writes the
+ * decisions to standard output and does no other I/O. Only this package contains the record codes
+ * and the field order of the wire protocol.
  */
 package lemondrift.simulator;
