--- a/src/main/java/lemondrift/lab/Baseline.java
+++ b/src/main/java/lemondrift/lab/Baseline.java
@@ -18,44 +18,47 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Simple policies to compare the module with. They pick a backend, retry what was provably never
- * executed, and keep the first three rules. They judge no health and spare no cold backend.
+ * Simple policies with which the module is compared. They select a backend, retry requests that
+ * were provably never executed, and keep the first three rules. They do not assess the health of
+ * backends and do not protect cold backends.
  */
 public final class Baseline implements RoutingPolicy {
-    /** How a baseline picks among the backends that are listed as ready. */
+    /** How a baseline selects among the backends that are listed as ready. */
     public enum Kind {
-        /** Any, each as likely. */
+        /** A backend drawn at random, with equal probabilities. */
         RANDOM,
-        /** One after another. */
+        /** Each backend in turn. */
         ROUND_ROBIN,
-        /** The one with the fewest of this proxy's own attempts in flight. */
+        /** The backend with the fewest attempts of this proxy in flight. */
         LEAST_OUTSTANDING,
-        /** Of two at random the one with fewer of this proxy's attempts in flight. */
+        /** Of two backends drawn at random, the one with fewer attempts of this proxy in flight. */
         TWO_CHOICES,
         /**
-         * The least peak of a moving average of response times, times one more than the attempts in
-         * flight (Finagle's Peak EWMA).
+         * The backend with the smallest product of a peak-sensitive moving average of response
+         * times and one more than the attempts in flight (Finagle's Peak EWMA).
          */
         PEAK_EWMA,
-        /** The one with the least true load, which no proxy can see. */
+        /** The backend with the lowest true load, which a real proxy cannot know. */
         ORACLE
     }
 
-    /** The time constant with which a peak of response times decays, in seconds. */
+    /** The time constant of the decay of a peak of response times, in seconds. */
     private static final double PEAK_DECAY_SECONDS = 5;
 
-    /** A response time below the peak lowers the peak by their difference over this. */
+    /**
+     * A response time below the decayed peak lowers the peak by their difference divided by this.
+     */
     private static final double PEAK_DIVISOR = 8;
 
-    /** How many attempts a request may have. */
+    /** The maximum number of attempts of a request. */
     private static final int MAX_ATTEMPTS = 3;
 
-    /** What a proxy knows of one backend. */
+    /** The state of one backend as one proxy knows it. */
     private static final class BackendState {
         boolean ready;
         int attemptsInFlight;
 
-        /** The peak of its response times in seconds, as of {@link #peakAt}. */
+        /** The peak of the response times in seconds, as of {@link #peakAt}. */
         double peakSeconds;
 
         double peakAt;
@@ -81,9 +84,10 @@
     private int roundRobinPosition;
 
     /**
-     * The baseline of one proxy.
+     * Creates the baseline of one proxy.
      *
-     * @param trueLoad the true load of a backend by its index; the oracle alone asks for it
+     * @param trueLoad returns the true load of a backend by its index; used only by {@link
+     *     Kind#ORACLE}
      */
     public Baseline(Kind kind, Settings settings, long seed, IntToDoubleFunction trueLoad) {
         this.kind = kind;
@@ -114,7 +118,7 @@
         return decision;
     }
 
-    /** Makes another attempt, or replies where none can be made. */
+    /** Sends another attempt, or a local reply if no attempt is possible. */
     private void sendOrReply(double now, Request request) {
         boolean mayAttempt = now < request.attemptDeadline && request.attemptCount < MAX_ATTEMPTS;
         OptionalInt picked = mayAttempt ? selectBackend(now) : OptionalInt.empty();
@@ -139,14 +143,14 @@
         decision.localReplies.add(new Decision.LocalReply(request, rejected, 0));
     }
 
-    /** The backend for an attempt; empty where none is ready. */
+    /** Selects the backend for an attempt; returns empty if no backend is ready. */
     private OptionalInt selectBackend(double now) {
         int[] ready =
                 IntStream.range(0, backends.size()).filter(i -> backends.get(i).ready).toArray();
         if (ready.length == 0) {
             return OptionalInt.empty();
         }
-        // Drawn for round robin too, which needs none: the draws of a seed must not change.
+        // Drawn for every kind, even if unused: the random draws of a seed must not change.
         int drawn = ready[random.nextInt(ready.length)];
         return OptionalInt.of(
                 switch (kind) {
@@ -173,7 +177,7 @@
         return (state.attemptsInFlight + 1) * state.peakSeconds * state.peakDecay(now);
     }
 
-    /** The backend of the least cost; the preferred one where none costs less than it. */
+    /** Returns the backend with the lowest cost; the preferred one if no other costs less. */
     private static int selectLeastCost(int[] backends, int preferred, IntToDoubleFunction cost) {
         int best = preferred;
         double leastCost = cost.applyAsDouble(preferred);
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -17,24 +17,24 @@
 import lemondrift.model.Settings;
 
 /**
- * A scenario with faults, the policies that play it with each seed, and what is expected of the
- * module.
+ * An experiment: a scenario with faults, the policies that are run on it with each seed, and the
+ * expected figures of the module.
  *
- * @param name the file's name without its ending
- * @param about one line on what it shows
+ * @param name the name of the file without its extension
+ * @param about one line that describes the experiment
  * @param scenario the scenario; its seed is replaced by each of the seeds
  * @param policies the names of the policies, the module first
- * @param seeds each policy plays one run for each
- * @param expectations what must hold of each run of the module
- * @param gossipEnabled whether the module's proxies use gossip
- * @param recoveryEnabled whether they ask one another after their start for what they have
- *     measured, where they use gossip
- * @param host what it is played on
+ * @param seeds the seeds; each policy makes one run with each of them
+ * @param expectations the conditions that each run of the module must meet
+ * @param gossipEnabled whether the proxies of the module use gossip
+ * @param recoveryEnabled whether proxies request the measurements of their peers after their start;
+ *     only effective with gossip
+ * @param host the environment of the runs
  * @param trafficLogStandardDeviation the standard deviation of the logarithm of a proxy's share of
- *     traffic, on processes; 0 is even
- * @param maxConnectionsPerBackend how many connections a backend holds at once, on processes; 0 is
- *     any number
- * @param faults the faults of the processes and between them
+ *     the traffic; 0 means equal shares; only on processes
+ * @param maxConnectionsPerBackend the maximum number of open connections of a backend; 0 means no
+ *     limit; only on processes
+ * @param faults the faults of processes and channels; only on processes
  */
 public record Experiment(
         String name,
@@ -49,43 +49,48 @@
         double trafficLogStandardDeviation,
         int maxConnectionsPerBackend,
         List<Fault> faults) {
-    /** What an experiment is played on. */
+    /** The environment of an experiment's runs. */
     public enum Host {
-        /** Virtual time, in one thread. */
+        /** A simulation in virtual time, in one thread. */
         VIRTUAL,
         /** Real processes and sockets. */
         PROCESSES
     }
 
-    /** The module's name among the policies. */
+    /** The name of the decision module among the policies. */
     public static final String MODULE = "module";
 
-    /** The names of the lab's request classes, by their index. */
+    /** The names of the lab's request classes, by index. */
     public static final List<String> REQUEST_CLASS_NAMES = List.of("look", "order", "book");
 
-    /** Deadline of all request classes, over their latency objective. */
+    /** The timeout of all request classes, as a multiple of their latency objective. */
     private static final double TIMEOUT_OBJECTIVES = 2.4;
 
-    /** How long backends recognize an idempotency key, over the latency objective. */
+    /** How long backends recognize an idempotency key, as a multiple of the latency objective. */
     private static final double KEY_TTL_OBJECTIVES = 1.2;
 
-    /** How far the seeds of the proxies of two runs are apart; more proxies than a run may have. */
+    /**
+     * The distance between the proxy seeds of two consecutive run seeds. It is larger than the
+     * maximum number of proxies, so that no two proxies share a seed.
+     */
     private static final long SEEDS_PER_RUN = 1000;
 
-    /** What a request sent to another zone costs, as a share of a request. */
+    /** The cost of sending a request to another zone, as a share of the cost of a request. */
     private static final double CROSS_ZONE_COST = 0.01;
 
-    /** Responses carry utilization and requests in flight, and no request rate. */
+    /** Responses contain utilization and requests in flight, but no request rate. */
     private static final Settings.LoadReports LOAD_REPORTS =
             new Settings.LoadReports(true, 0, 1, false, -1);
 
-    /** Cancellations and probes, four attempts for each request, retry-after of half a second. */
+    /**
+     * Cancellations and probes allowed, at most four attempts per request, retry-after of 0.5 s.
+     */
     private static final Settings.Limits LIMITS = new Settings.Limits(true, true, 4, 0.5);
 
-    /** Slow start from 30% over 6 s; a cold backend bears 3 times its capacity over 2 s. */
+    /** Slow start from 30% over 6 s; a cold backend can handle 3 times its capacity within 2 s. */
     private static final Settings.Rules RULES = new Settings.Rules(0.3, 6, 3, 2, 10);
 
-    /** The lab's own request classes, named by {@link #REQUEST_CLASS_NAMES}. */
+    /** Creates the lab's request classes, named by {@link #REQUEST_CLASS_NAMES}. */
     private static List<RequestClass> requestClasses(double latencyObjectiveSeconds) {
         return List.of(
                 requestClass(
@@ -124,13 +129,13 @@
                 keyTtlSeconds);
     }
 
-    /** How a figure is compared with its bound. */
+    /** How a figure is compared with a bound. */
     public enum Comparison {
-        /** The figure is the bound or more. */
+        /** The figure is greater than or equal to the bound. */
         AT_LEAST(">="),
-        /** The figure is the bound or less. */
+        /** The figure is less than or equal to the bound. */
         AT_MOST("<="),
-        /** The figure is the bound. */
+        /** The figure is equal to the bound. */
         EQUAL("==");
 
         private final String symbol;
@@ -139,7 +144,7 @@
             this.symbol = symbol;
         }
 
-        /** The comparison with a symbol; empty where there is none. */
+        /** Returns the comparison with a symbol; empty if there is none. */
         static Optional<Comparison> bySymbol(String symbol) {
             return Arrays.stream(values()).filter(each -> each.symbol.equals(symbol)).findFirst();
         }
@@ -155,7 +160,7 @@
 
     /** A bound on one figure of a run. */
     public record Expectation(Figure figure, Comparison comparison, double bound) {
-        /** Whether it holds of a run; of one that a broken rule has ended it does not. */
+        /** Returns whether a run meets the expectation; false if a rule violation ended the run. */
         public boolean isMetBy(RunResult result) {
             return comparison.test(figure.readFrom(result), bound);
         }
@@ -167,9 +172,10 @@
     }
 
     /**
-     * One run of one policy, which reports give by these names.
+     * One run of one policy. Reports contain the components as JSON.
      *
-     * @param ruleViolation the message of the broken rule that ended it; null where all were kept
+     * @param ruleViolation the message of the rule violation that ended the run; null if there was
+     *     none
      */
     public record Run(
             String policy,
@@ -178,10 +184,10 @@
             @JsonProperty("broken") String ruleViolation) {}
 
     /**
-     * The settings of the lab's proxies.
+     * Creates the settings of the lab's proxies.
      *
-     * @param probeCost what a probe costs, as a share of a request
-     * @param latencyObjectiveSeconds of all request classes
+     * @param probeCost the cost of a probe, as a share of the cost of a request
+     * @param latencyObjectiveSeconds the latency objective of all request classes
      */
     public static Settings settings(
             int proxies, int locations, double probeCost, double latencyObjectiveSeconds) {
@@ -200,7 +206,7 @@
                 new Settings.Costs(CROSS_ZONE_COST, probeCost));
     }
 
-    /** Plays the scenario in virtual time, each policy with each seed, one after the other. */
+    /** Runs the scenario in virtual time, each policy with each seed, one after the other. */
     public List<Run> run() {
         List<Run> runs = new ArrayList<>();
         for (String policy : policies) {
@@ -211,7 +217,7 @@
         return runs;
     }
 
-    /** The scenario with a seed. */
+    /** Returns the scenario with a seed. */
     public Scenario day(long seed) {
         return scenario.withSeed(seed);
     }
--- a/src/main/java/lemondrift/lab/ExperimentFile.java
+++ b/src/main/java/lemondrift/lab/ExperimentFile.java
@@ -18,7 +18,7 @@
 import lemondrift.model.Settings;
 import lemondrift.settings.InvalidSettingsException;
 
-/** Reads an experiment from its TOML file; docs/lab.md has the keys and their defaults. */
+/** Reads an experiment from its TOML file; docs/lab.md lists the keys and their defaults. */
 public final class ExperimentFile {
     private static final List<String> ROOT_KEYS =
             List.of("about", "host", "policies", "seeds", "expect", "world", "trouble", "fault");
@@ -49,13 +49,16 @@
     private static final Pattern EXPECTATION =
             Pattern.compile("(\\w+) *(>=|<=|==) *(\\d+(?:\\.\\d+)?)");
 
-    /** When a fault begins that gives no time, in seconds. */
+    /** The default start of a fault, in seconds. */
     private static final double DEFAULT_FAULT_AT = 5;
 
-    /** How long a fault lasts that does not say so. */
+    /** The default duration of a fault. */
     private static final double DEFAULT_FAULT_SECONDS = 6;
 
-    /** The seed of a scenario before an experiment replaces it, and of one that names none. */
+    /**
+     * The seed of an experiment that names none; also the seed of a scenario until a run replaces
+     * it.
+     */
     private static final long DEFAULT_SEED = 1;
 
     private final Path file;
@@ -69,18 +72,18 @@
     /**
      * Reads an experiment.
      *
-     * @throws InvalidSettingsException where it cannot be used; the message is one line with file,
-     *     line and key
-     * @throws IOException where the file cannot be read
+     * @throws InvalidSettingsException if the file contains an invalid value; the message is one
+     *     line with file, line and key
+     * @throws IOException if the file cannot be read
      */
     public static Experiment read(Path file) throws IOException {
         return new ExperimentFile(file).readExperiment();
     }
 
     /**
-     * The files of all experiments in a folder, by name.
+     * Returns the files of all experiments in a folder, sorted by name; empty if there are none.
      *
-     * @throws IOException where the folder cannot be read
+     * @throws IOException if the folder cannot be read
      */
     public static List<Path> listFiles(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
@@ -129,7 +132,7 @@
         for (JsonNode each : root.path("policies")) {
             String policy = each.asText();
             if (!isPolicy(policy)) {
-                throw toml.invalid("policies", "no such policy: " + policy);
+                throw toml.invalid("policies", "unknown policy: " + policy);
             }
             if (!policies.contains(policy)) {
                 policies.add(policy);
@@ -160,7 +163,7 @@
             toml.enterTable("[[fault]]", faults.size());
             toml.rejectUnknownKeys(table, FAULT_KEYS);
             if (host != Experiment.Host.PROCESSES) {
-                throw toml.invalid("kind", "faults need host = \"processes\"");
+                throw toml.invalid("kind", "a [[fault]] requires host = \"processes\"");
             }
             faults.add(readFault(table));
         }
@@ -218,7 +221,10 @@
                 && !kind.isProcessFault()
                 && kind != Fault.Kind.CUT
                 && kind != Fault.Kind.LATE) {
-            throw toml.invalid("kind", "connections can be cut or late, nothing else");
+            throw toml.invalid(
+                    "kind",
+                    "invalid on this channel: only datagrams can have other faults than cut and"
+                            + " late");
         }
         return new Fault(
                 kind,
@@ -235,7 +241,8 @@
     private FaultTarget readTarget(JsonNode table, String key) {
         FaultTarget target = FaultTarget.parse(table.path(key).asText("all"));
         if (target == null) {
-            throw toml.invalid(key, "none of " + FaultTarget.FORMS + ": " + table.path(key));
+            throw toml.invalid(
+                    key, "expected one of " + FaultTarget.FORMS + ", found " + table.path(key));
         }
         return target;
     }
@@ -253,9 +260,9 @@
         }
         throw toml.invalid(
                 "expect",
-                "not such as \"service >= 0.9\": \""
+                "expected a condition such as \"service >= 0.9\", found \""
                         + text
-                        + "\"; figures are "
+                        + "\"; the figures are "
                         + String.join(", ", Figure.keys()));
     }
 }
--- a/src/main/java/lemondrift/lab/Figure.java
+++ b/src/main/java/lemondrift/lab/Figure.java
@@ -7,10 +7,10 @@
 import lemondrift.lab.simulation.ReportKeys;
 import lemondrift.lab.simulation.RunResult;
 
-/** A figure of a run that an expectation may name; docs/lab.md defines them. */
+/** A figure of a run that an expectation can refer to; docs/lab.md defines the figures. */
 @SuppressWarnings("ImmutableEnumChecker") // the readers are method references without state
 public enum Figure {
-    /** Served priority weight, as a share of the requested. */
+    /** Served priority weight, as a share of the requested weight. */
     SERVICE("service", RunResult::servedShare),
     /** Client requests served within the latency objective, as a share. */
     IN_TIME("in_time", RunResult::inTimeShare),
@@ -22,29 +22,29 @@
     REJECTED(ReportKeys.REJECTED, result -> result.rejected),
     /** Failed requests. */
     FAILED(ReportKeys.FAILED, result -> result.failed),
-    /** Cold backends that were overloaded. */
+    /** Number of cold backends that were overloaded. */
     OVERLOADED_COLD_BACKENDS("fallen", result -> result.overloadedColdBackends),
-    /** Attempts for each accepted request. */
+    /** Attempts per accepted request. */
     ATTEMPTS_PER_REQUEST(
             "forwards_per_exchange",
             result -> (double) result.attempts / Math.max(1, result.accepted)),
-    /** Share of backends idle while as many requests wait elsewhere. */
+    /** Share of backends that are idle while as many requests wait at other backends. */
     WASTE("waste", result -> result.evenness.waste()),
-    /** Requests that the fullest backend holds. */
+    /** Number of requests that the fullest backend holds, mean over time. */
     FULLEST("fullest", result -> result.evenness.fullest()),
-    /** Most requests sent to one backend within a tenth of a latency objective. */
+    /** Maximum number of requests sent to one backend within a tenth of a latency objective. */
     HERD("herd", result -> result.evenness.herd()),
-    /** Longest time, in seconds, that a backend was idle while another was crowded. */
+    /** Longest time, in seconds, for which a backend was idle while another was crowded. */
     LONGEST_IDLE("longest_idle", result -> result.evenness.longestIdle()),
-    /** Served by the backend with the least, over the mean. */
+    /** Smallest number of requests served by a backend, divided by the mean. */
     LEAST_SHARE("least_share", result -> result.evenness.least()),
-    /** Served by the backend with the most, over the mean. */
+    /** Largest number of requests served by a backend, divided by the mean. */
     MOST_SHARE("most_share", result -> result.evenness.most()),
-    /** Processes that ended by themselves or did not drain. */
+    /** Processes that ended unexpectedly or did not drain. */
     CRASHED("crashed", result -> result.crashed),
-    /** Served priority weight, over what the backends could have served. */
+    /** Served priority weight, divided by the weight that the backends could have served. */
     OF_SERVABLE("of_bearable", RunResult::servedShareOfServable),
-    /** Seconds after which priority weight is served as usual to the end. */
+    /** Seconds after which at least 95% of the priority weight is served until the end. */
     BACK_AFTER("back_after", RunResult::recoveredAfterSeconds);
 
     private final String key;
@@ -55,22 +55,25 @@
         this.reader = reader;
     }
 
-    /** The name of the figure in experiments and reports. */
+    /** Returns the name of the figure in experiments and reports. */
     public String key() {
         return key;
     }
 
-    /** The figure with a key; empty where there is none. */
+    /** Returns the figure with a key; empty if there is none. */
     static Optional<Figure> byKey(String key) {
         return Arrays.stream(values()).filter(figure -> figure.key.equals(key)).findFirst();
     }
 
-    /** The keys of all figures. */
+    /** Returns the keys of all figures. */
     static List<String> keys() {
         return Arrays.stream(values()).map(Figure::key).toList();
     }
 
-    /** The figure of a run; NaN of a run that a broken rule has ended, which lacks some of them. */
+    /**
+     * Returns the figure of a run; NaN if a rule violation ended the run, because its result is
+     * then incomplete.
+     */
     public double readFrom(RunResult result) {
         return result.evenness == null ? Double.NaN : reader.applyAsDouble(result);
     }
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -16,41 +16,47 @@
 import lemondrift.recovery.PeerStatus;
 import lemondrift.recovery.RecoveryState;
 
-/** The decision module of one proxy as a policy, with its gossip and its recovery. */
+/** The decision module of one proxy as a routing policy, with gossip and recovery. */
 public final class ModuleUnderTest implements RoutingPolicy {
-    /** The shortest time between two gossip messages, in windows. */
+    /**
+     * The shortest time between two gossip messages, as a multiple of the shortest latency
+     * objective.
+     */
     private static final double GOSSIP_INTERVAL_WINDOWS = 0.02;
 
-    /** After how many windows a silent peer's load is forgotten. */
+    /**
+     * The time after which the load of a silent peer expires, as a multiple of the shortest latency
+     * objective.
+     */
     private static final double PEER_EXPIRY_WINDOWS = 2;
 
-    /** How many backends a proxy uses. */
+    /** The number of backends in the subset of a proxy. */
     private static final int SUBSET_SIZE = 12;
 
     private final LoadBalancer balancer;
     private final int proxyIndex;
 
-    /** Null where the proxy uses no gossip; tags of backends are their indexes. */
+    /** Null if the proxy uses no gossip. The tag of a backend is its index. */
     private LoadGossip gossip;
 
-    /** Null where the proxy uses no gossip. */
+    /** Null if the proxy uses no gossip. */
     private SubsetAssignment subsets;
 
-    /** Null where the proxy asks nobody after its start. */
+    /** Null if the proxy does not request measurements from its peers after its start. */
     private RecoveryState recovery;
 
     private final List<LoadGossip.Message> pendingStatusMessages = new ArrayList<>();
 
-    /** The module of a proxy without gossip. */
+    /** Creates the module of a proxy without gossip. */
     public ModuleUnderTest(Settings settings, long seed) {
         this(settings, seed, 0, false);
     }
 
     /**
-     * The module of a proxy.
+     * Creates the module of a proxy.
      *
-     * @param proxyIndex the proxy's index
-     * @param usesGossip whether it uses gossip, where the settings let it
+     * @param proxyIndex the index of the proxy
+     * @param usesGossip whether the proxy uses gossip if its settings need it
      */
     public ModuleUnderTest(Settings settings, long seed, int proxyIndex, boolean usesGossip) {
         balancer = new LoadBalancer(settings, seed);
@@ -73,7 +79,9 @@
         return 1 + proxyIndex;
     }
 
-    /** Makes the proxy ask its peers for what they have measured. */
+    /**
+     * Makes the proxy request the measurements of its peers after its start; returns this object.
+     */
     public ModuleUnderTest enableRecovery(Settings settings) {
         recovery =
                 RecoveryState.starting(
@@ -101,7 +109,10 @@
                                         estimate.serviceTimeSeconds(), estimate.samples()));
     }
 
-    /** Passes on what the module has measured and how many peers are heard of. */
+    /**
+     * Passes the measured service time of the module to the recovery, and whether any peer is live
+     * to the module.
+     */
     private void updatePeerState(double now) {
         if (recovery != null) {
             recovery =
--- a/src/main/java/lemondrift/lab/PairedDifference.java
+++ b/src/main/java/lemondrift/lab/PairedDifference.java
@@ -13,21 +13,25 @@
  * @param high the upper end of the interval
  */
 public record PairedDifference(double mean, double low, double high) {
-    /** How many samples are drawn with replacement. */
+    /** The number of bootstrap samples, each drawn with replacement. */
     private static final int RESAMPLES = 2000;
 
-    /** The share of the resampled means below the interval, and as much above it. */
+    /** The share of the resampled means below the interval; the share above it is equal. */
     private static final double TAIL_SHARE = 0.025;
 
     /**
-     * The difference of two series, the first less the second, pair by pair.
+     * Computes the mean difference of two series, the first minus the second, pair by pair.
      *
-     * @throws IllegalArgumentException where their lengths differ or are 0
+     * @throws IllegalArgumentException if the lengths of the series differ or are 0
      */
     public static PairedDifference of(double[] first, double[] second) {
         int pairs = first.length;
         if (pairs != second.length || pairs == 0) {
-            throw new IllegalArgumentException("not pairs: " + pairs + " and " + second.length);
+            throw new IllegalArgumentException(
+                    "expected two series of equal length over 0, found lengths "
+                            + pairs
+                            + " and "
+                            + second.length);
         }
         double[] means = resampledMeans(first, second);
         double mean = 0;
@@ -40,7 +44,7 @@
                 means[(int) ((1 - TAIL_SHARE) * RESAMPLES) - 1]);
     }
 
-    /** The means of all resamples, in rising order. */
+    /** Returns the mean differences of all resamples in ascending order. */
     private static double[] resampledMeans(double[] first, double[] second) {
         int pairs = first.length;
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(pairs);
--- a/src/main/java/lemondrift/lab/Report.java
+++ b/src/main/java/lemondrift/lab/Report.java
@@ -10,24 +10,24 @@
 import lemondrift.lab.simulation.BackendFault;
 
 /**
- * The report of an experiment as JSON: its faults, and each run with all its figures and series.
- * The components name its keys.
+ * The report of an experiment as JSON: the backend faults, and each run with all figures and
+ * series. The JSON keys are the names of the components, unless an annotation names another key.
  */
 public record Report(
         String name,
         String about,
         @JsonProperty("troubles") List<BackendFault> backendFaults,
         List<Experiment.Run> runs) {
-    /** The report of an experiment that has been played. */
+    /** Creates the report of an experiment from its runs. */
     public static Report of(Experiment experiment, List<Experiment.Run> runs) {
         return new Report(
                 experiment.name(), experiment.about(), experiment.scenario().backendFaults(), runs);
     }
 
     /**
-     * Writes reports as one JSON list.
+     * Writes reports as one JSON array.
      *
-     * @throws IOException where the file cannot be written
+     * @throws IOException if the file cannot be written
      */
     public static void write(List<Report> reports, Path file) throws IOException {
         JsonMapper.builder()
--- a/src/main/java/lemondrift/lab/TomlReader.java
+++ b/src/main/java/lemondrift/lab/TomlReader.java
@@ -16,9 +16,8 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * Reads values with their units from a TOML file. Every method throws {@link
- * InvalidSettingsException} where a value cannot be used; its message is one line with file, line
- * and key.
+ * Reads values with units from a TOML file. Every method throws {@link InvalidSettingsException} if
+ * a value is invalid; the message is one line with file, line and key.
  */
 final class TomlReader {
     private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s)");
@@ -28,14 +27,14 @@
     private final List<String> lines;
     private final JsonNode root;
 
-    /** The index of the line at which the present table begins. */
+    /** The index of the line at which the current table begins. */
     private int tableStart;
 
     /**
      * Reads a file.
      *
-     * @throws InvalidSettingsException where it is no TOML
-     * @throws IOException where it cannot be read
+     * @throws InvalidSettingsException if the file is not valid TOML
+     * @throws IOException if the file cannot be read
      */
     TomlReader(Path file) throws IOException {
         this.file = file;
@@ -49,16 +48,17 @@
         }
     }
 
-    /** The whole file. */
+    /** Returns the root table of the file. */
     JsonNode root() {
         return root;
     }
 
     /**
-     * From here on keys belong to a table, in messages; before any they belong to the whole file.
+     * Sets the table in which messages locate the keys that are read next; initially they are
+     * searched in the whole file.
      *
-     * @param header the table's header with its brackets
-     * @param index which of the tables with that header, from 0
+     * @param header the header of the table with its brackets
+     * @param index the index of the table among those with this header, from 0
      */
     void enterTable(String header, int index) {
         int seen = 0;
@@ -70,7 +70,10 @@
         }
     }
 
-    /** The number of the line, from 1, on which a key of the present table stands. */
+    /**
+     * Returns the number of the line, from 1, that contains a key of the current table; the first
+     * line of the table if the key is not found.
+     */
     private int lineNumber(String key) {
         Pattern pattern =
                 Pattern.compile("\\s*(\\[+\\s*)?\"?" + Pattern.quote(key) + "\"?\\s*(=|\\]).*");
@@ -91,12 +94,16 @@
         for (Map.Entry<String, JsonNode> entry : table.properties()) {
             if (!knownKeys.contains(entry.getKey())) {
                 throw invalid(
-                        entry.getKey(), "no such key; there are " + String.join(", ", knownKeys));
+                        entry.getKey(),
+                        "unknown key; the valid keys are " + String.join(", ", knownKeys));
             }
         }
     }
 
-    /** A value of an enum by its name in small letters; the name of the kind is for messages. */
+    /**
+     * Returns the enum constant whose lower-case name is the value of a key; the kind is a name of
+     * the enum for messages.
+     */
     <E extends Enum<E>> E enumValue(JsonNode table, String key, Class<E> type, String kind) {
         String text = table.path(key).asText("");
         for (E value : type.getEnumConstants()) {
@@ -108,10 +115,13 @@
                 Arrays.stream(type.getEnumConstants())
                         .map(TomlReader::lowerCaseName)
                         .collect(Collectors.joining(", "));
-        throw invalid(key, "no such " + kind + ": \"" + text + "\"; there are " + names);
+        throw invalid(key, "unknown " + kind + ": \"" + text + "\"; the valid values are " + names);
     }
 
-    /** The same, with a default where the key is missing. */
+    /**
+     * Returns the enum constant whose lower-case name is the value of a key; the default if the key
+     * is missing.
+     */
     <E extends Enum<E>> E enumValue(
             JsonNode table, String key, Class<E> type, String kind, E defaultValue) {
         return table.has(key) ? enumValue(table, key, type, kind) : defaultValue;
@@ -121,11 +131,11 @@
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    /** True or false; false where the key is missing. */
+    /** Returns a boolean value; false if the key is missing. */
     boolean flag(JsonNode table, String key) {
         JsonNode value = table.path(key);
         if (!value.isMissingNode() && !value.isBoolean()) {
-            throw invalid(key, "neither true nor false: " + value);
+            throw invalid(key, "expected true or false, found " + value);
         }
         return value.asBoolean();
     }
@@ -133,7 +143,7 @@
     int integer(JsonNode table, String key, int defaultValue, int min, int max) {
         JsonNode value = table.path(key);
         if (!value.isMissingNode() && !value.isIntegralNumber()) {
-            throw invalid(key, "not a whole number: " + value);
+            throw invalid(key, "expected an integer, found " + value);
         }
         return (int) number(table, key, defaultValue, min, max);
     }
@@ -144,12 +154,12 @@
             return defaultValue;
         }
         if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
-            throw invalid(key, "not a number from " + min + " to " + max + ": " + value);
+            throw invalid(key, "expected a number from " + min + " to " + max + ", found " + value);
         }
         return value.asDouble();
     }
 
-    /** A time such as "350ms" or "5s", in seconds. */
+    /** Returns a duration such as "350ms" or "5s" in seconds; the default if the key is missing. */
     double seconds(JsonNode table, String key, double defaultSeconds) {
         JsonNode value = table.path(key);
         if (value.isMissingNode()) {
@@ -157,22 +167,27 @@
         }
         Matcher duration = DURATION.matcher(value.asText());
         if (!value.isTextual() || !duration.matches()) {
-            throw invalid(key, "not a time such as \"350ms\" or \"5s\": " + value);
+            throw invalid(key, "expected a duration such as \"350ms\" or \"5s\", found " + value);
         }
         double number = Double.parseDouble(duration.group(1));
         return duration.group(2).equals("ms") ? number / 1000 : number;
     }
 
-    /** The same, over 0. */
+    /**
+     * Returns a duration over 0, such as "350ms" or "5s", in seconds; the default if the key is
+     * missing.
+     */
     double positiveSeconds(JsonNode table, String key, double defaultSeconds) {
         double seconds = seconds(table, key, defaultSeconds);
         if (!(seconds > 0)) {
-            throw invalid(key, "must be over 0");
+            throw invalid(key, "expected a duration over 0, found " + table.path(key));
         }
         return seconds;
     }
 
-    /** A percentage such as "30%", as a share from 0 to 1. */
+    /**
+     * Returns a percentage such as "30%" as a share from 0 to 1; the default if the key is missing.
+     */
     double share(JsonNode table, String key, double defaultShare) {
         JsonNode value = table.path(key);
         if (value.isMissingNode()) {
@@ -182,7 +197,7 @@
         if (!value.isTextual()
                 || !percent.matches()
                 || Double.parseDouble(percent.group(1)) > 100) {
-            throw invalid(key, "not a share such as \"30%\": " + value);
+            throw invalid(key, "expected a percentage from \"0%\" to \"100%\", found " + value);
         }
         return Double.parseDouble(percent.group(1)) / 100;
     }
