--- a/src/main/java/lemondrift/cli/LabCommand.java
+++ b/src/main/java/lemondrift/cli/LabCommand.java
@@ -176,14 +176,14 @@
 
         @Override
         public Integer call() throws IOException {
-            boolean anyBroken = false;
+            boolean anyViolation = false;
             for (Path file : files) {
                 Experiment experiment = ExperimentFile.read(file);
                 List<Experiment.Run> runs = experiment.run();
-                anyBroken |= runs.stream().anyMatch(run -> run.ruleViolation() != null);
+                anyViolation |= runs.stream().anyMatch(run -> run.ruleViolation() != null);
                 print(experiment, runs);
             }
-            return anyBroken ? RootCommand.FAILED : RootCommand.DONE;
+            return anyViolation ? RootCommand.FAILED : RootCommand.DONE;
         }
 
         private void print(Experiment experiment, List<Experiment.Run> runs) {
--- a/src/main/java/lemondrift/cli/SoakCommand.java
+++ b/src/main/java/lemondrift/cli/SoakCommand.java
@@ -68,15 +68,15 @@
         ProcessLauncher launcher =
                 ProcessLauncher.fromDeployFile(root.toAbsolutePath().normalize());
         ExecutorService executor = Executors.newFixedThreadPool(concurrentRuns);
-        List<Future<SoakRun.Outcome>> verdicts = new ArrayList<>();
+        List<Future<SoakRun.Outcome>> outcomes = new ArrayList<>();
         for (long seed = firstSeed; seed < firstSeed + seedCount; seed++) {
             SoakRun.Plan plan = withoutSignals ? SoakRun.plan(seed) : SoakRun.planWithSignals(seed);
-            verdicts.add(executor.submit(() -> SoakRun.run(plan, launcher, line -> {})));
+            outcomes.add(executor.submit(() -> SoakRun.run(plan, launcher, line -> {})));
         }
         executor.shutdown();
         int failedCount = 0;
         for (int i = 0; i < seedCount; i++) {
-            failedCount += printOutcome(firstSeed + i, verdicts.get(i)) ? 0 : 1;
+            failedCount += printOutcome(firstSeed + i, outcomes.get(i)) ? 0 : 1;
         }
         lab.out().printf("%d runs, %d of them with violations%n", seedCount, failedCount);
         lab.out().flush();
@@ -84,21 +84,21 @@
     }
 
     /** Prints the outcome of a seed; returns whether the run ended without violations. */
-    private boolean printOutcome(long seed, Future<SoakRun.Outcome> played)
+    private boolean printOutcome(long seed, Future<SoakRun.Outcome> futureOutcome)
             throws InterruptedException {
         PrintWriter out = lab.out();
         try {
-            SoakRun.Outcome verdict = played.get();
+            SoakRun.Outcome outcome = futureOutcome.get();
             out.printf(
                     Locale.ROOT,
                     "seed %d: %s, in time %.3f, unanswered %d; %s%n",
                     seed,
-                    verdict.violations().isEmpty() ? "well" : "WRONG",
-                    verdict.result().inTimeShare(),
-                    verdict.result().unanswered,
-                    verdict.plan().describe());
-            verdict.violations().forEach(out::println);
-            return verdict.violations().isEmpty();
+                    outcome.violations().isEmpty() ? "well" : "WRONG",
+                    outcome.result().inTimeShare(),
+                    outcome.result().unanswered,
+                    outcome.plan().describe());
+            outcome.violations().forEach(out::println);
+            return outcome.violations().isEmpty();
         } catch (ExecutionException e) {
             out.printf("seed %d: WRONG, run not completed: %s%n", seed, e.getCause());
             return false;
--- a/src/main/java/lemondrift/lab/Experiment.java
+++ b/src/main/java/lemondrift/lab/Experiment.java
@@ -244,10 +244,10 @@
 
     private ModuleUnderTest createModule(Scenario scenario, int proxy) {
         Settings settings = scenario.settings();
-        Settings ofProxy = settings.withLocation(proxy % settings.locationCount());
+        Settings proxySettings = settings.withLocation(proxy % settings.locationCount());
         long seed = proxySeed(scenario, proxy);
-        ModuleUnderTest module = new ModuleUnderTest(ofProxy, seed, proxy, gossipEnabled);
-        return recoveryEnabled && gossipEnabled ? module.enableRecovery(ofProxy) : module;
+        ModuleUnderTest module = new ModuleUnderTest(proxySettings, seed, proxy, gossipEnabled);
+        return recoveryEnabled && gossipEnabled ? module.enableRecovery(proxySettings) : module;
     }
 
     private static Simulation createBaselineSimulation(Baseline.Kind kind, Scenario scenario) {
--- a/src/main/java/lemondrift/lab/ExperimentFile.java
+++ b/src/main/java/lemondrift/lab/ExperimentFile.java
@@ -248,14 +248,14 @@
     }
 
     private Experiment.Expectation parseExpectation(String text) {
-        Matcher parts = EXPECTATION.matcher(text);
-        if (parts.matches()) {
-            Optional<Figure> figure = Figure.byKey(parts.group(1));
+        Matcher matcher = EXPECTATION.matcher(text);
+        if (matcher.matches()) {
+            Optional<Figure> figure = Figure.byKey(matcher.group(1));
             Optional<Experiment.Comparison> comparison =
-                    Experiment.Comparison.bySymbol(parts.group(2));
+                    Experiment.Comparison.bySymbol(matcher.group(2));
             if (figure.isPresent() && comparison.isPresent()) {
                 return new Experiment.Expectation(
-                        figure.get(), comparison.get(), Double.parseDouble(parts.group(3)));
+                        figure.get(), comparison.get(), Double.parseDouble(matcher.group(3)));
             }
         }
         throw toml.invalid(
--- a/src/main/java/lemondrift/lab/simulation/Referee.java
+++ b/src/main/java/lemondrift/lab/simulation/Referee.java
@@ -106,8 +106,8 @@
         this.locations = locations;
         this.backendCapacity = backendCapacity;
         drainingSince = new double[proxies][locations.length];
-        for (double[] ofProxy : drainingSince) {
-            Arrays.fill(ofProxy, Double.POSITIVE_INFINITY);
+        for (double[] timesOfProxy : drainingSince) {
+            Arrays.fill(timesOfProxy, Double.POSITIVE_INFINITY);
         }
         startedAt = new double[locations.length];
         Arrays.fill(startedAt, Double.NEGATIVE_INFINITY);
@@ -115,18 +115,18 @@
         Arrays.setAll(coldWork, i -> new WorkWindow(settings.rules().overloadWindowSeconds()));
     }
 
-    private void reportViolation(int rule, String why, double at, int proxy, long requestId) {
+    private void reportViolation(int rule, String reason, double at, int proxy, long requestId) {
         if (rule > checkedRules) {
             return;
         }
-        StringBuilder text = new StringBuilder();
-        text.append("rule ").append(rule);
-        text.append(" violated at ").append(at).append(" s");
-        text.append(" by proxy ").append(proxy);
-        text.append(", request ").append(requestId);
-        text.append(": ").append(why);
-        history.appendTo(text);
-        throw new RuleViolationException(rule, text.toString());
+        StringBuilder message = new StringBuilder();
+        message.append("rule ").append(rule);
+        message.append(" violated at ").append(at).append(" s");
+        message.append(" by proxy ").append(proxy);
+        message.append(", request ").append(requestId);
+        message.append(": ").append(reason);
+        history.appendTo(message);
+        throw new RuleViolationException(rule, message.toString());
     }
 
     /** Records that a proxy has accepted a request. */
@@ -141,49 +141,50 @@
     public void attemptSent(int proxy, Attempt attempt, double workSeconds, double now) {
         Request request = attempt.request;
         history.add(now, "attempt sent", proxy, request.id, attempt.backend);
-        RequestHistory seen = openRequests.get(request);
-        if (seen == null
-                || seen.wasClosedBefore(now, slackSeconds)
+        RequestHistory requestHistory = openRequests.get(request);
+        if (requestHistory == null
+                || requestHistory.wasClosedBefore(now, slackSeconds)
                 || now >= request.deadline + slackSeconds) {
-            String why =
+            String reason =
                     "attempt sent after the response or the deadline of its request, to backend "
                             + attempt.backend;
-            reportViolation(ONE_RESPONSE_RULE, why, now, proxy, request.id);
+            reportViolation(ONE_RESPONSE_RULE, reason, now, proxy, request.id);
             return;
         }
-        checkRepeat(proxy, attempt, seen, now);
-        seen.addAttempt(attempt);
+        checkRepeat(proxy, attempt, requestHistory, now);
+        requestHistory.addAttempt(attempt);
         checkDrain(proxy, attempt, now);
         checkColdBackend(proxy, attempt, workSeconds, now);
     }
 
-    private void checkRepeat(int proxy, Attempt attempt, RequestHistory seen, double now) {
-        for (Attempt before : seen.attempts()) {
-            if (!seen.wasNeverExecuted(before) && !mayRepeat(attempt, before, now)) {
-                String why =
+    private void checkRepeat(
+            int proxy, Attempt attempt, RequestHistory requestHistory, double now) {
+        for (Attempt previous : requestHistory.attempts()) {
+            if (!requestHistory.wasNeverExecuted(previous) && !mayRepeat(attempt, previous, now)) {
+                String reason =
                         "retry of a request that may have been executed at backend "
-                                + before.backend;
-                reportViolation(NO_UNSAFE_REPEAT_RULE, why, now, proxy, attempt.request.id);
+                                + previous.backend;
+                reportViolation(NO_UNSAFE_REPEAT_RULE, reason, now, proxy, attempt.request.id);
             }
         }
     }
 
-    private boolean mayRepeat(Attempt attempt, Attempt before, double now) {
+    private boolean mayRepeat(Attempt attempt, Attempt previous, double now) {
         RequestClass requestClass = requestClassOf(attempt.request);
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
             case IDEMPOTENT_WITH_KEY ->
-                    now - before.sentAt < requestClass.idempotencyKeyTtlSeconds() + slackSeconds
-                            && recognizesKey(requestClass.deduplicationScope(), before, attempt);
+                    now - previous.sentAt < requestClass.idempotencyKeyTtlSeconds() + slackSeconds
+                            && recognizesKey(requestClass.deduplicationScope(), previous, attempt);
             case NOT_IDEMPOTENT -> false;
         };
     }
 
-    private boolean recognizesKey(DeduplicationScope scope, Attempt before, Attempt attempt) {
-        boolean isSameLocation = locations[before.backend] == locations[attempt.backend];
+    private boolean recognizesKey(DeduplicationScope scope, Attempt previous, Attempt attempt) {
+        boolean isSameLocation = locations[previous.backend] == locations[attempt.backend];
         return scope == DeduplicationScope.ALL
                 || (scope == DeduplicationScope.LOCATION && isSameLocation)
-                || before.backend == attempt.backend;
+                || previous.backend == attempt.backend;
     }
 
     private RequestClass requestClassOf(Request request) {
@@ -193,8 +194,9 @@
     private void checkDrain(int proxy, Attempt attempt, double now) {
         double since = drainingSince[proxy][attempt.backend];
         if (now > since + drainGraceSeconds + slackSeconds) {
-            String why = "attempt sent to a backend that drains or is gone, notified at " + since;
-            reportViolation(DRAIN_RULE, why, now, proxy, attempt.request.id);
+            String reason =
+                    "attempt sent to a backend that drains or is gone, notified at " + since;
+            reportViolation(DRAIN_RULE, reason, now, proxy, attempt.request.id);
         }
     }
 
@@ -221,31 +223,31 @@
                         * backendCapacity
                         * rules.overloadWindowSeconds();
         if (work.exceeds(budgetSeconds)) {
-            String why =
+            String reason =
                     "cold backend overloaded: "
                             + work.requestCount()
                             + " requests in the overload window exceed "
                             + budgetSeconds
                             + " s of work";
-            reportViolation(COLD_BACKEND_RULE, why, now, proxy, attempt.request.id);
+            reportViolation(COLD_BACKEND_RULE, reason, now, proxy, attempt.request.id);
         }
     }
 
     /** Records the outcome of an attempt, when its proxy receives it. */
     public void attemptEnded(Attempt attempt, AttemptOutcome outcome, double now) {
         history.add(now, outcome.name(), EventHistory.NONE, attempt.request.id, attempt.backend);
-        RequestHistory seen = openRequests.get(attempt.request);
-        if (seen != null) {
-            seen.addOutcome(attempt, outcome);
+        RequestHistory requestHistory = openRequests.get(attempt.request);
+        if (requestHistory != null) {
+            requestHistory.addOutcome(attempt, outcome);
         }
     }
 
     /** Checks the final response of a request; a rejection guarantees that a retry is harmless. */
     public void responseSent(int proxy, Request request, boolean rejected, double now) {
         history.add(now, rejected ? "rejected" : "responded", proxy, request.id, EventHistory.NONE);
-        RequestHistory seen = openRequests.get(request);
-        if (seen == null
-                || seen.isClosed()
+        RequestHistory requestHistory = openRequests.get(request);
+        if (requestHistory == null
+                || requestHistory.isClosed()
                 || now > request.deadline + slackSeconds + ROUNDING_SECONDS) {
             reportViolation(
                     ONE_RESPONSE_RULE,
@@ -255,8 +257,8 @@
                     request.id);
             return;
         }
-        seen.close(now);
-        if (rejected && !isRetryHarmless(request, seen)) {
+        requestHistory.close(now);
+        if (rejected && !isRetryHarmless(request, requestHistory)) {
             reportViolation(
                     NO_UNSAFE_REPEAT_RULE,
                     "rejected although it may have been executed",
@@ -266,13 +268,13 @@
         }
     }
 
-    private boolean isRetryHarmless(Request request, RequestHistory seen) {
+    private boolean isRetryHarmless(Request request, RequestHistory requestHistory) {
         RequestClass requestClass = requestClassOf(request);
         Idempotency idempotency = requestClass.idempotency();
         return idempotency == Idempotency.IDEMPOTENT
                 || (idempotency == Idempotency.IDEMPOTENT_WITH_KEY
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL)
-                || seen.attempts().stream().allMatch(seen::wasNeverExecuted);
+                || requestHistory.attempts().stream().allMatch(requestHistory::wasNeverExecuted);
     }
 
     /**
@@ -282,15 +284,15 @@
      *     rule
      */
     public void requestClosed(int proxy, Request request, boolean left, double now) {
-        RequestHistory seen = openRequests.get(request);
-        if (seen == null) {
+        RequestHistory requestHistory = openRequests.get(request);
+        if (requestHistory == null) {
             return;
         }
-        if (!seen.isClosed() && !left) {
+        if (!requestHistory.isClosed() && !left) {
             reportViolation(
                     ONE_RESPONSE_RULE, "no response until the deadline", now, proxy, request.id);
         }
-        seen.close(now);
+        requestHistory.close(now);
     }
 
     /** Removes a request for which no further events follow. */
--- a/src/main/java/lemondrift/lab/simulation/RunResult.java
+++ b/src/main/java/lemondrift/lab/simulation/RunResult.java
@@ -173,14 +173,14 @@
      * seconds in which less than 95% was served; 0 if there is no such window.
      */
     public int recoveredAfterSeconds() {
-        int backAfter = 0;
+        int recoveredAfter = 0;
         int lastSecond = requestedWeightPerSecond.length - 1;
         for (int end = RECOVERY_WINDOW_SECONDS; end <= lastSecond; end++) {
             double requested = sumWindow(requestedWeightPerSecond, end);
             double served = sumWindow(servedWeightPerSecond, end);
-            backAfter = served < USUAL_SERVICE_SHARE * requested ? end : backAfter;
+            recoveredAfter = served < USUAL_SERVICE_SHARE * requested ? end : recoveredAfter;
         }
-        return backAfter;
+        return recoveredAfter;
     }
 
     private static double sumWindow(double[] perSecond, int end) {
--- a/src/test/java/lemondrift/lab/simulation/SimulationTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -172,12 +172,12 @@
     }
 
     private static void assertBreaksRule(int rule, Scenario scenario, RoutingPolicy policy) {
-        Referee.RuleViolationException broken =
+        Referee.RuleViolationException violation =
                 assertThrows(
                         Referee.RuleViolationException.class,
                         () -> new Simulation(scenario, (proxy, trueLoad) -> policy).run());
-        assertEquals(rule, broken.rule, broken.getMessage());
-        assertTrue(broken.getMessage().lines().count() > 5, "it lists the events before");
+        assertEquals(rule, violation.rule, violation.getMessage());
+        assertTrue(violation.getMessage().lines().count() > 5, "it lists the events before");
     }
 
     @Test
@@ -238,8 +238,8 @@
     @Test
     void sendingToADrainingBackendIsDetected() {
         // The process of a draining backend lives on for longer than the grace.
-        Scenario usual = Scenarios.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
-        Scenario scenario = ScenarioBuilder.from(usual).graceSeconds(0.2).build();
+        Scenario baseScenario = Scenarios.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
+        Scenario scenario = ScenarioBuilder.from(baseScenario).graceSeconds(0.2).build();
         assertBreaksRule(
                 3,
                 scenario,
@@ -263,29 +263,29 @@
     }
 
     /** The same with cold backends that are overloaded at one and a half times their capacity. */
-    private static Settings withLowColdOverloadFactor(Settings usual) {
+    private static Settings withLowColdOverloadFactor(Settings baseSettings) {
         return new Settings(
                 1,
                 2,
                 0,
                 false,
-                usual.requestClasses(),
+                baseSettings.requestClasses(),
                 new double[0],
                 1,
                 false,
-                usual.loadReports(),
-                usual.limits(),
+                baseSettings.loadReports(),
+                baseSettings.limits(),
                 new Settings.Rules(0.3, 6, 1.5, 2, 10),
-                usual.costs());
+                baseSettings.costs());
     }
 
     @Test
     void overloadingAColdBackendIsDetected() {
-        Scenario usual = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 4, 0.75, 1));
+        Scenario baseScenario = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 4, 0.75, 1));
         Scenario scenario =
-                ScenarioBuilder.from(usual)
-                        .settings(withLowColdOverloadFactor(usual.settings()))
-                        .rate(2 * usual.rate())
+                ScenarioBuilder.from(baseScenario)
+                        .settings(withLowColdOverloadFactor(baseScenario.settings()))
+                        .rate(2 * baseScenario.rate())
                         .build();
         assertBreaksRule(
                 4,
@@ -351,16 +351,18 @@
     /** Clients that retry keep the backends overloaded after the fault, where none are rejected. */
     @Test
     void retryStormContinuesAfterItsFaultWithLeastOutstandingButNotWithTheModule() {
-        Scenario usual = Scenarios.of(2, 6, 1, new BackendFault(Kind.HEAVY, 5, 5, 1, 4));
+        Scenario baseScenario = Scenarios.of(2, 6, 1, new BackendFault(Kind.HEAVY, 5, 5, 1, 4));
         Scenario storm =
-                ScenarioBuilder.from(usual)
-                        .rate(1.25 * usual.rate())
+                ScenarioBuilder.from(baseScenario)
+                        .rate(1.25 * baseScenario.rate())
                         .tries(6)
                         .durationSeconds(40)
                         .build();
-        double naive = runBaseline(Baseline.Kind.LEAST_OUTSTANDING, storm).servedShare();
+        double leastOutstanding = runBaseline(Baseline.Kind.LEAST_OUTSTANDING, storm).servedShare();
         double module = Scenarios.run(storm).servedShare();
-        assertTrue(module > naive + 0.1, "module " + module + ", naive " + naive);
+        assertTrue(
+                module > leastOutstanding + 0.1,
+                "module " + module + ", naive " + leastOutstanding);
     }
 
     @Test
