--- a/src/test/java/lemondrift/cli/RootCommandTest.java
+++ b/src/test/java/lemondrift/cli/RootCommandTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Exit codes of the command line. */
+/** Tests the exit codes of the command line. */
 class RootCommandTest {
     @Test
     void exitCodesReportWhetherACommandSucceeded(@TempDir Path folder) throws Exception {
--- a/src/test/java/lemondrift/lab/ExperimentTest.java
+++ b/src/test/java/lemondrift/lab/ExperimentTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Experiments read from files, their runs, and the differences between policies. */
+/** Tests reading experiments from files, running them, and comparing policies. */
 class ExperimentTest {
     private static final String GOOD =
             """
@@ -48,7 +48,10 @@
         assertEquals(0.5, experiment.scenario().backendFaults().get(0).durationSeconds());
         List<Experiment.Run> runs = experiment.run();
         assertEquals(4, runs.size());
-        assertEquals(runs.toString(), experiment.run().toString(), "the same each time");
+        assertEquals(
+                runs.toString(),
+                experiment.run().toString(),
+                "two runs of the same experiment must be equal");
         runs.forEach(run -> assertNull(run.ruleViolation()));
         assertTrue(experiment.expectations().get(1).isMetBy(runs.get(0).result()));
         Experiment.Expectation unreachable =
--- a/src/test/java/lemondrift/lab/load/LoadGeneratorTest.java
+++ b/src/test/java/lemondrift/lab/load/LoadGeneratorTest.java
@@ -14,7 +14,7 @@
 import lemondrift.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 
-/** The load against a bare server that responds after a known delay. */
+/** Tests the load generator against a minimal server that responds after a fixed delay. */
 class LoadGeneratorTest {
     private static InetSocketAddress startServer(String status, int delayMillis)
             throws IOException {
@@ -54,7 +54,7 @@
                             try {
                                 task.run();
                             } catch (Exception e) {
-                                // The other side is closed.
+                                // The peer has closed the connection.
                             }
                         });
         thread.setDaemon(true);
@@ -76,12 +76,14 @@
 
     @Test
     void loadThatFallsBehindReportsItAndCountsTheWaitAsLatency() throws Exception {
-        // Two connections at 50 ms each can send 40 a second; 200 are asked for.
+        // Two connections at 50 ms per request can send 40 requests per second; the plan requests
+        // 200.
         LoadGenerator.Result result = run(startServer("200 OK", 50), 200, 2);
         assertFalse(result.reachedRate());
         assertTrue(result.toString().contains("BEHIND"), result.toString());
         assertTrue(
-                result.latency().getMaxValue() > 1_000_000, "from when it should have been sent");
+                result.latency().getMaxValue() > 1_000_000,
+                "latency must be measured from when the request was due");
     }
 
     @Test
--- a/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
+++ b/src/test/java/lemondrift/lab/simulation/LoadEvennessTest.java
@@ -12,15 +12,18 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Figures of evenness in small cases, and beside a plain sum. */
+/**
+ * Tests the figures of load evenness in small cases and against a simple sum, and the servable
+ * priority weight.
+ */
 class LoadEvennessTest {
     @Test
     void wasteIsIdlenessWhileAsManyRequestsWaitElsewhere() {
         LoadEvenness evenness = new LoadEvenness(4, 1, 1);
         evenness.updateBackend(0, 3, true, 0);
         evenness.updateBackend(1, 1, true, 0);
-        // Two are idle and two requests wait; from 1 s on one of the idle is down, from 2 s on no
-        // request waits.
+        // Two backends are idle and two requests wait. From 1 s on, one of the idle backends is
+        // down. From 2 s on, no request waits.
         evenness.updateBackend(2, 0, false, 1);
         evenness.updateBackend(0, 1, true, 2);
         LoadEvenness.Measure measure = evenness.measure(4);
@@ -58,7 +61,7 @@
         assertEquals(1 / 1.5, evenness.measure(1).least(), 1e-9);
     }
 
-    /** Against a plain sum over steps of one second each. */
+    /** Compares the figures with a simple sum over steps of one second. */
     @Property(tries = 200, seed = "48")
     void wasteAndFullestMatchASimpleSum(
             @ForAll @Size(30) int[] moves, @ForAll @IntRange(min = 1, max = 3) int cores) {
--- a/src/test/java/lemondrift/lab/simulation/ScenarioBuilder.java
+++ b/src/test/java/lemondrift/lab/simulation/ScenarioBuilder.java
@@ -2,7 +2,7 @@
 
 import lemondrift.model.Settings;
 
-/** Varies a scenario: what is not set stays as it was. */
+/** Builds a variant of a scenario; fields that are not set keep their values. */
 final class ScenarioBuilder {
     private final Scenario base;
     private Settings settings;
--- a/src/test/java/lemondrift/lab/simulation/Scenarios.java
+++ b/src/test/java/lemondrift/lab/simulation/Scenarios.java
@@ -7,7 +7,7 @@
 import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 
-/** Small scenarios to play. */
+/** Creates and runs small scenarios. */
 final class Scenarios {
     private static final List<RequestClass> REQUEST_CLASSES =
             List.of(
@@ -42,7 +42,7 @@
                 new Settings.Costs(0.01, 0.002));
     }
 
-    /** Traffic of 0.65 of what the backends can do, for twenty seconds. */
+    /** Creates a scenario of 20 s with traffic of 65% of the backends' capacity. */
     static Scenario of(int proxies, int backends, long seed, BackendFault... faults) {
         double rate = 0.65 * Math.max(1, backends) * 2 / 0.05;
         return new Scenario(
--- a/src/test/java/lemondrift/lab/simulation/SimulationTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -25,7 +25,9 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The simulation: its hard cases, and a referee that catches a policy that breaks a rule. */
+/**
+ * Tests the simulation under faults, and that the referee detects a policy that violates a rule.
+ */
 class SimulationTest {
     private static BackendFault fault(Kind kind, double share, double strength) {
         return new BackendFault(kind, 5, 6, share, strength);
@@ -118,10 +120,11 @@
                         new BackendFault(Kind.STALL, 2, 6, 1, 1));
         RunResult result = Scenarios.run(scenario);
         assertEquals(0, result.unanswered);
-        assertTrue(result.servedShare() > 0.2, "it goes on after them: " + result);
+        assertTrue(
+                result.servedShare() > 0.2, "requests must be served after the faults: " + result);
     }
 
-    /** The module with one defect, which a subclass adds. */
+    /** The decision module with a defect that a subclass adds. */
     private abstract static class DefectiveModule implements RoutingPolicy {
         final ModuleUnderTest module;
 
@@ -177,7 +180,9 @@
                         Referee.RuleViolationException.class,
                         () -> new Simulation(scenario, (proxy, trueLoad) -> policy).run());
         assertEquals(rule, violation.rule, violation.getMessage());
-        assertTrue(violation.getMessage().lines().count() > 5, "it lists the events before");
+        assertTrue(
+                violation.getMessage().lines().count() > 5,
+                "the message must list the previous events");
     }
 
     @Test
@@ -237,7 +242,7 @@
 
     @Test
     void sendingToADrainingBackendIsDetected() {
-        // The process of a draining backend lives on for longer than the grace.
+        // The process of a draining backend keeps running for longer than the drain grace.
         Scenario baseScenario = Scenarios.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
         Scenario scenario = ScenarioBuilder.from(baseScenario).graceSeconds(0.2).build();
         assertBreaksRule(
@@ -262,7 +267,7 @@
         Scenarios.run(scenario);
     }
 
-    /** The same with cold backends that are overloaded at one and a half times their capacity. */
+    /** Returns settings with which cold backends are overloaded at 1.5 times their capacity. */
     private static Settings withLowColdOverloadFactor(Settings baseSettings) {
         return new Settings(
                 1,
@@ -348,7 +353,10 @@
         }
     }
 
-    /** Clients that retry keep the backends overloaded after the fault, where none are rejected. */
+    /**
+     * Guards against a retry storm: if no requests are rejected, retries by clients keep the
+     * backends overloaded after the fault has ended.
+     */
     @Test
     void retryStormContinuesAfterItsFaultWithLeastOutstandingButNotWithTheModule() {
         Scenario baseScenario = Scenarios.of(2, 6, 1, new BackendFault(Kind.HEAVY, 5, 5, 1, 4));
@@ -362,7 +370,7 @@
         double module = Scenarios.run(storm).servedShare();
         assertTrue(
                 module > leastOutstanding + 0.1,
-                "module " + module + ", naive " + leastOutstanding);
+                "module " + module + ", least outstanding " + leastOutstanding);
     }
 
     @Test
