--- a/src/test/java/lemondrift/lab/simulation/SimulationTest.java
+++ b/src/test/java/lemondrift/lab/simulation/SimulationTest.java
@@ -25,7 +25,9 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The simulation: its hard cases, and a referee that catches a policy that breaks a rule. */
+/**
+ * Tests the simulation under faults, and that the referee detects a policy that violates a rule.
+ */
 class SimulationTest {
     private static BackendFault fault(Kind kind, double share, double strength) {
         return new BackendFault(kind, 5, 6, share, strength);
@@ -118,10 +120,11 @@
                         new BackendFault(Kind.STALL, 2, 6, 1, 1));
         RunResult result = Scenarios.run(scenario);
         assertEquals(0, result.unanswered);
-        assertTrue(result.servedShare() > 0.2, "it goes on after them: " + result);
+        assertTrue(
+                result.servedShare() > 0.2, "requests must be served after the faults: " + result);
     }
 
-    /** The module with one defect, which a subclass adds. */
+    /** The decision module with a defect that a subclass adds. */
     private abstract static class DefectiveModule implements RoutingPolicy {
         final ModuleUnderTest module;
 
@@ -172,12 +175,14 @@
     }
 
     private static void assertBreaksRule(int rule, Scenario scenario, RoutingPolicy policy) {
-        Referee.RuleViolationException broken =
+        Referee.RuleViolationException violation =
                 assertThrows(
                         Referee.RuleViolationException.class,
                         () -> new Simulation(scenario, (proxy, trueLoad) -> policy).run());
-        assertEquals(rule, broken.rule, broken.getMessage());
-        assertTrue(broken.getMessage().lines().count() > 5, "it lists the events before");
+        assertEquals(rule, violation.rule, violation.getMessage());
+        assertTrue(
+                violation.getMessage().lines().count() > 5,
+                "the message must list the previous events");
     }
 
     @Test
@@ -237,9 +242,9 @@
 
     @Test
     void sendingToADrainingBackendIsDetected() {
-        // The process of a draining backend lives on for longer than the grace.
-        Scenario usual = Scenarios.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
-        Scenario scenario = ScenarioBuilder.from(usual).graceSeconds(0.2).build();
+        // The process of a draining backend keeps running for longer than the drain grace.
+        Scenario baseScenario = Scenarios.of(1, 3, 1, new BackendFault(Kind.DEPLOY, 2, 12, 1, 1));
+        Scenario scenario = ScenarioBuilder.from(baseScenario).graceSeconds(0.2).build();
         assertBreaksRule(
                 3,
                 scenario,
@@ -262,30 +267,30 @@
         Scenarios.run(scenario);
     }
 
-    /** The same with cold backends that are overloaded at one and a half times their capacity. */
-    private static Settings withLowColdOverloadFactor(Settings usual) {
+    /** Returns settings with which cold backends are overloaded at 1.5 times their capacity. */
+    private static Settings withLowColdOverloadFactor(Settings baseSettings) {
         return new Settings(
                 1,
                 2,
                 0,
                 false,
-                usual.requestClasses(),
+                baseSettings.requestClasses(),
                 new double[0],
                 1,
                 false,
-                usual.loadReports(),
-                usual.limits(),
+                baseSettings.loadReports(),
+                baseSettings.limits(),
                 new Settings.Rules(0.3, 6, 1.5, 2, 10),
-                usual.costs());
+                baseSettings.costs());
     }
 
     @Test
     void overloadingAColdBackendIsDetected() {
-        Scenario usual = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 4, 0.75, 1));
+        Scenario baseScenario = Scenarios.of(1, 4, 1, new BackendFault(Kind.CRASH, 2, 4, 0.75, 1));
         Scenario scenario =
-                ScenarioBuilder.from(usual)
-                        .settings(withLowColdOverloadFactor(usual.settings()))
-                        .rate(2 * usual.rate())
+                ScenarioBuilder.from(baseScenario)
+                        .settings(withLowColdOverloadFactor(baseScenario.settings()))
+                        .rate(2 * baseScenario.rate())
                         .build();
         assertBreaksRule(
                 4,
@@ -348,19 +353,24 @@
         }
     }
 
-    /** Clients that retry keep the backends overloaded after the fault, where none are rejected. */
+    /**
+     * Guards against a retry storm: if no requests are rejected, retries by clients keep the
+     * backends overloaded after the fault has ended.
+     */
     @Test
     void retryStormContinuesAfterItsFaultWithLeastOutstandingButNotWithTheModule() {
-        Scenario usual = Scenarios.of(2, 6, 1, new BackendFault(Kind.HEAVY, 5, 5, 1, 4));
+        Scenario baseScenario = Scenarios.of(2, 6, 1, new BackendFault(Kind.HEAVY, 5, 5, 1, 4));
         Scenario storm =
-                ScenarioBuilder.from(usual)
-                        .rate(1.25 * usual.rate())
+                ScenarioBuilder.from(baseScenario)
+                        .rate(1.25 * baseScenario.rate())
                         .tries(6)
                         .durationSeconds(40)
                         .build();
-        double naive = runBaseline(Baseline.Kind.LEAST_OUTSTANDING, storm).servedShare();
+        double leastOutstanding = runBaseline(Baseline.Kind.LEAST_OUTSTANDING, storm).servedShare();
         double module = Scenarios.run(storm).servedShare();
-        assertTrue(module > naive + 0.1, "module " + module + ", naive " + naive);
+        assertTrue(
+                module > leastOutstanding + 0.1,
+                "module " + module + ", least outstanding " + leastOutstanding);
     }
 
     @Test
