--- a/src/main/java/lemondrift/lab/fleet/BackendFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -108,8 +108,8 @@
 
     /** A backend's process has ended: its addresses and connections are closed. */
     void crash(int backend) {
-        for (List<AcceptingChannel<StreamConnection>> ofSegment : servers) {
-            IoUtils.safeClose(ofSegment.get(backend));
+        for (List<AcceptingChannel<StreamConnection>> channels : servers) {
+            IoUtils.safeClose(channels.get(backend));
         }
         requestHandler.closeConnections(backend);
         context.recorder().recordBackendLoad(backend, 0, false);
@@ -138,7 +138,7 @@
 
     @Override
     public void close() {
-        servers.forEach(ofSegment -> ofSegment.forEach(IoUtils::safeClose));
+        servers.forEach(channels -> channels.forEach(IoUtils::safeClose));
         requestHandler.close();
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/BackendPicker.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendPicker.java
@@ -47,23 +47,23 @@
      */
     @Override
     public OptionalInt pick(IntUnaryOperator inFlight) {
-        int[] up =
+        int[] reachable =
                 IntStream.range(0, backendFleet.backends.length)
                         .filter(i -> backendFleet.backends[i].isAvailable())
                         .toArray();
-        if (up.length == 0) {
+        if (reachable.length == 0) {
             return OptionalInt.empty();
         }
-        int first = up[context.random().nextInt(up.length)];
-        int second = up[context.random().nextInt(up.length)];
+        int firstPick = reachable[context.random().nextInt(reachable.length)];
+        int secondPick = reachable[context.random().nextInt(reachable.length)];
         return OptionalInt.of(
                 switch (policy) {
-                    case RANDOM -> first;
+                    case RANDOM -> firstPick;
                     case TWO_CHOICES ->
-                            inFlight.applyAsInt(second) < inFlight.applyAsInt(first)
-                                    ? second
-                                    : first;
-                    case ORACLE -> pickLeastLoaded(up, first, inFlight);
+                            inFlight.applyAsInt(secondPick) < inFlight.applyAsInt(firstPick)
+                                    ? secondPick
+                                    : firstPick;
+                    case ORACLE -> pickLeastLoaded(reachable, firstPick, inFlight);
                     default ->
                             throw new InvalidSettingsException(
                                     "on processes there are random, two_choices and oracle, not "
@@ -71,8 +71,8 @@
                 });
     }
 
-    private int pickLeastLoaded(int[] up, int preferred, IntUnaryOperator inFlight) {
-        return Arrays.stream(up)
+    private int pickLeastLoaded(int[] reachable, int preferred, IntUnaryOperator inFlight) {
+        return Arrays.stream(reachable)
                 .boxed()
                 .min(Comparator.comparingDouble(i -> estimateLoad(i, preferred, inFlight)))
                 .get();
--- a/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
@@ -24,7 +24,7 @@
 
     /** One connection to a backend. */
     private static final class BackendConnection {
-        final HttpConnection connection;
+        final HttpConnection httpConnection;
         final int segment;
         final int backend;
 
@@ -34,8 +34,8 @@
         /** The work of that attempt while the backend holds it; null at other times. */
         Backend.Job job;
 
-        BackendConnection(HttpConnection connection, int segment, int backend) {
-            this.connection = connection;
+        BackendConnection(HttpConnection httpConnection, int segment, int backend) {
+            this.httpConnection = httpConnection;
             this.segment = segment;
             this.backend = backend;
         }
@@ -70,13 +70,13 @@
 
     /** Closes all connections to a backend. */
     void closeConnections(int backend) {
-        List<HttpConnection> toBackend =
+        List<HttpConnection> connectionsToBackend =
                 connections.values().stream()
                         .filter(each -> each.backend == backend)
-                        .map(each -> each.connection)
+                        .map(each -> each.httpConnection)
                         .toList();
-        toBackend.forEach(HttpConnection::close);
-        toBackend.forEach(connections::remove);
+        connectionsToBackend.forEach(HttpConnection::close);
+        connectionsToBackend.forEach(connections::remove);
     }
 
     /** Reports how many requests a backend holds now. */
@@ -105,7 +105,7 @@
     }
 
     private void handleRequest(BackendConnection connection, String head) {
-        if (!connection.connection.isOpen()
+        if (!connection.httpConnection.isOpen()
                 || backends[connection.backend].activeSilenceFaults > 0) {
             return;
         }
@@ -150,15 +150,17 @@
         } else if (failing) {
             endAttempt(connection, AttemptOutcome.ERROR, "500 Error", NO_FIELDS);
         } else {
-            connection.job = backend.submit(pending.workSeconds, ran -> finishJob(connection, ran));
+            connection.job =
+                    backend.submit(
+                            pending.workSeconds, completed -> finishJob(connection, completed));
             recordLoad(connection.backend);
         }
     }
 
     private double errorProbability(Backend backend, OutcomeRecorder.PendingRequest pending) {
-        boolean isOfLastClass = pending.request.requestClassIndex == lastRequestClass;
+        boolean isLastClass = pending.request.requestClassIndex == lastRequestClass;
         return Math.max(
-                backend.faultErrorShare, isOfLastClass ? backend.lastClassFaultErrorShare : 0);
+                backend.faultErrorShare, isLastClass ? backend.lastClassFaultErrorShare : 0);
     }
 
     private boolean hasTooManyConnections(int backend) {
@@ -167,10 +169,10 @@
                         > maxConnections;
     }
 
-    private void finishJob(BackendConnection connection, boolean ran) {
+    private void finishJob(BackendConnection connection, boolean completed) {
         connection.job = null;
         recordLoad(connection.backend);
-        if (ran) {
+        if (completed) {
             endAttempt(connection, AttemptOutcome.SUCCESS, OK, NO_FIELDS);
         } else {
             recorder.recordAttemptEnd(connection.attempt, AttemptOutcome.RESET);
@@ -185,21 +187,22 @@
         respond(connection, status, fields, body);
     }
 
-    private void respond(BackendConnection to, String status, String fields, byte[] body) {
+    private void respond(BackendConnection connection, String status, String fields, byte[] body) {
         byte[] message =
                 HttpConnection.encodeMessage(
                         "HTTP/1.1 "
                                 + status
                                 + "\r\nEndpoint-Load-Metrics: TEXT "
-                                + loadReport(to.backend)
+                                + loadReport(connection.backend)
                                 + fields,
                         body);
         double now = context.scheduler().now();
-        double cutUntil = context.faultPlan().backendCutUntil(to.segment, to.backend, now);
+        double cutUntil =
+                context.faultPlan().backendCutUntil(connection.segment, connection.backend, now);
         if (cutUntil > now) {
-            context.scheduler().at(cutUntil, () -> to.connection.write(message));
+            context.scheduler().at(cutUntil, () -> connection.httpConnection.write(message));
         } else {
-            to.connection.write(message);
+            connection.httpConnection.write(message);
         }
     }
 
--- a/src/main/java/lemondrift/lab/fleet/ClientConnections.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientConnections.java
@@ -28,7 +28,7 @@
     }
 
     private Deque<HttpConnection> idleConnections(int target) {
-        return idleByTarget.computeIfAbsent(target, none -> new ArrayDeque<>());
+        return idleByTarget.computeIfAbsent(target, key -> new ArrayDeque<>());
     }
 
     void addIdle(int target, HttpConnection connection) {
--- a/src/main/java/lemondrift/lab/fleet/ClientFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientFleet.java
@@ -106,8 +106,9 @@
         if (!started || context.scheduler().now() >= endAt) {
             return;
         }
-        Optional<HttpConnection> kept = connections.takeLongestIdle(proxy);
-        kept.ifPresent(connection -> createTry(createRequest()).startOn(connection, proxy));
+        Optional<HttpConnection> idleConnection = connections.takeLongestIdle(proxy);
+        idleConnection.ifPresent(
+                connection -> createTry(createRequest()).startOn(connection, proxy));
         context.scheduler()
                 .after(
                         IDLE_CONNECTION_SEND_INTERVAL_SECONDS,
--- a/src/main/java/lemondrift/lab/fleet/ClientTry.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientTry.java
@@ -69,9 +69,9 @@
     }
 
     /** Sends it on a connection that is open. */
-    void startOn(HttpConnection open, int targetOfConnection) {
+    void startOn(HttpConnection openConnection, int targetOfConnection) {
         target = targetOfConnection;
-        send(open);
+        send(openConnection);
     }
 
     /** Picks a target and sends it there. */
@@ -90,11 +90,11 @@
         connections.open(targets.address(target), this::onConnect);
     }
 
-    private void onConnect(Optional<HttpConnection> opened) {
+    private void onConnect(Optional<HttpConnection> newConnection) {
         if (ended) {
-            opened.ifPresent(HttpConnection::close);
-        } else if (opened.isPresent()) {
-            send(opened.get());
+            newConnection.ifPresent(HttpConnection::close);
+        } else if (newConnection.isPresent()) {
+            send(newConnection.get());
         } else if (pending == null) {
             targets.reportUnreachable(target);
             start();
@@ -104,9 +104,9 @@
         }
     }
 
-    private void send(HttpConnection open) {
-        connections.setListener(open, this);
-        connection = open;
+    private void send(HttpConnection openConnection) {
+        connections.setListener(openConnection, this);
+        connection = openConnection;
         countInFlight();
         if (pending == null) {
             recordFirstSend();
@@ -161,10 +161,10 @@
     }
 
     @Override
-    public void onMessage(HttpConnection from, String head, byte[] body) {
-        connections.removeListener(from);
+    public void onMessage(HttpConnection responseConnection, String head, byte[] body) {
+        connections.removeListener(responseConnection);
         uncountInFlight();
-        keepOrClose(from, head);
+        keepOrClose(responseConnection, head);
         String status = head.length() < STATUS_END ? "" : head.substring(STATUS_START, STATUS_END);
         boolean rejected = status.equals("503") || status.equals("429");
         if (targets.areBackends() && rejected && targetsTried < MAX_TARGETS) {
@@ -183,12 +183,12 @@
         }
     }
 
-    private void keepOrClose(HttpConnection from, String head) {
+    private void keepOrClose(HttpConnection responseConnection, String head) {
         Optional<String> connectionField = HttpConnection.findField(head, "connection");
         if (connectionField.filter("close"::equalsIgnoreCase).isPresent()) {
-            from.close();
+            responseConnection.close();
         } else {
-            connections.addIdle(target, from);
+            connections.addIdle(target, responseConnection);
         }
     }
 
@@ -211,15 +211,15 @@
     }
 
     @Override
-    public void onClosed(HttpConnection from) {
+    public void onClosed(HttpConnection closedConnection) {
         connections.removeListener(connection);
         // Guards against repeating what a killed proxy may have had executed: its connections were
         // not closed as idle ones.
-        boolean closedAsIdle =
-                from.hasReceivedMessage()
+        boolean closedWhileIdle =
+                closedConnection.hasReceivedMessage()
                         && !targets.areBackends()
                         && !recorder.isUnavailable(target);
-        if (closedAsIdle && !resent) {
+        if (closedWhileIdle && !resent) {
             resend();
         } else {
             endWithoutResponse();
--- a/src/main/java/lemondrift/lab/fleet/FaultPlan.java
+++ b/src/main/java/lemondrift/lab/fleet/FaultPlan.java
@@ -80,14 +80,15 @@
     }
 
     private int[] segmentsByFaults(int proxies) {
-        List<DrawnFault> towardsBackends = faultsOnChannel(Fault.Channel.BACKENDS);
+        List<DrawnFault> backendFaults = faultsOnChannel(Fault.Channel.BACKENDS);
         Map<List<Boolean>, Integer> segmentByFaults = new LinkedHashMap<>();
         int[] segmentOfProxy = new int[proxies];
         for (int proxy = 0; proxy < proxies; proxy++) {
             int number = proxy;
-            List<Boolean> met = towardsBackends.stream().map(each -> each.from[number]).toList();
-            segmentByFaults.putIfAbsent(met, segmentByFaults.size());
-            segmentOfProxy[proxy] = segmentByFaults.get(met);
+            List<Boolean> affected =
+                    backendFaults.stream().map(drawn -> drawn.from[number]).toList();
+            segmentByFaults.putIfAbsent(affected, segmentByFaults.size());
+            segmentOfProxy[proxy] = segmentByFaults.get(affected);
         }
         return segmentOfProxy;
     }
@@ -109,7 +110,7 @@
     }
 
     private List<DrawnFault> faultsOnChannel(Fault.Channel channel) {
-        return drawnFaults.stream().filter(each -> each.isOnChannel(channel)).toList();
+        return drawnFaults.stream().filter(drawn -> drawn.isOnChannel(channel)).toList();
     }
 
     private boolean isActive(DrawnFault drawn, double now) {
@@ -118,13 +119,13 @@
 
     /** The faults that fall on processes. */
     List<DrawnFault> processFaults() {
-        return drawnFaults.stream().filter(each -> each.fault.kind().isProcessFault()).toList();
+        return drawnFaults.stream().filter(drawn -> drawn.fault.kind().isProcessFault()).toList();
     }
 
     /** The active faults that send datagrams which no proxy has sent. */
     List<DrawnFault> activeJunkFaults(double now) {
         return drawnFaults.stream()
-                .filter(each -> each.fault.kind() == Fault.Kind.JUNK && isActive(each, now))
+                .filter(drawn -> drawn.fault.kind() == Fault.Kind.JUNK && isActive(drawn, now))
                 .toList();
     }
 
@@ -152,17 +153,17 @@
     }
 
     private Predicate<DrawnFault> affectsBackend(int segment, int backend) {
-        return each -> each.from[firstProxies[segment]] && each.to[backend];
+        return drawn -> drawn.from[firstProxies[segment]] && drawn.to[backend];
     }
 
     /** Until when a proxy gets nothing from its discovery agent; now where it is not cut. */
     double discoveryCutUntil(int proxy, double now) {
-        return cutUntil(Fault.Channel.DISCOVERY, now, each -> each.from[proxy]);
+        return cutUntil(Fault.Channel.DISCOVERY, now, drawn -> drawn.from[proxy]);
     }
 
     /** By how much a message from a discovery agent to its proxy is late. */
     double discoveryDelaySeconds(int proxy, double now) {
-        return delaySeconds(Fault.Channel.DISCOVERY, now, each -> each.from[proxy]);
+        return delaySeconds(Fault.Channel.DISCOVERY, now, drawn -> drawn.from[proxy]);
     }
 
     private double cutUntil(
@@ -186,8 +187,8 @@
             double now,
             Predicate<DrawnFault> affectsMessage) {
         return faultsOnChannel(channel).stream()
-                .filter(each -> each.fault.kind() == kind)
-                .filter(each -> isActive(each, now))
+                .filter(drawn -> drawn.fault.kind() == kind)
+                .filter(drawn -> isActive(drawn, now))
                 .filter(affectsMessage)
                 .map(DrawnFault::fault);
     }
@@ -200,7 +201,7 @@
             return "no faults";
         }
         return drawnFaults.stream()
-                .map(each -> each.fault + " on " + Arrays.toString(each.affectedProxies()))
+                .map(drawn -> drawn.fault + " on " + Arrays.toString(drawn.affectedProxies()))
                 .collect(Collectors.joining("\n"));
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
@@ -167,8 +167,8 @@
     private List<Fault> drawFaults(int proxies) {
         List<Fault> faults = new ArrayList<>();
         faults.add(drawProcessFault(Fault.Kind.TERMINATE, drawProxy(proxies), 0.5, 3));
-        int moreCount = 1 + random.nextInt(3);
-        for (int i = 0; i < moreCount; i++) {
+        int additionalCount = 1 + random.nextInt(3);
+        for (int i = 0; i < additionalCount; i++) {
             faults.add(drawFault(drawProxy(proxies)));
         }
         return faults;
--- a/src/test/java/lemondrift/lab/fleet/ClientTryTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ClientTryTest.java
@@ -34,13 +34,13 @@
             "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /** Stands in for a proxy: hands each request to the test, which responds or closes. */
-    private static final class StandInProxy implements AutoCloseable {
+    private static final class FakeProxy implements AutoCloseable {
         private final ServerSocket server =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final BlockingQueue<Socket> requests = new ArrayBlockingQueue<>(10);
 
-        StandInProxy() throws IOException {
-            Thread thread = new Thread(this::acceptAll, "stand-in proxy");
+        FakeProxy() throws IOException {
+            Thread thread = new Thread(this::acceptAll, "fake proxy");
             thread.setDaemon(true);
             thread.start();
         }
@@ -114,7 +114,7 @@
     }
 
     private final TwoProxies targets = new TwoProxies();
-    private List<StandInProxy> proxies;
+    private List<FakeProxy> proxies;
     private TestbedContext context;
     private ClientFleet fleet;
     private ClientConnections connections;
@@ -122,7 +122,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        proxies = List.of(new StandInProxy(), new StandInProxy());
+        proxies = List.of(new FakeProxy(), new FakeProxy());
         Scenario scenario = Fleets.experiment(0.4).day(1);
         context = TestbedContext.create(scenario, 1, 4, () -> null);
         fleet = new ClientFleet(context, targets, null);
@@ -134,7 +134,7 @@
     void stop() throws Exception {
         context.scheduler().run(connections::close);
         context.worker().shutdownNow();
-        for (StandInProxy proxy : proxies) {
+        for (FakeProxy proxy : proxies) {
             proxy.close();
         }
     }
--- a/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
@@ -93,9 +93,9 @@
                 CompletableFuture.runAsync(
                         () -> testbed.runOnProcessThread(() -> await(busyUntil)),
                         CompletableFuture.delayedExecutor(1500, TimeUnit.MILLISECONDS));
-        RunResult day = run(List.of());
-        assertTrue(day.gossipMessages > 0, day.toString());
-        assertTrue(day.cpuShare > 0 && day.memoryMegabytes > 0, day.toString());
+        RunResult result = run(List.of());
+        assertTrue(result.gossipMessages > 0, result.toString());
+        assertTrue(result.cpuShare > 0 && result.memoryMegabytes > 0, result.toString());
         CompletableFuture.allOf(hold, release).join();
     }
 
@@ -109,20 +109,20 @@
 
     @Test
     void recoversAfterAllGossipIsCut() throws Exception {
-        RunResult day = run(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
-        assertAllAnswered(day);
-        assertTrue(day.gossipMessages > 0, "they go on gossiping");
+        RunResult result = run(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
+        assertAllAnswered(result);
+        assertTrue(result.gossipMessages > 0, "they go on gossiping");
         assertRecovers();
     }
 
     @Test
     void recoversAfterAKillWhileOldDatagramsAreInFlight() throws Exception {
-        RunResult day =
+        RunResult result =
                 run(
                         List.of(),
                         fault(Kind.LATE, "all", "all", 0, 5, 1),
                         fault(Kind.KILL, "number 1", "all", 1, 0.5, 1));
-        assertEquals(0, day.overloadedColdBackends);
+        assertEquals(0, result.overloadedColdBackends);
         assertRecovers();
     }
 
@@ -134,14 +134,14 @@
 
     @Test
     void recoversAfterARollingRestartDuringADeployWithDiscoveryCut() throws Exception {
-        RunResult day =
+        RunResult result =
                 run(
                         List.of(new BackendFault(BackendFault.Kind.DEPLOY, 0.5, 3, 0.5, 1)),
                         fault(Kind.ROLL, "all", "all", 0.5, 4, 1),
                         cut(Fault.Channel.DISCOVERY, "30%", "all", 1, 2));
         assertEquals(
                 0,
-                day.overloadedColdBackends,
+                result.overloadedColdBackends,
                 "no cold backend is overloaded by all of them together");
         assertRecovers();
     }
@@ -163,25 +163,27 @@
                 FleetTestbed.withoutProxies(
                         Fleets.experiment(0.4), 1, Baseline.Kind.ORACLE, line -> {})) {
             direct.start();
-            FleetTestbed.RunOutcome day =
+            FleetTestbed.RunOutcome outcome =
                     direct.run(List.of(), List.of(fault(Kind.KILL, "all", "all", 0, 1, 1)), 1);
-            assertEquals(Optional.empty(), day.brokenRule());
+            assertEquals(Optional.empty(), outcome.brokenRule());
             assertEquals(
-                    day.result().clientRequests, day.result().succeeded, day.result().toString());
+                    outcome.result().clientRequests,
+                    outcome.result().succeeded,
+                    outcome.result().toString());
             assertEquals(List.of(), direct.stop());
         }
     }
 
     @Test
     void noResponseIsLostWhenBackendsCrashVanishAndFailAtTheSameTime() throws Exception {
-        RunResult day =
+        RunResult result =
                 run(
                         List.of(
                                 new BackendFault(BackendFault.Kind.CRASH, 0.5, 2, 0.2, 1),
                                 new BackendFault(BackendFault.Kind.VANISH, 1, 2, 0.2, 1),
                                 new BackendFault(BackendFault.Kind.ERRORS, 1, 3, 0.2, 0.8),
                                 new BackendFault(BackendFault.Kind.BURST, 1, 2, 1, 1.5)));
-        assertAllAnswered(day);
+        assertAllAnswered(result);
         assertRecovers();
     }
 }
--- a/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
+++ b/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
@@ -44,12 +44,12 @@
 
     private static RunResult run(List<BackendFault> backendFaults, Fault... faults)
             throws Exception {
-        RunResult day = Fleets.run(testbed, backendFaults, faults);
+        RunResult result = Fleets.run(testbed, backendFaults, faults);
         assertEquals(
                 0,
-                day.overloadedColdBackends,
+                result.overloadedColdBackends,
                 "no cold backend is overloaded by all of them together");
-        return day;
+        return result;
     }
 
     /**
