--- a/src/main/java/lemondrift/lab/fleet/BackendFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendFleet.java
@@ -16,8 +16,8 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The backends, all on the testbed's I/O thread. Each listens at one address for each segment of
- * proxies, so that the network between can fail for some proxies alone.
+ * The backends, which all run on the testbed's I/O thread. Each backend listens on one address per
+ * segment of proxies, so that a network fault can affect the connections of some proxies only.
  */
 final class BackendFleet implements AutoCloseable {
     private static final OptionMap SERVER_OPTIONS =
@@ -27,27 +27,30 @@
                     .set(Options.BACKLOG, 1024)
                     .getMap();
 
-    /** By the backend's number. */
+    /** Indexed by backend number. */
     final Backend[] backends;
 
     private final TestbedContext context;
 
-    /** The plan at the start, whose segments stay for all days. */
+    /** The fault plan at the start of the testbed. Its segments stay in use for all runs. */
     private final FaultPlan initialPlan;
 
     private final BackendRequestHandler requestHandler;
 
-    /** By segment and backend. */
+    /** Indexed by segment, then by backend. */
     private final InetSocketAddress[][] addresses;
 
-    /** By segment and backend; closed while the backend's process is down. */
+    /**
+     * Indexed by segment, then by backend. A channel is closed while the backend's process is down.
+     */
     private final List<List<AcceptingChannel<StreamConnection>>> servers = new ArrayList<>();
 
     /**
      * Starts all backends.
      *
-     * @param maxConnections that a backend holds before it rejects requests; 0 is any number
-     * @throws IOException where an address cannot be bound
+     * @param maxConnections how many connections a backend may hold before it rejects requests; 0
+     *     means no limit
+     * @throws IOException if an address cannot be bound
      */
     BackendFleet(TestbedContext context, int maxConnections) throws IOException {
         this.context = context;
@@ -76,7 +79,7 @@
         }
     }
 
-    /** Opens one address of a backend, with the same port as before where it had one. */
+    /** Listens on one address of a backend, on its earlier port if it had one. */
     private AcceptingChannel<StreamConnection> listen(int segment, int backend) throws IOException {
         AcceptingChannel<StreamConnection> server =
                 HttpConnection.listen(
@@ -88,12 +91,15 @@
         return server;
     }
 
-    /** Sets who is notified when a cold backend is overloaded. */
+    /** Sets the listener that receives the number of each cold backend that becomes overloaded. */
     void setOverloadListener(IntConsumer listener) {
         requestHandler.setOverloadListener(listener);
     }
 
-    /** Seconds of work of one warm core that all fit backends do in a second now. */
+    /**
+     * Returns the present capacity of all available backends, in seconds of work of one warm core
+     * per second; 0 if no backend is available.
+     */
     double capacity() {
         return Arrays.stream(backends)
                 .filter(Backend::isAvailable)
@@ -101,12 +107,12 @@
                 .sum();
     }
 
-    /** Where a proxy finds a backend. */
+    /** Returns the address at which a proxy reaches a backend. */
     InetSocketAddress addressForProxy(int proxy, int backend) {
         return addresses[initialPlan.segmentOf(proxy)][backend];
     }
 
-    /** A backend's process has ended: its addresses and connections are closed. */
+    /** Simulates the end of a backend's process: closes its addresses and connections. */
     void crash(int backend) {
         for (List<AcceptingChannel<StreamConnection>> channels : servers) {
             IoUtils.safeClose(channels.get(backend));
@@ -115,12 +121,20 @@
         context.recorder().recordBackendLoad(backend, 0, false);
     }
 
-    /** A backend's machine has vanished: its connections stay open and nothing comes on them. */
+    /**
+     * Simulates a backend whose machine has become unreachable: its connections stay open, but no
+     * data arrives on them.
+     */
     void vanish(int backend) {
         context.recorder().recordBackendLoad(backend, 0, false);
     }
 
-    /** A backend's process has started again. */
+    /**
+     * Simulates the restart of a backend's process: closes its old connections and listens on its
+     * addresses again.
+     *
+     * @throws UncheckedIOException if an address cannot be bound
+     */
     void restart(int backend) {
         requestHandler.closeConnections(backend);
         for (int segment = 0; segment < servers.size(); segment++) {
--- a/src/main/java/lemondrift/lab/fleet/BackendPicker.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendPicker.java
@@ -10,11 +10,14 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * Clients without proxies: each request goes to a backend that a baseline policy picks among those
- * that are up, which no proxy could see. I/O thread only.
+ * Picks a backend for each client request in a testbed without proxies. A baseline policy picks
+ * among the backends that are available at that moment, which no proxy could know. I/O thread only.
  */
 final class BackendPicker implements ClientTargets {
-    /** Up to how much is added to the estimates of the oracle, so that equal ones are drawn. */
+    /**
+     * Upper bound of the random value that is added to the oracle's load estimates, so that ties
+     * are broken randomly.
+     */
     private static final double TIE_BREAK = 1e-3;
 
     /** Without proxies all clients use the addresses that the first proxy would use. */
@@ -41,9 +44,9 @@
     }
 
     /**
-     * Picks a backend.
+     * Picks one of the available backends; empty if there is none.
      *
-     * @throws InvalidSettingsException for a policy that is not played on processes
+     * @throws InvalidSettingsException if the policy is not random, two_choices or oracle
      */
     @Override
     public OptionalInt pick(IntUnaryOperator inFlight) {
@@ -66,7 +69,8 @@
                     case ORACLE -> pickLeastLoaded(reachable, firstPick, inFlight);
                     default ->
                             throw new InvalidSettingsException(
-                                    "on processes there are random, two_choices and oracle, not "
+                                    "the process testbed supports the policies random, two_choices"
+                                            + " and oracle, not "
                                             + policy);
                 });
     }
@@ -78,7 +82,10 @@
                 .get();
     }
 
-    /** Counts requests on their way to the backend too: all would pick the same one otherwise. */
+    /**
+     * Estimates the load of a backend. Includes the requests that have not arrived at it yet:
+     * otherwise all clients would pick the same backend.
+     */
     private double estimateLoad(int backend, int preferred, IntUnaryOperator inFlight) {
         double load =
                 inFlight.applyAsInt(backend) * backendFleet.backends[backend].serviceTimeFactor();
@@ -92,6 +99,6 @@
 
     @Override
     public void reportUnreachable(int backend) {
-        // A policy sees by itself which backends are up.
+        // The policy reads the state of the backends directly.
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
@@ -12,9 +12,12 @@
 import lemondrift.model.AttemptOutcome;
 import org.xnio.StreamConnection;
 
-/** Answers what comes on the connections to the backends. I/O thread only. */
+/** Answers the requests that arrive on the connections to the backends. I/O thread only. */
 final class BackendRequestHandler implements HttpConnection.Listener {
-    /** Requests whose trace id starts so are answered at once and not judged. */
+    /**
+     * Requests whose trace id starts with this prefix are answered at once and not checked against
+     * the rules.
+     */
     static final String UNCHECKED_TRACE_ID_PREFIX = "aside-";
 
     private static final String OK = "200 OK";
@@ -28,10 +31,13 @@
         final int segment;
         final int backend;
 
-        /** The latest attempt that came on it; null before the first and after a response. */
+        /**
+         * The latest attempt received on the connection; null before the first one and after a
+         * response.
+         */
         Attempt attempt;
 
-        /** The work of that attempt while the backend holds it; null at other times. */
+        /** The job of that attempt while the backend holds it; null otherwise. */
         Backend.Job job;
 
         BackendConnection(HttpConnection httpConnection, int segment, int backend) {
@@ -49,7 +55,12 @@
     private final Map<HttpConnection, BackendConnection> connections = new HashMap<>();
     private IntConsumer overloadListener = backend -> {};
 
-    /** Serves the backends; 0 for any number of connections to each. */
+    /**
+     * Creates the handler for all backends.
+     *
+     * @param maxConnections how many connections a backend may hold before it rejects requests; 0
+     *     means no limit
+     */
     BackendRequestHandler(TestbedContext context, Backend[] backends, int maxConnections) {
         this.context = context;
         this.backends = backends;
@@ -62,7 +73,7 @@
         overloadListener = listener;
     }
 
-    /** Takes a connection from a proxy of a segment to a backend. */
+    /** Accepts a connection from a proxy of a segment to a backend. */
     void accept(StreamConnection stream, int segment, int backend) {
         HttpConnection connection = new HttpConnection(stream, this);
         connections.put(connection, new BackendConnection(connection, segment, backend));
@@ -79,7 +90,7 @@
         connectionsToBackend.forEach(connections::remove);
     }
 
-    /** Reports how many requests a backend holds now. */
+    /** Records how many requests a backend holds now and whether it is available. */
     void recordLoad(int backend) {
         recorder.recordBackendLoad(
                 backend, backends[backend].heldRequestCount(), backends[backend].isAvailable());
@@ -218,7 +229,7 @@
     public void onClosed(HttpConnection connection) {
         BackendConnection closed = connections.remove(connection);
         if (closed != null && closed.job != null) {
-            // Nobody waits any more: work in the queue is dropped, work that runs is finished.
+            // The other side no longer waits: queued work is dropped, running work is finished.
             backends[closed.backend].drop(closed.job);
             recorder.recordAttemptEnd(closed.attempt, AttemptOutcome.CANCELLED);
             recordLoad(closed.backend);
--- a/src/main/java/lemondrift/lab/fleet/ClientConnections.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientConnections.java
@@ -10,8 +10,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The connections of the clients: those that are idle by their target, and of the others who uses
- * them. I/O thread only.
+ * The connections of the clients: a pool of idle connections for each target, and the listeners of
+ * the connections in use. I/O thread only.
  */
 final class ClientConnections implements HttpConnection.Listener, AutoCloseable {
     private final XnioIoThread ioThread;
@@ -22,7 +22,10 @@
         this.ioThread = ioThread;
     }
 
-    /** Opens a connection, which nobody uses at first; the callback gets nothing at a failure. */
+    /**
+     * Opens a connection, which has no listener at first. The callback receives an empty optional
+     * if the connection cannot be established.
+     */
     void open(InetSocketAddress address, Consumer<Optional<HttpConnection>> callback) {
         HttpConnection.open(ioThread, address, this, callback);
     }
@@ -35,7 +38,10 @@
         idleConnections(target).addFirst(connection);
     }
 
-    /** Takes the open connection that was used last. */
+    /**
+     * Removes and returns the most recently used idle connection that is still open; empty if there
+     * is none.
+     */
     Optional<HttpConnection> takeMostRecentlyUsed(int target) {
         HttpConnection latest = idleConnections(target).pollFirst();
         while (latest != null && !latest.isOpen()) {
@@ -44,18 +50,21 @@
         return Optional.ofNullable(latest);
     }
 
-    /** Takes the connection that has been idle for longest; empty where it is not open. */
+    /**
+     * Removes and returns the connection that has been idle for longest; empty if there is none or
+     * if it is closed.
+     */
     Optional<HttpConnection> takeLongestIdle(int target) {
         return Optional.ofNullable(idleConnections(target).pollLast())
                 .filter(HttpConnection::isOpen);
     }
 
-    /** Sends the events of a connection to a listener. */
+    /** Delivers the events of a connection to a listener. */
     void setListener(HttpConnection connection, HttpConnection.Listener listener) {
         listeners.put(connection, listener);
     }
 
-    /** Nobody uses a connection any more. */
+    /** Removes the listener of a connection. */
     void removeListener(HttpConnection connection) {
         listeners.remove(connection);
     }
--- a/src/main/java/lemondrift/lab/fleet/ClientDistributor.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientDistributor.java
@@ -11,8 +11,8 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * Distributes clients among the proxies that are open, each by its share of the traffic. A proxy is
- * open from its first healthy reply until it is closed. I/O thread only.
+ * Distributes client requests among the open proxies in proportion to their traffic weights. A
+ * proxy is open from its first successful health check until it is closed. I/O thread only.
  */
 final class ClientDistributor implements ClientTargets {
     /** The time between two health checks of a proxy that is not open. */
@@ -28,11 +28,11 @@
     private final double[] trafficWeights;
 
     /**
-     * All proxies are closed at first.
+     * Creates a distributor whose proxies are all closed.
      *
-     * @param logStandardDeviation the standard deviation of the logarithm of a proxy's share; 0 is
-     *     even
-     * @param random for the shares and the picks alone
+     * @param logStandardDeviation the standard deviation of the logarithm of a proxy's traffic
+     *     weight; 0 gives all proxies the same weight
+     * @param random the random numbers, used only for the weights and the picks
      */
     ClientDistributor(
             TestbedContext context,
@@ -80,7 +80,7 @@
         return open[proxy];
     }
 
-    /** The proxies that are not open. */
+    /** Returns the numbers of the proxies that are not open. */
     List<Integer> closedProxies() {
         List<Integer> closed = new ArrayList<>();
         for (int proxy = 0; proxy < open.length; proxy++) {
@@ -91,12 +91,15 @@
         return closed;
     }
 
-    /** Sends no more clients to a proxy, until it is opened again. */
+    /** Stops sending requests to a proxy until it is opened again. */
     void close(int proxy) {
         open[proxy] = false;
     }
 
-    /** Checks a proxy's health until it is good, then opens the proxy and runs the callback. */
+    /**
+     * Repeats health checks of a proxy until one succeeds, then opens the proxy and runs the
+     * callback.
+     */
     void openWhenHealthy(int proxy, Runnable onOpen) {
         HttpConnection.Listener listener = new HealthCheck(proxy, onOpen);
         HttpConnection.open(
@@ -117,7 +120,7 @@
                 .after(HEALTH_CHECK_INTERVAL_SECONDS, () -> openWhenHealthy(proxy, onOpen));
     }
 
-    /** Closes the proxy and checks its health until it can be opened again. */
+    /** Closes the proxy and repeats health checks until it can be opened again. */
     @Override
     public void reportUnreachable(int proxy) {
         if (open[proxy]) {
--- a/src/main/java/lemondrift/lab/fleet/ClientFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientFleet.java
@@ -11,14 +11,17 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The clients, an open loop: requests come at the day's rate whatever becomes of those before, and
- * latency counts from when one was due. I/O thread only.
+ * The clients, an open-loop load generator: requests are sent at the scenario's rate regardless of
+ * the outcome of earlier ones, and latency is measured from the time at which a request was due.
+ * I/O thread only.
  */
 final class ClientFleet implements AutoCloseable {
-    /** After a rejection that names no time, as a share of the latency objective. */
+    /** The wait before a retry if no response names one, as a share of the latency objective. */
     private static final double DEFAULT_RETRY_WAIT_SHARE = 0.5;
 
-    /** Between two requests on the connections to a proxy that is to end. */
+    /**
+     * The time between two requests on the idle connections to a proxy that is being terminated.
+     */
     private static final double IDLE_CONNECTION_SEND_INTERVAL_SECONDS = 0.01;
 
     private final TestbedContext context;
@@ -30,17 +33,20 @@
     private final ZigguratSampler.Exponential interarrival;
     private final ZigguratSampler.NormalizedGaussian normal;
 
-    /** Sets the trace ids of this testbed apart from those of others. */
+    /** Distinguishes the trace ids of this testbed from those of other testbeds. */
     private final String traceIdPrefix = Long.toHexString(System.nanoTime());
 
-    /** By target. */
+    /** The number of requests in flight, by target. */
     private final Map<Integer, Integer> inFlightByTarget = new HashMap<>();
 
     private boolean started;
     private int openRequestCount;
     private long tryCount;
 
-    /** Sends nothing before {@link #start}; the fault injector may raise the rate and the work. */
+    /**
+     * Creates clients that send nothing before {@link #start}. The fault injector may raise the
+     * request rate and the work of the requests.
+     */
     ClientFleet(TestbedContext context, ClientTargets targets, BackendFaultInjector faultInjector) {
         this.context = context;
         this.targets = targets;
@@ -52,13 +58,13 @@
         normal = ZigguratSampler.NormalizedGaussian.of(random);
     }
 
-    /** Lets requests come, until they are stopped. */
+    /** Starts to send requests, until {@link #stop} is called. */
     void start() {
         started = true;
         context.scheduler().after(interarrival.sample() / scenario.rate(), this::sendNext);
     }
 
-    /** Lets no further requests come; those that are open go on. */
+    /** Stops creating requests; open requests continue. */
     void stop() {
         started = false;
     }
@@ -99,8 +105,8 @@
     }
 
     /**
-     * Sends requests on the connections that clients have to a proxy, whether or not it is open,
-     * until a time or until there are no connections.
+     * Sends requests on the idle connections of the clients to a proxy, whether or not it is open,
+     * until a time in seconds of the scheduler or until the clients are stopped.
      */
     void sendOnIdleConnections(int proxy, double endAt) {
         if (!started || context.scheduler().now() >= endAt) {
@@ -115,14 +121,20 @@
                         () -> sendOnIdleConnections(proxy, endAt));
     }
 
-    /** Sends a request once more after a while, where its client still waits and may try again. */
+    /**
+     * Sends a request again after the default wait, if its client still waits and may try again;
+     * otherwise counts it as ended.
+     */
     void retryOrGiveUp(ClientRequest request) {
         double waitSeconds =
                 DEFAULT_RETRY_WAIT_SHARE * request.requestClass.latencyObjectiveSeconds();
         retryOrGiveUp(request, waitSeconds);
     }
 
-    /** The same after a wait that a rejection names. */
+    /**
+     * Sends a request again after the wait that a rejection has named, if its client still waits
+     * and may try again; otherwise counts it as ended.
+     */
     void retryOrGiveUp(ClientRequest request, double waitSeconds) {
         double ageSeconds = context.scheduler().now() - request.dueAt;
         if (request.sendCount < scenario.maxTries()
@@ -133,7 +145,7 @@
         }
     }
 
-    /** A request is not tried any more. */
+    /** Counts a request as ended; it is not tried again. */
     void finish() {
         openRequestCount--;
     }
@@ -143,17 +155,17 @@
         inFlightByTarget.merge(target, 1, Integer::sum);
     }
 
-    /** Counts that a request is no longer in flight at a target. */
+    /** Counts a request that is no longer in flight to a target. */
     void removeInFlight(int target) {
         inFlightByTarget.merge(target, -1, Integer::sum);
     }
 
-    /** How many requests are in flight at a target. */
+    /** Returns how many requests are in flight to a target. */
     int inFlightCount(int target) {
         return inFlightByTarget.getOrDefault(target, 0);
     }
 
-    /** How many requests of clients have not ended. */
+    /** Returns how many client requests have not ended. */
     int openRequestCount() {
         return openRequestCount;
     }
--- a/src/main/java/lemondrift/lab/fleet/ClientRequest.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientRequest.java
@@ -4,24 +4,27 @@
 import lemondrift.model.RequestClass;
 
 /**
- * What one client wants. It tries until it has it, or has tried often enough, and counts in the
- * figures of the day in which it was due. I/O thread only.
+ * One request of a client. The client tries it until it succeeds or until the client gives up. It
+ * counts in the results of the run in which it was due. I/O thread only.
  */
 final class ClientRequest {
     final int requestClassIndex;
     final RequestClass requestClass;
     final double dueAt;
 
-    /** The second of the day in which it was due. */
+    /** The second of the run in which it was due. */
     final int dueSecond;
 
-    /** Seconds of one core that it takes. */
+    /** The work of the request, in seconds of one warm core. */
     final double workSeconds;
 
-    /** The figures of the day in which it was due. */
+    /** The results of the run in which it was due. */
     final RunResult result;
 
-    /** How often it was sent; a first time on a kept connection is not counted. */
+    /**
+     * How often it was sent. A first send by {@link ClientFleet#sendOnIdleConnections} is not
+     * counted.
+     */
     int sendCount;
 
     ClientRequest(
@@ -39,7 +42,7 @@
         this.result = result;
     }
 
-    /** Counts it as served, by how long after it was due. */
+    /** Counts it as served, in time or late depending on its latency since it was due. */
     void recordSuccess(double latencySeconds) {
         boolean inTime = latencySeconds <= requestClass.latencyObjectiveSeconds();
         result.succeeded++;
@@ -50,7 +53,7 @@
         result.servedWeightPerSecond[dueSecond] += weight;
     }
 
-    /** Counts that it was rejected once, in a second of the day that is played. */
+    /** Counts one rejection, in a second of the current run. */
     void recordRejection(int secondOfDay) {
         result.rejected++;
         result.rejectedPerSecond[secondOfDay]++;
--- a/src/main/java/lemondrift/lab/fleet/ClientTargets.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientTargets.java
@@ -5,25 +5,25 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * What the clients of a testbed send their requests to: the proxies, or the backends where there
- * are no proxies. A target is known by its number. I/O thread only.
+ * The targets of client requests: the proxies, or the backends in a testbed without proxies. A
+ * target is identified by its number. I/O thread only.
  */
 interface ClientTargets {
-    /** Whether the targets are backends. */
+    /** Returns whether the targets are backends. */
     boolean areBackends();
 
     InetSocketAddress address(int target);
 
     /**
-     * Picks the target of the next request; empty where none takes any.
+     * Picks the target of the next request; empty if no target accepts requests.
      *
-     * @param inFlight how many requests of clients are in flight at a target
+     * @param inFlight returns how many client requests are in flight to a target
      */
     OptionalInt pick(IntUnaryOperator inFlight);
 
-    /** Whether new requests are sent to a target. */
+    /** Returns whether new requests are sent to a target. */
     boolean isOpen(int target);
 
-    /** A client could not connect to a target or got no response from it. */
+    /** Reports that a client could not connect to a target or received no response from it. */
     void reportUnreachable(int target);
 }
--- a/src/main/java/lemondrift/lab/fleet/ClientTry.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientTry.java
@@ -8,21 +8,24 @@
 import lemondrift.model.Idempotency;
 
 /**
- * One try of a client's request: from the pick of a target to the response, or until the client
+ * One try of a client's request: from the pick of a target until the response arrives or the client
  * stops waiting. I/O thread only.
  */
 final class ClientTry implements HttpConnection.Listener {
-    /** How many targets one try may pick, where each is unreachable. */
+    /**
+     * How many targets one try may pick, if each is unreachable or, without proxies, rejects the
+     * request.
+     */
     private static final int MAX_TARGETS = 5;
 
-    /** Without proxies the recorder counts all requests with the first. */
+    /** Without proxies, the recorder attributes all requests to the first proxy. */
     private static final int FIRST_PROXY = 0;
 
     private static final byte[] REQUEST_BODY = "what".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] NO_BODY = {};
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** Where "HTTP/1.1 " ends and the status begins in the head of a response. */
+    /** The index of the status code in the head of a response, after "HTTP/1.1 ". */
     private static final int STATUS_START = 9;
 
     private static final int STATUS_END = 12;
@@ -40,16 +43,20 @@
     private boolean inFlight;
     private boolean ended;
 
-    /** Whether it was sent again because its connection was closed as it was sent. */
+    /**
+     * Whether the request was sent again because its connection was closed while it was being sent.
+     */
     private boolean resent;
 
-    /** Null until it is sent for the first time. */
+    /** Null until the request is sent for the first time. */
     private OutcomeRecorder.PendingRequest pending;
 
-    /** Null until it is sent for the first time. */
+    /** Null until the request is sent for the first time. */
     private Scheduler.Entry timeout;
 
-    /** The connection on which it was sent last; null until it is sent for the first time. */
+    /**
+     * The connection on which the request was last sent; null until it is sent for the first time.
+     */
     private HttpConnection connection;
 
     ClientTry(
@@ -68,13 +75,16 @@
         this.traceId = traceId;
     }
 
-    /** Sends it on a connection that is open. */
+    /** Sends the request on an open connection to a target. */
     void startOn(HttpConnection openConnection, int targetOfConnection) {
         target = targetOfConnection;
         send(openConnection);
     }
 
-    /** Picks a target and sends it there. */
+    /**
+     * Picks a target and sends the request to it. If no target can be picked, the request is
+     * retried later or given up.
+     */
     void start() {
         OptionalInt picked = targets.pick(fleet::inFlightCount);
         if (picked.isEmpty() || ++targetsTried > MAX_TARGETS) {
@@ -99,7 +109,8 @@
             targets.reportUnreachable(target);
             start();
         } else {
-            // It was sent as its connection was closed, and there is no other one to the target.
+            // The request was sent on a connection that was closed, and no other connection could
+            // be established.
             endWithoutResponse();
         }
     }
@@ -213,8 +224,8 @@
     @Override
     public void onClosed(HttpConnection closedConnection) {
         connections.removeListener(connection);
-        // Guards against repeating what a killed proxy may have had executed: its connections were
-        // not closed as idle ones.
+        // Guards against resending a request that a killed proxy may already have sent to a
+        // backend: its connections were not closed because they were idle.
         boolean closedWhileIdle =
                 closedConnection.hasReceivedMessage()
                         && !targets.areBackends()
@@ -226,7 +237,10 @@
         }
     }
 
-    /** Sends it once more: an idle connection may be closed just as a request is sent on it. */
+    /**
+     * Sends the request once more: a proxy may close an idle connection while a request is being
+     * sent on it.
+     */
     private void resend() {
         resent = true;
         if (!targets.isOpen(target)) {
@@ -258,7 +272,7 @@
         ended = true;
         uncountInFlight();
         timeout.cancel();
-        // An attempt may still be in flight for it.
+        // An attempt of this request may still be in flight.
         context.scheduler()
                 .after(
                         2 * clientRequest.requestClass.timeoutSeconds()
--- a/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
+++ b/src/main/java/lemondrift/lab/fleet/DatagramRelay.java
@@ -19,9 +19,9 @@
 import org.xnio.IoUtils;
 
 /**
- * Relays the datagrams between proxies through the faults that fall on them. It has one socket for
- * each proxy: datagrams that come there are for that proxy, and those that the proxy has sent leave
- * from there. It has a thread of its own.
+ * Relays the datagrams between proxies and applies the active faults to them. It has one socket for
+ * each proxy: on this socket it receives the datagrams to that proxy, and from this socket it
+ * forwards the datagrams that the proxy has sent. Runs on its own thread.
  */
 final class DatagramRelay implements AutoCloseable {
     /** The time between two junk datagrams to each proxy, and the longest wait of the thread. */
@@ -30,7 +30,7 @@
     /** Junk datagrams are shorter than this. */
     private static final int MAX_JUNK_BYTES = 600;
 
-    /** The rest of a longer datagram is cut off. */
+    /** The size of the receive buffer; a longer datagram is truncated. */
     private static final int MAX_DATAGRAM_BYTES = 2048;
 
     /** The first byte of a gossip message. */
@@ -38,7 +38,10 @@
 
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** A datagram that a fault delays; of two for the same time the earlier one goes first. */
+    /**
+     * A datagram that is delayed by a fault. Datagrams that are due at the same time are delivered
+     * in the order of their arrival.
+     */
     private record DelayedDatagram(double dueAt, long order, int from, int to, byte[] datagram)
             implements Comparable<DelayedDatagram> {
         @Override
@@ -50,7 +53,7 @@
 
     private final TestbedContext context;
 
-    /** Where each proxy itself listens. */
+    /** The address at which each proxy listens for datagrams. */
     private final List<InetSocketAddress> proxyAddresses;
 
     private final Map<SocketAddress, Integer> proxyByAddress = new HashMap<>();
@@ -78,10 +81,10 @@
     private volatile boolean closed;
 
     /**
-     * Starts to relay.
+     * Starts the relay.
      *
-     * @param proxyAddresses where each proxy listens for datagrams
-     * @throws IOException where a socket cannot be opened
+     * @param proxyAddresses the address at which each proxy listens for datagrams, by proxy number
+     * @throws IOException if a socket cannot be opened
      */
     DatagramRelay(TestbedContext context, List<InetSocketAddress> proxyAddresses)
             throws IOException {
@@ -104,17 +107,17 @@
         thread.start();
     }
 
-    /** Where other proxies send what is for a proxy. */
+    /** Returns the address to which other proxies send their datagrams to a proxy. */
     InetSocketAddress address(int proxy) throws IOException {
         return (InetSocketAddress) sockets[proxy].getLocalAddress();
     }
 
-    /** How many datagrams a proxy has sent. Any thread. */
+    /** Returns how many datagrams a proxy has sent. Any thread. */
     long sentDatagrams(int proxy) {
         return sentDatagrams.get(proxy);
     }
 
-    /** How many bytes a proxy has sent. Any thread. */
+    /** Returns how many bytes a proxy has sent. Any thread. */
     long sentBytes(int proxy) {
         return sentBytes.get(proxy);
     }
@@ -126,7 +129,8 @@
                 deliverDue();
                 sendJunkWhenDue();
             } catch (IOException e) {
-                // Like a network that loses datagrams: the run goes on, and its figures show it.
+                // Handled like datagram loss in a network: the run continues, and its results show
+                // the effect.
             }
         }
     }
@@ -172,7 +176,7 @@
                 source = sockets[receiver].receive(buffer.clear());
             }
         } catch (IOException e) {
-            // Like a network that loses datagrams, as above.
+            // Handled like datagram loss in a network, as in run().
         }
     }
 
@@ -220,11 +224,14 @@
         try {
             socket.send(ByteBuffer.wrap(datagram), proxyAddresses.get(to));
         } catch (IOException e) {
-            // Nobody listens there: lost, as on any network.
+            // No process listens at the address: the datagram is lost, as in any network.
         }
     }
 
-    /** Sends what no proxy has sent, from the address of a proxy or from a foreign one. */
+    /**
+     * Sends random bytes to each proxy that a junk fault affects, from the address of a proxy or
+     * from a foreign address.
+     */
     private void sendJunk(FaultPlan.DrawnFault fault) {
         byte[] datagram = new byte[random.nextInt(MAX_JUNK_BYTES)];
         random.nextBytes(datagram);
--- a/src/main/java/lemondrift/lab/fleet/DiscoveryAgent.java
+++ b/src/main/java/lemondrift/lab/fleet/DiscoveryAgent.java
@@ -15,8 +15,8 @@
 import org.xnio.StreamConnection;
 
 /**
- * The discovery agent of one proxy: knows the changes that it has received so far, and sends them
- * to its proxy. I/O thread only.
+ * The discovery agent of one proxy. It stores the endpoint changes that it has received and sends
+ * them to its proxy. I/O thread only.
  */
 final class DiscoveryAgent implements HttpConnection.Listener {
     private static final Pattern WATCH_REQUEST =
@@ -24,7 +24,10 @@
 
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** Keeps two changes that would be received at the same time in order. */
+    /**
+     * The least time between two received changes; keeps changes in order that would otherwise be
+     * received at the same time.
+     */
     private static final double MIN_SECONDS_BETWEEN_CHANGES = 1e-4;
 
     private final TestbedContext context;
@@ -34,7 +37,7 @@
     private final Set<HttpConnection> connections = new HashSet<>();
     private double latestReceiveAt;
 
-    /** The connection on which the proxy waits for the next change. */
+    /** The connection on which the proxy waits for the next change; empty if it does not wait. */
     private Optional<HttpConnection> watching = Optional.empty();
 
     /** The revision that the waiting proxy has. */
@@ -52,7 +55,10 @@
         connections.add(new HttpConnection(stream, this));
     }
 
-    /** Receives a change at a time, or after all that it receives earlier. */
+    /**
+     * Schedules the receipt of a change for a time in seconds of the scheduler, but after all
+     * changes that were scheduled before.
+     */
     void receiveAt(double time, EndpointChange change) {
         latestReceiveAt = Math.max(latestReceiveAt + MIN_SECONDS_BETWEEN_CHANGES, time);
         context.scheduler().at(latestReceiveAt, () -> receive(change));
@@ -94,7 +100,7 @@
         watchTimeout.cancel();
     }
 
-    /** Sends when the faults of the network between agent and proxy let it. */
+    /** Sends when the faults of the network between agent and proxy allow it. */
     private void sendThroughFaults(HttpConnection connection, Runnable send) {
         double now = context.scheduler().now();
         double cutUntil = context.faultPlan().discoveryCutUntil(proxy, now);
@@ -140,7 +146,10 @@
                         list.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** The whole endpoint list as this agent knows it, in the protocol's JSON. */
+    /**
+     * Returns the complete endpoint list as known to this agent, in the JSON of the discovery
+     * protocol.
+     */
     String fullListJson() {
         return listWriter.writeFullList(proxy, received.size(), endpoints());
     }
--- a/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
+++ b/src/main/java/lemondrift/lab/fleet/DiscoveryAgents.java
@@ -13,21 +13,24 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The discovery agents, one for each proxy. Each receives every change after a delay of its own.
- * I/O thread only.
+ * The discovery agents, one for each proxy. Each agent receives every change after its own random
+ * delay. I/O thread only.
  */
 final class DiscoveryAgents implements AutoCloseable {
     private static final OptionMap SERVER_OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
-    /** An agent's delay is drawn from half the scenario's to half as much again. */
+    /**
+     * The smallest delay of an agent, as a share of the scenario's mean delay; the largest share is
+     * greater by 1.
+     */
     private static final double MIN_DELAY_SHARE = 0.5;
 
     private final TestbedContext context;
 
-    /** By the proxy's number. */
+    /** Indexed by proxy number. */
     private final List<DiscoveryAgent> agents = new ArrayList<>();
 
-    /** By the proxy's number. */
+    /** Indexed by proxy number. */
     private final List<AcceptingChannel<StreamConnection>> servers = new ArrayList<>();
 
     private double silentUntil;
@@ -35,7 +38,7 @@
     /**
      * Starts all agents.
      *
-     * @throws IOException where an address cannot be bound
+     * @throws IOException if an address cannot be bound
      */
     DiscoveryAgents(TestbedContext context, BackendFleet backendFleet) throws IOException {
         this.context = context;
@@ -54,17 +57,25 @@
         }
     }
 
-    /** Where a proxy finds its agent. */
+    /** Returns the address at which a proxy reaches its agent. */
     InetSocketAddress address(int proxy) {
         return servers.get(proxy).getLocalAddress(InetSocketAddress.class);
     }
 
-    /** The endpoint list that a proxy is started with, as its agent knows it. */
+    /**
+     * Returns the endpoint list with which a proxy is started, as known to its agent, in the JSON
+     * of the discovery protocol.
+     */
     String fullListJson(int proxy) {
         return agents.get(proxy).fullListJson();
     }
 
-    /** Sends a change to all agents; 0 for a backend that was up from the beginning. */
+    /**
+     * Sends a change to all agents.
+     *
+     * @param upSinceMillis when the backend started, in milliseconds of Unix time; 0 if it has been
+     *     up since the beginning
+     */
     void announce(int backend, EndpointUpdate.State state, long upSinceMillis) {
         EndpointChange change = new EndpointChange(backend, state, upSinceMillis);
         double meanDelaySeconds = context.scenario().discoveryDelaySeconds();
@@ -75,7 +86,7 @@
         }
     }
 
-    /** Holds all later changes back for some time. */
+    /** Delays all later changes until a number of seconds has passed. */
     void silence(double seconds) {
         silentUntil = Math.max(silentUntil, context.scheduler().now() + seconds);
     }
--- a/src/main/java/lemondrift/lab/fleet/EndpointListWriter.java
+++ b/src/main/java/lemondrift/lab/fleet/EndpointListWriter.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 import lemondrift.model.EndpointUpdate;
 
-/** Writes endpoint lists as the discovery protocol has them, in JSON. */
+/** Writes endpoint lists in the JSON of the discovery protocol. */
 final class EndpointListWriter {
     private final BackendFleet backendFleet;
     private final int locationCount;
@@ -15,12 +15,15 @@
         this.locationCount = locationCount;
     }
 
-    /** Writes the whole list, with the addresses at which a proxy finds the backends. */
+    /** Writes the complete list, with the addresses at which a proxy reaches the backends. */
     String writeFullList(int proxy, int revision, List<EndpointChange> endpoints) {
         return writeList(proxy, revision, true, endpoints);
     }
 
-    /** Writes the changes since an earlier revision. */
+    /**
+     * Writes the changes since an earlier revision, with the addresses at which a proxy reaches the
+     * backends.
+     */
     String writeChanges(int proxy, int revision, List<EndpointChange> changes) {
         return writeList(proxy, revision, false, changes);
     }
--- a/src/main/java/lemondrift/lab/fleet/FaultPlan.java
+++ b/src/main/java/lemondrift/lab/fleet/FaultPlan.java
@@ -15,19 +15,24 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The faults of one day, with the proxies and backends that each falls on, which are drawn before
- * the day starts. Immutable, so any thread may ask. Proxies that meet the same faults towards
- * backends are of one segment.
+ * The faults of one run, and the proxies and backends that each fault affects, which are drawn
+ * before the run starts. Immutable, so any thread may use it. Proxies with the same faults on their
+ * way to the backends belong to the same segment.
  */
 final class FaultPlan {
-    /** One fault, and whether it falls on the sender and the receiver of each number. */
+    /**
+     * A fault and the senders and receivers that it affects.
+     *
+     * @param from whether the fault affects the sender with the index as its number
+     * @param to whether the fault affects the receiver with the index as its number
+     */
     record DrawnFault(Fault fault, boolean[] from, boolean[] to) {
         boolean affects(int sender, int receiver) {
             return (from[sender] && to[receiver])
                     || (fault.bidirectional() && from[receiver] && to[sender]);
         }
 
-        /** The numbers of the proxies that it falls on, for a fault of processes. */
+        /** Returns the numbers of the proxies that a fault of processes affects. */
         int[] affectedProxies() {
             return IntStream.range(0, from.length).filter(proxy -> from[proxy]).toArray();
         }
@@ -37,7 +42,7 @@
         }
     }
 
-    /** The time at which the day starts. */
+    /** The time at which the run starts, in seconds of the scheduler. */
     private final double runStart;
 
     private final List<DrawnFault> drawnFaults = new ArrayList<>();
@@ -49,10 +54,12 @@
     private final int[] firstProxies;
 
     /**
-     * Draws the faults. The location of a proxy or backend is its number modulo the locations.
+     * Draws the proxies and backends that the faults affect. The location of a proxy or backend is
+     * its number modulo the number of locations.
      *
-     * @param separateSegments whether each proxy is a segment of its own
-     * @param runStart the time from which the faults' times count
+     * @param separateSegments whether each proxy forms its own segment
+     * @param runStart the time from which the times of the faults count, in seconds of the
+     *     scheduler
      */
     FaultPlan(
             List<Fault> faults,
@@ -104,7 +111,7 @@
         return firstProxies.length;
     }
 
-    /** The segment that a proxy belongs to. */
+    /** Returns the segment that a proxy belongs to. */
     int segmentOf(int proxy) {
         return segments[proxy];
     }
@@ -117,19 +124,19 @@
         return drawn.fault.isActiveAt(now - runStart);
     }
 
-    /** The faults that fall on processes. */
+    /** Returns the faults of processes. */
     List<DrawnFault> processFaults() {
         return drawnFaults.stream().filter(drawn -> drawn.fault.kind().isProcessFault()).toList();
     }
 
-    /** The active faults that send datagrams which no proxy has sent. */
+    /** Returns the active faults that send junk datagrams, which no proxy has sent. */
     List<DrawnFault> activeJunkFaults(double now) {
         return drawnFaults.stream()
                 .filter(drawn -> drawn.fault.kind() == Fault.Kind.JUNK && isActive(drawn, now))
                 .toList();
     }
 
-    /** The active faults of a datagram from one proxy to another. */
+    /** Returns the active faults that affect a datagram from one proxy to another. */
     List<Fault> activeDatagramFaults(int sender, int receiver, double now) {
         List<Fault> active = new ArrayList<>();
         for (DrawnFault drawn : drawnFaults) {
@@ -142,12 +149,18 @@
         return active;
     }
 
-    /** Until when nothing gets from a segment's proxies to a backend; now where it is not cut. */
+    /**
+     * Returns the time until which no message passes between a segment's proxies and a backend; the
+     * present time if none of them is blocked.
+     */
     double backendCutUntil(int segment, int backend, double now) {
         return cutUntil(Fault.Channel.BACKENDS, now, affectsBackend(segment, backend));
     }
 
-    /** By how much a message from a segment's proxies to a backend is late. */
+    /**
+     * Returns by how many seconds a message from a segment's proxies to a backend is delayed; 0 if
+     * it is not.
+     */
     double backendDelaySeconds(int segment, int backend, double now) {
         return delaySeconds(Fault.Channel.BACKENDS, now, affectsBackend(segment, backend));
     }
@@ -156,12 +169,18 @@
         return drawn -> drawn.from[firstProxies[segment]] && drawn.to[backend];
     }
 
-    /** Until when a proxy gets nothing from its discovery agent; now where it is not cut. */
+    /**
+     * Returns the time until which a proxy receives nothing from its discovery agent; the present
+     * time if it is not blocked.
+     */
     double discoveryCutUntil(int proxy, double now) {
         return cutUntil(Fault.Channel.DISCOVERY, now, drawn -> drawn.from[proxy]);
     }
 
-    /** By how much a message from a discovery agent to its proxy is late. */
+    /**
+     * Returns by how many seconds a message from a discovery agent to its proxy is delayed; 0 if it
+     * is not.
+     */
     double discoveryDelaySeconds(int proxy, double now) {
         return delaySeconds(Fault.Channel.DISCOVERY, now, drawn -> drawn.from[proxy]);
     }
@@ -194,7 +213,8 @@
     }
 
     /**
-     * One line on each fault and the numbers that it falls on; "no faults" where there are none.
+     * Returns one line for each fault with the numbers of the proxies that it affects; "no faults"
+     * if there are none.
      */
     String describe() {
         if (drawnFaults.isEmpty()) {
--- a/src/main/java/lemondrift/lab/fleet/FleetRun.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetRun.java
@@ -10,24 +10,27 @@
 import lemondrift.lab.simulation.RunResult;
 import lemondrift.settings.InvalidSettingsException;
 
-/** Plays an experiment on processes, and its baselines on the same testbed without them. */
+/** Executes an experiment on processes, and its baselines on the same testbed without processes. */
 public final class FleetRun {
     private FleetRun() {}
 
     /**
-     * Plays one day of each policy for each seed.
+     * Executes one run of each policy for each seed.
      *
-     * @param progress gets lines on how far it is, and on processes that did not end well
-     * @throws InvalidSettingsException where the experiment is not for processes
-     * @throws IOException where a socket cannot be opened
-     * @throws IllegalStateException where a day cannot be played to its end
+     * @param progress receives lines about the progress, and one line for each process that did not
+     *     exit normally
+     * @throws InvalidSettingsException if the experiment's host is not {@code processes}, the
+     *     machine has too little free memory, or a process cannot be started or signalled
+     * @throws IOException if a socket cannot be opened
+     * @throws IllegalStateException if a run cannot be completed
      */
     public static List<Experiment.Run> run(
             Experiment experiment, ProcessLauncher launcher, Consumer<String> progress)
             throws IOException, InterruptedException {
         if (experiment.host() != Experiment.Host.PROCESSES) {
             throw new InvalidSettingsException(
-                    experiment.name() + ": host is not \"processes\"; lab run plays it");
+                    experiment.name()
+                            + ": host must be \"processes\"; use \"lab run\" for this experiment");
         }
         List<Experiment.Run> runs = new ArrayList<>();
         for (String policy : experiment.policies()) {
@@ -74,8 +77,8 @@
     }
 
     /**
-     * Writes a line for each second: priority weight served and servable as shares of what was
-     * requested, the share of backends idle, and how many requests were rejected.
+     * Formats one line for each second: the served and the servable priority weight as shares of
+     * the requested weight, the share of idle backends, and the number of rejected requests.
      */
     public static String formatSeconds(RunResult result) {
         StringBuilder text = new StringBuilder();
@@ -103,7 +106,7 @@
                 "bytes_s", "core", "MB");
     }
 
-    /** Writes one line of the table; its head where there is no result. */
+    /** Formats one line of the table; its header if the result is null. */
     public static String formatRow(
             String policy, String seed, RunResult result, int proxies, double runSeconds) {
         if (result == null) {
--- a/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetTestbed.java
@@ -24,32 +24,38 @@
 import org.xnio.XnioWorker;
 
 /**
- * Real proxy processes, or clients that pick a backend themselves, with all that is around them:
- * clients, backends, discovery and the network between. Plays one day after the other on the same
- * processes; docs/lab.md says how it is judged.
+ * A testbed with clients, backends, discovery and the network between them, and with real proxy
+ * processes or with clients that pick a backend themselves. Executes runs one after another on the
+ * same processes; docs/lab.md describes how they are checked.
  *
- * <p>Its methods wait for the I/O thread and the process thread, so neither of these may call them.
+ * <p>The methods wait for the I/O thread and the process thread, so they must not be called on
+ * these threads. If a task on one of these threads has failed, the next method that waits throws an
+ * exception.
  */
 public final class FleetTestbed implements AutoCloseable {
-    /** How long there is traffic before the first day counts. */
+    /** How long traffic runs before the first run is measured. */
     private static final double FIRST_WARM_UP_SECONDS = 5;
 
-    /** How long there is traffic before another day counts. */
+    /** How long traffic runs before each later run is measured. */
     private static final double NEXT_WARM_UP_SECONDS = 0.5;
 
-    /** Up to so many pairs of proxy and backend, each proxy has a network path of its own. */
+    /** The number of pairs of proxy and backend up to which each proxy has its own network path. */
     private static final int MAX_SEPARATE_PATHS = 128;
 
-    /** Clients without proxies are judged by none. */
+    /** Clients without proxies are checked against no rules. */
     private static final int NO_RULES = 0;
 
-    /** How long the I/O thread has to close all connections at the end. */
+    /** The time within which the I/O thread must close all connections at the end. */
     private static final int CLOSE_TIMEOUT_SECONDS = 1;
 
-    /** What one day came to; the rule is the first that was broken, empty where all were kept. */
+    /**
+     * The outcome of one run.
+     *
+     * @param brokenRule a description of the first broken rule; empty if all rules were kept
+     */
     public record RunOutcome(RunResult result, Optional<String> brokenRule) {}
 
-    /** Makes what stands between the clients and the backends. */
+    /** Creates the proxies of a testbed, or their substitute in a testbed without proxies. */
     private interface ProxiesFactory {
         TestbedProxies create(TestbedContext context, BackendFleet backendFleet) throws IOException;
     }
@@ -79,7 +85,7 @@
         this.seed = seed;
         this.progress = progress;
         scenario = experiment.day(seed);
-        // Before the first day nothing goes wrong.
+        // Before the first run no fault is active.
         faultPlan = drawFaults(experiment.faults(), Double.POSITIVE_INFINITY);
         context = TestbedContext.create(scenario, seed, checkedRules, () -> faultPlan);
         backendFleet = new BackendFleet(context, experiment.maxConnectionsPerBackend());
@@ -104,10 +110,12 @@
     }
 
     /**
-     * Composes a testbed with proxies; its sockets are open then, and no process is started yet.
+     * Creates a testbed with proxies. Opens its sockets, but starts no process.
      *
-     * @param progress gets lines on how far it is, on the caller's thread
-     * @throws IOException where a socket cannot be opened
+     * @param progress receives lines about the progress, on the caller's thread
+     * @throws IOException if a socket cannot be opened
+     * @throws lemondrift.settings.InvalidSettingsException if the machine has too little free
+     *     memory for the processes
      */
     public static FleetTestbed withProxies(
             Experiment experiment, long seed, ProcessLauncher launcher, Consumer<String> progress)
@@ -122,10 +130,10 @@
     }
 
     /**
-     * Composes a testbed whose clients pick a backend as a policy does, without proxies.
+     * Creates a testbed without proxies, whose clients pick a backend by a policy.
      *
-     * @param progress gets lines on how far it is, on the caller's thread
-     * @throws IOException where a socket cannot be opened
+     * @param progress receives lines about the progress, on the caller's thread
+     * @throws IOException if a socket cannot be opened
      */
     public static FleetTestbed withoutProxies(
             Experiment experiment, long seed, Baseline.Kind policy, Consumer<String> progress)
@@ -150,7 +158,7 @@
                 runStart);
     }
 
-    /** What a fault of a backend does beside what it does to the backend itself. */
+    /** Applies the effects of a backend's faults on discovery, sockets and connections. */
     private final class BackendFaultHost implements BackendFaultInjector.Host {
         private final long[] upSinceMillis = new long[scenario.backends()];
 
@@ -181,25 +189,31 @@
     }
 
     /**
-     * Starts all proxies and returns when they are ready.
+     * Starts all proxies and waits until they are ready.
      *
-     * @throws IllegalStateException where one ends, or is not ready in time
+     * @throws IllegalStateException if a proxy ends or is not ready in time
+     * @throws lemondrift.settings.InvalidSettingsException if a process cannot be started
      */
     public void start() throws InterruptedException {
         proxies.start(progress);
     }
 
-    /** Plays the experiment's day; throws as the other {@link #run(List, List, double)} does. */
+    /**
+     * Executes a run with the experiment's faults and duration, as {@link #run(List, List, double)}
+     * does, and throws the same exceptions.
+     */
     public RunOutcome run() throws InterruptedException {
         return run(scenario.backendFaults(), experiment.faults(), scenario.durationSeconds());
     }
 
     /**
-     * Plays a day, and waits until all requests have ended and all proxies are back.
+     * Executes a run, then waits until all requests have ended and all proxies are open again.
      *
-     * @param backendFaults of the backends, the traffic and discovery
-     * @param faults of processes and between them
-     * @throws IllegalStateException where something takes too long or fails
+     * @param backendFaults the faults of the backends, the traffic and discovery
+     * @param faults the faults of processes and of the channels between them
+     * @throws IllegalStateException if a step takes too long or fails
+     * @throws lemondrift.settings.InvalidSettingsException if a process cannot be started or
+     *     signalled, or if the policy of a testbed without proxies is not supported
      */
     public RunOutcome run(
             List<BackendFault> backendFaults, List<Fault> faults, double durationSeconds)
@@ -214,7 +228,10 @@
                 new TestbedRunner.MeasuredRun(startAt, durationSeconds, backendFaults, plan));
     }
 
-    /** Lets so many idle clients connect to each proxy, again and again until the end. */
+    /**
+     * Connects idle clients to each proxy. They disconnect and reconnect until the testbed is
+     * closed.
+     */
     public void connectIdleClients(int countPerProxy) throws InterruptedException {
         context.scheduler()
                 .run(
@@ -227,27 +244,47 @@
                         });
     }
 
-    /** Where a proxy listens for clients. */
+    /**
+     * Returns the address at which a proxy listens for clients.
+     *
+     * @throws IllegalStateException if the testbed has no proxies
+     */
     InetSocketAddress listenAddress(int proxy) {
         return proxies.listenAddress(proxy);
     }
 
-    /** Where the proxies' configurations and logs are, by the names of the proxies. */
+    /**
+     * Returns the folder with the proxies' configurations and logs, whose file names start with the
+     * names of the proxies.
+     */
     Path folder() {
         return context.folder();
     }
 
-    /** Lets a proxy read its configuration again, as SIGHUP does. */
+    /**
+     * Sends SIGHUP to a proxy, which then reloads its configuration.
+     *
+     * @throws IllegalStateException if the testbed has no proxies
+     */
     void reload(int proxy) {
         proxies.reload(proxy);
     }
 
-    /** Runs a task on the thread on which processes are started, signalled and measured. */
+    /**
+     * Runs a task on the thread on which processes are started, signalled and measured, without
+     * waiting for it.
+     *
+     * @throws IllegalStateException if the testbed has no proxies
+     */
     void runOnProcessThread(Runnable task) {
         proxies.runOnProcessThread(task);
     }
 
-    /** Stops all processes with SIGTERM; returns a line on each that did not end well. */
+    /**
+     * Stops all processes with SIGTERM and waits for their end.
+     *
+     * @return one line for each process that did not exit normally; empty if there is none
+     */
     public List<String> stop() throws InterruptedException {
         return proxies.stop();
     }
@@ -279,7 +316,7 @@
         try (Stream<Path> files = Files.walk(folder())) {
             files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
         } catch (IOException | UncheckedIOException e) {
-            progress.accept("left behind: " + folder());
+            progress.accept("could not delete " + folder());
         }
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/HttpConnection.java
+++ b/src/main/java/lemondrift/lab/fleet/HttpConnection.java
@@ -23,23 +23,30 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * One connection, of a client or of a server, that carries HTTP/1.1 messages with a Content-Length.
- * Only the testbed's own clients, backends and discovery agents use it, so it supports no more of
- * HTTP than they send. I/O thread only.
+ * A client or server connection that carries HTTP/1.1 messages with a Content-Length. Only the
+ * testbed's own clients, backends and discovery agents use it, so it supports only the part of HTTP
+ * that they need. I/O thread only.
  */
 final class HttpConnection {
     /** Receives the events of a connection. */
     interface Listener {
-        /** A whole message has come: its first line and fields as they came, and its body. */
+        /**
+         * Called when a complete message has arrived.
+         *
+         * @param head the start line and header fields as received, without the final empty line
+         */
         void onMessage(HttpConnection connection, String head, byte[] body);
 
-        /** The other side closed the connection or it failed; not called after {@link #close}. */
+        /**
+         * Called when the other side has closed the connection or it has failed; not called after
+         * {@link #close}.
+         */
         void onClosed(HttpConnection connection);
     }
 
     private static final byte[] END_OF_HEAD = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** How much is read at once. */
+    /** The size of the buffer for one read. */
     private static final int READ_BUFFER_BYTES = 8192;
 
     /** A longer head closes the connection. */
@@ -48,7 +55,7 @@
     /** A longer body closes the connection. */
     private static final int MAX_BODY_BYTES = 1 << 20;
 
-    /** Stands for nothing that is unsent; it has no bytes, so that it can be shared. */
+    /** Used when nothing is unsent; it can be shared because it has no bytes. */
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
     private static final OptionMap NO_DELAY = OptionMap.create(Options.TCP_NODELAY, true);
@@ -61,7 +68,7 @@
     private boolean closed;
     private boolean messageReceived;
 
-    /** Starts to read from a connection that is established. */
+    /** Starts to read from an established connection. */
     HttpConnection(StreamConnection stream, Listener listener) {
         this.stream = stream;
         this.listener = listener;
@@ -73,8 +80,8 @@
     }
 
     /**
-     * Opens a connection to a server. The callback gets it on the I/O thread, or nothing where it
-     * cannot be established.
+     * Opens a connection to a server. The callback receives the connection on the I/O thread, or an
+     * empty optional if it cannot be established.
      */
     static void open(
             XnioIoThread ioThread,
@@ -101,14 +108,14 @@
         try {
             ioThread.execute(() -> callback.accept(Optional.empty()));
         } catch (RejectedExecutionException e) {
-            // The testbed is closing, and nobody waits for the connection any more.
+            // The testbed is closing, so the result is no longer needed.
         }
     }
 
     /**
-     * Listens at an address, and hands each accepted connection to a callback on the I/O thread.
+     * Listens on an address and passes each accepted connection to a callback on the I/O thread.
      *
-     * @throws IOException where the address cannot be bound
+     * @throws IOException if the address cannot be bound
      */
     static AcceptingChannel<StreamConnection> listen(
             XnioWorker worker,
@@ -168,7 +175,12 @@
     private static int parseBodyLength(String head) throws IOException {
         int length = findField(head, "content-length").map(Integer::parseInt).orElse(0);
         if (length > MAX_BODY_BYTES) {
-            throw new IOException("a body of " + length + " bytes");
+            throw new IOException(
+                    "the body has "
+                            + length
+                            + " bytes, at most "
+                            + MAX_BODY_BYTES
+                            + " are allowed");
         }
         return length;
     }
@@ -183,12 +195,15 @@
             }
         }
         if (bytes.length > MAX_HEAD_BYTES) {
-            throw new IOException("a head without an end");
+            throw new IOException("the head has no end within " + MAX_HEAD_BYTES + " bytes");
         }
         return OptionalInt.empty();
     }
 
-    /** Reads a field of a head by its name in lower case. */
+    /**
+     * Returns the value of a header field, found by its name in lower case; empty if the head has
+     * no such field.
+     */
     static Optional<String> findField(String head, String name) {
         for (int lineEnd = head.indexOf("\r\n");
                 lineEnd >= 0;
@@ -204,7 +219,11 @@
         return Optional.empty();
     }
 
-    /** Encodes a message: its first line and fields without the final empty line, and its body. */
+    /**
+     * Encodes a message and adds its Content-Length.
+     *
+     * @param head the start line and header fields without the final empty line
+     */
     static byte[] encodeMessage(String head, byte[] body) {
         byte[] headBytes =
                 (head + "\r\nContent-Length: " + body.length + "\r\n\r\n")
@@ -215,7 +234,9 @@
         return message;
     }
 
-    /** Sends a message after those that are not sent yet; nothing where it is closed. */
+    /**
+     * Sends a message after those that are not sent yet; does nothing if the connection is closed.
+     */
     void write(byte[] message) {
         if (closed) {
             return;
@@ -251,7 +272,10 @@
         }
     }
 
-    /** Whether a message has come on it, so that its close may cross a request on its way. */
+    /**
+     * Returns whether a message has been received on the connection. If so, the other side may
+     * close it as idle while a request is being sent on it.
+     */
     boolean hasReceivedMessage() {
         return messageReceived;
     }
--- a/src/main/java/lemondrift/lab/fleet/IdleClient.java
+++ b/src/main/java/lemondrift/lab/fleet/IdleClient.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * A client that only occupies a connection of a proxy: it connects, sends nothing or half a
+ * A client that only occupies a connection to a proxy: it connects, sends nothing or half a
  * request, waits, disconnects, and connects again. I/O thread only.
  */
 final class IdleClient implements HttpConnection.Listener {
@@ -23,7 +23,7 @@
     private Optional<HttpConnection> latestConnection = Optional.empty();
     private volatile boolean stopped;
 
-    /** Connects for the first time after a while. */
+    /** Schedules the first connection after a random delay. */
     IdleClient(TestbedContext context, InetSocketAddress proxy) {
         this.context = context;
         this.proxy = proxy;
@@ -73,7 +73,7 @@
 
     @Override
     public void onMessage(HttpConnection connection, String head, byte[] body) {
-        // It sent no whole request, so that a response changes nothing.
+        // The client has sent no complete request, so a response is ignored.
     }
 
     @Override
@@ -81,7 +81,7 @@
         connectLater();
     }
 
-    /** Does not connect again. Any thread. */
+    /** Prevents further connections. Any thread. */
     void stop() {
         stopped = true;
     }
--- a/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
+++ b/src/main/java/lemondrift/lab/fleet/LoopbackAddresses.java
@@ -8,11 +8,11 @@
 import java.net.UnknownHostException;
 
 /**
- * Addresses of the loopback network. Each listener has one of its own, so that no outgoing
- * connection can take its port while it is down.
+ * Addresses of the loopback network. Each listener has its own address, so that no outgoing
+ * connection can take its port while the listener is down.
  */
 final class LoopbackAddresses {
-    /** What the addresses of one range are for. */
+    /** The purpose of a range of addresses. */
     enum Range {
         PROXIES(8),
         DISCOVERY(9),
@@ -25,7 +25,7 @@
         }
     }
 
-    /** All addresses of the loopback network start with it. */
+    /** The first byte of all addresses of the loopback network. */
     private static final byte LOOPBACK_FIRST_BYTE = 127;
 
     /** How many values of the third and of the fourth byte are used. */
@@ -33,7 +33,7 @@
 
     private LoopbackAddresses() {}
 
-    /** The address of a listener by its number in its range. */
+    /** Returns the address of a listener by its number in its range. */
     static InetAddress address(Range range, int number) {
         int secondByte = range.secondByte + number / (VALUES_PER_BYTE * VALUES_PER_BYTE);
         int rest = number % (VALUES_PER_BYTE * VALUES_PER_BYTE);
@@ -50,21 +50,21 @@
         }
     }
 
-    /** Finds a TCP port of a host at which nobody listens at the moment. */
+    /** Finds a TCP port of a host on which no socket listens at the moment. */
     static InetSocketAddress findFreeTcpPort(InetAddress host) throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, host)) {
             return new InetSocketAddress(host, socket.getLocalPort());
         }
     }
 
-    /** Finds a UDP port of a host at which nobody listens at the moment. */
+    /** Finds a UDP port of a host to which no socket is bound at the moment. */
     static InetSocketAddress findFreeUdpPort(InetAddress host) throws IOException {
         try (DatagramSocket socket = new DatagramSocket(new InetSocketAddress(host, 0))) {
             return new InetSocketAddress(host, socket.getLocalPort());
         }
     }
 
-    /** Writes an address as "host:port". */
+    /** Formats an address as "host:port". */
     static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/src/main/java/lemondrift/lab/fleet/NoProxies.java
+++ b/src/main/java/lemondrift/lab/fleet/NoProxies.java
@@ -6,7 +6,10 @@
 import lemondrift.lab.simulation.RunResult;
 import lemondrift.model.EndpointUpdate;
 
-/** Clients send their requests to the backends: nothing is started, and no fault of it falls. */
+/**
+ * The substitute for proxies in a testbed without them: clients send their requests to the
+ * backends, no process is started, and the faults of processes have no effect.
+ */
 final class NoProxies implements TestbedProxies {
     private final ClientTargets clientTargets;
 
@@ -45,17 +48,17 @@
 
     @Override
     public InetSocketAddress listenAddress(int proxy) {
-        throw new IllegalStateException("there are no proxies");
+        throw new IllegalStateException("this testbed has no proxies");
     }
 
     @Override
     public void runOnProcessThread(Runnable task) {
-        throw new IllegalStateException("there are no processes");
+        throw new IllegalStateException("this testbed has no proxy processes");
     }
 
     @Override
     public void reload(int proxy) {
-        throw new IllegalStateException("there are no processes");
+        throw new IllegalStateException("this testbed has no proxy processes");
     }
 
     @Override
--- a/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
+++ b/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
@@ -16,30 +16,36 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Records and judges what the clients, backends and discovery agents of the testbed have seen, and
- * nothing that a proxy says of itself. I/O thread only.
+ * Records the events that the clients, backends and discovery agents of the testbed observe, and
+ * checks them against the rules. It uses nothing that a proxy reports about itself. I/O thread
+ * only.
  */
 final class OutcomeRecorder {
-    /** How much later than at the proxy an event may be seen on a machine that is busy. */
+    /** How much later than the proxy the testbed may observe an event on a busy machine. */
     static final double SLACK_SECONDS = 1;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** Ten minutes; longer latencies count as this one. */
+    /** Ten minutes; longer latencies are recorded as this value. */
     private static final long MAX_LATENCY_MICROS = 600_000_000;
 
-    /** The significant digits to which latencies are kept. */
+    /** The number of significant digits of recorded latencies. */
     private static final int LATENCY_DIGITS = 3;
 
-    /** One request that a client has sent to a proxy, or to a backend where there are none. */
+    /**
+     * A request that a client has sent to a proxy, or to a backend in a testbed without proxies.
+     */
     static final class PendingRequest {
         final Request request;
         final int proxy;
 
-        /** Seconds of one core that it takes. */
+        /** The work of the request, in seconds of one warm core. */
         final double workSeconds;
 
-        /** Whether its client has stopped waiting while the proxy was unable to answer. */
+        /**
+         * Whether the client has stopped waiting for a response from a proxy that was unavailable
+         * at some time since it received the request.
+         */
         private boolean abandonedWhileUnavailable;
 
         private PendingRequest(Request request, int proxy, double workSeconds) {
@@ -55,7 +61,10 @@
     private final LoadEvenness evenness;
     private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
 
-    /** Until when each proxy was last known to be unable to answer. */
+    /**
+     * The time until which each proxy was last unavailable, in seconds of the clock; infinite while
+     * it is unavailable.
+     */
     private final double[] unavailableUntil;
 
     private RunResult result;
@@ -65,7 +74,12 @@
     private Optional<String> brokenRule = Optional.empty();
     private long requestCount;
 
-    /** Judges by the first rules, as many as stated; the clock is in seconds. */
+    /**
+     * Starts the results of the first run.
+     *
+     * @param checkedRules how many rules events are checked against, counted from the first
+     * @param clock returns the present time in seconds
+     */
     OutcomeRecorder(Scenario scenario, int checkedRules, DoubleSupplier clock) {
         this.scenario = scenario;
         this.clock = clock;
@@ -89,7 +103,9 @@
         startRun();
     }
 
-    /** Starts the figures anew; the rules are judged with all that went before. */
+    /**
+     * Starts the results of a new run. The rules are still checked with the events of earlier runs.
+     */
     void startRun() {
         runStart = now();
         evenness.startCounting(runStart);
@@ -105,23 +121,26 @@
         return clock.getAsDouble();
     }
 
-    /** The figures of the day so far. */
+    /** Returns the results of the run so far. */
     RunResult result() {
         return result;
     }
 
-    /** What was seen of the first broken rule; empty where all were kept. */
+    /** Returns a description of the first broken rule; empty if all rules were kept. */
     Optional<String> brokenRule() {
         return brokenRule;
     }
 
-    /** The second of the day that a time lies in; the first or last for a time outside of it. */
+    /**
+     * Returns the second of the run that contains a time; the first or last second if the time is
+     * outside the run.
+     */
     int secondOfRun(double time) {
         int lastSecond = result.requestedWeightPerSecond.length - 1;
         return (int) Math.max(0, Math.min(lastSecond, time - runStart));
     }
 
-    /** A client wants something now; returns the second of the day. */
+    /** Records that a client creates a request now; returns the second of the run. */
     int recordClientRequest(int requestClassIndex, double priorityWeight) {
         int second = secondOfRun(now());
         result.clientRequests++;
@@ -131,12 +150,15 @@
         return second;
     }
 
-    /** Adds how many requests the backends are able to serve now. */
+    /** Adds to the number of requests that the backends can serve in the present second. */
     void recordCapacity(double requests) {
         servableOracle.addCapacity(secondOfRun(now()), requests);
     }
 
-    /** Ends the measuring of the backends' load; clients may still be waiting. */
+    /**
+     * Ends the measurement of the backends' load and returns the results without latencies. Clients
+     * may still wait for responses.
+     */
     RunResult endRun() {
         System.arraycopy(
                 servableOracle.servableWeightBySecond(),
@@ -155,14 +177,20 @@
         return result;
     }
 
-    /** Adds the latencies, once all that clients wanted in the day has ended. */
+    /**
+     * Adds the latencies and returns the results. To be called when all requests of the run have
+     * ended.
+     */
     RunResult finishResult() {
         result.medianSeconds = latencyMicros.getValueAtPercentile(50) / MICROS_PER_SECOND;
         result.p99Seconds = latencyMicros.getValueAtPercentile(99) / MICROS_PER_SECOND;
         return result;
     }
 
-    /** Guards against a broken rule ending the run while proxies still run; keeps the first one. */
+    /**
+     * Checks an event against the rules. Guards against a broken rule that ends the run while
+     * proxies are still running: stores the description of the first broken rule instead.
+     */
     private void checkRules(Runnable event) {
         try {
             event.run();
@@ -171,7 +199,7 @@
         }
     }
 
-    /** A client sends a request for the first time. */
+    /** Records the first send of a request under a trace id. */
     PendingRequest recordFirstSend(
             String traceId, int proxy, int requestClassIndex, double workSeconds) {
         double timeoutSeconds =
@@ -184,17 +212,20 @@
         return pending;
     }
 
-    /** The request that a client has sent under a trace id; empty where none has. */
+    /**
+     * Returns the request that a client has sent with a trace id; empty if there is none or it was
+     * forgotten.
+     */
     Optional<PendingRequest> pendingRequest(String traceId) {
         return Optional.ofNullable(pendingRequests.get(traceId));
     }
 
-    /** An attempt of a request has arrived whole at a backend. */
+    /** Records that an attempt of a request has arrived completely at a backend. */
     Attempt recordAttempt(PendingRequest pending, int backend) {
         Attempt attempt = new Attempt(pending.request, backend, now(), 0, 0);
         result.attempts++;
         evenness.recordSend(backend, now());
-        // A paused process cannot know that a client left, so what it sends late breaks no rule.
+        // A paused process cannot know that a client has left, so its late attempts break no rule.
         if (!pending.abandonedWhileUnavailable) {
             checkRules(
                     () -> referee.attemptSent(pending.proxy, attempt, pending.workSeconds, now()));
@@ -211,12 +242,12 @@
         checkRules(() -> referee.attemptEnded(attempt, outcome, now()));
     }
 
-    /** A client has got its response. */
+    /** Records that a client has received its response. */
     void recordResponse(PendingRequest pending, boolean rejected) {
         checkRules(() -> referee.responseSent(pending.proxy, pending.request, rejected, now()));
     }
 
-    /** A client has stopped waiting without a response. */
+    /** Records that a client has stopped waiting without a response. */
     void recordUnanswered(PendingRequest pending) {
         pending.abandonedWhileUnavailable = wasProxyUnavailable(pending);
         checkRules(
@@ -228,17 +259,20 @@
                                 now()));
     }
 
-    /** Whether the proxy was unable to answer at some time since it got the request. */
+    /** Returns whether the proxy was unavailable at some time since it received the request. */
     boolean wasProxyUnavailable(PendingRequest pending) {
         return unavailableUntil[pending.proxy] >= pending.request.arrivedAt;
     }
 
-    /** Whether a proxy is unable to answer now, as it was killed or is paused. */
+    /**
+     * Returns whether a proxy is unavailable now, because it was killed, is paused or is still
+     * starting.
+     */
     boolean isUnavailable(int proxy) {
         return unavailableUntil[proxy] == Double.POSITIVE_INFINITY;
     }
 
-    /** No more events of a request are expected. */
+    /** Removes a request of which no more events are expected. */
     void forget(String traceId) {
         PendingRequest pending = pendingRequests.remove(traceId);
         if (pending != null) {
@@ -246,17 +280,17 @@
         }
     }
 
-    /** A proxy is unable to answer from now on. */
+    /** Records that a proxy is unavailable from now on. */
     void markUnavailable(int proxy) {
         unavailableUntil[proxy] = Double.POSITIVE_INFINITY;
     }
 
-    /** A proxy that was unable to answer until now is able again. */
+    /** Records that a proxy that was unavailable until now is available again. */
     void markAvailable(int proxy) {
         unavailableUntil[proxy] = Math.min(unavailableUntil[proxy], now());
     }
 
-    /** A proxy is sent the state of a backend by its discovery agent. */
+    /** Records that a discovery agent sends the state of a backend to its proxy. */
     void recordEndpointState(int proxy, int backend, boolean ready) {
         checkRules(() -> referee.endpointStateReceived(proxy, backend, ready, now()));
     }
@@ -265,12 +299,15 @@
         referee.backendStarted(backend, now());
     }
 
-    /** A backend holds this many requests from now on, and is able to take more or not. */
+    /** Records how many requests a backend holds from now on and whether it is available. */
     void recordBackendLoad(int backend, int heldRequests, boolean fit) {
         evenness.updateBackend(backend, heldRequests, fit, now());
     }
 
-    /** A client has been served; ignored where that was due in an earlier day. */
+    /**
+     * Records the latency of a successful request; ignored if the request was due in an earlier
+     * run.
+     */
     void recordLatency(RunResult resultOfRequest, double latencySeconds) {
         if (resultOfRequest != result) {
             return;
--- a/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessFaultInjector.java
@@ -2,24 +2,28 @@
 
 import java.util.List;
 
-/** Lets the faults of processes fall on the proxies. I/O thread only. */
+/** Applies the faults of processes to the proxies. I/O thread only. */
 final class ProcessFaultInjector {
-    /** In how many steps a rolling restart of the fleet is done. */
+    /** The number of steps of a rolling restart of the fleet. */
     private static final int ROLLING_RESTART_STEPS = 10;
 
-    /** How many reloads one fault makes, evenly over its duration. */
+    /** The number of reloads that one fault causes, evenly distributed over its duration. */
     private static final int RELOADS_PER_FAULT = 4;
 
-    /** Signals within milliseconds. */
+    /** Signals that are sent within milliseconds. */
     private static final List<String> RELOAD_SIGNALS = List.of("HUP", "HUP", "HUP");
 
     /**
-     * Signals within milliseconds: reloads just before and just after the end, which comes twice.
+     * Signals that are sent within milliseconds: reloads just before and just after SIGTERM, which
+     * is sent twice.
      */
     private static final List<String> TERMINATION_SIGNALS =
             List.of("HUP", "HUP", "TERM", "HUP", "HUP", "TERM", "HUP");
 
-    /** When signals come during a start: before the JVM runs, as it begins, in the warm-up. */
+    /**
+     * The delays of signals after the start of a process: before the JVM runs, when it begins, and
+     * during the warm-up.
+     */
     private static final double[] START_SIGNAL_DELAYS_SECONDS = {0.015, 0.06, 0.12, 0.25};
 
     private final RealTimeScheduler scheduler;
@@ -30,7 +34,12 @@
         this.lifecycle = lifecycle;
     }
 
-    /** Starts a fault now; the clients are those that use a proxy until it is killed. */
+    /**
+     * Starts a fault now.
+     *
+     * @param clients the clients that use a terminated proxy until it is killed
+     * @throws IllegalStateException if the fault is not a fault of processes
+     */
     void inject(FaultPlan.DrawnFault drawn, ClientFleet clients) {
         int[] proxies = drawn.affectedProxies();
         double durationSeconds = drawn.fault().durationSeconds();
@@ -44,7 +53,8 @@
             case SIGNAL_SERIES -> terminateWithSignalSeries(proxies, durationSeconds, clients);
             case INTERRUPTED_START -> interruptStart(proxies, durationSeconds);
             default ->
-                    throw new IllegalStateException(drawn.fault().kind() + " falls on no process");
+                    throw new IllegalStateException(
+                            drawn.fault().kind() + " is not a fault of processes");
         }
     }
 
@@ -102,7 +112,7 @@
         }
     }
 
-    /** Delays count from the moment at which the process was started. */
+    /** Sends reload signals to a proxy; the delays count from the start of its process. */
     private void reloadDuringStart(int proxy, double[] delaysSeconds) {
         for (double delaySeconds : delaysSeconds) {
             scheduler.after(delaySeconds, () -> lifecycle.signal(proxy, RELOAD_SIGNALS));
--- a/src/main/java/lemondrift/lab/fleet/ProcessSignals.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessSignals.java
@@ -4,24 +4,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Sends signals to processes, known by their id. */
+/** Sends signals to processes by process id. */
 final class ProcessSignals {
-    /** Sends the process that is named first all signals that are named after it. */
+    /**
+     * Sends the process whose id is the first argument all signals named by the other arguments.
+     */
     private static final String SEND_SIGNALS_SCRIPT =
             "process=$1; shift; for signal; do kill -$signal $process; done";
 
     private ProcessSignals() {}
 
     /**
-     * Sends signals such as "HUP" within milliseconds and in this order, and returns once they are
-     * sent; what has ended meanwhile gets none.
+     * Sends signals such as "HUP" within milliseconds and in the given order, and returns when they
+     * are sent. Does nothing if the process has ended.
      *
-     * @throws IOException where they can't be sent
+     * @throws IOException if the command that sends them cannot be started
      */
     static void send(Process process, List<String> signals)
             throws IOException, InterruptedException {
         if (signals.equals(List.of("TERM"))) {
-            // At once, as the time until the kill counts from it.
+            // Sent immediately, because the time until the kill counts from this signal.
             process.destroy();
             return;
         }
--- a/src/main/java/lemondrift/lab/fleet/ProcessThread.java
+++ b/src/main/java/lemondrift/lab/fleet/ProcessThread.java
@@ -6,26 +6,27 @@
 import java.util.concurrent.Executors;
 
 /**
- * The one thread on which processes are started, signalled and measured, in order: each of these
- * may take time that the I/O thread does not have. Any thread may call.
+ * The single thread on which processes are started, signalled and measured, in order. Each of these
+ * operations may take too long for the I/O thread. All methods may be called on any thread.
  */
 final class ProcessThread implements AutoCloseable {
     private final ExecutorService executor = Executors.newSingleThreadExecutor();
     private final RealTimeScheduler scheduler;
 
-    /** A failure of a task becomes one of the scheduler's. */
+    /** Creates the thread; failures of tasks are passed to the scheduler. */
     ProcessThread(RealTimeScheduler scheduler) {
         this.scheduler = scheduler;
     }
 
-    /** Runs a task after all earlier ones, without waiting for it; a failure ends the day. */
+    /** Runs a task after all earlier ones, without waiting for it. A failure ends the run. */
     void execute(Runnable task) {
         executor.execute(
                 () -> {
                     try {
                         task.run();
                     } catch (RuntimeException e) {
-                        // Any failure of a task ends the run; the executor would only print it.
+                        // Catches every exception: any failure of a task ends the run, and the
+                        // executor would only print it.
                         scheduler.fail(e);
                     }
                 });
@@ -34,7 +35,7 @@
     /**
      * Runs a task after all earlier ones and waits for its result.
      *
-     * @throws IllegalStateException where the task fails
+     * @throws IllegalStateException if the task fails
      */
     <T> T call(Callable<T> task) throws InterruptedException {
         try {
@@ -44,7 +45,7 @@
         }
     }
 
-    /** Interrupts the running task and drops those that wait. */
+    /** Interrupts the running task and discards the waiting ones. */
     @Override
     public void close() {
         executor.shutdownNow();
--- a/src/main/java/lemondrift/lab/fleet/ProxyAddresses.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyAddresses.java
@@ -7,16 +7,17 @@
 import java.util.List;
 
 /**
- * Where each proxy listens, by its number; a proxy keeps its addresses over all its starts.
+ * The addresses at which the proxies listen, by proxy number. A proxy keeps its addresses across
+ * restarts.
  *
- * @param listen for clients
- * @param gossip for the datagrams of other proxies
+ * @param listen the addresses for clients
+ * @param gossip the addresses for the datagrams of other proxies
  */
 record ProxyAddresses(List<InetSocketAddress> listen, List<InetSocketAddress> gossip) {
     /**
-     * Finds each proxy free loopback addresses.
+     * Finds free loopback addresses for each proxy.
      *
-     * @throws IOException where there are none
+     * @throws IOException if there are none
      */
     static ProxyAddresses reserve(int proxyCount) throws IOException {
         List<InetSocketAddress> listen = new ArrayList<>();
--- a/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
@@ -11,12 +11,12 @@
 import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 
-/** Writes the configuration files of the proxies, with the keys of a deployment. */
+/** Writes the configuration files of the proxies, with the same keys as in a deployment. */
 final class ProxyConfigWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MILLIS_PER_SECOND = 1000;
 
-    /** Sets the seeds of different proxies apart. */
+    /** Keeps the seeds of different proxies apart. */
     private static final long SEED_STEP = 1000;
 
     /** The cores that a proxy may use. */
@@ -28,10 +28,10 @@
     /** How many sockets a proxy may have open. */
     private static final int MAX_SOCKETS = 1024;
 
-    /** After which an idle connection is closed. */
+    /** The time after which an idle connection is closed. */
     private static final int IDLE_CONNECTION_MILLIS = 10_000;
 
-    /** Within which a connection to a backend has to be established. */
+    /** The time within which a connection to a backend must be established. */
     private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
     private final Settings settings;
@@ -42,8 +42,9 @@
     /**
      * Creates a writer for all proxies.
      *
-     * @param gossipEnabled whether the proxies send one another gossip messages
-     * @param peerAddresses where the proxies reach one another, by number, as "host:port"
+     * @param gossipEnabled whether the proxies exchange gossip messages
+     * @param peerAddresses the addresses at which the proxies reach one another, by proxy number,
+     *     as "host:port"
      */
     ProxyConfigWriter(Settings settings, boolean gossipEnabled, List<String> peerAddresses) {
         this.settings = settings;
@@ -52,9 +53,10 @@
     }
 
     /**
-     * Writes the configuration of one start of a proxy, with a seed of its own.
+     * Returns the configuration of one start of a proxy, in JSON, with a seed that no other start
+     * has.
      *
-     * @throws IOException where the known backends are not JSON
+     * @throws IOException if the known backends are not valid JSON
      */
     String write(int proxy, ProxyEndpoints endpoints) throws IOException {
         ObjectNode root = JSON.createObjectNode();
--- a/src/main/java/lemondrift/lab/fleet/ProxyFleet.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyFleet.java
@@ -10,15 +10,18 @@
 import lemondrift.model.EndpointUpdate;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Proxies that are real processes, with their discovery agents and the relay between them. */
+/**
+ * Proxies that run as real processes, with their discovery agents and the datagram relay between
+ * them.
+ */
 final class ProxyFleet implements TestbedProxies {
-    /** Within which all proxies have to be ready at first. */
+    /** The time within which all proxies must become ready at the start. */
     private static final double START_TIMEOUT_SECONDS = 180;
 
-    /** Within which all proxies have to be back after a day. */
+    /** The time within which all proxies must be open again after a run. */
     private static final double REOPEN_TIMEOUT_SECONDS = 60;
 
-    /** Between two looks at what is waited for. */
+    /** The time between two checks of a condition that is waited for. */
     private static final long POLL_INTERVAL_MILLIS = 50;
 
     private final RealTimeScheduler scheduler;
@@ -34,9 +37,9 @@
     private final ProxyUsageMeter usageMeter;
 
     /**
-     * Opens all but the processes.
+     * Opens all sockets; starts no process.
      *
-     * @throws IOException where a socket cannot be opened
+     * @throws IOException if a socket cannot be opened
      */
     ProxyFleet(
             TestbedContext context,
@@ -75,7 +78,9 @@
         usageMeter = new ProxyUsageMeter(proxyCount, processes, datagramRelay);
     }
 
-    /** Where the proxies reach one another: at the relay. */
+    /**
+     * Returns the addresses at which the proxies reach one another, which are those of the relay.
+     */
     private List<String> relayAddresses() throws IOException {
         List<String> relayAddresses = new ArrayList<>();
         for (int proxy = 0; proxy < proxyCount; proxy++) {
@@ -89,7 +94,7 @@
         return distributor;
     }
 
-    /** Starts as many proxies at once as there are processors. */
+    /** Starts the proxies, at most as many at the same time as there are processors. */
     @Override
     public void start(Consumer<String> progress) throws InterruptedException {
         int startedCount = 0;
@@ -106,10 +111,13 @@
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
         throw new IllegalStateException(
-                "not ready within " + START_TIMEOUT_SECONDS + " s: proxies " + closedProxies());
+                "proxies not ready within " + START_TIMEOUT_SECONDS + " s: " + closedProxies());
     }
 
-    /** Returns how many are started then. */
+    /**
+     * Starts proxies until the maximum number is starting; returns how many have been started in
+     * total.
+     */
     private int startNextProxies(int startedBefore, int closedCount) {
         int maxStarting = Runtime.getRuntime().availableProcessors();
         int started = startedBefore;
@@ -141,9 +149,11 @@
         while (!closed.isEmpty()) {
             if (scheduler.now() > deadline) {
                 throw new IllegalStateException(
-                        "not back after the day: proxies "
+                        "proxies not open again within "
+                                + REOPEN_TIMEOUT_SECONDS
+                                + " s after the run: "
                                 + closed
-                                + ", the first: "
+                                + ", last log line of the first: "
                                 + processes.lastLogLine(closed.get(0)));
             }
             Thread.sleep(POLL_INTERVAL_MILLIS);
--- a/src/main/java/lemondrift/lab/fleet/ProxyLifecycle.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyLifecycle.java
@@ -5,14 +5,14 @@
 import lemondrift.model.RequestClass;
 
 /**
- * Starts, stops, pauses and restarts proxies, with all that the clients and the recorder have to
- * know of it. Called on the I/O thread; what is done to a process runs on the process thread.
+ * Starts, stops, pauses and restarts proxies, and informs the clients and the recorder. Called on
+ * the I/O thread; operations on processes run on the process thread.
  */
 final class ProxyLifecycle {
-    /** How often it is looked whether a process has ended. */
+    /** The time between two checks whether a process has ended. */
     private static final double END_CHECK_INTERVAL_SECONDS = 0.1;
 
-    /** For how long clients are still sent to a proxy after its SIGTERM. */
+    /** How long clients are still sent to a proxy after its SIGTERM. */
     private static final double CLOSE_DELAY_SECONDS = 0.3;
 
     /** How long after the longest timeout a platform may kill a draining proxy. */
@@ -25,13 +25,13 @@
     private final ClientDistributor distributor;
     private final ProxyAddresses addresses;
 
-    /** By proxy, whether it is to be down. */
+    /** Whether each proxy is intended to be down, indexed by proxy number. */
     private final boolean[] down;
 
-    /** By proxy, how often it was started. */
+    /** How often each proxy was started, indexed by proxy number. */
     private final int[] startCounts;
 
-    /** All proxies are down at first. */
+    /** Creates the lifecycle of proxies that are all down. */
     ProxyLifecycle(
             TestbedContext context,
             ProcessThread processThread,
@@ -50,7 +50,7 @@
         Arrays.fill(down, true);
     }
 
-    /** Starts a proxy, which gets clients once it is healthy. */
+    /** Starts a proxy. Clients are sent to it once it is healthy. */
     void start(int proxy) {
         start(proxy, () -> {});
     }
@@ -86,7 +86,7 @@
                 });
     }
 
-    /** Kills a proxy with SIGKILL; what it leaves unanswered is excused. */
+    /** Kills a proxy with SIGKILL. Requests that it leaves unanswered break no rule. */
     void kill(int proxy) {
         if (!down[proxy]) {
             down[proxy] = true;
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Stops a proxy with SIGTERM; clients are sent elsewhere after a while. */
+    /** Stops a proxy with SIGTERM. Clients are sent to other proxies after a delay. */
     void stop(int proxy) {
         if (!down[proxy]) {
             down[proxy] = true;
@@ -104,7 +104,10 @@
         }
     }
 
-    /** Stops a proxy with SIGTERM before it serves, so that no clients are sent elsewhere later. */
+    /**
+     * Stops a proxy with SIGTERM before it serves. Closes it for clients immediately, so that no
+     * delayed close follows.
+     */
     void stopDuringStart(int proxy) {
         if (!down[proxy]) {
             down[proxy] = true;
@@ -114,10 +117,11 @@
     }
 
     /**
-     * Stops a proxy while clients go on using the connections that they have, and kills it as early
-     * as a platform may. What that leaves unanswered is not excused.
+     * Stops a proxy while clients continue to use their connections to it, and kills it as early as
+     * a platform may. Requests that are left unanswered break a rule.
      *
-     * @param signals sent at once and in this order; the platform's time counts from then on
+     * @param signals the signals, sent immediately and in this order; the time until the kill
+     *     counts from then on
      */
     void terminate(int proxy, ClientFleet clients, List<String> signals) {
         if (down[proxy]) {
@@ -158,19 +162,25 @@
                 .orElse(1);
     }
 
-    /** Guards against killing a process that was started since. */
+    /** Kills a process. Guards against killing a process that was started in the meantime. */
     private void killUnlessRestarted(int proxy, int startCount) {
         if (startCounts[proxy] == startCount) {
             processThread.execute(() -> processes.kill(proxy));
         }
     }
 
-    /** Starts a proxy that is down, as soon as its former process has ended. */
+    /**
+     * Starts a proxy that is down as soon as its previous process has ended; does nothing if the
+     * proxy is not down.
+     */
     void restart(int proxy) {
         restart(proxy, () -> {});
     }
 
-    /** The same; the callback runs once the new process has been started. */
+    /**
+     * Restarts a proxy as {@link #restart(int)} does, and runs the callback when the new process
+     * has been started.
+     */
     void restart(int proxy, Runnable whenStarted) {
         if (down[proxy]) {
             processThread.execute(
@@ -192,13 +202,13 @@
         }
     }
 
-    /** Suspends a proxy; what it leaves unanswered meanwhile is excused. */
+    /** Suspends a proxy. Requests that it leaves unanswered during the pause break no rule. */
     void pause(int proxy) {
         context.recorder().markUnavailable(proxy);
         processThread.execute(() -> processes.pause(proxy));
     }
 
-    /** Lets a paused proxy go on. */
+    /** Resumes a paused proxy. */
     void resume(int proxy) {
         processThread.execute(
                 () -> {
@@ -207,12 +217,15 @@
                 });
     }
 
-    /** Lets a proxy read its configuration again. Any thread. */
+    /** Sends SIGHUP to a proxy, which then reloads its configuration. Any thread. */
     void reload(int proxy) {
         signal(proxy, List.of("HUP"));
     }
 
-    /** Sends a proxy signals such as "HUP" at once and in this order. Any thread. */
+    /**
+     * Sends signals such as "HUP" to a proxy, within milliseconds and in the given order. Any
+     * thread.
+     */
     void signal(int proxy, List<String> signals) {
         processThread.execute(() -> processes.signal(proxy, signals));
     }
--- a/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyProcesses.java
@@ -13,24 +13,25 @@
 import lemondrift.settings.InvalidSettingsException;
 
 /**
- * The proxies' processes, each known by the number of its proxy. They are signalled by process id,
- * and none outlives this program. All but {@link #hasEnded} runs on the process thread.
+ * The processes of the proxies, each identified by the number of its proxy. They are signalled by
+ * process id, and none of them outlives this program. Only methods whose comment says "any thread"
+ * may be called outside the process thread.
  */
 final class ProxyProcesses implements AutoCloseable {
-    /** What one process takes while it serves. */
+    /** The memory that one process uses while it serves. */
     private static final int MEGABYTES_PER_PROCESS = 58;
 
-    /** What the testbed and the machine keep. */
+    /** The memory that is reserved for the testbed and the machine. */
     private static final int RESERVED_MEGABYTES = 1024;
 
     private static final int KILOBYTES_PER_MEGABYTE = 1024;
 
-    /** Within which a process has to end after SIGTERM. */
+    /** The time within which a process must end after SIGTERM. */
     private static final int DRAIN_TIMEOUT_SECONDS = 15;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The exit value of a process that SIGTERM ended by its default. */
+    /** The exit code of a process that was ended by the default action of SIGTERM. */
     private static final int SIGTERM_EXIT_CODE = 143;
 
     private final ProcessLauncher launcher;
@@ -38,29 +39,29 @@
     private final ProxyConfigWriter configWriter;
     private final boolean recoveryEnabled;
 
-    /** By proxy; null before its first start. */
+    /** Indexed by proxy number; null before the first start. */
     private final Process[] processes;
 
-    /** By proxy. */
+    /** Whether each process is paused, indexed by proxy number. */
     private final boolean[] paused;
 
-    /** By proxy, whether it was killed since its start. */
+    /** Whether each process was killed since its start, indexed by proxy number. */
     private final boolean[] killed;
 
-    /** By proxy, whether it has served since its start. */
+    /** Whether each process has served since its start, indexed by proxy number. */
     private final boolean[] served;
 
-    /** A line on each process that did not end as it has to. */
+    /** One line for each process that did not exit as required. */
     private final List<String> problems = new ArrayList<>();
 
     private final Thread shutdownHook = new Thread(this::killAll, "kill-proxies");
 
     /**
-     * Starts none yet.
+     * Checks that the machine has enough free memory; starts no process.
      *
-     * @param recoveryEnabled whether a proxy asks its peers after its start
-     * @throws InvalidSettingsException where the machine's free memory is too small for all
-     * @throws IOException where that cannot be read
+     * @param recoveryEnabled whether a proxy recovers with the help of its peers after its start
+     * @throws InvalidSettingsException if the machine has too little free memory for all processes
+     * @throws IOException if the free memory cannot be read
      */
     ProxyProcesses(
             ProcessLauncher launcher,
@@ -78,7 +79,7 @@
         killed = new boolean[proxyCount];
         served = new boolean[proxyCount];
         checkMemory(proxyCount);
-        // Guards against processes left behind by an interrupted run.
+        // Guards against processes that an interrupted run leaves running.
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
@@ -88,9 +89,9 @@
         if (available < needed) {
             throw new InvalidSettingsException(
                     proxyCount
-                            + " processes take some "
+                            + " proxy processes need about "
                             + needed
-                            + " MB, and "
+                            + " MB of memory, but only "
                             + available
                             + " MB are free");
         }
@@ -102,7 +103,10 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Reads the number of kilobytes in the line of a kernel file that starts with a key. */
+    /**
+     * Reads the number of kilobytes in the line of a kernel file that starts with a key; empty if
+     * there is no such line.
+     */
     private static Optional<Long> readKilobytes(Path file, String key) throws IOException {
         try (Stream<String> lines = Files.lines(file)) {
             return lines.filter(line -> line.startsWith(key))
@@ -111,7 +115,7 @@
         }
     }
 
-    /** The name of a proxy, which its files have too. */
+    /** Returns the name of a proxy, which is also the base name of its files. */
     static String proxyName(int proxy) {
         return "n" + proxy;
     }
@@ -120,7 +124,10 @@
         return folder.resolve(proxyName(proxy) + ".log");
     }
 
-    /** The last line that a proxy has logged, or why it cannot be read. Any thread. */
+    /**
+     * Returns the last line that a proxy has logged, or the reason why its log cannot be read. Any
+     * thread.
+     */
     String lastLogLine(int proxy) {
         try (Stream<String> lines = Files.lines(logFile(proxy))) {
             return lines.reduce((earlier, later) -> later).orElse("nothing logged");
@@ -130,9 +137,10 @@
     }
 
     /**
-     * Starts a proxy whose former process has ended.
+     * Starts a proxy whose previous process has ended.
      *
-     * @throws InvalidSettingsException where its files or its process cannot be made
+     * @throws InvalidSettingsException if its configuration cannot be written or its process cannot
+     *     be started
      */
     void start(int proxy, ProxyEndpoints endpoints) {
         try {
@@ -153,14 +161,15 @@
         if (!hasEnded(proxy) || killed[proxy] || processes[proxy].exitValue() == 0) {
             return;
         }
-        // A JVM that has no handler yet ends by the signal itself, which docs/operating.md allows.
+        // A JVM that has no signal handler yet is ended by the signal itself, which
+        // docs/operating.md allows.
         boolean endedDuringStart =
                 !served[proxy] && processes[proxy].exitValue() == SIGTERM_EXIT_CODE;
         if (!endedDuringStart) {
             problems.add(
                     "proxy "
                             + proxy
-                            + " ended with "
+                            + " exited with code "
                             + processes[proxy].exitValue()
                             + (served[proxy] ? " after it had served" : " before it served"));
         }
@@ -190,35 +199,35 @@
         return findProcess(proxy).map(Process::isAlive).orElse(false);
     }
 
-    /** Whether a process was started and has ended. Any thread. */
+    /** Returns whether a process was started and has ended. Any thread. */
     boolean hasEnded(int proxy) {
         return findProcess(proxy).map(process -> !process.isAlive()).orElse(false);
     }
 
-    /** A process has been seen to serve. */
+    /** Records that a process has served. */
     void markServing(int proxy) {
         served[proxy] = true;
     }
 
-    /** Ends a process with SIGKILL, without a drain. */
+    /** Ends a process with SIGKILL, without draining. */
     void kill(int proxy) {
         killed[proxy] = true;
         findProcess(proxy).ifPresent(Process::destroyForcibly);
     }
 
-    /** Lets a process drain and end, with SIGTERM. */
+    /** Sends SIGTERM to a process, which then drains and ends. */
     void stop(int proxy) {
         resume(proxy);
         findProcess(proxy).ifPresent(Process::destroy);
     }
 
-    /** Suspends a process with its sockets open, with SIGSTOP. */
+    /** Suspends a process with SIGSTOP; its sockets stay open. */
     void pause(int proxy) {
         paused[proxy] = true;
         signal(proxy, List.of("STOP"));
     }
 
-    /** Lets a paused process go on, with SIGCONT. */
+    /** Resumes a paused process with SIGCONT. */
     void resume(int proxy) {
         if (paused[proxy]) {
             paused[proxy] = false;
@@ -226,7 +235,12 @@
         }
     }
 
-    /** Sends a process signals such as "HUP", within milliseconds and in this order. */
+    /**
+     * Sends signals such as "HUP" to a process, within milliseconds and in the given order; does
+     * nothing if the process is not alive.
+     *
+     * @throws InvalidSettingsException if the signals cannot be sent
+     */
     void signal(int proxy, List<String> signals) {
         if (!isAlive(proxy)) {
             return;
@@ -235,13 +249,20 @@
             ProcessSignals.send(processes[proxy], signals);
         } catch (IOException e) {
             throw new InvalidSettingsException(
-                    "proxy " + proxy + " can't be sent " + signals + ": " + e.getMessage());
+                    "signals "
+                            + signals
+                            + " can't be sent to proxy "
+                            + proxy
+                            + ": "
+                            + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Seconds of a core that a process has used since its start; 0 where that is unknown. */
+    /**
+     * Returns the CPU time in seconds that a process has used since its start; 0 if it is unknown.
+     */
     double cpuSeconds(int proxy) {
         return findProcess(proxy)
                         .flatMap(process -> process.info().totalCpuDuration())
@@ -250,7 +271,7 @@
                 / NANOS_PER_SECOND;
     }
 
-    /** Megabytes of memory that a process holds; 0 where that is unknown. */
+    /** Returns the resident memory of a process in megabytes; 0 if it is unknown. */
     double memoryMegabytes(int proxy) {
         Path status = Path.of("/proc", String.valueOf(processes[proxy].pid()), "status");
         try {
@@ -263,8 +284,8 @@
     /**
      * Stops all processes.
      *
-     * @return a line on each that had ended by itself, did not drain in time or did not end with 0,
-     *     also on those that were started again since
+     * @return one line for each process that had ended before it was stopped, did not drain in time
+     *     or did not exit with 0, including earlier processes of proxies that were started again
      */
     List<String> stopAll() throws InterruptedException {
         boolean[] crashed = new boolean[processes.length];
@@ -287,7 +308,7 @@
             return Optional.of(
                     "proxy "
                             + proxy
-                            + " had not ended "
+                            + " did not exit within "
                             + DRAIN_TIMEOUT_SECONDS
                             + " s after SIGTERM");
         }
@@ -295,9 +316,9 @@
             return Optional.of(
                     "proxy "
                             + proxy
-                            + " ended with "
+                            + " exited with code "
                             + process.exitValue()
-                            + (crashed ? ", by itself" : ""));
+                            + (crashed ? " before it was stopped" : ""));
         }
         return Optional.empty();
     }
@@ -315,7 +336,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // The program ends already, and the hook does the same.
+            // The program is already ending, and the hook kills the processes too.
         }
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/ProxyUsageMeter.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyUsageMeter.java
@@ -2,18 +2,21 @@
 
 import lemondrift.lab.simulation.RunResult;
 
-/** Measures what the proxies use in a day. Process thread only. */
+/**
+ * Measures the CPU time, memory and gossip traffic of the proxies during a run. Process thread
+ * only.
+ */
 final class ProxyUsageMeter {
     private final ProxyProcesses processes;
     private final DatagramRelay datagramRelay;
 
-    /** By proxy, at the start of the day. */
+    /** Indexed by proxy number; the value at the start of the run. */
     private final double[] cpuSecondsAtStart;
 
-    /** By proxy, at the start of the day. */
+    /** Indexed by proxy number; the value at the start of the run. */
     private final long[] datagramsAtStart;
 
-    /** By proxy, at the start of the day. */
+    /** Indexed by proxy number; the value at the start of the run. */
     private final long[] bytesAtStart;
 
     ProxyUsageMeter(int proxyCount, ProxyProcesses processes, DatagramRelay datagramRelay) {
@@ -24,7 +27,7 @@
         bytesAtStart = new long[proxyCount];
     }
 
-    /** Starts to measure a day. */
+    /** Starts the measurement of a run. */
     void start() {
         for (int proxy = 0; proxy < cpuSecondsAtStart.length; proxy++) {
             cpuSecondsAtStart[proxy] = processes.cpuSeconds(proxy);
@@ -33,7 +36,7 @@
         }
     }
 
-    /** Adds what was used since the start to the figures of the day. */
+    /** Adds the usage since the start of the run to its results. */
     void addTo(RunResult result, double durationSeconds) {
         int proxyCount = cpuSecondsAtStart.length;
         for (int proxy = 0; proxy < proxyCount; proxy++) {
@@ -45,7 +48,10 @@
         }
     }
 
-    /** A process that was started since counts with all that it has used. */
+    /**
+     * Returns the CPU time in seconds used since the start of the run. A process that was started
+     * since then counts with all its CPU time.
+     */
     private double usedCpuSeconds(int proxy) {
         double now = processes.cpuSeconds(proxy);
         return now < cpuSecondsAtStart[proxy] ? now : now - cpuSecondsAtStart[proxy];
--- a/src/main/java/lemondrift/lab/fleet/RealTimeScheduler.java
+++ b/src/main/java/lemondrift/lab/fleet/RealTimeScheduler.java
@@ -11,8 +11,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Seconds of real time since its creation. All tasks run on the testbed's I/O thread; the first
- * failure of one is thrown to whoever calls from another thread.
+ * Schedules tasks in real time, in seconds since its creation. All tasks run on the testbed's I/O
+ * thread. The first failure of a task is thrown to callers on other threads.
  */
 final class RealTimeScheduler implements Scheduler {
     /** How long a call from another thread waits for its result. */
@@ -46,7 +46,10 @@
         ioThread.execute(() -> runGuarded(task));
     }
 
-    /** Runs a task on the I/O thread and waits for its end; throws as {@link #call} does. */
+    /**
+     * Runs a task on the I/O thread and waits for its end; throws the same exceptions as {@link
+     * #call}.
+     */
     void run(Runnable task) throws InterruptedException {
         call(
                 () -> {
@@ -58,9 +61,10 @@
     /**
      * Runs a task on the I/O thread and waits for its result. Not to be called on the I/O thread.
      *
-     * @throws InvalidSettingsException where the first failure, of this task or an earlier one, was
-     *     of that kind
-     * @throws IllegalStateException at another failure, or where there is no result in time
+     * @throws InvalidSettingsException if the first failure, of this task or an earlier one, was of
+     *     this type
+     * @throws IllegalStateException if the first failure was of another type, or if there is no
+     *     result in time
      */
     <T> T call(Supplier<T> task) throws InterruptedException {
         CompletableFuture<T> result = new CompletableFuture<>();
@@ -73,7 +77,11 @@
                     ? invalidSettings
                     : new IllegalStateException(e.getCause());
         } catch (TimeoutException e) {
-            throw new IllegalStateException("the I/O thread of the testbed does not respond", e);
+            throw new IllegalStateException(
+                    "the I/O thread of the testbed did not respond within "
+                            + CALL_TIMEOUT_SECONDS
+                            + " s",
+                    e);
         }
     }
 
@@ -86,7 +94,8 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            // Any failure of a task ends the run; the I/O thread itself would only log it.
+            // Catches every exception: any failure of a task ends the run, and the I/O thread
+            // itself would only log it.
             fail(e);
         }
     }
--- a/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakPlanner.java
@@ -11,38 +11,38 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Draws one day of the soak from a seed. The order of the draws is part of it: with another one a
- * seed would be another day.
+ * Draws one soak run from a seed. The order of the draws must not change: in another order, a seed
+ * would give a different run.
  */
 final class SoakPlanner {
-    /** The length of a day. */
+    /** The duration of a run. */
     private static final double RUN_SECONDS = 14;
 
-    /** At the start of the day, in which no fault begins. */
+    /** The time at the start of a run in which no fault begins. */
     private static final double QUIET_START_SECONDS = 0.5;
 
-    /** At the end of the day, in which no fault begins. */
+    /** The time at the end of a run in which no fault begins. */
     private static final double QUIET_END_SECONDS = 4;
 
-    /** One of these is drawn. */
+    /** The possible numbers of backends; one of them is drawn. */
     private static final int[] BACKEND_COUNTS = {6, 24, 120, 400};
 
-    /** One of these is drawn, for all request classes. */
+    /** The possible latency objectives; one of them is drawn for all request classes. */
     private static final double[] LATENCY_OBJECTIVE_SECONDS = {0.25, 0.4, 0.8, 1.2};
 
-    /** Among which proxies and backends are distributed. */
+    /** The number of locations among which proxies and backends are distributed. */
     private static final int LOCATIONS = 2;
 
-    /** The highest share of the backends' capacity that the requests take. */
+    /** The highest share of the backends' capacity that the requests use. */
     private static final double MAX_LOAD = 0.4;
 
-    /** At each proxy, on a day that has idle clients. */
+    /** The number of idle clients per proxy in a run that has idle clients. */
     private static final int IDLE_CLIENTS_PER_PROXY = 150;
 
-    /** The share of days that have idle clients. */
+    /** The probability that a run has idle clients. */
     private static final double IDLE_CLIENTS_PROBABILITY = 0.4;
 
-    /** The share of datagrams that is lost where datagrams are lost. */
+    /** The share of datagrams that a fault of lost datagrams drops. */
     private static final double LOSS_SHARE = 0.3;
 
     private final long seed;
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Draws the day; once for each planner.
+     * Draws the run. To be called only once for each planner.
      *
-     * @param withSignals whether signals in series and interrupted starts come in addition
+     * @param withSignals whether signals in series and interrupted starts are added
      */
     SoakRun.Plan draw(boolean withSignals) {
         int proxies = 3 + random.nextInt(3);
@@ -83,7 +83,10 @@
         return new SoakRun.Plan(seed, experiment, hasIdleClients ? IDLE_CLIENTS_PER_PROXY : 0);
     }
 
-    /** After all that is drawn for a day without them, so that the rest of a seed's day stays. */
+    /**
+     * Draws the faults with signals. Must follow all draws of a run without signals, so that the
+     * rest of a seed's run stays the same.
+     */
     private List<Fault> drawSignalFaults(int proxies) {
         return List.of(
                 drawProcessFault(Fault.Kind.SIGNAL_SERIES, drawProxy(proxies), 0.5, 3),
@@ -163,7 +166,9 @@
         return new BackendFault(kind, start, seconds, 1, strength);
     }
 
-    /** On each day at least one process gets SIGTERM. */
+    /**
+     * Draws the faults of processes and channels. At least one process gets SIGTERM in each run.
+     */
     private List<Fault> drawFaults(int proxies) {
         List<Fault> faults = new ArrayList<>();
         faults.add(drawProcessFault(Fault.Kind.TERMINATE, drawProxy(proxies), 0.5, 3));
--- a/src/main/java/lemondrift/lab/fleet/SoakRun.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakRun.java
@@ -12,29 +12,30 @@
 import lemondrift.lab.simulation.Scenario;
 
 /**
- * Plays days on real processes of which all is drawn from a seed: the size of the fleet, latency
- * objectives, faults of backends, discovery, processes and datagrams, and on some days idle
- * clients. Clients use the connections that they have until a process that got SIGTERM is killed,
- * as early as a platform may.
+ * Executes soak runs on real processes. All properties of a run are drawn from a seed: the size of
+ * the fleet, latency objectives, faults of backends, discovery, processes and datagrams, and in
+ * some runs idle clients. After a process has received SIGTERM, clients continue to use their
+ * connections to it until it is killed, as early as a platform may.
  */
 public final class SoakRun {
     private SoakRun() {}
 
     /**
-     * One day as drawn.
+     * A run as drawn.
      *
-     * @param seed from which all of it is drawn
-     * @param idleClientsPerProxy 0 or more
+     * @param seed the seed from which the run is drawn
+     * @param idleClientsPerProxy the number of idle clients at each proxy, 0 or more
      */
     public record Plan(long seed, Experiment experiment, int idleClientsPerProxy) {
-        /** One line on what is drawn. */
+        /** Returns one line that describes the run. */
         public String describe() {
             Scenario scenario = experiment.scenario();
             StringBuilder text =
                     new StringBuilder(
                             String.format(
                                     Locale.ROOT,
-                                    "%d proxies, %d backends, %.0f/s, contract %.2f s, crowd %d:",
+                                    "%d proxies, %d backends, %.0f/s, latency objective %.2f s,"
+                                            + " idle clients per proxy %d:",
                                     scenario.proxies(),
                                     scenario.backends(),
                                     scenario.rate(),
@@ -66,25 +67,32 @@
         }
     }
 
-    /** What one day came to; wrong has a line on each fault of the proxies, empty for none. */
+    /**
+     * The outcome of one run.
+     *
+     * @param violations one line for the first broken rule, for overloaded cold backends and for
+     *     each process that did not exit normally; empty if there are none
+     */
     public record Outcome(Plan plan, RunResult result, List<String> violations) {}
 
-    /** Draws the day of a seed. */
+    /** Draws the run of a seed. */
     public static Plan plan(long seed) {
         return new SoakPlanner(seed).draw(false);
     }
 
-    /** The same day, and signals in series and interrupted starts beside what is drawn on it. */
+    /** Draws the run of a seed, and adds signals in series and interrupted starts to it. */
     public static Plan planWithSignals(long seed) {
         return new SoakPlanner(seed).draw(true);
     }
 
     /**
-     * Plays the day of a plan on processes of its own.
+     * Executes a planned run on its own processes.
      *
-     * @param progress gets lines on how far it is
-     * @throws IOException where a socket cannot be opened
-     * @throws IllegalStateException where the day cannot be played to its end
+     * @param progress receives lines about the progress
+     * @throws lemondrift.settings.InvalidSettingsException if the machine has too little free
+     *     memory, or a process cannot be started or signalled
+     * @throws IOException if a socket cannot be opened
+     * @throws IllegalStateException if the run cannot be completed
      */
     public static Outcome run(Plan plan, ProcessLauncher launcher, Consumer<String> progress)
             throws IOException, InterruptedException {
@@ -97,7 +105,7 @@
             outcome.brokenRule().ifPresent(wrong::add);
             long overloaded = outcome.result().overloadedColdBackends;
             if (overloaded > 0) {
-                wrong.add(overloaded + " cold backends pushed over");
+                wrong.add(overloaded + " cold backends overloaded");
             }
             wrong.addAll(testbed.stop());
             return new Outcome(plan, outcome.result(), wrong);
--- a/src/main/java/lemondrift/lab/fleet/TestbedContext.java
+++ b/src/main/java/lemondrift/lab/fleet/TestbedContext.java
@@ -14,16 +14,17 @@
 import org.xnio.XnioWorker;
 
 /**
- * What all parts of one testbed share.
+ * The objects that all parts of one testbed share.
  *
- * @param scenario the sizes, rates and settings of the day
- * @param seed from which each part that draws by itself makes its own random numbers
- * @param random the random numbers of all that happens on the I/O thread; that thread only
+ * @param scenario the sizes, rates and settings of the run
+ * @param seed the seed from which parts with their own random numbers create them
+ * @param random the random numbers of all tasks on the I/O thread; I/O thread only
  * @param worker the worker with the testbed's one I/O thread
- * @param scheduler the time, and the tasks of the I/O thread
- * @param recorder judges what clients, backends and discovery see; I/O thread only
- * @param currentFaultPlan the faults of the day that is played; any thread
- * @param folder where the proxies' configurations and logs are
+ * @param scheduler the clock and the scheduler of tasks on the I/O thread
+ * @param recorder records and checks the events that clients, backends and discovery observe; I/O
+ *     thread only
+ * @param currentFaultPlan returns the faults of the current run; any thread
+ * @param folder the folder of the proxies' configurations and logs
  */
 record TestbedContext(
         Scenario scenario,
@@ -35,10 +36,10 @@
         Supplier<FaultPlan> currentFaultPlan,
         Path folder) {
     /**
-     * Starts the I/O thread and makes the folder.
+     * Starts the I/O thread and creates the folder.
      *
-     * @param checkedRules how many rules the recorder judges by, the first ones
-     * @throws IOException where that fails
+     * @param checkedRules how many rules the recorder checks, counted from the first
+     * @throws IOException if the thread cannot be started or the folder cannot be created
      */
     static TestbedContext create(
             Scenario scenario, long seed, int checkedRules, Supplier<FaultPlan> currentFaultPlan)
--- a/src/main/java/lemondrift/lab/fleet/TestbedProxies.java
+++ b/src/main/java/lemondrift/lab/fleet/TestbedProxies.java
@@ -6,64 +6,83 @@
 import lemondrift.lab.simulation.RunResult;
 import lemondrift.model.EndpointUpdate;
 
-/** The proxies of a testbed, or none where clients send their requests to the backends. */
+/**
+ * The proxies of a testbed, or a substitute without processes if clients send their requests to the
+ * backends.
+ */
 interface TestbedProxies extends AutoCloseable {
-    /** What the clients send their requests to. */
+    /** Returns the targets of client requests. */
     ClientTargets clientTargets();
 
     /**
-     * Starts all proxies and waits until clients can use them; not on the I/O thread.
+     * Starts all proxies and waits until clients can use them. Must not be called on the I/O
+     * thread.
      *
-     * @param progress gets a line on how many are ready
-     * @throws IllegalStateException where one ends, or is not ready in time
+     * @param progress receives lines about how many proxies are ready
+     * @throws IllegalStateException if a proxy ends or is not ready in time
      */
     void start(Consumer<String> progress) throws InterruptedException;
 
     /**
-     * Waits until clients can use all proxies again; not on the I/O thread.
+     * Waits until clients can use all proxies again. Must not be called on the I/O thread.
      *
-     * @throws IllegalStateException where one is not ready in time
+     * @throws IllegalStateException if a proxy is not ready in time
      */
     void awaitOpen() throws InterruptedException;
 
     /** Announces the state of a backend to the proxies; I/O thread only. */
     void announce(int backend, EndpointUpdate.State state, long upSinceMillis);
 
-    /** Holds back all later announcements for some time; I/O thread only. */
+    /** Delays all later announcements until a number of seconds has passed; I/O thread only. */
     void silenceDiscovery(double seconds);
 
-    /** Lets the faults of processes come at their times, counted from now; I/O thread only. */
+    /** Schedules the faults of processes at their times, counted from now; I/O thread only. */
     void scheduleFaults(FaultPlan faultPlan, ClientFleet clients);
 
-    /** Starts to measure what the processes use; returns at once. */
+    /** Starts to measure the resource usage of the processes; does not wait for it. */
     void startUsageMeasurement();
 
-    /** Adds what the processes have used to the figures of a day; returns at once. */
+    /** Adds the resource usage of the processes to the results of a run; does not wait for it. */
     void addUsageTo(RunResult result, double durationSeconds);
 
-    /** Guards against a result that is handed out before what the processes used is in it. */
+    /**
+     * Waits until all earlier tasks of the process thread have ended. Guards against returning a
+     * result before the resource usage of the processes has been added to it.
+     */
     void awaitProcessTasks() throws InterruptedException;
 
-    /** Where a proxy listens for clients. */
+    /**
+     * Returns the address at which a proxy listens for clients.
+     *
+     * @throws IllegalStateException if the testbed has no proxies
+     */
     InetSocketAddress listenAddress(int proxy);
 
-    /** Runs a task on the thread of the processes, without waiting for it. */
+    /**
+     * Runs a task on the process thread, without waiting for it.
+     *
+     * @throws IllegalStateException if the testbed has no processes
+     */
     void runOnProcessThread(Runnable task);
 
-    /** Lets a proxy read its configuration again, without waiting for it. */
+    /**
+     * Sends SIGHUP to a proxy, which then reloads its configuration; does not wait for it.
+     *
+     * @throws IllegalStateException if the testbed has no processes
+     */
     void reload(int proxy);
 
     /**
      * Stops all processes with SIGTERM and waits for their end.
      *
-     * @return a line on each that did not end well
+     * @return one line for each process that did not exit normally; empty if there is none
      */
     List<String> stop() throws InterruptedException;
 
-    /** Closes the connections of discovery; I/O thread only. */
+    /** Closes the connections of the discovery agents; I/O thread only. */
     void closeConnections();
 
-    /** Kills all processes that are left. */
+    /** Kills all processes that are still running. */
     @Override
     void close();
 }
--- a/src/main/java/lemondrift/lab/fleet/TestbedRunner.java
+++ b/src/main/java/lemondrift/lab/fleet/TestbedRunner.java
@@ -6,22 +6,22 @@
 import lemondrift.lab.simulation.BackendFaultInjector;
 import lemondrift.lab.simulation.RunResult;
 
-/** Plays one day of a testbed and measures it. Not on the I/O thread. */
+/** Executes single runs of a testbed and measures them. Must not be used on the I/O thread. */
 final class TestbedRunner {
-    /** How often it is measured how much the backends are able to serve. */
+    /** The time between two measurements of the backends' capacity. */
     private static final double CAPACITY_INTERVAL_SECONDS = 0.1;
 
-    /** Within which all requests have to end after a day. */
+    /** The time within which all open requests must end after a run. */
     private static final double OPEN_REQUESTS_TIMEOUT_SECONDS = 60;
 
-    /** Between two looks at what is waited for. */
+    /** The time between two checks of a condition that is waited for. */
     private static final long POLL_INTERVAL_MILLIS = 50;
 
     /**
-     * A day that is to be played; traffic comes before its start too.
+     * A run to be executed. Traffic starts before {@code startAt}, to warm up the testbed.
      *
-     * @param startAt the time from which its figures count
-     * @param faultPlan the faults of processes and between them
+     * @param startAt the time from which the results count, in seconds of the scheduler
+     * @param faultPlan the faults of processes and of the channels between them
      */
     record MeasuredRun(
             double startAt,
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Plays a day, and waits until all requests have ended and all proxies are back.
+     * Executes a run, then waits until all requests have ended and all proxies are open again.
      *
-     * @throws IllegalStateException where that takes too long, or something failed
+     * @throws IllegalStateException if that takes too long or a task of the testbed has failed
      */
     FleetTestbed.RunOutcome run(MeasuredRun measuredRun) throws InterruptedException {
         scheduler.run(
@@ -108,7 +108,7 @@
             if (second > reportedSecond) {
                 reportedSecond = second;
                 progress.accept(
-                        "playing, "
+                        "running, "
                                 + second
                                 + " of "
                                 + (int) measuredRun.durationSeconds
@@ -128,7 +128,10 @@
         while (openRequests() > 0) {
             if (scheduler.now() > deadline) {
                 throw new IllegalStateException(
-                        openRequests() + " requests are open after the day");
+                        openRequests()
+                                + " requests are still open "
+                                + OPEN_REQUESTS_TIMEOUT_SECONDS
+                                + " s after the run");
             }
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
