--- a/src/test/java/lemondrift/lab/fleet/ClientTryTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ClientTryTest.java
@@ -26,14 +26,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A client's request whose kept connection to a proxy is closed before the response. */
+/** Tests client requests whose reused connection to a proxy is closed before the response. */
 class ClientTryTest {
     private static final int FIRST = 0;
     private static final int SECOND = 1;
     private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** Stands in for a proxy: hands each request to the test, which responds or closes. */
+    /**
+     * A proxy that passes the connection of each request to the test, which responds or closes it.
+     */
     private static final class FakeProxy implements AutoCloseable {
         private final ServerSocket server =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -55,7 +57,7 @@
             }
         }
 
-        /** A request without a body ends with its head; of one with a body the rest is ignored. */
+        /** Reads requests up to the end of their head; the body of a request is ignored. */
         private void readAll(Socket client) throws IOException {
             BufferedReader reader =
                     new BufferedReader(
@@ -68,7 +70,7 @@
             }
         }
 
-        /** Waits for a request; null where none comes in time. */
+        /** Waits for a request; null if none arrives in time. */
         Socket awaitRequest() throws InterruptedException {
             return requests.poll(10, TimeUnit.SECONDS);
         }
@@ -83,7 +85,7 @@
         }
     }
 
-    /** Two proxies; clients are sent to the first for as long as it is open. */
+    /** Two proxies; clients are sent to the first as long as it is open. */
     private final class TwoProxies implements ClientTargets {
         private boolean firstOpen = true;
 
@@ -162,7 +164,10 @@
                         });
     }
 
-    /** A first request is answered, and a second one is in flight on the same connection. */
+    /**
+     * Completes a first request, sends a second one on the same connection, and closes the first
+     * proxy for further requests; returns the connection of the second request.
+     */
     private Socket sendOnReusedConnection(Idempotency idempotency) throws Exception {
         send("first", idempotency);
         proxies.get(FIRST).awaitRequest().getOutputStream().write(RESPONSE);
@@ -186,8 +191,8 @@
     }
 
     /**
-     * Guards against a client of the testbed that repeats what the killed proxy had sent to a
-     * backend, which the recorder would blame on the proxies.
+     * Guards against a client of the testbed that resends a request which the killed proxy had
+     * already sent to a backend. The recorder would count the repetition as a fault of the proxies.
      */
     @Test
     void doesNotResendAtAnotherProxyAfterItsProxyWasKilled() throws Exception {
@@ -195,10 +200,12 @@
         context.scheduler().run(() -> context.recorder().markUnavailable(FIRST));
         inFlight.close();
         awaitCount(1, false);
-        assertTrue(proxies.get(SECOND).requests.isEmpty(), "sent to the other proxy");
+        assertTrue(
+                proxies.get(SECOND).requests.isEmpty(),
+                "the request must not be sent to the other proxy");
     }
 
-    /** An idle connection may be closed by a draining proxy just as a request is sent on it. */
+    /** A draining proxy may close an idle connection while a request is being sent on it. */
     @Test
     void resendsAtAnotherProxyWhenAnIdleConnectionClosesDuringSend() throws Exception {
         Socket inFlight = sendOnReusedConnection(Idempotency.NOT_IDEMPOTENT);
--- a/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FaultPlanTest.java
@@ -32,10 +32,10 @@
                         0);
         FaultPlan faults = plan(false, oneWay);
         assertEquals(List.of(oneWay), faults.activeDatagramFaults(4, 1, 102));
-        assertEquals(List.of(), faults.activeDatagramFaults(1, 4, 102), "the way back");
+        assertEquals(List.of(), faults.activeDatagramFaults(1, 4, 102), "the opposite direction");
         assertEquals(List.of(), faults.activeDatagramFaults(4, 2, 102), "another location");
-        assertEquals(List.of(), faults.activeDatagramFaults(4, 1, 101.9), "before it");
-        assertEquals(List.of(), faults.activeDatagramFaults(4, 1, 105), "after it");
+        assertEquals(List.of(), faults.activeDatagramFaults(4, 1, 101.9), "before the fault");
+        assertEquals(List.of(), faults.activeDatagramFaults(4, 1, 105), "after the fault");
         Fault bothWays =
                 new Fault(
                         Fault.Kind.CUT,
@@ -60,7 +60,7 @@
         assertEquals(105, faults.backendCutUntil(faults.segmentOf(2), 3, 103), 1e-9);
         assertEquals(103, faults.backendCutUntil(faults.segmentOf(1), 3, 103), 1e-9);
         assertEquals(103, faults.backendCutUntil(faults.segmentOf(2), 4, 103), 1e-9);
-        assertEquals(8, plan(true, cut).segmentCount(), "each proxy has its own");
+        assertEquals(8, plan(true, cut).segmentCount(), "each proxy has its own segment");
     }
 
     @Test
@@ -78,7 +78,7 @@
                         .length);
         assertTrue(
                 IntStream.range(0, 8).allMatch(proxy -> plan(false).segmentOf(proxy) == 0),
-                "no faults, one segment");
+                "without faults all proxies are in one segment");
     }
 
     @Test
--- a/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Four real processes with faults between them; the same ones over all days. */
+/** Tests four real processes with faults between them. All tests use the same processes. */
 class FleetTestbedTest {
     private static final int MAX_RUNS_TO_RECOVER = 10;
     private static FleetTestbed testbed;
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Plays days without faults until all requests of one are served; the days before keep the
-     * rules too.
+     * Executes runs without faults until one of them serves all requests. The earlier runs must
+     * keep the rules too.
      */
     private static void assertRecovers() throws Exception {
         RunResult last = null;
@@ -53,7 +53,7 @@
                 return;
             }
         }
-        fail("not as before after " + MAX_RUNS_TO_RECOVER + " calm days: " + last);
+        fail("not recovered after " + MAX_RUNS_TO_RECOVER + " runs without faults: " + last);
     }
 
     private static void assertAllAnswered(RunResult result) {
@@ -77,12 +77,12 @@
     }
 
     /**
-     * Guards against a result that is returned before the process thread has counted what the
-     * processes used.
+     * Guards against a result that is returned before the process thread has added the resource
+     * usage of the processes.
      */
     @Test
     void resultIsCompleteWhenTheProcessThreadIsBusyAtTheEndOfTheRun() throws Exception {
-        // The first day of a testbed has a longer lead than all others.
+        // The first run of a testbed has a longer warm-up than all later ones.
         run(List.of());
         CountDownLatch busyUntil = new CountDownLatch(1);
         CompletableFuture<Void> release =
@@ -111,7 +111,7 @@
     void recoversAfterAllGossipIsCut() throws Exception {
         RunResult result = run(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
         assertAllAnswered(result);
-        assertTrue(result.gossipMessages > 0, "they go on gossiping");
+        assertTrue(result.gossipMessages > 0, "the proxies must continue to send gossip");
         assertRecovers();
     }
 
@@ -142,7 +142,7 @@
         assertEquals(
                 0,
                 result.overloadedColdBackends,
-                "no cold backend is overloaded by all of them together");
+                "the proxies together must not overload a cold backend");
         assertRecovers();
     }
 
@@ -156,7 +156,10 @@
         assertRecovers();
     }
 
-    /** The baselines play the same file, and there is no process for its faults to fall on. */
+    /**
+     * The baselines use the same experiment file, but there is no process that its faults could
+     * affect.
+     */
     @Test
     void policyWithoutProxiesIgnoresProcessFaults() throws Exception {
         try (FleetTestbed direct =
--- a/src/test/java/lemondrift/lab/fleet/Fleets.java
+++ b/src/test/java/lemondrift/lab/fleet/Fleets.java
@@ -26,7 +26,10 @@
 
     private Fleets() {}
 
-    /** Little traffic for the backends, so that no result depends on how fast the machine is. */
+    /**
+     * Creates an experiment with little traffic for the backends, so that no result depends on the
+     * speed of the machine.
+     */
     static Experiment experiment(double load) {
         Scenario scenario =
                 new Scenario(
@@ -123,7 +126,7 @@
                 0);
     }
 
-    /** Plays a day with these faults, and checks that all rules are kept. */
+    /** Executes a run with these faults, and checks that all rules are kept. */
     static RunResult run(FleetTestbed testbed, List<BackendFault> backendFaults, Fault... faults)
             throws Exception {
         double durationSeconds = faults.length > 0 ? RUN_SECONDS : RUN_WITHOUT_FAULTS_SECONDS;
@@ -133,7 +136,7 @@
         return outcome.result();
     }
 
-    /** Stops all proxies, and checks that all drain and end with 0. */
+    /** Stops all proxies, and checks that all drain and exit with 0. */
     static void stop(FleetTestbed testbed) throws Exception {
         try (FleetTestbed closing = testbed) {
             assertEquals(List.of(), closing.stop());
--- a/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
+++ b/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
@@ -22,7 +22,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Four real processes that are killed, with snapshots on a disk that is kept. */
+/**
+ * Tests the recovery of four real processes that are killed, with snapshots on a disk that is kept.
+ */
 class RecoveryProcessTest {
     private static final int MAX_RUNS_TO_RECOVER = 12;
     private static final BackendFault CRASH_OF_ALL_BACKENDS =
@@ -48,13 +50,13 @@
         assertEquals(
                 0,
                 result.overloadedColdBackends,
-                "no cold backend is overloaded by all of them together");
+                "the proxies together must not overload a cold backend");
         return result;
     }
 
     /**
-     * Plays days without faults until all requests of one are served and each proxy's own recovery
-     * has settled.
+     * Executes runs without faults until one of them serves all requests and the recovery of each
+     * proxy has settled.
      */
     private static void assertRecovers() throws Exception {
         RunResult last = null;
@@ -67,7 +69,7 @@
                 return;
             }
         }
-        fail("not as before after " + MAX_RUNS_TO_RECOVER + " calm days: " + last);
+        fail("not recovered after " + MAX_RUNS_TO_RECOVER + " runs without faults: " + last);
     }
 
     private static List<String> log(int proxy) {
@@ -139,13 +141,13 @@
         assertRecovers();
         long recoveriesBefore = countLines(2, "recovery begins");
         long setAsideBefore = countLines(2, "set aside");
-        // A folder in the place of the file can be neither read nor written over.
+        // A folder in place of the snapshot file can be neither read nor overwritten.
         for (Path file = disk.resolve("n2.snap"); !Files.isDirectory(file); ) {
             Files.deleteIfExists(file);
             try {
                 Files.createDirectory(file);
             } catch (FileAlreadyExistsException e) {
-                // The proxy has just written another one.
+                // The proxy has just written another snapshot file.
             }
         }
         run(
@@ -160,7 +162,7 @@
         assertTrue(
                 lines.subList(from, lines.size()).stream()
                         .anyMatch(line -> line.contains("phase=ALONE")),
-                "it was alone among others that know");
+                "the recovery must enter phase ALONE: only this proxy is new");
     }
 
     @Test
@@ -180,6 +182,8 @@
                         && IntStream.range(1, startNumbers.length)
                                 .allMatch(i -> startNumbers[i] > startNumbers[i - 1]),
                 Arrays.toString(startNumbers));
-        assertTrue(lastLine(1, "recovery begins").contains("this run of the machine"), "believed");
+        assertTrue(
+                lastLine(1, "recovery begins").contains("this run of the machine"),
+                "the snapshot must be recognized as written in this run of the machine");
     }
 }
--- a/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process at SIGHUP, its files changing under it, beside live traffic. */
+/** Tests a real process that gets SIGHUP while its files change and clients send traffic. */
 class ReloadSignalTest {
     private static final int RELOADS = 50;
     private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
@@ -32,7 +32,10 @@
     private FleetTestbed testbed;
     private int requestCount;
 
-    /** The status of a request of the class that only the changed settings have. */
+    /**
+     * Sends a request of the class that only the changed settings have, and returns the status
+     * code.
+     */
     private int statusOfNewClass() {
         InetSocketAddress proxy = testbed.listenAddress(0);
         try {
@@ -60,7 +63,7 @@
             throws InterruptedException {
         long deadline = System.nanoTime() + TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadline, "not reached: " + description);
+            assertTrue(System.nanoTime() < deadline, "timed out waiting for: " + description);
             Thread.sleep(5);
         }
     }
@@ -76,7 +79,7 @@
         }
     }
 
-    /** Guards against a peers file that is missing or broken and so blocks new settings. */
+    /** Guards against a missing or broken peers file that blocks new settings. */
     @Test
     void newSettingsAreUsedEvenIfThePeersFileIsMissingOrBroken(@TempDir Path folder)
             throws Exception {
@@ -111,15 +114,18 @@
                         Files.writeString(config, changed.substring(0, changed.length() / 2));
                         testbed.reload(0);
                         await(
-                                "the broken file is refused",
+                                "the broken file is rejected",
                                 () -> countRejectedConfigurations() > before);
-                        assertEquals(200, statusOfNewClass(), "the settings stay, whole");
+                        assertEquals(
+                                200,
+                                statusOfNewClass(),
+                                "the previous settings must stay in use completely");
                     }
                     default -> {
                         Files.deleteIfExists(peers);
                         Files.writeString(config, original);
                         testbed.reload(0);
-                        await("the class is gone", () -> statusOfNewClass() == 400);
+                        await("the new class is unknown again", () -> statusOfNewClass() == 400);
                     }
                 }
             }
--- a/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
+++ b/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A few days of the soak, of fixed seeds. */
+/** Tests a few soak runs with fixed seeds. */
 class SoakRunTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
@@ -19,13 +19,16 @@
         assertAllRulesHoldAndAllProcessesExitWithZero(seed);
     }
 
-    /** A process is told to read its configuration again while it still starts. */
+    /** In the run of seed 3, a process gets SIGHUP while it is still starting. */
     @Test
     void allProcessesExitWithZeroWhenAReloadSignalArrivesDuringTheStart() throws Exception {
         assertAllRulesHoldAndAllProcessesExitWithZero(3);
     }
 
-    /** Guards against a process that signals in series end early, late or not with zero. */
+    /**
+     * Guards against a process that exits early, late or with a nonzero code after signals in
+     * series.
+     */
     @Test
     void allRulesHoldWhenSignalsArriveInSeriesAndStartsAreInterrupted() throws Exception {
         assertAllRulesHoldAndAllProcessesExitWithZero(SoakRun.planWithSignals(4));
