--- a/src/main/java/lemondrift/lab/fleet/FaultPlan.java
+++ b/src/main/java/lemondrift/lab/fleet/FaultPlan.java
@@ -50,7 +50,7 @@
     /** The segment of each proxy. */
     private final int[] segments;
 
-    /** One proxy of each segment. */
+    /** The proxy with the lowest number in each segment. */
     private final int[] firstProxies;
 
     /**
