--- a/src/main/java/lemondrift/lab/fleet/BackendPicker.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendPicker.java
@@ -50,15 +50,15 @@
      */
     @Override
     public OptionalInt pick(IntUnaryOperator inFlight) {
-        int[] reachable =
+        int[] available =
                 IntStream.range(0, backendFleet.backends.length)
                         .filter(i -> backendFleet.backends[i].isAvailable())
                         .toArray();
-        if (reachable.length == 0) {
+        if (available.length == 0) {
             return OptionalInt.empty();
         }
-        int firstPick = reachable[context.random().nextInt(reachable.length)];
-        int secondPick = reachable[context.random().nextInt(reachable.length)];
+        int firstPick = available[context.random().nextInt(available.length)];
+        int secondPick = available[context.random().nextInt(available.length)];
         return OptionalInt.of(
                 switch (policy) {
                     case RANDOM -> firstPick;
@@ -66,7 +66,7 @@
                             inFlight.applyAsInt(secondPick) < inFlight.applyAsInt(firstPick)
                                     ? secondPick
                                     : firstPick;
-                    case ORACLE -> pickLeastLoaded(reachable, firstPick, inFlight);
+                    case ORACLE -> pickLeastLoaded(available, firstPick, inFlight);
                     default ->
                             throw new InvalidSettingsException(
                                     "the process testbed supports the policies random, two_choices"
@@ -75,8 +75,8 @@
                 });
     }
 
-    private int pickLeastLoaded(int[] reachable, int preferred, IntUnaryOperator inFlight) {
-        return Arrays.stream(reachable)
+    private int pickLeastLoaded(int[] available, int preferred, IntUnaryOperator inFlight) {
+        return Arrays.stream(available)
                 .boxed()
                 .min(Comparator.comparingDouble(i -> estimateLoad(i, preferred, inFlight)))
                 .get();
--- a/src/main/java/lemondrift/lab/fleet/ClientRequest.java
+++ b/src/main/java/lemondrift/lab/fleet/ClientRequest.java
@@ -54,8 +54,8 @@
     }
 
     /** Counts one rejection, in a second of the current run. */
-    void recordRejection(int secondOfDay) {
+    void recordRejection(int secondOfRun) {
         result.rejected++;
-        result.rejectedPerSecond[secondOfDay]++;
+        result.rejectedPerSecond[secondOfRun]++;
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/FleetRun.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetRun.java
@@ -48,10 +48,10 @@
             ProcessLauncher launcher,
             Consumer<String> progress)
             throws IOException, InterruptedException {
-        Consumer<String> dayProgress =
+        Consumer<String> runProgress =
                 line -> progress.accept(policy + ", seed " + seed + ": " + line);
         try (FleetTestbed testbed =
-                createTestbed(experiment, policy, seed, launcher, dayProgress)) {
+                createTestbed(experiment, policy, seed, launcher, runProgress)) {
             testbed.start();
             FleetTestbed.RunOutcome outcome = testbed.run();
             List<String> problems = testbed.stop();
--- a/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
+++ b/src/main/java/lemondrift/lab/fleet/OutcomeRecorder.java
@@ -300,8 +300,8 @@
     }
 
     /** Records how many requests a backend holds from now on and whether it is available. */
-    void recordBackendLoad(int backend, int heldRequests, boolean fit) {
-        evenness.updateBackend(backend, heldRequests, fit, now());
+    void recordBackendLoad(int backend, int heldRequests, boolean available) {
+        evenness.updateBackend(backend, heldRequests, available, now());
     }
 
     /**
--- a/src/main/java/lemondrift/lab/fleet/SoakRun.java
+++ b/src/main/java/lemondrift/lab/fleet/SoakRun.java
@@ -101,14 +101,14 @@
             testbed.start();
             testbed.connectIdleClients(plan.idleClientsPerProxy);
             FleetTestbed.RunOutcome outcome = testbed.run();
-            List<String> wrong = new ArrayList<>();
-            outcome.brokenRule().ifPresent(wrong::add);
+            List<String> violations = new ArrayList<>();
+            outcome.brokenRule().ifPresent(violations::add);
             long overloaded = outcome.result().overloadedColdBackends;
             if (overloaded > 0) {
-                wrong.add(overloaded + " cold backends overloaded");
+                violations.add(overloaded + " cold backends overloaded");
             }
-            wrong.addAll(testbed.stop());
-            return new Outcome(plan, outcome.result(), wrong);
+            violations.addAll(testbed.stop());
+            return new Outcome(plan, outcome.result(), violations);
         }
     }
 }
