--- a/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
+++ b/src/test/java/lemondrift/lab/fleet/SoakRunTest.java
@@ -42,9 +42,9 @@
             throws Exception {
         ProcessLauncher launcher =
                 Fleets.launcher(Path.of("deploy/peers.json"), Path.of("deploy/recovery.json"));
-        SoakRun.Outcome verdict = SoakRun.run(plan, launcher, line -> {});
-        assertEquals(List.of(), verdict.violations(), plan.describe());
-        assertTrue(verdict.result().succeeded > 0, plan.describe());
+        SoakRun.Outcome outcome = SoakRun.run(plan, launcher, line -> {});
+        assertEquals(List.of(), outcome.violations(), plan.describe());
+        assertTrue(outcome.result().succeeded > 0, plan.describe());
     }
 
     @Test
