--- a/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
@@ -12,9 +12,12 @@
 import lemondrift.model.AttemptOutcome;
 import org.xnio.StreamConnection;
 
-/** Answers what comes on the connections to the backends. I/O thread only. */
+/** Answers the requests that arrive on the connections to the backends. I/O thread only. */
 final class BackendRequestHandler implements HttpConnection.Listener {
-    /** Requests whose trace id starts so are answered at once and not judged. */
+    /**
+     * Requests whose trace id starts with this prefix are answered at once and not checked against
+     * the rules.
+     */
     static final String UNCHECKED_TRACE_ID_PREFIX = "aside-";
 
     private static final String OK = "200 OK";
@@ -24,18 +27,21 @@
 
     /** One connection to a backend. */
     private static final class BackendConnection {
-        final HttpConnection connection;
+        final HttpConnection httpConnection;
         final int segment;
         final int backend;
 
-        /** The latest attempt that came on it; null before the first and after a response. */
+        /**
+         * The latest attempt received on the connection; null before the first one and after a
+         * response.
+         */
         Attempt attempt;
 
-        /** The work of that attempt while the backend holds it; null at other times. */
+        /** The job of that attempt while the backend holds it; null otherwise. */
         Backend.Job job;
 
-        BackendConnection(HttpConnection connection, int segment, int backend) {
-            this.connection = connection;
+        BackendConnection(HttpConnection httpConnection, int segment, int backend) {
+            this.httpConnection = httpConnection;
             this.segment = segment;
             this.backend = backend;
         }
@@ -49,7 +55,12 @@
     private final Map<HttpConnection, BackendConnection> connections = new HashMap<>();
     private IntConsumer overloadListener = backend -> {};
 
-    /** Serves the backends; 0 for any number of connections to each. */
+    /**
+     * Creates the handler for all backends.
+     *
+     * @param maxConnections how many connections a backend may hold before it rejects requests; 0
+     *     means no limit
+     */
     BackendRequestHandler(TestbedContext context, Backend[] backends, int maxConnections) {
         this.context = context;
         this.backends = backends;
@@ -62,7 +73,7 @@
         overloadListener = listener;
     }
 
-    /** Takes a connection from a proxy of a segment to a backend. */
+    /** Accepts a connection from a proxy of a segment to a backend. */
     void accept(StreamConnection stream, int segment, int backend) {
         HttpConnection connection = new HttpConnection(stream, this);
         connections.put(connection, new BackendConnection(connection, segment, backend));
@@ -70,16 +81,16 @@
 
     /** Closes all connections to a backend. */
     void closeConnections(int backend) {
-        List<HttpConnection> toBackend =
+        List<HttpConnection> connectionsToBackend =
                 connections.values().stream()
                         .filter(each -> each.backend == backend)
-                        .map(each -> each.connection)
+                        .map(each -> each.httpConnection)
                         .toList();
-        toBackend.forEach(HttpConnection::close);
-        toBackend.forEach(connections::remove);
+        connectionsToBackend.forEach(HttpConnection::close);
+        connectionsToBackend.forEach(connections::remove);
     }
 
-    /** Reports how many requests a backend holds now. */
+    /** Records how many requests a backend holds now and whether it is available. */
     void recordLoad(int backend) {
         recorder.recordBackendLoad(
                 backend, backends[backend].heldRequestCount(), backends[backend].isAvailable());
@@ -105,7 +116,7 @@
     }
 
     private void handleRequest(BackendConnection connection, String head) {
-        if (!connection.connection.isOpen()
+        if (!connection.httpConnection.isOpen()
                 || backends[connection.backend].activeSilenceFaults > 0) {
             return;
         }
@@ -150,15 +161,17 @@
         } else if (failing) {
             endAttempt(connection, AttemptOutcome.ERROR, "500 Error", NO_FIELDS);
         } else {
-            connection.job = backend.submit(pending.workSeconds, ran -> finishJob(connection, ran));
+            connection.job =
+                    backend.submit(
+                            pending.workSeconds, completed -> finishJob(connection, completed));
             recordLoad(connection.backend);
         }
     }
 
     private double errorProbability(Backend backend, OutcomeRecorder.PendingRequest pending) {
-        boolean isOfLastClass = pending.request.requestClassIndex == lastRequestClass;
+        boolean isLastClass = pending.request.requestClassIndex == lastRequestClass;
         return Math.max(
-                backend.faultErrorShare, isOfLastClass ? backend.lastClassFaultErrorShare : 0);
+                backend.faultErrorShare, isLastClass ? backend.lastClassFaultErrorShare : 0);
     }
 
     private boolean hasTooManyConnections(int backend) {
@@ -167,10 +180,10 @@
                         > maxConnections;
     }
 
-    private void finishJob(BackendConnection connection, boolean ran) {
+    private void finishJob(BackendConnection connection, boolean completed) {
         connection.job = null;
         recordLoad(connection.backend);
-        if (ran) {
+        if (completed) {
             endAttempt(connection, AttemptOutcome.SUCCESS, OK, NO_FIELDS);
         } else {
             recorder.recordAttemptEnd(connection.attempt, AttemptOutcome.RESET);
@@ -185,21 +198,22 @@
         respond(connection, status, fields, body);
     }
 
-    private void respond(BackendConnection to, String status, String fields, byte[] body) {
+    private void respond(BackendConnection connection, String status, String fields, byte[] body) {
         byte[] message =
                 HttpConnection.encodeMessage(
                         "HTTP/1.1 "
                                 + status
                                 + "\r\nEndpoint-Load-Metrics: TEXT "
-                                + loadReport(to.backend)
+                                + loadReport(connection.backend)
                                 + fields,
                         body);
         double now = context.scheduler().now();
-        double cutUntil = context.faultPlan().backendCutUntil(to.segment, to.backend, now);
+        double cutUntil =
+                context.faultPlan().backendCutUntil(connection.segment, connection.backend, now);
         if (cutUntil > now) {
-            context.scheduler().at(cutUntil, () -> to.connection.write(message));
+            context.scheduler().at(cutUntil, () -> connection.httpConnection.write(message));
         } else {
-            to.connection.write(message);
+            connection.httpConnection.write(message);
         }
     }
 
@@ -215,7 +229,7 @@
     public void onClosed(HttpConnection connection) {
         BackendConnection closed = connections.remove(connection);
         if (closed != null && closed.job != null) {
-            // Nobody waits any more: work in the queue is dropped, work that runs is finished.
+            // The other side no longer waits: queued work is dropped, running work is finished.
             backends[closed.backend].drop(closed.job);
             recorder.recordAttemptEnd(closed.attempt, AttemptOutcome.CANCELLED);
             recordLoad(closed.backend);
--- a/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
+++ b/src/test/java/lemondrift/lab/fleet/FleetTestbedTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Four real processes with faults between them; the same ones over all days. */
+/** Tests four real processes with faults between them. All tests use the same processes. */
 class FleetTestbedTest {
     private static final int MAX_RUNS_TO_RECOVER = 10;
     private static FleetTestbed testbed;
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Plays days without faults until all requests of one are served; the days before keep the
-     * rules too.
+     * Executes runs without faults until one of them serves all requests. The earlier runs must
+     * keep the rules too.
      */
     private static void assertRecovers() throws Exception {
         RunResult last = null;
@@ -53,7 +53,7 @@
                 return;
             }
         }
-        fail("not as before after " + MAX_RUNS_TO_RECOVER + " calm days: " + last);
+        fail("not recovered after " + MAX_RUNS_TO_RECOVER + " runs without faults: " + last);
     }
 
     private static void assertAllAnswered(RunResult result) {
@@ -77,12 +77,12 @@
     }
 
     /**
-     * Guards against a result that is returned before the process thread has counted what the
-     * processes used.
+     * Guards against a result that is returned before the process thread has added the resource
+     * usage of the processes.
      */
     @Test
     void resultIsCompleteWhenTheProcessThreadIsBusyAtTheEndOfTheRun() throws Exception {
-        // The first day of a testbed has a longer lead than all others.
+        // The first run of a testbed has a longer warm-up than all later ones.
         run(List.of());
         CountDownLatch busyUntil = new CountDownLatch(1);
         CompletableFuture<Void> release =
@@ -93,9 +93,9 @@
                 CompletableFuture.runAsync(
                         () -> testbed.runOnProcessThread(() -> await(busyUntil)),
                         CompletableFuture.delayedExecutor(1500, TimeUnit.MILLISECONDS));
-        RunResult day = run(List.of());
-        assertTrue(day.gossipMessages > 0, day.toString());
-        assertTrue(day.cpuShare > 0 && day.memoryMegabytes > 0, day.toString());
+        RunResult result = run(List.of());
+        assertTrue(result.gossipMessages > 0, result.toString());
+        assertTrue(result.cpuShare > 0 && result.memoryMegabytes > 0, result.toString());
         CompletableFuture.allOf(hold, release).join();
     }
 
@@ -109,20 +109,20 @@
 
     @Test
     void recoversAfterAllGossipIsCut() throws Exception {
-        RunResult day = run(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
-        assertAllAnswered(day);
-        assertTrue(day.gossipMessages > 0, "they go on gossiping");
+        RunResult result = run(List.of(), fault(Kind.CUT, "all", "all", 0, 4, 1));
+        assertAllAnswered(result);
+        assertTrue(result.gossipMessages > 0, "the proxies must continue to send gossip");
         assertRecovers();
     }
 
     @Test
     void recoversAfterAKillWhileOldDatagramsAreInFlight() throws Exception {
-        RunResult day =
+        RunResult result =
                 run(
                         List.of(),
                         fault(Kind.LATE, "all", "all", 0, 5, 1),
                         fault(Kind.KILL, "number 1", "all", 1, 0.5, 1));
-        assertEquals(0, day.overloadedColdBackends);
+        assertEquals(0, result.overloadedColdBackends);
         assertRecovers();
     }
 
@@ -134,15 +134,15 @@
 
     @Test
     void recoversAfterARollingRestartDuringADeployWithDiscoveryCut() throws Exception {
-        RunResult day =
+        RunResult result =
                 run(
                         List.of(new BackendFault(BackendFault.Kind.DEPLOY, 0.5, 3, 0.5, 1)),
                         fault(Kind.ROLL, "all", "all", 0.5, 4, 1),
                         cut(Fault.Channel.DISCOVERY, "30%", "all", 1, 2));
         assertEquals(
                 0,
-                day.overloadedColdBackends,
-                "no cold backend is overloaded by all of them together");
+                result.overloadedColdBackends,
+                "the proxies together must not overload a cold backend");
         assertRecovers();
     }
 
@@ -156,32 +156,37 @@
         assertRecovers();
     }
 
-    /** The baselines play the same file, and there is no process for its faults to fall on. */
+    /**
+     * The baselines use the same experiment file, but there is no process that its faults could
+     * affect.
+     */
     @Test
     void policyWithoutProxiesIgnoresProcessFaults() throws Exception {
         try (FleetTestbed direct =
                 FleetTestbed.withoutProxies(
                         Fleets.experiment(0.4), 1, Baseline.Kind.ORACLE, line -> {})) {
             direct.start();
-            FleetTestbed.RunOutcome day =
+            FleetTestbed.RunOutcome outcome =
                     direct.run(List.of(), List.of(fault(Kind.KILL, "all", "all", 0, 1, 1)), 1);
-            assertEquals(Optional.empty(), day.brokenRule());
+            assertEquals(Optional.empty(), outcome.brokenRule());
             assertEquals(
-                    day.result().clientRequests, day.result().succeeded, day.result().toString());
+                    outcome.result().clientRequests,
+                    outcome.result().succeeded,
+                    outcome.result().toString());
             assertEquals(List.of(), direct.stop());
         }
     }
 
     @Test
     void noResponseIsLostWhenBackendsCrashVanishAndFailAtTheSameTime() throws Exception {
-        RunResult day =
+        RunResult result =
                 run(
                         List.of(
                                 new BackendFault(BackendFault.Kind.CRASH, 0.5, 2, 0.2, 1),
                                 new BackendFault(BackendFault.Kind.VANISH, 1, 2, 0.2, 1),
                                 new BackendFault(BackendFault.Kind.ERRORS, 1, 3, 0.2, 0.8),
                                 new BackendFault(BackendFault.Kind.BURST, 1, 2, 1, 1.5)));
-        assertAllAnswered(day);
+        assertAllAnswered(result);
         assertRecovers();
     }
 }
