--- a/src/main/java/lemondrift/cli/LabCommand.java
+++ b/src/main/java/lemondrift/cli/LabCommand.java
@@ -87,7 +87,7 @@
     static final class Run implements Callable<Integer> {
         @ParentCommand LabCommand lab;
 
-        @Parameters(arity = "1..*", paramLabel = "FILE", description = "experiments, in TOML")
+        @Parameters(arity = "1..*", paramLabel = "FILE", description = "TOML files of experiments")
         List<Path> files;
 
         @Option(
@@ -171,7 +171,7 @@
     static final class Compare implements Callable<Integer> {
         @ParentCommand LabCommand lab;
 
-        @Parameters(arity = "1..*", paramLabel = "FILE", description = "experiments, in TOML")
+        @Parameters(arity = "1..*", paramLabel = "FILE", description = "TOML files of experiments")
         List<Path> files;
 
         @Override
--- a/src/main/java/lemondrift/lab/simulation/BackendFault.java
+++ b/src/main/java/lemondrift/lab/simulation/BackendFault.java
@@ -6,7 +6,7 @@
  * A fault of backends, traffic or discovery. Faults may overlap. Reports contain the components as
  * JSON.
  *
- * @param kind what fails
+ * @param kind the kind of fault
  * @param startAt start time, in seconds from the start of the scenario
  * @param durationSeconds duration in seconds, over 0
  * @param share share of the backends that are affected, 0 to 1; at least one backend is affected
--- a/src/main/java/lemondrift/lab/simulation/Fault.java
+++ b/src/main/java/lemondrift/lab/simulation/Fault.java
@@ -4,7 +4,7 @@
  * A fault of the proxies' processes, or of the channels between proxies, to the backends or from
  * discovery. Faults may overlap.
  *
- * @param kind what fails
+ * @param kind the kind of fault
  * @param channel the affected channel, for a fault of a channel
  * @param from the senders whose messages are affected, or the affected processes
  * @param to the receivers of the affected messages
