--- a/src/main/java/lemondrift/balancer/LoadBalancer.java
+++ b/src/main/java/lemondrift/balancer/LoadBalancer.java
@@ -107,18 +107,18 @@
      * @param full whether backends that are not among the updates are no longer listed
      * @param stale whether the list may be out of date, so that it must be polled
      */
-    public Decision endpointsListed(
+    public Decision endpointListCompleted(
             double now, boolean full, boolean stale, List<EndpointUpdate> updates) {
-        endpointsChanged(now, full, updates);
+        applyEndpointUpdates(now, full, updates);
         polling.listReceived(stale, now);
         return wake(now);
     }
 
     /**
      * Handles a part of an endpoint list that is followed by further parts. The last part is passed
-     * to {@link #endpointsListed}.
+     * to {@link #endpointListCompleted}.
      */
-    public void endpointsChanged(double now, boolean full, List<EndpointUpdate> updates) {
+    public void applyEndpointUpdates(double now, boolean full, List<EndpointUpdate> updates) {
         backends.applyUpdates(full, updates);
         serviceTimes.ensureCapacity();
         estimator.ensureCapacity();
--- a/src/main/java/lemondrift/gossip/LoadGossip.java
+++ b/src/main/java/lemondrift/gossip/LoadGossip.java
@@ -161,7 +161,7 @@
      * duplicate, truncated or from before a restart: an unreadable or outdated datagram changes
      * nothing.
      */
-    public void receive(int from, byte[] datagram, double now) {
+    public void processDatagram(int from, byte[] datagram, double now) {
         boolean fromPeer = from >= 0 && from < peers.length && from != self;
         if (!fromPeer || !GossipDatagram.isWellFormed(datagram)) {
             return;
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -177,7 +177,7 @@
                 gossip == null
                         ? updates
                         : subsets.applyUpdates(proxyIndex, isFullList, updates, backend -> backend);
-        return recordAttempts(balancer.endpointsListed(now, isFullList, false, used));
+        return recordAttempts(balancer.endpointListCompleted(now, isFullList, false, used));
     }
 
     @Override
@@ -214,7 +214,7 @@
     @Override
     public void datagramReceived(double now, int from, byte[] datagram) {
         if (datagram[0] != PeerStatus.KIND) {
-            gossip.receive(from, datagram, now);
+            gossip.processDatagram(from, datagram, now);
         } else if (recovery != null) {
             PeerStatus status = PeerStatus.decode(datagram).orElseThrow();
             RecoveryState.Step step = recovery.statusReceived(from, status, now);
--- a/src/main/java/lemondrift/proxy/ConfigReload.java
+++ b/src/main/java/lemondrift/proxy/ConfigReload.java
@@ -83,7 +83,7 @@
         previousRequestDeadline =
                 Math.max(previousRequestDeadline, clock.now() + current.longestTimeoutSeconds());
         current = next.withoutInitialEndpoints();
-        decisionLoop.reload(next.settings(), next.requestClassNames(), next.shadow());
+        decisionLoop.reload(next.settings(), next.requestClassNames(), next.shadowSettings());
         ioThread.execute(
                 () -> {
                     metrics.configurationReloaded(true);
--- a/src/main/java/lemondrift/proxy/GracefulShutdown.java
+++ b/src/main/java/lemondrift/proxy/GracefulShutdown.java
@@ -78,7 +78,7 @@
      * Starts to drain client connections. Leaves an inherited listening socket to the new process.
      */
     void begin() {
-        clientListener.closeInheritedSocket();
+        clientListener.stopAcceptingOnInheritedSocket();
         clientListener.drain(acceptUntil, responseDeadline);
     }
 
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -118,8 +118,8 @@
                         actions,
                         requestClasses,
                         config.settings());
-        if (config.shadow() != null && connector == null) {
-            decisionLoop.enableShadow(config.shadow(), config.seed());
+        if (config.shadowSettings() != null && connector == null) {
+            decisionLoop.enableShadow(config.shadowSettings(), config.seed());
         }
         clientListener =
                 new ClientListener(
@@ -366,8 +366,8 @@
      * Returns the number of indexes of request classes, including indexes that no class has any
      * more.
      */
-    int indexedClassCount() {
-        return clientListener.requestClassCount();
+    int classIndexCount() {
+        return clientListener.classIndexCount();
     }
 
     /**
--- a/src/main/java/lemondrift/proxy/backend/BackendCall.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendCall.java
@@ -79,7 +79,7 @@
      * @param onEnd receives the response or the failure once, but not after {@link #abandon}
      * @return the call; null if no connection is idle and none may be opened
      */
-    public static BackendCall make(
+    public static BackendCall create(
             ConnectionPool pool,
             byte[] request,
             int maxBodyBytes,
@@ -118,7 +118,7 @@
      * @param onEnd receives the response or the failure once, but not after {@link #abandon}
      * @return the call; null if no connection is idle and none may be opened
      */
-    static BackendCall makeStreaming(
+    static BackendCall createStreaming(
             ConnectionPool pool,
             RequestWriter.Request request,
             int maxBufferedBytes,
@@ -209,7 +209,7 @@
             return;
         }
         // Guards against a stale time in the head: connecting may have used a part of it.
-        requestWriter.makeHead(timeouts.secondsLeft());
+        requestWriter.encodeHead(timeouts.secondsLeft());
         pooledConnection.connection.getSourceChannel().setReadListener(source -> read());
         pooledConnection.connection.getSourceChannel().resumeReads();
         requestWriter.start(pooledConnection.connection.getSinkChannel());
@@ -221,7 +221,7 @@
     }
 
     /** Returns whether the request should be sent: its response is needed and time is left. */
-    boolean isStillWanted() {
+    boolean shouldSend() {
         return isResponseAwaited.getAsBoolean()
                 && (requestWriter.streamsBody() || !timeouts.isTooLateToSend());
     }
--- a/src/main/java/lemondrift/proxy/backend/BackendClient.java
+++ b/src/main/java/lemondrift/proxy/backend/BackendClient.java
@@ -131,7 +131,7 @@
             return;
         }
         BackendCall call =
-                BackendCall.makeStreaming(
+                BackendCall.createStreaming(
                         poolFor(attempt.backend, address),
                         new RequestWriter.Request(
                                 RequestHead.of(pending), pending.body(), streamedBody),
@@ -188,7 +188,7 @@
         String path = config.loadReportFields().isEmpty() ? HEALTH_PATH : LOAD_REPORT_PATH;
         // The connect timeout also applies to the entire probe.
         BackendCall call =
-                BackendCall.make(
+                BackendCall.create(
                         poolFor(backend, address),
                         BackendCall.buildGetRequest(path, "backend"),
                         MAX_BUFFERED_BYTES,
--- a/src/main/java/lemondrift/proxy/backend/RequestWriter.java
+++ b/src/main/java/lemondrift/proxy/backend/RequestWriter.java
@@ -71,7 +71,7 @@
     }
 
     /** Encodes the head, which states the time left for the response. */
-    void makeHead(double secondsLeft) {
+    void encodeHead(double secondsLeft) {
         headAndBody[0] = ByteBuffer.wrap(head.encode(secondsLeft));
     }
 
@@ -86,7 +86,7 @@
         // Guards against executing a request whose client closed or whose time passed while it
         // waited for a connection or for a backend that reads nothing: backends don't execute an
         // incomplete request.
-        if (!call.isDone() && !isHeadAndBodySent() && !call.isStillWanted()) {
+        if (!call.isDone() && !isHeadAndBodySent() && !call.shouldSend()) {
             call.endNotSent();
             return;
         }
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -142,8 +142,8 @@
      * Returns the number of indexes of request classes, including indexes that no class has any
      * more. May be called from any thread.
      */
-    public int requestClassCount() {
-        return validator.requestClassCount();
+    public int classIndexCount() {
+        return validator.classIndexCount();
     }
 
     /**
@@ -177,7 +177,7 @@
                         OptionMap.builder()
                                 .set(Options.TCP_NODELAY, true)
                                 .set(Options.REUSE_ADDRESSES, true)
-                                .set(Options.BACKLOG, config.sockets())
+                                .set(Options.BACKLOG, config.maxDescriptors())
                                 .set(Options.CONNECTION_HIGH_WATER, acceptLimit)
                                 .set(Options.CONNECTION_LOW_WATER, acceptLimit)
                                 .getMap());
@@ -199,7 +199,7 @@
      * socket of its own stays open, because clients would be refused if it were closed. May be
      * called from any thread.
      */
-    public void closeInheritedSocket() {
+    public void stopAcceptingOnInheritedSocket() {
         if (inheritedServer != null) {
             worker.getIoThread().execute(inheritedServer::stop);
         }
--- a/src/main/java/lemondrift/proxy/client/RequestValidator.java
+++ b/src/main/java/lemondrift/proxy/client/RequestValidator.java
@@ -63,7 +63,7 @@
      * Returns the number of indexes of request classes, including indexes that no class has any
      * more. May be called from any thread.
      */
-    int requestClassCount() {
+    int classIndexCount() {
         return termsByClass.length;
     }
 
--- a/src/main/java/lemondrift/proxy/config/ProxyConfig.java
+++ b/src/main/java/lemondrift/proxy/config/ProxyConfig.java
@@ -19,7 +19,7 @@
  * @param admin the admin address; null if there is none
  * @param discovery the address that serves the endpoint list
  * @param seed the seed of all random numbers
- * @param sockets the number of descriptors that the process may open
+ * @param maxDescriptors the number of descriptors that the process may open
  * @param memoryBytes the memory that the process may use, in bytes
  * @param settings the settings of the decisions
  * @param requestClassNames the names of the request classes, in the order of the settings' classes
@@ -34,7 +34,8 @@
  * @param connectionLimits the limits of client connections
  * @param gossip the settings of load gossip with other proxies; null if there is none
  * @param recovery the settings of the recovery after a start; null if there is none
- * @param shadow the settings that are evaluated in shadow but not applied; null if there are none
+ * @param shadowSettings the settings that are evaluated in shadow but not applied; null if there
+ *     are none
  */
 public record ProxyConfig(
         String name,
@@ -42,7 +43,7 @@
         InetSocketAddress admin,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
+        int maxDescriptors,
         long memoryBytes,
         Settings settings,
         List<String> requestClassNames,
@@ -56,7 +57,7 @@
         ConnectionLimits connectionLimits,
         GossipSettings gossip,
         RecoverySettings recovery,
-        Settings shadow) {
+        Settings shadowSettings) {
     /** Descriptors reserved for libraries, logs, selectors and the listener. */
     private static final int RESERVED_SOCKETS = 40;
 
@@ -104,7 +105,7 @@
 
     /** Returns how many connections the proxy may hold, from clients and to backends together. */
     public int maxConnections() {
-        return maxConnections(sockets);
+        return maxConnections(maxDescriptors);
     }
 
     /**
@@ -114,7 +115,8 @@
     public double connectionShare(int processCount) {
         return processCount == 1
                 ? 1
-                : (double) maxConnections(sockets / processCount) / maxConnections(sockets);
+                : (double) maxConnections(maxDescriptors / processCount)
+                        / maxConnections(maxDescriptors);
     }
 
     static int maxConnections(int sockets) {
@@ -145,12 +147,12 @@
 
     /** Returns a copy without the initial endpoints, which number thousands in a large fleet. */
     public ProxyConfig withoutInitialEndpoints() {
-        return copy(admin, emptyEndpointList(), connectionLimits, gossip, recovery, shadow);
+        return copy(admin, emptyEndpointList(), connectionLimits, gossip, recovery, shadowSettings);
     }
 
     /** Returns a copy with other limits of client connections. */
     public ProxyConfig withConnectionLimits(ConnectionLimits otherLimits) {
-        return copy(admin, initialEndpoints, otherLimits, gossip, recovery, shadow);
+        return copy(admin, initialEndpoints, otherLimits, gossip, recovery, shadowSettings);
     }
 
     /** Returns a copy with settings to be evaluated in shadow. */
@@ -160,7 +162,7 @@
 
     /** Returns a copy with an admin address. */
     ProxyConfig withAdminAddress(InetSocketAddress address) {
-        return copy(address, initialEndpoints, connectionLimits, gossip, recovery, shadow);
+        return copy(address, initialEndpoints, connectionLimits, gossip, recovery, shadowSettings);
     }
 
     /** Returns a copy with the values of the settings files. */
@@ -168,7 +170,8 @@
             ConnectionLimits otherLimits,
             GossipSettings otherGossip,
             RecoverySettings otherRecovery) {
-        return copy(admin, initialEndpoints, otherLimits, otherGossip, otherRecovery, shadow);
+        return copy(
+                admin, initialEndpoints, otherLimits, otherGossip, otherRecovery, shadowSettings);
     }
 
     private ProxyConfig copy(
@@ -184,7 +187,7 @@
                 otherAdmin,
                 discovery,
                 seed,
-                sockets,
+                maxDescriptors,
                 memoryBytes,
                 settings,
                 requestClassNames,
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -58,7 +58,7 @@
      * Creates an update; {@link #nextSlice} returns its first slice.
      *
      * @param knownBeforeStart whether the list was known before the proxy started
-     * @param notifyApplied run by {@link #notifyApplied}
+     * @param notifyApplied run by {@link #reportApplied}
      */
     public EndpointListUpdate(
             BackendDirectory directory,
@@ -90,7 +90,7 @@
     }
 
     /** Runs the callback that reports that the balancer has applied the whole list. */
-    public void notifyApplied() {
+    public void reportApplied() {
         notifyApplied.run();
     }
 
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListWatch.java
@@ -204,7 +204,7 @@
                                         + "&hold_ms="
                                         + Math.round(holdSeconds * 1000));
         call =
-                BackendCall.make(
+                BackendCall.create(
                         pool,
                         BackendCall.buildGetRequest(path, pool.address.getHostString()),
                         MAX_LIST_BYTES,
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -80,7 +80,7 @@
         for (ReceivedDatagram next = receivedDatagrams.poll();
                 next != null;
                 next = receivedDatagrams.poll()) {
-            gossip.receive(next.from, next.datagram, now);
+            gossip.processDatagram(next.from, next.datagram, now);
         }
         gossip.expireStaleLoad(now);
         balancer.setGossipActive(gossip.livePeerCount(now) > 0);
--- a/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
+++ b/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
@@ -74,7 +74,7 @@
         EndpointListUpdate list = pendingLists.peek();
         List<EndpointUpdate> updates = peers.assignSubsets(list.nextSlice());
         shadow.endpointsListed(list.isKnownBeforeStart(), updates);
-        balancer.endpointsChanged(clock.now(), false, updates);
+        balancer.applyEndpointUpdates(clock.now(), false, updates);
         peers.endpointsApplied(updates);
         for (EndpointUpdate update : updates) {
             // Guards against an attempt that waits for a connection and then reaches another
@@ -107,8 +107,9 @@
                     directory.listedCount(),
                     balancer.usableBackendCount());
         }
-        list.notifyApplied();
+        list.reportApplied();
         executor.execute(
-                balancer.endpointsListed(clock.now(), false, list.isKnownBeforeStart(), List.of()));
+                balancer.endpointListCompleted(
+                        clock.now(), false, list.isKnownBeforeStart(), List.of()));
     }
 }
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -99,11 +99,11 @@
         balancer.settingsChanged(settings, reassigned);
     }
 
-    /** Handles an endpoint list, see {@link LoadBalancer#endpointsListed}. */
+    /** Handles an endpoint list, see {@link LoadBalancer#endpointListCompleted}. */
     public void endpointsListed(
             double now, boolean full, boolean stale, List<EndpointUpdate> updates) {
         updates.forEach(update -> locations.put(update.backend(), update.location()));
-        finishDecision(now, balancer.endpointsListed(now, full, stale, updates));
+        finishDecision(now, balancer.endpointListCompleted(now, full, stale, updates));
     }
 
     /**
--- a/src/main/java/lemondrift/simulator/SimulatorAdapter.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -221,7 +221,7 @@
                             + list
                             + " was never defined, expected a list from an earlier record");
         }
-        return proxy.balancer.endpointsListed(
+        return proxy.balancer.endpointListCompleted(
                 now,
                 kind != LIST_OF_CHANGES,
                 kind == LIST_STALE,
--- a/src/test/java/lemondrift/CompatibilityTest.java
+++ b/src/test/java/lemondrift/CompatibilityTest.java
@@ -51,7 +51,7 @@
         List<LoadGossip.Message> due = sender.takeDueMessages(1);
         assertEquals(1, due.size());
         GoldenFiles.assertHex("gossip-datagram.hex", due.get(0).datagram());
-        receiver.receive(0, GoldenFiles.readHex("gossip-datagram.hex"), 1);
+        receiver.processDatagram(0, GoldenFiles.readHex("gossip-datagram.hex"), 1);
         assertEquals(2, receiver.peerLoad(LoadGossip.tag("backend-1")));
         assertEquals(1, receiver.peerLoad(LoadGossip.tag("backend-2")));
     }
--- a/src/test/java/lemondrift/TestDeployment.java
+++ b/src/test/java/lemondrift/TestDeployment.java
@@ -167,7 +167,7 @@
 
     void applyEndpointList(boolean full, boolean stale, List<EndpointUpdate> updates) {
         notifyShadow(s -> s.endpointsListed(now, full, stale, updates));
-        apply(balancer.endpointsListed(now, full, stale, updates));
+        apply(balancer.endpointListCompleted(now, full, stale, updates));
     }
 
     /** Handles a new request and returns its first attempt, or null if none is made. */
--- a/src/test/java/lemondrift/gossip/LoadGossipTest.java
+++ b/src/test/java/lemondrift/gossip/LoadGossipTest.java
@@ -56,16 +56,16 @@
         sender.attemptSent(7);
         sender.attemptSent(9);
         byte[] last = onlyDueMessage(sender, 1.02);
-        receiver.receive(0, last, 1.03);
-        receiver.receive(0, last, 1.04);
-        receiver.receive(0, old, 1.04);
-        receiver.receive(0, new byte[] {4, 2}, 1.04);
-        receiver.receive(0, new byte[] {9, 0, 99, 0, 0, 7}, 1.04);
-        receiver.receive(0, Arrays.copyOf(last, last.length - 1), 1.04);
-        receiver.receive(5, last, 1.04);
-        receiver.receive(1, last, 1.04);
-        receiver.receive(-1, last, 1.04);
-        receiver.receive(0, new byte[0], 1.04);
+        receiver.processDatagram(0, last, 1.03);
+        receiver.processDatagram(0, last, 1.04);
+        receiver.processDatagram(0, old, 1.04);
+        receiver.processDatagram(0, new byte[] {4, 2}, 1.04);
+        receiver.processDatagram(0, new byte[] {9, 0, 99, 0, 0, 7}, 1.04);
+        receiver.processDatagram(0, Arrays.copyOf(last, last.length - 1), 1.04);
+        receiver.processDatagram(5, last, 1.04);
+        receiver.processDatagram(1, last, 1.04);
+        receiver.processDatagram(-1, last, 1.04);
+        receiver.processDatagram(0, new byte[0], 1.04);
         assertEquals(2, receiver.peerLoad(7));
         assertEquals(1, receiver.peerLoad(9));
     }
@@ -76,7 +76,7 @@
         LoadGossip receiver = newGossip(2, 1, 10);
         for (int i = 0; i < 50; i++) {
             sender.attemptSent(7);
-            receiver.receive(0, onlyDueMessage(sender, 1 + 0.02 * i), 1 + 0.02 * i);
+            receiver.processDatagram(0, onlyDueMessage(sender, 1 + 0.02 * i), 1 + 0.02 * i);
         }
         receiver.expireStaleLoad(2.09);
         assertEquals(0, receiver.peerLoad(7));
@@ -84,7 +84,7 @@
                 0, receiver.livePeerCount(2.09), "a silent peer is dropped along with its report");
         LoadGossip restarted = newGossip(2, 0, 10);
         restarted.attemptSent(8);
-        receiver.receive(0, onlyDueMessage(restarted, 3), 3);
+        receiver.processDatagram(0, onlyDueMessage(restarted, 3), 3);
         assertEquals(1, receiver.peerLoad(8));
         assertEquals(1, receiver.livePeerCount(3.05));
     }
@@ -175,7 +175,7 @@
             if (!undelivered.isEmpty() && random.nextInt(3) > 0) {
                 // Delivers a random one: any message may be lost, late or delivered repeatedly.
                 Undelivered delivered = undelivered.get(random.nextInt(undelivered.size()));
-                gossips[delivered.message.to()].receive(
+                gossips[delivered.message.to()].processDatagram(
                         delivered.from, delivered.message.datagram(), now);
             }
         }
@@ -200,7 +200,7 @@
     private static void deliverDueMessages(LoadGossip[] gossips, double now) {
         for (int i = 0; i < gossips.length; i++) {
             for (LoadGossip.Message each : gossips[i].takeDueMessages(now)) {
-                gossips[each.to()].receive(i, each.datagram(), now);
+                gossips[each.to()].processDatagram(i, each.datagram(), now);
             }
         }
         for (LoadGossip each : gossips) {
@@ -216,7 +216,7 @@
         LoadGossip sender = newGossip(2, 0, 10);
         LoadGossip receiver = newGossip(2, 1, 10);
         sender.attemptSent(7);
-        receiver.receive(0, onlyDueMessage(sender, 1), 1);
+        receiver.processDatagram(0, onlyDueMessage(sender, 1), 1);
         sender.attemptEnded(7);
         assertTrue(onlyDueMessage(sender, 1.02).length > 0, "this message is lost");
         assertEquals(List.of(), sender.takeDueMessages(1.1), "it has nothing more to report");
@@ -233,14 +233,14 @@
         LoadGossip receiver = newGossip(2, 1, 10);
         sender.attemptSent(7);
         sender.attemptAbandoned(7, 1);
-        receiver.receive(0, onlyDueMessage(sender, 1), 1);
+        receiver.processDatagram(0, onlyDueMessage(sender, 1), 1);
         assertEquals(
                 1,
                 sender.peerLoad(7),
                 "the balancer no longer counts the attempt as in flight, so gossip does");
         assertEquals(1, receiver.peerLoad(7));
         assertTrue(sender.nextSendAt() <= 1.02, "the end of the attempt is still to be sent");
-        receiver.receive(0, onlyDueMessage(sender, 1.02), 1.02);
+        receiver.processDatagram(0, onlyDueMessage(sender, 1.02), 1.02);
         assertEquals(0, sender.peerLoad(7));
         assertEquals(0, receiver.peerLoad(7));
     }
@@ -255,7 +255,7 @@
         LoadGossip receiver = newGossip(2, 1, 10);
         for (int i = 0; i < 9; i++) {
             sender.attemptSent(7);
-            receiver.receive(0, onlyDueMessage(sender, 1 + 0.02 * i), 1 + 0.02 * i);
+            receiver.processDatagram(0, onlyDueMessage(sender, 1 + 0.02 * i), 1 + 0.02 * i);
         }
         assertEquals(9, receiver.peerLoad(7));
         sender.attemptSent(7);
@@ -265,10 +265,10 @@
         LoadGossip restarted =
                 new LoadGossip(2, 0, 2, 0.01, 0.1, subsetsOfAllBackends(2, 10), tag -> {});
         restarted.attemptSent(3);
-        receiver.receive(0, late, 1.2);
+        receiver.processDatagram(0, late, 1.2);
         assertEquals(0, receiver.peerLoad(7), "a late message from before the restart");
-        receiver.receive(0, onlyDueMessage(restarted, 1.2), 1.2);
-        receiver.receive(0, late, 1.21);
+        receiver.processDatagram(0, onlyDueMessage(restarted, 1.2), 1.2);
+        receiver.processDatagram(0, late, 1.21);
         assertEquals(1, receiver.peerLoad(3));
         assertEquals(0, receiver.peerLoad(7));
     }
@@ -283,7 +283,7 @@
         for (int i = 0; i < 200; i++, now += 0.0025) {
             sender.attemptSent(i % 10);
             for (LoadGossip.Message each : sender.takeDueMessages(now)) {
-                receiver.receive(0, each.datagram(), now);
+                receiver.processDatagram(0, each.datagram(), now);
             }
             assertEquals(
                     1,
@@ -296,7 +296,7 @@
                 receiver.livePeerCount(now + 0.15 * 0.6),
                 "silence is detected before the expiry of 0.1 s");
         sender.attemptSent(3);
-        receiver.receive(0, onlyDueMessage(sender, now + 0.095), now + 0.095);
+        receiver.processDatagram(0, onlyDueMessage(sender, now + 0.095), now + 0.095);
         assertEquals(1, receiver.livePeerCount(now + 0.095), "the first message ends the silence");
     }
 }
--- a/src/test/java/lemondrift/proxy/ConfigReloadTest.java
+++ b/src/test/java/lemondrift/proxy/ConfigReloadTest.java
@@ -235,7 +235,7 @@
             reload(next, "class-" + i);
         }
         assertTrue(
-                proxy.indexedClassCount() <= 4,
-                "request classes with an index: " + proxy.indexedClassCount());
+                proxy.classIndexCount() <= 4,
+                "request classes with an index: " + proxy.classIndexCount());
     }
 }
--- a/src/test/java/lemondrift/proxy/RaceConditionsTest.java
+++ b/src/test/java/lemondrift/proxy/RaceConditionsTest.java
@@ -790,7 +790,7 @@
                     "the request must follow the settings at its arrival");
         }
         awaitQueuedTasks();
-        assertEquals(3, proxy.indexedClassCount(), "the new class must have an index of its own");
+        assertEquals(3, proxy.classIndexCount(), "the new class must have an index of its own");
     }
 
     // Endpoint lists.
--- a/src/test/java/lemondrift/proxy/config/ShadowSettingsFileTest.java
+++ b/src/test/java/lemondrift/proxy/config/ShadowSettingsFileTest.java
@@ -46,7 +46,7 @@
     void countsShadowDecisionsWithoutCarryingThemOut() throws Exception {
         ScriptedServer overloaded = backend(NEVER_EXECUTED);
         ProxyConfig withShadow = ProxyConfig.read(environment("{\"limits\":{\"mostForwards\":1}}"));
-        configChange = config -> config.withShadow(withShadow.shadow());
+        configChange = config -> config.withShadow(withShadow.shadowSettings());
         start(overloaded, backend(OK));
         for (int i = 0; i < 6; i++) {
             assertEquals(
--- a/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
+++ b/src/test/java/lemondrift/proxy/loop/DecisionLoopTest.java
@@ -193,14 +193,14 @@
         Attempt attempt = receiveRequestAndAwaitAttempt(1);
         SubsetAssignment subsets = new SubsetAssignment(2, 12);
         LoadGossip otherProxy = new LoadGossip(2, 0, 1, 0, 1, subsets, tag -> {});
-        otherProxy.receive(1, nextGossipDatagram(), now);
+        otherProxy.processDatagram(1, nextGossipDatagram(), now);
         while (otherProxy.peerLoad(LoadGossip.tag("s-1")) == 0) {
-            otherProxy.receive(1, nextGossipDatagram(), now);
+            otherProxy.processDatagram(1, nextGossipDatagram(), now);
         }
         decisionLoop.datagramReceived(0, new byte[] {1, 2, 3});
         decisionLoop.attemptEnded(attempt, AttemptOutcome.SUCCESS, 0.1, null, OK_RESPONSE);
         while (otherProxy.peerLoad(LoadGossip.tag("s-1")) > 0) {
-            otherProxy.receive(1, nextGossipDatagram(), now);
+            otherProxy.processDatagram(1, nextGossipDatagram(), now);
         }
         assertEquals("delivered 1", nextAction());
     }
--- a/src/test/java/lemondrift/proxy/recovery/RecoveryCoordinatorTest.java
+++ b/src/test/java/lemondrift/proxy/recovery/RecoveryCoordinatorTest.java
@@ -39,7 +39,7 @@
     }
 
     private void listOneBackend() {
-        balancer.endpointsListed(
+        balancer.endpointListCompleted(
                 now,
                 true,
                 false,
