--- a/src/main/java/lemondrift/proxy/IoThreadActions.java
+++ b/src/main/java/lemondrift/proxy/IoThreadActions.java
@@ -23,8 +23,8 @@
 
 /**
  * Passes the decision loop's actions to the I/O thread. All actions of one flush are passed
- * together because each wakeup of that thread costs a context switch. Called on the decision loop's
- * thread only.
+ * together because each wakeup of that thread costs a context switch. Called on the decision thread
+ * only.
  */
 final class IoThreadActions implements ProxyActions {
     private static final Logger LOG = LoggerFactory.getLogger(IoThreadActions.class);
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -328,7 +328,7 @@
         worker.getIoThread().execute(task);
     }
 
-    /** Runs a task on the decision loop's thread, which may read the state of the decisions. */
+    /** Runs a task on the decision thread, which may read the state of the decisions. */
     void runOnLoop(Runnable task) {
         decisionLoop.runOnLoop(task);
     }
--- a/src/main/java/lemondrift/proxy/client/RequestAdmission.java
+++ b/src/main/java/lemondrift/proxy/client/RequestAdmission.java
@@ -107,7 +107,7 @@
 
     /**
      * Returns whether the client may safely send the request again. Judges by the attempts that
-     * were sent, which this thread knows even while the decision loop's thread is busy.
+     * were sent, which this thread knows even while the decision thread is busy.
      */
     private static boolean isClientRetryHarmless(PendingRequest pending) {
         return !pending.mayHaveBeenExecuted()
--- a/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
+++ b/src/main/java/lemondrift/proxy/discovery/BackendDirectory.java
@@ -17,7 +17,7 @@
  * Maps the ids of backends to their addresses and to the dense indexes by which the balancer refers
  * to them. An index is reassigned to another backend once its backend is gone and no references to
  * it remain. The cost of processing one endpoint does not grow with the number of backends. Used
- * only on the decision loop's thread.
+ * only on the decision thread.
  */
 public final class BackendDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(BackendDirectory.class);
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -9,7 +9,7 @@
  * Turns an endpoint list into updates for the balancer, in slices of bounded cost. First, it
  * compares all endpoints with the known state and skips unchanged ones. Then it withdraws backends
  * that drain or are gone, because requests must not reach them. Last, it adds new and changed
- * backends. Used only on the decision loop's thread.
+ * backends. Used only on the decision thread.
  */
 public final class EndpointListUpdate {
     /** Maximum cost of a slice; comparing one endpoint costs 1. */
--- a/src/main/java/lemondrift/proxy/package-info.java
+++ b/src/main/java/lemondrift/proxy/package-info.java
@@ -7,6 +7,6 @@
  * processes during an upgrade), {@code IoThreadActions} (actions of the decision loop on sockets).
  *
  * <p>Threads: the start runs on the main thread, SIGTERM and SIGHUP each on a thread of the JVM.
- * Work on sockets is passed to the I/O thread, work on decisions to the decision loop's thread.
+ * Work on sockets is passed to the I/O thread, work on decisions to the decision thread.
  */
 package lemondrift.proxy;
