--- a/src/main/java/lemondrift/cli/FleetCommand.java
+++ b/src/main/java/lemondrift/cli/FleetCommand.java
@@ -16,47 +16,53 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.ParentCommand;
 
-/** Plays experiments on real processes. */
+/** Runs experiments on real processes. */
 @Command(
         name = "fleet",
-        description = "Plays experiments with real processes of the built archive.",
+        description = "Runs experiments with real processes of the built archive.",
         mixinStandardHelpOptions = true)
 final class FleetCommand implements Callable<Integer> {
     @ParentCommand LabCommand lab;
 
-    @Parameters(arity = "1..*", paramLabel = "FILE", description = "experiments, in TOML")
+    @Parameters(arity = "1..*", paramLabel = "FILE", description = "TOML files of experiments")
     List<Path> files;
 
     @Option(
             names = "--root",
             paramLabel = "FOLDER",
             defaultValue = ".",
-            description = "where deploy/balancer.toml and the built archive are (${DEFAULT-VALUE})")
+            description =
+                    "folder that contains deploy/balancer.toml and the built archive"
+                            + " (${DEFAULT-VALUE})")
     Path root;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "all figures as JSON")
+    @Option(
+            names = "--json",
+            paramLabel = "FILE",
+            description = "write all figures to this file as JSON")
     Path json;
 
-    @Option(names = "--seconds", description = "what was served, second by second")
+    @Option(names = "--seconds", description = "print the served requests for each second")
     boolean printsSeconds;
 
-    @Option(names = "--quiet", description = "no line of progress")
+    @Option(names = "--quiet", description = "print no progress")
     boolean quiet;
 
     private String lastProgress = "";
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        ProcessLauncher launcher = ProcessLauncher.deployed(root.toAbsolutePath().normalize());
+        ProcessLauncher launcher =
+                ProcessLauncher.fromDeployFile(root.toAbsolutePath().normalize());
         boolean failed = false;
         List<Report> reports = new ArrayList<>();
         for (Path file : files) {
             Experiment experiment = ExperimentFile.read(file);
-            List<Experiment.Run> runs = FleetRun.play(experiment, launcher, this::printProgress);
+            List<Experiment.Run> runs = FleetRun.run(experiment, launcher, this::printProgress);
             printTable(experiment, runs);
             for (Experiment.Run run : runs) {
                 printDetails(run);
-                failed |= run.broken() != null || run.figures().crashed > 0;
+                failed |= run.ruleViolation() != null || run.result().crashed > 0;
             }
             failed |= lab.printMissedExpectations(experiment, runs);
             lab.out().flush();
@@ -70,17 +76,17 @@
 
     private void printTable(Experiment experiment, List<Experiment.Run> runs) {
         PrintWriter out = lab.out();
-        int proxies = experiment.day().proxies();
+        int proxies = experiment.scenario().proxies();
         out.println(experiment.name() + ": " + experiment.about());
-        out.println(FleetRun.row("policy", "seed", null, proxies, 1));
+        out.println(FleetRun.formatRow("policy", "seed", null, proxies, 1));
         for (Experiment.Run run : runs) {
             out.println(
-                    FleetRun.row(
+                    FleetRun.formatRow(
                             run.policy(),
                             String.valueOf(run.seed()),
-                            run.figures(),
+                            run.result(),
                             proxies,
-                            experiment.day().lasts()));
+                            experiment.scenario().durationSeconds()));
         }
     }
 
@@ -88,14 +94,14 @@
         PrintWriter out = lab.out();
         if (printsSeconds) {
             out.print(run.policy() + ", seed " + run.seed() + "\n");
-            out.print(FleetRun.seconds(run.figures()));
+            out.print(FleetRun.formatSeconds(run.result()));
         }
-        if (run.broken() != null) {
-            out.print(run.broken() + "\n");
+        if (run.ruleViolation() != null) {
+            out.print(run.ruleViolation() + "\n");
         }
     }
 
-    /** Prints a line of progress, unless it is the one before. */
+    /** Prints a line of progress unless it equals the previous one. */
     private void printProgress(String line) {
         if (!quiet && !line.equals(lastProgress)) {
             lastProgress = line;
--- a/src/main/java/lemondrift/cli/LabCommand.java
+++ b/src/main/java/lemondrift/cli/LabCommand.java
@@ -19,10 +19,12 @@
 import picocli.CommandLine.ParentCommand;
 import picocli.CommandLine.Spec;
 
-/** Plays experiments, in virtual time where its subcommands do not say otherwise. */
+/** Runs experiments; in virtual time, except for the subcommands that use real processes. */
 @Command(
         name = "lab",
-        description = "Experiments on the decisions, in virtual time.",
+        description =
+                "Runs experiments on the load balancing decisions, in virtual time or on real"
+                        + " processes.",
         mixinStandardHelpOptions = true,
         subcommands = {
             LabCommand.Run.class,
@@ -33,10 +35,10 @@
             SoakCommand.class
         })
 final class LabCommand {
-    /** The length of the worst window that is printed with a figure that is not met. */
+    /** The length of the worst window that is printed with an expectation that is not met. */
     private static final int WORST_WINDOW_SECONDS = 5;
 
-    /** How many of the worst backends are printed with it. */
+    /** The number of worst backends that are printed with an expectation that is not met. */
     private static final int WORST_BACKENDS = 3;
 
     @Spec CommandSpec spec;
@@ -46,14 +48,14 @@
     }
 
     /**
-     * Prints which expectations the module's runs do not meet, and where most was lost; returns
-     * whether there are any.
+     * Prints the expectations that the module's runs do not meet, with the time at which the most
+     * priority weight was lost; returns whether there are any.
      */
     boolean printMissedExpectations(Experiment experiment, List<Experiment.Run> runs) {
         boolean anyMissed = false;
         for (Experiment.Expectation expectation : experiment.expectations()) {
             for (Experiment.Run run : runs) {
-                if (run.policy().equals(Experiment.MODULE) && !expectation.holds(run.figures())) {
+                if (run.policy().equals(Experiment.MODULE) && !expectation.isMetBy(run.result())) {
                     anyMissed = true;
                     printMissed(expectation, run);
                 }
@@ -63,35 +65,36 @@
     }
 
     private void printMissed(Experiment.Expectation expectation, Experiment.Run run) {
-        int windowStart = run.figures().worstWindowStart(WORST_WINDOW_SECONDS);
+        int windowStart = run.result().worstWindowStart(WORST_WINDOW_SECONDS);
         out().printf(
                         Locale.ROOT,
                         "  not met: %s (%.4f, seed %d); most is lost from "
                                 + "%d to %d s, most forwards fail at backends %s%n",
                         expectation,
-                        expectation.figure().read(run.figures()),
+                        expectation.figure().readFrom(run.result()),
                         run.seed(),
                         windowStart,
                         windowStart + WORST_WINDOW_SECONDS,
-                        run.figures().worstBackends(WORST_BACKENDS));
+                        run.result().worstBackends(WORST_BACKENDS));
     }
 
-    /** Plays experiments and prints a table of each. */
+    /** Runs experiments and prints the figures of each run. */
     @Command(
             name = "run",
             description =
-                    "Plays experiments; fails where a rule broke or an expectation does not hold.",
+                    "Runs experiments; fails if a rule is violated or an expectation is not met.",
             mixinStandardHelpOptions = true)
     static final class Run implements Callable<Integer> {
         @ParentCommand LabCommand lab;
 
-        @Parameters(arity = "1..*", paramLabel = "FILE", description = "experiments, in TOML")
+        @Parameters(arity = "1..*", paramLabel = "FILE", description = "TOML files of experiments")
         List<Path> files;
 
         @Option(
                 names = "--json",
                 paramLabel = "FILE",
-                description = "all figures, also second by second, as JSON")
+                description =
+                        "write all figures, including those for each second, to this file as JSON")
         Path json;
 
         @Override
@@ -100,7 +103,7 @@
             List<Report> reports = new ArrayList<>();
             for (Path file : files) {
                 Experiment experiment = ExperimentFile.read(file);
-                List<Experiment.Run> runs = experiment.play();
+                List<Experiment.Run> runs = experiment.run();
                 failed |= print(experiment, runs);
                 reports.add(Report.of(experiment, runs));
             }
@@ -110,7 +113,7 @@
             return failed ? RootCommand.FAILED : RootCommand.DONE;
         }
 
-        /** Prints the runs; returns whether a rule broke or an expectation does not hold. */
+        /** Prints the runs; returns whether a rule is violated or an expectation is not met. */
         private boolean print(Experiment experiment, List<Experiment.Run> runs) {
             PrintWriter out = lab.out();
             out.println(experiment.name() + ": " + experiment.about());
@@ -120,14 +123,14 @@
                         "  %-18s seed %-4d %s%s%n",
                         run.policy(),
                         run.seed(),
-                        run.figures(),
-                        run.broken() == null ? "" : "  RULE BROKEN");
+                        run.result(),
+                        run.ruleViolation() == null ? "" : "  RULE VIOLATED");
             }
             boolean failed = false;
             for (Experiment.Run run : runs) {
-                if (run.broken() != null) {
+                if (run.ruleViolation() != null) {
                     failed = true;
-                    out.println(run.broken());
+                    out.println(run.ruleViolation());
                 }
             }
             failed |= lab.printMissedExpectations(experiment, runs);
@@ -149,7 +152,7 @@
 
         @Override
         public Integer call() throws IOException {
-            for (Path file : ExperimentFile.in(folder)) {
+            for (Path file : ExperimentFile.listFiles(folder)) {
                 Experiment experiment = ExperimentFile.read(file);
                 lab.out().printf("%-26s %s%n", experiment.name(), experiment.about());
             }
@@ -161,24 +164,26 @@
     /** Compares the module with each other policy of an experiment, paired by seed. */
     @Command(
             name = "compare",
-            description = "The module's service less each policy's, by seed, with intervals.",
+            description =
+                    "Prints the served share of the module minus that of each other policy, paired"
+                            + " by seed, with 95%% confidence intervals.",
             mixinStandardHelpOptions = true)
     static final class Compare implements Callable<Integer> {
         @ParentCommand LabCommand lab;
 
-        @Parameters(arity = "1..*", paramLabel = "FILE", description = "experiments, in TOML")
+        @Parameters(arity = "1..*", paramLabel = "FILE", description = "TOML files of experiments")
         List<Path> files;
 
         @Override
         public Integer call() throws IOException {
-            boolean anyBroken = false;
+            boolean anyViolation = false;
             for (Path file : files) {
                 Experiment experiment = ExperimentFile.read(file);
-                List<Experiment.Run> runs = experiment.play();
-                anyBroken |= runs.stream().anyMatch(run -> run.broken() != null);
+                List<Experiment.Run> runs = experiment.run();
+                anyViolation |= runs.stream().anyMatch(run -> run.ruleViolation() != null);
                 print(experiment, runs);
             }
-            return anyBroken ? RootCommand.FAILED : RootCommand.DONE;
+            return anyViolation ? RootCommand.FAILED : RootCommand.DONE;
         }
 
         private void print(Experiment experiment, List<Experiment.Run> runs) {
@@ -205,11 +210,11 @@
             out.flush();
         }
 
-        /** The served share of each run of a policy, in the order of the seeds. */
+        /** Returns the served share of each run of a policy, in the order of the seeds. */
         private static double[] serviceShares(List<Experiment.Run> runs, String policy) {
             return runs.stream()
                     .filter(run -> run.policy().equals(policy))
-                    .mapToDouble(run -> run.figures().service())
+                    .mapToDouble(run -> run.result().servedShare())
                     .toArray();
         }
     }
--- a/src/main/java/lemondrift/cli/LoadCommand.java
+++ b/src/main/java/lemondrift/cli/LoadCommand.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import lemondrift.lab.load.Load;
+import lemondrift.lab.load.LoadGenerator;
 import lemondrift.settings.InvalidSettingsException;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -12,10 +12,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Sends load to a loopback address. */
+/** Sends requests to a loopback address at a given rate. */
 @Command(
         name = "load",
-        description = "Sends requests at a rate to a loopback address.",
+        description = "Sends requests to a loopback address at a given rate.",
         mixinStandardHelpOptions = true)
 final class LoadCommand implements Callable<Integer> {
     @Spec CommandSpec spec;
@@ -26,54 +26,55 @@
     @Option(
             names = "--rate",
             defaultValue = "100",
-            description = "requests a second (${DEFAULT-VALUE})")
+            description = "requests per second (${DEFAULT-VALUE})")
     double rate;
 
     @Option(
             names = "--seconds",
             defaultValue = "10",
-            description = "for how long (${DEFAULT-VALUE})")
+            description = "duration without the warm-up (${DEFAULT-VALUE})")
     double seconds;
 
     @Option(
             names = "--warm-up",
             paramLabel = "<warmUp>",
             defaultValue = "1",
-            description = "seconds before, left out (${DEFAULT-VALUE})")
+            description = "seconds of warm-up, which are not counted (${DEFAULT-VALUE})")
     double warmUpSeconds;
 
     @Option(
             names = "--connections",
             defaultValue = "64",
-            description = "open at most (${DEFAULT-VALUE})")
+            description = "maximum number of open connections (${DEFAULT-VALUE})")
     int connections;
 
     @Option(
             names = "--grade",
             paramLabel = "<grade>",
             required = true,
-            description = "the service grade that each request names")
+            description = "name of the service grade in each request")
     String requestClass;
 
     @Option(
             names = "--timeout",
             paramLabel = "<timeout>",
             defaultValue = "5",
-            description = "seconds for an answer (${DEFAULT-VALUE})")
+            description =
+                    "seconds without a response after which a request fails (${DEFAULT-VALUE})")
     double timeoutSeconds;
 
     @Option(
             names = "--highest",
             paramLabel = "SECONDS",
             description =
-                    "search the highest rate whose 99th percentile stays within this, from --rate"
-                            + " on")
+                    "search the highest rate at which the 99th percentile of the latency stays"
+                            + " within this, starting from --rate")
     Double highestRateBoundSeconds;
 
     @Override
     public Integer call() throws InterruptedException {
-        Load.Plan plan =
-                new Load.Plan(
+        LoadGenerator.Plan plan =
+                new LoadGenerator.Plan(
                         address(),
                         rate,
                         seconds,
@@ -83,13 +84,13 @@
                         timeoutSeconds);
         PrintWriter out = spec.commandLine().getOut();
         if (highestRateBoundSeconds != null) {
-            double highestRate = Load.highestRate(plan, 99, highestRateBoundSeconds);
+            double highestRate = LoadGenerator.findHighestRate(plan, 99, highestRateBoundSeconds);
             out.printf(Locale.ROOT, "highest rate %.0f a second%n", highestRate);
             return RootCommand.DONE;
         }
-        Load.Result result = Load.play(plan);
+        LoadGenerator.Result result = LoadGenerator.run(plan);
         out.println(result);
-        return result.keptUp() && result.failed() == 0 ? RootCommand.DONE : RootCommand.FAILED;
+        return result.reachedRate() && result.failed() == 0 ? RootCommand.DONE : RootCommand.FAILED;
     }
 
     private InetSocketAddress address() {
@@ -98,7 +99,7 @@
             int port = Integer.parseInt(target.substring(colon + 1));
             return new InetSocketAddress(target.substring(0, colon), port);
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
-            throw new InvalidSettingsException("not host:port: " + target);
+            throw new InvalidSettingsException("expected HOST:PORT, found " + target);
         }
     }
 }
--- a/src/main/java/lemondrift/lab/ModuleUnderTest.java
+++ b/src/main/java/lemondrift/lab/ModuleUnderTest.java
@@ -16,51 +16,57 @@
 import lemondrift.recovery.PeerStatus;
 import lemondrift.recovery.RecoveryState;
 
-/** The decision module of one proxy as a policy, with its gossip and its recovery. */
+/** The decision module of one proxy as a routing policy, with gossip and recovery. */
 public final class ModuleUnderTest implements RoutingPolicy {
-    /** The shortest time between two gossip messages, in windows. */
+    /**
+     * The shortest time between two gossip messages, as a multiple of the shortest latency
+     * objective.
+     */
     private static final double GOSSIP_INTERVAL_WINDOWS = 0.02;
 
-    /** After how many windows a silent peer's load is forgotten. */
+    /**
+     * The time after which the load of a silent peer expires, as a multiple of the shortest latency
+     * objective.
+     */
     private static final double PEER_EXPIRY_WINDOWS = 2;
 
-    /** How many backends a proxy uses. */
+    /** The number of backends in the subset of a proxy. */
     private static final int SUBSET_SIZE = 12;
 
     private final LoadBalancer balancer;
-    private final int self;
+    private final int proxyIndex;
 
-    /** Null where the proxy uses no gossip; tags of backends are their indexes. */
+    /** Null if the proxy uses no gossip. The tag of a backend is its index. */
     private LoadGossip gossip;
 
-    /** Null where the proxy uses no gossip. */
+    /** Null if the proxy uses no gossip. */
     private SubsetAssignment subsets;
 
-    /** Null where the proxy asks nobody after its start. */
+    /** Null if the proxy does not request measurements from its peers after its start. */
     private RecoveryState recovery;
 
     private final List<LoadGossip.Message> pendingStatusMessages = new ArrayList<>();
 
-    /** The module of a proxy without gossip. */
+    /** Creates the module of a proxy without gossip. */
     public ModuleUnderTest(Settings settings, long seed) {
         this(settings, seed, 0, false);
     }
 
     /**
-     * The module of a proxy.
+     * Creates the module of a proxy.
      *
-     * @param self the proxy's index
-     * @param usesGossip whether it uses gossip, where the settings let it
+     * @param proxyIndex the index of the proxy
+     * @param usesGossip whether the proxy uses gossip if its settings need it
      */
-    public ModuleUnderTest(Settings settings, long seed, int self, boolean usesGossip) {
+    public ModuleUnderTest(Settings settings, long seed, int proxyIndex, boolean usesGossip) {
         balancer = new LoadBalancer(settings, seed);
-        this.self = self;
+        this.proxyIndex = proxyIndex;
         if (usesGossip && balancer.needsGossip()) {
             subsets = new SubsetAssignment(settings.proxyCount(), SUBSET_SIZE);
             gossip =
                     new LoadGossip(
                             settings.proxyCount(),
-                            self,
+                            proxyIndex,
                             startNumber(),
                             GOSSIP_INTERVAL_WINDOWS * settings.windowSeconds(),
                             PEER_EXPIRY_WINDOWS * settings.windowSeconds(),
@@ -70,15 +76,17 @@
     }
 
     private int startNumber() {
-        return 1 + self;
+        return 1 + proxyIndex;
     }
 
-    /** Makes the proxy ask its peers for what they have measured. */
-    public ModuleUnderTest recovering(Settings settings) {
+    /**
+     * Makes the proxy request the measurements of its peers after its start; returns this object.
+     */
+    public ModuleUnderTest enableRecovery(Settings settings) {
         recovery =
                 RecoveryState.starting(
                         PeerPollSettings.forLatencyObjective(settings.windowSeconds()),
-                        self,
+                        proxyIndex,
                         settings.proxyCount(),
                         startNumber(),
                         0);
@@ -101,7 +109,10 @@
                                         estimate.serviceTimeSeconds(), estimate.samples()));
     }
 
-    /** Passes on what the module has measured and how many peers are heard of. */
+    /**
+     * Passes the measured service time of the module to the recovery, and whether any peer is live
+     * to the module.
+     */
     private void updatePeerState(double now) {
         if (recovery != null) {
             recovery =
@@ -134,12 +145,13 @@
             Attempt attempt,
             AttemptOutcome outcome,
             double durationSeconds,
-            boolean over,
+            boolean completed,
             double[] loadReport) {
         updatePeerState(now);
         recordAttemptEnd(attempt, outcome, now);
         return recordAttempts(
-                balancer.attemptEnded(now, attempt, outcome, durationSeconds, over, loadReport));
+                balancer.attemptEnded(
+                        now, attempt, outcome, durationSeconds, completed, loadReport));
     }
 
     private void recordAttemptEnd(Attempt attempt, AttemptOutcome outcome, double now) {
@@ -160,12 +172,12 @@
     }
 
     @Override
-    public Decision endpointsListed(double now, boolean whole, List<EndpointUpdate> updates) {
+    public Decision endpointsListed(double now, boolean isFullList, List<EndpointUpdate> updates) {
         List<EndpointUpdate> used =
                 gossip == null
                         ? updates
-                        : subsets.applyUpdates(self, whole, updates, backend -> backend);
-        return recordAttempts(balancer.endpointsListed(now, whole, false, used));
+                        : subsets.applyUpdates(proxyIndex, isFullList, updates, backend -> backend);
+        return recordAttempts(balancer.endpointListCompleted(now, isFullList, false, used));
     }
 
     @Override
@@ -174,7 +186,7 @@
     }
 
     @Override
-    public List<LoadGossip.Message> dueMessages(double now) {
+    public List<LoadGossip.Message> takeDueMessages(double now) {
         if (gossip == null) {
             return List.of();
         }
@@ -202,7 +214,7 @@
     @Override
     public void datagramReceived(double now, int from, byte[] datagram) {
         if (datagram[0] != PeerStatus.KIND) {
-            gossip.receive(from, datagram, now);
+            gossip.processDatagram(from, datagram, now);
         } else if (recovery != null) {
             PeerStatus status = PeerStatus.decode(datagram).orElseThrow();
             RecoveryState.Step step = recovery.statusReceived(from, status, now);
--- a/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
+++ b/src/main/java/lemondrift/lab/fleet/BackendRequestHandler.java
@@ -12,10 +12,13 @@
 import lemondrift.model.AttemptOutcome;
 import org.xnio.StreamConnection;
 
-/** Answers what comes on the connections to the backends. I/O thread only. */
+/** Answers the requests that arrive on the connections to the backends. I/O thread only. */
 final class BackendRequestHandler implements HttpConnection.Listener {
-    /** Requests whose trace id starts so are answered at once and not judged. */
-    static final String UNJUDGED_TRACE_ID_PREFIX = "aside-";
+    /**
+     * Requests whose trace id starts with this prefix are answered at once and not checked against
+     * the rules.
+     */
+    static final String UNCHECKED_TRACE_ID_PREFIX = "aside-";
 
     private static final String OK = "200 OK";
     private static final String NO_FIELDS = "";
@@ -24,18 +27,21 @@
 
     /** One connection to a backend. */
     private static final class BackendConnection {
-        final HttpConnection connection;
+        final HttpConnection httpConnection;
         final int segment;
         final int backend;
 
-        /** The latest attempt that came on it; null before the first and after a response. */
+        /**
+         * The latest attempt received on the connection; null before the first one and after a
+         * response.
+         */
         Attempt attempt;
 
-        /** The work of that attempt while the backend holds it; null at other times. */
+        /** The job of that attempt while the backend holds it; null otherwise. */
         Backend.Job job;
 
-        BackendConnection(HttpConnection connection, int segment, int backend) {
-            this.connection = connection;
+        BackendConnection(HttpConnection httpConnection, int segment, int backend) {
+            this.httpConnection = httpConnection;
             this.segment = segment;
             this.backend = backend;
         }
@@ -49,7 +55,12 @@
     private final Map<HttpConnection, BackendConnection> connections = new HashMap<>();
     private IntConsumer overloadListener = backend -> {};
 
-    /** Serves the backends; 0 for any number of connections to each. */
+    /**
+     * Creates the handler for all backends.
+     *
+     * @param maxConnections how many connections a backend may hold before it rejects requests; 0
+     *     means no limit
+     */
     BackendRequestHandler(TestbedContext context, Backend[] backends, int maxConnections) {
         this.context = context;
         this.backends = backends;
@@ -62,7 +73,7 @@
         overloadListener = listener;
     }
 
-    /** Takes a connection from a proxy of a segment to a backend. */
+    /** Accepts a connection from a proxy of a segment to a backend. */
     void accept(StreamConnection stream, int segment, int backend) {
         HttpConnection connection = new HttpConnection(stream, this);
         connections.put(connection, new BackendConnection(connection, segment, backend));
@@ -70,18 +81,19 @@
 
     /** Closes all connections to a backend. */
     void closeConnections(int backend) {
-        List<HttpConnection> toBackend =
+        List<HttpConnection> connectionsToBackend =
                 connections.values().stream()
                         .filter(each -> each.backend == backend)
-                        .map(each -> each.connection)
+                        .map(each -> each.httpConnection)
                         .toList();
-        toBackend.forEach(HttpConnection::close);
-        toBackend.forEach(connections::remove);
+        connectionsToBackend.forEach(HttpConnection::close);
+        connectionsToBackend.forEach(connections::remove);
     }
 
-    /** Reports how many requests a backend holds now. */
+    /** Records how many requests a backend holds now and whether it is available. */
     void recordLoad(int backend) {
-        recorder.recordBackendLoad(backend, backends[backend].held(), backends[backend].isFit());
+        recorder.recordBackendLoad(
+                backend, backends[backend].heldRequestCount(), backends[backend].isAvailable());
     }
 
     @Override
@@ -104,16 +116,17 @@
     }
 
     private void handleRequest(BackendConnection connection, String head) {
-        if (!connection.connection.isOpen() || backends[connection.backend].silent > 0) {
+        if (!connection.httpConnection.isOpen()
+                || backends[connection.backend].activeSilenceFaults > 0) {
             return;
         }
-        Optional<String> traceId = HttpConnection.field(head, "x-trace-id");
+        Optional<String> traceId = HttpConnection.findField(head, "x-trace-id");
         if (traceId.isEmpty()) {
             answerStatusRequest(connection, head);
             return;
         }
         Optional<OutcomeRecorder.PendingRequest> pending = recorder.pendingRequest(traceId.get());
-        if (traceId.get().startsWith(UNJUDGED_TRACE_ID_PREFIX)) {
+        if (traceId.get().startsWith(UNCHECKED_TRACE_ID_PREFIX)) {
             respond(connection, OK, NO_FIELDS, SUCCESS_BODY);
         } else if (pending.isEmpty()) {
             respond(connection, "400 Unknown", NO_FIELDS, NO_BODY);
@@ -138,8 +151,8 @@
             BackendConnection connection, OutcomeRecorder.PendingRequest pending) {
         Backend backend = backends[connection.backend];
         connection.attempt = recorder.recordAttempt(pending, connection.backend);
-        boolean failing = context.random().nextDouble() < errorShare(backend, pending);
-        if (backend.fallsOver(pending.workSeconds)) {
+        boolean failing = context.random().nextDouble() < errorProbability(backend, pending);
+        if (backend.addWorkAndCheckOverload(pending.workSeconds)) {
             recorder.result().overloadedColdBackends++;
             recorder.recordAttemptEnd(connection.attempt, AttemptOutcome.RESET);
             overloadListener.accept(connection.backend);
@@ -148,14 +161,17 @@
         } else if (failing) {
             endAttempt(connection, AttemptOutcome.ERROR, "500 Error", NO_FIELDS);
         } else {
-            connection.job = backend.take(pending.workSeconds, ran -> finishJob(connection, ran));
+            connection.job =
+                    backend.submit(
+                            pending.workSeconds, completed -> finishJob(connection, completed));
             recordLoad(connection.backend);
         }
     }
 
-    private double errorShare(Backend backend, OutcomeRecorder.PendingRequest pending) {
-        boolean isOfLastClass = pending.request.requestClassIndex == lastRequestClass;
-        return Math.max(backend.errors, isOfLastClass ? backend.classErrors : 0);
+    private double errorProbability(Backend backend, OutcomeRecorder.PendingRequest pending) {
+        boolean isLastClass = pending.request.requestClassIndex == lastRequestClass;
+        return Math.max(
+                backend.faultErrorShare, isLastClass ? backend.lastClassFaultErrorShare : 0);
     }
 
     private boolean hasTooManyConnections(int backend) {
@@ -164,10 +180,10 @@
                         > maxConnections;
     }
 
-    private void finishJob(BackendConnection connection, boolean ran) {
+    private void finishJob(BackendConnection connection, boolean completed) {
         connection.job = null;
         recordLoad(connection.backend);
-        if (ran) {
+        if (completed) {
             endAttempt(connection, AttemptOutcome.SUCCESS, OK, NO_FIELDS);
         } else {
             recorder.recordAttemptEnd(connection.attempt, AttemptOutcome.RESET);
@@ -182,21 +198,22 @@
         respond(connection, status, fields, body);
     }
 
-    private void respond(BackendConnection to, String status, String fields, byte[] body) {
+    private void respond(BackendConnection connection, String status, String fields, byte[] body) {
         byte[] message =
-                HttpConnection.message(
+                HttpConnection.encodeMessage(
                         "HTTP/1.1 "
                                 + status
                                 + "\r\nEndpoint-Load-Metrics: TEXT "
-                                + loadReport(to.backend)
+                                + loadReport(connection.backend)
                                 + fields,
                         body);
         double now = context.scheduler().now();
-        double cutUntil = context.faultPlan().backendCutUntil(to.segment, to.backend, now);
+        double cutUntil =
+                context.faultPlan().backendCutUntil(connection.segment, connection.backend, now);
         if (cutUntil > now) {
-            context.scheduler().at(cutUntil, () -> to.connection.write(message));
+            context.scheduler().at(cutUntil, () -> connection.httpConnection.write(message));
         } else {
-            to.connection.write(message);
+            connection.httpConnection.write(message);
         }
     }
 
@@ -204,15 +221,15 @@
         return String.format(
                 Locale.ROOT,
                 "util=%.3f, queue=%d",
-                backends[backend].utilisation(),
-                backends[backend].queued());
+                backends[backend].utilization(),
+                backends[backend].queuedRequestCount());
     }
 
     @Override
     public void onClosed(HttpConnection connection) {
         BackendConnection closed = connections.remove(connection);
         if (closed != null && closed.job != null) {
-            // Nobody waits any more: work in the queue is dropped, work that runs is finished.
+            // The other side no longer waits: queued work is dropped, running work is finished.
             backends[closed.backend].drop(closed.job);
             recorder.recordAttemptEnd(closed.attempt, AttemptOutcome.CANCELLED);
             recordLoad(closed.backend);
--- a/src/main/java/lemondrift/lab/fleet/FleetRun.java
+++ b/src/main/java/lemondrift/lab/fleet/FleetRun.java
@@ -10,47 +10,50 @@
 import lemondrift.lab.simulation.RunResult;
 import lemondrift.settings.InvalidSettingsException;
 
-/** Plays an experiment on processes, and its baselines on the same testbed without them. */
+/** Executes an experiment on processes, and its baselines on the same testbed without processes. */
 public final class FleetRun {
     private FleetRun() {}
 
     /**
-     * Plays one day of each policy for each seed.
+     * Executes one run of each policy for each seed.
      *
-     * @param progress gets lines on how far it is, and on processes that did not end well
-     * @throws InvalidSettingsException where the experiment is not for processes
-     * @throws IOException where a socket cannot be opened
-     * @throws IllegalStateException where a day cannot be played to its end
+     * @param progress receives lines about the progress, and one line for each process that did not
+     *     exit normally
+     * @throws InvalidSettingsException if the experiment's host is not {@code processes}, the
+     *     machine has too little free memory, or a process cannot be started or signalled
+     * @throws IOException if a socket cannot be opened
+     * @throws IllegalStateException if a run cannot be completed
      */
-    public static List<Experiment.Run> play(
+    public static List<Experiment.Run> run(
             Experiment experiment, ProcessLauncher launcher, Consumer<String> progress)
             throws IOException, InterruptedException {
         if (experiment.host() != Experiment.Host.PROCESSES) {
             throw new InvalidSettingsException(
-                    experiment.name() + ": host is not \"processes\"; lab run plays it");
+                    experiment.name()
+                            + ": host must be \"processes\"; use \"lab run\" for this experiment");
         }
         List<Experiment.Run> runs = new ArrayList<>();
         for (String policy : experiment.policies()) {
             for (long seed : experiment.seeds()) {
-                runs.add(play(experiment, policy, seed, launcher, progress));
+                runs.add(run(experiment, policy, seed, launcher, progress));
             }
         }
         return runs;
     }
 
-    private static Experiment.Run play(
+    private static Experiment.Run run(
             Experiment experiment,
             String policy,
             long seed,
             ProcessLauncher launcher,
             Consumer<String> progress)
             throws IOException, InterruptedException {
-        Consumer<String> dayProgress =
+        Consumer<String> runProgress =
                 line -> progress.accept(policy + ", seed " + seed + ": " + line);
         try (FleetTestbed testbed =
-                createTestbed(experiment, policy, seed, launcher, dayProgress)) {
+                createTestbed(experiment, policy, seed, launcher, runProgress)) {
             testbed.start();
-            FleetTestbed.DayOutcome outcome = testbed.play();
+            FleetTestbed.RunOutcome outcome = testbed.run();
             List<String> problems = testbed.stop();
             problems.forEach(progress);
             outcome.result().crashed = problems.size();
@@ -74,10 +77,10 @@
     }
 
     /**
-     * Writes a line for each second: priority weight served and servable as shares of what was
-     * requested, the share of backends idle, and how many requests were rejected.
+     * Formats one line for each second: the served and the servable priority weight as shares of
+     * the requested weight, the share of idle backends, and the number of rejected requests.
      */
-    public static String seconds(RunResult result) {
+    public static String formatSeconds(RunResult result) {
         StringBuilder text = new StringBuilder();
         for (int second = 0; second < result.requestedWeightPerSecond.length - 1; second++) {
             double requested = Math.max(Double.MIN_NORMAL, result.requestedWeightPerSecond[second]);
@@ -94,7 +97,7 @@
         return text.toString();
     }
 
-    private static String header(String policy, String seed) {
+    private static String formatHeader(String policy, String seed) {
         return String.format(
                 "  %-12s %5s %8s %8s %7s %7s %7s %7s %5s %6s %6s %6s %6s %6s %6s %6s %6s %7s"
                         + " %8s %6s %5s",
@@ -103,11 +106,11 @@
                 "bytes_s", "core", "MB");
     }
 
-    /** Writes one line of the table; its head where there is no result. */
-    public static String row(
-            String policy, String seed, RunResult result, int proxies, double daySeconds) {
+    /** Formats one line of the table; its header if the result is null. */
+    public static String formatRow(
+            String policy, String seed, RunResult result, int proxies, double runSeconds) {
         if (result == null) {
-            return header(policy, seed);
+            return formatHeader(policy, seed);
         }
         return String.format(
                 Locale.ROOT,
@@ -116,7 +119,7 @@
                 policy,
                 seed,
                 result.inTimeShare(),
-                result.service(),
+                result.servedShare(),
                 result.medianSeconds,
                 result.p99Seconds,
                 result.evenness.waste(),
@@ -128,10 +131,10 @@
                 result.rejected,
                 result.failed,
                 result.unanswered,
-                result.ofBearable(),
-                result.backAfter(),
-                result.gossipMessages / daySeconds / proxies,
-                result.gossipBytes / daySeconds / proxies,
+                result.servedShareOfServable(),
+                result.recoveredAfterSeconds(),
+                result.gossipMessages / runSeconds / proxies,
+                result.gossipBytes / runSeconds / proxies,
                 result.cpuShare,
                 result.memoryMegabytes);
     }
--- a/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
+++ b/src/main/java/lemondrift/lab/fleet/ProxyConfigWriter.java
@@ -11,12 +11,12 @@
 import lemondrift.model.RequestClass;
 import lemondrift.model.Settings;
 
-/** Writes the configuration files of the proxies, with the keys of a deployment. */
+/** Writes the configuration files of the proxies, with the same keys as in a deployment. */
 final class ProxyConfigWriter {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MILLIS_PER_SECOND = 1000;
 
-    /** Sets the seeds of different proxies apart. */
+    /** Keeps the seeds of different proxies apart. */
     private static final long SEED_STEP = 1000;
 
     /** The cores that a proxy may use. */
@@ -28,37 +28,39 @@
     /** How many sockets a proxy may have open. */
     private static final int MAX_SOCKETS = 1024;
 
-    /** After which an idle connection is closed. */
+    /** The time after which an idle connection is closed. */
     private static final int IDLE_CONNECTION_MILLIS = 10_000;
 
-    /** Within which a connection to a backend has to be established. */
+    /** The time within which a connection to a backend must be established. */
     private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
     private final Settings settings;
-    private final boolean gossips;
+    private final boolean gossipEnabled;
     private final List<String> peerAddresses;
     private int writeCount;
 
     /**
      * Creates a writer for all proxies.
      *
-     * @param gossips whether the proxies send one another gossip messages
-     * @param peerAddresses where the proxies reach one another, by number, as "host:port"
+     * @param gossipEnabled whether the proxies exchange gossip messages
+     * @param peerAddresses the addresses at which the proxies reach one another, by proxy number,
+     *     as "host:port"
      */
-    ProxyConfigWriter(Settings settings, boolean gossips, List<String> peerAddresses) {
+    ProxyConfigWriter(Settings settings, boolean gossipEnabled, List<String> peerAddresses) {
         this.settings = settings;
-        this.gossips = gossips;
+        this.gossipEnabled = gossipEnabled;
         this.peerAddresses = peerAddresses;
     }
 
     /**
-     * Writes the configuration of one start of a proxy, with a seed of its own.
+     * Returns the configuration of one start of a proxy, in JSON, with a seed that no other start
+     * has.
      *
-     * @throws IOException where the known backends are not JSON
+     * @throws IOException if the known backends are not valid JSON
      */
     String write(int proxy, ProxyEndpoints endpoints) throws IOException {
         ObjectNode root = JSON.createObjectNode();
-        root.put("name", ProxyProcesses.name(proxy))
+        root.put("name", ProxyProcesses.proxyName(proxy))
                 .put("listen", LoopbackAddresses.hostAndPort(endpoints.listen()))
                 .put("discovery", LoopbackAddresses.hostAndPort(endpoints.discovery()))
                 .put("seed", Long.toHexString(SEED_STEP * proxy + ++writeCount));
@@ -75,7 +77,7 @@
     }
 
     private void writeSettings(int proxy, ObjectNode node) {
-        writePlace(proxy, node);
+        writeLocations(proxy, node);
         writeLimits(node.putObject("limits"));
         writeRules(node.putObject("invariants"));
         node.putObject("report").put("how", "inline").putArray("names").add("util").add("queue");
@@ -85,7 +87,7 @@
         writeRequestClasses(node.putArray("serviceGrades"));
     }
 
-    private void writePlace(int proxy, ObjectNode node) {
+    private void writeLocations(int proxy, ObjectNode node) {
         int locations = settings.locationCount();
         node.put("siblings", settings.proxyCount())
                 .put("zone", proxy % locations)
@@ -106,7 +108,7 @@
                 .put("maxRetryAfter", MILLIS_PER_SECOND * limits.maxRetryAfterSeconds())
                 .put("connIdle", IDLE_CONNECTION_MILLIS)
                 .put("connectTimeout", CONNECT_TIMEOUT_MILLIS)
-                .put("mayTell", gossips);
+                .put("mayTell", gossipEnabled);
     }
 
     private void writeRules(ObjectNode node) {
@@ -121,17 +123,17 @@
         for (int i = 0; i < settings.requestClasses().size(); i++) {
             RequestClass requestClass = settings.requestClasses().get(i);
             node.addObject()
-                    .put("name", Experiment.GRADES.get(i))
+                    .put("name", Experiment.REQUEST_CLASS_NAMES.get(i))
                     .put("benefit", requestClass.priorityWeight())
                     .put("contractTime", MILLIS_PER_SECOND * requestClass.latencyObjectiveSeconds())
                     .put("expiry", MILLIS_PER_SECOND * requestClass.timeoutSeconds())
-                    .put("effect", effect(requestClass.idempotency()))
-                    .put("group", group(requestClass.deduplicationScope()))
+                    .put("effect", effectName(requestClass.idempotency()))
+                    .put("group", groupName(requestClass.deduplicationScope()))
                     .put("keyTtl", MILLIS_PER_SECOND * requestClass.idempotencyKeyTtlSeconds());
         }
     }
 
-    private static String effect(Idempotency idempotency) {
+    private static String effectName(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> "retryable";
             case IDEMPOTENT_WITH_KEY -> "dedup";
@@ -139,7 +141,7 @@
         };
     }
 
-    private static String group(DeduplicationScope scope) {
+    private static String groupName(DeduplicationScope scope) {
         return scope == DeduplicationScope.ALL ? "all" : "zone";
     }
 }
--- a/src/main/java/lemondrift/lab/fleet/DayPlayer.java
+++ b/src/main/java/lemondrift/lab/fleet/TestbedRunner.java
@@ -6,24 +6,24 @@
 import lemondrift.lab.simulation.BackendFaultInjector;
 import lemondrift.lab.simulation.RunResult;
 
-/** Plays one day of a testbed and measures it. Not on the I/O thread. */
-final class DayPlayer {
-    /** How often it is measured how much the backends are able to serve. */
+/** Executes single runs of a testbed and measures them. Must not be used on the I/O thread. */
+final class TestbedRunner {
+    /** The time between two measurements of the backends' capacity. */
     private static final double CAPACITY_INTERVAL_SECONDS = 0.1;
 
-    /** Within which all requests have to end after a day. */
+    /** The time within which all open requests must end after a run. */
     private static final double OPEN_REQUESTS_TIMEOUT_SECONDS = 60;
 
-    /** Between two looks at what is waited for. */
+    /** The time between two checks of a condition that is waited for. */
     private static final long POLL_INTERVAL_MILLIS = 50;
 
     /**
-     * A day that is to be played; traffic comes before its start too.
+     * A run to be executed. Traffic starts before {@code startAt}, to warm up the testbed.
      *
-     * @param startAt the time from which its figures count
-     * @param faultPlan the faults of processes and between them
+     * @param startAt the time from which the results count, in seconds of the scheduler
+     * @param faultPlan the faults of processes and of the channels between them
      */
-    record Day(
+    record MeasuredRun(
             double startAt,
             double durationSeconds,
             List<BackendFault> backendFaults,
@@ -42,7 +42,7 @@
     private final TestbedProxies proxies;
     private final Consumer<String> progress;
 
-    DayPlayer(
+    TestbedRunner(
             TestbedContext context,
             ClientFleet clientFleet,
             BackendFleet backendFleet,
@@ -60,58 +60,58 @@
     }
 
     /**
-     * Plays a day, and waits until all requests have ended and all proxies are back.
+     * Executes a run, then waits until all requests have ended and all proxies are open again.
      *
-     * @throws IllegalStateException where that takes too long, or something failed
+     * @throws IllegalStateException if that takes too long or a task of the testbed has failed
      */
-    FleetTestbed.DayOutcome play(Day day) throws InterruptedException {
+    FleetTestbed.RunOutcome run(MeasuredRun measuredRun) throws InterruptedException {
         scheduler.run(
                 () -> {
                     clientFleet.start();
-                    scheduler.at(day.startAt, () -> startDay(day));
+                    scheduler.at(measuredRun.startAt, () -> startRun(measuredRun));
                 });
-        reportProgressUntilEnd(day);
-        RunResult result = scheduler.call(recorder::endDay);
-        proxies.addUsageTo(result, day.durationSeconds);
+        reportProgressUntilEnd(measuredRun);
+        RunResult result = scheduler.call(recorder::endRun);
+        proxies.addUsageTo(result, measuredRun.durationSeconds);
         scheduler.run(clientFleet::stop);
         awaitOpenRequests();
         proxies.awaitOpen();
-        proxies.awaitProcessWork();
-        return new FleetTestbed.DayOutcome(
+        proxies.awaitProcessTasks();
+        return new FleetTestbed.RunOutcome(
                 scheduler.call(recorder::finishResult), scheduler.call(recorder::brokenRule));
     }
 
-    private void startDay(Day day) {
-        recorder.startDay();
-        measureCapacityUntil(day.endAt());
+    private void startRun(MeasuredRun measuredRun) {
+        recorder.startRun();
+        measureCapacityUntil(measuredRun.endAt());
         proxies.startUsageMeasurement();
-        for (BackendFault fault : day.backendFaults) {
-            scheduler.after(fault.at(), () -> backendFaultInjector.begins(fault));
+        for (BackendFault fault : measuredRun.backendFaults) {
+            scheduler.after(fault.startAt(), () -> backendFaultInjector.startFault(fault));
         }
-        proxies.scheduleFaults(day.faultPlan, clientFleet);
+        proxies.scheduleFaults(measuredRun.faultPlan, clientFleet);
     }
 
     private void measureCapacityUntil(double end) {
         recorder.recordCapacity(
                 backendFleet.capacity()
                         * CAPACITY_INTERVAL_SECONDS
-                        / (context.scenario().work() * backendFaultInjector.heavy));
+                        / (context.scenario().meanWorkSeconds() * backendFaultInjector.workFactor));
         if (scheduler.now() + CAPACITY_INTERVAL_SECONDS < end) {
             scheduler.after(CAPACITY_INTERVAL_SECONDS, () -> measureCapacityUntil(end));
         }
     }
 
-    private void reportProgressUntilEnd(Day day) throws InterruptedException {
+    private void reportProgressUntilEnd(MeasuredRun measuredRun) throws InterruptedException {
         int reportedSecond = -1;
-        while (scheduler.now() < day.endAt()) {
-            int second = (int) (scheduler.now() - day.startAt);
+        while (scheduler.now() < measuredRun.endAt()) {
+            int second = (int) (scheduler.now() - measuredRun.startAt);
             if (second > reportedSecond) {
                 reportedSecond = second;
                 progress.accept(
-                        "playing, "
+                        "running, "
                                 + second
                                 + " of "
-                                + (int) day.durationSeconds
+                                + (int) measuredRun.durationSeconds
                                 + " s, open "
                                 + openRequests());
             }
@@ -120,7 +120,7 @@
     }
 
     private int openRequests() throws InterruptedException {
-        return scheduler.call(clientFleet::openRequests);
+        return scheduler.call(clientFleet::openRequestCount);
     }
 
     private void awaitOpenRequests() throws InterruptedException {
@@ -128,7 +128,10 @@
         while (openRequests() > 0) {
             if (scheduler.now() > deadline) {
                 throw new IllegalStateException(
-                        openRequests() + " requests are open after the day");
+                        openRequests()
+                                + " requests are still open "
+                                + OPEN_REQUESTS_TIMEOUT_SECONDS
+                                + " s after the run");
             }
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
--- a/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
+++ b/src/main/java/lemondrift/lab/simulation/LoadEvenness.java
@@ -6,76 +6,86 @@
 import java.util.stream.IntStream;
 
 /**
- * How evenly backends are used, by what they hold alone; docs/lab.md defines the figures. Times are
- * in seconds and must not fall from one call to the next. A backend is fit while it is up and not
- * silent; all are fit and idle at first.
+ * Measures how evenly backends are used, from the number of requests that each one holds;
+ * docs/lab.md defines the figures. Times are in seconds and must not decrease from one call to the
+ * next. A backend is available while it is up and not silent. Initially all backends are available
+ * and idle.
  */
 public final class LoadEvenness {
-    /** A backend that holds so many requests beyond its cores makes another's idleness a fault. */
+    /**
+     * A backend is crowded if it holds at least this number of requests more than its cores. An
+     * idle backend counts for the longest idle time only while another one is crowded.
+     */
     private static final int CROWDED_QUEUE = 3;
 
-    /** The herd is counted over this share of a latency objective. */
+    /**
+     * The length of the window in which sends to one backend are counted for the herd figure, as a
+     * share of the latency objective.
+     */
     private static final double HERD_WINDOW_SHARE = 0.1;
 
-    /** Stands in for a span of no length where a mean over time is taken. */
+    /** Replaces a time span of length 0 as the divisor of a mean over time. */
     private static final double SHORTEST_SPAN_SECONDS = 1e-9;
 
-    /** One request that was sent to a backend. */
+    /** One request sent to a backend. */
     private record Send(double at, int backend) {}
 
     private final int cores;
     private final double herdWindowSeconds;
     private final int[] held;
-    private final boolean[] fit;
+    private final boolean[] available;
     private final double[] idleSince;
     private final long[] served;
 
-    /** The requests sent within the herd's window, and how many of them to each backend. */
+    /** The requests sent within the herd window, and their number per backend. */
     private final Deque<Send> recentSends = new ArrayDeque<>();
 
     private final int[] recentSendCount;
 
-    /** Up to when all has been counted, and from when on. */
+    /** The times until which and since which the integrals are counted. */
     private double now;
 
-    private double countedFrom;
+    private double countingSince;
 
-    /** Integrals over time since {@link #countedFrom}. */
+    /** Integrals over the time since {@link #countingSince}. */
     private double wasteSeconds;
 
-    private double fullestSeconds;
+    private double mostHeldSeconds;
     private double idleSeconds;
 
-    /** Whether any backend is crowded, and since when. */
+    /** Whether any backend is crowded, and since which time. */
     private boolean crowded;
 
     private double crowdedSince;
     private double longestIdleSeconds;
     private int herd;
 
-    /** Longer than the seconds counted so far; the rest is 0. */
+    /** By second; may be longer than the counted time, with 0 in the remaining elements. */
     private double[] idleShareBySecond = {};
 
     /**
-     * Creates one for backends of so many cores; the latency objective is the shortest, in seconds.
+     * Creates a measurement over backends that are all available and idle.
+     *
+     * @param cores the number of cores of each backend
+     * @param latencyObjectiveSeconds the shortest latency objective of all request classes
      */
     public LoadEvenness(int backends, int cores, double latencyObjectiveSeconds) {
         this.cores = cores;
         herdWindowSeconds = HERD_WINDOW_SHARE * latencyObjectiveSeconds;
         held = new int[backends];
-        fit = new boolean[backends];
-        Arrays.fill(fit, true);
+        available = new boolean[backends];
+        Arrays.fill(available, true);
         idleSince = new double[backends];
         served = new long[backends];
         recentSendCount = new int[backends];
     }
 
-    /** Counts anew from a time on; what the backends hold stays known. */
-    public void begins(double time) {
+    /** Restarts counting at a time; the current state of the backends is kept. */
+    public void startCounting(double time) {
         advanceTo(time);
-        countedFrom = time;
+        countingSince = time;
         wasteSeconds = 0;
-        fullestSeconds = 0;
+        mostHeldSeconds = 0;
         idleSeconds = 0;
         idleShareBySecond = new double[0];
         longestIdleSeconds = 0;
@@ -85,7 +95,7 @@
         crowdedSince = time;
     }
 
-    /** Adds up the time since the last event, in which no backend has changed. */
+    /** Adds the time since the last event, in which no backend has changed, to the integrals. */
     private void advanceTo(double time) {
         double spanSeconds = time - now;
         if (spanSeconds <= 0) {
@@ -95,7 +105,7 @@
         int queuedCount = 0;
         int mostHeld = 0;
         for (int i = 0; i < held.length; i++) {
-            if (fit[i]) {
+            if (available[i]) {
                 idleCount += held[i] == 0 ? 1 : 0;
                 queuedCount += Math.max(0, held[i] - cores);
                 mostHeld = Math.max(mostHeld, held[i]);
@@ -104,14 +114,14 @@
         wasteSeconds += spanSeconds * Math.min(idleCount, queuedCount);
         idleSeconds += spanSeconds * idleCount;
         addIdleBySecond(spanSeconds, idleCount);
-        fullestSeconds += spanSeconds * mostHeld;
+        mostHeldSeconds += spanSeconds * mostHeld;
         now = time;
     }
 
-    /** Adds idle time to each second that it lies in. */
+    /** Distributes idle time over the seconds in which it lies. */
     private void addIdleBySecond(double spanSeconds, int idleCount) {
-        double end = now - countedFrom + spanSeconds;
-        for (double at = now - countedFrom; at < end; at = Math.floor(at) + 1) {
+        double end = now - countingSince + spanSeconds;
+        for (double at = now - countingSince; at < end; at = Math.floor(at) + 1) {
             int second = (int) at;
             if (second >= idleShareBySecond.length) {
                 idleShareBySecond = Arrays.copyOf(idleShareBySecond, 2 * second + 1);
@@ -121,55 +131,58 @@
     }
 
     /**
-     * The share of backends that were fit and idle in each second since it began to count, 0 to 1;
-     * it may be longer than the time that has passed.
+     * Returns the share of backends that were available and idle in each second since counting
+     * started, 0 to 1; the array may be longer than the counted time.
      */
-    public double[] idleBySecond() {
+    public double[] idleShareBySecond() {
         return idleShareBySecond;
     }
 
-    /** A backend holds so many requests from a time on, and is fit or not. */
-    public void holds(int backend, int count, boolean isFit, double time) {
+    /**
+     * Records the number of requests that a backend holds from a time on, and whether it is
+     * available.
+     */
+    public void updateBackend(int backend, int count, boolean isAvailable, double time) {
         advanceTo(time);
         if (!isIdle(backend)) {
             idleSince[backend] = time;
-        } else if (!isFit || count != 0) {
-            endOfIdleness(backend);
+        } else if (!isAvailable || count != 0) {
+            recordIdlePeriod(backend);
         }
         held[backend] = count;
-        fit[backend] = isFit;
+        available[backend] = isAvailable;
         updateCrowded();
     }
 
     private void updateCrowded() {
         boolean isAnyCrowded =
                 IntStream.range(0, held.length)
-                        .anyMatch(i -> fit[i] && held[i] - cores >= CROWDED_QUEUE);
+                        .anyMatch(i -> available[i] && held[i] - cores >= CROWDED_QUEUE);
         if (isAnyCrowded && !crowded) {
             crowdedSince = now;
         } else if (!isAnyCrowded && crowded) {
-            endOfCrowd();
+            recordIdlePeriods();
         }
         crowded = isAnyCrowded;
     }
 
     private boolean isIdle(int backend) {
-        return fit[backend] && held[backend] == 0;
+        return available[backend] && held[backend] == 0;
     }
 
-    private void endOfCrowd() {
-        IntStream.range(0, held.length).filter(this::isIdle).forEach(this::endOfIdleness);
+    private void recordIdlePeriods() {
+        IntStream.range(0, held.length).filter(this::isIdle).forEach(this::recordIdlePeriod);
     }
 
-    private void endOfIdleness(int backend) {
+    private void recordIdlePeriod(int backend) {
         if (crowded) {
             double since = Math.max(idleSince[backend], crowdedSince);
             longestIdleSeconds = Math.max(longestIdleSeconds, now - since);
         }
     }
 
-    /** A request was sent to a backend. */
-    public void sends(int backend, double time) {
+    /** Records that a request was sent to a backend. */
+    public void recordSend(int backend, double time) {
         advanceTo(time);
         while (!recentSends.isEmpty() && recentSends.peek().at < time - herdWindowSeconds) {
             recentSendCount[recentSends.remove().backend]--;
@@ -179,24 +192,24 @@
         herd = Math.max(herd, recentSendCount[backend]);
     }
 
-    /** A backend has answered a request successfully. */
-    public void served(int backend) {
+    /** Records that a backend has responded successfully to a request. */
+    public void recordServed(int backend) {
         served[backend]++;
     }
 
-    /** The figures from when it began to count until a time. */
+    /** Returns the figures from the start of counting until a time. */
     public Measure measure(double time) {
         advanceTo(time);
         if (crowded) {
-            endOfCrowd();
+            recordIdlePeriods();
         }
-        double spanSeconds = Math.max(SHORTEST_SPAN_SECONDS, now - countedFrom);
+        double spanSeconds = Math.max(SHORTEST_SPAN_SECONDS, now - countingSince);
         int backendCount = Math.max(1, held.length);
         double meanServed = Arrays.stream(served).average().orElse(0);
         return new Measure(
                 wasteSeconds / spanSeconds / backendCount,
                 idleSeconds / spanSeconds / backendCount,
-                fullestSeconds / spanSeconds,
+                mostHeldSeconds / spanSeconds,
                 herd,
                 longestIdleSeconds,
                 meanServed == 0 ? 0 : Arrays.stream(served).min().orElse(0) / meanServed,
@@ -204,17 +217,20 @@
     }
 
     /**
-     * The figures of a run.
+     * The figures of a run. Reports contain them as JSON under these names.
      *
-     * @param waste share of backends that stand idle while as many requests wait elsewhere, over
-     *     time
-     * @param idle share of backends that are fit and idle, over time
-     * @param fullest requests that the fullest backend holds, mean over time
-     * @param herd most requests sent to one backend within a tenth of a latency objective
-     * @param longestIdle longest time, in seconds, that one stood idle while another held three or
-     *     more beyond its cores
-     * @param least served by the backend with the least, over the mean
-     * @param most served by the backend with the most, over the mean
+     * @param waste share of backends that are idle while as many requests wait at other backends,
+     *     mean over time
+     * @param idle share of backends that are available and idle, mean over time
+     * @param fullest number of requests that the fullest backend holds, mean over time
+     * @param herd maximum number of requests sent to one backend within a tenth of a latency
+     *     objective
+     * @param longestIdle longest time, in seconds, for which one backend was idle while another
+     *     held at least three requests more than its cores
+     * @param least smallest number of requests served by a backend, divided by the mean; 0 if none
+     *     was served
+     * @param most largest number of requests served by a backend, divided by the mean; 0 if none
+     *     was served
      */
     public record Measure(
             double waste,
--- a/src/main/java/lemondrift/lab/simulation/Scenario.java
+++ b/src/main/java/lemondrift/lab/simulation/Scenario.java
@@ -4,23 +4,25 @@
 import lemondrift.model.Settings;
 
 /**
- * What one run plays: proxies, backends, traffic and the faults of backends.
+ * The input of one run: proxies, backends, traffic and the faults of backends.
  *
  * @param settings the proxies' settings, with request classes and rules
- * @param proxies how many proxies there are, 1 or more; the settings' proxy count says the same
- * @param backends how many backends there are, 0 or more
- * @param cores of each backend, 1 or more
- * @param rate requests that clients make a second, over all proxies
- * @param work mean work of a request, in seconds of one warm core; it is lognormal with the spread
- * @param spread the standard deviation of the work's logarithm
- * @param tries how often a client sends a request at the most, 1 or more
- * @param oneWaySeconds how long a message takes from a proxy to a backend or back
- * @param delay mean seconds by which discovery is late
- * @param grace seconds after the notice of a drain from which nothing may be sent
- * @param lasts the length in seconds; clients make requests until then, and open ones are waited
- *     for
- * @param seed of all random draws
- * @param troubles the faults of backends, traffic and discovery
+ * @param proxies number of proxies, 1 or more; equal to the proxy count in the settings
+ * @param backends number of backends, 0 or more
+ * @param cores number of cores of each backend, 1 or more
+ * @param rate client requests per second over all proxies, without retries
+ * @param meanWorkSeconds mean work of a request, in seconds of one warm core; the work is
+ *     lognormally distributed
+ * @param workLogStandardDeviation the standard deviation of the work's logarithm
+ * @param maxTries maximum number of times that a client sends a request, 1 or more
+ * @param oneWaySeconds network delay of a message from a proxy to a backend or back
+ * @param discoveryDelaySeconds mean delay of discovery
+ * @param drainGraceSeconds time after a proxy is notified of a drain from which it must not send to
+ *     the backend
+ * @param durationSeconds duration of the scenario, over 0; clients send new requests until then,
+ *     and the run continues until the open requests have ended
+ * @param seed seed of all random draws
+ * @param backendFaults the faults of backends, traffic and discovery
  */
 public record Scenario(
         Settings settings,
@@ -28,38 +30,62 @@
         int backends,
         int cores,
         double rate,
-        double work,
-        double spread,
-        int tries,
+        double meanWorkSeconds,
+        double workLogStandardDeviation,
+        int maxTries,
         double oneWaySeconds,
-        double delay,
-        double grace,
-        double lasts,
+        double discoveryDelaySeconds,
+        double drainGraceSeconds,
+        double durationSeconds,
         long seed,
-        List<BackendFault> troubles) {
+        List<BackendFault> backendFaults) {
     /**
      * Checks the fields.
      *
-     * @throws IllegalArgumentException where one is missing or out of its range
+     * @throws IllegalArgumentException if a field is out of its range
      */
     public Scenario {
         if (proxies < 1
                 || backends < 0
                 || cores < 1
                 || !(rate > 0)
-                || !(work > 0)
-                || !(spread >= 0)
-                || tries < 1
+                || !(meanWorkSeconds > 0)
+                || !(workLogStandardDeviation >= 0)
+                || maxTries < 1
                 || !(oneWaySeconds >= 0)
-                || !(delay >= 0)
-                || !(grace >= 0)
-                || !(lasts > 0)) {
-            throw new IllegalArgumentException("a day that cannot be");
+                || !(discoveryDelaySeconds >= 0)
+                || !(drainGraceSeconds >= 0)
+                || !(durationSeconds > 0)) {
+            throw new IllegalArgumentException(
+                    "invalid scenario: proxies "
+                            + proxies
+                            + ", backends "
+                            + backends
+                            + ", cores "
+                            + cores
+                            + ", rate "
+                            + rate
+                            + ", work "
+                            + meanWorkSeconds
+                            + " s, spread "
+                            + workLogStandardDeviation
+                            + ", tries "
+                            + maxTries
+                            + ", one-way delay "
+                            + oneWaySeconds
+                            + " s, discovery delay "
+                            + discoveryDelaySeconds
+                            + " s, drain grace "
+                            + drainGraceSeconds
+                            + " s, duration "
+                            + durationSeconds
+                            + " s: proxies, cores and tries must be 1 or more, rate, work and"
+                            + " duration over 0, the others not negative");
         }
-        troubles = List.copyOf(troubles);
+        backendFaults = List.copyOf(backendFaults);
     }
 
-    /** The same scenario with another seed. */
+    /** Returns this scenario with another seed. */
     public Scenario withSeed(long newSeed) {
         return new Scenario(
                 settings,
@@ -67,14 +93,14 @@
                 backends,
                 cores,
                 rate,
-                work,
-                spread,
-                tries,
+                meanWorkSeconds,
+                workLogStandardDeviation,
+                maxTries,
                 oneWaySeconds,
-                delay,
-                grace,
-                lasts,
+                discoveryDelaySeconds,
+                drainGraceSeconds,
+                durationSeconds,
                 newSeed,
-                troubles);
+                backendFaults);
     }
 }
--- a/src/main/java/lemondrift/lab/simulation/Simulation.java
+++ b/src/main/java/lemondrift/lab/simulation/Simulation.java
@@ -8,8 +8,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Plays one scenario in virtual time: clients, proxies, backends and discovery, with a referee over
- * all of it. It composes these parts and runs their scheduler to the end.
+ * Runs one scenario in virtual time: creates clients, proxies, backends, discovery and a referee
+ * that checks the rules, and runs their scheduler to the end.
  */
 public final class Simulation {
     /** Creates the routing policy of each proxy. */
@@ -19,9 +19,9 @@
          * Creates the policy of one proxy.
          *
          * @param proxy the index of the proxy
-         * @param trueLoad the true load of a backend by its index: what it has to do, in requests
-         *     for each core; infinite where it is gone; it may be called only once the simulation
-         *     plays
+         * @param trueLoad returns the true load of a backend by its index, in requests per core;
+         *     infinite if the backend is not available; must not be called before the simulation
+         *     runs
          */
         RoutingPolicy create(int proxy, IntToDoubleFunction trueLoad);
     }
@@ -34,18 +34,18 @@
     private final SimulatedDiscovery discovery;
     private final SimulatedClients clients;
 
-    /** Creates a simulation that is judged by all four rules. */
+    /** Creates a simulation that is checked against all four rules. */
     public Simulation(Scenario scenario, PolicyFactory policyFactory) {
-        this(scenario, Referee.ALL_RULES, policyFactory);
+        this(scenario, Referee.RULE_COUNT, policyFactory);
     }
 
     /**
-     * Creates a simulation that is judged by the first rules alone.
+     * Creates a simulation that is checked against the first rules only.
      *
-     * @param judgedRules how many rules are judged; {@link Referee#RULES_OF_BASELINES} for a
-     *     baseline, which spares no cold backend
+     * @param checkedRules the number of rules that are checked; {@link Referee#BASELINE_RULE_COUNT}
+     *     for a baseline, which does not protect cold backends
      */
-    public Simulation(Scenario scenario, int judgedRules, PolicyFactory policyFactory) {
+    public Simulation(Scenario scenario, int checkedRules, PolicyFactory policyFactory) {
         this.scenario = scenario;
         Settings settings = scenario.settings();
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed());
@@ -53,14 +53,15 @@
         Arrays.setAll(backends, i -> new Backend(scheduler, scenario.cores(), settings.rules()));
         int[] locations = new int[scenario.backends()];
         Arrays.setAll(locations, i -> i % settings.locationCount());
-        recorder = new SimulationRecorder(scenario, judgedRules, locations, scheduler);
+        recorder = new SimulationRecorder(scenario, checkedRules, locations, scheduler);
         RoutingPolicy[] policies = new RoutingPolicy[scenario.proxies()];
         Arrays.setAll(policies, proxy -> policyFactory.create(proxy, this::trueLoad));
         SimulatedProxies proxies = new SimulatedProxies(policies, scheduler, random, recorder);
         discovery =
                 new SimulatedDiscovery(scenario, locations, scheduler, random, recorder, proxies);
         faultInjector =
-                new BackendFaultInjector(scheduler, random, backends, scenario.delay(), discovery);
+                new BackendFaultInjector(
+                        scheduler, random, backends, scenario.discoveryDelaySeconds(), discovery);
         clients =
                 new SimulatedClients(scenario, scheduler, random, recorder, faultInjector, proxies);
         SimulatedTransport transport =
@@ -77,45 +78,52 @@
     }
 
     /**
-     * Plays the scenario to its end and waits for all open requests.
+     * Runs the scenario to its end, and on until all open requests have ended.
      *
-     * @throws Referee.Broken at the first rule that is broken
-     * @throws IllegalStateException where requests are still open after the longest wait
+     * @throws Referee.RuleViolationException at the first violation of a checked rule
+     * @throws IllegalStateException if requests are still open after the longest possible wait
      */
-    public RunResult play() {
+    public RunResult run() {
         discovery.sendFullLists();
-        for (BackendFault fault : scenario.troubles()) {
-            scheduler.at(fault.at(), () -> faultInjector.begins(fault));
+        for (BackendFault fault : scenario.backendFaults()) {
+            scheduler.at(fault.startAt(), () -> faultInjector.startFault(fault));
         }
         clients.start();
-        scheduler.at(scenario.lasts(), recorder::recordEvenness);
-        scheduler.runUntil(scenario.lasts() + longestWaitSeconds());
+        scheduler.at(scenario.durationSeconds(), recorder::recordEvenness);
+        scheduler.runUntil(scenario.durationSeconds() + longestWaitSeconds());
         if (clients.openRequestCount() > 0) {
             throw new IllegalStateException(
-                    clients.openRequestCount() + " requests are open after the day");
+                    clients.openRequestCount()
+                            + " requests are still open after the longest possible wait; none were"
+                            + " expected");
         }
         return recorder.result();
     }
 
-    /** How long the last client may go on after the scenario's end, with all its tries. */
+    /**
+     * Returns an upper bound of the time for which clients may continue after the scenario's end,
+     * with all their tries.
+     */
     private double longestWaitSeconds() {
         double longestTimeoutSeconds =
                 scenario.settings().requestClasses().stream()
                         .mapToDouble(RequestClass::timeoutSeconds)
                         .max()
                         .orElse(1);
-        return (scenario.tries() + 1) * 2 * longestTimeoutSeconds;
+        return (scenario.maxTries() + 1) * 2 * longestTimeoutSeconds;
     }
 
     private double trueLoad(int backendIndex) {
         Backend backend = backends[backendIndex];
-        return backend.isFit()
-                ? backend.load() + (backend.errors + backend.classErrors) * scenario.cores()
+        return backend.isAvailable()
+                ? backend.load()
+                        + (backend.faultErrorShare + backend.lastClassFaultErrorShare)
+                                * scenario.cores()
                 : Double.POSITIVE_INFINITY;
     }
 
-    /** The figures counted so far. */
-    public RunResult figures() {
+    /** Returns the figures counted so far. */
+    public RunResult resultSoFar() {
         return recorder.result();
     }
 }
--- a/src/main/java/lemondrift/proxy/ProxyServer.java
+++ b/src/main/java/lemondrift/proxy/ProxyServer.java
@@ -118,8 +118,8 @@
                         actions,
                         requestClasses,
                         config.settings());
-        if (config.shadow() != null && connector == null) {
-            decisionLoop.enableShadow(config.shadow(), config.seed());
+        if (config.shadowSettings() != null && connector == null) {
+            decisionLoop.enableShadow(config.shadowSettings(), config.seed());
         }
         clientListener =
                 new ClientListener(
@@ -328,7 +328,7 @@
         worker.getIoThread().execute(task);
     }
 
-    /** Runs a task on the decision loop's thread, which may read the state of the decisions. */
+    /** Runs a task on the decision thread, which may read the state of the decisions. */
     void runOnLoop(Runnable task) {
         decisionLoop.runOnLoop(task);
     }
@@ -362,9 +362,12 @@
         return result;
     }
 
-    /** Returns how many request classes have an index. */
-    int indexedClassCount() {
-        return clientListener.requestClassCount();
+    /**
+     * Returns the number of indexes of request classes, including indexes that no class has any
+     * more.
+     */
+    int classIndexCount() {
+        return clientListener.classIndexCount();
     }
 
     /**
--- a/src/main/java/lemondrift/proxy/client/ClientListener.java
+++ b/src/main/java/lemondrift/proxy/client/ClientListener.java
@@ -46,7 +46,7 @@
     private final ClientConnections connections;
     private final RequestValidator validator;
     private final RequestAdmission admission;
-    private final ResponseWriter responses;
+    private final ResponseWriter responseWriter;
     private final BodyBufferBudget bufferBudget;
 
     /** This process's own socket; null if it inherited one, or does not listen. */
@@ -80,23 +80,24 @@
                         config.seed(),
                         metrics,
                         decisionEvents::requestAbandoned);
-        responses = new ResponseWriter(worker.getIoThread(), clock, metrics, stallTimeoutSeconds);
+        responseWriter =
+                new ResponseWriter(worker.getIoThread(), clock, metrics, stallTimeoutSeconds);
         validator = new RequestValidator(config.tenantNames(), connections);
         admission =
                 new RequestAdmission(
-                        config.settings().windowSeconds(), decisionEvents, responses, clock);
+                        config.settings().windowSeconds(), decisionEvents, responseWriter, clock);
         settingsChanged(requestClasses, config.settings());
         RequestReader requestReader =
                 new RequestReader(
                         connections,
                         validator,
                         admission,
-                        responses,
+                        responseWriter,
                         bufferBudget,
                         bufferPool,
                         stallTimeoutSeconds,
                         decisionEvents);
-        httpListener = httpListener(bufferPool);
+        httpListener = createHttpListener(bufferPool);
         httpListener.setRootHandler(Handlers.httpContinueRead(requestReader::handle));
     }
 
@@ -104,7 +105,7 @@
      * Creates a listener without Undertow's buffer for pipelined responses, as a response in it
      * would wait for the end of the next request.
      */
-    private static HttpOpenListener httpListener(ByteBufferPool bufferPool) {
+    private static HttpOpenListener createHttpListener(ByteBufferPool bufferPool) {
         return new HttpOpenListener(
                 bufferPool,
                 OptionMap.builder()
@@ -137,9 +138,12 @@
         }
     }
 
-    /** Returns how many request classes the settings have. May be called from any thread. */
-    public int requestClassCount() {
-        return validator.requestClassCount();
+    /**
+     * Returns the number of indexes of request classes, including indexes that no class has any
+     * more. May be called from any thread.
+     */
+    public int classIndexCount() {
+        return validator.classIndexCount();
     }
 
     /**
@@ -173,7 +177,7 @@
                         OptionMap.builder()
                                 .set(Options.TCP_NODELAY, true)
                                 .set(Options.REUSE_ADDRESSES, true)
-                                .set(Options.BACKLOG, config.sockets())
+                                .set(Options.BACKLOG, config.maxDescriptors())
                                 .set(Options.CONNECTION_HIGH_WATER, acceptLimit)
                                 .set(Options.CONNECTION_LOW_WATER, acceptLimit)
                                 .getMap());
@@ -195,7 +199,7 @@
      * socket of its own stays open, because clients would be refused if it were closed. May be
      * called from any thread.
      */
-    public void closeInheritedSocket() {
+    public void stopAcceptingOnInheritedSocket() {
         if (inheritedServer != null) {
             worker.getIoThread().execute(inheritedServer::stop);
         }
@@ -212,26 +216,27 @@
      *     seconds of the proxy's clock
      */
     public void drain(double closeIdleBy, double lastResponsesAt) {
-        responses.setDraining(true);
+        responseWriter.setDraining(true);
         validator.setLastResponsesAt(lastResponsesAt);
         worker.getIoThread().execute(() -> connections.drain(closeIdleBy));
     }
 
     /** Ends a drain. May be called from any thread. */
     public void resume() {
-        responses.setDraining(false);
+        responseWriter.setDraining(false);
         worker.getIoThread().execute(connections::resume);
     }
 
     /** Returns whether a drain has been started and not ended. May be called from any thread. */
     public boolean isDraining() {
-        return responses.isDraining();
+        return responseWriter.isDraining();
     }
 
     /**
-     * Accepts the connections that wait to be accepted, and returns whether no connection is left
-     * that needs a response. Guards against losing requests that arrive after the check: a caller
-     * that closes because of the result must do so in the same task of the I/O thread.
+     * Accepts the connections that wait to be accepted, and returns whether no connection is open,
+     * except those that were sent their closing response and had enough time to read it. Guards
+     * against losing requests that arrive after the check: a caller that closes because of the
+     * result must do so in the same task of the I/O thread.
      */
     public boolean isDrained() {
         try {
@@ -249,7 +254,10 @@
         return server == null ? null : server.accept();
     }
 
-    /** Stops accepting; open connections stay as they are. May be called from any thread. */
+    /**
+     * Closes this process's own listening socket, if it has one, and stops the sweeps of
+     * connections. Open connections stay open. May be called from any thread.
+     */
     public void close() {
         worker.getIoThread().execute(connections::stop);
         IoUtils.safeClose(server);
@@ -286,20 +294,20 @@
 
     /** Forwards a backend's response to the client. */
     public void deliver(PendingRequest pending, BackendResponse response) {
-        responses.deliver(pending, response);
+        responseWriter.deliver(pending, response);
     }
 
     /**
      * Answers a request that no backend serves with 503, which promises that a retry is harmless.
      *
-     * @param retryAfterSeconds the value of Retry-After; 0 to send none
+     * @param retryAfterSeconds the value of Retry-After in seconds; 0 to send none
      */
     public void reject(PendingRequest pending, double retryAfterSeconds) {
-        responses.reject(pending, retryAfterSeconds);
+        responseWriter.reject(pending, retryAfterSeconds);
     }
 
     /** Answers a request that no backend serves with 502, which promises nothing about a retry. */
     public void fail(PendingRequest pending) {
-        responses.fail(pending);
+        responseWriter.fail(pending);
     }
 }
--- a/src/main/java/lemondrift/proxy/client/RequestValidator.java
+++ b/src/main/java/lemondrift/proxy/client/RequestValidator.java
@@ -59,8 +59,11 @@
         Arrays.setAll(termsByClass, settings::termsFor);
     }
 
-    /** Returns how many request classes the settings have. May be called from any thread. */
-    int requestClassCount() {
+    /**
+     * Returns the number of indexes of request classes, including indexes that no class has any
+     * more. May be called from any thread.
+     */
+    int classIndexCount() {
         return termsByClass.length;
     }
 
--- a/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/lemondrift/proxy/discovery/EndpointListUpdate.java
@@ -9,7 +9,7 @@
  * Turns an endpoint list into updates for the balancer, in slices of bounded cost. First, it
  * compares all endpoints with the known state and skips unchanged ones. Then it withdraws backends
  * that drain or are gone, because requests must not reach them. Last, it adds new and changed
- * backends. Used only on the thread of the decision loop.
+ * backends. Used only on the decision thread.
  */
 public final class EndpointListUpdate {
     /** Maximum cost of a slice; comparing one endpoint costs 1. */
@@ -58,7 +58,7 @@
      * Creates an update; {@link #nextSlice} returns its first slice.
      *
      * @param knownBeforeStart whether the list was known before the proxy started
-     * @param notifyApplied run by {@link #notifyApplied}
+     * @param notifyApplied run by {@link #reportApplied}
      */
     public EndpointListUpdate(
             BackendDirectory directory,
@@ -90,7 +90,7 @@
     }
 
     /** Runs the callback that reports that the balancer has applied the whole list. */
-    public void notifyApplied() {
+    public void reportApplied() {
         notifyApplied.run();
     }
 
--- a/src/main/java/lemondrift/proxy/gossip/GossipSession.java
+++ b/src/main/java/lemondrift/proxy/gossip/GossipSession.java
@@ -16,8 +16,7 @@
 
 /**
  * Connects gossip to the balancer: translates between the backend indexes of the balancer and the
- * tags of gossip. Used only on the thread of the decision loop, except for {@link
- * #enqueueDatagram}.
+ * tags of gossip. Used only on the decision thread, except for {@link #enqueueDatagram}.
  */
 public final class GossipSession {
     private record ReceivedDatagram(int from, byte[] datagram) {}
@@ -81,7 +80,7 @@
         for (ReceivedDatagram next = receivedDatagrams.poll();
                 next != null;
                 next = receivedDatagrams.poll()) {
-            gossip.receive(next.from, next.datagram, now);
+            gossip.processDatagram(next.from, next.datagram, now);
         }
         gossip.expireStaleLoad(now);
         balancer.setGossipActive(gossip.livePeerCount(now) > 0);
--- a/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
+++ b/src/main/java/lemondrift/proxy/loop/EndpointListApplier.java
@@ -17,7 +17,7 @@
  * Applies new endpoint lists one after the other in the order of their arrival. Each list is
  * applied in slices, so that requests never wait for a whole long list. A slice is passed to the
  * shadow, the balancer and gossip. Then idle connections to backends that are no longer ready or
- * have a new address are closed. Decisions thread only.
+ * have a new address are closed. Decision thread only.
  */
 final class EndpointListApplier {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListApplier.class);
@@ -72,9 +72,9 @@
     /** Applies the next slice of the oldest list. At least one list must be pending. */
     void applyNextSlice() {
         EndpointListUpdate list = pendingLists.peek();
-        List<EndpointUpdate> updates = peers.withSubsets(list.nextSlice());
+        List<EndpointUpdate> updates = peers.assignSubsets(list.nextSlice());
         shadow.endpointsListed(list.isKnownBeforeStart(), updates);
-        balancer.endpointsChanged(clock.now(), false, updates);
+        balancer.applyEndpointUpdates(clock.now(), false, updates);
         peers.endpointsApplied(updates);
         for (EndpointUpdate update : updates) {
             // Guards against an attempt that waits for a connection and then reaches another
@@ -107,8 +107,9 @@
                     directory.listedCount(),
                     balancer.usableBackendCount());
         }
-        list.notifyApplied();
+        list.reportApplied();
         executor.execute(
-                balancer.endpointsListed(clock.now(), false, list.isKnownBeforeStart(), List.of()));
+                balancer.endpointListCompleted(
+                        clock.now(), false, list.isKnownBeforeStart(), List.of()));
     }
 }
--- a/src/main/java/lemondrift/proxy/loop/ShedThresholds.java
+++ b/src/main/java/lemondrift/proxy/loop/ShedThresholds.java
@@ -28,7 +28,8 @@
     /**
      * Returns the threshold by which a request is shed; empty if it is not shed. Any thread.
      *
-     * @param secondsLeft seconds left until the request's attempt deadline
+     * @param secondsLeft seconds left until the request's latency objective or its deadline,
+     *     whichever is earlier; it has no attempt deadline before it reaches the balancer
      */
     Optional<ShedThreshold> forRequest(int requestClass, double secondsLeft) {
         List<ShedThreshold> thresholds = byRequestClass;
@@ -39,7 +40,7 @@
                 .filter(threshold -> secondsLeft < threshold.minSecondsLeft());
     }
 
-    /** Replaces all thresholds with the balancer's current ones. Decisions thread. */
+    /** Replaces all thresholds with the balancer's current ones. Decision thread. */
     void update(Settings settings) {
         byRequestClass =
                 IntStream.range(0, settings.requestClasses().size())
@@ -51,7 +52,7 @@
                         .toList();
     }
 
-    /** Removes all thresholds: no request is shed until the next update. Decisions thread. */
+    /** Removes all thresholds: no request is shed until the next update. Decision thread. */
     void clear() {
         byRequestClass = List.of();
     }
--- a/src/main/java/lemondrift/shadow/ShadowEvaluator.java
+++ b/src/main/java/lemondrift/shadow/ShadowEvaluator.java
@@ -99,11 +99,11 @@
         balancer.settingsChanged(settings, reassigned);
     }
 
-    /** Handles an endpoint list, see {@link LoadBalancer#endpointsListed}. */
+    /** Handles an endpoint list, see {@link LoadBalancer#endpointListCompleted}. */
     public void endpointsListed(
             double now, boolean full, boolean stale, List<EndpointUpdate> updates) {
         updates.forEach(update -> locations.put(update.backend(), update.location()));
-        finishDecision(now, balancer.endpointsListed(now, full, stale, updates));
+        finishDecision(now, balancer.endpointListCompleted(now, full, stale, updates));
     }
 
     /**
@@ -154,12 +154,12 @@
         if (copy == null || copy.actualAttempt == null) {
             return;
         }
-        Attempt followed = copy.actualAttempt;
+        Attempt actual = copy.actualAttempt;
         copy.actualAttempt = null;
         finishDecision(
                 now,
                 balancer.attemptEnded(
-                        now, followed, outcome, durationSeconds, completed, loadReport));
+                        now, actual, outcome, durationSeconds, completed, loadReport));
         if (completed) {
             shadowRequests.remove(attempt.request);
         }
--- a/src/main/java/lemondrift/simulator/SimulatorAdapter.java
+++ b/src/main/java/lemondrift/simulator/SimulatorAdapter.java
@@ -20,15 +20,15 @@
 import lemondrift.settings.SettingsReader;
 
 /**
- * The operators' simulator on standard input and output: decodes batches of events into calls to
- * the load balancers of many proxies and encodes what they decide. The record codes are those of
- * the wire page.
+ * Connects the operators' simulator on standard input and output: decodes batches of events into
+ * calls of the load balancers of many proxies and encodes their decisions. The record codes are
+ * those of the simulator's wire protocol.
  */
 public final class SimulatorAdapter {
-    /** The bit of an arrival that says that the client has tried before. */
+    /** The flag of an arriving request that marks it as a retry by the client. */
     private static final int RETRY_FLAG = 2;
 
-    /** A batch's record codes. */
+    /** The record codes of a batch. */
     private static final int PROXY_STARTED = 1;
 
     private static final int ENDPOINT_LIST = 2;
@@ -41,13 +41,13 @@
     private static final int PROXY_CRASHED = 10;
     private static final int DEFINE_LIST = 11;
 
-    /** The kinds of endpoint list that an event may bring; any other is a full one. */
+    /** The kinds of endpoint list event; any other value means a full list. */
     private static final int LIST_OF_CHANGES = 0;
 
     private static final int LIST_STALE = 2;
     private static final int LIST_FAILED = 3;
 
-    /** Attempt outcomes by their code on the wire. */
+    /** Attempt outcomes, indexed by their code on the wire. */
     private static final AttemptOutcome[] OUTCOMES = {
         AttemptOutcome.ERROR,
         AttemptOutcome.SUCCESS,
@@ -69,16 +69,19 @@
         this.err = err;
     }
 
-    /** Plays until the input ends; returns the process's exit code. */
+    /**
+     * Processes batches until the input ends; returns the exit code of the process: 0, or 1 after
+     * an invalid batch or an I/O error.
+     */
     public static int run(InputStream in, OutputStream out, PrintStream err) {
         SimulatorAdapter adapter = new SimulatorAdapter(err);
         FrameReader frames = new FrameReader(in);
         long batch = 0;
         try {
-            for (ByteBuffer body = frames.next(); body != null; body = frames.next()) {
+            for (ByteBuffer body = frames.readBatch(); body != null; body = frames.readBatch()) {
                 batch++;
                 adapter.reply.start();
-                adapter.batch(body);
+                adapter.processBatch(body);
                 adapter.reply.finish(out);
             }
             return 0;
@@ -88,7 +91,7 @@
         }
     }
 
-    private void batch(ByteBuffer body) {
+    private void processBatch(ByteBuffer body) {
         now = body.getDouble() / 1000;
         int count = body.getInt();
         int limit = body.limit();
@@ -115,7 +118,7 @@
             int end = body.position() + length;
             body.limit(end);
             try {
-                record(code, body);
+                processRecord(code, body);
             } catch (java.nio.BufferUnderflowException | IllegalArgumentException e) {
                 throw new InvalidSettingsException(
                         "record "
@@ -135,9 +138,9 @@
         }
     }
 
-    private void record(int code, ByteBuffer in) {
+    private void processRecord(int code, ByteBuffer in) {
         if (code == DEFINE_LIST) {
-            lists.put(Byte.toUnsignedInt(in.get()), endpoints(in));
+            lists.put(Byte.toUnsignedInt(in.get()), readEndpoints(in));
             return;
         }
         if (code < PROXY_STARTED || code > DEFINE_LIST) {
@@ -147,19 +150,19 @@
         switch (code) {
             case PROXY_STARTED -> proxyStarted(number, in);
             case PROXY_CRASHED -> proxies.remove(number);
-            default -> event(code, number, in);
+            default -> processEvent(code, number, in);
         }
     }
 
     private void proxyStarted(int number, ByteBuffer in) {
         long seed = in.getLong();
-        byte[] text = new byte[checkedCount(in, in.getInt(), 1)];
+        byte[] text = new byte[requireFits(in, in.getInt(), 1)];
         in.get(text);
         Settings settings = SettingsReader.read(new String(text, StandardCharsets.UTF_8));
         proxies.put(number, new SimulatedProxy(number, settings, seed));
     }
 
-    private void event(int code, int number, ByteBuffer in) {
+    private void processEvent(int code, int number, ByteBuffer in) {
         SimulatedProxy proxy = proxies.get(number);
         if (proxy == null) {
             return;
@@ -170,7 +173,7 @@
         } catch (java.nio.BufferUnderflowException | InvalidSettingsException e) {
             throw e;
         } catch (RuntimeException e) {
-            // Guards against one proxy's fault ending the simulation of all others.
+            // Guards against an error of one proxy that ends the simulation of all others.
             err.println("lemondrift drill: instance " + number + ", event code " + code + ":");
             e.printStackTrace(err);
             reply.proxyFailed(number, e.toString());
@@ -178,32 +181,34 @@
             return;
         }
         if (decision != null) {
-            proxy.write(decision, now, reply);
+            proxy.writeDecision(decision, now, reply);
         }
     }
 
-    /** Decodes one event and hands it to the proxy; null where it needs no decision. */
+    /**
+     * Decodes one event and passes it to the proxy; returns null if the event needs no decision.
+     */
     private Decision decide(int code, SimulatedProxy proxy, ByteBuffer in) {
         return switch (code) {
-            case ENDPOINT_LIST -> endpointList(proxy, in);
+            case ENDPOINT_LIST -> endpointListReceived(proxy, in);
             case REQUEST_ARRIVED -> requestArrived(proxy, in);
             case RESPONSE_STARTED -> responseStarted(proxy, in);
             case ATTEMPT_ENDED -> attemptEnded(proxy, in);
             case CLIENT_LEFT -> clientLeft(proxy, in);
-            case ALARM -> alarm(proxy, in);
+            case ALARM -> alarmFired(proxy, in);
             case PROBE_ENDED -> probeEnded(proxy, in);
             default -> null;
         };
     }
 
-    private Decision alarm(SimulatedProxy proxy, ByteBuffer in) {
+    private Decision alarmFired(SimulatedProxy proxy, ByteBuffer in) {
         if (!proxy.isCurrentAlarm(in.getLong())) {
             return null;
         }
         return proxy.balancer.wake(now);
     }
 
-    private Decision endpointList(SimulatedProxy proxy, ByteBuffer in) {
+    private Decision endpointListReceived(SimulatedProxy proxy, ByteBuffer in) {
         int list = Byte.toUnsignedInt(in.get());
         int kind = in.get();
         if (kind == LIST_FAILED) {
@@ -211,40 +216,46 @@
         }
         List<SimulatedProxy.Endpoint> endpoints = lists.get(list);
         if (endpoints == null) {
-            throw new InvalidSettingsException("list " + list + " was never defined");
+            throw new InvalidSettingsException(
+                    "endpoint list event: list "
+                            + list
+                            + " was never defined, expected a list from an earlier record");
         }
-        return proxy.balancer.endpointsListed(
-                now, kind != LIST_OF_CHANGES, kind == LIST_STALE, proxy.updates(endpoints));
+        return proxy.balancer.endpointListCompleted(
+                now,
+                kind != LIST_OF_CHANGES,
+                kind == LIST_STALE,
+                proxy.toEndpointUpdates(endpoints));
     }
 
     private Decision requestArrived(SimulatedProxy proxy, ByteBuffer in) {
         long id = in.getLong();
         int requestClass = Short.toUnsignedInt(in.getShort());
         int tenant = in.getInt();
-        in.getLong(); // the idempotency key, which only backends need
+        in.getLong(); // skip the idempotency key, which only backends need
         double secondsLeft = in.getDouble() / 1000;
-        in.getDouble(); // the client's own time-out
+        in.getDouble(); // skip the timeout of the client
         boolean markedRetry = (in.get() & RETRY_FLAG) != 0;
         Request request = new Request(id, requestClass, tenant, now, secondsLeft, markedRetry);
         return proxy.balancer.requestArrived(now, proxy.accept(request));
     }
 
-    private static Attempt attempt(SimulatedProxy proxy, ByteBuffer in) {
+    private static Attempt readAttempt(SimulatedProxy proxy, ByteBuffer in) {
         return proxy.attempt(in.getLong(), Byte.toUnsignedInt(in.get()));
     }
 
     private Decision responseStarted(SimulatedProxy proxy, ByteBuffer in) {
-        Attempt attempt = attempt(proxy, in);
+        Attempt attempt = readAttempt(proxy, in);
         return attempt == null ? null : proxy.balancer.responseStarted(now, attempt);
     }
 
     private Decision attemptEnded(SimulatedProxy proxy, ByteBuffer in) {
-        Attempt attempt = attempt(proxy, in);
-        address(in);
+        Attempt attempt = readAttempt(proxy, in);
+        readAddress(in);
         int outcome = Short.toUnsignedInt(in.getShort());
         double durationSeconds = in.getDouble() / 1000;
         boolean completed = in.get() != 0;
-        double[] loadReport = loadReport(in);
+        double[] loadReport = readLoadReport(in);
         if (attempt == null || outcome >= OUTCOMES.length) {
             return null;
         }
@@ -266,19 +277,19 @@
     }
 
     private Decision probeEnded(SimulatedProxy proxy, ByteBuffer in) {
-        int backend = proxy.index(address(in));
-        in.getDouble(); // how long it took
+        int backend = proxy.backendIndex(readAddress(in));
+        in.getDouble(); // skip the duration of the probe
         int outcome = Short.toUnsignedInt(in.getShort());
         return outcome >= OUTCOMES.length
                 ? null
-                : proxy.balancer.probeEnded(now, backend, OUTCOMES[outcome], loadReport(in));
+                : proxy.balancer.probeEnded(now, backend, OUTCOMES[outcome], readLoadReport(in));
     }
 
-    private static List<SimulatedProxy.Endpoint> endpoints(ByteBuffer in) {
-        int count = checkedCount(in, in.getInt(), 24);
+    private static List<SimulatedProxy.Endpoint> readEndpoints(ByteBuffer in) {
+        int count = requireFits(in, in.getInt(), 24);
         List<SimulatedProxy.Endpoint> endpoints = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            long address = address(in);
+            long address = readAddress(in);
             int location = Short.toUnsignedInt(in.getShort());
             in.get();
             int cell = Short.toUnsignedInt(in.getShort());
@@ -296,21 +307,27 @@
         return endpoints;
     }
 
-    private static int checkedCount(ByteBuffer in, int count, int bytesEach) {
+    private static int requireFits(ByteBuffer in, int count, int bytesEach) {
         if (count < 0 || (long) count * bytesEach > in.remaining()) {
             throw new InvalidSettingsException(
-                    "a count of " + Integer.toUnsignedString(count) + " does not fit its record");
+                    "invalid count: "
+                            + Integer.toUnsignedString(count)
+                            + " entries of "
+                            + bytesEach
+                            + " bytes, but the record has only "
+                            + in.remaining()
+                            + " bytes left");
         }
         return count;
     }
 
-    private static long address(ByteBuffer in) {
+    private static long readAddress(ByteBuffer in) {
         long host = Integer.toUnsignedLong(in.getInt());
         return host | (long) Short.toUnsignedInt(in.getShort()) << 32;
     }
 
-    /** Null where no report came along. */
-    private static double[] loadReport(ByteBuffer in) {
+    /** Returns the load report at the end of a record; null if there is none. */
+    private static double[] readLoadReport(ByteBuffer in) {
         int count = in.hasRemaining() ? Byte.toUnsignedInt(in.get()) : 0;
         if (count == 0) {
             return null;
--- a/src/test/java/lemondrift/lab/fleet/ClientTryTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ClientTryTest.java
@@ -26,21 +26,23 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A client's request whose kept connection to a proxy is closed before the response. */
+/** Tests client requests whose reused connection to a proxy is closed before the response. */
 class ClientTryTest {
     private static final int FIRST = 0;
     private static final int SECOND = 1;
     private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** Stands in for a proxy: hands each request to the test, which responds or closes. */
-    private static final class StandInProxy implements AutoCloseable {
+    /**
+     * A proxy that passes the connection of each request to the test, which responds or closes it.
+     */
+    private static final class FakeProxy implements AutoCloseable {
         private final ServerSocket server =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final BlockingQueue<Socket> requests = new ArrayBlockingQueue<>(10);
 
-        StandInProxy() throws IOException {
-            Thread thread = new Thread(this::acceptAll, "stand-in proxy");
+        FakeProxy() throws IOException {
+            Thread thread = new Thread(this::acceptAll, "fake proxy");
             thread.setDaemon(true);
             thread.start();
         }
@@ -55,7 +57,7 @@
             }
         }
 
-        /** A request without a body ends with its head; of one with a body the rest is ignored. */
+        /** Reads requests up to the end of their head; the body of a request is ignored. */
         private void readAll(Socket client) throws IOException {
             BufferedReader reader =
                     new BufferedReader(
@@ -68,7 +70,7 @@
             }
         }
 
-        /** Waits for a request; null where none comes in time. */
+        /** Waits for a request; null if none arrives in time. */
         Socket awaitRequest() throws InterruptedException {
             return requests.poll(10, TimeUnit.SECONDS);
         }
@@ -83,7 +85,7 @@
         }
     }
 
-    /** Two proxies; clients are sent to the first for as long as it is open. */
+    /** Two proxies; clients are sent to the first as long as it is open. */
     private final class TwoProxies implements ClientTargets {
         private boolean firstOpen = true;
 
@@ -114,7 +116,7 @@
     }
 
     private final TwoProxies targets = new TwoProxies();
-    private List<StandInProxy> proxies;
+    private List<FakeProxy> proxies;
     private TestbedContext context;
     private ClientFleet fleet;
     private ClientConnections connections;
@@ -122,7 +124,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        proxies = List.of(new StandInProxy(), new StandInProxy());
+        proxies = List.of(new FakeProxy(), new FakeProxy());
         Scenario scenario = Fleets.experiment(0.4).day(1);
         context = TestbedContext.create(scenario, 1, 4, () -> null);
         fleet = new ClientFleet(context, targets, null);
@@ -134,7 +136,7 @@
     void stop() throws Exception {
         context.scheduler().run(connections::close);
         context.worker().shutdownNow();
-        for (StandInProxy proxy : proxies) {
+        for (FakeProxy proxy : proxies) {
             proxy.close();
         }
     }
@@ -162,8 +164,11 @@
                         });
     }
 
-    /** A first request is answered, and a second one is in flight on the same connection. */
-    private Socket sendOnKeptConnection(Idempotency idempotency) throws Exception {
+    /**
+     * Completes a first request, sends a second one on the same connection, and closes the first
+     * proxy for further requests; returns the connection of the second request.
+     */
+    private Socket sendOnReusedConnection(Idempotency idempotency) throws Exception {
         send("first", idempotency);
         proxies.get(FIRST).awaitRequest().getOutputStream().write(RESPONSE);
         awaitCount(1, true);
@@ -186,22 +191,24 @@
     }
 
     /**
-     * Guards against a client of the testbed that repeats what the killed proxy had sent to a
-     * backend, which the recorder would blame on the proxies.
+     * Guards against a client of the testbed that resends a request which the killed proxy had
+     * already sent to a backend. The recorder would count the repetition as a fault of the proxies.
      */
     @Test
-    void repeatsNothingAtAnotherProxyAfterItsProxyWasKilled() throws Exception {
-        Socket inFlight = sendOnKeptConnection(Idempotency.NOT_IDEMPOTENT);
-        context.scheduler().run(() -> context.recorder().startExcuse(FIRST));
+    void doesNotResendAtAnotherProxyAfterItsProxyWasKilled() throws Exception {
+        Socket inFlight = sendOnReusedConnection(Idempotency.NOT_IDEMPOTENT);
+        context.scheduler().run(() -> context.recorder().markUnavailable(FIRST));
         inFlight.close();
         awaitCount(1, false);
-        assertTrue(proxies.get(SECOND).requests.isEmpty(), "sent to the other proxy");
+        assertTrue(
+                proxies.get(SECOND).requests.isEmpty(),
+                "the request must not be sent to the other proxy");
     }
 
-    /** An idle connection may be closed by a draining proxy just as a request is sent on it. */
+    /** A draining proxy may close an idle connection while a request is being sent on it. */
     @Test
-    void sendsAgainAtAnotherProxyWhatCrossedTheCloseOfAnIdleConnection() throws Exception {
-        Socket inFlight = sendOnKeptConnection(Idempotency.NOT_IDEMPOTENT);
+    void resendsAtAnotherProxyWhenAnIdleConnectionClosesDuringSend() throws Exception {
+        Socket inFlight = sendOnReusedConnection(Idempotency.NOT_IDEMPOTENT);
         inFlight.close();
         proxies.get(SECOND).awaitRequest().getOutputStream().write(RESPONSE);
         awaitCount(2, true);
--- a/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
+++ b/src/test/java/lemondrift/lab/fleet/RecoveryProcessTest.java
@@ -22,9 +22,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Four real processes that are killed, with snapshots on a disk that is kept. */
+/**
+ * Tests the recovery of four real processes that are killed, with snapshots on a disk that is kept.
+ */
 class RecoveryProcessTest {
-    private static final int MAX_DAYS_TO_RECOVER = 12;
+    private static final int MAX_RUNS_TO_RECOVER = 12;
     private static final BackendFault CRASH_OF_ALL_BACKENDS =
             new BackendFault(BackendFault.Kind.CRASH, 1, 0.5, 1, 1);
     private static FleetTestbed testbed;
@@ -42,24 +44,24 @@
         Fleets.stop(testbed);
     }
 
-    private static RunResult play(List<BackendFault> backendFaults, Fault... faults)
+    private static RunResult run(List<BackendFault> backendFaults, Fault... faults)
             throws Exception {
-        RunResult day = Fleets.play(testbed, backendFaults, faults);
+        RunResult result = Fleets.run(testbed, backendFaults, faults);
         assertEquals(
                 0,
-                day.overloadedColdBackends,
-                "no cold backend is overloaded by all of them together");
-        return day;
+                result.overloadedColdBackends,
+                "the proxies together must not overload a cold backend");
+        return result;
     }
 
     /**
-     * Plays days without faults until all requests of one are served and each proxy's own recovery
-     * has settled.
+     * Executes runs without faults until one of them serves all requests and the recovery of each
+     * proxy has settled.
      */
     private static void assertRecovers() throws Exception {
         RunResult last = null;
-        for (int i = 0; i < MAX_DAYS_TO_RECOVER; i++) {
-            last = play(List.of());
+        for (int i = 0; i < MAX_RUNS_TO_RECOVER; i++) {
+            last = run(List.of());
             if (last.succeeded == last.clientRequests
                     && last.rejected == 0
                     && IntStream.range(0, Fleets.PROXIES)
@@ -67,7 +69,7 @@
                 return;
             }
         }
-        fail("not as before after " + MAX_DAYS_TO_RECOVER + " calm days: " + last);
+        fail("not recovered after " + MAX_RUNS_TO_RECOVER + " runs without faults: " + last);
     }
 
     private static List<String> log(int proxy) {
@@ -96,15 +98,15 @@
     }
 
     @Test
-    void recoversWhenAllAreKilledAndTheBackendsStayWarm() throws Exception {
-        play(List.of(), fault(Kind.KILL, "all", "all", 1, 0.3, 1));
+    void recoversWhenAllProxiesAreKilledAndTheBackendsStayWarm() throws Exception {
+        run(List.of(), fault(Kind.KILL, "all", "all", 1, 0.3, 1));
         assertRecovers();
     }
 
     @Test
-    void recoversWhenAllAreKilledAndAllBackendsRestartTwice() throws Exception {
+    void recoversWhenAllProxiesAreKilledAndAllBackendsRestartTwice() throws Exception {
         BackendFault secondCrash = new BackendFault(BackendFault.Kind.CRASH, 3.5, 0.5, 1, 1);
-        play(
+        run(
                 List.of(CRASH_OF_ALL_BACKENDS, secondCrash),
                 fault(Kind.KILL, "all", "all", 1, 0.3, 1),
                 fault(Kind.KILL, "all", "all", 3.5, 0.3, 1));
@@ -112,8 +114,8 @@
     }
 
     @Test
-    void recoversWhenAllAreKilledDuringADeployWithDiscoveryCut() throws Exception {
-        play(
+    void recoversWhenAllProxiesAreKilledDuringADeployWithDiscoveryCut() throws Exception {
+        run(
                 List.of(
                         CRASH_OF_ALL_BACKENDS,
                         new BackendFault(BackendFault.Kind.DEPLOY, 1.5, 2, 0.3, 1)),
@@ -123,8 +125,8 @@
     }
 
     @Test
-    void recoversWhenHalfStartsLaterAndTheHalvesAreCutOffFromEachOther() throws Exception {
-        play(
+    void recoversWhenHalfTheProxiesStartLaterAndTheHalvesCannotReachEachOther() throws Exception {
+        run(
                 List.of(CRASH_OF_ALL_BACKENDS),
                 fault(Kind.KILL, "location 0", "all", 1, 0.3, 1),
                 fault(Kind.KILL, "location 1", "all", 1, 2.5, 1),
@@ -134,21 +136,21 @@
     }
 
     @Test
-    void oneProxyRecoversFromItsPeersWhenItsSnapshotIsBadAndOldDatagramsComeLate()
+    void proxyRecoversFromPeersWhenItsSnapshotIsUnreadableAndOldDatagramsArriveLate()
             throws Exception {
         assertRecovers();
         long recoveriesBefore = countLines(2, "recovery begins");
         long setAsideBefore = countLines(2, "set aside");
-        // A folder in the place of the file can be neither read nor written over.
+        // A folder in place of the snapshot file can be neither read nor overwritten.
         for (Path file = disk.resolve("n2.snap"); !Files.isDirectory(file); ) {
             Files.deleteIfExists(file);
             try {
                 Files.createDirectory(file);
             } catch (FileAlreadyExistsException e) {
-                // The proxy has just written another one.
+                // The proxy has just written another snapshot file.
             }
         }
-        play(
+        run(
                 List.of(),
                 fault(Kind.LATE, "number 2", "all", 0, 5, 1),
                 fault(Kind.KILL, "number 2", "all", 1, 0.5, 1));
@@ -160,12 +162,12 @@
         assertTrue(
                 lines.subList(from, lines.size()).stream()
                         .anyMatch(line -> line.contains("phase=ALONE")),
-                "it was alone among others that know");
+                "the recovery must enter phase ALONE: only this proxy is new");
     }
 
     @Test
-    void startNumberRisesWithEachStart() throws Exception {
-        play(List.of(), fault(Kind.STOP, "number 1", "all", 0.5, 1, 1));
+    void startNumberIncreasesWithEachStart() throws Exception {
+        run(List.of(), fault(Kind.STOP, "number 1", "all", 0.5, 1, 1));
         assertRecovers();
         long[] startNumbers =
                 log(1).stream()
@@ -180,6 +182,8 @@
                         && IntStream.range(1, startNumbers.length)
                                 .allMatch(i -> startNumbers[i] > startNumbers[i - 1]),
                 Arrays.toString(startNumbers));
-        assertTrue(lastLine(1, "recovery begins").contains("this run of the machine"), "believed");
+        assertTrue(
+                lastLine(1, "recovery begins").contains("this run of the machine"),
+                "the snapshot must be recognized as written in this run of the machine");
     }
 }
--- a/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
+++ b/src/test/java/lemondrift/lab/fleet/ReloadSignalTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real process at SIGHUP, its files changing under it, beside live traffic. */
+/** Tests a real process that gets SIGHUP while its files change and clients send traffic. */
 class ReloadSignalTest {
     private static final int RELOADS = 50;
     private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
@@ -32,7 +32,10 @@
     private FleetTestbed testbed;
     private int requestCount;
 
-    /** The status of a request of the class that only the changed settings have. */
+    /**
+     * Sends a request of the class that only the changed settings have, and returns the status
+     * code.
+     */
     private int statusOfNewClass() {
         InetSocketAddress proxy = testbed.listenAddress(0);
         try {
@@ -44,7 +47,7 @@
                                                             + "/api"))
                                     .header(
                                             "X-Trace-Id",
-                                            BackendRequestHandler.UNJUDGED_TRACE_ID_PREFIX
+                                            BackendRequestHandler.UNCHECKED_TRACE_ID_PREFIX
                                                     + ++requestCount)
                                     .header("X-Qos", "fresh")
                                     .header("X-Expires-In-Ms", "4000")
@@ -60,7 +63,7 @@
             throws InterruptedException {
         long deadline = System.nanoTime() + TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < deadline, "not reached: " + description);
+            assertTrue(System.nanoTime() < deadline, "timed out waiting for: " + description);
             Thread.sleep(5);
         }
     }
@@ -76,19 +79,20 @@
         }
     }
 
-    /** Guards against a peers file that is missing or broken and so blocks new settings. */
+    /** Guards against a missing or broken peers file that blocks new settings. */
     @Test
-    void newSettingsAreUsedWhateverBecomesOfThePeersFile(@TempDir Path folder) throws Exception {
+    void newSettingsAreUsedEvenIfThePeersFileIsMissingOrBroken(@TempDir Path folder)
+            throws Exception {
         Path peers = folder.resolve("peers.json");
         String validPeers = Files.readString(Path.of("deploy/peers.json"));
         Files.writeString(peers, validPeers);
         testbed = Fleets.start(0.3, peers);
         try (FleetTestbed closing = testbed) {
-            CompletableFuture<FleetTestbed.DayOutcome> traffic =
+            CompletableFuture<FleetTestbed.RunOutcome> traffic =
                     CompletableFuture.supplyAsync(
                             () -> {
                                 try {
-                                    return testbed.play(List.of(), List.of(), 8);
+                                    return testbed.run(List.of(), List.of(), 8);
                                 } catch (InterruptedException e) {
                                     throw new IllegalStateException(e);
                                 }
@@ -103,26 +107,29 @@
                         Files.writeString(
                                 peers, i % 5 == 0 ? validPeers : "{\"pace\": \"no number\"");
                         Files.writeString(config, changed);
-                        testbed.hangUp(0);
+                        testbed.reload(0);
                         await("the new class is known", () -> statusOfNewClass() == 200);
                     }
                     case 1 -> {
                         Files.writeString(config, changed.substring(0, changed.length() / 2));
-                        testbed.hangUp(0);
+                        testbed.reload(0);
                         await(
-                                "the broken file is refused",
+                                "the broken file is rejected",
                                 () -> countRejectedConfigurations() > before);
-                        assertEquals(200, statusOfNewClass(), "the settings stay, whole");
+                        assertEquals(
+                                200,
+                                statusOfNewClass(),
+                                "the previous settings must stay in use completely");
                     }
                     default -> {
                         Files.deleteIfExists(peers);
                         Files.writeString(config, original);
-                        testbed.hangUp(0);
-                        await("the class is gone", () -> statusOfNewClass() == 400);
+                        testbed.reload(0);
+                        await("the new class is unknown again", () -> statusOfNewClass() == 400);
                     }
                 }
             }
-            FleetTestbed.DayOutcome outcome = traffic.get();
+            FleetTestbed.RunOutcome outcome = traffic.get();
             assertEquals(Optional.empty(), outcome.brokenRule());
             assertEquals(
                     outcome.result().clientRequests,
